--- a/src/apricotlever/contracts/__init__.py
+++ b/src/apricotlever/contracts/__init__.py
@@ -1,1 +1,1 @@
-"""What is owed to customers: admission, fairness, limits and budgets."""
+"""Admission control for customers: fairness, limits and budgets."""
--- a/src/apricotlever/contracts/admission.py
+++ b/src/apricotlever/contracts/admission.py
@@ -1,4 +1,4 @@
-"""Decides which requests an entry VM takes, when, and which it refuses."""
+"""Decides which requests an entry VM admits and when, and which it refuses."""
 
 import random
 import typing
@@ -18,14 +18,15 @@
 Reason = tickets.Reason
 Verdict = tickets.Verdict
 
-UNKNOWN_RETRY_S = 5.0
+UNKNOWN_ENTRY_RETRY_S = 5.0
 
 
-class Pool:
-    """What admission knows of a pool of runners.
+class PoolCapacity:
+    """The size and price of a pool of runners.
 
-    :param slots: of all its runners that take work.
-    :param price_per_slot_hour: their average.
+    :param slots: slots of all runners of the pool that accept new work.
+    :param price_per_slot_hour: average price of a slot per hour, in the
+        currency of the cloud API's prices.
     """
 
     __slots__ = ("slots", "price_per_slot_hour")
@@ -36,23 +37,28 @@
 
 
 class Admission:
-    """Queues, limits and shares of one entry VM.
+    """Decides on all requests of one entry VM.
 
-    :param vm: this VM's name in the reports of demand.
+    It holds a queue and a concurrency limit for each pool, the limits of
+    each catalogue entry, and this VM's shares of the fleet-wide limits.
+
+    :param clock: the source of time.
+    :param rng: the source of the jitter in retry delays.
+    :param vm: this VM's name in its demand reports.
     """
 
     __slots__ = (
         "_catalogue",
         "_classes",
         "_clock",
-        "_entries",
-        "_gates",
-        "_last_report",
+        "_limits_by_entry",
+        "_pool_admissions",
+        "_pending_report",
         "_pools",
-        "_requests",
+        "_pool_by_request",
         "_rng",
-        "_shares",
-        "_spending",
+        "_fleet_shares",
+        "_spend_meter",
     )
 
     def __init__(
@@ -61,38 +67,39 @@
         self._clock = clock
         self._rng = rng
         self._catalogue = catalogue_model.EMPTY
-        #: Classes that left the catalogue stay known to their requests.
+        #: Classes by name. Classes that were removed from the catalogue stay
+        #: here for the requests that still use them.
         self._classes: dict[str, catalogue_model.ServiceClass] = {}
-        self._spending = spend.SpendMeter(clock)
-        self._shares = fleet_shares.FleetShares(clock, vm)
-        self._entries: dict[str, entry_limits.EntryLimits] = {}
-        self._gates: dict[str, gate.Gate] = {}
-        self._pools: dict[str, Pool] = {}
-        #: The pool of each request that waits or is in flight.
-        self._requests: dict[str, str] = {}
-        self._last_report: fleet_shares.DemandReport | None = None
+        self._spend_meter = spend.SpendMeter(clock)
+        self._fleet_shares = fleet_shares.FleetShares(clock, vm)
+        self._limits_by_entry: dict[str, entry_limits.EntryLimits] = {}
+        self._pool_admissions: dict[str, gate.PoolAdmission] = {}
+        self._pools: dict[str, PoolCapacity] = {}
+        #: The pool of each request that is queued or in flight.
+        self._pool_by_request: dict[str, str] = {}
+        self._pending_report: fleet_shares.DemandReport | None = None
 
     @property
     def shares(self) -> fleet_shares.FleetShares:
-        """This VM's shares of the fleet's limits."""
-        return self._shares
+        """This VM's shares of the fleet-wide limits."""
+        return self._fleet_shares
 
     @property
     def spending(self) -> spend.SpendMeter:
-        """The costs by customer and entry."""
-        return self._spending
+        """The meter of costs by customer and entry."""
+        return self._spend_meter
 
     @property
-    def gates(self) -> typing.Mapping[str, gate.Gate]:
-        """The gate of each pool that has been asked for."""
-        return self._gates
+    def pool_admissions(self) -> typing.Mapping[str, gate.PoolAdmission]:
+        """The admission state of each pool that has had a request."""
+        return self._pool_admissions
 
     def configure(self, catalogue: catalogue_model.Catalogue) -> None:
-        """Take over a catalogue; requests that wait or run stay."""
+        """Apply a catalogue; queued and running requests stay."""
         self._catalogue = catalogue
         self._classes.update(catalogue.classes)
         kinds = fleet_shares.LimitKind
-        self._shares.set_limits(
+        self._fleet_shares.set_limits(
             {
                 (name, kind): limit
                 for name, entry in catalogue.entries.items()
@@ -101,33 +108,40 @@
             }
         )
         weights = {c.name: c.weight for c in catalogue.customers.values()}
-        for a_gate in self._gates.values():
-            a_gate.set_weights(weights)
+        for admission in self._pool_admissions.values():
+            admission.set_weights(weights)
         self._apply_shares()
-        self._size_gates()
+        self._resize_pools()
 
     def set_pool(
         self, pool: str, slots: int, price_per_slot_hour: float = 0.0
     ) -> None:
-        """Tell the size and price of a pool as it is now.
+        """Set the current size and price of a pool.
+
+        Before the first call, the pool is assumed to have the largest size
+        that the catalogue allows.
 
-        Until told, the catalogue's largest size is assumed.
+        :param pool: the name of the pool.
+        :param slots: slots of all its runners that accept new work.
+        :param price_per_slot_hour: average price of a slot per hour.
         """
-        self._pools[pool] = Pool(slots, price_per_slot_hour)
-        if pool in self._gates:
-            self._gates[pool].set_slots(slots, len(self._shares.members))
+        self._pools[pool] = PoolCapacity(slots, price_per_slot_hour)
+        if pool in self._pool_admissions:
+            self._pool_admissions[pool].set_slots(
+                slots, len(self._fleet_shares.members)
+            )
 
     def set_members(self, vms: typing.Iterable[str]) -> None:
-        """Tell which entry VMs are in the fleet, this one included."""
-        self._shares.set_members(vms)
+        """Set which entry VMs are in the fleet, this one included."""
+        self._fleet_shares.set_members(vms)
         self._apply_shares()
-        self._size_gates()
+        self._resize_pools()
 
     def offer(self, ticket: Ticket) -> list[Verdict]:
-        """Ask for a request to be admitted.
+        """Ask for the admission of a request.
 
-        :returns: verdicts on this request, when there is one at once, and
-            on requests that it displaced.
+        :returns: the verdict on this request if there is one at once, and
+            the verdicts on requests that it displaced.
         """
         entry = self._catalogue.entries.get(ticket.entry)
         if (
@@ -136,18 +150,22 @@
         ):
             return [
                 Refused(
-                    ticket.request_id, Reason.UNKNOWN_ENTRY, UNKNOWN_RETRY_S
+                    ticket.request_id,
+                    Reason.UNKNOWN_ENTRY,
+                    UNKNOWN_ENTRY_RETRY_S,
                 )
             ]
-        self._limits(ticket.entry).offered(ticket.tokens)
-        self._requests[ticket.request_id] = entry.pool
-        return self._settled(self._gate(entry.pool).offer(ticket))
+        self._entry_limits(ticket.entry).record_demand(ticket.tokens)
+        self._pool_by_request[ticket.request_id] = entry.pool
+        return self._drop_refused(
+            self._pool_admission(entry.pool).offer(ticket)
+        )
 
     def first_token(self, request_id: str) -> None:
-        """Tell that the first token of an answer has come."""
-        pool = self._requests.get(request_id)
+        """Note that the first token of an answer arrived."""
+        pool = self._pool_by_request.get(request_id)
         if pool is not None:
-            self._gates[pool].first_token(request_id)
+            self._pool_admissions[pool].record_first_token(request_id)
 
     def finished(
         self,
@@ -156,80 +174,95 @@
         tokens: float | None = None,
         cost: float | None = None,
     ) -> list[Verdict]:
-        """Tell that an admitted request has ended.
-
-        :param tokens: of prompt and answer, None when not known.
-        :param cost: None to take the pool's average price.
-        :returns: verdicts on requests that its end lets in.
+        """Note the end of a request.
+
+        :param request_id: of an admitted request, or of a queued one that
+            its caller withdrew.
+        :param outcome: how the request ended.
+        :param tokens: tokens of prompt and answer; None if unknown.
+        :param cost: the cost of the request; None to compute it from the
+            pool's average price.
+        :returns: the verdicts on requests that can start now.
         """
-        pool = self._requests.pop(request_id, None)
+        pool = self._pool_by_request.pop(request_id, None)
         if pool is None:
             return []
-        a_gate = self._gates[pool]
-        request = a_gate.finished(request_id, outcome)
+        admission = self._pool_admissions[pool]
+        request = admission.remove_finished(request_id, outcome)
         if request is None:
-            a_gate.remove(request_id)
+            admission.remove_queued(request_id)
             return []
         ticket = request.ticket
-        self._limits(ticket.entry).finished(ticket.tokens, tokens)
+        self._entry_limits(ticket.entry).record_finished(ticket.tokens, tokens)
         if cost is None:
             cost = self._average_cost(pool, request.admitted_at)
-        self._spending.spent(ticket.customer, ticket.entry, cost)
-        return self._settled(a_gate.dispatch())
+        self._spend_meter.record(ticket.customer, ticket.entry, cost)
+        return self._drop_refused(admission.dispatch())
 
     def withdraw(self, request_id: str) -> list[Verdict]:
-        """Tell that a caller has gone, wherever its request stands."""
+        """Remove a queued or running request whose caller disconnected."""
         return self.finished(request_id, runner_model.Outcome.CANCELLED)
 
     def tick(self) -> list[Verdict]:
-        """Settle what time has decided; call about ten times a second."""
-        self._report()
+        """Decide what depends on the time.
+
+        The caller calls this method about ten times a second.
+
+        :returns: the verdicts on queued requests that can start now or can
+            no longer start in time.
+        """
+        self._refresh_report()
         verdicts = [
             verdict
-            for a_gate in self._gates.values()
-            for verdict in a_gate.refresh()
+            for admission in self._pool_admissions.values()
+            for verdict in admission.refresh()
         ]
-        return self._settled(verdicts)
+        return self._drop_refused(verdicts)
 
     def take_report(self) -> fleet_shares.DemandReport | None:
-        """The newest report of demand that was not taken yet, to spread."""
-        report = self._last_report
-        self._last_report = None
+        """Return the newest demand report, once, for sending to the fleet.
+
+        :returns: the report; None if there is none since the last call.
+        """
+        report = self._pending_report
+        self._pending_report = None
         return report
 
-    def _settled(self, verdicts: list[Verdict]) -> list[Verdict]:
+    def _drop_refused(self, verdicts: list[Verdict]) -> list[Verdict]:
         for verdict in verdicts:
             if isinstance(verdict, Refused):
-                self._requests.pop(verdict.request_id, None)
+                self._pool_by_request.pop(verdict.request_id, None)
         return verdicts
 
-    def _limits(self, entry: str) -> entry_limits.EntryLimits:
-        limits = self._entries.get(entry)
+    def _entry_limits(self, entry: str) -> entry_limits.EntryLimits:
+        limits = self._limits_by_entry.get(entry)
         if limits is None:
             limits = entry_limits.EntryLimits(
-                self._clock, entry, self._spending
+                self._clock, entry, self._spend_meter
             )
-            self._entries[entry] = limits
+            self._limits_by_entry[entry] = limits
             self._apply_share(entry, limits)
         return limits
 
-    def _gate(self, pool: str) -> gate.Gate:
-        known = self._gates.get(pool)
+    def _pool_admission(self, pool: str) -> gate.PoolAdmission:
+        known = self._pool_admissions.get(pool)
         if known is not None:
             return known
-        made = gate.Gate(
-            self._clock, self._rng, self._limits, self._service_class
+        created = gate.PoolAdmission(
+            self._clock, self._rng, self._entry_limits, self._service_class
         )
         customers = self._catalogue.customers.values()
-        made.set_weights({c.name: c.weight for c in customers})
-        made.set_slots(self._slots(pool), len(self._shares.members))
-        self._gates[pool] = made
-        return made
+        created.set_weights({c.name: c.weight for c in customers})
+        created.set_slots(
+            self._slot_count(pool), len(self._fleet_shares.members)
+        )
+        self._pool_admissions[pool] = created
+        return created
 
     def _service_class(self, name: str) -> catalogue_model.ServiceClass:
         return self._classes[name]
 
-    def _slots(self, pool: str) -> int:
+    def _slot_count(self, pool: str) -> int:
         if pool in self._pools:
             return self._pools[pool].slots
         return sum(
@@ -238,19 +271,21 @@
             if entry.pool == pool
         )
 
-    def _size_gates(self) -> None:
-        for pool, a_gate in self._gates.items():
-            a_gate.set_slots(self._slots(pool), len(self._shares.members))
+    def _resize_pools(self) -> None:
+        for pool, admission in self._pool_admissions.items():
+            admission.set_slots(
+                self._slot_count(pool), len(self._fleet_shares.members)
+            )
 
     def _average_cost(self, pool: str, admitted_at: float) -> float:
         known = self._pools.get(pool)
         if known is None:
             return 0.0
         held_s = self._clock.now() - admitted_at
-        return spend.cost_of(known.price_per_slot_hour, 1, held_s)
+        return spend.request_cost(known.price_per_slot_hour, 1, held_s)
 
     def _apply_shares(self) -> None:
-        for entry, limits in self._entries.items():
+        for entry, limits in self._limits_by_entry.items():
             self._apply_share(entry, limits)
 
     def _apply_share(
@@ -258,27 +293,27 @@
     ) -> None:
         kinds = fleet_shares.LimitKind
         limits.set_limits(
-            self._shares.units(entry, kinds.CONCURRENT),
-            self._shares.amount(entry, kinds.REQUESTS),
-            self._shares.amount(entry, kinds.TOKENS),
-            self._shares.amount(entry, kinds.SPEND),
+            self._fleet_shares.units(entry, kinds.CONCURRENT),
+            self._fleet_shares.amount(entry, kinds.REQUESTS),
+            self._fleet_shares.amount(entry, kinds.TOKENS),
+            self._fleet_shares.amount(entry, kinds.SPEND),
         )
 
-    def _report(self) -> None:
+    def _refresh_report(self) -> None:
         waiting: dict[str, int] = {}
-        for a_gate in self._gates.values():
-            for queued in a_gate.queue:
+        for admission in self._pool_admissions.values():
+            for queued in admission.queue:
                 entry = queued.ticket.entry
                 waiting[entry] = waiting.get(entry, 0) + 1
         kinds = fleet_shares.LimitKind
-        demands: dict[fleet_shares.Key, float] = {}
-        for entry, limits in self._entries.items():
+        demands: dict[fleet_shares.LimitKey, float] = {}
+        for entry, limits in self._limits_by_entry.items():
             wanted = limits.in_flight + waiting.get(entry, 0)
             demands[entry, kinds.CONCURRENT] = float(wanted)
             demands[entry, kinds.REQUESTS] = limits.requests_demand
             demands[entry, kinds.TOKENS] = limits.tokens_demand
             demands[entry, kinds.SPEND] = limits.tokens_demand
-        report = self._shares.report(demands)
+        report = self._fleet_shares.report(demands)
         if report is not None:
-            self._last_report = report
+            self._pending_report = report
             self._apply_shares()
--- a/src/apricotlever/contracts/arrivals.py
+++ b/src/apricotlever/contracts/arrivals.py
@@ -1,17 +1,17 @@
-"""How many requests come to each pool, and how long they hold a slot."""
+"""Measures each pool's arrival rate and the time requests hold a slot."""
 
 from .. import clock as clocks
 from ..links import peer_pb2 as pb
 
-SMOOTHING = 0.2
-REPORT_S = 1.0
-LEAST_RATE = 1e-3
+SMOOTHING_FACTOR = 0.2
+REPORT_INTERVAL_S = 1.0
+MIN_REPORTED_RATE = 1e-3
 ARRIVALS = "arrivals_per_s"
 SERVICE = "service_s"
 
 
-class _Pool:
-    """One pool's counts since the last report, and its smoothed figures."""
+class _PoolDemand:
+    """A pool's arrivals since the last report, and its smoothed figures."""
 
     __slots__ = ("arrived", "rate", "service_s")
 
@@ -22,8 +22,9 @@
 
 
 class Arrivals:
-    """The demand that this VM sees, for whoever plans capacity.
+    """Measures the demand at this VM for capacity planning.
 
+    :param clock: the source of time.
     :param vm: this VM's name.
     """
 
@@ -32,41 +33,44 @@
     def __init__(self, clock: clocks.Clock, vm: str) -> None:
         self._clock = clock
         self._vm = vm
-        self._pools: dict[str, _Pool] = {}
+        self._pools: dict[str, _PoolDemand] = {}
         self._started: dict[str, tuple[str, float]] = {}
         self._reported_at = clock.now()
 
     def arrived(self, pool: str) -> None:
-        """A request came, whether it is admitted or not."""
-        self._pools.setdefault(pool, _Pool()).arrived += 1
+        """Count a request for a pool, whether it is admitted or not."""
+        self._pools.setdefault(pool, _PoolDemand()).arrived += 1
 
     def started(self, request_id: str, pool: str) -> None:
-        """A request was sent to a runner for the first time."""
+        """Note that a request was sent to a runner; only the first counts."""
         self._started.setdefault(request_id, (pool, self._clock.now()))
 
     def ended(self, request_id: str) -> None:
-        """A request gave its slot back."""
-        known = self._started.pop(request_id, None)
-        if known is None:
+        """Note that a request released its slot."""
+        start = self._started.pop(request_id, None)
+        if start is None:
             return
-        pool = self._pools.setdefault(known[0], _Pool())
-        took_s = self._clock.now() - known[1]
-        step = SMOOTHING if pool.service_s else 1.0
-        pool.service_s += step * (took_s - pool.service_s)
+        pool = self._pools.setdefault(start[0], _PoolDemand())
+        held_s = self._clock.now() - start[1]
+        weight = SMOOTHING_FACTOR if pool.service_s else 1.0
+        pool.service_s += weight * (held_s - pool.service_s)
 
     def report(self) -> pb.DemandReport | None:
-        """The demand of the last second, when it is time to tell it."""
+        """Return the demand report if it is due, else None.
+
+        A report is due every :data:`REPORT_INTERVAL_S` seconds.
+        """
         now = self._clock.now()
         span_s = now - self._reported_at
-        if span_s < REPORT_S:
+        if span_s < REPORT_INTERVAL_S:
             return None
         self._reported_at = now
         message = pb.DemandReport(vm=self._vm)
         for name, pool in self._pools.items():
             rate = pool.arrived / span_s
-            pool.rate += SMOOTHING * (rate - pool.rate)
+            pool.rate += SMOOTHING_FACTOR * (rate - pool.rate)
             pool.arrived = 0
-            if pool.rate < LEAST_RATE:
+            if pool.rate < MIN_REPORTED_RATE:
                 continue
             for limit, value in (
                 (ARRIVALS, pool.rate),
--- a/src/apricotlever/contracts/comeback.py
+++ b/src/apricotlever/contracts/comeback.py
@@ -1,44 +1,59 @@
-"""When a refused caller should come back."""
+"""Decides when a refused caller should retry."""
 
 import random
 
 from .. import clock as clocks
 
-LEAST_S = 0.2
-MOST_S = 30.0
-#: Callers come back spread over this part of their wait.
-SPREAD = 0.25
+MIN_RETRY_S = 0.2
+MAX_RETRY_S = 30.0
+#: The greatest jitter, as a fraction of the retry delay.
+JITTER_FRACTION = 0.25
 
 
-class Comeback:
-    """Gives each refused caller of a customer a later time than the last.
+class RetryAfterScheduler:
+    """Gives each refused caller of a customer a later retry time.
 
-    Callers that are all told the same time come back as one wave, and all
-    but a few of them are refused again. So each refusal takes a place in
-    line, as far from the one before it as the limit lets requests start.
+    Callers with the same retry time would return all at once, and most of
+    them would be refused again. So each refusal gets a retry time that is
+    later than the previous one by the interval at which the limit lets
+    requests start.
+
+    :param clock: the source of time.
+    :param rng: the source of the jitter.
     """
 
-    __slots__ = ("_clock", "_last", "_rng")
+    __slots__ = ("_clock", "_latest_by_customer", "_rng")
 
     def __init__(self, clock: clocks.Clock, rng: random.Random) -> None:
         self._clock = clock
         self._rng = rng
-        #: By customer: the latest time that a caller was given.
-        self._last: dict[str, float] = {}
+        #: The latest retry time given to a caller, by customer.
+        self._latest_by_customer: dict[str, float] = {}
 
-    def after_s(self, customer: str, wait_s: float, step_s: float) -> float:
-        """Seconds after which to come back.
+    def schedule(
+        self, customer: str, wait_s: float, interval_s: float
+    ) -> float:
+        """Return the seconds after which a refused caller should retry.
 
-        :param wait_s: until the backlog as it stands has room.
-        :param step_s: between two requests that are let through.
+        :param customer: the caller's customer.
+        :param wait_s: seconds until the present backlog has room.
+        :param interval_s: seconds between the starts of two requests.
         """
         now = self._clock.now()
-        line = self._last.get(customer, now) + min(step_s, MOST_S)
-        at = min(now + MOST_S, max(now + wait_s, now + LEAST_S, line))
-        self._last[customer] = at
-        return (at - now) * (1.0 + SPREAD * self._rng.random())
+        next_slot = self._latest_by_customer.get(customer, now) + min(
+            interval_s, MAX_RETRY_S
+        )
+        retry_at = min(
+            now + MAX_RETRY_S, max(now + wait_s, now + MIN_RETRY_S, next_slot)
+        )
+        self._latest_by_customer[customer] = retry_at
+        return (retry_at - now) * (1.0 + JITTER_FRACTION * self._rng.random())
 
     def tick(self) -> None:
-        """Forget times that have passed."""
+        """Forget retry times that have passed."""
         now = self._clock.now()
-        self._last = {c: at for c, at in self._last.items() if at > now}
+        self._latest_by_customer = {
+            c: retry_at
+            for c, retry_at in self._latest_by_customer.items()
+            if retry_at > now
+        }
--- a/src/apricotlever/contracts/concurrency.py
+++ b/src/apricotlever/contracts/concurrency.py
@@ -1,56 +1,61 @@
-"""A limit of requests in flight that learns from latency.
+"""A limit of requests in flight that adapts to latency.
 
-Too few requests waste the runners; too many wait in the runners' own
-queues, where nothing can be reordered or refused any more. The limit rises
-while first tokens come within the target and falls when they don't.
+Too few requests in flight leave runners idle. Too many wait in the runners'
+own queues, where they can be neither reordered nor refused. The limit rises
+while first tokens arrive within the target and falls when they don't.
 """
 
 import math
 
 from .. import clock as clocks
 
-LATE_SHARE = 0.1
-VERY_LATE_SHARE = 0.4
-DECREASE = 0.9
-STRONG_DECREASE = 0.7
-#: A first token is late when it took this part of its target, for the rest
-#: is needed by the queue before the limit and by what can't be foreseen,
-LATE_PART = 0.5
-#: or, where prompts are so long that they always take as much, this many
-#: times what an undisturbed one takes; and in any case at the target.
-LATE_FACTOR = 2.5
-#: The limit rises only when the first tokens keep this far off being late.
-COMFORT = 0.7
-#: How fast the undisturbed time is learned.
-RISE_STEP = 0.01
-FALL_STEP = 0.02
-COMFORTABLE_SHARE = 0.85
-#: Below this use the limit was not what held requests back.
-USED_SHARE = 0.8
-LEAST_SAMPLES = 8
-WINDOW_S = 0.5
-LONGEST_WINDOW_S = 3.0
+DECREASE_LATE_FRACTION = 0.1
+STRONG_DECREASE_LATE_FRACTION = 0.4
+DECREASE_FACTOR = 0.9
+STRONG_DECREASE_FACTOR = 0.7
+#: A first token is late if it takes more than this fraction of its target.
+#: The rest of the target is for the queue before the limit and for
+#: unforeseen delays.
+LATE_TARGET_FRACTION = 0.5
+#: Where prompts are so long that first tokens always take that much, a first
+#: token is late only if it takes this many times the baseline latency, but
+#: in any case beyond the target.
+LATE_BASELINE_FACTOR = 2.5
+#: A first token is early if it takes at most this fraction of the latency at
+#: which it would be late. The limit rises only if enough are early.
+EARLY_FACTOR = 0.7
+#: The largest changes of the baseline latency per first token, as fractions
+#: of the target.
+BASELINE_RISE_STEP = 0.01
+BASELINE_FALL_STEP = 0.02
+INCREASE_EARLY_FRACTION = 0.85
+#: Below this utilization, the limit was not what delayed requests.
+MIN_UTILIZATION = 0.8
+MIN_SAMPLES = 8
+MIN_WINDOW_S = 0.5
+MAX_WINDOW_S = 3.0
 
 
 class ConcurrencyLimit:
-    """The requests that may be in flight from this VM at one pool.
+    """The number of requests from this VM that may be in flight at a pool.
 
-    :param floor: never less than this.
-    :param ceiling: never more than this.
-    :param start: where to begin; the ceiling by default.
+    :param clock: the source of time.
+    :param floor: the least value of the limit.
+    :param ceiling: the greatest value of the limit.
+    :param start: the initial limit; the ceiling by default.
     """
 
     __slots__ = (
         "_ceiling",
         "_changed_at",
         "_clock",
-        "_comfortable",
+        "_early_samples",
         "_floor",
-        "_late",
+        "_late_samples",
         "_limit",
-        "_most_used",
+        "_peak_in_flight",
         "_samples",
-        "_undisturbed",
+        "_baseline",
     )
 
     def __init__(
@@ -64,35 +69,37 @@
         self._floor = max(1, floor)
         self._ceiling = max(self._floor, ceiling)
         self._limit = 0.0
-        self._set(float(ceiling if start is None else start))
+        self._set_clamped(float(ceiling if start is None else start))
         self._changed_at = clock.now()
         self._samples = 0
-        self._late = 0
-        self._comfortable = 0
-        self._most_used = 0
-        #: Part of the target that an undisturbed first token takes.
-        self._undisturbed = 0.0
+        self._late_samples = 0
+        self._early_samples = 0
+        self._peak_in_flight = 0
+        #: Baseline latency: the fraction of the target that a first token
+        #: takes without queueing at the runners.
+        self._baseline = 0.0
 
     @property
     def limit(self) -> int:
-        """Requests that may be in flight."""
+        """The number of requests that may be in flight."""
         return int(self._limit)
 
     @property
     def floor(self) -> int:
-        """The least that the limit falls to."""
+        """The least value of the limit."""
         return self._floor
 
     @property
     def ceiling(self) -> int:
-        """The most that the limit rises to."""
+        """The greatest value of the limit."""
         return self._ceiling
 
     def set_bounds(self, floor: int, ceiling: int) -> None:
-        """Take over new bounds, as when runners come and go.
+        """Change the bounds, for example when runners join or leave.
 
-        Capacity that is lost takes the learned limit down in proportion at
-        once: latency would tell only after the overload has begun.
+        A lower ceiling reduces the limit in proportion at once, because
+        latency would show the lost capacity only after the overload has
+        begun.
         """
         floor = max(1, floor)
         ceiling = max(floor, ceiling)
@@ -101,77 +108,85 @@
         at_ceiling = self._limit >= self._ceiling
         self._floor = floor
         self._ceiling = ceiling
-        self._set(float(ceiling) if at_ceiling else self._limit)
+        self._set_clamped(float(ceiling) if at_ceiling else self._limit)
 
-    def observe(
+    def record_first_token(
         self, admitted_at: float, first_token_s: float, target_s: float
     ) -> None:
-        """Learn from a first token.
+        """Record the latency of a first token.
 
-        :param admitted_at: samples from before the last change are not
-            counted, for they tell of the limit that was.
+        :param admitted_at: when the request was admitted; requests admitted
+            before the last change of the limit are not counted, because
+            they show the effect of the previous limit.
+        :param first_token_s: seconds from admission to the first token.
+        :param target_s: the target for that time, in seconds.
         """
-        part = first_token_s / target_s
-        self._learn_undisturbed(part)
+        fraction = first_token_s / target_s
+        self._update_baseline(fraction)
         if admitted_at < self._changed_at:
             return
-        late = min(1.0, max(LATE_PART, LATE_FACTOR * self._undisturbed))
+        late = min(
+            1.0,
+            max(LATE_TARGET_FRACTION, LATE_BASELINE_FACTOR * self._baseline),
+        )
         self._samples += 1
-        self._late += part > late
-        self._comfortable += part <= COMFORT * late
+        self._late_samples += fraction > late
+        self._early_samples += fraction <= EARLY_FACTOR * late
 
-    def failed(self, admitted_at: float) -> None:
-        """Learn from a request that got no first token in time."""
+    def record_failure(self, admitted_at: float) -> None:
+        """Record a request that failed before its first token as late."""
         if admitted_at >= self._changed_at:
             self._samples += 1
-            self._late += 1
+            self._late_samples += 1
 
-    def used(self, in_flight: int) -> None:
-        """Note how many requests are in flight."""
-        self._most_used = max(self._most_used, in_flight)
+    def record_in_flight(self, in_flight: int) -> None:
+        """Record the number of requests in flight."""
+        self._peak_in_flight = max(self._peak_in_flight, in_flight)
 
     def update(self) -> None:
-        """Change the limit when enough has been seen."""
+        """Change the limit if there are enough samples."""
         age_s = self._clock.now() - self._changed_at
-        enough = self._samples >= LEAST_SAMPLES and age_s >= WINDOW_S
-        if not enough and not (self._samples and age_s >= LONGEST_WINDOW_S):
+        enough = self._samples >= MIN_SAMPLES and age_s >= MIN_WINDOW_S
+        if not enough and not (self._samples and age_s >= MAX_WINDOW_S):
             return
-        late = self._late / self._samples
-        comfortable = self._comfortable / self._samples
-        if late >= VERY_LATE_SHARE:
-            self._change(self._limit * STRONG_DECREASE)
-        elif late > LATE_SHARE:
-            self._change(self._limit * DECREASE)
-        elif comfortable < COMFORTABLE_SHARE or not self._was_used():
-            self._reset()
+        late = self._late_samples / self._samples
+        early = self._early_samples / self._samples
+        if late >= STRONG_DECREASE_LATE_FRACTION:
+            self._change_limit(self._limit * STRONG_DECREASE_FACTOR)
+        elif late > DECREASE_LATE_FRACTION:
+            self._change_limit(self._limit * DECREASE_FACTOR)
+        elif early < INCREASE_EARLY_FRACTION or not self._was_utilized():
+            self._start_window()
         else:
-            self._change(self._limit + max(1.0, math.sqrt(self._limit) / 2))
+            self._change_limit(
+                self._limit + max(1.0, math.sqrt(self._limit) / 2)
+            )
 
-    def _learn_undisturbed(self, part: float) -> None:
-        """Learn how long a first token takes when nothing is in its way.
+    def _update_baseline(self, fraction: float) -> None:
+        """Update the latency of a first token without queueing.
 
-        It rises only while the limit is at its floor. What is seen above
-        that may be the wait that the limit is there to prevent, and a limit
-        that takes such a wait for normal never falls.
+        The baseline rises only while the limit is at its floor. Above the
+        floor, a higher latency may be the queueing that the limit is there to
+        prevent, and a limit whose baseline includes queueing never falls.
         """
-        if part < self._undisturbed:
-            self._undisturbed = max(part, self._undisturbed - FALL_STEP)
+        if fraction < self._baseline:
+            self._baseline = max(fraction, self._baseline - BASELINE_FALL_STEP)
         elif self._limit <= self._floor:
-            self._undisturbed = min(part, self._undisturbed + RISE_STEP)
+            self._baseline = min(fraction, self._baseline + BASELINE_RISE_STEP)
 
-    def _was_used(self) -> bool:
-        return self._most_used >= USED_SHARE * self._limit
+    def _was_utilized(self) -> bool:
+        return self._peak_in_flight >= MIN_UTILIZATION * self._limit
 
-    def _change(self, limit: float) -> None:
-        self._set(limit)
+    def _change_limit(self, limit: float) -> None:
+        self._set_clamped(limit)
         self._changed_at = self._clock.now()
-        self._reset()
+        self._start_window()
 
-    def _set(self, limit: float) -> None:
+    def _set_clamped(self, limit: float) -> None:
         self._limit = min(float(self._ceiling), max(float(self._floor), limit))
 
-    def _reset(self) -> None:
+    def _start_window(self) -> None:
         self._samples = 0
-        self._late = 0
-        self._comfortable = 0
-        self._most_used = 0
+        self._late_samples = 0
+        self._early_samples = 0
+        self._peak_in_flight = 0
--- a/src/apricotlever/contracts/entry_limits.py
+++ b/src/apricotlever/contracts/entry_limits.py
@@ -1,4 +1,4 @@
-"""The limits of one catalogue entry, on this VM."""
+"""This VM's shares of the limits of one catalogue entry."""
 
 import math
 
@@ -7,44 +7,47 @@
 from . import spend
 from . import tickets
 
-#: How fast the measured demand follows the real one.
-DEMAND_S = 5.0
+#: Time constant of the measured demand, in seconds.
+DEMAND_DECAY_S = 5.0
 
 
-class Wait:
-    """How long a limit holds a ticket back.
+class LimitWait:
+    """How long a limit delays a ticket.
 
-    :param seconds: inf when it can't be told.
-    :param step_s: how much later another such request could start.
+    :param seconds: until the ticket can start; inf if that is unknown.
+    :param reason: the reason of the refusal if that is too long.
+    :param interval_s: seconds between the starts of two such requests.
     """
 
-    __slots__ = ("seconds", "reason", "step_s")
+    __slots__ = ("seconds", "reason", "interval_s")
 
     def __init__(
-        self, seconds: float, reason: tickets.Reason, step_s: float
+        self, seconds: float, reason: tickets.Reason, interval_s: float
     ) -> None:
         self.seconds = seconds
         self.reason = reason
-        self.step_s = step_s
+        self.interval_s = interval_s
 
 
 class EntryLimits:
-    """Rates, concurrency and spend of one entry, and the demand for it.
+    """The limits of one entry on rates, concurrency and spend, and its demand.
 
+    :param clock: the source of time.
+    :param entry: the name of the entry.
     :param spending: the meter of this VM's spend.
     """
 
     __slots__ = (
         "_clock",
-        "_demand_at",
+        "_decayed_at",
         "_entry",
         "_in_flight",
-        "_requests",
+        "_request_bucket",
         "_requests_demand",
         "_spending",
-        "_tokens",
+        "_token_bucket",
         "_tokens_demand",
-        "_units",
+        "_concurrency",
     )
 
     def __init__(
@@ -53,40 +56,42 @@
         self._clock = clock
         self._entry = entry
         self._spending = spending
-        self._requests: rates.TokenBucket | None = None
-        self._tokens: rates.TokenBucket | None = None
-        self._units: int | None = None
+        self._request_bucket: rates.TokenBucket | None = None
+        self._token_bucket: rates.TokenBucket | None = None
+        self._concurrency: int | None = None
         self._in_flight = 0
-        self._demand_at = clock.now()
+        self._decayed_at = clock.now()
         self._requests_demand = 0.0
         self._tokens_demand = 0.0
 
     @property
     def in_flight(self) -> int:
-        """Requests of the entry that were admitted and have not ended."""
+        """The number of admitted requests that have not ended."""
         return self._in_flight
 
     @property
     def requests_demand(self) -> float:
-        """Requests offered per second, lately."""
-        self._age_demand()
+        """Recent demand in requests per second."""
+        self._decay_demand()
         return self._requests_demand
 
     @property
     def tokens_demand(self) -> float:
-        """Tokens offered per second, lately."""
-        self._age_demand()
+        """Recent demand in tokens per second."""
+        self._decay_demand()
         return self._tokens_demand
 
     @property
-    def limits_requests(self) -> bool:
-        """Whether the number of requests matters."""
-        return self._requests is not None or self._units is not None
+    def has_request_limit(self) -> bool:
+        """Whether a limit counts requests."""
+        return (
+            self._request_bucket is not None or self._concurrency is not None
+        )
 
     @property
-    def limits_tokens(self) -> bool:
-        """Whether the number of tokens matters."""
-        return self._tokens is not None
+    def has_token_limit(self) -> bool:
+        """Whether a limit counts tokens."""
+        return self._token_bucket is not None
 
     def set_limits(
         self,
@@ -95,94 +100,118 @@
         tokens_per_s: float | None,
         spend_per_hour: float | None,
     ) -> None:
-        """Take over this VM's shares of the limits; None is no limit."""
-        self._units = units
-        self._requests = self._bucket(self._requests, requests_per_s)
-        self._tokens = self._bucket(self._tokens, tokens_per_s)
+        """Set this VM's shares of the limits; None means no limit.
+
+        :param units: requests that may be in flight.
+        :param requests_per_s: requests per second.
+        :param tokens_per_s: tokens per second.
+        :param spend_per_hour: in the currency of the cloud API's prices.
+        """
+        self._concurrency = units
+        self._request_bucket = self._update_bucket(
+            self._request_bucket, requests_per_s
+        )
+        self._token_bucket = self._update_bucket(
+            self._token_bucket, tokens_per_s
+        )
         self._spending.set_limit(self._entry, spend_per_hour)
 
-    def offered(self, tokens: float) -> None:
-        """Count a request towards the demand, admitted or not."""
-        self._age_demand()
-        self._requests_demand += 1.0 / DEMAND_S
-        self._tokens_demand += tokens / DEMAND_S
+    def record_demand(self, tokens: float) -> None:
+        """Add a request to the demand, whether it is admitted or not."""
+        self._decay_demand()
+        self._requests_demand += 1.0 / DEMAND_DECAY_S
+        self._tokens_demand += tokens / DEMAND_DECAY_S
 
     def may_start(self, tokens: float) -> bool:
-        """Whether a request may be admitted now."""
+        """Return whether a request of so many tokens may be admitted now."""
         return (
-            (self._units is None or self._in_flight < self._units)
-            and (self._requests is None or self._requests.wait_s(1.0) <= 0.0)
-            and (self._tokens is None or self._tokens.wait_s(tokens) <= 0.0)
+            (self._concurrency is None or self._in_flight < self._concurrency)
+            and (
+                self._request_bucket is None
+                or self._request_bucket.wait_s(1.0) <= 0.0
+            )
+            and (
+                self._token_bucket is None
+                or self._token_bucket.wait_s(tokens) <= 0.0
+            )
             and self._spending.wait_s(self._entry) <= 0.0
         )
 
-    def started(self, tokens: float) -> None:
-        """Count a request that was admitted."""
+    def record_admitted(self, tokens: float) -> None:
+        """Charge an admitted request to the limits."""
         self._in_flight += 1
-        if self._requests is not None:
-            self._requests.charge(1.0)
-        if self._tokens is not None:
-            self._tokens.charge(tokens)
+        if self._request_bucket is not None:
+            self._request_bucket.charge(1.0)
+        if self._token_bucket is not None:
+            self._token_bucket.charge(tokens)
 
-    def finished(self, counted: float, used: float | None) -> None:
-        """Count a request that ended.
+    def record_finished(
+        self, charged_tokens: float, actual_tokens: float | None
+    ) -> None:
+        """Settle a request that ended.
 
-        :param counted: the tokens that it was admitted for.
-        :param used: the tokens that it really took, None when not known.
+        :param charged_tokens: the tokens charged at its admission.
+        :param actual_tokens: the tokens that it used; None if unknown.
         """
         self._in_flight -= 1
-        if self._tokens is not None and used is not None:
-            self._tokens.charge(used - counted)
+        if self._token_bucket is not None and actual_tokens is not None:
+            self._token_bucket.charge(actual_tokens - charged_tokens)
 
-    def wait(
-        self, requests_ahead: float, tokens: float, hold_s: float
-    ) -> Wait:
-        """The limit that holds a ticket back longest, and how long.
+    def longest_wait(
+        self, requests_ahead: float, tokens: float, mean_hold_s: float
+    ) -> LimitWait:
+        """Return the longest wait that a limit causes for a ticket.
 
-        :param requests_ahead: of this entry, served before it.
-        :param tokens: of those requests and of its own.
-        :param hold_s: how long a request is in flight, on average.
+        :param requests_ahead: requests of this entry that are served first.
+        :param tokens: the tokens of those requests and of the ticket.
+        :param mean_hold_s: mean time that a request is in flight.
         """
         reason = tickets.Reason
-        waits = [Wait(self._spending.wait_s(self._entry), reason.SPEND, 0.0)]
-        if self._requests is not None:
-            seconds = self._requests.backlog_s(requests_ahead + 1.0)
-            step_s = _seconds(1.0, self._requests.rate)
-            waits.append(Wait(seconds, reason.RATE, step_s))
-        if self._tokens is not None:
-            seconds = self._tokens.backlog_s(tokens)
-            step_s = _seconds(tokens, self._tokens.rate)
-            waits.append(Wait(seconds, reason.TOKENS, step_s))
-        if self._units is not None:
-            seconds = self._unit_wait_s(self._units, requests_ahead, hold_s)
-            step_s = _seconds(hold_s, self._units)
-            waits.append(Wait(seconds, reason.CONCURRENCY, step_s))
+        waits = [
+            LimitWait(self._spending.wait_s(self._entry), reason.SPEND, 0.0)
+        ]
+        if self._request_bucket is not None:
+            seconds = self._request_bucket.backlog_s(requests_ahead + 1.0)
+            interval_s = _interval_s(1.0, self._request_bucket.rate)
+            waits.append(LimitWait(seconds, reason.RATE, interval_s))
+        if self._token_bucket is not None:
+            seconds = self._token_bucket.backlog_s(tokens)
+            interval_s = _interval_s(tokens, self._token_bucket.rate)
+            waits.append(LimitWait(seconds, reason.TOKENS, interval_s))
+        if self._concurrency is not None:
+            seconds = self._concurrency_wait_s(
+                self._concurrency, requests_ahead, mean_hold_s
+            )
+            interval_s = _interval_s(mean_hold_s, self._concurrency)
+            waits.append(LimitWait(seconds, reason.CONCURRENCY, interval_s))
         return max(waits, key=lambda wait: wait.seconds)
 
-    def _unit_wait_s(self, units: int, ahead: float, hold_s: float) -> float:
+    def _concurrency_wait_s(
+        self, units: int, ahead: float, mean_hold_s: float
+    ) -> float:
         if units <= 0:
             return math.inf
         missing = self._in_flight + ahead + 1.0 - units
-        return max(0.0, missing) * hold_s / units
+        return max(0.0, missing) * mean_hold_s / units
 
-    def _bucket(
+    def _update_bucket(
         self, bucket: rates.TokenBucket | None, rate: float | None
     ) -> rates.TokenBucket | None:
         if rate is None:
             return None
-        burst = rate * rates.BURST_S
+        burst = rate * rates.DEFAULT_BURST_S
         if bucket is None:
             return rates.TokenBucket(self._clock, rate, burst)
         bucket.set_rate(rate, burst)
         return bucket
 
-    def _age_demand(self) -> None:
+    def _decay_demand(self) -> None:
         now = self._clock.now()
-        left = math.exp(-(now - self._demand_at) / DEMAND_S)
-        self._requests_demand *= left
-        self._tokens_demand *= left
-        self._demand_at = now
+        decay = math.exp(-(now - self._decayed_at) / DEMAND_DECAY_S)
+        self._requests_demand *= decay
+        self._tokens_demand *= decay
+        self._decayed_at = now
 
 
-def _seconds(units: float, rate: float) -> float:
+def _interval_s(units: float, rate: float) -> float:
     return units / rate if rate > 0 else math.inf
--- a/src/apricotlever/contracts/fair_queue.py
+++ b/src/apricotlever/contracts/fair_queue.py
@@ -1,9 +1,9 @@
 """Weighted fair queueing by customer.
 
-Between customers the one that has had the least service for its weight goes
-next (start-time fair queueing, counted in tokens). Within a customer the
-class that may be shed last goes first, and within a class the earliest
-deadline.
+The customer that has had the least service for its weight is served next
+(start-time fair queueing, counted in tokens). Within a customer, the class
+that is shed last is served first, and within a class, the ticket with the
+earliest deadline.
 """
 
 import bisect
@@ -12,54 +12,69 @@
 from . import tickets
 
 DEFAULT_WEIGHT = 1.0
-LEAST_TOKENS = 1.0
+MIN_TOKENS = 1.0
 
 
-class Waiting:
+class QueuedTicket:
     """A ticket in the queue.
 
-    :param shed_order: of its class.
+    :param ticket: the ticket.
+    :param shed_order: the shed order of its class; a higher one is shed
+        earlier.
+    :param sequence: rises with each ticket that is queued.
     """
 
-    __slots__ = ("ticket", "shed_order", "order", "tokens")
+    __slots__ = ("ticket", "shed_order", "sort_key", "tokens")
 
     def __init__(
         self,
         ticket: tickets.Ticket,
         shed_order: int,
-        number: int,
+        sequence: int,
     ) -> None:
         self.ticket = ticket
         self.shed_order = shed_order
-        self.order = (shed_order, ticket.deadline, number)
-        self.tokens = max(LEAST_TOKENS, ticket.tokens)
+        self.sort_key = (shed_order, ticket.deadline, sequence)
+        self.tokens = max(MIN_TOKENS, ticket.tokens)
 
 
 class _Flow:
-    """One customer's part of the queue."""
+    """One customer's queue."""
 
-    __slots__ = ("tag", "weight", "waiting", "tokens", "busy_since")
+    __slots__ = (
+        "start_tag",
+        "weight",
+        "waiting",
+        "tokens",
+        "backlogged_since",
+    )
 
     def __init__(self, weight: float) -> None:
         #: Virtual time up to which the customer has been served.
-        self.tag = 0.0
+        self.start_tag = 0.0
         self.weight = weight
-        self.waiting: list[Waiting] = []
+        self.waiting: list[QueuedTicket] = []
         self.tokens = 0.0
-        #: Since when it has had a ticket waiting without a break.
-        self.busy_since = 0.0
+        #: When the current period without an empty queue began.
+        self.backlogged_since = 0.0
 
 
 class FairQueue:
-    """Tickets that wait, by customer."""
+    """A queue of tickets that serves customers by their weights."""
 
-    __slots__ = ("_flows", "_by_request", "_numbers", "_virtual", "_weights")
+    __slots__ = (
+        "_flows",
+        "_by_request",
+        "_push_count",
+        "_virtual_time",
+        "_weights",
+    )
 
     def __init__(self) -> None:
         self._flows: dict[str, _Flow] = {}
-        self._by_request: dict[str, Waiting] = {}
-        self._numbers = 0
-        self._virtual = 0.0
+        self._by_request: dict[str, QueuedTicket] = {}
+        self._push_count = 0
+        self._virtual_time = 0.0
         self._weights: typing.Mapping[str, float] = {}
 
     def __len__(self) -> int:
@@ -68,95 +83,99 @@
     def __contains__(self, request_id: object) -> bool:
         return request_id in self._by_request
 
-    def __iter__(self) -> typing.Iterator[Waiting]:
+    def __iter__(self) -> typing.Iterator[QueuedTicket]:
         return iter(list(self._by_request.values()))
 
     @property
     def customers(self) -> tuple[str, ...]:
-        """The customers that have tickets waiting."""
+        """The customers that have queued tickets."""
         return tuple(c for c, flow in self._flows.items() if flow.waiting)
 
     def set_weights(self, weights: typing.Mapping[str, float]) -> None:
-        """Take over the customers' weights; others count 1."""
+        """Set the customers' weights; a customer without one has 1.0."""
         self._weights = weights
         for customer, flow in self._flows.items():
             flow.weight = weights.get(customer, DEFAULT_WEIGHT)
 
     def push(
         self, ticket: tickets.Ticket, shed_order: int, now: float
-    ) -> Waiting:
-        """Put a ticket in its place.
+    ) -> QueuedTicket:
+        """Insert a ticket.
 
-        :param now: the time by the caller's clock.
-        :returns: the entry, to pass to :meth:`work_ahead`.
+        :param ticket: the ticket.
+        :param shed_order: the shed order of its class.
+        :param now: monotonic time in seconds, by the caller's clock.
+        :returns: the queued ticket, to pass to :meth:`work_ahead`.
         """
-        self._numbers += 1
-        entry = Waiting(ticket, shed_order, self._numbers)
+        self._push_count += 1
+        queued = QueuedTicket(ticket, shed_order, self._push_count)
         flow = self._flow(ticket.customer)
         if not flow.waiting:
-            # Time without demand earns no credit: else a customer that was
-            # idle for an hour could shut out the others for as long.
-            flow.tag = max(flow.tag, self._virtual)
-            flow.busy_since = now
-        bisect.insort(flow.waiting, entry, key=_order)
-        flow.tokens += entry.tokens
-        self._by_request[ticket.request_id] = entry
-        return entry
+            # Idle time earns no credit. Otherwise a customer that was idle
+            # for an hour could keep the others waiting for as long.
+            flow.start_tag = max(flow.start_tag, self._virtual_time)
+            flow.backlogged_since = now
+        bisect.insort(flow.waiting, queued, key=_sort_key)
+        flow.tokens += queued.tokens
+        self._by_request[ticket.request_id] = queued
+        return queued
 
     def pop(
         self,
         may_start: typing.Callable[[tickets.Ticket], bool],
         has_room: typing.Callable[[str], bool] | None = None,
     ) -> tickets.Ticket | None:
-        """Take out the ticket whose turn it is.
+        """Remove the ticket that is served next.
 
-        :param may_start: tells whether a ticket's entry has room; tickets
-            without room keep their places.
-        :param has_room: tells whether there is room for a customer at all.
+        :param may_start: returns whether the limits of a ticket's entry have
+            room for it; tickets without room keep their places.
+        :param has_room: returns whether there is room for any ticket of a
+            customer.
+        :returns: the ticket; None if no ticket can start.
         """
         turns = sorted(
-            (flow.tag, customer)
+            (flow.start_tag, customer)
             for customer, flow in self._flows.items()
             if flow.waiting and (has_room is None or has_room(customer))
         )
         for _, customer in turns:
             flow = self._flows[customer]
-            entry = _first_to_start(flow, may_start)
-            if entry is not None:
-                self._take(entry)
-                self._virtual = max(self._virtual, flow.tag)
-                flow.tag += entry.tokens / flow.weight
-                return entry.ticket
+            queued = _first_startable(flow, may_start)
+            if queued is not None:
+                self._remove_queued(queued)
+                self._virtual_time = max(self._virtual_time, flow.start_tag)
+                flow.start_tag += queued.tokens / flow.weight
+                return queued.ticket
         return None
 
-    def passed(self, customer: str, tokens: float) -> None:
-        """Charge a customer for a ticket that needed no queue."""
+    def charge_unqueued(self, customer: str, tokens: float) -> None:
+        """Charge a customer for a ticket admitted without queueing."""
         flow = self._flow(customer)
-        flow.tag = max(flow.tag, self._virtual)
+        flow.start_tag = max(flow.start_tag, self._virtual_time)
         if not self._by_request:
-            self._virtual = flow.tag
-        flow.tag += max(LEAST_TOKENS, tokens) / flow.weight
+            self._virtual_time = flow.start_tag
+        flow.start_tag += max(MIN_TOKENS, tokens) / flow.weight
 
     def remove(self, request_id: str) -> tickets.Ticket | None:
-        """Take a ticket out, wherever it stands."""
-        entry = self._by_request.get(request_id)
-        if entry is None:
+        """Remove a ticket from any position; None if it is not queued."""
+        queued = self._by_request.get(request_id)
+        if queued is None:
             return None
-        self._take(entry)
-        return entry.ticket
+        self._remove_queued(queued)
+        return queued.ticket
 
-    def busy_s(self, customer: str, now: float) -> float:
-        """For how long a customer has had tickets waiting."""
+    def backlogged_s(self, customer: str, now: float) -> float:
+        """Return for how many seconds a customer has had queued tickets."""
         flow = self._flows.get(customer)
-        return now - flow.busy_since if flow and flow.waiting else 0.0
+        return now - flow.backlogged_since if flow and flow.waiting else 0.0
 
-    def count(self, customer: str) -> int:
-        """How many tickets a customer has waiting."""
+    def ticket_count(self, customer: str) -> int:
+        """Return the number of a customer's queued tickets."""
         flow = self._flows.get(customer)
         return len(flow.waiting) if flow else 0
 
-    def oldest_of_last_class(self, customer: str) -> Waiting:
-        """The longest waiting ticket of the class that is shed first."""
+    def oldest_to_shed(self, customer: str) -> QueuedTicket:
+        """Return a customer's oldest ticket of the class shed first."""
         waiting = self._flows[customer].waiting
         shed_order = waiting[-1].shed_order
         return min(
@@ -164,42 +183,57 @@
             key=lambda w: w.ticket.arrived,
         )
 
-    def last(self, customer: str) -> Waiting | None:
-        """The ticket that a customer would be served last."""
+    def last_to_serve(self, customer: str) -> QueuedTicket | None:
+        """Return the ticket of a customer that is served last, if any."""
         flow = self._flows.get(customer)
         return flow.waiting[-1] if flow and flow.waiting else None
 
     def work_ahead(
         self,
-        entry: Waiting,
-        measure: typing.Callable[[Waiting], float] | None = None,
+        queued: QueuedTicket,
+        measure: typing.Callable[[QueuedTicket], float] | None = None,
     ) -> float:
-        """The work that is served before a waiting ticket's turn comes.
+        """Return the work that is served before a queued ticket.
 
-        While a customer's own tickets ahead are served, each other customer
-        gets the service that levels it with this one, as far as it has
-        tickets.
+        While the customer's own earlier tickets are served, each other
+        customer gets the service that brings it level with this customer, as
+        far as it has tickets.
 
-        :param measure: the work of one ticket; its tokens by default.
+        :param queued: the ticket, as returned by :meth:`push`.
+        :param measure: returns the work of one ticket; by default, its
+            tokens.
         """
-        own = self._flows[entry.ticket.customer]
-        if entry is own.waiting[-1]:
-            position = len(own.waiting) - 1
-            own_tokens = own.tokens - entry.tokens
+        own_flow = self._flows[queued.ticket.customer]
+        if queued is own_flow.waiting[-1]:
+            position = len(own_flow.waiting) - 1
+            own_tokens = own_flow.tokens - queued.tokens
         else:
-            position = bisect.bisect_left(own.waiting, entry.order, key=_order)
-            own_tokens = sum(w.tokens for w in own.waiting[:position])
-        until = own.tag + own_tokens / own.weight
+            position = bisect.bisect_left(
+                own_flow.waiting, queued.sort_key, key=_sort_key
+            )
+            own_tokens = sum(w.tokens for w in own_flow.waiting[:position])
+        target_tag = own_flow.start_tag + own_tokens / own_flow.weight
         others = [
-            (flow, min(1.0, (until - flow.tag) * flow.weight / flow.tokens))
+            (
+                flow,
+                min(
+                    1.0,
+                    (target_tag - flow.start_tag) * flow.weight / flow.tokens,
+                ),
+            )
             for flow in self._flows.values()
-            if flow is not own and flow.waiting and flow.tag < until
+            if flow is not own_flow
+            and flow.waiting
+            and flow.start_tag < target_tag
         ]
         if measure is None:
-            return own_tokens + sum(f.tokens * part for f, part in others)
-        ahead = own.waiting[:position]
+            return own_tokens + sum(
+                f.tokens * fraction for f, fraction in others
+            )
+        ahead = own_flow.waiting[:position]
         return sum(map(measure, ahead)) + sum(
-            sum(map(measure, flow.waiting)) * part for flow, part in others
+            sum(map(measure, flow.waiting)) * fraction
+            for flow, fraction in others
         )
 
     def _flow(self, customer: str) -> _Flow:
@@ -211,27 +245,29 @@
         return flow
 
     def _forget_idle(self) -> None:
-        """Drop customers without tickets or debt."""
+        """Forget customers without queued tickets or service in advance."""
         self._flows = {
             customer: flow
             for customer, flow in self._flows.items()
-            if flow.waiting or flow.tag > self._virtual
+            if flow.waiting or flow.start_tag > self._virtual_time
         }
 
-    def _take(self, entry: Waiting) -> None:
-        flow = self._flows[entry.ticket.customer]
-        position = bisect.bisect_left(flow.waiting, entry.order, key=_order)
+    def _remove_queued(self, queued: QueuedTicket) -> None:
+        flow = self._flows[queued.ticket.customer]
+        position = bisect.bisect_left(
+            flow.waiting, queued.sort_key, key=_sort_key
+        )
         del flow.waiting[position]
-        flow.tokens -= entry.tokens
-        del self._by_request[entry.ticket.request_id]
+        flow.tokens -= queued.tokens
+        del self._by_request[queued.ticket.request_id]
 
 
-def _order(entry: Waiting) -> tuple[int, float, int]:
-    return entry.order
+def _sort_key(queued: QueuedTicket) -> tuple[int, float, int]:
+    return queued.sort_key
 
 
-def _first_to_start(
+def _first_startable(
     flow: _Flow, may_start: typing.Callable[[tickets.Ticket], bool]
-) -> Waiting | None:
+) -> QueuedTicket | None:
     startable = (w for w in flow.waiting if may_start(w.ticket))
     return next(startable, None)
--- a/src/apricotlever/contracts/fleet_rate.py
+++ b/src/apricotlever/contracts/fleet_rate.py
@@ -1,19 +1,19 @@
-"""A customer's rate limit that all entry VMs keep together.
-
-Each VM counts what it let in and tells the others its total several times a
-second; each keeps one token bucket of the whole limit and charges it with
-everybody's counts. So a VM uses what the others leave, wherever the demand
-is, and no call to the store is needed.
-
-A member that falls silent may be alive and letting work in unseen. Its
-equal part of the limit is left to it until it is known to be gone, and a VM
-that hears nobody lives by its own part: the sides of a broken network
-together stay inside the limit.
-
-VMs that let calls in at the same moment hear of each other too late. What
-that makes too much is not taken from the calls that come next, or some that
-the limit has room for would be refused; a second bucket, larger by a part of
-what a limit may be exceeded by, bounds it.
+"""A customer's rate limit that all entry VMs enforce together.
+
+Each VM counts the units that it admitted and sends its total to the others
+several times a second. Each VM keeps one token bucket of the whole limit and
+charges it with the totals of all VMs. So a VM can use what the others leave,
+wherever the demand is, and no call to the store is needed.
+
+A member that falls silent may be alive and still admitting work. Its equal
+share of the limit stays reserved until the member is known to be gone, and a
+VM that hears from nobody uses only its own equal share. In a network
+partition, the sides together therefore stay within the limit.
+
+VMs that admit calls at the same moment learn of each other too late. The
+excess that this causes is not charged to later calls, because calls that the
+limit has room for would be refused. Instead, a second bucket bounds the
+excess. This ceiling bucket is larger by a part of the permitted overshoot.
 """
 
 import typing
@@ -21,97 +21,113 @@
 from .. import clock as clocks
 from . import rates
 
-#: A member not heard for so long, in seconds, has its part set aside. News
-#: comes every fifth of a second; five in a row are rarely lost by chance.
-SILENT_S = 1.2
-#: The same in records, for a fleet so large that they come more rarely.
-SILENT_RECORDS = 2.5
-#: VMs that a process takes the fleet to have while it has heard none: when
-#: all start at once, each would else let in a whole burst.
-ASSUMED_VMS = 8
-#: For how long after its start, in seconds. News of all comes within less.
-ALONE_S = 1.0
-#: When a call that met no share should come back, in seconds.
-NEXT_TICK_S = 0.1
-#: A process that counted for so long knows what is left, in seconds.
-INFORMED_S = 8.0
-#: Times its equal part of what is left that a VM lets in between two ticks:
-#: what others let in meanwhile it hears only later.
-PART_OF_REST = 2.0
-#: How long a record may be under way, in seconds.
-OVERTAKEN_S = 0.5
-#: Part of the units by which a limit may be exceeded that late news may use
-#: up. The rest is for processes that start and know nothing yet.
-LATE_NEWS_PART = 0.25
-#: The same of the part by which it may be exceeded for as long as one likes.
-LATE_NEWS_OVERSHOOT_PART = 0.5
+#: Seconds without contact after which a member's share is reserved. Records
+#: arrive every 0.2 s, and five in a row are rarely lost by chance.
+SILENCE_TIMEOUT_S = 1.2
+#: The same timeout in record intervals, for fleets so large that records
+#: are sent less often.
+SILENCE_TIMEOUT_RECORDS = 2.5
+#: Fleet size that a process assumes before its first contact. If all
+#: processes start at once, each of them would otherwise admit a whole burst.
+ASSUMED_FLEET_SIZE = 8
+#: Seconds after the start for which :data:`ASSUMED_FLEET_SIZE` applies. The
+#: records of all members arrive within less.
+DISCOVERY_S = 1.0
+#: Retry delay in seconds for a call that exceeds the VM's share of one tick.
+NEXT_TICK_RETRY_S = 0.1
+#: Seconds after which a process has counted long enough for its level to
+#: be right, even if no other process has told it the level.
+WARM_UP_S = 8.0
+#: Units that a VM may admit between two ticks, as a multiple of its equal
+#: share of the remaining level. The VM learns only later what the others
+#: admit in the meantime.
+TICK_SHARE_FACTOR = 2.0
+#: The longest time in seconds that a record takes to arrive.
+MAX_RECORD_DELAY_S = 0.5
+#: Fraction of the permitted overshoot, in units, that totals received late
+#: may use. The rest is left to processes that start without knowing the
+#: level.
+LATE_TOTALS_FRACTION = 0.25
+#: The corresponding fraction of the overshoot that is permitted at all
+#: times, which is a fraction of the limit.
+LATE_TOTALS_OVERSHOOT_FRACTION = 0.5
 
 
 class Presence:
-    """Which other VMs may let work in, and when each was heard.
+    """The other VMs that may admit work, and the last contact with each.
 
-    The limits of all customers share one: else each of them would look at
-    all VMs ten times a second, a good part of what an idle VM does.
+    The limits of all customers share one instance. Separate instances would
+    each scan all VMs ten times a second, a considerable part of the load of
+    an idle VM.
     """
 
-    __slots__ = ("_clock", "heard_at", "members", "_silent_s")
+    __slots__ = ("_clock", "heard_at", "members", "_silence_timeout_s")
 
     def __init__(self, clock: clocks.Clock) -> None:
         self._clock = clock
         self.members: frozenset[str] = frozenset()
-        #: When each member was heard last.
+        #: The monotonic time in seconds of the last contact, by member.
         self.heard_at: dict[str, float] = {}
-        self._silent_s = SILENT_S
+        self._silence_timeout_s = SILENCE_TIMEOUT_S
 
     @property
     def silent(self) -> int:
-        """Members that are not heard, counted now."""
-        since = self._clock.now() - self._silent_s
+        """The number of members that have been silent for too long."""
+        oldest = self._clock.now() - self._silence_timeout_s
         heard = map(self.heard_at.get, self.members)
-        return sum(at is None or at < since for at in heard)
+        return sum(at is None or at < oldest for at in heard)
 
     def set_members(
-        self, members: typing.Iterable[str], between_s: float = 0.0
+        self, members: typing.Iterable[str], record_interval_s: float = 0.0
     ) -> None:
-        """Take over which other VMs may let work in, heard or not."""
+        """Set which other VMs may admit work, silent ones included.
+
+        :param members: the names of their processes.
+        :param record_interval_s: seconds between two records of a member.
+        """
         self.members = frozenset(members)
-        self._silent_s = max(SILENT_S, SILENT_RECORDS * between_s)
+        self._silence_timeout_s = max(
+            SILENCE_TIMEOUT_S, SILENCE_TIMEOUT_RECORDS * record_interval_s
+        )
 
     def heard(self, member: str) -> None:
-        """A record of a member came."""
+        """Note that a record of a member arrived."""
         self.heard_at[member] = self._clock.now()
 
 
 class FleetRate:
-    """One customer's limit, as one VM keeps it.
+    """One VM's instance of a customer's limit.
 
     :param rate: units per second of the whole fleet.
-    :param burst: units on top.
-    :param spare: units by which the fleet may go over the limit for a
-        while; a process that knows nothing yet begins with its part of it,
-        and calls let in by late news may use another.
-    :param presence: of the other VMs; its own by default.
-    :param overshoot: part of the limit by which it may be exceeded.
+    :param burst: units that the fleet may admit in addition to the rate.
+    :param overshoot_units: units by which the fleet may exceed the limit
+        for a while. A process that starts without knowing the level begins
+        with a part of them, and calls admitted because of late totals may
+        use another part.
+    :param presence: contacts with the other VMs; a separate instance by
+        default.
+    :param overshoot: fraction of the limit by which it may be exceeded at
+        all times.
     """
 
     __slots__ = (
-        "_ahead",
+        "_early_at",
         "_bucket",
         "_burst",
         "_ceiling",
-        "_ceiling_times",
+        "_ceiling_factor",
         "_clock",
-        "_first",
-        "_let_in",
-        "_informed",
-        "_part",
+        "_initial_units",
+        "_tick_admitted",
+        "_is_initialized",
+        "_usable_fraction",
         "_presence",
         "_rate",
-        "_rest",
-        "_since",
-        "_tolerance",
+        "_tick_level",
+        "_started_at",
+        "_late_allowance",
         "_totals",
-        "_used",
+        "_admitted_units",
         "_withheld",
     )
 
@@ -120,7 +136,7 @@
         clock: clocks.Clock,
         rate: float,
         burst: float,
-        spare: float = 0.0,
+        overshoot_units: float = 0.0,
         presence: Presence | None = None,
         overshoot: float = 0.0,
     ) -> None:
@@ -128,218 +144,249 @@
         self._clock = clock
         self._rate = rate
         self._burst = burst
-        self._since = clock.now()
-        self._informed = False
+        self._started_at = clock.now()
+        self._is_initialized = False
         self._withheld = 0.0
         self._bucket = rates.TokenBucket(clock, rate, burst)
-        #: With what this process begins.
-        self._first = max(burst / ASSUMED_VMS / 2, spare / ASSUMED_VMS)
-        self._bucket.charge(max(0.0, burst - self._first))
-        #: Counts all that was let in, what late news made too much as well.
-        self._tolerance = LATE_NEWS_PART * spare
-        self._ceiling_times = 1.0 + LATE_NEWS_OVERSHOOT_PART * overshoot
+        #: Units that this process may admit before it knows the level.
+        self._initial_units = max(
+            burst / ASSUMED_FLEET_SIZE / 2,
+            overshoot_units / ASSUMED_FLEET_SIZE,
+        )
+        self._bucket.charge(max(0.0, burst - self._initial_units))
+        #: Permitted excess of the ceiling bucket over the burst, in units.
+        #: Unlike the main bucket, the ceiling bucket is charged with all
+        #: admitted units, including the excess that late totals reveal.
+        self._late_allowance = LATE_TOTALS_FRACTION * overshoot_units
+        self._ceiling_factor = 1.0 + LATE_TOTALS_OVERSHOOT_FRACTION * overshoot
         self._ceiling = rates.TokenBucket(
-            clock, rate * self._ceiling_times, burst + self._tolerance
+            clock, rate * self._ceiling_factor, burst + self._late_allowance
         )
-        self._ceiling.charge(max(0.0, burst - self._first))
-        #: What was left at the last tick, and what was let in since.
-        self._rest = self._bucket.level
-        self._let_in = 0.0
-        self._used = 0.0
+        self._ceiling.charge(max(0.0, burst - self._initial_units))
+        #: The level at the last tick, and the units admitted since then.
+        self._tick_level = self._bucket.level
+        self._tick_admitted = 0.0
+        self._admitted_units = 0.0
         self._totals: dict[str, float] = {}
-        #: When a member's total was told ahead of its records.
-        self._ahead: dict[str, float] = {}
-        self._part = 1.0
+        #: When a member's total arrived ahead of its records.
+        self._early_at: dict[str, float] = {}
+        self._usable_fraction = 1.0
 
     @property
     def used(self) -> float:
-        """Units that this VM let in since it started."""
-        return self._used
+        """Units that this VM has admitted since it started."""
+        return self._admitted_units
 
     @property
     def part(self) -> float:
-        """The part of the limit that this VM may count on."""
-        return self._part
+        """The fraction of the limit that is not reserved for silent VMs."""
+        return self._usable_fraction
 
     def set_limit(self, rate: float, burst: float) -> None:
-        """Take over a changed limit."""
+        """Change the limit.
+
+        :param rate: units per second of the whole fleet.
+        :param burst: units that the fleet may admit in addition to the rate.
+        """
         self._rate = rate
         self._burst = burst
-        self._apply()
+        self._apply_limit()
 
     def set_members(
-        self, members: typing.Iterable[str], between_s: float = 0.0
+        self, members: typing.Iterable[str], record_interval_s: float = 0.0
     ) -> None:
-        """Take over which other VMs may let work in, heard or not.
+        """Set which other VMs may admit work, silent ones included.
 
-        :param between_s: between two records of one of them.
+        :param members: the names of their processes.
+        :param record_interval_s: seconds between two records of a member.
         """
-        self._presence.set_members(members, between_s)
+        self._presence.set_members(members, record_interval_s)
         self.tick()
 
     def present(self, member: str) -> None:
-        """A record of another VM came that tells nothing of this customer."""
+        """Note a record of another VM that has no total for this customer."""
         self._presence.heard(member)
 
     def heard(self, member: str, total: float) -> None:
-        """Take in another VM's total since it started.
+        """Receive the units that another VM has admitted since it started.
 
-        :param member: names the VM's process; a restarted one is another.
+        :param member: the name of the VM's process, which changes when the
+            process restarts.
+        :param total: units admitted for this customer.
         """
         self._presence.heard(member)
         now = self._clock.now()
-        before = self._totals.get(member, 0.0)
-        ahead_at = self._ahead.get(member)
-        if ahead_at is not None:
-            if total < before and now - ahead_at < OVERTAKEN_S:
+        previous = self._totals.get(member, 0.0)
+        early_at = self._early_at.get(member)
+        if early_at is not None:
+            if total < previous and now - early_at < MAX_RECORD_DELAY_S:
                 return
-            del self._ahead[member]
-        if total == before:
-            # Most records tell nothing new of most customers.
+            del self._early_at[member]
+        if total == previous:
+            # Most records bring no change for most customers.
             self._totals[member] = total
             return
         if member not in self._totals:
-            # It may have run for hours: only what a process that has just
-            # started can have let in by now counts.
-            before = max(0.0, total - self._first)
+            # The process may have run for hours. Only the units that a newly
+            # started process can have admitted by now are charged.
+            previous = max(0.0, total - self._initial_units)
         self._totals[member] = total
-        self._charge_others(total - before)
+        self._charge_remote(total - previous)
 
     def told_on(self, member: str, total: float) -> None:
-        """Take in another VM's total as a third one tells it.
+        """Receive another VM's total that a third VM relays.
 
-        That one may have stood still and tell what was true before. Taken for
-        calls that did not run, it would give units back that are charged
-        again by the next word.
+        The relaying VM may have been suspended and may send an outdated
+        total. Treated as a refund, an outdated total would credit units that
+        the next total charges again. So a lower total is ignored.
+
+        :param member: the name of the VM's process.
+        :param total: units admitted for this customer.
         """
         if total > self._totals.get(member, 0.0):
             self.heard(member, total)
 
     def heard_ahead(self, member: str, total: float) -> None:
-        """Take in a total that comes before the records that tell it.
+        """Receive a total that is newer than the member's records.
+
+        Records that the total overtook bring lower totals when they arrive.
+        Treated as refunds, they would credit units for a moment. So lower
+        totals are ignored until those records must have arrived.
 
-        Records that it overtook tell less when they come. Taken for calls
-        that did not run, they would give their units back for a moment.
+        :param member: the name of the VM's process.
+        :param total: units admitted for this customer.
         """
         if total > self._totals.get(member, 0.0):
-            self._ahead.pop(member, None)
+            self._early_at.pop(member, None)
             self.heard(member, total)
-            self._ahead[member] = self._clock.now()
+            self._early_at[member] = self._clock.now()
 
     @property
     def limited(self) -> bool:
-        """Whether there is a limit at all."""
+        """Whether the customer has a limit."""
         return self._rate > 0.0
 
     @property
     def level(self) -> float | None:
-        """What is left of the limit; None while this process can't know."""
-        return self._bucket.level if self._informed else None
+        """The units left; None while this process does not know them."""
+        return self._bucket.level if self._is_initialized else None
 
     def learn(self, level: float) -> None:
-        """Take over what is left from one who knows; only once.
+        """Set the level from another process that knows it; only once.
 
-        A process that starts knows nothing of what was let in before it. To
-        begin with little refuses calls that the limit allows; to begin with
-        a whole burst lets in one for each process that starts.
+        A process that starts does not know what was admitted before. If it
+        began with few units, it would refuse calls that the limit allows. If
+        it began with a whole burst, each process that starts would admit one.
 
-        :param level: units left now, as an older process or its notes in the
-            store tell it.
+        :param level: units left now, according to an older process or to the
+            checkpoint in the store.
         """
-        if self._informed:
+        if self._is_initialized:
             return
-        self._informed = True
-        now_level = min(level, self._burst * self._part)
-        # While this process hears nobody, all others may learn the same: it
-        # lives by its part, and has the rest when it counts with them.
-        self._withheld = level - now_level
-        self._bucket.charge(self._bucket.level - now_level)
-        most = now_level + self._tolerance * self._part
-        self._ceiling.charge(self._ceiling.level - most)
-        self._rest = max(0.0, now_level)
+        self._is_initialized = True
+        usable_level = min(level, self._burst * self._usable_fraction)
+        # Until the first contact, all other processes may have received the
+        # same level. This process uses only its share, and the rest is
+        # released once it exchanges totals with the others.
+        self._withheld = level - usable_level
+        self._bucket.charge(self._bucket.level - usable_level)
+        max_ceiling_level = (
+            usable_level + self._late_allowance * self._usable_fraction
+        )
+        self._ceiling.charge(self._ceiling.level - max_ceiling_level)
+        self._tick_level = max(0.0, usable_level)
 
     def forget(self, member: str) -> None:
-        """A VM's process has ended."""
+        """Forget a VM's process that has ended."""
         self._totals.pop(member, None)
-        self._ahead.pop(member, None)
+        self._early_at.pop(member, None)
         self._presence.heard_at.pop(member, None)
 
     def take(self, units: float, for_all: bool = False) -> float:
-        """Let a call in if the limit allows it.
+        """Admit a call if the limit allows it.
 
-        :param for_all: all VMs ask this one, so it need not leave the others
-            their share of what is left.
-        :returns: 0 if it was let in, else the seconds until it may be.
+        :param units: the units of the call.
+        :param for_all: whether this VM decides for all VMs, as the keeper of
+            the limit. Then it need not leave the others a share of the level.
+        :returns: 0 if the call was admitted, else the seconds until it may
+            be.
         """
         if self._rate <= 0.0:
-            self._used += units
+            self._admitted_units += units
             return 0.0
         wait_s = max(self._bucket.wait_s(units), self._ceiling.wait_s(units))
         if wait_s > 0.0:
             return wait_s
-        shares = self._let_in and not for_all
-        if shares and self._let_in + units > self._share():
-            return NEXT_TICK_S
-        self._add(-units)
-        self._let_in += units
-        self._used += units
+        is_tick_limited = self._tick_admitted and not for_all
+        if (
+            is_tick_limited
+            and self._tick_admitted + units > self._tick_share()
+        ):
+            return NEXT_TICK_RETRY_S
+        self._credit(-units)
+        self._tick_admitted += units
+        self._admitted_units += units
         return 0.0
 
-    def _share(self) -> float:
-        """What this VM may let in until the next tick."""
-        count = len(self._presence.members) + 1
-        return self._rest * min(1.0, PART_OF_REST / count)
+    def _tick_share(self) -> float:
+        """Units that this VM may admit until the next tick."""
+        fleet_size = len(self._presence.members) + 1
+        return self._tick_level * min(1.0, TICK_SHARE_FACTOR / fleet_size)
 
     def give_back(self, units: float) -> None:
-        """A call that was let in did not run."""
-        self._add(units)
-        self._let_in = max(0.0, self._let_in - units)
-        self._used -= units
+        """Refund the units of an admitted call that did not run."""
+        self._credit(units)
+        self._tick_admitted = max(0.0, self._tick_admitted - units)
+        self._admitted_units -= units
 
     def tick(self, silent: int | None = None) -> None:
-        """Work out anew which part of the limit may be counted on.
+        """Recompute the fraction of the limit that this VM may use.
 
-        To be called several times a second.
+        The caller calls this method several times a second.
 
-        :param silent: members that are not heard; counted when None.
+        :param silent: the number of silent members; None to count them.
         """
         now = self._clock.now()
-        self._rest = max(0.0, self._bucket.level)
-        self._let_in = 0.0
+        self._tick_level = max(0.0, self._bucket.level)
+        self._tick_admitted = 0.0
         if silent is None:
             silent = self._presence.silent
-        heard_any = bool(self._presence.heard_at)
-        count = len(self._presence.members) + 1
-        if now - self._since > INFORMED_S:
-            self._informed = True
-        part = (count - silent) / count
-        if not heard_any and now - self._since < ALONE_S:
-            part = min(part, 1.0 / ASSUMED_VMS)
-        if part != self._part:
-            self._part = part
-            self._apply()
-        if self._withheld and heard_any:
-            room = max(0.0, self._burst * part - self._bucket.level)
-            counted_on = min(self._withheld, room)
-            self._add(counted_on)
-            self._rest += counted_on
-            self._withheld -= counted_on
-
-    def _apply(self) -> None:
-        part = self._part
-        rate, burst = self._rate * part, self._burst * part
+        has_contact = bool(self._presence.heard_at)
+        fleet_size = len(self._presence.members) + 1
+        if now - self._started_at > WARM_UP_S:
+            self._is_initialized = True
+        fraction = (fleet_size - silent) / fleet_size
+        if not has_contact and now - self._started_at < DISCOVERY_S:
+            fraction = min(fraction, 1.0 / ASSUMED_FLEET_SIZE)
+        if fraction != self._usable_fraction:
+            self._usable_fraction = fraction
+            self._apply_limit()
+        if self._withheld and has_contact:
+            room = max(0.0, self._burst * fraction - self._bucket.level)
+            released = min(self._withheld, room)
+            self._credit(released)
+            self._tick_level += released
+            self._withheld -= released
+
+    def _apply_limit(self) -> None:
+        fraction = self._usable_fraction
+        rate, burst = self._rate * fraction, self._burst * fraction
         self._bucket.set_rate(rate, burst)
         self._ceiling.set_rate(
-            rate * self._ceiling_times, burst + self._tolerance * part
+            rate * self._ceiling_factor,
+            burst + self._late_allowance * fraction,
         )
 
-    def _add(self, units: float) -> None:
-        """Change what is left; negative to take."""
+    def _credit(self, units: float) -> None:
+        """Add units to both buckets; a negative number takes them."""
         self._bucket.charge(-units)
         self._ceiling.charge(-units)
 
-    def _charge_others(self, units: float) -> None:
-        """Others let in so much, in part while it was not left any more."""
-        left = max(0.0, self._bucket.level + self._withheld)
-        self._bucket.charge(min(units, left))
+    def _charge_remote(self, units: float) -> None:
+        """Charge units that other VMs admitted.
+
+        Units beyond the level are charged to the ceiling bucket only.
+        """
+        remaining = max(0.0, self._bucket.level + self._withheld)
+        self._bucket.charge(min(units, remaining))
         self._ceiling.charge(units)
--- a/src/apricotlever/contracts/fleet_shares.py
+++ b/src/apricotlever/contracts/fleet_shares.py
@@ -1,4 +1,4 @@
-"""This VM's shares of all limits that hold for the whole fleet."""
+"""This VM's shares of all fleet-wide limits."""
 
 import enum
 import typing
@@ -6,7 +6,7 @@
 from .. import clock as clocks
 from . import shares
 
-REPORT_S = 1.0
+REPORT_INTERVAL_S = 1.0
 
 
 class LimitKind(enum.Enum):
@@ -19,7 +19,7 @@
 
 
 class Demand:
-    """What callers ask of one limited entry at one VM."""
+    """The demand for one limited entry at one VM."""
 
     __slots__ = ("entry", "kind", "amount")
 
@@ -30,9 +30,11 @@
 
 
 class DemandReport:
-    """One VM's demand, told to the others about each second.
+    """One VM's demand, sent to the others about every second.
 
-    :param number: rises with each report of the VM, over restarts too.
+    :param vm: the VM's name.
+    :param number: rises with each report of the VM, also across restarts.
+    :param demands: the demand for each limit.
     """
 
     __slots__ = ("vm", "number", "demands")
@@ -45,12 +47,13 @@
         self.demands = demands
 
 
-Key = tuple[str, LimitKind]
+LimitKey = tuple[str, LimitKind]
 
 
 class FleetShares:
-    """The shares of every limit in the catalogue.
+    """This VM's shares of every limit in the catalogue.
 
+    :param clock: the source of time.
     :param vm: this VM's name.
     """
 
@@ -69,71 +72,76 @@
         self._members: frozenset[str] = frozenset({vm})
         self._number = int(clock.wall() * 1000)
         self._reported_at = float("-inf")
-        self._shares: dict[Key, shares.Share] = {}
+        self._shares: dict[LimitKey, shares.LimitShare] = {}
 
     @property
     def members(self) -> frozenset[str]:
-        """The VMs that share the limits."""
+        """The names of the VMs that share the limits."""
         return self._members
 
-    def set_limits(self, limits: typing.Mapping[Key, float]) -> None:
-        """Take over the limits in force."""
+    def set_limits(self, limits: typing.Mapping[LimitKey, float]) -> None:
+        """Set the limits of the whole fleet, by entry and kind."""
         for gone in set(self._shares) - set(limits):
             del self._shares[gone]
         for key, limit in limits.items():
-            known = self._shares.get(key)
-            if known is not None:
-                known.set_limit(limit)
+            share = self._shares.get(key)
+            if share is not None:
+                share.set_limit(limit)
                 continue
             name = f"{key[0]} {key[1].value}"
-            share = shares.Share(self._clock, self._vm, limit, name)
+            share = shares.LimitShare(self._clock, self._vm, limit, name)
             share.set_members(self._members)
             self._shares[key] = share
 
     def set_members(self, members: typing.Iterable[str]) -> None:
-        """Take over which VMs are in the fleet."""
+        """Set which VMs are in the fleet."""
         self._members = frozenset(members)
         for share in self._shares.values():
             share.set_members(self._members)
 
     def left(self, vm: str) -> None:
-        """A VM has ended for certain."""
+        """Remove a VM that has certainly ended."""
         self._members -= {vm}
         for share in self._shares.values():
-            share.left(vm)
+            share.remove_member(vm)
 
     def receive(self, report: DemandReport, age_s: float = 0.0) -> None:
-        """Take in the demand of another VM."""
+        """Receive the demand of another VM.
+
+        :param report: the report of that VM.
+        :param age_s: seconds since the report was made.
+        """
         for demand in report.demands:
             share = self._shares.get((demand.entry, demand.kind))
             if share is not None:
                 share.receive(report.vm, demand.amount, report.number, age_s)
 
     def report(
-        self, demands: typing.Mapping[Key, float]
+        self, demands: typing.Mapping[LimitKey, float]
     ) -> DemandReport | None:
-        """Announce this VM's demand when it is time to.
+        """Announce this VM's demand if a report is due.
 
-        :returns: the report to spread, None when the last one will do.
+        :param demands: the demand by entry and kind of limit.
+        :returns: the report to send to the fleet; None if none is due.
         """
         now = self._clock.now()
-        if not self._shares or now - self._reported_at < REPORT_S:
+        if not self._shares or now - self._reported_at < REPORT_INTERVAL_S:
             return None
         self._reported_at = now
         self._number += 1
-        told = []
+        reported = []
         for key, share in self._shares.items():
             amount = demands.get(key, 0.0)
             share.announce(amount)
-            told.append(Demand(*key, amount))
-        return DemandReport(self._vm, self._number, tuple(told))
+            reported.append(Demand(*key, amount))
+        return DemandReport(self._vm, self._number, tuple(reported))
 
     def amount(self, entry: str, kind: LimitKind) -> float | None:
-        """This VM's share of a limit, None when there is no limit."""
+        """Return this VM's share of a limit; None if there is no limit."""
         share = self._shares.get((entry, kind))
         return share.amount if share else None
 
     def units(self, entry: str, kind: LimitKind) -> int | None:
-        """The same in whole units."""
+        """Return this VM's share in whole units; None without a limit."""
         share = self._shares.get((entry, kind))
-        return share.units if share else None
+        return share.whole_units if share else None
--- a/src/apricotlever/contracts/outlook.py
+++ b/src/apricotlever/contracts/outlook.py
@@ -1,71 +1,81 @@
-"""How long a ticket in the queue of a pool is expected to wait."""
+"""Estimates how long a ticket waits in the queue of a pool."""
 
 from . import entry_limits
 from . import fair_queue
 from . import tickets
 
-LEARNING_RATE = 0.1
+SMOOTHING_FACTOR = 0.1
 
 
-class Outlook:
-    """What the requests of a pool need on average, and waits from that."""
+class WaitEstimator:
+    """Estimates waits from the mean time and tokens of a pool's requests.
 
-    __slots__ = ("_hold_s", "_queue", "_tokens")
+    :param queue: the queue of the pool.
+    """
+
+    __slots__ = ("_mean_hold_s", "_queue", "_mean_tokens")
 
     def __init__(self, queue: fair_queue.FairQueue) -> None:
         self._queue = queue
-        self._hold_s = 0.0
-        self._tokens = 1.0
+        self._mean_hold_s = 0.0
+        self._mean_tokens = 1.0
 
     @property
-    def hold_s(self) -> float:
-        """Seconds that a request is in flight; 0 when not known yet."""
-        return self._hold_s
+    def mean_hold_s(self) -> float:
+        """Mean seconds that a request is in flight; 0 while unknown."""
+        return self._mean_hold_s
+
+    def record_finished(self, held_s: float, tokens: float) -> None:
+        """Record a request that ended.
 
-    def learn(self, held_s: float, tokens: float) -> None:
-        """Learn from a request that ended."""
-        counted = max(fair_queue.LEAST_TOKENS, tokens)
-        if not self._hold_s:
-            self._hold_s = held_s
-            self._tokens = counted
+        :param held_s: seconds that it was in flight.
+        :param tokens: the tokens that it was admitted for.
+        """
+        counted = max(fair_queue.MIN_TOKENS, tokens)
+        if not self._mean_hold_s:
+            self._mean_hold_s = held_s
+            self._mean_tokens = counted
             return
-        self._hold_s += LEARNING_RATE * (held_s - self._hold_s)
-        self._tokens += LEARNING_RATE * (counted - self._tokens)
+        self._mean_hold_s += SMOOTHING_FACTOR * (held_s - self._mean_hold_s)
+        self._mean_tokens += SMOOTHING_FACTOR * (counted - self._mean_tokens)
 
-    def wait(
+    def estimate(
         self,
-        waiting: fair_queue.Waiting,
+        queued: fair_queue.QueuedTicket,
         limits: entry_limits.EntryLimits,
         in_flight: int,
         limit: int,
-    ) -> entry_limits.Wait:
-        """The longest of the waits for the pool and for the entry's limits.
+    ) -> entry_limits.LimitWait:
+        """Return the longest wait for the pool or one of the entry's limits.
 
-        :param limits: of the ticket's entry.
-        :param in_flight: requests at the pool.
-        :param limit: requests that may be in flight there.
+        :param queued: the ticket in the queue.
+        :param limits: the limits of the ticket's entry.
+        :param in_flight: requests in flight at the pool.
+        :param limit: requests that may be in flight at the pool.
         """
-        ticket = waiting.ticket
+        ticket = queued.ticket
         requests = tokens = 0.0
-        if limits.limits_requests:
+        if limits.has_request_limit:
             requests = self._queue.work_ahead(
-                waiting, lambda w: float(w.ticket.entry == ticket.entry)
+                queued, lambda w: float(w.ticket.entry == ticket.entry)
             )
-        if limits.limits_tokens:
+        if limits.has_token_limit:
             tokens = ticket.tokens + self._queue.work_ahead(
-                waiting, lambda w: w.tokens * (w.ticket.entry == ticket.entry)
+                queued, lambda w: w.tokens * (w.ticket.entry == ticket.entry)
             )
-        pool_s = self._pool_wait_s(waiting, in_flight, limit)
-        step_s = self._hold_s / limit
-        pool = entry_limits.Wait(pool_s, tickets.Reason.OVERLOAD, step_s)
-        own = limits.wait(requests, tokens, self._hold_s)
-        return max(pool, own, key=lambda wait: wait.seconds)
+        pool_s = self._pool_wait_s(queued, in_flight, limit)
+        interval_s = self._mean_hold_s / limit
+        pool_wait = entry_limits.LimitWait(
+            pool_s, tickets.Reason.OVERLOAD, interval_s
+        )
+        limits_wait = limits.longest_wait(requests, tokens, self._mean_hold_s)
+        return max(pool_wait, limits_wait, key=lambda wait: wait.seconds)
 
     def _pool_wait_s(
-        self, waiting: fair_queue.Waiting, in_flight: int, limit: int
+        self, queued: fair_queue.QueuedTicket, in_flight: int, limit: int
     ) -> float:
-        if not self._hold_s:
+        if not self._mean_hold_s:
             return 0.0
-        ahead = self._queue.work_ahead(waiting) / self._tokens
+        ahead = self._queue.work_ahead(queued) / self._mean_tokens
         missing = in_flight + ahead + 1 - limit
-        return max(0.0, missing) * self._hold_s / limit
+        return max(0.0, missing) * self._mean_hold_s / limit
--- a/src/apricotlever/contracts/rates.py
+++ b/src/apricotlever/contracts/rates.py
@@ -1,28 +1,29 @@
-"""Token buckets."""
+"""A token bucket that limits a rate."""
 
 from .. import clock as clocks
 
-BURST_S = 2.0
+DEFAULT_BURST_S = 2.0
 
 
 class TokenBucket:
-    """Allows a rate over time and a burst on top.
+    """Limits a rate over time and allows bursts.
 
     The level may go below zero: work whose size is known only afterwards is
-    charged then, and the debt delays what comes next.
+    charged then, and the debt delays later work.
 
+    :param clock: the source of time.
     :param rate: units per second.
-    :param burst: the most units that idle time can save up.
+    :param burst: the greatest level, in units.
     """
 
-    __slots__ = ("_burst", "_clock", "_level", "_rate", "_read_at")
+    __slots__ = ("_burst", "_clock", "_level", "_rate", "_refilled_at")
 
     def __init__(self, clock: clocks.Clock, rate: float, burst: float) -> None:
         self._clock = clock
         self._rate = rate
         self._burst = burst
         self._level = burst
-        self._read_at = clock.now()
+        self._refilled_at = clock.now()
 
     @property
     def rate(self) -> float:
@@ -31,14 +32,14 @@
 
     @property
     def level(self) -> float:
-        """Units that can be taken now; below zero in debt."""
+        """The units that can be taken now; negative while in debt."""
         self._refill()
         return self._level
 
     def set_rate(self, rate: float, burst: float) -> None:
-        """Change the rate from now on; what was saved or owed stays.
+        """Change the rate and the burst from now on.
 
-        A bucket that shrinks keeps no more than its new size.
+        The level stays, but is capped at the new burst.
         """
         self._refill()
         self._rate = rate
@@ -46,43 +47,43 @@
         self._level = min(self._level, burst)
 
     def wait_s(self, units: float) -> float:
-        """Seconds until ``units`` can be taken; inf when never.
+        """Return the seconds until ``units`` can be taken; inf if never.
 
-        More than a whole burst can be taken from a full bucket, or it could
-        never be taken at all.
+        More units than the burst can be taken from a full bucket, because
+        they could never be taken otherwise.
         """
         self._refill()
         missing = min(units, self._burst) - self._level
-        # A level that is short by a rounding error would make a caller who
-        # comes back exactly at the promised time wait once more.
+        # Without this tolerance, a rounding error would make a caller that
+        # returns exactly after the wait wait once more.
         if missing <= 1e-9 * max(1.0, self._burst):
             return 0.0
         return missing / self._rate if self._rate > 0 else float("inf")
 
     def backlog_s(self, units: float) -> float:
-        """Seconds until ``units`` have been taken one after the other."""
+        """Return the seconds until ``units`` are taken one after the other."""
         missing = units - self.level
         if missing <= 0.0:
             return 0.0
         return missing / self._rate if self._rate > 0 else float("inf")
 
     def take(self, units: float) -> bool:
-        """Take units if they are there now."""
+        """Take units if they are available now."""
         if self.wait_s(units) > 0.0:
             return False
         self._level -= units
         return True
 
     def charge(self, units: float) -> None:
-        """Take units that have been used already, or give back some.
+        """Take units that were already used, even into debt.
 
-        :param units: negative to give back.
+        :param units: the units; a negative number refunds them.
         """
         self._refill()
         self._level = min(self._burst, self._level - units)
 
     def _refill(self) -> None:
         now = self._clock.now()
-        gained = self._rate * (now - self._read_at)
+        gained = self._rate * (now - self._refilled_at)
         self._level = min(self._burst, self._level + gained)
-        self._read_at = now
+        self._refilled_at = now
--- a/src/apricotlever/contracts/retries.py
+++ b/src/apricotlever/contracts/retries.py
@@ -1,4 +1,4 @@
-"""Whether a request whose attempt failed is sent again."""
+"""Decides whether a request whose attempt failed is sent again."""
 
 import enum
 import typing
@@ -9,20 +9,21 @@
 
 
 class Failure:
-    """An attempt that failed.
-
-    :param may_have_run: whether the upstream may have seen the request.
-    :param idempotent: whether running it twice does no harm.
-    :param attempts: sent so far, this one included.
-    :param left_s: until the request's deadline.
-    :param needed_s: what another attempt is expected to take to its first
+    """A failed attempt to send a request.
+
+    :param entry: the name of the catalogue entry.
+    :param may_have_run: whether the upstream may have received the request.
+    :param idempotent: whether running the request twice does no harm.
+    :param attempts: attempts so far, this one included.
+    :param left_s: seconds until the request's deadline.
+    :param needed_s: expected seconds from another attempt to its first
         token.
-    :param announced: whether the runner was known to be leaving. Its end
-        was not the request's doing and the reclaim bounds the number of such
-        retries, so they count against no budget.
-    :param tried: runners that it was sent to.
-    :param takers: runners that take new work now, leaving ones not among
-        them.
+    :param tried: the runners that the request was sent to.
+    :param takers: the runners that accept new work now, without those that
+        are leaving.
+    :param announced: whether the runner was known to be leaving. The request
+        did not cause the runner's end, and the number of such retries is
+        bounded by the reclaim, so they are not charged to the budget.
     """
 
     __slots__ = (
@@ -61,9 +62,9 @@
 
 
 class Retry:
-    """Send it again.
+    """The decision to send the request again.
 
-    :param excluded: runners that must not get it.
+    :param excluded: the runners that must not receive it.
     """
 
     __slots__ = ("excluded",)
@@ -72,7 +73,7 @@
         self.excluded = excluded
 
 
-class WhyNot(enum.Enum):
+class NoRetryReason(enum.Enum):
     """Why a request is not sent again."""
 
     NOT_IDEMPOTENT = "not_idempotent"
@@ -83,11 +84,11 @@
 
 
 class NoRetry:
-    """Give the failure to the caller."""
+    """The decision to report the failure to the caller."""
 
     __slots__ = ("reason",)
 
-    def __init__(self, reason: WhyNot) -> None:
+    def __init__(self, reason: NoRetryReason) -> None:
         self.reason = reason
 
 
@@ -96,22 +97,25 @@
     budget: retry_budget.RetryBudget,
     most_attempts: int = MOST_ATTEMPTS,
 ) -> typing.Union[Retry, NoRetry]:
-    """Decide on another attempt; a retry is taken out of the budget.
+    """Decide on another attempt; a retry is charged to the budget.
 
-    The budget is asked last, so that it is not spent on a request that
+    The budget is asked last, so that no token is spent on a request that
     could not be sent again anyway.
 
-    :param most_attempts: for one request, the first one included.
+    :param failure: the failed attempt.
+    :param budget: the retry budget of the entries.
+    :param most_attempts: attempts allowed for one request, the first one
+        included.
     """
     if failure.may_have_run and not failure.idempotent:
-        return NoRetry(WhyNot.NOT_IDEMPOTENT)
+        return NoRetry(NoRetryReason.NOT_IDEMPOTENT)
     if failure.attempts >= most_attempts and not failure.announced:
-        return NoRetry(WhyNot.ATTEMPTS)
+        return NoRetry(NoRetryReason.ATTEMPTS)
     if failure.left_s <= failure.needed_s:
-        return NoRetry(WhyNot.DEADLINE)
+        return NoRetry(NoRetryReason.DEADLINE)
     if not failure.takers:
-        return NoRetry(WhyNot.NO_RUNNER)
+        return NoRetry(NoRetryReason.NO_RUNNER)
     if not failure.announced and not budget.take(failure.entry):
-        return NoRetry(WhyNot.BUDGET)
+        return NoRetry(NoRetryReason.BUDGET)
     untried = failure.takers - failure.tried
     return Retry(failure.tried if untried else frozenset())
--- a/src/apricotlever/contracts/retry_allowance.py
+++ b/src/apricotlever/contracts/retry_allowance.py
@@ -1,30 +1,32 @@
-"""Retries that the fleet may send, kept by each VM without asking others.
+"""A fleet-wide limit on retries that each VM enforces on its own.
 
-The fleet as a whole may repeat a part of the requests of a time window and
-a number more. Each VM keeps the part of its own requests and an equal share
-of the number, so that the sum holds whoever is cut off from whom.
+The limit for a time window is a fraction of the fleet's requests plus a fixed
+number of retries. Each VM may send that fraction of its own requests plus an
+equal share of the fixed number. So the sum stays within the limit even while
+VMs can't reach each other.
 """
 
 import collections
 
 from .. import clock as clocks
 
-#: Part of the allowance that is used; the rest covers requests that the
-#: rule's sliding window counts elsewhere than this VM's.
-USED_PART = 0.85
+#: The fraction of the allowance that is used. The rest covers requests for
+#: which the sliding window of the limit differs from this VM's window.
+USABLE_FRACTION = 0.85
 
 
 class RetryAllowance:
     """Counts requests and retries by service.
 
-    :param ratio: retries for each request.
-    :param least: retries that the whole fleet may make besides.
-    :param window_s: the time over which they are counted.
+    :param clock: the source of time.
+    :param ratio: retries allowed per request.
+    :param min_retries: retries that the whole fleet may send in addition.
+    :param window_s: the length of the sliding window in seconds.
     """
 
     __slots__ = (
         "_clock",
-        "_least",
+        "_min_retries",
         "_members",
         "_ratio",
         "_requests",
@@ -33,45 +35,51 @@
     )
 
     def __init__(
-        self, clock: clocks.Clock, ratio: float, least: float, window_s: float
+        self,
+        clock: clocks.Clock,
+        ratio: float,
+        min_retries: float,
+        window_s: float,
     ) -> None:
         self._clock = clock
         self._ratio = ratio
-        self._least = least
+        self._min_retries = min_retries
         self._window_s = window_s
         self._members = 1
         self._requests: dict[str, collections.deque[float]] = {}
         self._retries: dict[str, collections.deque[float]] = {}
 
     def set_members(self, count: int) -> None:
-        """Take over how many VMs share the number, this one included."""
+        """Set how many VMs share the fixed number, this one included."""
         self._members = max(1, count)
 
     def request(self, service: str) -> None:
-        """Count a first attempt."""
-        self._note(self._requests, service)
+        """Count the first attempt of a request."""
+        self._append_time(self._requests, service)
 
     def left(self, service: str) -> float:
-        """Retries of a service that may be sent now."""
-        requests = self._count(self._requests, service)
-        allowed = self._ratio * requests + self._least / self._members
-        return USED_PART * allowed - self._count(self._retries, service)
+        """Return the retries of a service that may be sent now."""
+        requests = self._count_recent(self._requests, service)
+        allowed = self._ratio * requests + self._min_retries / self._members
+        return USABLE_FRACTION * allowed - self._count_recent(
+            self._retries, service
+        )
 
     def take(self, service: str) -> bool:
-        """Count a retry, if one is left."""
+        """Count a retry if the allowance has one; return whether it had."""
         if self.left(service) < 1.0:
             return False
-        self._note(self._retries, service)
+        self._append_time(self._retries, service)
         return True
 
-    def _note(
+    def _append_time(
         self, counts: dict[str, collections.deque[float]], service: str
     ) -> None:
         counts.setdefault(service, collections.deque()).append(
             self._clock.now()
         )
 
-    def _count(
+    def _count_recent(
         self, counts: dict[str, collections.deque[float]], service: str
     ) -> int:
         times = counts.get(service)
--- a/src/apricotlever/contracts/retry_budget.py
+++ b/src/apricotlever/contracts/retry_budget.py
@@ -1,59 +1,68 @@
-"""A budget that keeps retries a small part of the load.
+"""A budget that keeps retries a small fraction of the load.
 
-When runners fail because they are overloaded, each retry adds to the load
-that made it necessary. A budget fed by successes lets retries through while
-failures are rare and stops them when they are not.
+If runners fail because they are overloaded, each retry adds to the load that
+caused it. A budget that successes refill allows retries while failures are
+rare and stops them while failures are frequent.
 """
 
 RETRIES_PER_SUCCESS = 0.1
-#: Lets a VM without much traffic retry at all.
-MOST_TOKENS = 10.0
-FIRST_TOKENS = 3.0
+#: The size of a bucket, which lets a VM with little traffic retry at all.
+MAX_TOKENS = 10.0
+INITIAL_TOKENS = 3.0
 
 
 class RetryBudget:
-    """Token buckets, one for each entry, filled by successes.
+    """Token buckets, one for each entry, refilled by successes.
 
-    Over any time the retries of an entry are at most ``share`` times its
-    successes plus ``most``.
+    Over any time, the retries of an entry are at most
+    ``tokens_per_success`` times its successes plus ``most``.
 
-    :param share: tokens that one success adds.
-    :param most: the size of a bucket.
+    :param tokens_per_success: tokens that one success adds.
+    :param most: the size of a bucket, in tokens.
+    :param initial_tokens: tokens of a new bucket.
     """
 
-    __slots__ = ("_first", "_most", "_share", "_tokens")
+    __slots__ = (
+        "_initial_tokens",
+        "_max_tokens",
+        "_tokens_per_success",
+        "_tokens",
+    )
 
     def __init__(
         self,
-        share: float = RETRIES_PER_SUCCESS,
-        most: float = MOST_TOKENS,
-        first: float = FIRST_TOKENS,
+        tokens_per_success: float = RETRIES_PER_SUCCESS,
+        most: float = MAX_TOKENS,
+        initial_tokens: float = INITIAL_TOKENS,
     ) -> None:
-        self._share = share
-        self._most = most
-        self._first = min(first, most)
+        self._tokens_per_success = tokens_per_success
+        self._max_tokens = most
+        self._initial_tokens = min(initial_tokens, most)
         self._tokens: dict[str, float] = {}
 
     def succeeded(self, entry: str) -> None:
-        """Count a request of the entry that was answered."""
-        tokens = self._tokens.get(entry, self._first) + self._share
-        self._tokens[entry] = min(self._most, tokens)
+        """Add tokens for an answered request of the entry."""
+        tokens = (
+            self._tokens.get(entry, self._initial_tokens)
+            + self._tokens_per_success
+        )
+        self._tokens[entry] = min(self._max_tokens, tokens)
 
-    def left(self, entry: str) -> float:
-        """Retries that the entry may still make."""
-        return self._tokens.get(entry, self._first)
+    def remaining(self, entry: str) -> float:
+        """Return the retries that the entry may still send."""
+        return self._tokens.get(entry, self._initial_tokens)
 
     def take(self, entry: str) -> bool:
-        """Take one retry out of the budget, if it has one."""
-        tokens = self._tokens.get(entry, self._first)
-        # 0.1 summed ten times is a little below 1.0.
+        """Take a token for one retry; return whether there was one."""
+        tokens = self._tokens.get(entry, self._initial_tokens)
+        # The tolerance is needed because ten times 0.1 sums to less than 1.0.
         if tokens < 1.0 - 1e-9:
             return False
         self._tokens[entry] = tokens - 1.0
         return True
 
     def keep_only(self, entries: frozenset[str]) -> None:
-        """Forget entries that the catalogue no longer has."""
+        """Forget all entries but these, those of the current catalogue."""
         self._tokens = {
             entry: tokens
             for entry, tokens in self._tokens.items()
--- a/src/apricotlever/contracts/shares.py
+++ b/src/apricotlever/contracts/shares.py
@@ -1,18 +1,18 @@
 """This VM's share of a limit that holds for the whole fleet.
 
-Each VM announces its demand, and all split the limit by the same rule: a
-part of it equally, the rest by demand. No call to the store is needed, and
-the shares sum to the limit once all have heard the same.
-
-The sum stays within the limit even while the announcements travel, as long
-as they take no longer than :data:`SPREAD_S`: a VM that announces more goes
-on with its old demand for that time, and one that announces less lives by
-it at once, so the demand that a VM lives by is never above the demand that
-any other VM counts for it.
-
-Of VMs that have not been heard for long, each is left an equal share, and a
-VM that hears nobody falls back to its own. So the parts of a fleet that lost
-each other sum to the limit as well.
+Each VM announces its demand, and all VMs split the limit by the same rule:
+one part equally, the rest in proportion to demand. No call to the store is
+needed, and the shares sum to the limit once all VMs know the same demands.
+
+The sum also stays within the limit while announcements are under way, if
+they take no longer than :data:`PROPAGATION_S`. A VM that announces a higher
+demand uses its old demand for that time, and a VM that announces a lower one
+uses the new demand at once. So a VM never uses a higher demand for itself
+than any other VM assumes for it.
+
+A VM that has been silent for long keeps an equal share, and a VM that hears
+from nobody falls back to its own equal share. So the shares sum to the limit
+in a network partition as well.
 """
 
 import collections
@@ -23,18 +23,19 @@
 
 from .. import clock as clocks
 
-#: The part of a limit that is split equally, whatever the demand.
-EQUAL_PART = 0.2
-#: The longest time that an announcement is trusted to take to every VM.
-SPREAD_S = 3.0
-#: A VM not heard for this long begins to count as cut off,
+#: The fraction of a limit that is split equally, whatever the demand.
+EQUAL_FRACTION = 0.2
+#: The longest time in seconds that an announcement may take to every VM.
+PROPAGATION_S = 3.0
+#: Seconds of silence after which a VM begins to count as disconnected.
 STALE_S = 10.0
-#: and counts so in full after this time more.
-BLEND_S = 20.0
-#: How long the share of a VM that vanished without a word is left to it.
-RESERVE_S = 300.0
-#: Less counts as none: a sum of the smallest floats has no exact parts.
-LEAST_DEMAND = 1e-9
+#: Further seconds of silence after which it counts so fully.
+STALE_DECAY_S = 20.0
+#: Seconds for which a VM that disappeared without notice keeps its share.
+DEPARTURE_RESERVE_S = 300.0
+#: Demand below this counts as none, because fractions of a sum of very small
+#: floats are not exact.
+MIN_DEMAND = 1e-9
 _HASH_RANGE = 2.0**64
 
 
@@ -47,39 +48,45 @@
         self.heard_at = heard_at
 
 
-class Share:
+class LimitShare:
     """One VM's share of one limit.
 
     The members may be VMs or, one level up, data centres: a data centre's
     share is then the limit that its VMs split.
 
-    :param me: this member's name.
-    :param limit: of all members together.
-    :param key: shifts which members get the odd unit, limit by limit.
+    :param clock: the source of time.
+    :param own_name: this member's name.
+    :param limit: the limit of all members together.
+    :param rounding_seed: decides which members get the units that rounding
+        leaves over; it differs from limit to limit.
     """
 
     __slots__ = (
         "_announced",
         "_clock",
-        "_key",
+        "_rounding_seed",
         "_limit",
-        "_me",
+        "_own_name",
         "_members",
         "_peers",
         "_reserved_until",
     )
 
     def __init__(
-        self, clock: clocks.Clock, me: str, limit: float, key: str = ""
+        self,
+        clock: clocks.Clock,
+        own_name: str,
+        limit: float,
+        rounding_seed: str = "",
     ) -> None:
         self._clock = clock
-        self._me = me
+        self._own_name = own_name
         self._limit = limit
-        self._key = key
-        self._members: frozenset[str] = frozenset({me})
+        self._rounding_seed = rounding_seed
+        self._members: frozenset[str] = frozenset({own_name})
         self._reserved_until: dict[str, float] = {}
         self._peers: dict[str, _Peer] = {}
-        #: Times and demands announced, the newest last.
+        #: Announced demands with their times, the newest last.
         self._announced: collections.deque[tuple[float, float]] = (
             collections.deque()
         )
@@ -91,39 +98,41 @@
 
     @property
     def amount(self) -> float:
-        """What this member may use now."""
-        return self.amounts().get(self._me, 0.0)
+        """The part of the limit that this member may use now."""
+        return self.amounts().get(self._own_name, 0.0)
 
     @property
-    def units(self) -> int:
-        """What this member may use of a limit counted in whole units.
+    def whole_units(self) -> int:
+        """This member's share of a limit that is counted in whole units.
 
         The members' shares are laid end to end and the boundaries rounded,
-        so the whole units sum to the limit when the shares do.
+        so the whole units sum to the limit if the shares do.
         """
-        start = xxhash.xxh64_intdigest(self._key.encode()) / _HASH_RANGE
+        start = (
+            xxhash.xxh64_intdigest(self._rounding_seed.encode()) / _HASH_RANGE
+        )
         for member, amount in sorted(self.amounts().items()):
             end = start + amount
-            if member == self._me:
+            if member == self._own_name:
                 return math.floor(end + 1e-9) - math.floor(start + 1e-9)
             start = end
         return 0
 
     def set_limit(self, limit: float) -> None:
-        """Take over a changed limit."""
+        """Change the limit of all members together."""
         self._limit = limit
 
     def set_members(self, members: typing.Iterable[str]) -> None:
-        """Take over who is in the fleet now.
+        """Set the members that are in the fleet now.
 
-        A member that is missing without having left may be alive behind a
-        broken link and go on using its share. If the others took that share
-        over at once, each side of a broken link would use the whole limit.
+        A member that disappeared without leaving may still run behind a
+        broken link and use its share. If the others took over that share at
+        once, each side of the broken link would use the whole limit.
         """
         now = self._clock.now()
         present = frozenset(members)
-        for member in self._members - present - {self._me}:
-            self._reserved_until.setdefault(member, now + RESERVE_S)
+        for member in self._members - present - {self._own_name}:
+            self._reserved_until.setdefault(member, now + DEPARTURE_RESERVE_S)
         self._members = present
         self._reserved_until = {
             member: until
@@ -131,87 +140,98 @@
             if until > now and member not in present
         }
 
-    def left(self, member: str) -> None:
-        """A member has ended for certain; its share is free."""
+    def remove_member(self, member: str) -> None:
+        """Remove a member that has certainly ended and free its share."""
         self._members -= {member}
         self._reserved_until.pop(member, None)
         self._peers.pop(member, None)
 
     def announce(self, demand: float) -> None:
-        """Set this member's demand; the caller tells it to the others."""
+        """Set this member's demand; the caller sends it to the others."""
         now = self._clock.now()
-        self._announced.append((now, _countable(demand)))
+        self._announced.append((now, _significant_demand(demand)))
         while (
             len(self._announced) > 1
-            and self._announced[1][0] <= now - SPREAD_S
+            and self._announced[1][0] <= now - PROPAGATION_S
         ):
             self._announced.popleft()
 
     def receive(
         self, member: str, demand: float, number: int, age_s: float = 0.0
     ) -> None:
-        """Take in another member's demand.
+        """Receive another member's demand.
 
+        :param member: the member's name.
+        :param demand: its demand, in the units of the limit.
         :param number: rises with each announcement of that member; an older
-            one that comes late is dropped.
+            announcement that arrives late is dropped.
+        :param age_s: seconds since the announcement was made.
         """
-        known = self._peers.get(member)
-        if member == self._me or (known and number <= known.number):
+        peer = self._peers.get(member)
+        if member == self._own_name or (peer and number <= peer.number):
             return
         heard_at = self._clock.now() - age_s
-        self._peers[member] = _Peer(_countable(demand), number, heard_at)
+        self._peers[member] = _Peer(
+            _significant_demand(demand), number, heard_at
+        )
 
     def amounts(self) -> dict[str, float]:
-        """The shares of all members as this one sees them."""
+        """Return the shares of all members, as far as this member knows."""
         now = self._clock.now()
-        others = (self._members | self._still_reserved(now)) - {self._me}
-        if self._me not in self._members:
+        others = (self._members | self._reserved_members(now)) - {
+            self._own_name
+        }
+        if self._own_name not in self._members:
             return {}
-        heard = {member: self._heard(member, now) for member in others}
-        heard[self._me] = 1.0
+        freshness = {member: self._freshness(member, now) for member in others}
+        freshness[self._own_name] = 1.0
         demands = {
-            member: part * self._demand_of(member, now)
-            for member, part in heard.items()
+            member: fresh * self._effective_demand(member, now)
+            for member, fresh in freshness.items()
         }
-        equal = self._limit / len(heard)
-        together = equal * sum(heard.values())
+        equal = self._limit / len(freshness)
+        fresh_total = equal * sum(freshness.values())
         total = sum(demands.values())
-        by_demand = 0.0 if total <= 0.0 else 1.0 - EQUAL_PART
+        demand_fraction = 0.0 if total <= 0.0 else 1.0 - EQUAL_FRACTION
         return {
-            member: equal * (1.0 - part)
-            + (1.0 - by_demand) * equal * part
-            + (by_demand * together * demands[member] / total if total else 0)
-            for member, part in heard.items()
+            member: equal * (1.0 - fresh)
+            + (1.0 - demand_fraction) * equal * fresh
+            + (
+                demand_fraction * fresh_total * demands[member] / total
+                if total
+                else 0
+            )
+            for member, fresh in freshness.items()
         }
 
-    def _still_reserved(self, now: float) -> set[str]:
+    def _reserved_members(self, now: float) -> set[str]:
         return {m for m, until in self._reserved_until.items() if until > now}
 
-    def _heard(self, member: str, now: float) -> float:
-        """1 for a member heard lately, falling to 0 for a silent one."""
+    def _freshness(self, member: str, now: float) -> float:
+        """Return 1.0 for a recent contact, falling to 0.0 in long silence."""
         peer = self._peers.get(member)
         if peer is None:
             return 0.0
         silent_s = now - peer.heard_at - STALE_S
-        return min(1.0, max(0.0, 1.0 - silent_s / BLEND_S))
+        return min(1.0, max(0.0, 1.0 - silent_s / STALE_DECAY_S))
 
-    def _demand_of(self, member: str, now: float) -> float:
-        if member != self._me:
+    def _effective_demand(self, member: str, now: float) -> float:
+        if member != self._own_name:
             return self._peers[member].demand if member in self._peers else 0.0
-        in_force = [
+        effective = [
             demand
             for (_, demand), until in zip(
-                self._announced, self._ends(), strict=True
+                self._announced, self._end_times(), strict=True
             )
-            if until > now - SPREAD_S
+            if until > now - PROPAGATION_S
         ]
-        return min(in_force, default=0.0)
+        return min(effective, default=0.0)
 
-    def _ends(self) -> list[float]:
-        """When each announced demand was replaced by the next one."""
+    def _end_times(self) -> list[float]:
+        """Return when each announced demand was replaced by the next one."""
         starts = [at for at, _ in self._announced]
         return [*starts[1:], float("inf")] if starts else []
 
 
-def _countable(demand: float) -> float:
-    return demand if demand >= LEAST_DEMAND else 0.0
+def _significant_demand(demand: float) -> float:
+    return demand if demand >= MIN_DEMAND else 0.0
--- a/src/apricotlever/contracts/spend.py
+++ b/src/apricotlever/contracts/spend.py
@@ -1,28 +1,32 @@
-"""What requests cost, by customer and entry."""
+"""Measures what requests cost, by customer and entry."""
 
 from .. import clock as clocks
 from . import rates
 
 SECONDS_PER_HOUR = 3600.0
-#: Spend that idle time can save up, in seconds of the limit.
+#: The spend that idle time can save up, in seconds of the limit.
 BURST_S = 60.0
-MOST_LINES = 10_000
+MAX_TOTALS = 10_000
 
 
-def cost_of(price_per_hour: float, slots: int, held_s: float) -> float:
-    """The cost of one request: a slot of a runner for some time.
+def request_cost(price_per_hour: float, slots: int, held_s: float) -> float:
+    """Return the cost of one request, which held a slot for some time.
 
-    :param price_per_hour: of the whole runner.
-    :param slots: requests that the runner runs side by side.
-    :param held_s: how long the request kept its slot.
+    :param price_per_hour: the price of the whole runner.
+    :param slots: requests that the runner handles concurrently.
+    :param held_s: seconds for which the request held its slot.
     """
     return price_per_hour / SECONDS_PER_HOUR / max(1, slots) * held_s
 
 
-class SpendLine:
-    """What a customer has spent on an entry.
+class SpendTotal:
+    """The total that a customer has spent on an entry.
 
-    :param amount: in the currency of the cloud API's prices.
+    :param customer: the customer's name.
+    :param entry: the entry's name.
+    :param requests: the number of requests.
+    :param amount: the sum of their costs, in the currency of the cloud API's
+        prices.
     """
 
     __slots__ = ("customer", "entry", "requests", "amount")
@@ -37,27 +41,30 @@
 
 
 class SpendMeter:
-    """Adds up costs by customer and entry and holds entries to a limit.
+    """Adds up costs by customer and entry and enforces limits of entries.
 
-    A limit is a rate per hour, for this VM's share of the fleet's. The cost
-    of a request is known when it ends, so an entry runs into debt by at most
-    what its requests in flight cost, and then pays that debt off.
+    A limit is a rate per hour: this VM's share of the fleet-wide limit. The
+    cost of a request is known only when it ends, so an entry runs into debt
+    by at most the cost of its requests in flight, and the debt delays its
+    next requests.
+
+    :param clock: the source of time.
     """
 
-    __slots__ = ("_buckets", "_clock", "_lines")
+    __slots__ = ("_buckets", "_clock", "_totals")
 
     def __init__(self, clock: clocks.Clock) -> None:
         self._clock = clock
         self._buckets: dict[str, rates.TokenBucket] = {}
-        self._lines: dict[tuple[str, str], SpendLine] = {}
+        self._totals: dict[tuple[str, str], SpendTotal] = {}
 
     @property
-    def lines(self) -> tuple[SpendLine, ...]:
-        """All sums since the start of the process."""
-        return tuple(self._lines.values())
+    def lines(self) -> tuple[SpendTotal, ...]:
+        """All totals since the start of the process."""
+        return tuple(self._totals.values())
 
     def set_limit(self, entry: str, per_hour: float | None) -> None:
-        """Set an entry's limit on this VM; None takes it away."""
+        """Set an entry's limit on this VM; None removes it."""
         if per_hour is None:
             self._buckets.pop(entry, None)
             return
@@ -71,21 +78,25 @@
             bucket.set_rate(rate, rate * BURST_S)
 
     def wait_s(self, entry: str) -> float:
-        """Seconds until the entry may spend again; inf when never."""
+        """Return the seconds until the entry may spend; inf if never."""
         bucket = self._buckets.get(entry)
         return bucket.wait_s(1e-12) if bucket else 0.0
 
-    def spent(self, customer: str, entry: str, amount: float) -> None:
-        """Count the cost of a request that ended."""
+    def record(self, customer: str, entry: str, amount: float) -> None:
+        """Add the cost of a request that ended.
+
+        Beyond :data:`MAX_TOTALS` totals, costs of new pairs of customer and
+        entry are added up under empty names.
+        """
         key = (customer, entry)
-        line = self._lines.get(key)
-        if line is None and len(self._lines) >= MOST_LINES:
+        total = self._totals.get(key)
+        if total is None and len(self._totals) >= MAX_TOTALS:
             key = ("", "")
-            line = self._lines.get(key)
-        if line is None:
-            line = self._lines[key] = SpendLine(*key, 0, 0.0)
-        line.requests += 1
-        line.amount += amount
+            total = self._totals.get(key)
+        if total is None:
+            total = self._totals[key] = SpendTotal(*key, 0, 0.0)
+        total.requests += 1
+        total.amount += amount
         bucket = self._buckets.get(entry)
         if bucket is not None:
             bucket.charge(amount)
--- a/src/apricotlever/contracts/tickets.py
+++ b/src/apricotlever/contracts/tickets.py
@@ -1,19 +1,20 @@
-"""The messages that admission takes and returns."""
+"""The messages that admission receives and returns."""
 
 import enum
 import typing
 
 
 class Ticket:
-    """A request that wants to be admitted.
+    """A request for admission.
 
+    :param request_id: the ID of the request.
     :param customer: the name of the customer that sent it.
     :param entry: the name of the catalogue entry.
-    :param service_class: the name of the entry's class.
-    :param tokens: of the prompt and the answer expected; a call of a plain
-        service counts 1.
-    :param arrived: monotonic time in seconds.
-    :param deadline: monotonic time in seconds.
+    :param service_class: the name of the entry's service class.
+    :param tokens: tokens of the prompt and of the expected answer; a call of
+        a plain service counts 1.
+    :param arrived: when the request arrived, in monotonic seconds.
+    :param deadline: when it must be answered, in monotonic seconds.
     """
 
     __slots__ = (
@@ -46,12 +47,12 @@
 
 
 class Reason(enum.Enum):
-    """Why a request was refused; no upstream has seen it."""
+    """Why a request was refused; it was sent to no upstream."""
 
     UNKNOWN_ENTRY = "unknown_entry"
-    #: It could not have started within its class's ``queue_s``.
+    #: The request could not have started within its class's ``queue_s``.
     OVERLOAD = "overload"
-    #: It could not have started before its own deadline.
+    #: The request could not have started before its deadline.
     DEADLINE = "deadline"
     CONCURRENCY = "concurrency_limit"
     RATE = "rate_limit"
@@ -60,7 +61,7 @@
 
 
 class Admitted:
-    """The request may be sent now."""
+    """The verdict that the request may be sent now."""
 
     __slots__ = ("request_id",)
 
@@ -69,9 +70,11 @@
 
 
 class Refused:
-    """The request was not sent and will not be.
+    """The verdict that the request was not sent and will not be.
 
-    :param retry_after_s: when the backlog is expected to have room.
+    :param request_id: the ID of the request.
+    :param reason: why it was refused.
+    :param retry_after_s: seconds until the backlog is expected to have room.
     """
 
     __slots__ = ("request_id", "reason", "retry_after_s")
--- a/src/apricotlever/contracts/usage.py
+++ b/src/apricotlever/contracts/usage.py
@@ -1,28 +1,33 @@
-"""Which customers have used more than their part of a pool lately."""
+"""Tracks which customers recently used more than their share of a pool."""
 
 import math
 import typing
 
 from .. import clock as clocks
 
-#: How far back the usage is remembered.
-MEMORY_S = 10.0
-#: A customer this close to its part counts as having used it.
-FULL_PART = 0.9
-LEAST_TOKENS = 1e-3
+#: Time constant of the decay of usage, in seconds, and the time for which a
+#: customer without requests is remembered.
+DECAY_S = 10.0
+#: The fraction of its fair share at which a customer counts as having used
+#: that share.
+FULL_SHARE_FRACTION = 0.9
+MIN_TOKENS = 1e-3
 
 
-class Usage:
-    """Tokens admitted by customer, the older ones counting less.
+class PoolUsage:
+    """Admitted tokens by customer, decaying exponentially with age.
 
-    All usage ages alike, so only new usage and customers that come or go
-    change who is full; the sums are kept for the many questions between.
+    All usage decays by the same factor. So the result changes only with new
+    usage and with customers that come or go, and the sums are cached for the
+    many queries in between.
+
+    :param clock: the source of time.
     """
 
     __slots__ = (
-        "_any_short",
-        "_asked",
-        "_at",
+        "_any_below_share",
+        "_last_request_at",
+        "_decayed_at",
         "_clock",
         "_total_used",
         "_total_weight",
@@ -32,72 +37,76 @@
 
     def __init__(self, clock: clocks.Clock) -> None:
         self._clock = clock
-        self._at = clock.now()
+        self._decayed_at = clock.now()
         self._used: dict[str, float] = {}
-        self._asked: dict[str, float] = {}
+        self._last_request_at: dict[str, float] = {}
         self._weights: typing.Mapping[str, float] = {}
         self._total_used = 0.0
         self._total_weight = 0.0
-        self._any_short: bool | None = None
+        self._any_below_share: bool | None = None
 
     def set_weights(self, weights: typing.Mapping[str, float]) -> None:
-        """Take over the customers' weights; others count 1."""
+        """Set the customers' weights; a customer without one has 1.0."""
         self._weights = weights
-        self._sum()
+        self._recompute_totals()
 
-    def asked(self, customer: str) -> None:
-        """The customer sent a request."""
-        if customer not in self._asked:
+    def record_request(self, customer: str) -> None:
+        """Record a request of a customer, admitted or not."""
+        if customer not in self._last_request_at:
             self._total_weight += self._weight(customer)
-            self._any_short = None
-        self._asked[customer] = self._clock.now()
+            self._any_below_share = None
+        self._last_request_at[customer] = self._clock.now()
 
-    def admitted(self, customer: str, tokens: float) -> None:
-        """A request of the customer was admitted."""
-        self._age()
+    def record_admitted(self, customer: str, tokens: float) -> None:
+        """Record the tokens of an admitted request."""
+        self._decay()
         self._used[customer] = self._used.get(customer, 0.0) + tokens
         self._total_used += tokens
-        self._any_short = None
+        self._any_below_share = None
 
-    def is_full(self, customer: str) -> bool:
-        """Whether a customer has had its part.
+    def has_used_share(self, customer: str) -> bool:
+        """Return whether a customer has used its fair share.
 
-        The parts are those of the customers that have asked lately, by
-        their weights. A customer that is alone has never had it.
+        The fair shares are those of the customers with recent requests, by
+        weight. The only such customer has never used its fair share.
         """
-        return len(self._asked) > 1 and self._has_part(customer)
+        return len(self._last_request_at) > 1 and self._reached_share(customer)
 
-    def all_full(self) -> bool:
-        """Whether no customer is short of its part."""
-        if self._any_short is None:
-            self._any_short = not all(map(self._has_part, self._asked))
-        return not self._any_short
+    def all_used_share(self) -> bool:
+        """Return whether no customer is below its fair share."""
+        if self._any_below_share is None:
+            self._any_below_share = not all(
+                map(self._reached_share, self._last_request_at)
+            )
+        return not self._any_below_share
 
     def tick(self) -> None:
-        """Forget customers that have not asked for long."""
-        self._age()
-        since = self._clock.now() - MEMORY_S
-        self._asked = {c: at for c, at in self._asked.items() if at >= since}
-        self._used = {c: n for c, n in self._used.items() if n > LEAST_TOKENS}
-        self._sum()
+        """Forget customers without recent requests."""
+        self._decay()
+        oldest = self._clock.now() - DECAY_S
+        self._last_request_at = {
+            c: at for c, at in self._last_request_at.items() if at >= oldest
+        }
+        self._used = {c: n for c, n in self._used.items() if n > MIN_TOKENS}
+        self._recompute_totals()
 
     def _weight(self, customer: str) -> float:
         return self._weights.get(customer, 1.0)
 
-    def _has_part(self, customer: str) -> bool:
-        part = self._weight(customer) / max(1e-9, self._total_weight)
+    def _reached_share(self, customer: str) -> bool:
+        share = self._weight(customer) / max(1e-9, self._total_weight)
         used = self._used.get(customer, 0.0)
-        return used >= FULL_PART * part * self._total_used
+        return used >= FULL_SHARE_FRACTION * share * self._total_used
 
-    def _sum(self) -> None:
+    def _recompute_totals(self) -> None:
         self._total_used = sum(self._used.values())
-        self._total_weight = sum(map(self._weight, self._asked))
-        self._any_short = None
+        self._total_weight = sum(map(self._weight, self._last_request_at))
+        self._any_below_share = None
 
-    def _age(self) -> None:
+    def _decay(self) -> None:
         now = self._clock.now()
-        if now > self._at:
-            left = math.exp((self._at - now) / MEMORY_S)
-            self._used = {c: n * left for c, n in self._used.items()}
-            self._total_used *= left
-            self._at = now
+        if now > self._decayed_at:
+            decay = math.exp((self._decayed_at - now) / DECAY_S)
+            self._used = {c: n * decay for c, n in self._used.items()}
+            self._total_used *= decay
+            self._decayed_at = now
--- a/src/apricotlever/contracts/usage_windows.py
+++ b/src/apricotlever/contracts/usage_windows.py
@@ -1,29 +1,32 @@
-"""Counts of what customers used, by time window, for the usage reports.
+"""Counts customers' calls by time window, for the usage reports.
 
-Every VM counts for itself and tells its counts of the latest windows to all
-others again and again; whoever reports adds up what it has heard. A count
-that one process gave for one window only grows, so news may come twice, late
-or in any order.
+Every VM counts its own calls and repeatedly sends the counts of the latest
+windows to all others; the reporting VM adds up the counts it has received. A
+count of one process for one window only grows, so counts may arrive twice,
+late or in any order.
 """
 
 import typing
 
 from .. import clock as clocks
 
-#: Windows kept: a report is due two windows after the end of its own.
+#: The number of windows kept. A window's report is due two windows after the
+#: window's end.
 KEPT_WINDOWS = 8
 
 Counts = dict[str, int]
 
 
 class UsageWindows:
-    """One VM's own counts and what it heard of the others'.
+    """This VM's counts and those received from other VMs.
 
-    :param process: names this VM's process; a restarted one is another.
-    :param window_s: the length of a window, in seconds of the time of day.
+    :param clock: the source of time.
+    :param process: the name of this VM's process, which changes when the
+        process restarts.
+    :param window_s: the length of a window in seconds of wall-clock time.
     """
 
-    __slots__ = ("_clock", "_process", "_tables", "_window_s")
+    __slots__ = ("_clock", "_process", "_counts", "_window_s")
 
     def __init__(
         self, clock: clocks.Clock, process: str, window_s: float
@@ -31,67 +34,69 @@
         self._clock = clock
         self._process = process
         self._window_s = window_s
-        #: Window to process to customer to count.
-        self._tables: dict[int, dict[str, Counts]] = {}
+        #: Counts by window, process and customer.
+        self._counts: dict[int, dict[str, Counts]] = {}
 
     @property
     def window(self) -> int:
-        """The number of the window at this moment."""
+        """The number of the current window."""
         return int(self._clock.wall() // self._window_s)
 
     def end_of(self, window: int) -> float:
-        """When a window ends, in seconds of the time of day."""
+        """Return when a window ends, in seconds of wall-clock time."""
         return (window + 1) * self._window_s
 
     def began(self, customer: str, ago_s: float = 0.0) -> None:
-        """A call of a customer began to run.
+        """Count a call of a customer that began to run.
 
-        :param ago_s: how long ago.
+        :param customer: the customer's name.
+        :param ago_s: seconds since the call began.
         """
         window = int((self._clock.wall() - ago_s) // self._window_s)
-        table = self._tables.setdefault(window, {})
-        counts = table.setdefault(self._process, {})
+        by_process = self._counts.setdefault(window, {})
+        counts = by_process.setdefault(self._process, {})
         counts[customer] = counts.get(customer, 0) + 1
-        self._forget_old()
+        self._drop_old_windows()
 
-    def own(self, above: int = 0) -> dict[int, Counts]:
-        """This VM's counts of the windows that are kept.
+    def own(self, reported_window: int = 0) -> dict[int, Counts]:
+        """Return this process's counts of the kept windows.
 
-        :param above: the newest window that is reported; those up to it
-            need not be told any more.
+        :param reported_window: the newest window that was reported; the
+            windows up to it are left out.
+        :returns: the counts by window and customer.
         """
         return {
-            window: table[self._process]
-            for window, table in self._tables.items()
-            if window > above and self._process in table
+            window: by_process[self._process]
+            for window, by_process in self._counts.items()
+            if window > reported_window and self._process in by_process
         }
 
     def heard(
         self, process: str, windows: typing.Mapping[int, Counts]
     ) -> None:
-        """Take in the counts of another VM's process."""
+        """Merge the counts received from another VM's process."""
         for window, counts in windows.items():
-            table = self._tables.setdefault(window, {})
-            known = table.setdefault(process, {})
+            by_process = self._counts.setdefault(window, {})
+            known = by_process.setdefault(process, {})
             if known == counts:
-                # Most records tell nothing new of most windows.
+                # Most records bring no change for most windows.
                 continue
             for customer, count in counts.items():
                 known[customer] = max(count, known.get(customer, 0))
-        self._forget_old()
+        self._drop_old_windows()
 
     def tables(self) -> dict[int, dict[str, Counts]]:
-        """All that is known, by window and process, for a checkpoint."""
-        return self._tables
+        """Return all counts by window and process, for a checkpoint."""
+        return self._counts
 
     def total(self, window: int) -> Counts:
-        """The sum of a window over all processes."""
+        """Return a window's counts by customer, summed over all processes."""
         total: Counts = {}
-        for counts in self._tables.get(window, {}).values():
+        for counts in self._counts.get(window, {}).values():
             for customer, count in counts.items():
                 total[customer] = total.get(customer, 0) + count
         return total
 
-    def _forget_old(self) -> None:
-        while len(self._tables) > KEPT_WINDOWS:
-            del self._tables[min(self._tables)]
+    def _drop_old_windows(self) -> None:
+        while len(self._counts) > KEPT_WINDOWS:
+            del self._counts[min(self._counts)]
--- a/tests/contracts/naive.py
+++ b/tests/contracts/naive.py
@@ -111,10 +111,12 @@
     def __init__(self, limit: int) -> None:
         self.limit = limit
 
-    def observe(self, at: float, first_token_s: float, target: float) -> None:
+    def record_first_token(
+        self, at: float, first_token_s: float, target: float
+    ) -> None:
         """Learn nothing."""
 
-    def used(self, in_flight: int) -> None:
+    def record_in_flight(self, in_flight: int) -> None:
         """Learn nothing."""
 
     def update(self) -> None:
--- a/tests/steps/contracts_admission.py
+++ b/tests/steps/contracts_admission.py
@@ -88,7 +88,7 @@
             desk.end(name, outcome)
         else:
             desk.tick(size / 500)
-        gate = desk.admission.gates.get("pool")
+        gate = desk.admission.pool_admissions.get("pool")
         if gate is not None:
             assert gate.in_flight == len(desk.in_flight)
             assert gate.in_flight <= 6 * 1.25 + 1
@@ -337,12 +337,12 @@
 
 @then("nothing waits any more")
 def _nothing_waits(context):
-    assert context.desk.admission.gates["pool"].waiting == 0
+    assert context.desk.admission.pool_admissions["pool"].queue_length == 0
 
 
 @then("nothing is in flight any more")
 def _nothing_flies(context):
-    assert context.desk.admission.gates["pool"].in_flight == 0
+    assert context.desk.admission.pool_admissions["pool"].in_flight == 0
 
 
 def _trial(way, load):
--- a/tests/steps/contracts_concurrency.py
+++ b/tests/steps/contracts_concurrency.py
@@ -32,12 +32,12 @@
         limit = concurrency.ConcurrencyLimit(clock, 2, 40, 10)
         for first_token_s, used, ceiling, resize in steps:
             clock.advance(STEP_S)
-            limit.used(used)
+            limit.record_in_flight(used)
             for _ in range(8):
-                limit.observe(clock.now(), first_token_s, 1.0)
+                limit.record_first_token(clock.now(), first_token_s, 1.0)
             if resize:
                 limit.set_bounds(2, ceiling)
-            clock.advance(concurrency.WINDOW_S)
+            clock.advance(concurrency.MIN_WINDOW_S)
             limit.update()
             assert limit.floor <= limit.limit <= limit.ceiling
 
@@ -64,13 +64,13 @@
     for _ in range(int(seconds / STEP_S)):
         clock.advance(STEP_S)
         in_flight = min(limit.limit, most)
-        limit.used(in_flight)
+        limit.record_in_flight(in_flight)
         first_s = context.runners.first_token_s(in_flight)
         waiting.append((clock.now() + first_s, clock.now(), first_s))
         for due, at, took_s in [w for w in waiting if w[0] <= clock.now()]:
             waiting.remove((due, at, took_s))
             for _ in range(max(1, in_flight // 10)):
-                limit.observe(at, took_s, 1.0)
+                limit.record_first_token(at, took_s, 1.0)
                 total += 1
                 late += took_s > 1.0
         limit.update()
--- a/tests/steps/contracts_fleet_rate.py
+++ b/tests/steps/contracts_fleet_rate.py
@@ -142,7 +142,7 @@
     fleet = context.fleet
     used = sum(limit.used for limit in fleet.rates.values())
     # Until the silence is noticed both sides count on all of the limit.
-    unseen_s = fleet_rate.SILENT_S + 2 * INTERVAL_S
+    unseen_s = fleet_rate.SILENCE_TIMEOUT_S + 2 * INTERVAL_S
     allowed = fleet.rate * (context.seconds + unseen_s) + fleet.burst
     allowed += (len(fleet.names) - 1) * fleet.rate * INTERVAL_S + fleet.burst
     assert used <= allowed, (used, allowed)
@@ -329,7 +329,7 @@
     fleet = context.fleet
     allowed = fleet.rate * context.seconds + fleet.burst
     # In one interval all may let in what each of them saw left.
-    unheard = fleet_rate.PART_OF_REST * (fleet.burst + 0.25 * spare)
+    unheard = fleet_rate.TICK_SHARE_FACTOR * (fleet.burst + 0.25 * spare)
     assert context.used <= allowed + 0.25 * spare + unheard, (
         context.used,
         allowed,
--- a/tests/steps/contracts_retries.py
+++ b/tests/steps/contracts_retries.py
@@ -42,7 +42,7 @@
         strategies.booleans(),
     )
     def check(ran, idempotent, told, attempts, left_s, tried, takers, spent):
-        budget = retry_budget.RetryBudget(first=0.0 if spent else 3.0)
+        budget = retry_budget.RetryBudget(initial_tokens=0.0 if spent else 3.0)
         failure = _failure(
             may_have_run=ran,
             idempotent=idempotent,
@@ -91,7 +91,7 @@
 @given("a failed attempt at a runner known to be leaving, its budget spent")
 def _announced(context):
     context.failure = _failure(announced=True)
-    context.budget = retry_budget.RetryBudget(first=0.0)
+    context.budget = retry_budget.RetryBudget(initial_tokens=0.0)
 
 
 @then('the failed attempt is not sent again because "{reason}"')
@@ -108,4 +108,4 @@
 
 @then("the retry budget is as full as before")
 def _full(context):
-    assert context.budget.left("e") == retry_budget.FIRST_TOKENS
+    assert context.budget.remaining("e") == retry_budget.INITIAL_TOKENS
--- a/tests/steps/contracts_retry_budget.py
+++ b/tests/steps/contracts_retry_budget.py
@@ -27,7 +27,7 @@
                 budget.succeeded("a")
             else:
                 retries += budget.take("a")
-        assert retries <= successes / 10 + retry_budget.MOST_TOKENS
+        assert retries <= successes / 10 + retry_budget.MAX_TOKENS
 
     check()
 
@@ -37,7 +37,7 @@
     context.budget = retry_budget.RetryBudget()
     while context.budget.take(entry):
         pass
-    assert context.budget.left(entry) < 1.0
+    assert context.budget.remaining(entry) < 1.0
 
 
 @then('entry "{entry}" may still retry')
--- a/tests/steps/contracts_shares.py
+++ b/tests/steps/contracts_shares.py
@@ -22,7 +22,7 @@
 def _fleet(count, limit, clock=None):
     clock = clock or clocks.ManualClock()
     names = [f"vm{n}" for n in range(count)]
-    fleet = [shares.Share(clock, name, limit, "entry") for name in names]
+    fleet = [shares.LimitShare(clock, name, limit, "entry") for name in names]
     for share in fleet:
         share.set_members(names)
     return clock, names, fleet
@@ -64,9 +64,9 @@
     def check(demands, limit):
         clock, names, fleet = _fleet(len(demands), limit)
         _settle(clock, names, fleet, demands, 6)
-        assert sum(s.units for s in fleet) == limit
+        assert sum(s.whole_units for s in fleet) == limit
         for share in fleet:
-            assert abs(share.units - share.amount) < 1.0 + 1e-6
+            assert abs(share.whole_units - share.amount) < 1.0 + 1e-6
 
     check()
 
@@ -131,12 +131,14 @@
     max_size=25,
 )
 DELAYS = strategies.lists(
-    strategies.floats(0.0, shares.SPREAD_S - STEP_S), min_size=4, max_size=4
+    strategies.floats(0.0, shares.PROPAGATION_S - STEP_S),
+    min_size=4,
+    max_size=4,
 )
 
 
 def _ours(clock, name):
-    share = shares.Share(clock, name, 100.0)
+    share = shares.LimitShare(clock, name, 100.0)
     share.set_members([f"vm{n}" for n in range(4)])
     return share
 
@@ -251,7 +253,7 @@
     gone = context.names[3]
     context.left = context.left[:2]
     for share in context.left:
-        share.left(gone)
+        share.remove_member(gone)
 
 
 @then("the two that are left share {amount:d} at once")
--- a/tests/steps/contracts_spend.py
+++ b/tests/steps/contracts_spend.py
@@ -30,7 +30,7 @@
         meter = spend.SpendMeter(clocks.ManualClock())
         sums = collections.defaultdict(float)
         for customer, entry, amount in costs:
-            meter.spent(customer, entry, amount)
+            meter.record(customer, entry, amount)
             sums[customer, entry] += amount
         assert {(x.customer, x.entry): x.amount for x in meter.lines} == sums
 
@@ -51,7 +51,7 @@
     context.seconds = minutes * 60
     for _ in range(context.seconds):
         if context.meter.wait_s("e") <= 0.0:
-            context.meter.spent("c", "e", amount)
+            context.meter.record("c", "e", amount)
         context.clock.advance(1.0)
 
 
@@ -68,4 +68,4 @@
     " {cost:f} in an hour"
 )
 def _cost(context, price, slots, cost):
-    assert spend.cost_of(price, slots, 3600.0) == cost
+    assert spend.request_cost(price, slots, 3600.0) == cost
--- a/tests/steps/contracts_usage.py
+++ b/tests/steps/contracts_usage.py
@@ -29,28 +29,28 @@
     @hypothesis.given(strategies.lists(step, min_size=1, max_size=30))
     def check(steps):
         clock = clocks.ManualClock(0.0)
-        measured = usage.Usage(clock)
+        measured = usage.PoolUsage(clock)
         measured.set_weights(WEIGHTS)
         log = []
         for customer, tokens, pause in steps:
             clock.advance(pause / 10)
-            measured.asked(customer)
-            measured.admitted(customer, tokens)
+            measured.record_request(customer)
+            measured.record_admitted(customer, tokens)
             measured.tick()
             log.append((clock.now(), customer, tokens))
         now = clock.now()
-        active = {c for at, c, _ in log if at >= now - usage.MEMORY_S}
+        active = {c for at, c, _ in log if at >= now - usage.DECAY_S}
         used = dict.fromkeys(WEIGHTS, 0.0)
         for at, customer, tokens in log:
-            used[customer] += tokens * math.exp((at - now) / usage.MEMORY_S)
+            used[customer] += tokens * math.exp((at - now) / usage.DECAY_S)
         weights = sum(WEIGHTS[c] for c in active)
         for customer in active:
             part = WEIGHTS[customer] / weights * sum(used.values())
             # Too close to call, for the sums are made in another order.
-            if abs(used[customer] - usage.FULL_PART * part) > 1e-6:
-                full = used[customer] > usage.FULL_PART * part
+            if abs(used[customer] - usage.FULL_SHARE_FRACTION * part) > 1e-6:
+                full = used[customer] > usage.FULL_SHARE_FRACTION * part
                 expected = full and len(active) > 1
-                assert measured.is_full(customer) == expected
+                assert measured.has_used_share(customer) == expected
 
     check()
 
@@ -58,15 +58,15 @@
 def _use(context, customer, seconds):
     for _ in range(seconds):
         context.clock.advance(1.0)
-        context.usage.asked(customer)
-        context.usage.admitted(customer, 10.0)
+        context.usage.record_request(customer)
+        context.usage.record_admitted(customer, 10.0)
         context.usage.tick()
 
 
 @given('a pool that customer "{name}" alone has used for {seconds:d} seconds')
 def _alone(context, name, seconds):
     context.clock = clocks.ManualClock()
-    context.usage = usage.Usage(context.clock)
+    context.usage = usage.PoolUsage(context.clock)
     _use(context, name, seconds)
 
 
@@ -74,14 +74,14 @@
 def _later(context, pause, b, a, n):
     context.clock.advance(pause)
     _use(context, b, n)
-    context.usage.asked(a)
+    context.usage.record_request(a)
 
 
 @then('customer "{name}" is full of the pool')
 def _full(context, name):
-    assert context.usage.is_full(name)
+    assert context.usage.has_used_share(name)
 
 
 @then('customer "{name}" is not full of the pool')
 def _not_full(context, name):
-    assert not context.usage.is_full(name)
+    assert not context.usage.has_used_share(name)
