--- a/tests/contracts/naive.py
+++ b/tests/contracts/naive.py
@@ -1,4 +1,4 @@
-"""Plain versions of what the contracts package decides."""
+"""Reference implementations and naive rivals of the contracts package."""
 
 import collections
 import math
@@ -9,7 +9,7 @@
 
 
 class FairList:
-    """Start-time fair queueing by going through a list."""
+    """Start-time fair queueing by a linear search of a list."""
 
     def __init__(self, weights: dict[str, float]) -> None:
         self.weights = weights
@@ -30,7 +30,7 @@
     def pop(
         self, may_start: typing.Callable[[tickets.Ticket], bool]
     ) -> tickets.Ticket | None:
-        """Look for the ticket that is next."""
+        """Remove the ticket that is served next."""
         able = [entry for entry in self.waiting if may_start(entry[3])]
         if not able:
             return None
@@ -46,14 +46,14 @@
         return ticket
 
     def remove(self, request_id: str) -> None:
-        """Take a ticket out."""
+        """Remove a ticket."""
         self.waiting = [
             e for e in self.waiting if e[3].request_id != request_id
         ]
 
 
 class Fifo:
-    """First in, first out."""
+    """A queue that serves tickets in the order of their arrival."""
 
     def __init__(self) -> None:
         self.waiting: list[tickets.Ticket] = []
@@ -65,12 +65,12 @@
     def pop(
         self, may_start: typing.Callable[[tickets.Ticket], bool]
     ) -> tickets.Ticket | None:
-        """Take the first."""
+        """Remove the first ticket."""
         return self.waiting.pop(0) if self.waiting else None
 
 
 class GreedyShare:
-    """Splits a limit by the demand that it knows now, and forgets silence."""
+    """Splits a limit by the demands known now, without silent members."""
 
     def __init__(self, me: str, limit: float) -> None:
         self.me = me
@@ -78,16 +78,16 @@
         self.demands: dict[str, float] = {me: 0.0}
 
     def announce(self, demand: float) -> None:
-        """Live by the new demand at once."""
+        """Use the new demand at once."""
         self.demands[self.me] = demand
 
     def receive(self, member: str, demand: float, number: int) -> None:
-        """Take in another's demand."""
+        """Receive another member's demand."""
         self.demands[member] = demand
 
     @property
     def amount(self) -> float:
-        """The share by demand alone."""
+        """The share in proportion to demand alone."""
         total = sum(self.demands.values())
         if not total:
             return self.limit / len(self.demands)
@@ -95,14 +95,14 @@
 
 
 class AlwaysRetry:
-    """Retries each failure."""
+    """A retry budget without a limit."""
 
     def take(self, entry: str) -> bool:
-        """Always."""
+        """Allow every retry."""
         return True
 
     def succeeded(self, entry: str) -> None:
-        """Learn nothing."""
+        """Ignore the success."""
 
 
 class FixedLimit:
@@ -114,19 +114,22 @@
     def record_first_token(
         self, at: float, first_token_s: float, target: float
     ) -> None:
-        """Learn nothing."""
+        """Ignore the latency."""
 
     def record_in_flight(self, in_flight: int) -> None:
-        """Learn nothing."""
+        """Ignore the number."""
 
     def update(self) -> None:
-        """Change nothing."""
+        """Leave the limit as it is."""
 
 
-def most_in_a_window(
+def max_excess(
     taken: list[tuple[float, float]], rate: float, burst: float
 ) -> float:
-    """By how much any stretch of time took more than a bucket allows."""
+    """Return the greatest excess of any time span over a bucket's allowance.
+
+    :param taken: times in seconds and units taken at them, in order.
+    """
     worst = -math.inf
     for start, (begin, _) in enumerate(taken):
         total = 0.0
@@ -141,7 +144,10 @@
     weights: dict[str, float] | None = None,
     queue_s: float = 2.0,
 ) -> catalogue_model.Catalogue:
-    """Two classes, an entry of each on one pool, and some customers."""
+    """Return a catalogue with two classes, an entry of each, and customers.
+
+    Both entries use the same pool.
+    """
     classes = {
         "desk": catalogue_model.ServiceClass(
             "desk", 1.0, 0.067, 20.0, queue_s, 1, 8
--- a/tests/contracts/naive_call_budget.py
+++ b/tests/contracts/naive_call_budget.py
@@ -1,6 +1,6 @@
-"""A naive call budget: one token bucket that knows no ranks.
+"""A naive call budget: one token bucket without priorities.
 
-It keeps every call ever allowed and works out the tokens anew each time.
+It records every allowed call and recomputes the tokens for each query.
 """
 
 import typing
@@ -9,10 +9,11 @@
 
 
 class NaiveCallBudget:
-    """A token bucket, filled to its depth at the start.
+    """A token bucket that is full at the start.
 
+    :param clock: the source of time.
     :param rate_per_s: tokens per second.
-    :param depth: tokens at most.
+    :param depth: the greatest number of tokens.
     """
 
     def __init__(
@@ -25,7 +26,7 @@
         self._allowed: list[float] = []
 
     def allow(self, *_rank: typing.Any) -> bool:
-        """Spend one token, whoever asks."""
+        """Take one token, whatever the priority."""
         if self._tokens(self._clock.now()) < 1:
             return False
         self._allowed.append(self._clock.now())
--- a/tests/contracts/naive_fleet_rate.py
+++ b/tests/contracts/naive_fleet_rate.py
@@ -1,10 +1,16 @@
-"""A fleet-wide limit by fixed equal parts, the naive rival."""
+"""The naive rival of a fleet-wide limit: fixed equal shares."""
 
 from apricotlever.contracts import rates
 
 
 class EqualParts:
-    """Each VM has its part of the limit, whatever the others ask for."""
+    """Each VM has an equal share of the limit, whatever the demand.
+
+    :param clock: the source of time.
+    :param rate: units per second of the whole fleet.
+    :param burst: units that the fleet may admit in addition.
+    :param vms: the number of VMs.
+    """
 
     def __init__(self, clock, rate, burst, vms):
         self.buckets = [
@@ -13,5 +19,5 @@
         ]
 
     def take(self, vm, units):
-        """Whether a VM lets units in."""
+        """Return whether a VM admits units."""
         return self.buckets[vm].take(units)
--- a/tests/steps/contracts_admission.py
+++ b/tests/steps/contracts_admission.py
@@ -24,8 +24,8 @@
 DONE = models.Outcome.DONE
 
 
-class _Desk:
-    """An admission, and what came of each ticket."""
+class _Controller:
+    """An admission controller and the verdict on each ticket."""
 
     def __init__(self, slots, limits=None, vm="vm0", members=("vm0",)):
         self.clock = clocks.ManualClock()
@@ -77,31 +77,33 @@
 )
 
 
-def _play(steps, limits):
-    desk = _Desk(6, limits)
+def _run_steps(steps, limits):
+    controller = _Controller(6, limits)
     for number, (kind, customer, entry, size, outcome) in enumerate(steps):
         if kind == "offer":
-            desk.offer(str(number), customer, entry, size)
-        elif kind == "end" and desk.in_flight:
-            name = desk.in_flight[size % len(desk.in_flight)]
-            desk.admission.first_token(name)
-            desk.end(name, outcome)
+            controller.offer(str(number), customer, entry, size)
+        elif kind == "end" and controller.in_flight:
+            name = controller.in_flight[size % len(controller.in_flight)]
+            controller.admission.first_token(name)
+            controller.end(name, outcome)
         else:
-            desk.tick(size / 500)
-        gate = desk.admission.pool_admissions.get("pool")
-        if gate is not None:
-            assert gate.in_flight == len(desk.in_flight)
-            assert gate.in_flight <= 6 * 1.25 + 1
+            controller.tick(size / 500)
+        pool = controller.admission.pool_admissions.get("pool")
+        if pool is not None:
+            assert pool.in_flight == len(controller.in_flight)
+            assert pool.in_flight <= 6 * 1.25 + 1
         if limits.concurrent is not None:
             for name in ("desk", "draft"):
                 at = [
-                    r for r in desk.in_flight if desk.tickets[r].entry == name
+                    r
+                    for r in controller.in_flight
+                    if controller.tickets[r].entry == name
                 ]
                 assert len(at) <= limits.concurrent
-    return desk
+    return controller
 
 
-@then("any offers, ends and ticks give each request at most one verdict")
+@then("any offers, ends and ticks give each request one verdict")
 def _one_verdict(context):
     limits = strategies.builds(
         catalogue_model.Limits,
@@ -109,55 +111,55 @@
         strategies.none() | strategies.floats(0.5, 20.0),
         strategies.none() | strategies.floats(50.0, 5000.0),
     )
-    context.desks = []
+    context.controllers = []
 
     @SETTINGS
     @hypothesis.given(STEPS, limits)
     def check(steps, some_limits):
-        desk = _play(steps, some_limits)
+        controller = _run_steps(steps, some_limits)
         for _ in range(30):
-            desk.tick()
-        context.desks.append(desk)
-        assert set(desk.verdicts) == set(desk.tickets)
-        assert all(len(found) == 1 for found in desk.verdicts.values())
+            controller.tick()
+        context.controllers.append(controller)
+        assert set(controller.verdicts) == set(controller.tickets)
+        assert all(len(found) == 1 for found in controller.verdicts.values())
 
     check()
 
 
 @then("no request waits longer than its class allows")
-def _bounded_wait(context):
-    for desk in context.desks:
-        for name, found in desk.verdicts.items():
+def _max_wait(context):
+    for controller in context.controllers:
+        for name, found in controller.verdicts.items():
             _, at = found[0]
-            # Ticks of the trial come up to a second apart.
-            assert at - desk.tickets[name].arrived <= 2.0 + 1.0 + 1e-9
+            # The ticks of the trial are up to a second apart.
+            assert at - controller.tickets[name].arrived <= 2.0 + 1.0 + 1e-9
 
 
-@given("an admission desk whose pool has {slots:d} slots")
-def _desk(context, slots):
-    context.desk = _Desk(slots)
+@given("an admission controller whose pool has {slots:d} slots")
+def _controller(context, slots):
+    context.controller = _Controller(slots)
 
 
 @given("its requests take {seconds:d} seconds and all its slots are taken")
-def _taken(context, seconds):
-    desk = context.desk
+def _fill_slots(context, seconds):
+    controller = context.controller
     for number in range(4):
-        desk.offer(f"first{number}")
-    desk.clock.advance(seconds)
-    for name in list(desk.in_flight):
-        desk.admission.first_token(name)
-        desk.end(name)
+        controller.offer(f"first{number}")
+    controller.clock.advance(seconds)
+    for name in list(controller.in_flight):
+        controller.admission.first_token(name)
+        controller.end(name)
     for number in range(40):
-        desk.offer(f"taking{number}")
+        controller.offer(f"taking{number}")
     for _ in range(40):
-        desk.tick()
+        controller.tick()
 
 
 @when("{count:d} more tickets are offered")
-def _more(context, count):
+def _offer_more(context, count):
     context.more = [f"more{n}" for n in range(count)]
     for name in context.more:
-        context.desk.offer(name)
+        context.controller.offer(name)
 
 
 @then(
@@ -165,216 +167,232 @@
     ' "{reason}"'
 )
 def _at_once(context, count, reason):
-    now = context.desk.clock.now()
-    found = [context.desk.verdicts[n] for n in context.more]
-    told = [f[0] for f in found if f]
-    context.told = [verdict for verdict, at in told if at == now]
-    assert len(context.told) >= count
-    assert {v.reason.value for v in context.told} == {reason}
+    now = context.controller.clock.now()
+    found = [context.controller.verdicts[n] for n in context.more]
+    first_verdicts = [f[0] for f in found if f]
+    context.refused_now = [
+        verdict for verdict, at in first_verdicts if at == now
+    ]
+    assert len(context.refused_now) >= count
+    assert {v.reason.value for v in context.refused_now} == {reason}
 
 
-@then("the refused are told to come back after at least {seconds:d} second")
-def _later(context, seconds):
-    assert min(v.retry_after_s for v in context.told) >= seconds
+@then(
+    "the refused callers are told to retry after at least {seconds:d} second"
+)
+def _retry_after(context, seconds):
+    assert min(v.retry_after_s for v in context.refused_now) >= seconds
 
 
 @then('a ticket for entry "{entry}" is refused as "{reason}"')
 def _refused_as(context, entry, reason):
-    context.desk.offer("asked", "alfa", entry)
+    context.controller.offer("asked", "alfa", entry)
     for _ in range(40):
-        context.desk.tick()
-    verdict, _ = context.desk.verdicts["asked"][0]
+        context.controller.tick()
+    verdict, _ = context.controller.verdicts["asked"][0]
     assert verdict.reason.value == reason
     assert verdict.retry_after_s > 0
 
 
 @given("an entry that may admit {rate:d} requests a second")
-def _rated(context, rate):
+def _rate_limited(context, rate):
     limits = catalogue_model.Limits(requests_per_s=float(rate))
-    context.desk = _Desk(1000, limits)
-    context.desk.tick(2.0)
+    context.controller = _Controller(1000, limits)
+    context.controller.tick(2.0)
 
 
 @given("an entry that may spend {amount:f} an hour")
-def _spending(context, amount):
+def _spend_limited(context, amount):
     limits = catalogue_model.Limits(spend_per_hour=amount)
-    context.desk = _Desk(8, limits)
-    context.desk.offer("first")
+    context.controller = _Controller(8, limits)
+    context.controller.offer("first")
 
 
-@when("a request ends that has cost {amount:f}")
-def _cost(context, amount):
-    context.desk.end("first", cost=amount)
+@when("a request ends that cost {amount:f}")
+def _request_costs(context, amount):
+    context.controller.end("first", cost=amount)
 
 
 @when("{count:d} tickets are offered at once")
-def _at_once_many(context, count):
+def _offer_many(context, count):
     for number in range(count):
-        context.desk.offer(str(number))
+        context.controller.offer(str(number))
 
 
-@then("the refused are told to come back later the further back they are")
-def _further(context):
-    told = [v.retry_after_s for v in context.desk.refused()]
-    assert len(told) >= 100
-    third = len(told) // 3
-    assert min(told) > 0
-    assert sum(told[-third:]) > 2 * sum(told[:third])
-    # 160 callers at 10 a second take 16 seconds, when they come in line.
-    assert 12.0 < max(told) < 24.0, max(told)
+@then("later refused callers are told to retry later")
+def _increasing_retries(context):
+    retry_delays = [v.retry_after_s for v in context.controller.refused()]
+    assert len(retry_delays) >= 100
+    third = len(retry_delays) // 3
+    assert min(retry_delays) > 0
+    assert sum(retry_delays[-third:]) > 2 * sum(retry_delays[:third])
+    # 160 callers that retry at 10 a second need 16 seconds.
+    assert 12.0 < max(retry_delays) < 24.0, max(retry_delays)
 
 
 @when(
     '"alfa" offers {a:d} and "beira" {b:d} tickets a second for {s:d} seconds'
 )
-def _two_rates(context, a, b, s):
+def _offer_two_rates(context, a, b, s):
     rng = random.Random(5)
     arrivals = sorted(
         (rng.uniform(0, s), customer, number)
         for customer, rate in (("alfa", a), ("beira", b))
         for number in range(rate * s)
     )
-    start = context.desk.clock.now()
+    start = context.controller.clock.now()
     for at, customer, number in arrivals:
-        while context.desk.clock.now() < start + at:
-            context.desk.tick(0.02)
-            for name in list(context.desk.in_flight):
-                context.desk.end(name)
-        context.desk.offer(f"{customer}{number}", customer)
+        while context.controller.clock.now() < start + at:
+            context.controller.tick(0.02)
+            for name in list(context.controller.in_flight):
+                context.controller.end(name)
+        context.controller.offer(f"{customer}{number}", customer)
     for _ in range(40):
-        context.desk.tick()
+        context.controller.tick()
 
 
-def _admitted(desk, customer=""):
+def _admitted(controller, customer=""):
     return [
         name
-        for name, found in desk.verdicts.items()
+        for name, found in controller.verdicts.items()
         if isinstance(found[0][0], admission.Admitted)
-        and desk.tickets[name].customer.startswith(customer)
+        and controller.tickets[name].customer.startswith(customer)
     ]
 
 
 @then("at most {count:d} requests were admitted in all")
-def _all_admitted(context, count):
-    assert 150 <= len(_admitted(context.desk)) <= count
+def _check_admitted_total(context, count):
+    assert 150 <= len(_admitted(context.controller)) <= count
 
 
 @then('at least {part:d} of 100 tickets of "{customer}" were admitted')
-def _part_admitted(context, part, customer):
-    admitted = len(_admitted(context.desk, customer))
+def _check_admitted_share(context, part, customer):
+    admitted = len(_admitted(context.controller, customer))
     offered = sum(
-        t.customer == customer for t in context.desk.tickets.values()
+        t.customer == customer for t in context.controller.tickets.values()
     )
     assert 100 * admitted / offered >= part, 100 * admitted / offered
 
 
 @given(
-    "{count:d} admission desks that share a limit of {n:d} requests at once"
+    "{count:d} admission controllers that share a limit of {n:d} concurrent"
+    " requests"
 )
-def _sharing(context, count, n):
+def _sharing_limit(context, count, n):
     names = [f"vm{number}" for number in range(count)]
     limits = catalogue_model.Limits(concurrent=n)
-    context.desks = [_Desk(100, limits, name, names) for name in names]
+    context.controllers = [
+        _Controller(100, limits, name, names) for name in names
+    ]
 
 
-@when("each is offered more than that and they tell each other their demand")
-def _tell(context):
+@when("each is offered more and they exchange their demand")
+def _exchange_demand(context):
     for second in range(20):
-        for place, desk in enumerate(context.desks):
+        for place, controller in enumerate(context.controllers):
             for number in range(5 * (place + 1)):
-                desk.offer(f"{second}-{number}")
+                controller.offer(f"{second}-{number}")
         for _ in range(10):
-            for desk in context.desks:
-                desk.tick()
-                report = desk.admission.take_report()
-                for other in context.desks if report else ():
-                    if other is not desk:
+            for controller in context.controllers:
+                controller.tick()
+                report = controller.admission.take_report()
+                for other in context.controllers if report else ():
+                    if other is not controller:
                         other.admission.shares.receive(report)
         if second % 4 == 1:
-            for desk in context.desks:
-                for name in list(desk.in_flight):
-                    desk.end(name)
+            for controller in context.controllers:
+                for name in list(controller.in_flight):
+                    controller.end(name)
 
 
 @then("together they have {count:d} requests in flight")
-def _together(context, count):
-    assert sum(len(desk.in_flight) for desk in context.desks) == count
+def _total_in_flight(context, count):
+    assert (
+        sum(len(controller.in_flight) for controller in context.controllers)
+        == count
+    )
 
 
 @when("{count:d} tickets are offered and then the catalogue becomes empty")
-def _emptied(context, count):
-    _at_once_many(context, count)
-    context.desk.admission.configure(catalogue_model.EMPTY)
+def _empty_catalogue(context, count):
+    _offer_many(context, count)
+    context.controller.admission.configure(catalogue_model.EMPTY)
 
 
-@then("all that was offered still ends in order")
-def _ends(context):
-    desk = context.desk
+@then("every offered ticket still gets its verdict")
+def _all_decided(context):
+    controller = context.controller
     for _ in range(40):
-        desk.tick()
-        for name in list(desk.in_flight):
-            desk.admission.first_token(name)
-            desk.end(name)
-    assert set(desk.verdicts) == set(desk.tickets)
-    assert len(_admitted(desk)) >= 8
-
-
-@when("{count:d} tickets are offered and those that wait are withdrawn")
-def _withdrawn(context, count):
-    _at_once_many(context, count)
-    desk = context.desk
-    waiting = [n for n in desk.tickets if not desk.verdicts[n]]
-    assert waiting and desk.in_flight
+        controller.tick()
+        for name in list(controller.in_flight):
+            controller.admission.first_token(name)
+            controller.end(name)
+    assert set(controller.verdicts) == set(controller.tickets)
+    assert len(_admitted(controller)) >= 8
+
+
+@when("{count:d} tickets are offered and the queued ones are withdrawn")
+def _withdraw_queued(context, count):
+    _offer_many(context, count)
+    controller = context.controller
+    waiting = [n for n in controller.tickets if not controller.verdicts[n]]
+    assert waiting and controller.in_flight
     for name in waiting:
-        assert desk.admission.withdraw(name) == []
+        assert controller.admission.withdraw(name) == []
 
 
-@when("those in flight are withdrawn")
-def _withdraw_all(context):
-    for name in list(context.desk.in_flight):
-        context.desk.admission.withdraw(name)
+@when("the tickets in flight are withdrawn")
+def _withdraw_in_flight(context):
+    for name in list(context.controller.in_flight):
+        context.controller.admission.withdraw(name)
 
 
-@then("nothing waits any more")
-def _nothing_waits(context):
-    assert context.desk.admission.pool_admissions["pool"].queue_length == 0
+@then("no ticket is queued any more")
+def _nothing_queued(context):
+    assert (
+        context.controller.admission.pool_admissions["pool"].queue_length == 0
+    )
 
 
-@then("nothing is in flight any more")
-def _nothing_flies(context):
-    assert context.desk.admission.pool_admissions["pool"].in_flight == 0
+@then("no ticket is in flight any more")
+def _nothing_in_flight(context):
+    assert context.controller.admission.pool_admissions["pool"].in_flight == 0
 
 
-def _trial(way, load):
+def _run_trial(way, load):
     return overload.Trial(way, overload.loads()[load], TRIAL_S).run()
 
 
-@then("at 2x and 5x the requests in time are within a tenth of the most")
+@then("at 2x and 5x the goodput is within a tenth of the highest")
 def _goodput(context):
-    good = [_trial("ours", load)["good_per_s"] for load in ("1x", "2x", "5x")]
-    context.most = max(good)
-    assert min(good[1:]) >= 0.9 * context.most, good
+    good = [
+        _run_trial("ours", load)["good_per_s"] for load in ("1x", "2x", "5x")
+    ]
+    context.highest_goodput = max(good)
+    assert min(good[1:]) >= 0.9 * context.highest_goodput, good
 
 
-@then("with a FIFO queue less than a tenth of them are in time at 2x")
+@then("with a FIFO queue the goodput at 2x is less than a tenth of it")
 def _fifo(context):
-    assert _trial("fifo", "2x")["good_per_s"] < 0.1 * context.most
+    assert (
+        _run_trial("fifo", "2x")["good_per_s"] < 0.1 * context.highest_goodput
+    )
 
 
 @then("at least {part:d} of 100 requests of each other customer are in time")
-def _others(context, part):
-    good = _trial("ours", "flood")["good_part"]
+def _other_customers(context, part):
+    good = _run_trial("ours", "flood")["good_part"]
     calm = [good[customer] for customer in ("alfa", "beira", "cinta")]
     assert 100 * min(calm) >= part, good
 
 
 @then("with a fixed limit less than {part:d} of 100 are")
-def _fixed(context, part):
-    good = _trial("fixed", "flood")["good_part"]
+def _fixed_limit(context, part):
+    good = _run_trial("fixed", "flood")["good_part"]
     assert 100 * good["alfa"] < part
 
 
-@then('at 5x the class "draft" is served a fifth of the part of "desk"')
-def _classes(context):
-    parts = _trial("ours", "5x")["good_part_by_class"]
+@then('at 5x the class "draft" has at most a fifth of the goodput of "desk"')
+def _class_goodput(context):
+    parts = _run_trial("ours", "5x")["good_part_by_class"]
     assert parts["draft"] <= parts["desk"] / 5, parts
--- a/tests/steps/contracts_call_budget.py
+++ b/tests/steps/contracts_call_budget.py
@@ -25,13 +25,13 @@
 )
 RATES = strategies.sampled_from([0.5, 1.0, 4.0, 8.0])
 
-_checked = hypothesis.settings(
+SETTINGS = hypothesis.settings(
     derandomize=True, deadline=None, database=None, max_examples=200
 )
 
 
-def _budget(ticking, writes_per_s, fleet_size=1):
-    budget = call_budget.CallBudget(ticking, READS_PER_S, writes_per_s)
+def _budget(manual_clock, writes_per_s, fleet_size=1):
+    budget = call_budget.CallBudget(manual_clock, READS_PER_S, writes_per_s)
     budget.configure(fleet_size)
     return budget
 
@@ -41,15 +41,17 @@
 
 
 @then("the call budget's claims equal those of the naive bucket")
-def _equal(context):
-    @_checked
+def _equals_naive(context):
+    @SETTINGS
     @hypothesis.given(STEPS, RATES)
     def check(steps, rate):
-        ticking = clock.ManualClock()
-        budget = _budget(ticking, rate)
-        naive = naive_call_budget.NaiveCallBudget(ticking, rate, _depth(rate))
+        manual_clock = clock.ManualClock()
+        budget = _budget(manual_clock, rate)
+        naive = naive_call_budget.NaiveCallBudget(
+            manual_clock, rate, _depth(rate)
+        )
         for ticks, _ in steps:
-            ticking.advance(ticks * TICK_S)
+            manual_clock.advance(ticks * TICK_S)
             expected = naive.allow()
             assert budget.allow(call_budget.Rank.CLAIM) == expected
 
@@ -57,15 +59,15 @@
 
 
 @then("the call budget never exceeds its share over any span of time")
-def _within(context):
-    @_checked
+def _within_share(context):
+    @SETTINGS
     @hypothesis.given(STEPS, RATES)
     def check(steps, rate):
-        ticking = clock.ManualClock()
-        budget = _budget(ticking, rate)
+        manual_clock = clock.ManualClock()
+        budget = _budget(manual_clock, rate)
         spent = []
         for ticks, rank in steps:
-            now = ticking.advance(ticks * TICK_S)
+            now = manual_clock.advance(ticks * TICK_S)
             if budget.allow(rank):
                 spent.append(now)
         for i, j in itertools.combinations(range(len(spent)), 2):
@@ -75,15 +77,15 @@
     check()
 
 
-@then("the call budget never makes a higher rank wait for longer")
-def _ordered(context):
-    @_checked
+@then("the call budget never makes a higher priority wait for longer")
+def _ordered_waits(context):
+    @SETTINGS
     @hypothesis.given(STEPS, RATES)
     def check(steps, rate):
-        ticking = clock.ManualClock()
-        budget = _budget(ticking, rate)
+        manual_clock = clock.ManualClock()
+        budget = _budget(manual_clock, rate)
         for ticks, rank in steps:
-            ticking.advance(ticks * TICK_S)
+            manual_clock.advance(ticks * TICK_S)
             waits = [budget.wait_s(each) for each in call_budget.Rank]
             assert waits == sorted(waits)
             assert budget.allow(rank) == (waits[rank] == 0)
@@ -91,13 +93,13 @@
     check()
 
 
-@given("a {kind} call budget spent by status reports")
-def _spent(context, kind):
-    ticking = clock.ManualClock()
+@given("a {kind} call budget used up by status reports")
+def _used_up(context, kind):
+    manual_clock = clock.ManualClock()
     context.call_budget = (
-        _budget(ticking, 4.0)
+        _budget(manual_clock, 4.0)
         if kind == "ranked"
-        else naive_call_budget.NaiveCallBudget(ticking, 4.0, _depth(4.0))
+        else naive_call_budget.NaiveCallBudget(manual_clock, 4.0, _depth(4.0))
     )
     while context.call_budget.allow(call_budget.Rank.STATUS):
         pass
@@ -110,7 +112,7 @@
 
 
 @given("a call budget of {writes:d} writes per second in a fleet of {size:d}")
-def _of_fleet(context, writes, size):
+def _budget_of_fleet(context, writes, size):
     context.budget_clock = clock.ManualClock()
     context.call_budget = _budget(context.budget_clock, float(writes), size)
 
@@ -133,19 +135,19 @@
     context.call_budget.throttled(kind, float(seconds))
 
 
-@then("the call budget lets {count:d} claims pass per second")
+@then("the call budget allows {count:d} claims per second")
 def _rate(context, count):
     _claims_within(context, 0)
     assert _claims_within(context, 1) in (count, count + 1)
 
 
-@then("the call budget lets {count:d} claims pass within {seconds:d} seconds")
+@then("the call budget allows {count:d} claims within {seconds:d} seconds")
 def _none_within(context, count, seconds):
     assert _claims_within(context, seconds) == count
 
 
 @then(
-    "the call budget lets {count:d} claims pass per second "
+    "the call budget allows {count:d} claims per second "
     "after {seconds:d} seconds"
 )
 def _rate_after(context, count, seconds):
--- a/tests/steps/contracts_concurrency.py
+++ b/tests/steps/contracts_concurrency.py
@@ -45,19 +45,19 @@
 
 
 class _Runners:
-    """First tokens come late in proportion to what is above capacity."""
+    """Runners whose first tokens are delayed by the load above capacity."""
 
-    def __init__(self, capacity, undisturbed=0.2):
+    def __init__(self, capacity, baseline=0.2):
         self.capacity = capacity
-        self.undisturbed = undisturbed
+        self.baseline = baseline
 
     def first_token_s(self, in_flight):
         over = max(0.0, in_flight / self.capacity - 1.0)
-        return self.undisturbed + 2.0 * over
+        return self.baseline + 2.0 * over
 
 
-def _run(context, limit, seconds, most=1000):
-    """Admit all that the limit allows; count late first tokens."""
+def _run_load(context, limit, seconds, most=1000):
+    """Admit all that the limit allows; return the percentage late."""
     clock = context.clock
     waiting = []
     late = total = 0
@@ -77,56 +77,58 @@
     return 100.0 * late / max(1, total)
 
 
-@given("runners that answer {count:d} requests in time and more of them late")
+@given("runners that answer up to {count:d} concurrent requests in time")
 def _runners(context, count):
     context.clock = clocks.ManualClock()
     context.runners = _Runners(count)
     context.limit = concurrency.ConcurrencyLimit(context.clock, 1, 64, 8)
 
 
-@given("runners whose undisturbed first token takes {part:f} of the target")
-def _slow(context, part):
+@given(
+    "runners whose first token takes {part:f} of the target without queueing"
+)
+def _high_baseline(context, part):
     _runners(context, 20)
-    context.runners.undisturbed = part
+    context.runners.baseline = part
 
 
-@given("a learned limit of {limit:d} of at most {ceiling:d}")
-def _known(context, limit, ceiling):
+@given("an adaptive limit of {limit:d} with a ceiling of {ceiling:d}")
+def _limit_at_ceiling(context, limit, ceiling):
     context.limit = concurrency.ConcurrencyLimit(
         clocks.ManualClock(), 1, ceiling, limit
     )
 
 
-@when("the learned limit admits all it may for {seconds:d} seconds")
-def _admits(context, seconds):
-    context.late = _run(context, context.limit, seconds)
+@when("the adaptive limit admits all it may for {seconds:d} seconds")
+def _run_saturated(context, seconds):
+    context.late = _run_load(context, context.limit, seconds)
 
 
-@when("the runners come to answer {count:d} in time")
-def _change(context, count):
+@when("the capacity of the runners becomes {count:d}")
+def _change_capacity(context, count):
     context.runners.capacity = count
 
 
 @when(
-    "the learned limit is {limit:d} and {most:d} requests at a time come"
+    "the adaptive limit is {limit:d} and {most:d} requests are in flight"
     " for {seconds:d} seconds"
 )
-def _idle(context, limit, most, seconds):
+def _run_low_load(context, limit, most, seconds):
     context.limit = concurrency.ConcurrencyLimit(context.clock, 1, 64, limit)
-    _run(context, context.limit, seconds, most)
+    _run_load(context, context.limit, seconds, most)
 
 
 @when("the bounds become {floor:d} and {ceiling:d}")
-def _rebound(context, floor, ceiling):
+def _change_bounds(context, floor, ceiling):
     context.limit.set_bounds(floor, ceiling)
 
 
-@then("the learned limit ends between {least:d} and {most:d}")
-def _ends(context, least, most):
+@then("the adaptive limit ends between {least:d} and {most:d}")
+def _final_limit(context, least, most):
     assert least <= context.limit.limit <= most, context.limit.limit
 
 
-@then("less than {part:d} of 100 requests are late under the learned limit")
+@then("less than {part:d} of 100 requests are late under the adaptive limit")
 def _few_late(context, part):
     assert context.late < part, context.late
 
@@ -136,4 +138,4 @@
     " of {limit:d}"
 )
 def _many_late(context, part, limit):
-    assert _run(context, naive.FixedLimit(limit), 30) > part
+    assert _run_load(context, naive.FixedLimit(limit), 30) > part
--- a/tests/steps/contracts_fair_queue.py
+++ b/tests/steps/contracts_fair_queue.py
@@ -44,34 +44,34 @@
 )
 
 
-@then("the fair queue serves as a plain list does after any steps")
-def _as_list(context):
+@then("the fair queue serves in the order of a linear search after any steps")
+def _linear_search_order(context):
     @SETTINGS
     @hypothesis.given(STEPS, strategies.sets(strategies.integers(0, 60)))
     def check(steps, blocked):
         def may_start(ticket):
             return int(ticket.request_id) not in blocked
 
-        ours = fair_queue.FairQueue()
-        ours.set_weights(WEIGHTS)
-        plain = naive.FairList(WEIGHTS)
+        queue = fair_queue.FairQueue()
+        queue.set_weights(WEIGHTS)
+        reference = naive.FairList(WEIGHTS)
         for number, (kind, customer, tokens, order, other) in enumerate(steps):
             if kind == "push":
                 ticket = _ticket(number, customer, tokens, other)
-                ours.push(ticket, order, 0.0)
-                plain.push(ticket, order)
+                queue.push(ticket, order, 0.0)
+                reference.push(ticket, order)
             elif kind == "remove":
-                ours.remove(str(other))
-                plain.remove(str(other))
+                queue.remove(str(other))
+                reference.remove(str(other))
             else:
-                assert ours.pop(may_start) is plain.pop(may_start)
-            assert len(ours) == len(plain.waiting)
-        assert _drain(ours) == _drain(plain)
+                assert queue.pop(may_start) is reference.pop(may_start)
+            assert len(queue) == len(reference.waiting)
+        assert _drain(queue) == _drain(reference)
 
     check()
 
 
-@then("customers with tickets waiting get service by their weights")
+@then("customers with queued tickets get service by their weights")
 def _by_weight(context):
     sizes = strategies.lists(
         strategies.integers(1, 200), min_size=40, max_size=40
@@ -95,7 +95,7 @@
     check()
 
 
-@then("the work ahead of a ticket is within a ticket for each customer")
+@then("the work ahead of a ticket is exact to a ticket for each customer")
 def _work_ahead(context):
     pushes = strategies.lists(
         strategies.tuples(
@@ -116,95 +116,95 @@
             queue.push(_ticket(n, customer, tokens), order, 0.0)
             for n, (customer, tokens, order) in enumerate(described)
         ]
-        asked = waiting[pick % len(waiting)]
-        expected = queue.work_ahead(asked)
+        target = waiting[pick % len(waiting)]
+        expected = queue.work_ahead(target)
         served = _drain(queue)
-        position = served.index(asked.ticket)
-        really = sum(ticket.tokens for ticket in served[:position])
-        # A customer is at most one ticket ahead or behind of what the
-        # weights give it, and a ticket of weight 2 to 0.5 counts fourfold.
-        assert abs(expected - really) <= 100 * 4 * len(WEIGHTS)
+        position = served.index(target.ticket)
+        actual = sum(ticket.tokens for ticket in served[:position])
+        # A customer is at most one ticket ahead of or behind its share by
+        # weight, and with weights of 2 and 0.5 a ticket counts fourfold.
+        assert abs(expected - actual) <= 100 * 4 * len(WEIGHTS)
 
     check()
 
 
 @given('a queue in which customer "{customer}" has {count:d} tickets')
-def _flood(context, customer, count):
-    context.ours = fair_queue.FairQueue()
+def _backlog(context, customer, count):
+    context.queue = fair_queue.FairQueue()
     context.fifo = naive.Fifo()
     for number in range(count):
         ticket = _ticket(number, customer)
-        context.ours.push(ticket, 0, 0.0)
+        context.queue.push(ticket, 0, 0.0)
         context.fifo.push(ticket, 0)
 
 
 @when('customer "{customer}" puts a ticket into the queue')
-def _one(context, customer):
-    context.ours.pop(_always)
+def _push_one(context, customer):
+    context.queue.pop(_always)
     ticket = _ticket("one", customer)
-    context.ours.push(ticket, 0, 0.0)
+    context.queue.push(ticket, 0, 0.0)
     context.fifo.push(ticket, 0)
 
 
 @then('the fair queue serves "{customer}" among the first {count:d}')
-def _soon(context, customer, count):
-    served = [context.ours.pop(_always).customer for _ in range(count)]
+def _served_early(context, customer, count):
+    served = [context.queue.pop(_always).customer for _ in range(count)]
     assert customer in served
 
 
 @then('first in, first out serves "{customer}" after {count:d} others')
-def _late(context, customer, count):
+def _fifo_served_late(context, customer, count):
     served = [ticket.customer for ticket in _drain(context.fifo)]
     assert served.index(customer) == count
 
 
 @given('a queue that has served customer "{customer}" {count:d} times alone')
-def _alone(context, customer, count):
-    context.ours = fair_queue.FairQueue()
+def _served_alone(context, customer, count):
+    context.queue = fair_queue.FairQueue()
     for number in range(count):
-        context.ours.push(_ticket(number, customer), 0, 0.0)
-        context.ours.pop(_always)
+        context.queue.push(_ticket(number, customer), 0, 0.0)
+        context.queue.pop(_always)
 
 
 @when("both customers put {count:d} tickets into the queue")
-def _both(context, count):
+def _push_both(context, count):
     for number in range(count):
         for customer in ("alfa", "beira"):
             ticket = _ticket(f"{customer}{number}", customer)
-            context.ours.push(ticket, 0, 0.0)
+            context.queue.push(ticket, 0, 0.0)
 
 
 @then("the first {count:d} served are shared evenly")
-def _evenly(context, count):
-    served = [context.ours.pop(_always).customer for _ in range(count)]
+def _shared_evenly(context, count):
+    served = [context.queue.pop(_always).customer for _ in range(count)]
     counts = collections.Counter(served)
     assert abs(counts["alfa"] - counts["beira"]) <= 2
 
 
 @given('a customer\'s tickets "{listed}" as shed order and deadline')
-def _classes(context, listed):
-    context.ours = fair_queue.FairQueue()
+def _push_listed(context, listed):
+    context.queue = fair_queue.FairQueue()
     for name in listed.split():
         order, deadline = name.split(":")
         ticket = _ticket(name, "alfa", deadline=float(deadline))
-        context.ours.push(ticket, int(order), 0.0)
+        context.queue.push(ticket, int(order), 0.0)
 
 
 @then('the fair queue serves them in the order "{listed}"')
-def _in_order(context, listed):
-    served = [ticket.request_id for ticket in _drain(context.ours)]
+def _served_in_order(context, listed):
+    served = [ticket.request_id for ticket in _drain(context.queue)]
     assert served == listed.split()
 
 
-@then("no waiting ticket is looked at while no customer has room")
-def _not_looked_at(context):
-    looked_at = []
+@then("no queued ticket is checked while no customer has room")
+def _not_checked(context):
+    checked = []
 
     def may_start(ticket):
-        looked_at.append(ticket)
+        checked.append(ticket)
         return False
 
-    assert context.ours.pop(may_start, lambda customer: False) is None
-    assert not looked_at
-    assert context.ours.pop(may_start, lambda customer: True) is None
-    assert len(looked_at) == 500
+    assert context.queue.pop(may_start, lambda customer: False) is None
+    assert not checked
+    assert context.queue.pop(may_start, lambda customer: True) is None
+    assert len(checked) == 500
--- a/tests/steps/contracts_rates.py
+++ b/tests/steps/contracts_rates.py
@@ -16,8 +16,8 @@
 RATES = strategies.floats(0.1, 100.0)
 
 
-@then("what a token bucket gives stays within its rate and burst")
-def _window(context):
+@then("the units taken from a token bucket stay within its rate and burst")
+def _within_rate(context):
     asks = strategies.lists(
         strategies.tuples(strategies.floats(0, 3), strategies.floats(0, 50)),
         max_size=50,
@@ -31,17 +31,17 @@
         taken = []
         for pause_s, units in steps:
             clock.advance(pause_s)
-            # One take above the burst is let through on credit; such takes
-            # are counted up to the burst here and paid off by later waits.
+            # A take above the burst is allowed on credit, which later waits
+            # pay off. Such takes are left out here.
             if units <= burst and bucket.take(units):
                 taken.append((clock.now(), units))
-        assert naive.most_in_a_window(taken, rate, burst) <= 1e-6 * burst
+        assert naive.max_excess(taken, rate, burst) <= 1e-6 * burst
 
     check()
 
 
-@then("after the wait that a token bucket tells, and not before, it gives")
-def _exact(context):
+@then("a token bucket allows a take after its wait and not before")
+def _exact_wait(context):
     @SETTINGS
     @hypothesis.given(
         RATES, RATES, strategies.floats(0, 500), strategies.floats(0.1, 500)
@@ -72,6 +72,6 @@
     context.bucket.charge(charged)
 
 
-@then("the token bucket gives 1 unit in {seconds:f} seconds")
-def _in(context, seconds):
+@then("the token bucket allows a take of 1 unit in {seconds:f} seconds")
+def _wait_is(context, seconds):
     assert abs(context.bucket.wait_s(1.0) - seconds) < 1e-9
--- a/tests/steps/contracts_retries.py
+++ b/tests/steps/contracts_retries.py
@@ -41,23 +41,32 @@
         RUNNERS,
         strategies.booleans(),
     )
-    def check(ran, idempotent, told, attempts, left_s, tried, takers, spent):
+    def check(
+        has_run,
+        idempotent,
+        is_announced,
+        attempts,
+        left_s,
+        tried,
+        takers,
+        spent,
+    ):
         budget = retry_budget.RetryBudget(initial_tokens=0.0 if spent else 3.0)
         failure = _failure(
-            may_have_run=ran,
+            may_have_run=has_run,
             idempotent=idempotent,
-            announced=told,
+            announced=is_announced,
             attempts=attempts,
             left_s=left_s,
             tried=tried,
             takers=takers,
         )
         allowed = (
-            (idempotent or not ran)
-            and (attempts < retries.MOST_ATTEMPTS or told)
+            (idempotent or not has_run)
+            and (attempts < retries.MOST_ATTEMPTS or is_announced)
             and left_s > 1.0
             and bool(takers)
-            and (told or not spent)
+            and (is_announced or not spent)
         )
         decision = retries.decide(failure, budget)
         assert isinstance(decision, retries.Retry) == allowed
@@ -71,7 +80,7 @@
 
 
 @given("a failed attempt that is not idempotent and may have run")
-def _ran(context):
+def _maybe_run(context):
     context.failure = _failure(idempotent=False)
     context.budget = retry_budget.RetryBudget()
 
@@ -83,29 +92,29 @@
 
 
 @given("a failed attempt past its deadline")
-def _late(context):
+def _past_deadline(context):
     context.failure = _failure(left_s=0.5)
     context.budget = retry_budget.RetryBudget()
 
 
-@given("a failed attempt at a runner known to be leaving, its budget spent")
-def _announced(context):
+@given("a failed attempt at a leaving runner without budget")
+def _leaving_runner(context):
     context.failure = _failure(announced=True)
     context.budget = retry_budget.RetryBudget(initial_tokens=0.0)
 
 
 @then('the failed attempt is not sent again because "{reason}"')
-def _no(context, reason):
+def _not_retried(context, reason):
     decision = retries.decide(context.failure, context.budget)
     assert decision.reason.value == reason
 
 
 @then("the failed attempt is sent again")
-def _yes(context):
+def _retried(context):
     decision = retries.decide(context.failure, context.budget)
     assert decision.excluded == {"a"}
 
 
 @then("the retry budget is as full as before")
-def _full(context):
+def _budget_unchanged(context):
     assert context.budget.remaining("e") == retry_budget.INITIAL_TOKENS
--- a/tests/steps/contracts_retry_allowance.py
+++ b/tests/steps/contracts_retry_allowance.py
@@ -29,7 +29,7 @@
     "{count:d} VMs with a ratio of {ratio:f} and {least:d} retries in "
     "10 seconds"
 )
-def _given(context, count, ratio, least):
+def _allowances(context, count, ratio, least):
     context.clock, context.vms = _vms(count, ratio, least)
 
 
@@ -40,13 +40,13 @@
 
 
 @then("VM 1 may retry {count:d} times and not more")
-def _may(context, count):
+def _may_retry(context, count):
     assert all(context.vms[0].take("service") for _ in range(count))
     assert not context.vms[0].take("service")
 
 
-@then("in no window do the VMs together retry more than is allowed")
-def _window(context):
+@then("in no window the VMs together retry more than is allowed")
+def _within_allowance(context):
     steps = strategies.lists(
         strategies.tuples(
             strategies.integers(0, 3),
--- a/tests/steps/contracts_retry_budget.py
+++ b/tests/steps/contracts_retry_budget.py
@@ -18,11 +18,11 @@
 def _bounded(context):
     @SETTINGS
     @hypothesis.given(strategies.lists(strategies.booleans(), max_size=300))
-    def check(ends):
+    def check(outcomes):
         budget = retry_budget.RetryBudget()
-        successes = sum(ends)
+        successes = sum(outcomes)
         retries = 0
-        for succeeded in ends:
+        for succeeded in outcomes:
             if succeeded:
                 budget.succeeded("a")
             else:
@@ -41,12 +41,13 @@
 
 
 @then('entry "{entry}" may still retry')
-def _other(context, entry):
+def _may_retry(context, entry):
     assert context.budget.take(entry)
 
 
 @given(
-    "runners that can do {capacity:d} requests a second and get {offered:d}"
+    "runners with a capacity of {capacity:d} requests a second and a load of "
+    "{offered:d}"
 )
 def _overloaded(context, capacity, offered):
     context.capacity = capacity
@@ -54,19 +55,21 @@
 
 
 def _attempts_per_s(context, budget, seconds=60):
-    """Requests that the runners get each second in the end."""
-    again = [0] * (RETRIES + 1)
+    """Return the attempts per second that the runners get in the end."""
+    retries_by_attempt = [0] * (RETRIES + 1)
     for _ in range(seconds):
-        attempts = [context.offered, *again[1:]]
+        attempts = [context.offered, *retries_by_attempt[1:]]
         total = sum(attempts)
         failing = max(0.0, 1.0 - context.capacity / total)
-        again = [0] * (RETRIES + 1)
+        retries_by_attempt = [0] * (RETRIES + 1)
         for tried, count in enumerate(attempts):
             failed = round(count * failing)
             for _ in range(count - failed):
                 budget.succeeded("a")
             if tried < RETRIES:
-                again[tried + 1] = sum(budget.take("a") for _ in range(failed))
+                retries_by_attempt[tried + 1] = sum(
+                    budget.take("a") for _ in range(failed)
+                )
     return total
 
 
@@ -76,5 +79,5 @@
 
 
 @then("with a retry of each failure they get more than {count:d} a second")
-def _without(context, count):
+def _with_unlimited_retries(context, count):
     assert _attempts_per_s(context, naive.AlwaysRetry()) > count
--- a/tests/steps/contracts_shares.py
+++ b/tests/steps/contracts_shares.py
@@ -28,8 +28,8 @@
     return clock, names, fleet
 
 
-def _talk(names, fleet, demands, number, groups=None):
-    """Announce the demands and let each hear those of its group."""
+def _exchange(names, fleet, demands, number, groups=None):
+    """Announce the demands and deliver them within each group."""
     groups = groups or [0] * len(fleet)
     for share, demand in zip(fleet, demands):
         share.announce(demand)
@@ -41,12 +41,12 @@
 
 def _settle(clock, names, fleet, demands, seconds, groups=None, start=0):
     for step in range(int(seconds)):
-        _talk(names, fleet, demands, start + step + 1, groups)
+        _exchange(names, fleet, demands, start + step + 1, groups)
         clock.advance(1.0)
 
 
 @then("shares whose members have heard each other sum to the limit")
-def _sums(context):
+def _sum_to_limit(context):
     @SETTINGS
     @hypothesis.given(DEMANDS, strategies.floats(0.1, 1000.0))
     def check(demands, limit):
@@ -58,7 +58,7 @@
 
 
 @then("whole units sum to the limit too")
-def _units(context):
+def _whole_units_sum(context):
     @SETTINGS
     @hypothesis.given(DEMANDS, strategies.integers(0, 40))
     def check(demands, limit):
@@ -81,7 +81,7 @@
 
 
 @when("one member's demand is nine times that of the others")
-def _nine(context):
+def _raise_demand(context):
     context.demands[0] = 90.0
     _settle(
         context.clock,
@@ -95,34 +95,34 @@
 
 
 @then("its share is more than {most:d} and each other has at least {least:d}")
-def _follows(context, most, least):
+def _follows_demand(context, most, least):
     assert context.fleet[0].amount > most
     assert all(s.amount >= least for s in context.fleet[1:])
 
 
-def _jumps(make, demands, delays):
-    """The largest sum of shares while announcements are on their way."""
+def _largest_sum(make, demands, delays):
+    """Return the largest sum of shares while announcements are under way."""
     clock = clocks.ManualClock(0.0)
     names = [f"vm{n}" for n in range(len(demands[0]))]
     fleet = [make(clock, name) for name in names]
-    mail = []
-    worst = 0.0
+    messages = []
+    largest = 0.0
     rounds = [demands[0]] * 12 + demands
     for number, row in enumerate(rounds):
         for sender, demand in enumerate(row):
             fleet[sender].announce(demand)
             delay_s = 0.0 if number < 12 else delays[sender]
-            mail.append((clock.now() + delay_s, sender, demand, number))
-        for due, sender, demand, sent in list(mail):
+            messages.append((clock.now() + delay_s, sender, demand, number))
+        for due, sender, demand, sent in list(messages):
             if due <= clock.now():
-                mail.remove((due, sender, demand, sent))
+                messages.remove((due, sender, demand, sent))
                 for share in fleet:
                     if share is not fleet[sender]:
                         share.receive(names[sender], demand, sent)
         if number >= 12:
-            worst = max(worst, sum(share.amount for share in fleet))
+            largest = max(largest, sum(share.amount for share in fleet))
         clock.advance(STEP_S)
-    return worst
+    return largest
 
 
 ROWS = strategies.lists(
@@ -137,34 +137,34 @@
 )
 
 
-def _ours(clock, name):
+def _limit_share(clock, name):
     share = shares.LimitShare(clock, name, 100.0)
     share.set_members([f"vm{n}" for n in range(4)])
     return share
 
 
 @then("shares never sum above the limit while announcements take 3 seconds")
-def _never(context):
+def _never_above(context):
     @SETTINGS
     @hypothesis.given(ROWS, DELAYS)
     def check(rows, delays):
-        assert _jumps(_ours, rows, delays) <= 100.0 + 1e-6
+        assert _largest_sum(_limit_share, rows, delays) <= 100.0 + 1e-6
 
     check()
 
 
-@then("greedy shares do sum above it")
-def _greedy(context):
+@then("greedy shares sum above it")
+def _greedy_above(context):
     rows = [[10.0] * 4, [100.0] * 4, [100.0] * 4]
     rows = [[10.0, 10.0, 10.0, 10.0], [90.0, 10.0, 10.0, 10.0]] * 3
-    worst = _jumps(
+    largest = _largest_sum(
         lambda clock, name: naive.GreedyShare(name, 100.0), rows, [2.0] * 4
     )
-    assert worst > 110.0, worst
+    assert largest > 110.0, largest
 
 
 @then("after any split the shares of all sum to at most the limit")
-def _split(context):
+def _any_partition(context):
     @SETTINGS
     @hypothesis.given(
         strategies.lists(strategies.floats(0, 100), min_size=6, max_size=6),
@@ -185,16 +185,16 @@
     check()
 
 
-@then("greedy shares that forget the silent ones sum to twice the limit")
-def _forget(context):
+@then("greedy shares without silent members sum to twice the limit")
+def _greedy_partition(context):
     sides = [
         naive.GreedyShare(name, 100.0).amount for name in ("left", "right")
     ]
     assert sum(sides) == 200.0
 
 
-@when("one member is cut off with all of the demand")
-def _cut_off(context):
+@when("the member with all the demand is disconnected")
+def _disconnect(context):
     demands = [100.0, 0.0, 0.0, 0.0]
     _settle(context.clock, context.names, context.fleet, demands, 6, None, 6)
     assert context.fleet[0].amount > 80.0
@@ -220,23 +220,23 @@
     assert abs(seen[-1] - amount) < 1e-6
 
 
-@when("one member vanishes without a word")
-def _vanish(context):
-    context.left = context.fleet[1:]
-    for share in context.left:
+@when("one member disappears without notice")
+def _disappear(context):
+    context.remaining = context.fleet[1:]
+    for share in context.remaining:
         share.set_members(context.names[1:])
 
 
-def _total(context, seconds, start):
+def _settled_total(context, seconds, start):
     for second in range(seconds):
-        for number, share in enumerate(context.left):
+        for number, share in enumerate(context.remaining):
             share.announce(10.0)
-            for other in context.left:
+            for other in context.remaining:
                 if other is not share:
                     name = context.names[1:][number]
                     other.receive(name, 10.0, start + second)
         context.clock.advance(1.0)
-    return sum(share.amount for share in context.left)
+    return sum(share.amount for share in context.remaining)
 
 
 @then(
@@ -244,21 +244,21 @@
     " and then {whole:d}"
 )
 def _reserved(context, part, seconds, whole):
-    assert abs(_total(context, seconds - 5, 100) - part) < 1e-6
-    assert abs(_total(context, 10, 1000) - whole) < 1e-6
+    assert abs(_settled_total(context, seconds - 5, 100) - part) < 1e-6
+    assert abs(_settled_total(context, 10, 1000) - whole) < 1e-6
 
 
-@when("one of the others leaves for certain")
-def _leaves(context):
-    gone = context.names[3]
-    context.left = context.left[:2]
-    for share in context.left:
-        share.remove_member(gone)
+@when("one of the others has certainly ended")
+def _remove_one(context):
+    ended = context.names[3]
+    context.remaining = context.remaining[:2]
+    for share in context.remaining:
+        share.remove_member(ended)
 
 
-@then("the two that are left share {amount:d} at once")
-def _two(context, amount):
-    assert abs(sum(s.amount for s in context.left) - amount) < 1e-6
+@then("the remaining two share {amount:d} at once")
+def _remaining_total(context, amount):
+    assert abs(sum(s.amount for s in context.remaining) - amount) < 1e-6
 
 
 @given("{dcs:d} data centres of {count:d} members that share a limit of {n:d}")
--- a/tests/steps/contracts_spend.py
+++ b/tests/steps/contracts_spend.py
@@ -16,8 +16,8 @@
 )
 
 
-@then("the spend meter's lines equal plain sums after any costs")
-def _sums(context):
+@then("the spend meter's totals equal plain sums after any costs")
+def _totals_exact(context):
     cost = strategies.tuples(
         strategies.sampled_from("ab"),
         strategies.sampled_from("xy"),
@@ -38,7 +38,7 @@
 
 
 @given("an entry that may spend {amount:d} per hour")
-def _limit(context, amount):
+def _spend_limit(context, amount):
     context.clock = clocks.ManualClock()
     context.meter = spend.SpendMeter(context.clock)
     context.meter.set_limit("e", float(amount))
@@ -56,7 +56,7 @@
 
 
 @then("it has spent at most 36 per hour, a burst and one request")
-def _held(context):
+def _within_limit(context):
     (line,) = context.meter.lines
     allowed = context.per_s * (context.seconds + spend.BURST_S)
     assert line.amount <= allowed + context.amount
--- a/tests/steps/contracts_usage.py
+++ b/tests/steps/contracts_usage.py
@@ -17,8 +17,8 @@
 WEIGHTS = {"alfa": 1.0, "beira": 2.0, "cinta": 0.5}
 
 
-@then("a customer is full exactly when a plain reckoning says so")
-def _reckoning(context):
+@then("a customer has used its share exactly if a direct computation says so")
+def _matches_direct(context):
     step = strategies.tuples(
         strategies.sampled_from(sorted(WEIGHTS)),
         strategies.integers(1, 100),
@@ -45,11 +45,11 @@
             used[customer] += tokens * math.exp((at - now) / usage.DECAY_S)
         weights = sum(WEIGHTS[c] for c in active)
         for customer in active:
-            part = WEIGHTS[customer] / weights * sum(used.values())
-            # Too close to call, for the sums are made in another order.
-            if abs(used[customer] - usage.FULL_SHARE_FRACTION * part) > 1e-6:
-                full = used[customer] > usage.FULL_SHARE_FRACTION * part
-                expected = full and len(active) > 1
+            share = WEIGHTS[customer] / weights * sum(used.values())
+            # Closer values may differ, because the sums have another order.
+            if abs(used[customer] - usage.FULL_SHARE_FRACTION * share) > 1e-6:
+                is_used = used[customer] > usage.FULL_SHARE_FRACTION * share
+                expected = is_used and len(active) > 1
                 assert measured.has_used_share(customer) == expected
 
     check()
@@ -71,17 +71,17 @@
 
 
 @when('{pause:d} seconds later "{b}" uses it as "{a}" did for {n:d} seconds')
-def _later(context, pause, b, a, n):
+def _use_later(context, pause, b, a, n):
     context.clock.advance(pause)
     _use(context, b, n)
     context.usage.record_request(a)
 
 
-@then('customer "{name}" is full of the pool')
-def _full(context, name):
+@then('customer "{name}" has used its share of the pool')
+def _has_used_share(context, name):
     assert context.usage.has_used_share(name)
 
 
-@then('customer "{name}" is not full of the pool')
-def _not_full(context, name):
+@then('customer "{name}" has not used its share of the pool')
+def _has_not_used_share(context, name):
     assert not context.usage.has_used_share(name)
--- a/tests/steps/contracts_usage_windows.py
+++ b/tests/steps/contracts_usage_windows.py
@@ -18,8 +18,8 @@
     context.window = context.one.window
 
 
-@when("each counts {count:d} calls of a customer and they tell each other")
-def _each(context, count):
+@when("each counts {count:d} calls of a customer and they exchange counts")
+def _exchange_counts(context, count):
     for vm in (context.one, context.other):
         for _ in range(count):
             vm.began("customer")
@@ -27,42 +27,42 @@
     context.other.heard("one#1", context.one.own())
 
 
-@when("one tells {first:d}, then {second:d}, then {third:d} again")
-def _tells(context, first, second, third):
+@when("one sends {first:d}, then {second:d}, then {third:d} again")
+def _send_repeatedly(context, first, second, third):
     for count in (first, second, third):
         context.other.heard("one#1", {context.window: {"customer": count}})
 
 
-@when("one tells {first:d} as its first process and {second:d} as its second")
-def _processes(context, first, second):
+@when("one sends {first:d} as its first process and {second:d} as its second")
+def _send_two_processes(context, first, second):
     context.other.heard("one#1", {context.window: {"customer": first}})
     context.other.heard("one#2", {context.window: {"customer": second}})
 
 
 @when("one counts a call in each of {count:d} windows")
-def _many(context, count):
+def _count_windows(context, count):
     for _ in range(count):
         context.one.began("customer")
         context.clock.advance(5.0)
 
 
 @then("both give a total of {count:d} for that window")
-def _both(context, count):
+def _both_totals(context, count):
     for vm in (context.one, context.other):
         assert vm.total(context.window) == {"customer": count}
 
 
 @then("the other gives a total of {count:d} for that window")
-def _other(context, count):
+def _other_total(context, count):
     assert context.other.total(context.window) == {"customer": count}
 
 
 @then("it keeps {count:d} of them")
-def _keeps(context, count):
+def _kept_windows(context, count):
     assert len(context.one.own()) == count
 
 
-@then("it tells {count:d} of them above the fourth")
-def _above(context, count):
+@then("it sends the {count:d} windows after the fourth")
+def _unreported_windows(context, count):
     fourth = sorted(context.one.own())[3]
     assert len(context.one.own(fourth)) == count
