--- a/src/apricotlever/contracts/call_budget.py
+++ b/src/apricotlever/contracts/call_budget.py
@@ -11,7 +11,9 @@
 from .. import clock as clocks
 
 BURST_S = 2.0
+#: Fleet size assumed until the first membership view.
 INITIAL_FLEET_SIZE = 100
+#: Seconds for which a smaller fleet size must last before it applies.
 SHRINK_HOLD_S = 300.0
 THROTTLE_FACTOR = 0.5
 MIN_FACTOR = 0.05
--- a/src/apricotlever/contracts/gate.py
+++ b/src/apricotlever/contracts/gate.py
@@ -14,6 +14,7 @@
 from . import shedding
 from . import tickets
 
+#: Tickets of all customers that the queue of a pool may hold.
 MAX_QUEUE_LENGTH = 4096
 #: Requests in flight per slot; those beyond 1.0 wait at the runners.
 OVERCOMMIT_FACTOR = 1.25
@@ -234,7 +235,7 @@
         return verdicts
 
     def _keeps_only_ticket(self, customer: str, remaining_s: float) -> bool:
-        """Whether a customer's only ticket stays despite its estimated wait.
+        """Return whether a customer's only ticket stays despite its wait.
 
         If the queue were empty, the next free slot would go to whoever asks
         next, whatever the customers' weights. So each customer keeps its
--- a/src/apricotlever/contracts/rates.py
+++ b/src/apricotlever/contracts/rates.py
@@ -54,8 +54,8 @@
         """
         self._refill()
         missing = min(units, self._burst) - self._level
-        # Without this tolerance, a rounding error would make a caller that
-        # returns exactly after the wait wait once more.
+        # Without this tolerance, a caller that returns exactly at the promised
+        # time could be refused again because of a rounding error.
         if missing <= 1e-9 * max(1.0, self._burst):
             return 0.0
         return missing / self._rate if self._rate > 0 else float("inf")
