--- a/src/apricotlever/contracts/arrivals.py
+++ b/src/apricotlever/contracts/arrivals.py
@@ -13,10 +13,10 @@
 class _PoolDemand:
     """A pool's arrivals since the last report, and its smoothed figures."""
 
-    __slots__ = ("arrived", "rate", "service_s")
+    __slots__ = ("arrival_count", "rate", "service_s")
 
     def __init__(self) -> None:
-        self.arrived = 0
+        self.arrival_count = 0
         self.rate = 0.0
         self.service_s = 0.0
 
@@ -39,7 +39,7 @@
 
     def arrived(self, pool: str) -> None:
         """Count a request for a pool, whether it is admitted or not."""
-        self._pools.setdefault(pool, _PoolDemand()).arrived += 1
+        self._pools.setdefault(pool, _PoolDemand()).arrival_count += 1
 
     def started(self, request_id: str, pool: str) -> None:
         """Note that a request was sent to a runner; only the first counts."""
@@ -67,9 +67,9 @@
         self._reported_at = now
         message = pb.DemandReport(vm=self._vm)
         for name, pool in self._pools.items():
-            rate = pool.arrived / span_s
+            rate = pool.arrival_count / span_s
             pool.rate += SMOOTHING_FACTOR * (rate - pool.rate)
-            pool.arrived = 0
+            pool.arrival_count = 0
             if pool.rate < MIN_REPORTED_RATE:
                 continue
             for limit, value in (
