--- a/tests/steps/contracts_spend.py
+++ b/tests/steps/contracts_spend.py
@@ -16,8 +16,8 @@
 )
 
 
-@then("the spend meter's lines equal plain sums after any costs")
-def _sums(context):
+@then("the spend meter's totals equal plain sums after any costs")
+def _totals_exact(context):
     cost = strategies.tuples(
         strategies.sampled_from("ab"),
         strategies.sampled_from("xy"),
@@ -30,7 +30,7 @@
         meter = spend.SpendMeter(clocks.ManualClock())
         sums = collections.defaultdict(float)
         for customer, entry, amount in costs:
-            meter.spent(customer, entry, amount)
+            meter.record(customer, entry, amount)
             sums[customer, entry] += amount
         assert {(x.customer, x.entry): x.amount for x in meter.lines} == sums
 
@@ -38,7 +38,7 @@
 
 
 @given("an entry that may spend {amount:d} per hour")
-def _limit(context, amount):
+def _spend_limit(context, amount):
     context.clock = clocks.ManualClock()
     context.meter = spend.SpendMeter(context.clock)
     context.meter.set_limit("e", float(amount))
@@ -51,12 +51,12 @@
     context.seconds = minutes * 60
     for _ in range(context.seconds):
         if context.meter.wait_s("e") <= 0.0:
-            context.meter.spent("c", "e", amount)
+            context.meter.record("c", "e", amount)
         context.clock.advance(1.0)
 
 
 @then("it has spent at most 36 per hour, a burst and one request")
-def _held(context):
+def _within_limit(context):
     (line,) = context.meter.lines
     allowed = context.per_s * (context.seconds + spend.BURST_S)
     assert line.amount <= allowed + context.amount
@@ -68,4 +68,4 @@
     " {cost:f} in an hour"
 )
 def _cost(context, price, slots, cost):
-    assert spend.cost_of(price, slots, 3600.0) == cost
+    assert spend.request_cost(price, slots, 3600.0) == cost
