--- a/src/apricotlever/runners/crashes.py
+++ b/src/apricotlever/runners/crashes.py
@@ -1,36 +1,38 @@
-"""Which requests the crashes of runners speak against.
+"""A log of runner crashes and the requests suspected of causing them.
 
-A runner that dies takes all of its requests with it, and at most one of
-them was the cause. The log keeps the deaths that any entry VM saw. What
-they prove is worked out anew from the whole set each time, so reports may
-come twice, late and in any order.
+A crash ends all requests that are in flight at the runner, and at most one
+of them caused it. The log merges the crashes observed by all entry VMs. The
+suspicion against a request is recomputed from the whole log on every query,
+so reports may arrive twice, late and in any order.
 """
 
 import typing
 
 from .. import clock as clocks
 
-#: Reports of one runner within this time tell of one death.
+#: Reports about one runner within this time describe the same crash.
 SAME_DEATH_S = 3.0
-#: Deaths within this time of each other may have a common cause.
-WAVE_S = 10.0
-#: This many other runners of the data centre make a death part of a wave,
-#: or all others if it has fewer.
-WAVE_OTHERS = 2
-#: A single death stops to count against a request after this time.
-EVIDENCE_S = 600.0
-#: Two within that time of each other count for this long.
+#: Crashes within this time of each other may have a common cause.
+CORRELATION_WINDOW_S = 10.0
+#: A crash is explained by a common cause when at least this many other
+#: runners of the data centre crashed too, or all others if it has fewer.
+MIN_CORRELATED_CRASHES = 2
+#: How long a single crash keeps a request suspect.
+SUSPICION_S = 600.0
+#: How long a request stays quarantined after two crashes within
+#: :data:`SUSPICION_S` of each other.
 QUARANTINE_S = 1800.0
 CRASHES_TO_QUARANTINE = 2
-#: Deaths kept; past that the oldest go first.
-MOST_DEATHS = 4096
-MOST_CHARGES = 1024
+#: Crashes kept in the log; the oldest are dropped first.
+MAX_CRASHES = 4096
+#: Suspects that are taken from one report.
+MAX_SUSPECTS = 1024
 
 
 class Charge:
-    """A request that was in flight at a runner when it died.
+    """A request that was in flight at a runner when the runner crashed.
 
-    :param on_trial: whether a judge had sent it there as a suspect.
+    :param on_trial: whether the judge had sent the suspect there as a trial.
     """
 
     __slots__ = ("fingerprint", "request_id", "attempt", "on_trial")
@@ -49,12 +51,14 @@
 
 
 class CrashSeen:
-    """An entry VM saw a runner die.
-
-    :param age_s: how long ago, so that clocks need not agree.
-    :param noticed: whether the runner was known to be leaving.
-    :param charges: the VM's own requests in flight there. A death without
-        any is told as well: it may show that another one was part of a wave.
+    """The report of an entry VM that observed a runner crash.
+
+    :param age_s: seconds since the crash; an age needs no clock
+        synchronisation between VMs.
+    :param noticed: whether a termination notice had announced the end.
+    :param charges: the VM's own requests in flight there. A crash without
+        any is reported too, as it may show that another crash had a common
+        cause with it.
     """
 
     __slots__ = (
@@ -84,7 +88,7 @@
 
 
 class Survived:
-    """A request with this fingerprint was answered in full."""
+    """Reports that a request with this fingerprint was answered in full."""
 
     __slots__ = ("fingerprint", "age_s")
 
@@ -93,186 +97,201 @@
         self.age_s = age_s
 
 
-class Death:
-    """One death of one runner, put together from all reports of it."""
+class RunnerCrash:
+    """One crash of one runner, merged from all reports of it."""
 
-    __slots__ = ("runner", "data_centre", "at", "noticed", "charges")
+    __slots__ = ("runner", "data_centre", "at", "noticed", "suspects")
 
     def __init__(self, runner: str, data_centre: str, at: float) -> None:
         self.runner = runner
         self.data_centre = data_centre
         self.at = at
         self.noticed = False
-        #: Fingerprint to whether it was on trial.
-        self.charges: dict[str, bool] = {}
+        #: Maps the fingerprint of each suspect to whether it was on trial.
+        self.suspects: dict[str, bool] = {}
 
-    def repeats_one_of(self, others: "list[Death]") -> bool:
-        """Whether a suspect on trial here was at another of the deaths."""
-        tried = [name for name, on_trial in self.charges.items() if on_trial]
+    def shares_trial_suspect(self, others: "list[RunnerCrash]") -> bool:
+        """Whether a suspect on trial here was at another of the crashes."""
+        trial_suspects = [
+            name for name, on_trial in self.suspects.items() if on_trial
+        ]
         return any(
-            name in other.charges
-            for name in tried
+            name in other.suspects
+            for name in trial_suspects
             for other in others
             if other is not self
         )
 
 
 class CrashLog:
-    """The deaths of runners, and what they say of each fingerprint."""
+    """Runner crashes, and the suspicion that follows for each fingerprint."""
 
     __slots__ = (
         "_by_fingerprint",
         "_clock",
-        "_deaths",
-        "_sizes",
-        "_survived",
+        "_crashes",
+        "_runner_counts",
+        "_completed_at",
     )
 
     def __init__(self, clock: clocks.Clock) -> None:
         self._clock = clock
-        self._deaths: list[Death] = []
-        self._by_fingerprint: dict[str, list[Death]] = {}
-        self._sizes: dict[str, int] = {}
-        self._survived: dict[str, float] = {}
+        self._crashes: list[RunnerCrash] = []
+        self._by_fingerprint: dict[str, list[RunnerCrash]] = {}
+        self._runner_counts: dict[str, int] = {}
+        self._completed_at: dict[str, float] = {}
 
     @property
-    def deaths(self) -> tuple[Death, ...]:
-        """The deaths that are still kept."""
-        return tuple(self._deaths)
+    def deaths(self) -> tuple[RunnerCrash, ...]:
+        """The crashes that are still kept."""
+        return tuple(self._crashes)
 
     def set_sizes(self, sizes: typing.Mapping[str, int]) -> None:
-        """Tell how many runners each data centre has.
+        """Set the number of runners in each data centre.
 
-        Runners that have just died count, as they do in a list that lags.
+        Runners that have just crashed are included, because the runner list
+        lags behind.
         """
-        self._sizes = dict(sizes)
+        self._runner_counts = dict(sizes)
 
     def add(self, report: CrashSeen) -> None:
-        """Merge a report; a second copy of it changes nothing."""
+        """Merge a report; merging a duplicate has no effect."""
         at = self._clock.now() - report.age_s
         if report.age_s > QUARANTINE_S:
             return
-        death = self._find(report.runner, at)
-        if death is None:
-            death = Death(report.runner, report.data_centre, at)
-            self._deaths.append(death)
-        death.noticed = death.noticed or report.noticed
-        for charge in report.charges[:MOST_CHARGES]:
-            self._charge(death, charge)
-        if len(self._deaths) > MOST_DEATHS:
-            self._forget(self._deaths[0])
-
-    def survived(self, report: Survived) -> None:
-        """What came before a full answer speaks against it no more."""
+        crash = self._find_crash(report.runner, at)
+        if crash is None:
+            crash = RunnerCrash(report.runner, report.data_centre, at)
+            self._crashes.append(crash)
+        crash.noticed = crash.noticed or report.noticed
+        for suspect in report.charges[:MAX_SUSPECTS]:
+            self._add_suspect(crash, suspect)
+        if len(self._crashes) > MAX_CRASHES:
+            self._remove_crash(self._crashes[0])
+
+    def request_completed(self, report: Survived) -> None:
+        """Clear a request of all crashes before its complete answer."""
         fingerprint = report.fingerprint
         if fingerprint not in self._by_fingerprint:
             return
         at = self._clock.now() - report.age_s
-        known = self._survived.get(fingerprint, at)
-        self._survived[fingerprint] = max(known, at)
+        known = self._completed_at.get(fingerprint, at)
+        self._completed_at[fingerprint] = max(known, at)
 
-    def died_lately(self, within_s: float) -> set[str]:
-        """Data centres in which a runner died within a time."""
+    def recent_crash_data_centres(self, within_s: float) -> set[str]:
+        """Data centres in which a runner crashed in the last seconds.
+
+        :param within_s: the length of that time, in seconds.
+        """
         since = self._clock.now() - within_s
         return {
-            death.data_centre for death in self._deaths if death.at > since
+            crash.data_centre for crash in self._crashes if crash.at > since
         }
 
     def expire(self) -> None:
-        """Drop the deaths that are too old to matter."""
+        """Drop crashes older than :data:`QUARANTINE_S`."""
         oldest = self._clock.now() - QUARANTINE_S
-        for death in [d for d in self._deaths if d.at < oldest]:
-            self._forget(death)
+        for crash in [d for d in self._crashes if d.at < oldest]:
+            self._remove_crash(crash)
 
-    def against(self, fingerprint: str) -> list[Death]:
-        """The deaths that a fingerprint may have caused."""
-        charged = self._by_fingerprint.get(fingerprint)
-        if not charged:
+    def crashes_implicating(self, fingerprint: str) -> list[RunnerCrash]:
+        """The crashes that a request with this fingerprint may have caused."""
+        implicated = self._by_fingerprint.get(fingerprint)
+        if not implicated:
             return []
         now = self._clock.now()
-        since = self._survived.get(fingerprint, float("-inf"))
+        since = self._completed_at.get(fingerprint, float("-inf"))
         since = max(since, now - QUARANTINE_S)
-        held = [
-            death
-            for death in charged
-            if death.at > since and not self._excused(death, fingerprint)
+        unexplained = [
+            crash
+            for crash in implicated
+            if crash.at > since
+            and not self._has_other_explanation(crash, fingerprint)
+        ]
+        latest = max((crash.at for crash in unexplained), default=now)
+        recent = [d for d in unexplained if d.at >= latest - SUSPICION_S]
+        if len(recent) >= CRASHES_TO_QUARANTINE:
+            return recent
+        return [
+            crash for crash in unexplained if crash.at >= now - SUSPICION_S
         ]
-        latest = max((death.at for death in held), default=now)
-        together = [d for d in held if d.at >= latest - EVIDENCE_S]
-        if len(together) >= CRASHES_TO_QUARANTINE:
-            return together
-        return [death for death in held if death.at >= now - EVIDENCE_S]
 
     def reports(self, vm: str) -> list[CrashSeen]:
-        """All that is known, for a VM that has just started.
+        """The whole log as reports, for a VM that has just started.
 
-        :param vm: the VM that tells it.
+        :param vm: the name of the reporting VM.
         """
         now = self._clock.now()
         return [
             CrashSeen(
                 vm,
-                death.runner,
-                death.data_centre,
-                now - death.at,
-                death.noticed,
+                crash.runner,
+                crash.data_centre,
+                now - crash.at,
+                crash.noticed,
                 tuple(
                     Charge(name, "", 0, on_trial)
-                    for name, on_trial in death.charges.items()
-                    if death.at > self._survived.get(name, float("-inf"))
+                    for name, on_trial in crash.suspects.items()
+                    if crash.at > self._completed_at.get(name, float("-inf"))
                 ),
             )
-            for death in self._deaths
+            for crash in self._crashes
         ]
 
-    def _excused(self, death: Death, fingerprint: str) -> bool:
-        """Whether something else explains a death better.
+    def _has_other_explanation(
+        self, crash: RunnerCrash, fingerprint: str
+    ) -> bool:
+        """Whether a crash has an explanation other than this request.
 
-        A notice explains a death, and so do the deaths of other runners of
-        the data centre at about the same time, at which this request was not
-        in flight. Two deaths that one suspect may have caused count as one:
-        two requests that crash runners at the same time would excuse each
-        other.
+        A termination notice explains a crash. So do crashes of other runners
+        of the data centre at about the same time at which this request was
+        not in flight. A crash does not count if a suspect on trial there was
+        also at another of these crashes: two requests that crash runners at
+        the same time would otherwise clear each other.
         """
-        if death.noticed:
+        if crash.noticed:
             return True
-        near = [
+        nearby = [
             other
-            for other in self._deaths
-            if other.data_centre == death.data_centre
-            and abs(other.at - death.at) <= WAVE_S
-            and fingerprint not in other.charges
+            for other in self._crashes
+            if other.data_centre == crash.data_centre
+            and abs(other.at - crash.at) <= CORRELATION_WINDOW_S
+            and fingerprint not in other.suspects
         ]
         others = {
-            other.runner for other in near if not other.repeats_one_of(near)
+            other.runner
+            for other in nearby
+            if not other.shares_trial_suspect(nearby)
         }
-        size = self._sizes.get(death.data_centre, WAVE_OTHERS + 1)
-        return len(others) >= max(1, min(WAVE_OTHERS, size - 1))
+        size = self._runner_counts.get(
+            crash.data_centre, MIN_CORRELATED_CRASHES + 1
+        )
+        return len(others) >= max(1, min(MIN_CORRELATED_CRASHES, size - 1))
 
-    def _find(self, runner: str, at: float) -> Death | None:
+    def _find_crash(self, runner: str, at: float) -> RunnerCrash | None:
         matching = (
-            death
-            for death in self._deaths
-            if death.runner == runner and abs(death.at - at) <= SAME_DEATH_S
+            crash
+            for crash in self._crashes
+            if crash.runner == runner and abs(crash.at - at) <= SAME_DEATH_S
         )
         return next(matching, None)
 
-    def _charge(self, death: Death, charge: Charge) -> None:
-        fingerprint = charge.fingerprint
-        if fingerprint not in death.charges:
-            charged = self._by_fingerprint.setdefault(fingerprint, [])
-            charged.append(death)
-        on_trial = death.charges.get(fingerprint, False) or charge.on_trial
-        death.charges[fingerprint] = on_trial
-
-    def _forget(self, death: Death) -> None:
-        self._deaths.remove(death)
-        for fingerprint in death.charges:
-            charged = self._by_fingerprint[fingerprint]
-            charged.remove(death)
-            if not charged:
+    def _add_suspect(self, crash: RunnerCrash, suspect: Charge) -> None:
+        fingerprint = suspect.fingerprint
+        if fingerprint not in crash.suspects:
+            implicated = self._by_fingerprint.setdefault(fingerprint, [])
+            implicated.append(crash)
+        on_trial = crash.suspects.get(fingerprint, False) or suspect.on_trial
+        crash.suspects[fingerprint] = on_trial
+
+    def _remove_crash(self, crash: RunnerCrash) -> None:
+        self._crashes.remove(crash)
+        for fingerprint in crash.suspects:
+            implicated = self._by_fingerprint[fingerprint]
+            implicated.remove(crash)
+            if not implicated:
                 del self._by_fingerprint[fingerprint]
-                self._survived.pop(fingerprint, None)
+                self._completed_at.pop(fingerprint, None)
 
 
 Report = typing.Union[CrashSeen, Survived]
--- a/src/apricotlever/runners/culprits.py
+++ b/src/apricotlever/runners/culprits.py
@@ -1,12 +1,12 @@
-"""Keeps a call that crashes its runners away from a third one.
+"""Blocks calls that have crashed two runners from reaching a third one.
 
-A crash shows at an entry VM as connections that break at once, and then as a
-runner that takes no connection, or whose entry goes without a word of leaving.
-Until then a broken connection says nothing: runners break off single answers
-too. The calls that broke off at a runner just before its death are charged
-with it; :mod:`.quarantine` works out what the charges prove.
+An entry VM recognises a crash by connections that break all at once, followed
+by a runner that refuses connections or whose list entry disappears without
+an announcement. A broken connection alone is no evidence, since a running
+runner may also abort single answers. Calls that broke off shortly before a
+crash become suspects, and :mod:`.quarantine` evaluates the suspicion.
 
-The VMs tell each other what they know in the records that they send anyway.
+VMs share crashes in the records that they already exchange.
 """
 
 import collections
@@ -17,27 +17,27 @@
 from . import crashes
 from . import quarantine
 
-#: A call that broke off so long before its runner's death was seen, in
-#: seconds, is charged with it. An entry goes after three missed heartbeats,
-#: about four seconds.
-BROKEN_S = 6.0
-#: For how long each record tells of a death or of an answer, in seconds: a
-#: record in five may be lost, 15 of them hardly are.
-TOLD_S = 3.0
-#: Charges of one death, and deaths, in one record, so that it stays a small
-#: datagram: 4 KB at most, of 18 bytes for each charge.
-MOST_CHARGES = 48
-MOST_DEATHS = 4
-#: Calls that are kept away, in one record.
-MOST_BARRED = 32
-
-#: A death as records tell it: runner, data centre, age in seconds, whether
-#: it had said that it leaves, and the fingerprints of the calls charged.
-ToldDeath = tuple[str, str, float, bool, list[str]]
-#: What a record tells: deaths, suspected calls that were answered, and calls
-#: that are kept away with the seconds left.
-Told = tuple[list[ToldDeath], list[str], dict[str, float]]
-#: Whether a value that came over a wire has that form.
+#: A call is suspected of a crash if it broke off at most this many seconds
+#: before the crash was detected. A list entry disappears after three missed
+#: heartbeats, which takes about four seconds.
+BROKEN_CALL_WINDOW_S = 6.0
+#: How long a crash or a completed call is repeated in each record, in
+#: seconds. One record in five may be lost, but hardly ever 15 in a row.
+RECORD_REPEAT_S = 3.0
+#: Suspects of one crash, and crashes in one record. The limits keep a record
+#: a small datagram of at most 4 KB, at 18 bytes for each suspect.
+MAX_SUSPECTS_PER_CRASH = 48
+MAX_CRASHES_PER_RECORD = 4
+#: Blocked calls in one record.
+MAX_BLOCKED_PER_RECORD = 32
+
+#: A crash as it stands in a record: runner, data centre, age in seconds,
+#: whether the runner had announced its end, and the suspects' fingerprints.
+CrashEntry = tuple[str, str, float, bool, list[str]]
+#: The crash part of a record: crashes, fingerprints of suspects that were
+#: answered, and the seconds left for each blocked fingerprint.
+Told = tuple[list[CrashEntry], list[str], dict[str, float]]
+#: Checks that a value received from a peer has that shape.
 is_told = shapes.is_row(
     shapes.is_list(
         shapes.is_row(
@@ -53,7 +53,7 @@
 )
 
 
-class _Broken:
+class _BrokenCall:
     __slots__ = ("at", "fingerprint")
 
     def __init__(self, at: float, fingerprint: str) -> None:
@@ -61,7 +61,7 @@
         self.fingerprint = fingerprint
 
 
-class _Death:
+class _RecentCrash:
     __slots__ = ("at", "data_centre", "noticed")
 
     def __init__(self, at: float, data_centre: str, noticed: bool) -> None:
@@ -70,7 +70,7 @@
         self.noticed = noticed
 
 
-class _News:
+class _PendingReport:
     __slots__ = ("until", "report")
 
     def __init__(self, until: float, report: crashes.CrashSeen) -> None:
@@ -79,197 +79,221 @@
 
 
 class Culprits:
-    """What this VM knows of crashes, by its own calls and by its peers.
+    """Crashes seen by this VM and its peers, and the calls they block.
 
     :param vm: this VM's name.
     """
 
     __slots__ = (
-        "_barred",
-        "_broken",
+        "_blocked_until",
+        "_broken_calls",
         "_clock",
-        "_cleared",
-        "_dead",
-        "_log",
-        "_news",
+        "_cleared_at",
+        "_recent_crashes",
+        "_quarantine",
+        "_pending_reports",
         "_vm",
     )
 
     def __init__(self, clock: clocks.Clock, vm: str) -> None:
         self._clock = clock
         self._vm = vm
-        self._log = quarantine.Quarantine(clock)
-        #: By runner, calls whose connection broke off lately.
-        self._broken: dict[str, list[_Broken]] = {}
-        #: Runners that died a moment ago.
-        self._dead: dict[str, _Death] = {}
-        #: By runner, the deaths that the next records tell.
-        self._news: dict[str, _News] = {}
-        #: By fingerprint, when an answer cleared it here.
-        self._cleared: dict[str, float] = {}
-        #: By fingerprint, until when a peer keeps it away.
-        self._barred: dict[str, float] = {}
+        self._quarantine = quarantine.Quarantine(clock)
+        #: Calls whose connection broke recently, by runner.
+        self._broken_calls: dict[str, list[_BrokenCall]] = {}
+        #: Crashes within the last SAME_CRASH_WINDOW_S, by runner.
+        self._recent_crashes: dict[str, _RecentCrash] = {}
+        #: Crashes to be repeated in the next records, by runner.
+        self._pending_reports: dict[str, _PendingReport] = {}
+        #: When an answer at this VM cleared a suspect, by fingerprint.
+        self._cleared_at: dict[str, float] = {}
+        #: The end of each block that a peer reported, by fingerprint.
+        self._blocked_until: dict[str, float] = {}
 
     @property
     def active(self) -> bool:
-        """Whether any call may have to be kept away.
+        """Whether any call may have to be blocked.
 
-        While it is False no fingerprint need be worked out.
+        While this is False, callers need not compute fingerprints.
         """
-        return bool(self._log.log.deaths or self._barred)
+        return bool(self._quarantine.log.deaths or self._blocked_until)
 
     def set_sizes(self, sizes: typing.Mapping[str, int]) -> None:
-        """Tell how many runners each data centre has."""
-        self._log.set_sizes(sizes)
+        """Set the number of runners in each data centre."""
+        self._quarantine.set_sizes(sizes)
 
     def broke(self, runner: str, fingerprint: str) -> None:
-        """A call's connection to a runner ended before its answer did."""
+        """Record that a call's connection broke before the answer ended."""
         now = self._clock.now()
-        known = self._broken.setdefault(runner, [])
-        known.append(_Broken(now, fingerprint))
-        death = self._dead.get(runner)
-        if death is not None and now - death.at < crashes.SAME_DEATH_S:
-            # Its calls end one after the other; this one broke off, too.
-            self.died(runner, death.data_centre, death.noticed)
+        calls = self._broken_calls.setdefault(runner, [])
+        calls.append(_BrokenCall(now, fingerprint))
+        crash = self._recent_crashes.get(runner)
+        if crash is not None and now - crash.at < crashes.SAME_DEATH_S:
+            # The connections of a crashed runner break one after the other,
+            # so this call is added to the suspects of the same crash.
+            self.died(runner, crash.data_centre, crash.noticed)
 
     def died(self, runner: str, data_centre: str, noticed: bool) -> int:
-        """A runner takes no connection, or its entry is gone.
+        """Record that a runner refuses connections or is no longer listed.
 
-        :param noticed: whether it was known to be leaving.
-        :returns: how many calls are charged with it.
+        :param noticed: whether the runner had announced its end.
+        :returns: the number of calls suspected of the crash.
         """
         now = self._clock.now()
-        lately = [
-            broken
-            for broken in self._broken.pop(runner, ())
-            if now - broken.at < BROKEN_S
+        recent_calls = [
+            call
+            for call in self._broken_calls.pop(runner, ())
+            if now - call.at < BROKEN_CALL_WINDOW_S
         ]
-        if not lately:
+        if not recent_calls:
             return 0
-        self._dead[runner] = _Death(now, data_centre, noticed)
-        names = {broken.fingerprint for broken in lately}
-        told = self._news.get(runner)
-        if told is not None:
-            # One death to tell, however late each of its calls broke off.
-            names |= {charge.fingerprint for charge in told.report.charges}
+        self._recent_crashes[runner] = _RecentCrash(now, data_centre, noticed)
+        names = {call.fingerprint for call in recent_calls}
+        pending = self._pending_reports.get(runner)
+        if pending is not None:
+            # All suspects of the crash go into one report, however late
+            # their connections broke.
+            names |= {
+                suspect.fingerprint for suspect in pending.report.charges
+            }
         report = crashes.CrashSeen(
             self._vm,
             runner,
             data_centre,
-            now - lately[-1].at,
+            now - recent_calls[-1].at,
             noticed,
             tuple(crashes.Charge(name, "", 1) for name in sorted(names)),
         )
-        self._log.receive(report)
-        self._news[runner] = _News(now + TOLD_S, report)
+        self._quarantine.receive(report)
+        self._pending_reports[runner] = _PendingReport(
+            now + RECORD_REPEAT_S, report
+        )
         return len(names)
 
     def answered(self, fingerprint: str) -> None:
-        """A call was answered in full: nothing before speaks against it."""
-        if self.retry_after_s(fingerprint) is None and not self._suspect(
+        """Clear a call of all earlier crashes after its complete answer."""
+        if self.retry_after_s(fingerprint) is None and not self._is_suspect(
             fingerprint
         ):
             return
         self._clear(fingerprint)
-        self._cleared[fingerprint] = self._clock.now()
+        self._cleared_at[fingerprint] = self._clock.now()
 
     def retry_after_s(self, fingerprint: str) -> float | None:
-        """When a call that is kept away may come back; None if it may run."""
+        """Seconds until a blocked call may be retried; None if it may run."""
         now = self._clock.now()
-        until = self._barred.get(fingerprint, now)
-        standing = self._log.standing(fingerprint)
-        if standing.state is quarantine.State.QUARANTINED or (
-            # Two deaths, and it is not known yet whether others explain them.
-            standing.retry_after_s
+        until = self._blocked_until.get(fingerprint, now)
+        status = self._quarantine.standing(fingerprint)
+        if status.state is quarantine.State.QUARANTINED or (
+            # After two crashes the call waits until it is known whether
+            # they have another explanation.
+            status.retry_after_s
         ):
-            until = max(until, now + standing.retry_after_s)
+            until = max(until, now + status.retry_after_s)
         return until - now if until > now else None
 
     def tick(self) -> None:
-        """Forget what is too old to matter."""
+        """Drop expired crashes, reports and blocks."""
         now = self._clock.now()
-        self._log.tick()
-        self._news = {
-            runner: news
-            for runner, news in self._news.items()
-            if news.until > now
+        self._quarantine.tick()
+        self._pending_reports = {
+            runner: pending
+            for runner, pending in self._pending_reports.items()
+            if pending.until > now
         }
-        self._cleared = {
-            name: at for name, at in self._cleared.items() if now - at < TOLD_S
+        self._cleared_at = {
+            name: at
+            for name, at in self._cleared_at.items()
+            if now - at < RECORD_REPEAT_S
         }
-        self._barred = {
-            name: until for name, until in self._barred.items() if until > now
+        self._blocked_until = {
+            name: until
+            for name, until in self._blocked_until.items()
+            if until > now
         }
-        self._dead = {
-            runner: death
-            for runner, death in self._dead.items()
-            if now - death.at < crashes.SAME_DEATH_S
+        self._recent_crashes = {
+            runner: crash
+            for runner, crash in self._recent_crashes.items()
+            if now - crash.at < crashes.SAME_DEATH_S
         }
-        self._broken = {
+        self._broken_calls = {
             runner: kept
-            for runner, broken in self._broken.items()
-            if (kept := [b for b in broken if now - b.at < BROKEN_S])
+            for runner, calls in self._broken_calls.items()
+            if (
+                kept := [b for b in calls if now - b.at < BROKEN_CALL_WINDOW_S]
+            )
         }
 
     def told(self, whole: bool) -> Told | None:
-        """What the next record tells; None when there is nothing.
+        """Build the crash part of the next record.
 
-        :param whole: whether to tell what is kept away, too: a VM that has
-            just started learns it from that.
+        :param whole: whether to include blocked calls, from which a VM that
+            has just started learns them.
+        :returns: None when there is nothing to report.
         """
         now = self._clock.now()
-        deaths: list[ToldDeath] = [
+        crash_entries: list[CrashEntry] = [
             (
-                news.report.runner,
-                news.report.data_centre,
-                # From when it was seen, not from when the record is made.
-                news.report.age_s + now - (news.until - TOLD_S),
-                news.report.noticed,
-                [c.fingerprint for c in news.report.charges[:MOST_CHARGES]],
+                pending.report.runner,
+                pending.report.data_centre,
+                # The age counts from the observation of the crash, not from
+                # the creation of the record.
+                pending.report.age_s + now - (pending.until - RECORD_REPEAT_S),
+                pending.report.noticed,
+                [
+                    c.fingerprint
+                    for c in pending.report.charges[:MAX_SUSPECTS_PER_CRASH]
+                ],
             )
-            for news in list(self._news.values())[-MOST_DEATHS:]
+            for pending in list(self._pending_reports.values())[
+                -MAX_CRASHES_PER_RECORD:
+            ]
         ]
-        barred = self._told_barred() if whole else {}
-        if not (deaths or self._cleared or barred):
+        blocked = self._blocked_for_record() if whole else {}
+        if not (crash_entries or self._cleared_at or blocked):
             return None
-        return deaths, list(self._cleared), barred
-
-    def heard(self, vm: str, told: Told) -> None:
-        """Take in a peer's record; copies change nothing."""
-        deaths, cleared, barred = told
-        for runner, data_centre, age_s, noticed, names in deaths:
-            charges = tuple(crashes.Charge(name, "", 1) for name in names)
-            self._log.receive(
+        return crash_entries, list(self._cleared_at), blocked
+
+    def heard(self, vm: str, record: Told) -> None:
+        """Merge a peer's record; merging a duplicate has no effect."""
+        crash_entries, completed, blocked = record
+        for runner, data_centre, age_s, noticed, names in crash_entries:
+            suspects = tuple(crashes.Charge(name, "", 1) for name in names)
+            self._quarantine.receive(
                 crashes.CrashSeen(
-                    vm, runner, data_centre, age_s, noticed, charges
+                    vm, runner, data_centre, age_s, noticed, suspects
                 )
             )
         now = self._clock.now()
-        for name, left_s in barred.items():
-            # Only what is unknown: told back and forth it would never end.
-            self._barred.setdefault(name, now + left_s)
-        for name in cleared:
+        for name, left_s in blocked.items():
+            # A known block is not extended: two VMs that report it to each
+            # other would otherwise keep it alive for ever.
+            self._blocked_until.setdefault(name, now + left_s)
+        for name in completed:
             self._clear(name)
 
-    def _told_barred(self) -> dict[str, float]:
-        charged = collections.Counter(
-            name for death in self._log.log.deaths for name in death.charges
+    def _blocked_for_record(self) -> dict[str, float]:
+        crash_counts = collections.Counter(
+            name
+            for crash in self._quarantine.log.deaths
+            for name in crash.suspects
         )
-        held = {
+        quarantined = {
             name: wait_s
-            for name, deaths in sorted(charged.items())
-            # Most were at one death only; to work out what the others prove
-            # takes a look at every death for each.
-            if deaths >= crashes.CRASHES_TO_QUARANTINE
-            and self._log.standing(name).state is quarantine.State.QUARANTINED
+            for name, count in sorted(crash_counts.items())
+            # Most fingerprints are involved in one crash only. Evaluating
+            # the status of a fingerprint scans every crash in the log.
+            if count >= crashes.CRASHES_TO_QUARANTINE
+            and self._quarantine.standing(name).state
+            is quarantine.State.QUARANTINED
             and (wait_s := self.retry_after_s(name)) is not None
         }
-        return dict(list(held.items())[:MOST_BARRED])
+        return dict(list(quarantined.items())[:MAX_BLOCKED_PER_RECORD])
 
-    def _suspect(self, fingerprint: str) -> bool:
-        standing = self._log.standing(fingerprint)
-        return standing.state is not quarantine.State.CLEAR
+    def _is_suspect(self, fingerprint: str) -> bool:
+        status = self._quarantine.standing(fingerprint)
+        return status.state is not quarantine.State.CLEAR
 
     def _clear(self, fingerprint: str) -> None:
-        self._log.receive(crashes.Survived(fingerprint, 0.0))
-        self._barred.pop(fingerprint, None)
+        self._quarantine.receive(crashes.Survived(fingerprint, 0.0))
+        self._blocked_until.pop(fingerprint, None)
--- a/src/apricotlever/runners/quarantine.py
+++ b/src/apricotlever/runners/quarantine.py
@@ -1,10 +1,11 @@
-"""Keeps a request that crashes its runners from reaching a third one.
-
-A fingerprint is clear, suspect after one crash, or quarantined after two.
-Suspects run as trials: one at a time for each fingerprint, and at most one
-suspect at a runner, so that a second crash has only one possible cause among
-them. A judge VM, picked for the pool by rendezvous hashing, hands out the
-trials; all VMs hear of the crashes.
+"""Quarantines requests that crash runners.
+
+A request is identified by its fingerprint, which is clear, suspect after one
+crash, or quarantined after two. Suspects run as trials: one at a time for
+each fingerprint, and at most one suspect at a runner, so that a second crash
+has only one possible cause among the suspects. One VM for each pool, the
+judge, is selected by rendezvous hashing and grants the trials; all VMs
+receive the crash reports.
 """
 
 import enum
@@ -16,34 +17,36 @@
 from .. import clock as clocks
 from . import crashes
 
-#: After a death, a suspect of two waits this long before it is refused for
-#: good: by then it shows whether the death was one of many.
-SETTLE_S = 4.0
-#: A trial whose end nobody reported is over after this time.
-TRIAL_S = 60.0
+#: How long after its second crash a request is held before it is
+#: quarantined, in seconds. By then further crashes, if any, have shown
+#: whether the runners had a common cause.
+CRASH_SETTLE_S = 4.0
+#: A trial whose end was not reported expires after this time.
+TRIAL_TIMEOUT_S = 60.0
 TRIAL_RETRY_S = 0.5
-#: After a death the judge waits so long, in seconds, before it hands out a
-#: trial. Copies of the suspect that were at other runners then have taken
-#: those down too by that time, and the news has come: 3 to 30 ms on one
-#: machine with all its cores busy. A trial before it costs a third runner.
-NEWS_S = 0.3
-#: Fields of a body that don't change what an engine computes.
-INERT_FIELDS = frozenset({"stream", "stream_options", "user", "metadata"})
+#: How long the judge waits after a crash before it grants a trial, in
+#: seconds. Copies of the suspect at other runners have crashed those too by
+#: then, and the reports have arrived: this takes 3 to 30 ms on one machine
+#: with all its cores busy. An earlier trial would crash a third runner.
+CRASH_PROPAGATION_S = 0.3
+#: Fields of a body that do not affect what an engine computes.
+IGNORED_FIELDS = frozenset({"stream", "stream_options", "user", "metadata"})
 
 
 class State(enum.Enum):
-    """What is known of a fingerprint."""
+    """Whether a fingerprint is suspected of causing crashes."""
 
     CLEAR = "clear"
     SUSPECT = "suspect"
     QUARANTINED = "quarantined"
 
 
-class Standing:
-    """A fingerprint's state.
+class FingerprintStatus:
+    """The state of a fingerprint and the time until it may change.
 
-    :param retry_after_s: when a quarantine ends; of a suspect, when it is
-        worth asking the judge, who holds it until then.
+    :param retry_after_s: seconds until a quarantine ends. For a suspect,
+        seconds until the judge may grant a trial; the judge holds the
+        request until then.
     """
 
     __slots__ = ("state", "retry_after_s")
@@ -54,7 +57,7 @@
 
 
 class Place:
-    """A runner at which a trial could take place."""
+    """A runner that could run a trial."""
 
     __slots__ = ("runner", "data_centre")
 
@@ -64,9 +67,9 @@
 
 
 class MayRun:
-    """Asks the judge for a trial.
+    """Asks the judge for permission to run a suspect.
 
-    :param places: where the asking VM would run it, the best first.
+    :param places: the runners that the asking VM would use, the best first.
     """
 
     __slots__ = ("fingerprint", "request_id", "places")
@@ -83,9 +86,9 @@
 
 
 class TrialOver:
-    """Tells the judge that a trial no longer needs its runner.
+    """Tells the judge that a trial no longer occupies its runner.
 
-    Sent when the request has ended in any way.
+    It is sent when the request has ended, whatever the outcome.
     """
 
     __slots__ = ("fingerprint", "request_id")
@@ -96,13 +99,13 @@
 
 
 class RunFreely:
-    """Judge's answer: the fingerprint is not suspect any more."""
+    """The judge's answer when the fingerprint is no longer suspect."""
 
     __slots__ = ()
 
 
 class RunAt:
-    """Judge's answer: run at this runner, as a trial."""
+    """The judge's answer that grants a trial at one runner."""
 
     __slots__ = ("runner",)
 
@@ -111,7 +114,10 @@
 
 
 class Hold:
-    """Judge's answer: another trial is in the way, ask again."""
+    """The judge's answer when no trial can be granted yet.
+
+    :param retry_after_s: seconds after which to ask again.
+    """
 
     __slots__ = ("retry_after_s",)
 
@@ -120,7 +126,7 @@
 
 
 class RefuseRun:
-    """Judge's answer: quarantined, don't run."""
+    """The judge's answer when the fingerprint is quarantined."""
 
     __slots__ = ("retry_after_s",)
 
@@ -141,7 +147,7 @@
 
 
 class Quarantine:
-    """What this VM knows of crashes, and its trials when it is a judge."""
+    """The crashes known to this VM, and the trials it grants as a judge."""
 
     __slots__ = ("_clock", "_log", "_trials")
 
@@ -152,105 +158,106 @@
 
     @property
     def log(self) -> crashes.CrashLog:
-        """The crashes that this VM has heard of."""
+        """The crashes reported by this VM and its peers."""
         return self._log
 
     @property
     def trials(self) -> int:
-        """Trials that this VM handed out and that are not over."""
+        """The number of trials that this VM granted and that still run."""
         return len(self._trials)
 
     def set_sizes(self, sizes: typing.Mapping[str, int]) -> None:
-        """Tell how many runners each data centre has."""
+        """Set the number of runners in each data centre."""
         self._log.set_sizes(sizes)
 
     def receive(self, report: crashes.Report) -> None:
-        """Merge a report of this VM or of a peer."""
+        """Merge a report from this VM or a peer."""
         if isinstance(report, crashes.CrashSeen):
             self._log.add(report)
         else:
-            self._log.survived(report)
-
-    def standing(self, fingerprint: str) -> Standing:
-        """What this VM knows of a fingerprint now."""
-        against = self._log.against(fingerprint)
-        if not against:
-            return Standing(State.CLEAR)
-        age_s = self._clock.now() - max(death.at for death in against)
-        if len(against) < crashes.CRASHES_TO_QUARANTINE:
-            return Standing(State.SUSPECT)
-        if age_s < SETTLE_S:
-            return Standing(State.SUSPECT, SETTLE_S - age_s)
-        return Standing(
+            self._log.request_completed(report)
+
+    def standing(self, fingerprint: str) -> FingerprintStatus:
+        """The current state of a fingerprint, as known to this VM."""
+        implicating = self._log.crashes_implicating(fingerprint)
+        if not implicating:
+            return FingerprintStatus(State.CLEAR)
+        age_s = self._clock.now() - max(crash.at for crash in implicating)
+        if len(implicating) < crashes.CRASHES_TO_QUARANTINE:
+            return FingerprintStatus(State.SUSPECT)
+        if age_s < CRASH_SETTLE_S:
+            return FingerprintStatus(State.SUSPECT, CRASH_SETTLE_S - age_s)
+        return FingerprintStatus(
             State.QUARANTINED, max(1.0, crashes.QUARANTINE_S - age_s)
         )
 
-    def judge(self, question: MayRun) -> Decision:
-        """Decide, as the judge of the pool, on the run of a suspect."""
-        standing = self.standing(question.fingerprint)
-        if standing.state is State.QUARANTINED:
-            return RefuseRun(standing.retry_after_s)
-        if standing.state is State.CLEAR:
+    def judge(self, request: MayRun) -> Decision:
+        """Decide as the judge of a pool whether a suspect may run."""
+        status = self.standing(request.fingerprint)
+        if status.state is State.QUARANTINED:
+            return RefuseRun(status.retry_after_s)
+        if status.state is State.CLEAR:
             return RunFreely()
-        if standing.retry_after_s:
-            return Hold(standing.retry_after_s)
-        since_s = self._since_death(question.fingerprint)
-        if since_s < NEWS_S:
-            return Hold(NEWS_S - since_s)
-        self._end_old_trials()
-        running = self._trials.get(question.fingerprint)
-        if running is not None and running.request_id != question.request_id:
+        if status.retry_after_s:
+            return Hold(status.retry_after_s)
+        since_s = self._seconds_since_crash(request.fingerprint)
+        if since_s < CRASH_PROPAGATION_S:
+            return Hold(CRASH_PROPAGATION_S - since_s)
+        self._expire_trials()
+        running = self._trials.get(request.fingerprint)
+        if running is not None and running.request_id != request.request_id:
             return Hold(TRIAL_RETRY_S)
-        place = self._free_place(question)
-        if place is None:
+        candidate = self._free_runner(request)
+        if candidate is None:
             return Hold(TRIAL_RETRY_S)
-        self._trials[question.fingerprint] = _Trial(
-            question.request_id, place, self._clock.now() + TRIAL_S
+        self._trials[request.fingerprint] = _Trial(
+            request.request_id, candidate, self._clock.now() + TRIAL_TIMEOUT_S
         )
-        return RunAt(place)
+        return RunAt(candidate)
 
     def trial_over(self, report: TrialOver) -> None:
-        """Free the runner of a trial; copies and late ones do no harm."""
+        """Free the runner of a trial; late and duplicate reports are safe."""
         trial = self._trials.get(report.fingerprint)
         if trial is not None and trial.request_id == report.request_id:
             del self._trials[report.fingerprint]
 
     def tick(self) -> None:
-        """Drop what is too old to matter."""
+        """Drop expired crashes and trials."""
         self._log.expire()
-        self._end_old_trials()
+        self._expire_trials()
 
-    def _since_death(self, fingerprint: str) -> float:
-        """Seconds since the last death that speaks against a request."""
-        against = self._log.against(fingerprint)
-        return self._clock.now() - max(death.at for death in against)
+    def _seconds_since_crash(self, fingerprint: str) -> float:
+        """Seconds since the last crash that a request may have caused."""
+        implicating = self._log.crashes_implicating(fingerprint)
+        return self._clock.now() - max(crash.at for crash in implicating)
 
-    def _free_place(self, question: MayRun) -> str | None:
-        """The best place without a trial, in a data centre that is quiet.
+    def _free_runner(self, request: MayRun) -> str | None:
+        """The best runner without a trial, in a data centre without crashes.
 
-        Where a runner died a moment ago more may follow; a second death
-        there would look like the suspect's doing. Where the suspect's own
-        last runner died is the last choice.
+        More runners may crash in a data centre where one has just crashed,
+        and such a crash would be attributed to the suspect. Data centres in
+        which the suspect's own runners crashed are the last choice.
         """
-        taken = {
+        busy_runners = {
             trial.runner
             for fingerprint, trial in self._trials.items()
-            if fingerprint != question.fingerprint
+            if fingerprint != request.fingerprint
         }
-        died_in = {
-            death.data_centre
-            for death in self._log.against(question.fingerprint)
+        crashed_in = {
+            crash.data_centre
+            for crash in self._log.crashes_implicating(request.fingerprint)
         }
-        unquiet = self._log.died_lately(SETTLE_S)
+        recently_crashed = self._log.recent_crash_data_centres(CRASH_SETTLE_S)
         free = [
-            place
-            for place in question.places
-            if place.runner not in taken and place.data_centre not in unquiet
+            candidate
+            for candidate in request.places
+            if candidate.runner not in busy_runners
+            and candidate.data_centre not in recently_crashed
         ]
-        free.sort(key=lambda place: place.data_centre in died_in)
+        free.sort(key=lambda candidate: candidate.data_centre in crashed_in)
         return free[0].runner if free else None
 
-    def _end_old_trials(self) -> None:
+    def _expire_trials(self) -> None:
         now = self._clock.now()
         self._trials = {
             fingerprint: trial
@@ -260,25 +267,26 @@
 
 
 def fingerprint(entry: str, customer: str, body: bytes, call: str = "") -> str:
-    """What two sendings of the same request have in common.
+    """The fingerprint by which repetitions of a request are recognised.
 
-    The customer is part of it: the same caller meets the same fingerprint at
-    each entry VM, and a like request of another customer is served.
+    The fingerprint of a request is the same at each entry VM. It includes
+    the customer, so an equal request of another customer is still served.
 
-    :param body: as received; a JSON object is brought into one form.
-    :param call: method and path of a plain service's call.
+    :param body: the body as received; a JSON object is put into a canonical
+        form first.
+    :param call: method and path of a call to a plain service.
     :returns: 16 hex digits.
     """
     head = json.dumps([entry, customer, call]).encode()
-    return xxhash.xxh64_hexdigest(head + b"\0" + _normalised(body))
+    return xxhash.xxh64_hexdigest(head + b"\0" + _canonical_body(body))
 
 
-def _normalised(body: bytes) -> bytes:
+def _canonical_body(body: bytes) -> bytes:
     try:
         document = json.loads(body)
     except (ValueError, RecursionError):
         return body
     if not isinstance(document, dict):
         return body
-    kept = {k: v for k, v in document.items() if k not in INERT_FIELDS}
+    kept = {k: v for k, v in document.items() if k not in IGNORED_FIELDS}
     return json.dumps(kept, sort_keys=True, separators=(",", ":")).encode()
--- a/tests/runners/crash_fleet.py
+++ b/tests/runners/crash_fleet.py
@@ -1,4 +1,4 @@
-"""Entry VMs, runners and crashes on a virtual clock, for the quarantine."""
+"""A simulation of entry VMs, runners and crashes on a virtual clock."""
 
 import heapq
 import itertools
@@ -15,45 +15,48 @@
 RESTART_S = 8.0
 REPORT_DELAY_S = 0.5
 RETRY_S = 0.3
-#: How soon the caller of a poison request sends it again, at any VM. Sooner
-#: than the reports travel, it could land on a runner where an innocent
-#: suspect is on trial, and nothing tells the two apart then.
+#: Delay in seconds after which the caller of a poison request sends it again
+#: to any VM. If the delay were shorter than that of the reports, the request
+#: could run beside an innocent suspect on trial, and nothing would tell the
+#: two apart.
 RESEND_S = 1.0
 
 
 class Rule(typing.Protocol):
-    """What the fleet asks of a quarantine."""
+    """The interface of the rule that each VM of the fleet applies."""
 
     def receive(self, report: crashes.Report) -> None:
-        """Hear of a crash or a survival."""
+        """Process the report of a crash or of a complete answer."""
 
-    def standing(self, fingerprint: str) -> quarantine.Standing:
-        """Tell what is known of a fingerprint."""
+    def standing(self, fingerprint: str) -> quarantine.FingerprintStatus:
+        """The status of a fingerprint."""
 
 
-class TwoDeaths:
-    """The naive rule: two dead runners, whatever else happened."""
+class CrashCount:
+    """Naive baseline: quarantines after two crashes, without exceptions."""
 
     def __init__(self, clock: clocks.Clock) -> None:
-        self.seen: dict[str, set[str]] = {}
+        self.crashed_runners: dict[str, set[str]] = {}
 
     def receive(self, report: crashes.Report) -> None:
-        """Count each dead runner against all that was in flight there."""
+        """Count each crash against all requests in flight at the runner."""
         if isinstance(report, crashes.CrashSeen):
             for charge in report.charges:
-                runners = self.seen.setdefault(charge.fingerprint, set())
+                runners = self.crashed_runners.setdefault(
+                    charge.fingerprint, set()
+                )
                 runners.add(report.runner)
 
-    def standing(self, fingerprint: str) -> quarantine.Standing:
-        """Quarantined at two."""
+    def standing(self, fingerprint: str) -> quarantine.FingerprintStatus:
+        """Quarantined from two crashes, clear before."""
         states = quarantine.State
-        if len(self.seen.get(fingerprint, ())) >= 2:
-            return quarantine.Standing(states.QUARANTINED, 60.0)
-        return quarantine.Standing(states.CLEAR)
+        if len(self.crashed_runners.get(fingerprint, ())) >= 2:
+            return quarantine.FingerprintStatus(states.QUARANTINED, 60.0)
+        return quarantine.FingerprintStatus(states.CLEAR)
 
 
 class Request:
-    """A caller's request, which is sent again until it is answered."""
+    """A request whose caller sends it again until it is answered."""
 
     def __init__(self, name: str, poison: bool) -> None:
         self.name = name
@@ -68,9 +71,9 @@
 
 
 class Fleet:
-    """Everything that happens, in order.
+    """An event simulation of entry VMs and runners.
 
-    :param make_rule: makes each VM's rule.
+    :param make_rule: creates the rule of each VM.
     """
 
     def __init__(
@@ -87,59 +90,61 @@
             f"r{n}": DATA_CENTRES[n % len(DATA_CENTRES)]
             for n in range(runners)
         }
-        self.flying: dict[str, list[tuple[int, Request]]] = {
+        self.in_flight: dict[str, list[tuple[int, Request]]] = {
             runner: [] for runner in self.up
         }
         self.noticed: set[str] = set()
         self._heap: list[typing.Any] = []
-        self._numbers = itertools.count()
+        self._sequence = itertools.count()
 
     def at(self, when: float, action: typing.Callable[[], None]) -> None:
-        """Do something at a time."""
-        heapq.heappush(self._heap, (when, next(self._numbers), action))
+        """Schedule an action at a time."""
+        heapq.heappush(self._heap, (when, next(self._sequence), action))
 
     def after(self, delay_s: float, action: typing.Callable[[], None]) -> None:
-        """Do something after a delay."""
+        """Schedule an action after a delay."""
         self.at(self.clock.now() + delay_s, action)
 
     def run(self, until: float) -> None:
-        """Run what happens before a time."""
+        """Run all actions until a time."""
         while self._heap and self._heap[0][0] <= until:
             when, _, action = heapq.heappop(self._heap)
             self.clock.advance(max(0.0, when - self.clock.now()))
             action()
 
     def send(self, request: Request) -> None:
-        """Send a request at any VM, as far as the VM's rule lets it."""
-        # A VM sends again what it lost itself; the caller of a poison
-        # request gives up on a VM and tries any other.
+        """Send a request to a VM, which runs it if its rule permits."""
+        # A VM retries its own lost requests; the caller of a poison request
+        # sends it to a random VM each time.
         if request.vm is None or request.poison:
             request.vm = self.rng.randrange(len(self.rules))
         vm = request.vm
-        standing = self.rules[vm].standing(request.name)
-        if standing.state is quarantine.State.QUARANTINED:
+        status = self.rules[vm].standing(request.name)
+        if status.state is quarantine.State.QUARANTINED:
             request.refused += 1
             self.after(5.0, lambda: self.send(request))
             return
-        runner = self._runner_for(request, standing)
+        runner = self._runner_for(request, status)
         if runner is None:
             self.after(RETRY_S, lambda: self.send(request))
             return
         request.attempt += 1
         attempt = request.attempt
-        self.flying[runner].append((vm, request))
+        self.in_flight[runner].append((vm, request))
         run_s = POISON_RUN_S if request.poison else RUN_S
-        self.after(run_s, lambda: self._ends(runner, vm, request, attempt))
+        self.after(
+            run_s, lambda: self._end_request(runner, vm, request, attempt)
+        )
 
     def kill(self, runner: str, notice: bool = False) -> None:
-        """End a runner, and tell of it."""
+        """End a runner and report its crash."""
         data_centre = self.up.pop(runner, None)
         if data_centre is None:
             return
         if notice:
             self.noticed.add(runner)
-        lost = self.flying[runner]
-        self.flying[runner] = []
+        lost = self.in_flight[runner]
+        self.in_flight[runner] = []
         watcher = self.rng.randrange(len(self.rules))
         for vm in {watcher, *(vm for vm, _ in lost)}:
             charges = tuple(
@@ -147,25 +152,25 @@
                 for owner, r in lost
                 if owner == vm
             )
-            self._tell(vm, runner, data_centre, charges)
+            self._report_crash(vm, runner, data_centre, charges)
         for _, request in lost:
-            self._trial_over(request)
+            self._end_trial(request)
             request.attempt += 1
             delay_s = RESEND_S if request.poison else RETRY_S
             self.after(delay_s, lambda request=request: self.send(request))
 
     def restart(self, runner: str, data_centre: str) -> None:
-        """Bring a runner back."""
+        """Add a runner again."""
         self.up[runner] = data_centre
 
     def _runner_for(
-        self, request: Request, standing: quarantine.Standing
+        self, request: Request, status: quarantine.FingerprintStatus
     ) -> str | None:
         names = sorted(self.up)
         self.rng.shuffle(names)
         if not names:
             return None
-        if standing.state is quarantine.State.CLEAR:
+        if status.state is quarantine.State.CLEAR:
             return names[0]
         judge = self.rules[0]
         assert isinstance(judge, quarantine.Quarantine)
@@ -180,12 +185,13 @@
             return names[0]
         return None
 
-    def _ends(
+    def _end_request(
         self, runner: str, vm: int, request: Request, attempt: int
     ) -> None:
-        if request.attempt != attempt or (vm, request) not in self.flying.get(
-            runner, []
-        ):
+        if request.attempt != attempt or (
+            vm,
+            request,
+        ) not in self.in_flight.get(runner, []):
             return
         if request.poison:
             request.crashes += 1
@@ -194,21 +200,21 @@
             self.kill(runner)
             self.after(RESTART_S, lambda: self.restart(runner, data_centre))
             return
-        self.flying[runner].remove((vm, request))
+        self.in_flight[runner].remove((vm, request))
         request.done = True
-        self._trial_over(request)
+        self._end_trial(request)
         for rule in self.rules:
             report = crashes.Survived(request.name, 0.0)
             self._deliver(rule, report, self.clock.now())
 
-    def _trial_over(self, request: Request) -> None:
+    def _end_trial(self, request: Request) -> None:
         request.on_trial = False
         if isinstance(self.rules[0], quarantine.Quarantine):
             self.rules[0].trial_over(
                 quarantine.TrialOver(request.name, request.name)
             )
 
-    def _tell(
+    def _report_crash(
         self,
         vm: int,
         runner: str,
@@ -227,7 +233,7 @@
         for rule in self.rules:
             for _ in range(self.rng.randint(1, 2)):
                 delay_s = self.rng.uniform(0.0, REPORT_DELAY_S)
-                # The judge hears at once, as the retry waits for that.
+                # The judge gets the report before a retry asks it.
                 if rule is self.rules[0]:
                     delay_s = min(delay_s, RETRY_S / 2)
                 self.after(
--- a/tests/steps/runners_quarantine.py
+++ b/tests/steps/runners_quarantine.py
@@ -22,23 +22,26 @@
 SEEDS = strategies.integers(0, 10_000)
 
 
-@then("a fingerprint ignores the order of a body's fields and how it streams")
-def _alike(context):
+@then(
+    "a fingerprint ignores the order of a body's fields and the streaming "
+    "fields"
+)
+def _equal_fingerprints(context):
     other = b'{"model":"m","stream":false,"prompt":"draft"}'
     first = quarantine.fingerprint("e", "c", BODY)
     assert first == quarantine.fingerprint("e", "c", other)
 
 
-@then("a fingerprint tells customers, entries, calls and prompts apart")
-def _apart(context):
-    prints = {
+@then("fingerprints of different customers, entries, calls and prompts differ")
+def _different_fingerprints(context):
+    fingerprints = {
         quarantine.fingerprint("e", "c", BODY),
         quarantine.fingerprint("e", "d", BODY),
         quarantine.fingerprint("f", "c", BODY),
         quarantine.fingerprint("e", "c", BODY, "POST /x"),
         quarantine.fingerprint("e", "c", BODY.replace(b"draft", b"dr")),
     }
-    assert len(prints) == 5
+    assert len(fingerprints) == 5
 
 
 @then("any bytes have a fingerprint")
@@ -62,7 +65,7 @@
     return crashes.CrashSeen("vm", runner, dc, at, noticed, charges)
 
 
-@then("any order and doubling of crash reports gives the same standing")
+@then("any order and duplication of crash reports gives the same status")
 def _any_order(context):
     report = strategies.tuples(
         strategies.sampled_from(("r1", "r2", "r3", "r4")),
@@ -89,21 +92,27 @@
     check()
 
 
-class _Off(crash_fleet.TwoDeaths):
+class _NoQuarantine(crash_fleet.CrashCount):
     def receive(self, report):
-        """Remember nothing."""
+        """Ignore the report."""
+
 
+def _simulate(seed, make_rule, count, poison, reclaimed):
+    """Simulate 90 seconds of a fleet.
 
-def _trial(seed, make_rule, others, poison, waves):
-    """A fleet with some requests, after a minute."""
+    :param count: number of requests.
+    :param poison: whether the first request crashes its runners.
+    :param reclaimed: data centres that are reclaimed, one after the other.
+    :returns: the fleet and its requests.
+    """
     fleet = crash_fleet.Fleet(seed, make_rule)
     requests = [
-        crash_fleet.Request(f"q{n}", poison and n == 0) for n in range(others)
+        crash_fleet.Request(f"q{n}", poison and n == 0) for n in range(count)
     ]
     for request in requests:
         when = fleet.rng.uniform(0.0, 12.0)
         fleet.at(when, lambda request=request: fleet.send(request))
-    for number, data_centre in enumerate(waves):
+    for number, data_centre in enumerate(reclaimed):
         for runner, place in list(fleet.up.items()):
             when = 4.0 + 4.0 * number + fleet.rng.uniform(0.0, 3.0)
             if place == data_centre:
@@ -113,13 +122,15 @@
 
 
 @then("a poison request among {n:d} others crashes at most {most:d} runners")
-def _poison(context, n, most):
+def _poison_among_others(context, n, most):
     context.found = []
 
     @SETTINGS
     @hypothesis.given(SEEDS)
     def check(seed):
-        fleet, requests = _trial(seed, quarantine.Quarantine, n + 1, True, ())
+        fleet, requests = _simulate(
+            seed, quarantine.Quarantine, n + 1, True, ()
+        )
         context.found.append((fleet, requests[1:]))
         assert 1 <= requests[0].crashes <= most
         assert requests[0].refused
@@ -128,13 +139,13 @@
 
 
 @then("the others are all answered and none is ever quarantined")
-def _answered(context):
+def _others_answered(context):
     for _, others in context.found:
         assert all(r.done and not r.refused for r in others)
 
 
 @then("the others are all answered and none stays quarantined")
-def _answered_later(context):
+def _others_answered_later(context):
     for fleet, others in context.found:
         assert all(r.done for r in others)
         for rule in fleet.rules:
@@ -143,17 +154,17 @@
 
 
 @then("without a quarantine it crashes more than {count:d} runners")
-def _without(context, count):
-    _, requests = _trial(1, _Off, 31, True, ())
+def _without_quarantine(context, count):
+    _, requests = _simulate(1, _NoQuarantine, 31, True, ())
     assert requests[0].crashes > count
 
 
-@then("no request is quarantined after waves over two data centres")
-def _waves(context):
+@then("no request is quarantined after reclaims of two data centres")
+def _reclaims(context):
     @SETTINGS
     @hypothesis.given(SEEDS)
     def check(seed):
-        fleet, requests = _trial(
+        fleet, requests = _simulate(
             seed, quarantine.Quarantine, 40, False, ("a", "b")
         )
         assert all(r.done and not r.refused for r in requests)
@@ -161,30 +172,32 @@
     check()
 
 
-@then("by counting deaths alone some requests are quarantined")
-def _naive_waves(context):
+@then("by counting crashes alone some requests are quarantined")
+def _reclaims_by_count(context):
     refused = 0
     for seed in range(10):
-        _, requests = _trial(
-            seed, crash_fleet.TwoDeaths, 40, False, ("a", "b")
+        _, requests = _simulate(
+            seed, crash_fleet.CrashCount, 40, False, ("a", "b")
         )
         refused += sum(1 for r in requests if r.refused)
     assert refused
 
 
-@then("a poison request crashes at most {most:d} runners outside of a wave")
-def _poison_wave(context, most):
+@then("a poison request crashes at most {most:d} runners outside of a reclaim")
+def _poison_during_reclaim(context, most):
     context.found = []
 
     @SETTINGS
     @hypothesis.given(SEEDS)
     def check(seed):
-        fleet, requests = _trial(seed, quarantine.Quarantine, 31, True, ("a",))
+        fleet, requests = _simulate(
+            seed, quarantine.Quarantine, 31, True, ("a",)
+        )
         context.found.append((fleet, requests[1:]))
         hidden = [
             at
             for at, data_centre in requests[0].crashed_at
-            if data_centre == "a" and at <= 7.0 + crashes.WAVE_S
+            if data_centre == "a" and at <= 7.0 + crashes.CORRELATION_WINDOW_S
         ]
         assert requests[0].crashes - len(hidden) <= most
         assert requests[0].refused
@@ -192,8 +205,8 @@
     check()
 
 
-@then("two deaths after a notice leave a request clear")
-def _notice(context):
+@then("two crashes after a notice leave a request clear")
+def _announced(context):
     rule = quarantine.Quarantine(clocks.ManualClock())
     rule.receive(_crash("r1", "x", noticed=True))
     rule.receive(_crash("r2", "x", noticed=True))
@@ -206,11 +219,11 @@
     context.rule = quarantine.Quarantine(context.clock)
     name = quarantine.fingerprint("e", customer, BODY)
     context.rule.receive(_crash("r1", [name], 30.0))
-    context.rule.receive(_crash("r2", [name], quarantine.SETTLE_S))
+    context.rule.receive(_crash("r2", [name], quarantine.CRASH_SETTLE_S))
 
 
-@when("another VM starts and is told what is known of crashes")
-def _told(context):
+@when("another VM starts and receives the crash reports")
+def _new_vm(context):
     reports = context.rule.log.reports("vm")
     context.rule = quarantine.Quarantine(clocks.ManualClock(5000.0))
     for report in reports:
@@ -220,36 +233,36 @@
 @then('the fingerprint is {state} for customer "{customer}"')
 def _state_for(context, state, customer):
     name = quarantine.fingerprint("e", customer, BODY)
-    standing = context.rule.standing(name)
-    assert standing.state.value == state
-    assert (standing.retry_after_s > 0) == (state == "quarantined")
+    status = context.rule.standing(name)
+    assert status.state.value == state
+    assert (status.retry_after_s > 0) == (state == "quarantined")
 
 
-@given("two requests that were in flight at a runner that died")
+@given("two requests that were in flight at a runner that crashed")
 def _two_suspects(context):
     _suspects(context, "xy")
-    context.clock.advance(2 * quarantine.NEWS_S)
+    context.clock.advance(2 * quarantine.CRASH_PROPAGATION_S)
 
 
-@given("a request that was in flight at a runner that has just died")
+@given("a request that was in flight at a runner that has just crashed")
 def _fresh_suspect(context):
     _suspects(context, "x")
 
 
 @then("the judge holds it")
-def _held(context):
+def _judge_holds(context):
     assert isinstance(_ask(context, "x", "copy"), quarantine.Hold)
 
 
-@when("the news of a second death comes {seconds:f} s later")
-def _second_death(context, seconds):
+@when("the report of a second crash arrives {seconds:f} s later")
+def _second_crash(context, seconds):
     context.clock.advance(seconds)
     context.rule.receive(_crash("r5", "x"))
 
 
-@then("it is quarantined when the deaths have settled")
-def _settled(context):
-    context.clock.advance(quarantine.SETTLE_S)
+@then("it is quarantined after the settling time of the crashes")
+def _quarantined_later(context):
+    context.clock.advance(quarantine.CRASH_SETTLE_S)
     assert isinstance(_ask(context, "x", "copy"), quarantine.RefuseRun)
 
 
@@ -265,52 +278,52 @@
 
 
 def _ask(context, name, request_id):
-    question = quarantine.MayRun(name, request_id, context.places)
-    return context.rule.judge(question)
+    request = quarantine.MayRun(name, request_id, context.places)
+    return context.rule.judge(request)
 
 
 @then("the judge sends them to different runners")
-def _different(context):
+def _different_runners(context):
     context.answers = [_ask(context, name, name) for name in "xy"]
     assert len({answer.runner for answer in context.answers}) == 2
 
 
-@then("the judge holds a second sending of the same request")
-def _holds(context):
+@then("the judge holds a second attempt of the same request")
+def _holds_second_attempt(context):
     assert isinstance(_ask(context, "x", "other"), quarantine.Hold)
 
 
-@then("the judge prefers another data centre than that of the death")
-def _elsewhere(context):
+@then("the judge prefers a data centre other than that of the crash")
+def _other_data_centre(context):
     assert [a.runner for a in context.answers] == ["r3", "r4"]
 
 
-@when("one of the trials is over with an answer")
-def _survived(context):
+@when("one of the trials ends with an answer")
+def _trial_answered(context):
     context.clock.advance(2.0)
     context.rule.trial_over(quarantine.TrialOver("x", "x"))
     context.rule.receive(crashes.Survived("x", 0.0))
 
 
-@then("the suspect that survived runs freely")
-def _freely(context):
+@then("the suspect that was answered runs without a trial")
+def _runs_without_trial(context):
     assert isinstance(_ask(context, "x", "other"), quarantine.RunFreely)
     assert context.rule.trials == 1
 
 
-@when("a trial begins and nothing is heard of it for {seconds:d} seconds")
-def _lost_end(context, seconds):
+@when("a trial begins and nothing is reported of it for {seconds:d} seconds")
+def _trial_end_lost(context, seconds):
     _ask(context, "x", "x")
     context.clock.advance(seconds)
 
 
-@then("the judge lets another sending of it run")
-def _lets(context):
+@then("the judge grants a trial to another attempt of it")
+def _new_trial(context):
     assert isinstance(_ask(context, "x", "other"), quarantine.RunAt)
 
 
-@given("a crash log that heard of {n:d} deaths with 10 requests each")
-def _many_deaths(context, n):
+@given("a crash log with reports of {n:d} crashes with 10 requests each")
+def _many_crashes(context, n):
     context.clock = clocks.ManualClock()
     context.rule = quarantine.Quarantine(context.clock)
     for number in range(n):
@@ -324,6 +337,6 @@
     context.rule.tick()
 
 
-@then("the crash log keeps at most {count:d} deaths")
-def _kept(context, count):
+@then("the crash log keeps at most {count:d} crashes")
+def _crash_limit(context, count):
     assert len(context.rule.log.deaths) <= count
