--- a/src/apricotlever/runners/candidates.py
+++ b/src/apricotlever/runners/candidates.py
@@ -1,4 +1,4 @@
-"""The runners of a router and what it expects of each for one query."""
+"""The runners of a router, with estimates of latency and cost for a query."""
 
 import random
 
@@ -6,24 +6,25 @@
 from . import health
 from . import load
 from . import model as models
-from . import pace as paces
+from . import pace as latency_model
 
 SECONDS_PER_HOUR = 3600.0
-#: How long the figures of a runner that nothing happened to are reused.
-REFRESH_S = 0.25
-#: How far the fill of a runner is from what is believed, as a share of its
-#: slots: requests that other VMs sent since its last report.
-FILL_ERROR = 0.05
+#: How long the estimates for a runner are reused if nothing changes, in
+#: seconds.
+ESTIMATE_TTL_S = 0.25
+#: Uncertainty of a runner's fill, as a share of its slots. It is caused by
+#: requests that other VMs have sent since the last report.
+FILL_UNCERTAINTY = 0.05
 
 
 class Candidate:
-    """A runner with its load, health and pace.
+    """A runner with its load, circuit breaker and latency model.
 
-    The slots ``first_s``, ``cost`` and ``cached`` hold the figures for the
-    query that is being routed. They are filled in place, and what does not
-    depend on the query is worked out once in :data:`REFRESH_S`: objects and
-    calls for each pair of runner and query would take more time than one
-    choice may cost.
+    The attributes ``first_token_s``, ``cost`` and ``cached_blocks`` hold the
+    estimates for the query that is being routed. They are updated in place,
+    and the parts that do not depend on the query are computed once in
+    :data:`ESTIMATE_TTL_S`. Creating an object for each pair of runner and
+    query would exceed the time budget of a routing decision.
     """
 
     __slots__ = (
@@ -31,24 +32,24 @@
         "name",
         "name_bytes",
         "load",
-        "health",
-        "pace",
+        "circuit",
+        "latency",
         "leaving",
         "pending_tokens",
         "others_pending",
         "is_home",
-        "is_near",
+        "is_local",
         "slowness",
-        "first_s",
+        "first_token_s",
         "cost",
-        "cached",
+        "cached_blocks",
         "fill",
-        "fit",
+        "usable",
         "_answer_price",
         "_base_price",
         "_fixed_s",
         "_fresh_until",
-        "_prefill_s",
+        "_prefill_s_per_token",
         "_price_per_s",
         "_token_price",
     )
@@ -56,7 +57,7 @@
     def __init__(
         self,
         runner: models.Runner,
-        pace: paces.Pace,
+        latency: latency_model.LatencyModel,
         clock: clocks.Clock,
         rng: random.Random,
         warm: bool,
@@ -65,91 +66,97 @@
         self.name = runner.name
         self.name_bytes = runner.name.encode()
         self.load = load.RunnerLoad(clock, runner.slots, peers)
-        self.health = health.Health(clock, rng, warm)
-        self.pace = pace
+        self.circuit = health.CircuitBreaker(clock, rng, warm)
+        self.latency = latency
         self.leaving = False
-        #: Own prompt tokens that are sent and wait for a first token.
+        #: Prompt tokens of this VM's requests that await a first token.
         self.pending_tokens = 0
-        #: The same of all other VMs, as far as they told.
+        #: Prompt tokens awaiting a first token that the other VMs reported.
         self.others_pending = 0
-        #: Whether the shared prefix of the query belongs here by its hash.
+        #: Whether this is the home runner of the query's shared prefix,
+        #: which is selected by the hash of the prefix.
         self.is_home = False
-        #: Whether it is in this VM's data centre.
-        self.is_near = False
-        #: How much slower than its pace this runner shows itself.
+        #: Whether the runner is in this VM's data centre.
+        self.is_local = False
+        #: Moving average of the observed over the modelled time to the
+        #: first token.
         self.slowness = 1.0
-        self.first_s = 0.0
+        self.first_token_s = 0.0
         self.cost = 0.0
-        self.cached = 0.0
+        self.cached_blocks = 0.0
         self.fill = 0.0
-        self.fit = False
+        self.usable = False
         self._answer_price = 0.0
         self._base_price = 0.0
         self._fixed_s = 0.0
-        self._prefill_s = 0.0
+        self._prefill_s_per_token = 0.0
         self._token_price = 0.0
-        self.describe(runner)
+        self.update_runner(runner)
 
-    def describe(self, runner: models.Runner) -> None:
-        """Take over a description of the runner, with its price."""
+    def update_runner(self, runner: models.Runner) -> None:
+        """Replace the description of the runner, with its price."""
         self.runner = runner
         self._price_per_s = runner.price_per_hour / SECONDS_PER_HOUR
-        self.changed()
+        self.invalidate()
 
-    def changed(self) -> None:
-        """Something happened to the runner; work its figures out anew."""
+    def invalidate(self) -> None:
+        """Discard the cached estimates after a change of the runner."""
         self._fresh_until = float("-inf")
 
     def estimate(
-        self, now: float, tokens: int, cached_tokens: float, answer: int
+        self, now: float, tokens: int, cached_tokens: float, answer_tokens: int
     ) -> bool:
-        """Expect the first token and the cost of one query.
+        """Estimate the time to the first token and the cost of one query.
 
-        :param tokens: of the prompt.
-        :param cached_tokens: of them that the runner likely holds.
-        :param answer: tokens of the answer.
-        :returns: whether the runner may get requests at all.
+        :param tokens: tokens of the prompt.
+        :param cached_tokens: tokens of the prompt in the runner's cache.
+        :param answer_tokens: expected tokens of the answer.
+        :returns: whether the runner may receive requests.
         """
         if now > self._fresh_until:
             self._refresh(now)
         uncached = tokens - cached_tokens
-        self.first_s = self._fixed_s + uncached * self._prefill_s
+        self.first_token_s = (
+            self._fixed_s + uncached * self._prefill_s_per_token
+        )
         self.cost = (
             self._base_price
             + uncached * self._token_price
-            + answer * self._answer_price
+            + answer_tokens * self._answer_price
         )
-        return self.fit
+        return self.usable
 
     def _refresh(self, now: float) -> None:
-        pace = self.pace
+        latency = self.latency
         slots = self.load.slots
-        usable = slots * self.health.share(now)
-        fill = (self.load.in_flight(now) + 1.0) / usable
+        usable_slots = slots * self.circuit.slot_share(now)
+        fill = (self.load.in_flight(now) + 1.0) / usable_slots
         pending = self.pending_tokens + self.others_pending
-        wait_s = pending * pace.prefill_s
-        wait_s += _expected_excess(fill - 1.0) * pace.hold_s
-        slowdown = 1.0 + paces.BATCH_SLOWDOWN * min(1.0, fill)
+        wait_s = pending * latency.prefill_s_per_token
+        wait_s += _expected_excess(fill - 1.0) * latency.hold_s
+        slowdown = 1.0 + latency_model.BATCH_SLOWDOWN * min(1.0, fill)
         factor = slowdown * self.slowness
         self.fill = fill
-        self.fit = self.health.allows(now)
-        self._fixed_s = (pace.base_s + wait_s) * factor
-        self._prefill_s = pace.prefill_s * factor
-        self._base_price = pace.base_s * self._price_per_s
-        self._token_price = pace.prefill_s * self._price_per_s
-        self._answer_price = pace.decode_s * self._price_per_s / slots
-        self._fresh_until = now + REFRESH_S
+        self.usable = self.circuit.allows(now)
+        self._fixed_s = (latency.base_s + wait_s) * factor
+        self._prefill_s_per_token = latency.prefill_s_per_token * factor
+        self._base_price = latency.base_s * self._price_per_s
+        self._token_price = latency.prefill_s_per_token * self._price_per_s
+        self._answer_price = (
+            latency.decode_s_per_token * self._price_per_s / slots
+        )
+        self._fresh_until = now + ESTIMATE_TTL_S
 
 
 def _expected_excess(excess: float) -> float:
-    """The mean of what is above zero when the excess is not known exactly.
+    """The expected positive part of an excess that is known inexactly.
 
-    Counting a wait only once the runner is believed to be full would fill
-    runners to the brim by numbers that are seconds old. This is a parabola
-    that joins zero and the excess itself smoothly.
+    Adding a queueing delay only from an estimated fill of 100 % would fill
+    runners completely on the basis of reports that are seconds old. The
+    function is a parabola that joins zero and the excess smoothly.
     """
-    if excess >= 2 * FILL_ERROR:
+    if excess >= 2 * FILL_UNCERTAINTY:
         return excess
-    if excess <= -2 * FILL_ERROR:
+    if excess <= -2 * FILL_UNCERTAINTY:
         return 0.0
-    return (excess + 2 * FILL_ERROR) ** 2 / (8 * FILL_ERROR)
+    return (excess + 2 * FILL_UNCERTAINTY) ** 2 / (8 * FILL_UNCERTAINTY)
--- a/src/apricotlever/runners/health.py
+++ b/src/apricotlever/runners/health.py
@@ -1,8 +1,9 @@
 """Circuit breaking and slow start for one runner.
 
-A runner that fails takes requests faster than a healthy one answers them:
-each failure frees its place at once and makes it look idle. The circuit
-opens after a few failures in a row, and one probe at a time closes it.
+A failing runner attracts more requests than a healthy one, because each
+failure frees its slot at once and makes it look idle. The circuit opens
+after a few consecutive failures. It then lets one probe through at a time
+and closes again when a probe succeeds.
 """
 
 import enum
@@ -11,37 +12,38 @@
 from .. import clock as clocks
 
 FAILURES_TO_OPEN = 3
-FIRST_OPEN_S = 1.0
-LONGEST_OPEN_S = 30.0
-#: A probe whose end was never reported is forgotten after this time.
-PROBE_S = 30.0
+INITIAL_OPEN_S = 1.0
+#: The longest open time, before it is randomised.
+MAX_OPEN_S = 30.0
+#: A probe whose end was not reported expires after this time.
+PROBE_TIMEOUT_S = 30.0
 SLOW_START_S = 10.0
 SLOW_START_SHARE = 0.2
 
 
 class CircuitState(enum.Enum):
-    """Whether a runner gets requests."""
+    """Whether a runner receives requests."""
 
     CLOSED = "closed"
     OPEN = "open"
     HALF_OPEN = "half_open"
 
 
-class Health:
-    """The circuit of one runner.
+class CircuitBreaker:
+    """The circuit breaker of one runner, with its slow start.
 
-    :param rng: spreads the probes of several VMs.
+    :param rng: randomises open times, so that VMs do not probe in step.
     :param warm: whether the runner skips its slow start.
     """
 
     __slots__ = (
         "_clock",
         "_failures",
-        "_open_s",
+        "_open_duration_s",
         "_open_until",
         "_probe_until",
         "_rng",
-        "_warm_at",
+        "_slow_start_until",
     )
 
     def __init__(
@@ -50,15 +52,15 @@
         self._clock = clock
         self._rng = rng
         self._failures = 0
-        self._open_s = 0.0
+        self._open_duration_s = 0.0
         self._open_until = 0.0
         self._probe_until = 0.0
-        self._warm_at = clock.now() + (0.0 if warm else SLOW_START_S)
+        self._slow_start_until = clock.now() + (0.0 if warm else SLOW_START_S)
 
     @property
     def state(self) -> CircuitState:
-        """Open, half open or closed at this moment."""
-        if not self._open_s:
+        """The current state of the circuit."""
+        if not self._open_duration_s:
             return CircuitState.CLOSED
         if self._clock.now() < self._open_until:
             return CircuitState.OPEN
@@ -66,57 +68,59 @@
 
     @property
     def open_until(self) -> float:
-        """When the next probe may go out; past when the circuit is closed."""
+        """The time of the next probe; in the past if the circuit is closed."""
         return max(self._open_until, self._probe_until)
 
     def allows(self, now: float) -> bool:
-        """Whether a request may be sent."""
-        if not self._open_s:
+        """Whether a request may be sent now."""
+        if not self._open_duration_s:
             return True
         return now >= self._open_until and now >= self._probe_until
 
-    def share(self, now: float) -> float:
-        """The part of its slots that a runner fresh from its start gets."""
-        left_s = self._warm_at - now
+    def slot_share(self, now: float) -> float:
+        """The share of its slots that a runner may use during slow start."""
+        left_s = self._slow_start_until - now
         if left_s <= 0.0:
             return 1.0
         return max(SLOW_START_SHARE, 1.0 - left_s / SLOW_START_S)
 
     def started(self) -> None:
-        """A request was sent; in a half-open circuit it is the probe."""
-        if self._open_s:
-            self._probe_until = self._clock.now() + PROBE_S
+        """Record a sent request, which is the probe of a half-open circuit."""
+        if self._open_duration_s:
+            self._probe_until = self._clock.now() + PROBE_TIMEOUT_S
 
     def cancelled(self) -> None:
-        """A request ended that tells nothing about the runner."""
+        """Record a request whose end says nothing about the runner."""
         self._probe_until = 0.0
 
     def succeeded(self) -> None:
-        """A request was answered."""
-        if self._open_s:
-            self._warm_at = self._clock.now() + SLOW_START_S
+        """Record an answered request and close the circuit."""
+        if self._open_duration_s:
+            self._slow_start_until = self._clock.now() + SLOW_START_S
         self._failures = 0
-        self._open_s = 0.0
+        self._open_duration_s = 0.0
         self._open_until = 0.0
         self._probe_until = 0.0
 
     def failed(self) -> None:
-        """A request broke, was refused or timed out at the runner."""
+        """Record a request that broke, was refused or timed out."""
         self._failures += 1
         self._probe_until = 0.0
         self._trip()
 
     def crashed(self) -> None:
-        """The runner's process ended; the circuit opens at once."""
+        """Record the end of the runner's process and open the circuit."""
         self._failures = max(self._failures + 1, FAILURES_TO_OPEN)
         self._probe_until = 0.0
         self._trip()
 
     def _trip(self) -> None:
-        if not self._open_s and self._failures < FAILURES_TO_OPEN:
+        if not self._open_duration_s and self._failures < FAILURES_TO_OPEN:
             return
-        if self._open_s and self._clock.now() < self._open_until:
+        if self._open_duration_s and self._clock.now() < self._open_until:
             return
-        self._open_s = min(LONGEST_OPEN_S, 2 * self._open_s or FIRST_OPEN_S)
-        wait_s = self._open_s * self._rng.uniform(0.75, 1.25)
+        self._open_duration_s = min(
+            MAX_OPEN_S, 2 * self._open_duration_s or INITIAL_OPEN_S
+        )
+        wait_s = self._open_duration_s * self._rng.uniform(0.75, 1.25)
         self._open_until = self._clock.now() + wait_s
--- a/src/apricotlever/runners/in_flight.py
+++ b/src/apricotlever/runners/in_flight.py
@@ -1,21 +1,23 @@
-"""The requests of one VM at its runners, and what their ends teach."""
+"""Tracks the requests of one VM in flight and learns from their timing."""
 
 from .. import clock as clocks
 from . import candidates as candidates_
 from . import model as models
 
-#: How fast a runner's slowness follows what its answers show.
-SLOWNESS_RATE = 0.1
-LEAST_SLOWNESS = 0.5
-MOST_SLOWNESS = 8.0
-#: Seconds; an expectation of nothing says nothing of slowness.
-LEAST_EXPECTED_S = 1e-3
+#: Weight of a new sample in the moving average of a runner's slowness.
+SLOWNESS_SMOOTHING = 0.1
+MIN_SLOWNESS = 0.5
+MAX_SLOWNESS = 8.0
+#: Lower limit of the expected seconds, as the ratio of the observed to the
+#: expected time is meaningless if nothing was expected.
+MIN_EXPECTED_S = 1e-3
 
 
 class _Request:
-    """One request on its way.
+    """One request in flight.
 
-    :param uncached: prompt tokens that its runner likely has to read.
+    :param started: the time at which it was sent.
+    :param uncached: prompt tokens that the runner probably has to prefill.
     """
 
     __slots__ = (
@@ -38,11 +40,11 @@
         self.first_at: float | None = None
         self.uncached = uncached
         self.fill = candidate.fill
-        self.expected_s = candidate.first_s
+        self.expected_s = candidate.first_token_s
 
 
 class InFlight:
-    """Requests that were sent and have not ended."""
+    """The requests that were sent and have not ended."""
 
     __slots__ = ("_clock", "_requests")
 
@@ -53,17 +55,17 @@
     def started(
         self, request_id: str, candidate: candidates_.Candidate, uncached: int
     ) -> None:
-        """A request was sent to a runner, with figures estimated for it."""
+        """Record that a request was sent, using the candidate's estimates."""
         self._requests[request_id] = _Request(
             candidate, self._clock.now(), uncached
         )
         candidate.pending_tokens += uncached
         candidate.load.started()
-        candidate.health.started()
-        candidate.changed()
+        candidate.circuit.started()
+        candidate.invalidate()
 
     def first_token(self, request_id: str) -> None:
-        """The first token, or the first byte, of the answer has come."""
+        """Record the arrival of the first token or byte of an answer."""
         request = self._requests.get(request_id)
         if request is None or request.first_at is not None:
             return
@@ -71,45 +73,49 @@
         request.first_at = now
         candidate = request.candidate
         candidate.pending_tokens -= request.uncached
-        candidate.changed()
-        took_s = now - request.started
+        candidate.invalidate()
+        observed_s = now - request.started
         if request.fill <= 1.0:
-            candidate.pace.first_token(took_s, request.uncached, request.fill)
-        expected_s = max(LEAST_EXPECTED_S, request.expected_s)
-        ratio = took_s * candidate.slowness / expected_s
-        step = SLOWNESS_RATE * (ratio - candidate.slowness)
+            candidate.latency.observe_first_token(
+                observed_s, request.uncached, request.fill
+            )
+        expected_s = max(MIN_EXPECTED_S, request.expected_s)
+        ratio = observed_s * candidate.slowness / expected_s
+        change = SLOWNESS_SMOOTHING * (ratio - candidate.slowness)
         candidate.slowness = min(
-            MOST_SLOWNESS, max(LEAST_SLOWNESS, candidate.slowness + step)
+            MAX_SLOWNESS, max(MIN_SLOWNESS, candidate.slowness + change)
         )
 
     def finished(
         self, request_id: str, outcome: models.Outcome, tokens: int
     ) -> None:
-        """A request ended; its runner's health and pace learn from it.
+        """Record the end of a request in its runner's circuit and latency.
 
-        :param tokens: of the answer, 0 when not known.
+        :param tokens: tokens of the answer, 0 if unknown.
         """
-        request = self.end(request_id)
+        request = self.remove(request_id)
         if request is None:
             return
         candidate = request.candidate
         if outcome is models.Outcome.FAILED:
-            candidate.health.failed()
+            candidate.circuit.failed()
             return
         if outcome is models.Outcome.CANCELLED:
-            candidate.health.cancelled()
+            candidate.circuit.cancelled()
             return
-        candidate.health.succeeded()
+        candidate.circuit.succeeded()
         now = self._clock.now()
         first_at = request.first_at or now
-        candidate.pace.finished(now - request.started, now - first_at, tokens)
+        candidate.latency.observe_finished(
+            now - request.started, now - first_at, tokens
+        )
 
-    def end(self, request_id: str) -> _Request | None:
-        """Count a request no more, if it is under way."""
+    def remove(self, request_id: str) -> _Request | None:
+        """Remove a request; return None if it is not in flight."""
         request = self._requests.pop(request_id, None)
         if request is not None:
             request.candidate.load.finished()
-            request.candidate.changed()
+            request.candidate.invalidate()
             if request.first_at is None:
                 request.candidate.pending_tokens -= request.uncached
         return request
--- a/src/apricotlever/runners/load.py
+++ b/src/apricotlever/runners/load.py
@@ -1,8 +1,9 @@
-"""What a runner's load is now, from old reports and own requests.
+"""Estimates the current load of a runner from old reports.
 
-A report tells the past: requests sent since are missing from it, and those
-that ended since are still in it. A router that believes it as it stands
-sends every request of the next seconds to the runner that was idle then.
+A load report is out of date: it misses requests that were sent since and
+still counts those that have ended. A router that used it unchanged would
+send every request of the next seconds to the runner that was idle when the
+report was made. Reports are therefore corrected by the VM's own requests.
 """
 
 import bisect
@@ -11,24 +12,25 @@
 from .. import clock as clocks
 from . import model as models
 
-#: Own counts older than this are not needed to read a report.
+#: How long past counts of own requests are kept to correct a report.
 HISTORY_S = 30.0
 HISTORY_ENTRIES = 512
-#: A report this old says nothing about other VMs' requests any more.
-STALE_S = 15.0
-#: The part of the others' likely change that is believed.
-HERD_PART = 0.5
-RATIO_RATE = 0.02
-MOST_RATIO = 50.0
+#: Age from which a report says nothing about other VMs' requests.
+REPORT_TTL_S = 15.0
+#: The share of the estimated change of the other VMs' requests that is
+#: added to a report.
+PEER_CHANGE_SHARE = 0.5
+RATIO_SMOOTHING = 0.02
+MAX_RATIO = 50.0
 
 
 class PeerRatio:
-    """How many requests other VMs have at a pool for one of this VM's.
+    """The ratio of other VMs' requests to this VM's requests at a pool.
 
-    The other VMs see the same reports and reckon alike: when this one has
-    sent more to a runner since its last report, so have they. Without this,
-    all send to the runner that a report shows idle until the next report
-    shows it overfilled.
+    The other VMs use the same reports and the same policy: when this VM has
+    sent more to a runner since its last report, so have they. Without this
+    correction, all VMs send to the runner that a report shows as idle, until
+    the next report shows it as overloaded.
     """
 
     __slots__ = ("_others", "_own")
@@ -39,22 +41,26 @@
 
     @property
     def ratio(self) -> float:
-        """Requests of the others for each own one."""
-        if self._own < RATIO_RATE:
+        """Requests of other VMs for each request of this VM."""
+        if self._own < RATIO_SMOOTHING:
             return 0.0
-        return min(MOST_RATIO, self._others / self._own)
+        return min(MAX_RATIO, self._others / self._own)
 
     def observe(self, others: float, own: int) -> None:
-        """Learn from one report."""
-        self._others += RATIO_RATE * (others - self._others)
-        self._own += RATIO_RATE * (own - self._own)
+        """Learn from one report.
+
+        :param others: requests of other VMs at the runner.
+        :param own: requests of this VM at the runner.
+        """
+        self._others += RATIO_SMOOTHING * (others - self._others)
+        self._own += RATIO_SMOOTHING * (own - self._own)
 
 
 class RunnerLoad:
     """The requests in flight at one runner.
 
-    :param slots: requests that the runner runs side by side.
-    :param peers: shared by the runners of a pool.
+    :param slots: requests that the runner runs concurrently.
+    :param peers: the ratio that the runners of a pool share.
     """
 
     __slots__ = (
@@ -62,7 +68,7 @@
         "_history",
         "_others",
         "_own",
-        "_own_then",
+        "_own_at_report",
         "_peers",
         "_reported_at",
         "_slots",
@@ -76,7 +82,7 @@
         self._slots = max(1, slots)
         self._own = 0
         self._others = 0.0
-        self._own_then = 0
+        self._own_at_report = 0
         self._reported_at: float | None = None
         self._history: collections.deque[tuple[float, int]] = (
             collections.deque(maxlen=HISTORY_ENTRIES)
@@ -84,43 +90,43 @@
 
     @property
     def slots(self) -> int:
-        """Requests that the runner runs side by side."""
+        """Requests that the runner runs concurrently."""
         return self._slots
 
     @property
     def own(self) -> int:
-        """Requests that this VM has in flight there."""
+        """Requests of this VM that are in flight at the runner."""
         return self._own
 
     def started(self) -> None:
         """Count one more request of this VM."""
-        self._change(1)
+        self._change_own(1)
 
     def finished(self) -> None:
-        """Count one request less of this VM."""
-        self._change(-1)
+        """Count one request of this VM less."""
+        self._change_own(-1)
 
     def observe(self, report: models.LoadReport) -> None:
-        """Take in a report; one older than the last is dropped."""
+        """Apply a load report, unless a newer one was applied before."""
         taken_at = self._clock.now() - report.age_s
         if self._reported_at is not None and taken_at < self._reported_at:
             return
         self._reported_at = taken_at
         self._slots = max(1, report.slots or self._slots)
         total = report.running + report.waiting
-        self._own_then = self._own_at(taken_at)
-        self._others = max(0.0, float(total - self._own_then))
-        self._peers.observe(self._others, self._own_then)
+        self._own_at_report = self._own_at(taken_at)
+        self._others = max(0.0, float(total - self._own_at_report))
+        self._peers.observe(self._others, self._own_at_report)
 
     def in_flight(self, now: float) -> float:
-        """Requests expected at the runner now, from all VMs."""
-        if self._reported_at is None or now - self._reported_at > STALE_S:
+        """The estimated requests of all VMs at the runner now."""
+        if self._reported_at is None or now - self._reported_at > REPORT_TTL_S:
             return self._own
-        sent = self._own - self._own_then
-        grown = HERD_PART * self._peers.ratio * sent
-        return self._own + max(0.0, self._others + grown)
+        own_change = self._own - self._own_at_report
+        others_change = PEER_CHANGE_SHARE * self._peers.ratio * own_change
+        return self._own + max(0.0, self._others + others_change)
 
-    def _change(self, step: int) -> None:
+    def _change_own(self, step: int) -> None:
         now = self._clock.now()
         self._own = max(0, self._own + step)
         self._history.append((now, self._own))
@@ -128,7 +134,7 @@
             self._history.popleft()
 
     def _own_at(self, when: float) -> int:
-        """The own count at a moment of the past."""
+        """The number of own requests in flight at a past time."""
         index = bisect.bisect_right(
             self._history, when, key=lambda item: item[0]
         )
--- a/src/apricotlever/runners/pace.py
+++ b/src/apricotlever/runners/pace.py
@@ -1,64 +1,75 @@
-"""How fast a kind of runner works, learned from what was observed."""
+"""A latency model of a class of runners, learned from observed requests."""
 
 LEARNING_RATE = 0.05
-LEAST_PREFILL_TOKENS = 128
+MIN_PREFILL_TOKENS = 128
 DEFAULT_BASE_S = 0.03
-DEFAULT_PREFILL_S = 1 / 8000
-DEFAULT_DECODE_S = 0.03
+DEFAULT_PREFILL_S_PER_TOKEN = 1 / 8000
+DEFAULT_DECODE_S_PER_TOKEN = 0.03
 DEFAULT_HOLD_S = 3.0
-#: A sample counts at most this many times the value learned so far, so one
-#: request behind a pause doesn't spoil the estimate for all others.
-LARGEST_STEP = 4.0
-#: A full batch prefills this much slower than an empty one.
+#: A sample is capped at this multiple of the current estimate, so that one
+#: request delayed by a pause does not distort the estimate.
+MAX_SAMPLE_RATIO = 4.0
+#: Relative increase of the prefill time from an empty to a full batch.
 BATCH_SLOWDOWN = 0.5
 
 
-class Pace:
-    """Rates of the runners of one pool and machine class.
+class LatencyModel:
+    """Latencies of the runners of one pool and machine class.
 
-    Public slots, in seconds: ``base_s`` to the first token of a fully
-    cached prompt, ``prefill_s`` for a prompt token, ``decode_s`` for an
-    answer token, ``hold_s`` for which a request keeps its slot.
+    The public attributes are in seconds: ``base_s`` is the time to the first
+    token of a fully cached prompt, ``prefill_s_per_token`` the time for a
+    prompt token, ``decode_s_per_token`` the time for an answer token, and
+    ``hold_s`` the time for which a request occupies its slot.
     """
 
-    __slots__ = ("base_s", "prefill_s", "decode_s", "hold_s")
+    __slots__ = (
+        "base_s",
+        "prefill_s_per_token",
+        "decode_s_per_token",
+        "hold_s",
+    )
 
     def __init__(self) -> None:
         self.base_s = DEFAULT_BASE_S
-        self.prefill_s = DEFAULT_PREFILL_S
-        self.decode_s = DEFAULT_DECODE_S
+        self.prefill_s_per_token = DEFAULT_PREFILL_S_PER_TOKEN
+        self.decode_s_per_token = DEFAULT_DECODE_S_PER_TOKEN
         self.hold_s = DEFAULT_HOLD_S
 
-    def first_token(
+    def observe_first_token(
         self, seconds: float, uncached_tokens: int, fill: float
     ) -> None:
-        """Learn from a first token that did not wait in a queue.
+        """Learn from a first token of a request that did not queue.
 
-        :param uncached_tokens: that had to be prefilled.
-        :param fill: share of the runner's slots that were taken.
+        :param seconds: time from the start of the request to the token.
+        :param uncached_tokens: prompt tokens that had to be prefilled.
+        :param fill: share of the runner's slots that were in use.
         """
-        worked_s = seconds / (1.0 + BATCH_SLOWDOWN * min(1.0, fill))
-        if uncached_tokens < LEAST_PREFILL_TOKENS:
-            prefill_s = uncached_tokens * self.prefill_s
-            sample = max(0.0, worked_s - prefill_s)
-            self.base_s = _towards(self.base_s, sample)
+        unloaded_s = seconds / (1.0 + BATCH_SLOWDOWN * min(1.0, fill))
+        if uncached_tokens < MIN_PREFILL_TOKENS:
+            prefill_s = uncached_tokens * self.prefill_s_per_token
+            sample = max(0.0, unloaded_s - prefill_s)
+            self.base_s = _smoothed(self.base_s, sample)
             return
-        sample = max(0.0, worked_s - self.base_s) / uncached_tokens
-        self.prefill_s = _towards(self.prefill_s, sample)
+        sample = max(0.0, unloaded_s - self.base_s) / uncached_tokens
+        self.prefill_s_per_token = _smoothed(self.prefill_s_per_token, sample)
 
-    def finished(self, held_s: float, decoding_s: float, tokens: int) -> None:
-        """Learn from a request that ended well.
+    def observe_finished(
+        self, held_s: float, decoding_s: float, tokens: int
+    ) -> None:
+        """Learn from a request that was answered.
 
-        :param held_s: from the start to the end.
-        :param decoding_s: from the first token to the end.
-        :param tokens: of the answer, 0 when not known.
+        :param held_s: seconds from the start to the end.
+        :param decoding_s: seconds from the first token to the end.
+        :param tokens: tokens of the answer, 0 if unknown.
         """
-        self.hold_s = _towards(self.hold_s, held_s)
+        self.hold_s = _smoothed(self.hold_s, held_s)
         if tokens > 1:
-            self.decode_s = _towards(self.decode_s, decoding_s / (tokens - 1))
+            self.decode_s_per_token = _smoothed(
+                self.decode_s_per_token, decoding_s / (tokens - 1)
+            )
 
 
-def _towards(known: float, sample: float) -> float:
-    """Move an estimate a step towards a sample."""
-    capped = min(sample, LARGEST_STEP * known + 1e-9)
-    return known + LEARNING_RATE * (capped - known)
+def _smoothed(estimate: float, sample: float) -> float:
+    """The exponential moving average after a sample."""
+    capped = min(sample, MAX_SAMPLE_RATIO * estimate + 1e-9)
+    return estimate + LEARNING_RATE * (capped - estimate)
--- a/src/apricotlever/runners/policies.py
+++ b/src/apricotlever/runners/policies.py
@@ -1,8 +1,8 @@
-"""Ways to pick one of the runners that may take a query.
+"""Routing policies, which pick one of the runners that may take a query.
 
-A policy is registered under a name by :func:`policy`. It gets the query,
-the candidates with their expected figures, none of them unfit, and a seeded
-random source.
+A policy is registered under a name by :func:`policy`. It is created with a
+seeded random source, and receives the query and the usable candidates with
+their estimates.
 """
 
 import random
@@ -17,52 +17,55 @@
 
 
 class Policy(typing.Protocol):
-    """Picks one of at least one candidate."""
+    """Picks one runner from a non-empty list of candidates."""
 
     def pick(
         self, query: models.Query, candidates: Candidates, key: int | None
     ) -> candidates_.Candidate:
         """Pick the runner for a query.
 
-        :param key: the hash of the shortest prefix that no candidate is
-            known to hold, None for a prompt of less than one block.
+        :param key: hash of the shortest prefix that no candidate is known to
+            have cached; None for a prompt shorter than one block.
         """
 
 
-Factory = typing.Callable[[random.Random], Policy]
+PolicyFactory = typing.Callable[[random.Random], Policy]
 
-_FACTORIES: dict[str, Factory] = {}
+_FACTORIES: dict[str, PolicyFactory] = {}
 
-#: Parts of the latency target that the expectation may use up, the first
-#: that any runner meets. The rest is for what the expectation can't know:
-#: requests that other VMs sent since the last report.
+#: Shares of the latency target that the estimated latency may use. The first
+#: share that any runner meets applies. The rest is a margin for requests that
+#: other VMs sent since the last report, which the estimate does not include.
 TARGET_SHARES = (0.25, 0.5)
-#: Costs this close count as equal.
+#: Relative difference up to which costs are treated as equal.
 COST_TOLERANCE = 0.1
-#: First tokens this close count as equal when none meets the target.
+#: Relative difference up to which times to the first token are treated as
+#: equal when no runner meets the target.
 LATENCY_TOLERANCE = 0.1
-#: Cold prefixes go to runners filled at most this much above the average.
+#: Cold prefixes go to runners whose fill is at most this multiple of the
+#: average fill.
 LOAD_BOUND = 1.25
-#: Up to this part of its slots a runner counts as empty. Where a few requests
-#: are spread over a fleet, one more makes a runner look half as full again,
-#: and VMs that read reports of different ages place one prefix at different
-#: runners: three copies of a request that crashes its runner then take three
-#: runners with them. A batch that is a quarter full is an eighth slower than
-#: an empty one, about the tolerance of the other figures.
-LIGHT_FILL = 0.25
-#: Runners drawn beside the home of a prefix.
-DRAWN = 2
-#: Part of the latency target within which runners of the VM's own data centre
-#: are fast enough. They are busier than others then by little.
-NEAR_SHARE = 0.25
-#: How much of a prompt the policy ``prefix_hash`` looks at.
+#: Fill up to which a runner is treated as empty. When few requests are spread
+#: over a fleet, one more request raises a runner's fill by half, and VMs that
+#: read reports of different ages would send the same prefix to different
+#: runners: three copies of a request that crashes its runner would then crash
+#: three runners. A batch that is a quarter full is an eighth slower than an
+#: empty one, which is close to the other tolerances.
+LIGHT_LOAD_FILL = 0.25
+#: Runners sampled at random in addition to the home runner of a prefix.
+SAMPLE_SIZE = 2
+#: Share of the latency target within which a runner of the VM's own data
+#: centre is preferred to faster ones elsewhere. At this share, the own data
+#: centre's runners become only slightly busier than the others.
+LOCAL_TARGET_SHARE = 0.25
+#: Number of leading blocks that the policy ``prefix_hash`` hashes.
 HASHED_BLOCKS = 20
 
 
-def policy(name: str) -> typing.Callable[[Factory], Factory]:
-    """Register a policy's class, or any maker of one, under a name."""
+def policy(name: str) -> typing.Callable[[PolicyFactory], PolicyFactory]:
+    """Register a policy class or factory function under a name."""
 
-    def register(factory: Factory) -> Factory:
+    def register(factory: PolicyFactory) -> PolicyFactory:
         _FACTORIES[name] = factory
         return factory
 
@@ -70,22 +73,23 @@
 
 
 def names() -> tuple[str, ...]:
-    """The registered names in alphabetical order."""
+    """The names of the registered policies in alphabetical order."""
     return tuple(sorted(_FACTORIES))
 
 
-def make(name: str, rng: random.Random) -> Policy:
-    """A new policy.
+def create_policy(name: str, rng: random.Random) -> Policy:
+    """Create the policy that is registered under a name.
 
-    :raises KeyError: when no policy has the name.
+    :raises KeyError: if no policy has the name.
     """
     return _FACTORIES[name](rng)
 
 
-class _Drawing:
-    """A policy that draws among equals.
+class _RandomizedPolicy:
+    """Base class of the policies that choose at random.
 
-    :param rng: of this entry VM: VMs that drew alike would herd.
+    :param rng: the random source of this entry VM. It must differ between
+        VMs, which would otherwise all choose the same runner.
     """
 
     __slots__ = ("_rng",)
@@ -95,12 +99,12 @@
 
 
 @policy("cost_at_target")
-class CostAtTarget(_Drawing):
-    """The cheapest runner that meets the target, else the fastest.
+class CostAtTarget(_RandomizedPolicy):
+    """Picks the cheapest runner that meets the target, else the fastest.
 
     Runners that are equal within a tolerance are ranked by rendezvous
-    hashing of the prefix, so entry VMs that share no knowledge send the same
-    prefix to the same runner.
+    hashing of the prefix, so that entry VMs send the same prefix to the same
+    runner without communication.
     """
 
     __slots__ = ()
@@ -109,38 +113,39 @@
         self, query: models.Query, candidates: Candidates, key: int | None
     ) -> candidates_.Candidate:
         """Pick the runner for a query."""
-        meeting = _meeting(query.wanted_first_token_s, candidates)
+        meeting = _meeting_target(query.wanted_first_token_s, candidates)
         if meeting:
             limit = min(c.cost for c in meeting) * (1 + COST_TOLERANCE)
             near = [c for c in meeting if c.cost <= limit]
         else:
-            limit = min(c.first_s for c in candidates)
+            limit = min(c.first_token_s for c in candidates)
             limit *= 1 + LATENCY_TOLERANCE
-            near = [c for c in candidates if c.first_s <= limit]
+            near = [c for c in candidates if c.first_token_s <= limit]
         if len(near) == 1:
             return near[0]
         if key is None:
-            return self._emptier(near)
-        return rendezvous(key, _within_bound(near))
+            return self._less_filled_of_two(near)
+        return rendezvous(key, _within_load_bound(near))
 
-    def _emptier(self, near: Candidates) -> candidates_.Candidate:
-        """The less filled of two at random, so VMs don't herd."""
+    def _less_filled_of_two(self, near: Candidates) -> candidates_.Candidate:
+        """The less filled of two random runners, so that VMs do not herd."""
         first, second = self._rng.sample(near, 2)
         return first if first.fill <= second.fill else second
 
 
 @policy("home_or_faster")
-class HomeOrFaster(_Drawing):
-    """The home of the shared prefix, unless one of two others is faster.
-
-    The home is the runner that all VMs pick for the prefix by its hash, so
-    it likely holds the prefix whoever sent it there. Only two others are
-    looked at, drawn at random: VMs that see the same old figures would all
-    send to the one runner that looked idle.
-
-    The two are of this VM's data centre, as long as one of those or the home
-    answers well within the target: bytes between data centres have a price,
-    and of fewer runners each is called again while a connection is kept.
+class HomeOrFaster(_RandomizedPolicy):
+    """Picks the home runner of the prefix, unless one of two is faster.
+
+    All VMs select the home runner by the hash of the shared prefix, so it
+    probably has the prefix cached, whichever VM sent it there. It is compared
+    with two runners sampled at random only: VMs that see the same outdated
+    figures would otherwise all send to the one runner that seemed idle.
+
+    The two runners are from this VM's data centre, as long as one of them or
+    the home runner answers well within the target. Traffic between data
+    centres is charged, and with fewer runners each is called again while a
+    connection to it is still open.
     """
 
     __slots__ = ()
@@ -149,21 +154,24 @@
         self, query: models.Query, candidates: Candidates, key: int | None
     ) -> candidates_.Candidate:
         """Pick the runner for a query."""
-        looked_at = [c for c in candidates if c.is_home]
-        near = [c for c in candidates if c.is_near]
-        if len(near) >= DRAWN:
-            looked_at += self._rng.sample(near, DRAWN)
-            best = min(looked_at, key=lambda c: c.first_s)
-            if best.first_s <= NEAR_SHARE * query.wanted_first_token_s:
+        compared = [c for c in candidates if c.is_home]
+        near = [c for c in candidates if c.is_local]
+        if len(near) >= SAMPLE_SIZE:
+            compared += self._rng.sample(near, SAMPLE_SIZE)
+            best = min(compared, key=lambda c: c.first_token_s)
+            if (
+                best.first_token_s
+                <= LOCAL_TARGET_SHARE * query.wanted_first_token_s
+            ):
                 return best
-        count = min(DRAWN, len(candidates))
-        looked_at += self._rng.sample(list(candidates), count)
-        return min(looked_at, key=lambda c: c.first_s)
+        count = min(SAMPLE_SIZE, len(candidates))
+        compared += self._rng.sample(list(candidates), count)
+        return min(compared, key=lambda c: c.first_token_s)
 
 
 @policy("random")
-class Random(_Drawing):
-    """Any runner with equal chance."""
+class Random(_RandomizedPolicy):
+    """Picks a random runner."""
 
     __slots__ = ()
 
@@ -176,7 +184,7 @@
 
 @policy("round_robin")
 class RoundRobin:
-    """Each runner in turn."""
+    """Picks the runners in turn."""
 
     __slots__ = ("_turn",)
 
@@ -192,8 +200,8 @@
 
 
 @policy("least_in_flight")
-class LeastInFlight(_Drawing):
-    """The runner with the fewest requests of this VM."""
+class LeastInFlight(_RandomizedPolicy):
+    """Picks the runner with the fewest requests of this VM in flight."""
 
     __slots__ = ()
 
@@ -206,8 +214,8 @@
 
 
 @policy("prefix_hash")
-class PrefixHash(_Drawing):
-    """Rendezvous hashing of the prompt's beginning, whatever the load."""
+class PrefixHash(_RandomizedPolicy):
+    """Picks by rendezvous hashing of the leading blocks, whatever the load."""
 
     __slots__ = ()
 
@@ -221,23 +229,23 @@
         return rendezvous(query.blocks[last], candidates)
 
 
-def _meeting(target_s: float, candidates: Candidates) -> Candidates:
-    """Those that meet the smallest share of the target that any meets."""
-    fastest_s = min(c.first_s for c in candidates)
+def _meeting_target(target_s: float, candidates: Candidates) -> Candidates:
+    """The candidates within the smallest target share that any one meets."""
+    fastest_s = min(c.first_token_s for c in candidates)
     for share in TARGET_SHARES:
         within_s = target_s * share
         if fastest_s <= within_s:
-            return [c for c in candidates if c.first_s <= within_s]
+            return [c for c in candidates if c.first_token_s <= within_s]
     return []
 
 
-def _within_bound(near: Candidates) -> Candidates:
+def _within_load_bound(near: Candidates) -> Candidates:
     bound = LOAD_BOUND * sum(c.fill for c in near) / len(near)
-    bound = max(bound, LIGHT_FILL)
+    bound = max(bound, LIGHT_LOAD_FILL)
     return [c for c in near if c.fill <= bound] or near
 
 
 def rendezvous(key: int, candidates: Candidates) -> candidates_.Candidate:
-    """The candidate that all VMs pick for a key."""
+    """The candidate that every VM selects for a key by rendezvous hashing."""
     digest = xxhash.xxh64_intdigest
     return max(candidates, key=lambda c: digest(c.name_bytes, seed=key))
--- a/src/apricotlever/runners/prefix.py
+++ b/src/apricotlever/runners/prefix.py
@@ -1,9 +1,10 @@
-"""Which prompt prefixes the runners likely hold in their caches.
+"""An index of the prompt prefixes that runners probably have cached.
 
-A prompt is cut into blocks, and each block's hash is seeded by the hash of
-the block before it, so one hash names a whole prefix. The index learns from
-this VM's own routing before the runner confirms anything, and is corrected
-by the runners' cache events, which come late and with gaps.
+A prompt is divided into blocks, and each block's hash is seeded with the
+hash of the previous block, so that one hash identifies a whole prefix. The
+index is updated when this VM routes a prompt, before the runner confirms
+anything, and is corrected by the runners' cache events, which arrive late
+and with gaps.
 """
 
 import collections
@@ -23,7 +24,8 @@
 def prompt_text(body: typing.Mapping[str, typing.Any]) -> str:
     """The text that an engine prefills for an OpenAI-style body.
 
-    :param body: of ``/v1/completions`` or ``/v1/chat/completions``.
+    :param body: the body of a request to ``/v1/completions`` or
+        ``/v1/chat/completions``.
     """
     messages = body.get("messages")
     if not isinstance(messages, list):
@@ -36,9 +38,9 @@
 
 
 def blocks_of(model: str, text: str) -> tuple[int, ...]:
-    """The chain of hashes of the full blocks of a prompt.
+    """The hash chain of the full blocks of a prompt.
 
-    :param model: seeds the chain, so that models never share a hash.
+    :param model: the seed of the chain, so that models do not share hashes.
     """
     data = text.encode()
     digest = xxhash.xxh64_intdigest(model.encode())
@@ -55,10 +57,10 @@
     parts: typing.Iterable[tuple[str, int]],
     before: tuple[int, ...] = (),
 ) -> tuple[int, ...]:
-    """The chain of hashes of a prompt that is declared in named parts.
+    """The hash chain of a prompt that is declared in named parts.
 
-    :param parts: name and tokens of each part, in order.
-    :param before: the chain of the parts before them.
+    :param parts: name and number of tokens of each part, in order.
+    :param before: the hash chain of the preceding parts.
     """
     chain = list(before)
     digest = before[-1] if before else 0
@@ -71,36 +73,47 @@
 
 
 def tokens_of(text: str) -> int:
-    """The prompt tokens that a text counts for."""
+    """The estimated number of prompt tokens of a text."""
     return -(-len(text.encode()) // BYTES_PER_TOKEN)
 
 
 class _Claims:
-    """The blocks that one runner likely holds, the least recent first."""
+    """The blocks that one runner probably has cached.
 
-    __slots__ = ("bit", "blocks", "capacity", "doubt", "next_seq", "removed")
+    The blocks are ordered by their last confirmation, the oldest first.
+    """
+
+    __slots__ = (
+        "bit",
+        "blocks",
+        "capacity",
+        "eviction_doubt",
+        "next_seq",
+        "mean_removed",
+    )
 
     def __init__(self, bit: int, capacity: int) -> None:
         self.bit = bit
-        #: Block to the doubt at the time when the claim was last confirmed.
+        #: Maps each block to ``eviction_doubt`` at its last confirmation.
         self.blocks: collections.OrderedDict[int, float] = (
             collections.OrderedDict()
         )
         self.capacity = capacity
-        self.doubt = 0.0
+        #: Sum of ``-log(1 - p)`` over all gaps in the events, where ``p`` is
+        #: the estimated share of the blocks that were evicted in a gap.
+        self.eviction_doubt = 0.0
         self.next_seq = 0
-        #: Moving average of the blocks removed by one event.
-        self.removed = 0.5
+        #: Moving average of the number of blocks removed by one event.
+        self.mean_removed = 0.5
 
 
 class PrefixIndex:
-    """Claims of the form "this runner holds this prefix", in bounded memory.
+    """Claims that a runner has a prefix cached, in bounded memory.
 
-    Each known block has a bit mask of the runners that claim it, so a lookup
-    walks the chain once for all runners together.
+    Each known block has a bit mask of the runners that claim it, so that a
+    lookup walks the hash chain only once for all runners.
 
-    :param blocks_per_runner: claims kept for a runner whose cache size is
-        not known.
+    :param blocks_per_runner: the maximum number of claims for a runner.
     """
 
     __slots__ = ("_blocks_per_runner", "_claims", "_free_bits", "_holders")
@@ -115,11 +128,11 @@
 
     @property
     def claims(self) -> int:
-        """How many pairs of runner and block are claimed."""
+        """The number of claimed pairs of runner and block."""
         return sum(len(claims.blocks) for claims in self._claims.values())
 
     def add_runner(self, runner: str) -> None:
-        """Start to keep claims for a runner; known ones stay as they are."""
+        """Start to track a runner, unless it is already tracked."""
         if runner in self._claims:
             return
         number = (
@@ -128,15 +141,15 @@
         self._claims[runner] = _Claims(1 << number, self._blocks_per_runner)
 
     def remove_runner(self, runner: str) -> None:
-        """Forget a runner and all that it claimed."""
+        """Stop tracking a runner and drop its claims."""
         claims = self._claims.pop(runner, None)
         if claims is None:
             return
         self._drop(claims, list(claims.blocks))
         self._free_bits.append(claims.bit.bit_length() - 1)
 
-    def forget(self, runner: str) -> None:
-        """Drop a runner's claims, as after a restart with an empty cache."""
+    def clear_runner(self, runner: str) -> None:
+        """Drop a runner's claims after it restarted with an empty cache."""
         claims = self._claims.get(runner)
         if claims is not None:
             self._drop(claims, list(claims.blocks))
@@ -150,7 +163,7 @@
             self._shrink(claims)
 
     def routed(self, runner: str, blocks: tuple[int, ...]) -> None:
-        """Claim the blocks of a prompt that was just sent to a runner."""
+        """Claim the blocks of a prompt that was sent to a runner."""
         claims = self._claims.get(runner)
         if claims is not None:
             self._claim(claims, blocks)
@@ -158,28 +171,29 @@
     def observe(self, runner: str, answer: models.CacheEvents) -> None:
         """Correct the claims by a runner's cache events.
 
-        A gap hides removals. Without the doubt that it adds, claims for
-        blocks evicted in the gap would draw requests to a runner that has to
-        compute them anew, until the index happened to forget them.
+        A gap in the events may hide removals, so it lowers the confidence in
+        all earlier claims. Otherwise claims for evicted blocks would attract
+        requests to a runner that has to recompute them, until the index
+        dropped the claims for lack of space.
         """
         claims = self._claims.get(runner)
         if claims is None:
             return
         if answer.last + 1 < claims.next_seq:
-            self.forget(runner)
+            self.clear_runner(runner)
         for event in answer.events:
             if event.seq >= claims.next_seq:
-                self._doubt(claims, event.seq - claims.next_seq)
+                self._add_eviction_doubt(claims, event.seq - claims.next_seq)
                 claims.next_seq = event.seq + 1
                 self._apply(claims, event)
         if answer.last >= claims.next_seq:
-            self._doubt(claims, answer.last + 1 - claims.next_seq)
+            self._add_eviction_doubt(claims, answer.last + 1 - claims.next_seq)
             claims.next_seq = answer.last + 1
 
     def depths(self, blocks: tuple[int, ...]) -> dict[int, int]:
-        """How many leading blocks each runner claims.
+        """The number of leading blocks that each runner claims.
 
-        :returns: depth by the runner's bit; absent runners claim none.
+        :returns: depth by the runner's bit, without runners of depth 0.
         """
         holders = self._holders
         mask = -1
@@ -189,54 +203,56 @@
             held = mask & holders.get(block, 0)
             if held != mask:
                 if depth:
-                    _note(found, mask & ~held, depth)
+                    _set_depth(found, mask & ~held, depth)
                 if not held:
                     return found
                 mask = held
             depth += 1
         if depth:
-            _note(found, mask, depth)
+            _set_depth(found, mask, depth)
         return found
 
     def expected(self, blocks: tuple[int, ...]) -> dict[str, float]:
-        """The number of leading blocks that each runner likely holds.
+        """The expected number of leading blocks in each runner's cache.
 
-        :returns: only runners that claim at least one block.
+        :returns: blocks by runner, for runners that claim at least one.
         """
         depths = self.depths(blocks)
         if not depths:
             return {}
-        likely: dict[str, float] = {}
+        expected_blocks: dict[str, float] = {}
         for name, claims in self._claims.items():
             depth = depths.get(claims.bit)
             if depth is None:
                 continue
-            likely[name] = depth
-            if claims.doubt:
-                doubt = claims.doubt - claims.blocks[blocks[depth - 1]]
-                likely[name] = depth * math.exp(-doubt)
-        return likely
+            expected_blocks[name] = depth
+            if claims.eviction_doubt:
+                doubt = (
+                    claims.eviction_doubt - claims.blocks[blocks[depth - 1]]
+                )
+                expected_blocks[name] = depth * math.exp(-doubt)
+        return expected_blocks
 
     def _apply(self, claims: _Claims, event: models.CacheEvent) -> None:
         removed = 0 if event.stored else len(event.blocks)
-        claims.removed += 0.05 * (removed - claims.removed)
+        claims.mean_removed += 0.05 * (removed - claims.mean_removed)
         if event.stored:
             self._claim(claims, event.blocks)
         else:
             self._drop(claims, [b for b in event.blocks if b in claims.blocks])
 
-    def _doubt(self, claims: _Claims, missed: int) -> None:
-        """Count events that were missed as possible removals."""
+    def _add_eviction_doubt(self, claims: _Claims, missed: int) -> None:
+        """Lower the confidence in a runner's claims after missed events."""
         if missed <= 0 or not claims.blocks:
             return
-        lost = min(0.9, missed * claims.removed / len(claims.blocks))
-        claims.doubt -= math.log1p(-lost)
+        lost = min(0.9, missed * claims.mean_removed / len(claims.blocks))
+        claims.eviction_doubt -= math.log1p(-lost)
 
     def _claim(self, claims: _Claims, blocks: tuple[int, ...]) -> None:
         holders = self._holders
         known = claims.blocks
         for block in reversed(blocks):
-            known[block] = claims.doubt
+            known[block] = claims.eviction_doubt
             known.move_to_end(block)
             holders[block] = holders.get(block, 0) | claims.bit
         self._shrink(claims)
@@ -251,15 +267,15 @@
         holders = self._holders
         for block in blocks:
             del claims.blocks[block]
-            left = holders[block] & ~claims.bit
-            if left:
-                holders[block] = left
+            remaining = holders[block] & ~claims.bit
+            if remaining:
+                holders[block] = remaining
             else:
                 del holders[block]
 
 
-def _note(found: dict[int, int], mask: int, depth: int) -> None:
-    """Record the depth for each runner whose bit is in the mask."""
+def _set_depth(found: dict[int, int], mask: int, depth: int) -> None:
+    """Set the depth of each runner whose bit is in the mask."""
     while mask:
         bit = mask & -mask
         found[bit] = depth
--- a/tests/runners/health.feature
+++ b/tests/runners/health.feature
@@ -1,35 +1,34 @@
-Feature: Circuit of a runner
+Feature: Circuit breaker of a runner
 
-  Scenario: It opens after failures in a row, and only then
+  Scenario: It opens only after consecutive failures
     Given a runner's circuit
-    When it sees the ends "FFSFF"
+    When requests end with "FFSFF"
     Then the circuit is closed
-    When it sees the ends "F"
+    When requests end with "F"
     Then the circuit is open
 
-  Scenario: One probe at a time closes it
+  Scenario: It allows one probe at a time and closes when the probe succeeds
     Given a runner's circuit
-    When it sees the ends "FFF"
+    When requests end with "FFF"
     And the open time of the circuit passes
     Then the circuit allows one probe and not a second one
-    When it sees the ends "S"
+    When requests end with "S"
     Then the circuit is closed
     And the runner starts slowly again
 
-  Scenario: Probes that fail come further and further apart
+  Scenario: The interval between failing probes increases
     Given a runner's circuit
-    When it sees the ends "FFF"
+    When requests end with "FFF"
     Then each failed probe keeps the circuit open longer, up to 38 seconds
 
-  Scenario: A probe whose end was never told
-    Symptom: a healthy runner gets no request for good.
-    Events: a probe goes out; the VM loses its end.
-    Cause: the half-open circuit waits for a probe that nobody remembers.
+  Scenario: A probe whose end is never reported
+    Guards against a healthy runner that never gets requests again, because
+    the half-open circuit waits for a probe whose end was lost.
     Given a runner's circuit
-    When it sees the ends "FFF"
+    When requests end with "FFF"
     And the open time of the circuit passes
-    And a probe goes out and its end is lost for 31 seconds
+    And a probe is sent and its end is not reported for 31 seconds
     Then the circuit allows one probe and not a second one
 
-  Scenario: The circuit agrees with a plain one
+  Scenario: The circuit agrees with a plain count of failures
     Then a circuit is closed exactly when a plain count says so
--- a/tests/runners/load.feature
+++ b/tests/runners/load.feature
@@ -1,18 +1,17 @@
 Feature: Load of a runner
 
-  Scenario: Own requests since a report are counted
-    Then a lagged load report is corrected by any own requests since
+  Scenario: Own requests sent since a report are counted
+    Then an old load report is corrected by any own requests sent since
 
-  Scenario: A report that is believed as it stands
-    Symptom: a runner gets more requests than it has slots, then none.
-    Events: 8 requests are sent, then a report from before them arrives.
-    Cause: the report doesn't know of the requests sent since.
+  Scenario: A report that does not include recent requests
+    Guards against alternately overloading and idling a runner. A report
+    that was made before 8 requests were sent arrives after them.
     Given a runner's load with 8 own requests sent 1 second ago
     When a load report of 2 seconds ago says that it was idle
     Then its load counts 8 in flight
     But the load as reported counts 0 in flight
 
-  Scenario: An older report that comes late is dropped
+  Scenario: An older report that arrives late is ignored
     Given a runner's load with 0 own requests sent 1 second ago
     When a load report of 1 seconds ago says that 5 were running
     And a load report of 3 seconds ago says that 9 were running
@@ -24,7 +23,7 @@
     And no load report comes for 60 seconds
     Then its load counts 2 in flight
 
-  Scenario: Other VMs follow the same reports
-    Given a runner's load that others use 6 times as much as this VM
-    When this VM sends 4 more requests there after the last load report
+  Scenario: The requests of other VMs that use the same reports are estimated
+    Given a runner to which other VMs send 6 times as much as this VM
+    When this VM sends the runner 4 more requests after the last load report
     Then its load counts more than 4 requests more than before
--- a/tests/steps/runners_health.py
+++ b/tests/steps/runners_health.py
@@ -19,11 +19,13 @@
 @given("a runner's circuit")
 def _circuit(context):
     context.clock = clocks.ManualClock()
-    context.health = health.Health(context.clock, random.Random(1), warm=True)
+    context.health = health.CircuitBreaker(
+        context.clock, random.Random(1), warm=True
+    )
 
 
-@when('it sees the ends "{ends}"')
-def _ends(context, ends):
+@when('requests end with "{ends}"')
+def _requests_end(context, ends):
     for end in ends:
         context.health.started()
         if end == "S":
@@ -33,11 +35,11 @@
 
 
 @when("the open time of the circuit passes")
-def _passes(context):
+def _open_time_passes(context):
     context.clock.advance(context.health.open_until - context.clock.now())
 
 
-@when("a probe goes out and its end is lost for {seconds:d} seconds")
+@when("a probe is sent and its end is not reported for {seconds:d} seconds")
 def _lost_probe(context, seconds):
     context.health.started()
     context.clock.advance(seconds)
@@ -56,25 +58,25 @@
 
 
 @then("the runner starts slowly again")
-def _slow(context):
+def _slow_start(context):
     now = context.clock.now()
-    assert context.health.share(now) == health.SLOW_START_SHARE
-    assert context.health.share(now + health.SLOW_START_S) == 1.0
+    assert context.health.slot_share(now) == health.SLOW_START_SHARE
+    assert context.health.slot_share(now + health.SLOW_START_S) == 1.0
 
 
 @then("each failed probe keeps the circuit open longer, up to 38 seconds")
-def _backoff(context):
+def _probe_backoff(context):
     waits = []
     for _ in range(8):
         waits.append(context.health.open_until - context.clock.now())
-        _passes(context)
-        _ends(context, "F")
+        _open_time_passes(context)
+        _requests_end(context, "F")
     assert waits[0] < 1.3 and 22.0 < waits[-1] <= 37.5
     assert all(later > 0.9 * sooner for sooner, later in zip(waits, waits[1:]))
 
 
 @then("a circuit is closed exactly when a plain count says so")
-def _plain(context):
+def _agrees_with_count(context):
     @SETTINGS
     @hypothesis.given(
         strategies.lists(
@@ -88,7 +90,7 @@
         opened = False
         for succeeded, pause_s in ends:
             context.clock.advance(pause_s)
-            _ends(context, "S" if succeeded else "F")
+            _requests_end(context, "S" if succeeded else "F")
             in_a_row = 0 if succeeded else in_a_row + 1
             opened = not succeeded and (
                 opened or in_a_row >= health.FAILURES_TO_OPEN
--- a/tests/steps/runners_prefix.py
+++ b/tests/steps/runners_prefix.py
@@ -28,7 +28,7 @@
 
 
 @then("two prompts share exactly the prefix hashes of their common blocks")
-def _shared(context):
+def _shared_hashes(context):
     @SETTINGS
     @hypothesis.given(
         strategies.binary(max_size=1200), strategies.integers(0, 1300)
@@ -52,7 +52,7 @@
 
 
 @then("prefix claims equal those of plain sets after any complete events")
-def _same_claims(context):
+def _equal_claims(context):
     @SETTINGS
     @hypothesis.given(STEPS, CHAINS)
     def check(steps, asked):
@@ -79,7 +79,7 @@
 
 
 @given("a prefix index of {blocks:d} blocks for each of 3 runners")
-def _small(context, blocks):
+def _bounded_index(context, blocks):
     context.index = prefix.PrefixIndex(blocks)
     for runner in RUNNERS:
         context.index.add_runner(runner)
@@ -95,12 +95,12 @@
 
 
 @then("the prefix index holds at most {count:d} claims")
-def _bounded(context, count):
+def _claim_limit(context, count):
     assert 0 < context.index.claims <= count
 
 
 @given("a runner whose cache held {count:d} blocks of a prefix")
-def _held(context, count):
+def _cached_prefix(context, count):
     context.blocks = tuple(range(1, count + 1))
     context.index = prefix.PrefixIndex()
     context.plain = naive.PrefixSets()
@@ -115,27 +115,27 @@
 
 
 @when("{count:d} of its cache events, half of them removals, are lost")
-def _lost(context, count):
+def _lost_events(context, count):
     event = models.CacheEvent(40 + count, True, (5000,))
     context.index.observe("a", models.CacheEvents((event,), event.seq))
 
 
 @when("its cache events start again from the first number")
-def _restart(context):
+def _events_restart(context):
     event = models.CacheEvent(0, True, (5000,))
     context.index.observe("a", models.CacheEvents((event,), 0))
 
 
 @then("the prefix index expects less than {count:d} of the blocks")
-def _less(context, count):
+def _expects_less(context, count):
     assert context.index.expected(context.blocks)["a"] < count
 
 
 @then("the plain sets still expect {count:d} of the blocks")
-def _plain(context, count):
+def _sets_expect(context, count):
     assert context.plain.depth("a", context.blocks) == count
 
 
 @then("the prefix index expects none of the blocks")
-def _none(context):
+def _expects_none(context):
     assert not context.index.expected(context.blocks)
--- a/tests/steps/runners_routing.py
+++ b/tests/steps/runners_routing.py
@@ -51,8 +51,8 @@
     return routers
 
 
-@then("each route agrees with a plain reckoning of all runners")
-def _reckoning(context):
+@then("each route agrees with a plain calculation over all runners")
+def _agrees_with_calculation(context):
     runner = strategies.tuples(
         strategies.sampled_from((1.0, 1.05, 1.5, 2.0)),
         strategies.integers(1, 8),
@@ -80,9 +80,9 @@
                 router.started(name, runner_.name, _query(tokens=0))
             event = models.CacheEvent(0, True, blocks[:cached])
             router.observe_cache(runner_.name, models.CacheEvents((event,), 0))
-            figures[runner_.name] = naive.Figures(runner_, query, own, cached)
+            figures[runner_.name] = naive.Estimate(runner_, query, own, cached)
         route = router.choose(query)
-        assert naive.fits(route.runner.name, figures, target_s)
+        assert naive.is_valid_choice(route.runner.name, figures, target_s)
         figure = figures[route.runner.name]
         assert abs(figure.first_s - route.expected_first_token_s) < 1e-9
 
@@ -90,7 +90,7 @@
 
 
 @then("own requests at each runner equal a plain count after any steps")
-def _count(context):
+def _agrees_with_count(context):
     step = strategies.tuples(
         strategies.sampled_from(("start", "first", *models.Outcome)),
         strategies.integers(0, 5),
@@ -119,20 +119,20 @@
     check()
 
 
-@given("{routers:d} routers that don't talk and {n:d} runners of one price")
-def _some(context, routers, n):
+@given("{routers:d} independent routers and {n:d} runners of one price")
+def _several_routers(context, routers, n):
     context.runners = [_runner(number) for number in range(n)]
     context.routers = _routers(routers, context.runners)
     context.router = context.routers[0]
 
 
 @given("1 router and {n:d} runners of one price")
-def _one(context, n):
-    _some(context, 1, n)
+def _one_router(context, n):
+    _several_routers(context, 1, n)
 
 
 @when("router 1 sends a prompt of {count:d} blocks")
-def _send(context, count):
+def _send_prompt(context, count):
     query = _query(tuple(range(count)), 64 * count)
     context.sent = context.router.choose(query).runner.name
     context.router.started("first", context.sent, query)
@@ -146,7 +146,7 @@
     assert route.cached_blocks == 40
 
 
-def _agreed(routers):
+def _agreements(routers):
     cold = [_query((n, n + 1000), 128) for n in range(100)]
     return [
         len({router.choose(query).runner.name for router in routers}) == 1
@@ -154,21 +154,21 @@
     ]
 
 
-@then("all the routers send 100 cold prefixes to one runner each")
-def _agree(context):
-    assert all(_agreed(context.routers))
+@then("all routers agree on the runner of each of 100 cold prefixes")
+def _routers_agree(context):
+    assert all(_agreements(context.routers))
 
 
-@then('with the policy "random" they don\'t')
-def _disagree(context):
-    assert not all(_agreed(_routers(5, context.runners, "random")))
+@then('with the policy "random" they disagree')
+def _routers_disagree(context):
+    assert not all(_agreements(_routers(5, context.runners, "random")))
 
 
 @when(
     "each router has seen {least:d} to {most:d} requests of {slots:d} at each "
     "runner"
 )
-def _light(context, least, most, slots):
+def _light_loads(context, least, most, slots):
     for number, router in enumerate(context.routers):
         rng = random.Random(number)
         for runner in context.runners:
@@ -178,19 +178,19 @@
 
 
 @when("runner {number:d} is leaving and the list still shows it")
-def _leaving(context, number):
+def _runner_leaving(context, number):
     context.router.leaving(f"r{number}", 30.0)
     context.router.set_runners(context.runners)
 
 
 @when("runner {number:d} is gone and the list still shows it")
-def _gone(context, number):
+def _runner_gone(context, number):
     context.router.gone(f"r{number}")
     context.router.set_runners(context.runners)
 
 
-@when("the list drops and shows runner {number:d} again")
-def _flap(context, number):
+@when("the list omits and then shows runner {number:d} again")
+def _list_flaps(context, number):
     rest = [r for r in context.runners if r.name != f"r{number}"]
     context.router.set_runners(rest)
     context.router.set_runners(context.runners)
@@ -211,7 +211,7 @@
 
 
 @then("a query that excludes all but runner 1 goes to runner 1")
-def _excluding(context):
+def _exclude_all_but_one(context):
     excluded = frozenset({"r0", "r2"})
     for seed in range(20):
         route = context.router.choose(_query((seed,), 64, excluded))
@@ -219,14 +219,14 @@
 
 
 @then("a query that excludes all runners has no route")
-def _excluding_all(context):
+def _exclude_all(context):
     excluded = frozenset(r.name for r in context.runners)
     answer = context.router.choose(_query(excluded=excluded))
     assert answer.reason is models.NoRunnerReason.ALL_EXCLUDED
 
 
 @when("runner 3 refuses each request and 200 requests come in 10 seconds")
-def _refusing(context):
+def _refusing_runner(context):
     context.went = collections.Counter()
     router = context.router
     for number in range(200):
@@ -240,7 +240,7 @@
 
 
 @then("at most {count:d} of them went to runner 3")
-def _few(context, count):
+def _few_requests(context, count):
     assert 0 < context.went["r3"] <= count
 
 
@@ -275,12 +275,12 @@
 @then(
     "of 70 prompts sent before the next report at most {most:d} go to runner 4"
 )
-def _herd(context, most):
+def _limited_herding(context, most):
     assert _share_of(context.routers, "r4") <= most
 
 
 @then('with the policy "test_reported_idlest" all of them do')
-def _naive_herd(context):
+def _naive_herding(context):
     routers = _routers(7, context.runners, "test_reported_idlest")
     for router in routers:
         router._policy.reports = {f"r{n}": 10.0 for n in range(9)}
@@ -289,7 +289,7 @@
 
 
 @given("a router of data centre a, and {n:d} runners in each of a, b and c")
-def _places(context, n):
+def _three_data_centres(context, n):
     context.clock = clocks.ManualClock()
     context.router = routing.Router(
         context.clock, random.Random(1), "vm", "a", "home_or_faster"
@@ -304,8 +304,8 @@
     context.went = collections.Counter()
 
 
-def _prompts(context, count):
-    """Send prompts that end before the next one comes."""
+def _send_prompts(context, count):
+    """Send prompts, each of which ends before the next one starts."""
     for number in range(count):
         route = context.router.choose(_query(tokens=500))
         name = route.runner.name
@@ -318,7 +318,7 @@
 
 @when("{count:d} prompts come while all runners are idle")
 def _idle_runners(context, count):
-    _prompts(context, count)
+    _send_prompts(context, count)
 
 
 @when(
@@ -332,7 +332,7 @@
             if runner.data_centre == "a"
         }
     )
-    _prompts(context, count)
+    _send_prompts(context, count)
 
 
 @when("{count:d} prompts come after all runners in a but one have gone")
@@ -343,19 +343,19 @@
         if runner.data_centre != "a" or name == "ra0"
     ]
     context.router.set_runners(left)
-    _prompts(context, count)
+    _send_prompts(context, count)
 
 
 @then("all of them went to runners in a")
-def _all_near(context):
+def _all_local(context):
     assert set(context.went) == {"a"}, context.went
 
 
 @then("at least {least:d} of them went to runners in b or c")
-def _left(context, least):
+def _most_remote(context, least):
     assert context.went["b"] + context.went["c"] >= least, context.went
 
 
-@then("runners in b and c got calls, and the one in a did, too")
-def _spread(context):
+@then("runners in b and c got calls, and so did the one in a")
+def _all_data_centres(context):
     assert all(context.went[place] for place in "abc"), context.went
