--- a/src/apricotlever/runners/outliers.py
+++ b/src/apricotlever/runners/outliers.py
@@ -1,11 +1,11 @@
-"""Tells runners that fail part of their calls from services that do.
-
-A runner may fail four calls in ten while its health check is good and its
-answers to the rest are fast. Failures in a row hardly happen then, so a
-circuit breaker that counts them stays closed. What shows it is the share of
-failures of all VMs' calls, beside that of the service's other runners: when
-all fail alike, the service does, and taking runners out would only leave
-fewer of them.
+"""Outlier detection: ejects runners that fail part of their calls.
+
+A runner may fail four calls in ten although its health check passes and it
+answers the other calls fast. Consecutive failures are rare then, so a
+circuit breaker that counts them stays closed. Such a runner is detected by
+its failure share over the calls of all VMs, compared with the other runners
+of its service. If all runners fail alike, the fault is in the service, and
+ejecting runners would only reduce its capacity.
 """
 
 import collections
@@ -17,93 +17,95 @@
 
 from . import totals
 
-#: Over which calls are counted, in seconds.
+#: The time over which calls are counted, in seconds.
 WINDOW_S = 4.0
-#: A single failure may be chance.
-LEAST_FAILURES = 2
-#: So rarely may chance alone bring as many failures as a runner shows, at the
-#: share of the service's middle runner. Each runner is looked at ten times a
-#: second, on calls that are mostly the same ones.
-CHANCE = 0.003
-#: The share of failures that a service's middle runner counts with at least:
-#: of few calls none failing proves little.
-LEAST_MIDDLE_SHARE = 0.02
-#: Fewer failed calls of all are part of an ordinary day.
-LEAST_SHARE = 0.15
-#: How long a runner is left out for the first time; doubled each time that it
-#: is found again soon after. Nothing is learned of it meanwhile.
-FIRST_OUT_S = 3.0
-LONGEST_OUT_S = 24.0
-#: A runner that did well for so long after its return begins anew.
-FORGIVEN_S = 10.0
-#: At most this part of a service's runners is left out at once.
-MOST_OUT_PART = 0.34
-
-#: For how long the counts of an aggregator stand for those of all VMs, in
-#: seconds after they came.
-SUMMED_S = 2.0
+#: Failures from which a runner may be ejected; a single one may be chance.
+MIN_FAILURES = 2
+#: A runner is ejected if the probability of at least as many failures, at the
+#: median failure share of the service's other runners, is at most this. The
+#: level is low because each runner is tested ten times a second, on calls
+#: that are mostly the same ones.
+MAX_CHANCE = 0.003
+#: Lower limit of the median failure share used in that test, because a few
+#: calls without a failure prove little.
+MIN_MEDIAN_SHARE = 0.02
+#: Failure shares below this occur in normal operation.
+MIN_FAILURE_SHARE = 0.15
+#: Duration of the first ejection, in seconds. It doubles each time that the
+#: runner is ejected again soon after. An ejected runner is not observed.
+INITIAL_EJECTION_S = 3.0
+MAX_EJECTION_S = 24.0
+#: A runner that is not ejected for this many seconds after its return starts
+#: again with the first duration.
+EJECTION_RESET_S = 10.0
+#: The largest share of a service's runners that is ejected at once.
+MAX_EJECTED_SHARE = 0.34
+
+#: How long counts from an aggregator are taken to cover all VMs, in seconds
+#: after they were received.
+AGGREGATE_TTL_S = 2.0
 
 Counts = totals.Counts
 
 
-class _Window:
-    """Failed and all calls at one runner, by process, as they were told."""
+class _CallWindow:
+    """Failed and total calls at one runner, as reported by each process."""
 
-    __slots__ = ("points",)
+    __slots__ = ("samples",)
 
     def __init__(self) -> None:
-        #: Process to points of time, failed and all calls so far.
-        self.points: dict[str, collections.deque[tuple[float, int, int]]] = {}
+        #: Samples of time, failed and total calls so far, by process.
+        self.samples: dict[str, collections.deque[tuple[float, int, int]]] = {}
 
     def add(self, process: str, now: float, failed: int, calls: int) -> None:
-        """Take over a process's totals."""
-        points = self.points.setdefault(process, collections.deque())
-        if not points:
-            points.append((now, *totals.first_seen(failed, calls)))
-        if calls < points[-1][2]:
-            # Who told it counts anew.
-            points.clear()
-        if not points or (failed, calls) != points[-1][1:]:
-            points.append((now, failed, calls))
+        """Add a sample of a process's totals."""
+        samples = self.samples.setdefault(process, collections.deque())
+        if not samples:
+            samples.append((now, *totals.baseline_counts(failed, calls)))
+        if calls < samples[-1][2]:
+            # The process has restarted and counts from 0.
+            samples.clear()
+        if not samples or (failed, calls) != samples[-1][1:]:
+            samples.append((now, failed, calls))
 
     def restart(self, now: float) -> None:
-        """Count from here on."""
-        for points in self.points.values():
-            last = points[-1]
-            points.clear()
-            points.append((now, *last[1:]))
+        """Discard the calls so far."""
+        for samples in self.samples.values():
+            last = samples[-1]
+            samples.clear()
+            samples.append((now, *last[1:]))
 
-    def recent(self, now: float, but: str = "") -> tuple[int, int]:
-        """Failed and all calls within the window.
+    def recent(self, now: float, excluded: str = "") -> tuple[int, int]:
+        """Failed and total calls within the window.
 
-        :param but: a process that is not counted.
+        :param excluded: the process whose calls are not counted.
         """
         failed = calls = 0
-        for process, points in self.points.items():
-            if process == but:
+        for process, samples in self.samples.items():
+            if process == excluded:
                 continue
-            while len(points) > 1 and points[1][0] <= now - WINDOW_S:
-                points.popleft()
-            failed += points[-1][1] - points[0][1]
-            calls += points[-1][2] - points[0][2]
+            while len(samples) > 1 and samples[1][0] <= now - WINDOW_S:
+                samples.popleft()
+            failed += samples[-1][1] - samples[0][1]
+            calls += samples[-1][2] - samples[0][2]
         return failed, calls
 
 
-class _Out:
-    __slots__ = ("until", "for_s")
+class _EjectionState:
+    __slots__ = ("until", "duration_s")
 
-    def __init__(self, until: float, for_s: float) -> None:
+    def __init__(self, until: float, duration_s: float) -> None:
         self.until = until
-        self.for_s = for_s
+        self.duration_s = duration_s
 
 
-class Found:
-    """A runner that is left out from now on, and why.
+class Ejection:
+    """A new ejection of a runner, with its reason.
 
-    :param failed: of its calls in the last :data:`WINDOW_S`.
-    :param calls: all of them.
-    :param others_share: of failures, at the service's middle other runner.
-    :param out_s: how long it is left out, in seconds.
+    :param failed: failed calls in the last :data:`WINDOW_S`.
+    :param calls: total calls in that time.
+    :param others_share: median failure share of the service's other runners.
+    :param out_s: duration of the ejection, in seconds.
     """
 
     __slots__ = ("runner", "failed", "calls", "others_share", "out_s")
@@ -124,22 +126,22 @@
 
     @property
     def inputs(self) -> dict[str, str | int | float]:
-        """What decided it, for the log."""
+        """The values behind the decision, for the log."""
         return {name: getattr(self, name) for name in self.__slots__}
 
 
 class Outliers:
-    """Failures at the runners of all services, as all VMs tell them.
+    """Detects outliers from the call counts of all VMs.
 
-    :param process: names this VM's process.
+    :param process: the name of this VM's process.
     """
 
     __slots__ = (
         "_clock",
-        "_out",
+        "_ejections",
         "_own",
         "_process",
-        "_summed_until",
+        "_aggregate_until",
         "_windows",
     )
 
@@ -147,27 +149,29 @@
         self._clock = clock
         self._process = process
         self._own: Counts = {}
-        self._windows: dict[str, _Window] = {}
-        self._out: dict[str, _Out] = {}
-        #: Until when this VM's own counts are in what others tell.
-        self._summed_until = float("-inf")
+        self._windows: dict[str, _CallWindow] = {}
+        self._ejections: dict[str, _EjectionState] = {}
+        #: Until this time, reported counts include this VM's own calls.
+        self._aggregate_until = float("-inf")
 
     @property
     def own(self) -> Counts:
-        """This VM's failed and all calls by runner, since its start."""
+        """This VM's failed and total calls since its start, by runner."""
         return self._own
 
     @property
     def left_out(self) -> frozenset[str]:
-        """Runners that get no calls while others can take them."""
+        """Ejected runners, which get no calls while others can take them."""
         now = self._clock.now()
-        return frozenset(r for r, out in self._out.items() if now < out.until)
+        return frozenset(
+            r for r, ejected in self._ejections.items() if now < ejected.until
+        )
 
     def ended(self, runner: str, failed: bool) -> None:
-        """A call of this VM at a runner is over."""
+        """Count a call of this VM that has ended."""
         before = self._own.get(runner, (0, 0))
         self._own[runner] = (before[0] + failed, before[1] + 1)
-        self._note(self._process, runner, self._own[runner])
+        self._record(self._process, runner, self._own[runner])
 
     def heard(
         self,
@@ -175,110 +179,117 @@
         counts: typing.Mapping[str, typing.Any],
         summed: bool = False,
     ) -> None:
-        """Take in another VM's counts.
+        """Apply the counts that another process reported.
 
-        :param summed: whether they are of all VMs, this one included.
+        :param counts: failed and total calls by runner.
+        :param summed: whether the counts are sums over all VMs, including
+            this one.
         """
         if summed and counts:
-            self._summed_until = self._clock.now() + SUMMED_S
-        for runner, told in counts.items():
-            self._note(process, runner, tuple(told))
+            self._aggregate_until = self._clock.now() + AGGREGATE_TTL_S
+        for runner, reported in counts.items():
+            self._record(process, runner, tuple(reported))
 
     def judge(
         self, services: typing.Iterable[typing.Sequence[str]]
-    ) -> list[Found]:
-        """Find runners that fail more than the others of their service.
+    ) -> list[Ejection]:
+        """Eject runners that fail more than the others of their service.
 
         :param services: the runners of each service.
-        :returns: those that are left out from now on.
+        :returns: the new ejections.
         """
         return list(
-            itertools.chain.from_iterable(map(self._judge_service, services))
+            itertools.chain.from_iterable(
+                map(self._detect_in_service, services)
+            )
         )
 
     def keep_only(self, runners: typing.Container[str]) -> None:
-        """Forget runners that are gone."""
-        for known in (self._own, self._windows, self._out):
-            for runner in [r for r in known if r not in runners]:
-                del known[runner]
-
-    def _judge_service(self, runners: typing.Sequence[str]) -> list[Found]:
+        """Discard the state of all other runners."""
+        for state in (self._own, self._windows, self._ejections):
+            for runner in [r for r in state if r not in runners]:
+                del state[runner]
+
+    def _detect_in_service(
+        self, runners: typing.Sequence[str]
+    ) -> list[Ejection]:
         now = self._clock.now()
-        own = self._process if now < self._summed_until else ""
+        own_process = self._process if now < self._aggregate_until else ""
         recent = {
-            runner: self._windows[runner].recent(now, own)
+            runner: self._windows[runner].recent(now, own_process)
             for runner in runners
             if runner in self._windows
         }
-        found = []
+        ejections = []
         for runner, (failed, calls) in recent.items():
-            if failed < LEAST_FAILURES:
+            if failed < MIN_FAILURES:
                 continue
             others = [c for name, c in recent.items() if name != runner]
-            share = _middle_share(others)
-            if share is None or not _stands_out(failed, calls, share):
+            share = _median_share(others)
+            if share is None or not _is_outlier(failed, calls, share):
                 continue
-            out_s = self._leave_out(runner, runners, now)
+            out_s = self._eject(runner, runners, now)
             if out_s:
-                found.append(Found(runner, failed, calls, share, out_s))
-        return found
+                ejections.append(Ejection(runner, failed, calls, share, out_s))
+        return ejections
 
-    def _leave_out(
+    def _eject(
         self, runner: str, runners: typing.Sequence[str], now: float
     ) -> float:
-        """Leave a runner out, unless it is or too many are.
+        """Eject a runner, unless it or too many others are ejected.
 
-        :returns: for how many seconds; 0 if it is not left out anew.
+        :returns: the duration in seconds; 0 if the runner is not ejected.
         """
-        known = self._out.get(runner)
-        if known is not None and now < known.until:
+        previous = self._ejections.get(runner)
+        if previous is not None and now < previous.until:
             return 0.0
-        out = sum(r in self.left_out for r in runners)
-        if out + 1 > max(1.0, MOST_OUT_PART * len(runners)):
+        ejected = sum(r in self.left_out for r in runners)
+        if ejected + 1 > max(1.0, MAX_EJECTED_SHARE * len(runners)):
             return 0.0
-        for_s = FIRST_OUT_S
-        if known is not None and now < known.until + FORGIVEN_S:
-            for_s = min(LONGEST_OUT_S, 2.0 * known.for_s)
-        self._out[runner] = _Out(now + for_s, for_s)
-        # What was seen so far has been answered for.
+        duration_s = INITIAL_EJECTION_S
+        if previous is not None and now < previous.until + EJECTION_RESET_S:
+            duration_s = min(MAX_EJECTION_S, 2.0 * previous.duration_s)
+        self._ejections[runner] = _EjectionState(now + duration_s, duration_s)
+        # Failures that led to this ejection must not lead to another one.
         self._windows[runner].restart(now)
-        return for_s
+        return duration_s
 
-    def _note(
+    def _record(
         self, process: str, runner: str, totals: tuple[int, int]
     ) -> None:
-        window = self._windows.setdefault(runner, _Window())
+        window = self._windows.setdefault(runner, _CallWindow())
         window.add(process, self._clock.now(), *totals)
 
 
-def _middle_share(others: list[tuple[int, int]]) -> float | None:
-    """The share of failures at the middle one of a service's other runners.
+def _median_share(others: list[tuple[int, int]]) -> float | None:
+    """The median failure share of a service's other runners.
 
-    :returns: None when none of them had a call.
+    :returns: None if none of them had a call.
     """
     shares = sorted(failed / calls for failed, calls in others if calls)
     return shares[len(shares) // 2] if shares else None
 
 
-def _stands_out(failed: int, calls: int, others_share: float) -> bool:
-    """Whether a runner fails more than chance lets one of its service.
+def _is_outlier(failed: int, calls: int, others_share: float) -> bool:
+    """Whether a runner's failures are too many to be chance.
 
-    A fixed number of failures takes seconds to come together where calls are
-    few, and comes together by chance where some calls fail anywhere.
+    A fixed number of failures would not work: it takes seconds to reach at
+    low call rates, and is reached by chance in a service where some calls
+    fail at every runner.
     """
-    if failed < LEAST_SHARE * calls:
+    if failed < MIN_FAILURE_SHARE * calls:
         return False
-    share = max(LEAST_MIDDLE_SHARE, others_share)
-    return _chance(failed, calls, share) <= CHANCE
+    share = max(MIN_MEDIAN_SHARE, others_share)
+    return _tail_probability(failed, calls, share) <= MAX_CHANCE
 
 
-def _chance(failed: int, calls: int, share: float) -> float:
-    """How likely so many or more of the calls fail, at a share of failures."""
+def _tail_probability(failed: int, calls: int, share: float) -> float:
+    """The probability of at least so many failures, at a failure share."""
     if share >= 1.0:
         return 1.0
     log_share, log_rest = math.log(share), math.log1p(-share)
     # Log space: the binomial coefficients overflow a float for large counts.
-    fewer = sum(
+    fewer_probability = sum(
         math.exp(
             math.lgamma(calls + 1)
             - math.lgamma(n + 1)
@@ -288,4 +299,4 @@
         )
         for n in range(failed)
     )
-    return 1.0 - fewer
+    return 1.0 - fewer_probability
--- a/src/apricotlever/runners/silence.py
+++ b/src/apricotlever/runners/silence.py
@@ -1,97 +1,104 @@
-"""Notices runners from which nothing is heard any more.
+"""Detects silent runners, which no longer send any bytes.
 
-A runner that loses power, or a connection that a device between has
-forgotten, says nothing: calls to it just wait. What shows it is that none of
-the calls there hears anything, however many they are. A single call that
-hangs at a runner which answers others is not its silence.
+If a runner loses power, or a network device drops the state of a connection,
+no error is reported and calls just wait. A runner counts as silent if none
+of its calls receives a byte. One call that hangs while others receive
+answers does not make its runner silent.
 """
 
 import typing
 
 from .. import clock as clocks
 
-#: Calls wait without a byte from the runner for so long, in seconds, before
-#: it counts as silent. Runners that read a burst of long prompts still end
-#: one of them several times a second.
-SILENT_S = 0.8
-#: A runner that was heard so lately is not believed to be silent, whatever
-#: others say, in seconds.
-HEARD_S = 0.5
-#: Other VMs that must call a runner silent before this one believes it. One
-#: alone may be cut off itself.
-WITNESSES = 2
+#: Time without a byte from a runner, in seconds, after which the runner counts
+#: as silent. Even during a burst of long prompts, a runner finishes reading
+#: several prompts a second.
+SILENCE_TIMEOUT_S = 0.8
+#: Reports of other VMs about a runner are ignored for this many seconds after
+#: this VM received a byte from the runner.
+RECENT_BYTES_S = 0.5
+#: Number of other VMs whose reports make this VM treat a runner as silent. A
+#: single VM may itself be disconnected.
+MIN_PEER_REPORTS = 2
 
 
-class _Line:
-    __slots__ = ("calls", "heard_at", "quiet_since")
+class _RunnerActivity:
+    """The calls in flight at one runner and the times of its last bytes."""
+
+    __slots__ = ("calls", "last_bytes_at", "waiting_since")
 
     def __init__(self) -> None:
         self.calls = 0
-        self.heard_at = float("-inf")
-        self.quiet_since = float("-inf")
+        self.last_bytes_at = float("-inf")
+        self.waiting_since = float("-inf")
 
 
 class Silence:
-    """What one VM hears of each runner."""
+    """Tracks when one VM last received bytes from each runner."""
 
-    __slots__ = ("_clock", "_lines", "_told")
+    __slots__ = ("_clock", "_activity", "_reported_silent")
 
     def __init__(self, clock: clocks.Clock) -> None:
         self._clock = clock
-        self._lines: dict[str, _Line] = {}
-        self._told: frozenset[str] = frozenset()
+        self._activity: dict[str, _RunnerActivity] = {}
+        self._reported_silent: frozenset[str] = frozenset()
 
     @property
     def observed(self) -> list[str]:
-        """Runners that this VM itself finds silent."""
+        """Runners that are silent by this VM's own observation."""
         now = self._clock.now()
         return [
             runner
-            for runner, line in self._lines.items()
-            if line.calls and now - line.quiet_since > SILENT_S
+            for runner, activity in self._activity.items()
+            if activity.calls
+            and now - activity.waiting_since > SILENCE_TIMEOUT_S
         ]
 
     @property
     def believed(self) -> frozenset[str]:
-        """Runners that get no calls while others can take them."""
+        """Silent runners, which get no calls while others can take them."""
         now = self._clock.now()
-        told = {
+        reported = {
             runner
-            for runner in self._told
-            if now - self._heard_at(runner) > HEARD_S
+            for runner in self._reported_silent
+            if now - self._last_bytes_at(runner) > RECENT_BYTES_S
         }
-        return frozenset(told.union(self.observed))
+        return frozenset(reported.union(self.observed))
 
     def sent(self, runner: str) -> None:
-        """A call was sent to a runner."""
-        line = self._lines.setdefault(runner, _Line())
-        if not line.calls:
-            line.quiet_since = self._clock.now()
-        line.calls += 1
+        """Count a call that was sent to a runner."""
+        activity = self._activity.setdefault(runner, _RunnerActivity())
+        if not activity.calls:
+            activity.waiting_since = self._clock.now()
+        activity.calls += 1
 
     def heard(self, runner: str) -> None:
-        """A byte of an answer came from a runner."""
-        line = self._lines.get(runner)
-        if line is not None:
-            line.heard_at = line.quiet_since = self._clock.now()
+        """Record that bytes of an answer arrived from a runner."""
+        activity = self._activity.get(runner)
+        if activity is not None:
+            activity.last_bytes_at = activity.waiting_since = self._clock.now()
 
     def ended(self, runner: str) -> None:
-        """A call to a runner is over, by whatever end."""
-        line = self._lines.get(runner)
-        if line is not None and line.calls:
-            line.calls -= 1
+        """Count a call that has ended, whatever its outcome."""
+        activity = self._activity.get(runner)
+        if activity is not None and activity.calls:
+            activity.calls -= 1
 
     def told(self, counts: typing.Mapping[str, int]) -> None:
-        """Take over how many other VMs find each runner silent."""
-        self._told = frozenset(
-            runner for runner, count in counts.items() if count >= WITNESSES
+        """Set how many other VMs report each runner as silent."""
+        self._reported_silent = frozenset(
+            runner
+            for runner, count in counts.items()
+            if count >= MIN_PEER_REPORTS
         )
 
     def keep_only(self, runners: typing.Container[str]) -> None:
-        """Forget runners that are gone."""
-        for runner in [r for r in self._lines if r not in runners]:
-            del self._lines[runner]
-
-    def _heard_at(self, runner: str) -> float:
-        line = self._lines.get(runner)
-        return line.heard_at if line is not None else float("-inf")
+        """Discard the state of all other runners."""
+        for runner in [r for r in self._activity if r not in runners]:
+            del self._activity[runner]
+
+    def _last_bytes_at(self, runner: str) -> float:
+        activity = self._activity.get(runner)
+        return (
+            activity.last_bytes_at if activity is not None else float("-inf")
+        )
--- a/src/apricotlever/runners/totals.py
+++ b/src/apricotlever/runners/totals.py
@@ -1,41 +1,42 @@
-"""Counts that many processes tell, added up to counts that only grow.
+"""Sums the call counters of many processes into monotonic counters.
 
-The sum of what the processes told last falls when one of them ends, and jumps
-when one that has run for hours is met. Who compares it with the sum a moment
-before would see calls that nobody made. So only what each process has added
-since it was met counts.
+The plain sum of the last reported counters drops when a process ends, and
+jumps when a process that has run for hours is first seen. A reader that
+compares two sums would see calls that were never made. Only the increments
+of each process since it was first seen are therefore added up.
 """
 
 import typing
 
 Counts = dict[str, tuple[int, int]]
 
-#: More calls at one runner were not made since a process was last heard.
-MOST_NEW_CALLS = 50
+#: A process that reports more calls than this at one runner in its first
+#: report is taken to be an old one, not one that has just started.
+MAX_NEW_PROCESS_CALLS = 50
 
 
-def first_seen(failed: int, calls: int) -> tuple[int, int]:
-    """From where a process counts whose totals come for the first time.
+def baseline_counts(failed: int, calls: int) -> tuple[int, int]:
+    """The counts from which the increments of a new process are taken.
 
-    A newcomer's totals are recent; those of an old process that this one has
-    just met are not.
+    The calls of a process that has just started are recent and count. Those
+    of an old process that is seen for the first time are not counted.
     """
-    return (failed, calls) if calls > MOST_NEW_CALLS else (0, 0)
+    return (failed, calls) if calls > MAX_NEW_PROCESS_CALLS else (0, 0)
 
 
 class Totals:
-    """Failed and all calls at each runner."""
+    """Failed and total calls at each runner, summed over processes."""
 
-    __slots__ = ("_last", "_sums")
+    __slots__ = ("_last_counts", "_sums")
 
     def __init__(self) -> None:
-        #: Process to what it told last.
-        self._last: dict[str, Counts] = {}
+        #: The last reported counts, by process.
+        self._last_counts: dict[str, Counts] = {}
         self._sums: Counts = {}
 
     @property
     def sums(self) -> Counts:
-        """Failed and all calls by runner."""
+        """Failed and total calls by runner."""
         return self._sums
 
     def heard(
@@ -44,33 +45,36 @@
         counts: typing.Mapping[str, typing.Sequence[int]],
         counted: bool = True,
     ) -> None:
-        """Take in a process's totals.
+        """Add the increments since a process's last report.
 
-        :param counted: False to note only from where it counts on.
+        :param counts: failed and total calls by runner.
+        :param counted: False to record the counts without adding them.
         """
-        last = self._last.setdefault(process, {})
+        last_counts = self._last_counts.setdefault(process, {})
         for runner, (failed, calls) in counts.items():
-            before = last.get(runner) or first_seen(failed, calls)
-            last[runner] = (failed, calls)
+            previous = last_counts.get(runner) or baseline_counts(
+                failed, calls
+            )
+            last_counts[runner] = (failed, calls)
             if counted:
-                self._add(runner, failed - before[0], calls - before[1])
+                self._add(runner, failed - previous[0], calls - previous[1])
 
     def keep_only(self, processes: typing.Container[str]) -> None:
-        """Forget processes that have ended; what they added stays."""
-        for process in [p for p in self._last if p not in processes]:
-            del self._last[process]
+        """Discard the state of all other processes but keep the sums."""
+        for process in [p for p in self._last_counts if p not in processes]:
+            del self._last_counts[process]
 
     def keep_runners(self, runners: typing.Container[str]) -> None:
-        """Forget runners that are gone."""
-        for counts in (self._sums, *self._last.values()):
+        """Discard the counts of all other runners."""
+        for counts in (self._sums, *self._last_counts.values()):
             for runner in [r for r in counts if r not in runners]:
                 del counts[runner]
 
     def _add(self, runner: str, failed: int, calls: int) -> None:
         if failed <= 0 and calls <= 0:
             return
-        before = self._sums.get(runner, (0, 0))
+        previous = self._sums.get(runner, (0, 0))
         self._sums[runner] = (
-            before[0] + max(0, failed),
-            before[1] + max(0, calls),
+            previous[0] + max(0, failed),
+            previous[1] + max(0, calls),
         )
--- a/tests/runners/outliers.feature
+++ b/tests/runners/outliers.feature
@@ -1,63 +1,57 @@
 Feature: Runners that fail part of their calls
 
-  # Symptom: one in fifteen calls breaks, all day long for some callers.
-  # Events: a runner resets four of ten calls; its health check is good, and
-  # the other six are answered well, so no circuit breaker opens.
-  # Cause: failures counted in a row, and by each VM for itself.
-  Scenario: A runner that fails four in ten is left out
+  # Guards against permanently losing one in fifteen calls. A runner resets
+  # four of ten calls but passes its health check, and no circuit breaker opens
+  # because each VM counts only consecutive failures.
+  Scenario: A runner that fails four calls in ten is ejected
     Given 5 VMs and a service with 6 runners
     When runner 1 fails 40 in 100 calls for 3 seconds
-    Then all VMs leave out runner 1 alone
+    Then all VMs eject runner 1 alone
 
-  Scenario: A service whose runners all fail alike keeps them all
+  Scenario: No runner is ejected if all runners of a service fail alike
     Given 5 VMs and a service with 6 runners
     When all runners fail 40 in 100 calls for 6 seconds
-    Then no VM leaves out a runner
+    Then no VM ejects a runner
 
-  Scenario: A few failures of an ordinary day change nothing
+  Scenario: A normal level of failures ejects no runner
     Given 5 VMs and a service with 6 runners
     When all runners fail 4 in 100 calls for 20 seconds
-    Then no VM leaves out a runner
+    Then no VM ejects a runner
 
-  Scenario: A runner comes back, and is found again sooner than it is trusted
+  Scenario: A returning runner that still fails is ejected again
     Given 5 VMs and a service with 6 runners
     When runner 1 fails 40 in 100 calls for 30 seconds
-    Then runner 1 got less than a third of its share of the calls
+    Then runner 1 got less than a third of an equal share of the calls
 
-  Scenario: Never more than a third of a service is left out
+  Scenario: At most a third of a service's runners is ejected
     Given 5 VMs and a service with 3 runners
     When runners 1 and 2 fail 80 in 100 calls for 5 seconds
-    Then no VM leaves out more than 1 runners
-
-  # Symptom: of five runners that reset three in ten calls for six seconds one
-  # was left out after three seconds, the others after four, by then a dozen
-  # streams were lost.
-  # Events: a runner gets two or three calls a second; three failures within
-  # the window come together late.
-  # Cause: the same number of failures wanted where nothing else ever fails.
-  Scenario: Of few calls two failures tell, where the others' succeed
+    Then no VM ejects more than 1 runners
+
+  # Guards against slow ejection at 2 or 3 calls a second: of five runners that
+  # reset 3 in 10 calls for 6 s, one was ejected after 3 s and four after 4 s,
+  # a dozen streams late, as 3 failures were required whatever the others did.
+  Scenario: Two failures suffice if the calls to other runners succeed
     Given 7 VMs and a service with 10 runners
     When 3 runners fail 60 in 100 of 20 calls a second for 3 seconds, 20 times
-    Then a runner was left out within 1.0 seconds on the mean
-
-  # Symptom: one of three runners is left out time and again, although they all
-  # fail alike.
-  # Events: one call in seven fails anywhere; three failures at one runner and
-  # none at another come by chance.
-  # Cause: what chance brings not weighed.
-  Scenario: Chance alone leaves hardly anyone out
+    Then a runner was ejected within 1.0 seconds on average
+
+  # Guards against repeatedly ejecting one of three runners that all fail alike:
+  # if one call in seven fails everywhere, three failures at one runner and none
+  # at another occur by chance.
+  Scenario: Chance failures rarely eject a runner
     Given 7 VMs and a service with 3 runners
     When 3 runners fail 14 in 100 of 18 calls a second for 60 seconds, 10 times
-    Then a runner was left out at most 2.0 times in each
+    Then a runner was ejected at most 2.0 times in each run
 
-  Scenario: What decided it is told
+  Scenario: The reason for an ejection is reported
     Given 5 VMs and a service with 6 runners
     When runner 1 fails 2 of 2 calls at VM 1, and the others none of 10
-    Then VM 1 leaves out runner 1 for 3 seconds, for 2 of 2 beside 0.0
+    Then VM 1 ejects runner 1 for 3 seconds, for 2 of 2 beside 0.0
 
   # Guards against a float overflow at hundreds of failures, which stopped
   # both outlier detection and the processing of peer loads.
   Scenario: A runner that fails hundreds of calls within the window
     Given 5 VMs and a service with 3 runners
     When runner 1 fails 700 of 1400 calls at VM 1, and the others none
-    Then VM 1 leaves out runner 1
+    Then VM 1 ejects runner 1
--- a/tests/runners/silence.feature
+++ b/tests/runners/silence.feature
@@ -1,45 +1,42 @@
-Feature: Runners from which nothing is heard any more
+Feature: Detection of silent runners
 
-  # Symptom: calls time out one after the other at a runner that lost power.
-  # Events: the runner goes dark; connections to it stay open and calls wait.
-  # Cause: nothing fails until a deadline, so nothing counted against it.
-  Scenario: A runner that answers nobody is silent
+  # Guards against sending calls to a runner that has lost power. Connections
+  # to it stay open and calls wait, so no failure is counted until a deadline.
+  Scenario: A runner that answers no call is silent
     Given a runner with 3 calls
     When 1.0 seconds pass without a byte
-    Then the runner is believed to be silent
+    Then the runner is treated as silent
 
-  Scenario: One call that hangs is not the runner's silence
+  Scenario: One call that hangs does not make the runner silent
     Given a runner with 3 calls
     When 1.0 seconds pass with a byte every 0.3 seconds
-    Then the runner is not believed to be silent
+    Then the runner is not treated as silent
 
   Scenario: A runner without calls is not silent
     Given a runner with 1 calls
     When all of its calls end and 5.0 seconds pass
-    Then the runner is not believed to be silent
+    Then the runner is not treated as silent
 
-  Scenario: A silent runner that is heard again is believed at once
+  Scenario: A silent runner that sends a byte is used again at once
     Given a runner with 3 calls
     And 1.0 seconds pass without a byte
     When a byte comes from the runner
-    Then the runner is not believed to be silent
+    Then the runner is not treated as silent
 
-  # Symptom: all VMs stop using sound runners.
-  # Events: one VM is cut off from the runners and tells the others that they
-  # are silent.
-  # Cause: one witness believed.
-  Scenario Outline: Others are believed when two agree
+  # Guards against all VMs avoiding healthy runners because one VM, which is
+  # itself disconnected from the runners, reports them as silent.
+  Scenario Outline: Reports of silence count if two other VMs agree
     Given a runner with 0 calls
-    When <count> other VMs find it silent
-    Then the runner is <verdict> to be silent
+    When <count> other VMs report it as silent
+    Then the runner is <verdict> silent
 
     Examples:
-      | count | verdict      |
-      | 1     | not believed |
-      | 2     | believed     |
+      | count | verdict        |
+      | 1     | not treated as |
+      | 2     | treated as     |
 
-  Scenario: A runner that was just heard here is not silent, whoever says so
+  Scenario: A runner that has just sent this VM a byte is not silent despite reports
     Given a runner with 1 calls
     And a byte comes from the runner
-    When 3 other VMs find it silent
-    Then the runner is not believed to be silent
+    When 3 other VMs report it as silent
+    Then the runner is not treated as silent
--- a/tests/steps/runners_outliers.py
+++ b/tests/steps/runners_outliers.py
@@ -11,11 +11,11 @@
 from apricotlever.runners import outliers
 
 STEP_S = 0.2
-CALLS_A_STEP = 3
+CALLS_PER_STEP = 3
 
 
 class Fleet:
-    """VMs that call the runners of one service and tell each other."""
+    """VMs that call the runners of one service and exchange their counts."""
 
     def __init__(self, vms, runners, seed=7):
         self.clock = clocks.ManualClock()
@@ -25,44 +25,44 @@
             outliers.Outliers(self.clock, f"vm-{n}") for n in range(vms)
         ]
         self.calls = dict.fromkeys(self.runners, 0)
-        self.most_out = 0
-        #: Seconds from the start until a VM left one out, of each time.
-        self.found_at = []
+        self.max_ejected = 0
+        #: Seconds from the start to each ejection by a VM.
+        self.ejected_at = []
 
-    def run(self, seconds, share_of):
-        """Let time pass; runners fail their shares of the calls."""
+    def run(self, seconds, failure_shares):
+        """Simulate calls, of which each runner fails its share."""
         for _ in range(round(seconds / STEP_S)):
             self.clock.advance(STEP_S)
             for vm in self.vms:
-                for _ in range(CALLS_A_STEP):
-                    self._call(vm, share_of)
-            self._tell()
+                for _ in range(CALLS_PER_STEP):
+                    self._call(vm, failure_shares)
+            self._exchange_counts()
             for vm in self.vms:
                 vm.judge([self.runners])
-                self.most_out = max(self.most_out, len(vm.left_out))
+                self.max_ejected = max(self.max_ejected, len(vm.left_out))
 
-    def run_calls(self, seconds, per_s, share_of):
-        """The same with a number of calls of all VMs together."""
+    def run_calls(self, seconds, per_s, failure_shares):
+        """Simulate calls at a total rate, spread randomly over the VMs."""
         for step in range(round(seconds / STEP_S)):
             self.clock.advance(STEP_S)
             for _ in range(round(per_s * STEP_S)):
-                self._call(self.rng.choice(self.vms), share_of)
-            self._tell()
+                self._call(self.rng.choice(self.vms), failure_shares)
+            self._exchange_counts()
             for vm in self.vms:
                 for _ in vm.judge([self.runners]):
-                    self.found_at.append((step + 1) * STEP_S)
+                    self.ejected_at.append((step + 1) * STEP_S)
 
-    def _tell(self):
+    def _exchange_counts(self):
         for number, vm in enumerate(self.vms):
             for other in self.vms:
                 if other is not vm:
                     other.heard(f"vm-{number}", vm.own)
 
-    def _call(self, vm, share_of):
+    def _call(self, vm, failure_shares):
         fit = [r for r in self.runners if r not in vm.left_out]
         runner = self.rng.choice(fit)
         self.calls[runner] += 1
-        vm.ended(runner, self.rng.random() < share_of.get(runner, 0.0))
+        vm.ended(runner, self.rng.random() < failure_shares.get(runner, 0.0))
 
 
 @given("{vms:d} VMs and a service with {runners:d} runners")
@@ -72,40 +72,40 @@
 
 
 @when("runner 1 fails {share:d} in 100 calls for {seconds:d} seconds")
-def _one(context, share, seconds):
+def _first_fails(context, share, seconds):
     context.fleet.run(seconds, {"runner-1": share / 100})
 
 
 @when("all runners fail {share:d} in 100 calls for {seconds:d} seconds")
-def _all(context, share, seconds):
+def _all_fail(context, share, seconds):
     fleet = context.fleet
     fleet.run(seconds, dict.fromkeys(fleet.runners, share / 100))
 
 
 @when("runners 1 and 2 fail {share:d} in 100 calls for {seconds:d} seconds")
-def _two(context, share, seconds):
+def _two_fail(context, share, seconds):
     shares = dict.fromkeys(("runner-1", "runner-2"), share / 100)
     context.fleet.run(seconds, shares)
 
 
-@then("all VMs leave out runner 1 alone")
-def _alone(context):
+@then("all VMs eject runner 1 alone")
+def _first_ejected(context):
     for vm in context.fleet.vms:
         assert vm.left_out == {"runner-1"}, vm.left_out
 
 
-@then("no VM leaves out a runner")
-def _none(context):
-    assert context.fleet.most_out == 0
+@then("no VM ejects a runner")
+def _none_ejected(context):
+    assert context.fleet.max_ejected == 0
 
 
-@then("no VM leaves out more than {count:d} runners")
-def _most(context, count):
-    assert context.fleet.most_out <= count
+@then("no VM ejects more than {count:d} runners")
+def _ejection_limit(context, count):
+    assert context.fleet.max_ejected <= count
 
 
-@then("runner 1 got less than a third of its share of the calls")
-def _share(context):
+@then("runner 1 got less than a third of an equal share of the calls")
+def _few_calls_to_first(context):
     calls = context.fleet.calls
     even = sum(calls.values()) / len(calls)
     assert calls["runner-1"] < even / 3, calls
@@ -115,7 +115,7 @@
     "{failing:d} runners fail {share:d} in 100 of {per_s:d} calls a second "
     "for {seconds:d} seconds, {times:d} times"
 )
-def _few_calls(context, failing, share, per_s, seconds, times):
+def _low_call_rate(context, failing, share, per_s, seconds, times):
     context.fleets = [Fleet(*context.size, seed) for seed in range(times)]
     context.seconds = seconds
     for fleet in context.fleets:
@@ -123,31 +123,31 @@
         fleet.run_calls(seconds, per_s, shares)
 
 
-@then("a runner was left out within {seconds:f} seconds on the mean")
-def _soon(context, seconds):
+@then("a runner was ejected within {seconds:f} seconds on average")
+def _ejected_soon(context, seconds):
     firsts = [
-        min(fleet.found_at, default=context.seconds)
+        min(fleet.ejected_at, default=context.seconds)
         for fleet in context.fleets
     ]
     assert statistics.mean(firsts) <= seconds, firsts
 
 
-@then("a runner was left out at most {times:f} times in each")
-def _rarely(context, times):
-    # All VMs find the same one at about the same time.
-    counts = [len(f.found_at) / len(f.vms) for f in context.fleets]
+@then("a runner was ejected at most {times:f} times in each run")
+def _ejected_rarely(context, times):
+    # All VMs eject the same runner at about the same time.
+    counts = [len(f.ejected_at) / len(f.vms) for f in context.fleets]
     assert statistics.mean(counts) <= times, counts
 
 
 @when("runner 1 fails 2 of 2 calls at VM 1, and the others none of 10")
-def _told(context):
+def _two_failures(context):
     vm = context.fleet.vms[0]
     for runner in context.fleet.runners[1:]:
         for _ in range(2):
             vm.ended(runner, False)
     for _ in range(2):
         vm.ended("runner-1", True)
-    context.found = vm.judge([context.fleet.runners])
+    context.ejections = vm.judge([context.fleet.runners])
 
 
 @when(
@@ -159,20 +159,20 @@
         for number in range(calls):
             is_first = runner == context.fleet.runners[0]
             vm.ended(runner, is_first and number < failed)
-    context.found = vm.judge([context.fleet.runners])
+    context.ejections = vm.judge([context.fleet.runners])
 
 
-@then("VM 1 leaves out runner 1")
-def _first_runner_left_out(context):
-    assert [f.inputs["runner"] for f in context.found] == ["runner-1"]
+@then("VM 1 ejects runner 1")
+def _first_runner_ejected(context):
+    assert [f.inputs["runner"] for f in context.ejections] == ["runner-1"]
 
 
 @then(
-    "VM 1 leaves out runner 1 for {out_s:d} seconds, for {failed:d} of "
+    "VM 1 ejects runner 1 for {out_s:d} seconds, for {failed:d} of "
     "{calls:d} beside {share:f}"
 )
-def _found(context, out_s, failed, calls, share):
-    (found,) = context.found
-    assert found.runner == "runner-1"
-    assert (found.failed, found.calls) == (failed, calls)
-    assert (found.others_share, found.out_s) == (share, out_s)
+def _ejection_reported(context, out_s, failed, calls, share):
+    (ejection,) = context.ejections
+    assert ejection.runner == "runner-1"
+    assert (ejection.failed, ejection.calls) == (failed, calls)
+    assert (ejection.others_share, ejection.out_s) == (share, out_s)
--- a/tests/steps/runners_silence.py
+++ b/tests/steps/runners_silence.py
@@ -21,39 +21,39 @@
 
 
 @step("{seconds:f} seconds pass without a byte")
-def _pass(context, seconds):
+def _silent_time(context, seconds):
     context.clock.advance(seconds)
 
 
 @when("{seconds:f} seconds pass with a byte every {pause:f} seconds")
-def _bytes(context, seconds, pause):
+def _regular_bytes(context, seconds, pause):
     for _ in range(int(seconds / pause)):
         context.clock.advance(pause)
         context.silence.heard(RUNNER)
 
 
 @when("all of its calls end and {seconds:f} seconds pass")
-def _end(context, seconds):
+def _calls_end(context, seconds):
     for _ in range(context.calls):
         context.silence.ended(RUNNER)
     context.clock.advance(seconds)
 
 
 @step("a byte comes from the runner")
-def _byte(context):
+def _byte_received(context):
     context.silence.heard(RUNNER)
 
 
-@when("{count:d} other VMs find it silent")
-def _others(context, count):
+@when("{count:d} other VMs report it as silent")
+def _peer_reports(context, count):
     context.silence.told({RUNNER: count})
 
 
-@then("the runner is believed to be silent")
-def _believed(context):
+@then("the runner is treated as silent")
+def _treated_as_silent(context):
     assert RUNNER in context.silence.believed
 
 
-@then("the runner is not believed to be silent")
-def _not_believed(context):
+@then("the runner is not treated as silent")
+def _not_treated_as_silent(context):
     assert RUNNER not in context.silence.believed
