--- a/src/apricotlever/runners/culprits.py
+++ b/src/apricotlever/runners/culprits.py
@@ -54,6 +54,8 @@
 
 
 class _BrokenCall:
+    """A call whose connection broke before the answer ended."""
+
     __slots__ = ("at", "fingerprint")
 
     def __init__(self, at: float, fingerprint: str) -> None:
@@ -62,6 +64,8 @@
 
 
 class _RecentCrash:
+    """A crash that this VM detected recently."""
+
     __slots__ = ("at", "data_centre", "noticed")
 
     def __init__(self, at: float, data_centre: str, noticed: bool) -> None:
@@ -71,6 +75,8 @@
 
 
 class _PendingReport:
+    """A crash report that records repeat until a time."""
+
     __slots__ = ("until", "report")
 
     def __init__(self, until: float, report: crashes.CrashSeen) -> None:
--- a/src/apricotlever/runners/outliers.py
+++ b/src/apricotlever/runners/outliers.py
@@ -25,7 +25,7 @@
 #: median failure share of the service's other runners, is at most this. The
 #: level is low because each runner is tested ten times a second, on calls
 #: that are mostly the same ones.
-MAX_CHANCE = 0.003
+SIGNIFICANCE_LEVEL = 0.003
 #: Lower limit of the median failure share used in that test, because a few
 #: calls without a failure prove little.
 MIN_MEDIAN_SHARE = 0.02
@@ -92,6 +92,8 @@
 
 
 class _EjectionState:
+    """The last ejection of a runner, with its end and duration."""
+
     __slots__ = ("until", "duration_s")
 
     def __init__(self, until: float, duration_s: float) -> None:
@@ -280,7 +282,7 @@
     if failed < MIN_FAILURE_SHARE * calls:
         return False
     share = max(MIN_MEDIAN_SHARE, others_share)
-    return _tail_probability(failed, calls, share) <= MAX_CHANCE
+    return _tail_probability(failed, calls, share) <= SIGNIFICANCE_LEVEL
 
 
 def _tail_probability(failed: int, calls: int, share: float) -> float:
--- a/src/apricotlever/runners/quarantine.py
+++ b/src/apricotlever/runners/quarantine.py
@@ -126,7 +126,10 @@
 
 
 class RefuseRun:
-    """The judge's answer when the fingerprint is quarantined."""
+    """The judge's answer when the fingerprint is quarantined.
+
+    :param retry_after_s: seconds until the quarantine ends.
+    """
 
     __slots__ = ("retry_after_s",)
 
@@ -134,10 +137,13 @@
         self.retry_after_s = retry_after_s
 
 
+#: The judge's answer to a request for a trial.
 Decision = typing.Union[RunFreely, RunAt, Hold, RefuseRun]
 
 
 class _Trial:
+    """A granted trial, which occupies its runner until a time."""
+
     __slots__ = ("request_id", "runner", "until")
 
     def __init__(self, request_id: str, runner: str, until: float) -> None:
--- a/src/apricotlever/runners/routing.py
+++ b/src/apricotlever/runners/routing.py
@@ -157,14 +157,14 @@
         self._group_by_pool()
 
     def succeeded(self, name: str) -> None:
-        """Record a probe, sent apart from requests, that was answered."""
+        """Record a successful poll of the runner's load by this VM."""
         candidate = self._candidates.get(name)
         if candidate is not None:
             candidate.circuit.succeeded()
             candidate.invalidate()
 
     def failed(self, name: str) -> None:
-        """Record a probe, sent apart from requests, that failed."""
+        """Record a failed probe of the runner or connection to it."""
         candidate = self._candidates.get(name)
         if candidate is not None:
             candidate.circuit.failed()
--- a/src/apricotlever/runners/subset.py
+++ b/src/apricotlever/runners/subset.py
@@ -48,7 +48,10 @@
         )
 
     def set_vms(self, vms: typing.Iterable[str]) -> None:
-        """Replace the VMs that send to the pool, at a cost per change."""
+        """Set the VMs that send to the pool.
+
+        Only VMs that join or leave are ranked, so small changes are cheap.
+        """
         present = set(vms) | {self._vm}
         joined = present - self._vms
         left = self._vms - present
@@ -62,7 +65,10 @@
             )
 
     def set_runners(self, runners: typing.Iterable[str]) -> None:
-        """Replace the runners of the pool, at a cost per new runner."""
+        """Set the runners of the pool.
+
+        Only new runners are ranked, so small changes are cheap.
+        """
         present = set(runners)
         for runner in set(self._higher_ranked) - present:
             del self._higher_ranked[runner]
--- a/tests/runners/crash_fleet.py
+++ b/tests/runners/crash_fleet.py
@@ -17,8 +17,8 @@
 RETRY_S = 0.3
 #: Delay in seconds after which the caller of a poison request sends it again
 #: to any VM. If the delay were shorter than that of the reports, the request
-#: could run beside an innocent suspect on trial, and nothing would tell the
-#: two apart.
+#: could run together with an innocent suspect on trial, and nothing would tell
+#: the two apart.
 RESEND_S = 1.0
 
 
--- a/tests/runners/health.feature
+++ b/tests/runners/health.feature
@@ -14,7 +14,7 @@
     Then the circuit allows one probe and not a second one
     When requests end with "S"
     Then the circuit is closed
-    And the runner starts slowly again
+    And the runner is in slow start again
 
   Scenario: The interval between failing probes increases
     Given a runner's circuit
--- a/tests/runners/outliers.feature
+++ b/tests/runners/outliers.feature
@@ -47,7 +47,7 @@
   Scenario: The reason for an ejection is reported
     Given 5 VMs and a service with 6 runners
     When runner 1 fails 2 of 2 calls at VM 1, and the others none of 10
-    Then VM 1 ejects runner 1 for 3 seconds, for 2 of 2 beside 0.0
+    Then VM 1 ejects runner 1 for 3 seconds, for 2 failures of 2 calls against a share of 0.0
 
   # Guards against a float overflow at hundreds of failures, which stopped
   # both outlier detection and the processing of peer loads.
--- a/tests/runners/urgency.feature
+++ b/tests/runners/urgency.feature
@@ -22,8 +22,8 @@
   Scenario: Short prompts take precedence over long ones
     When an engine reads prompts of 700 and of 9000 tokens for 2000 seconds, 0.55 busy
     Then short prompts are late at most half as often as by the route alone
-    And the long ones wait at most 0.1 longer on average
+    And long prompts wait at most 0.1 longer on average
 
   Scenario: Many short prompts do not starve long ones
     When an engine reads prompts of 700 and of 9000 tokens for 2000 seconds, 0.85 busy
-    Then the long ones wait at most 0.3 longer on average
+    Then long prompts wait at most 0.3 longer on average
--- a/tests/steps/runners_health.py
+++ b/tests/steps/runners_health.py
@@ -57,7 +57,7 @@
     assert not context.health.allows(context.clock.now())
 
 
-@then("the runner starts slowly again")
+@then("the runner is in slow start again")
 def _slow_start(context):
     now = context.clock.now()
     assert context.health.slot_share(now) == health.SLOW_START_SHARE
--- a/tests/steps/runners_outliers.py
+++ b/tests/steps/runners_outliers.py
@@ -59,8 +59,8 @@
                     other.heard(f"vm-{number}", vm.own)
 
     def _call(self, vm, failure_shares):
-        fit = [r for r in self.runners if r not in vm.left_out]
-        runner = self.rng.choice(fit)
+        available = [r for r in self.runners if r not in vm.left_out]
+        runner = self.rng.choice(available)
         self.calls[runner] += 1
         vm.ended(runner, self.rng.random() < failure_shares.get(runner, 0.0))
 
@@ -168,8 +168,8 @@
 
 
 @then(
-    "VM 1 ejects runner 1 for {out_s:d} seconds, for {failed:d} of "
-    "{calls:d} beside {share:f}"
+    "VM 1 ejects runner 1 for {out_s:d} seconds, for {failed:d} failures of "
+    "{calls:d} calls against a share of {share:f}"
 )
 def _ejection_reported(context, out_s, failed, calls, share):
     (ejection,) = context.ejections
--- a/tests/steps/runners_urgency.py
+++ b/tests/steps/runners_urgency.py
@@ -94,7 +94,7 @@
     )
 
 
-@then("the long ones wait at most {part:f} longer on average")
+@then("long prompts wait at most {part:f} longer on average")
 def _long_wait(context, part):
     ours = statistics.mean(context.ours[False])
     naive = statistics.mean(context.naive[False])
