--- a/src/apricotlever/runners/outliers.py
+++ b/src/apricotlever/runners/outliers.py
@@ -266,7 +266,8 @@
 def _median_share(others: list[tuple[int, int]]) -> float | None:
     """The median failure share of a service's other runners.
 
-    :returns: None if none of them had a call.
+    :returns: the upper median for an even number of runners; None if none of
+        them had a call.
     """
     shares = sorted(failed / calls for failed, calls in others if calls)
     return shares[len(shares) // 2] if shares else None
