--- a/src/apricotlever/requests/evacuation.py
+++ b/src/apricotlever/requests/evacuation.py
@@ -1,4 +1,4 @@
-"""Moves many streams off runners that are reclaimed together."""
+"""Plans the moves of all streams on runners that are reclaimed together."""
 
 import collections
 import itertools
@@ -7,12 +7,12 @@
 from . import recovery
 
 LANES_PER_RUNNER = 4
-LAST_CALL_S = 0.5
-TRY_SHARE = 0.6
+REPLAY_LEAD_S = 0.5
+OPTIMISTIC_EXPORT_SHARE = 0.6
 
 
 class Move:
-    """The decision about one stream of the wave."""
+    """The decision about one of the streams."""
 
     __slots__ = ("request_id", "decision")
 
@@ -23,29 +23,29 @@
 
 def plan(
     situations: typing.Iterable[recovery.Situation],
-    lanes: int = LANES_PER_RUNNER,
+    exports_per_runner: int = LANES_PER_RUNNER,
 ) -> list[Move]:
-    """Decide about all streams on leaving runners; ask again while any wait.
-
-    The streams that lose the most go first: by the tokens that a replay
-    would compute again and, when slots are short, before that by the
-    priority of their class. A stream goes on at
-    its runner until a lane for its export is free. Those whose turn doesn't
-    come are replayed just before the runner is taken, for an export that
-    fails costs no more than a replay.
-
-    :param situations: all with the cause NOTICE; their candidates are the
-        same runners. Streams already on their way must be among them.
-    :param lanes: exports that one runner does side by side.
+    """Decide about all streams on leaving runners; repeat while any wait.
+
+    Streams are ordered by the number of tokens that a replay would compute
+    again, largest first. If there are fewer free slots than streams, the
+    priority of their class takes precedence over that number. A stream keeps
+    running until its runner can start another export. Streams that get no
+    export are replayed just before the runner is reclaimed. Waiting for an
+    export is safe, because a failed export costs no more than a replay.
+
+    :param situations: the streams, all with the cause NOTICE and the same
+        candidates; streams that are being moved must be included.
+    :param exports_per_runner: number of exports that a runner does at a time.
     """
-    ordered = sorted(situations, key=_loss, reverse=True)
+    ordered = sorted(situations, key=_recompute_cost, reverse=True)
     if _slots_short(ordered):
         ordered.sort(key=lambda each: each.priority, reverse=True)
-    wave = _Wave(ordered, lanes)
-    return [Move(each.request_id, wave.decide(each)) for each in ordered]
+    capacity = _Capacity(ordered, exports_per_runner)
+    return [Move(each.request_id, capacity.decide(each)) for each in ordered]
 
 
-def _loss(situation: recovery.Situation) -> tuple[int, str]:
+def _recompute_cost(situation: recovery.Situation) -> tuple[int, str]:
     return (situation.redo_tokens, situation.request_id)
 
 
@@ -58,19 +58,23 @@
     return sum(free.values()) < len(situations)
 
 
-def _worth_trying(situation: recovery.Situation, later_s: float = 0) -> bool:
-    # The estimate is a careful one. An export that is cut short costs what
-    # a replay costs, so one that may just succeed is tried.
-    needed = later_s + TRY_SHARE * situation.export_s
+def _may_export_in_time(
+    situation: recovery.Situation, delay_s: float = 0
+) -> bool:
+    # The estimate of the export time is pessimistic. An interrupted export
+    # costs the same as a replay, so an export that may succeed is tried.
+    needed = delay_s + OPTIMISTIC_EXPORT_SHARE * situation.export_s
     return needed < min(situation.notice_s, situation.deadline_s)
 
 
-class _Wave:
-    """Slots and export lanes that are still free."""
+class _Capacity:
+    """Free slots and free exports of the runners while streams are planned."""
 
-    __slots__ = ("_free_slots", "_free_lanes")
+    __slots__ = ("_free_slots", "_free_exports")
 
-    def __init__(self, ordered: list[recovery.Situation], lanes: int) -> None:
+    def __init__(
+        self, ordered: list[recovery.Situation], exports_per_runner: int
+    ) -> None:
         known = itertools.chain.from_iterable(
             situation.candidates for situation in ordered
         )
@@ -80,24 +84,26 @@
         moving = collections.Counter(
             situation.runner for situation in ordered if situation.moving_to
         )
-        self._free_lanes = {
-            situation.runner: lanes - moving[situation.runner]
+        self._free_exports = {
+            situation.runner: exports_per_runner - moving[situation.runner]
             for situation in ordered
         }
 
     def decide(self, situation: recovery.Situation) -> recovery.Decision:
-        """Decide about the next stream, the most valuable first."""
+        """Decide about the next stream, in the order of precedence."""
         if situation.deadline_s <= 0 or situation.moving_to:
             return recovery.plan(situation)
         if recovery.ends_in_time(situation):
             return recovery.CarryOn()
-        target = recovery.pick(self._open(situation))
+        target = recovery.pick_target(self._current_candidates(situation))
         if target is None:
-            return recovery.Wait(min(recovery.RETRY_S, situation.deadline_s))
-        if _worth_trying(situation):
+            return recovery.Wait(
+                min(recovery.RETRY_INTERVAL_S, situation.deadline_s)
+            )
+        if _may_export_in_time(situation):
             return self._export(situation, target)
-        if situation.notice_s > LAST_CALL_S:
-            return recovery.Wait(recovery.RETRY_S)
+        if situation.notice_s > REPLAY_LEAD_S:
+            return recovery.Wait(recovery.RETRY_INTERVAL_S)
         self._free_slots[target.runner] -= 1
         return recovery.Replay(target.runner, situation.sent)
 
@@ -106,14 +112,18 @@
     ) -> recovery.Decision:
         runner = situation.runner
         full = target.free_slots <= 0
-        later = recovery.export_fits(situation, 2 * recovery.RETRY_S)
-        if self._free_lanes[runner] <= 0 or (full and later):
-            return recovery.Wait(recovery.RETRY_S)
-        self._free_lanes[runner] -= 1
+        can_wait = recovery.export_fits(
+            situation, 2 * recovery.RETRY_INTERVAL_S
+        )
+        if self._free_exports[runner] <= 0 or (full and can_wait):
+            return recovery.Wait(recovery.RETRY_INTERVAL_S)
+        self._free_exports[runner] -= 1
         self._free_slots[target.runner] -= 1
         return recovery.ExportTo(target.runner)
 
-    def _open(self, situation: recovery.Situation) -> list[recovery.Candidate]:
+    def _current_candidates(
+        self, situation: recovery.Situation
+    ) -> list[recovery.Candidate]:
         return [
             recovery.Candidate(
                 candidate.runner,
--- a/src/apricotlever/requests/records.py
+++ b/src/apricotlever/requests/records.py
@@ -1,8 +1,8 @@
-"""Running and ended requests of one entry VM, by request ID.
+"""Records of the running and ended requests of one entry VM.
 
-A record holds what it takes to go on with a request elsewhere: its body and
-the tokens that the caller has been sent. Ended ones stay for a while, so a
-caller whose connection broke can fetch what it missed.
+A record holds what another VM needs to continue the request: its body and the
+tokens that were sent to the caller. Ended requests are kept for a limited
+time, so that a caller whose connection broke can fetch what it missed.
 """
 
 import collections
@@ -12,11 +12,11 @@
 from .. import clock as clocks
 from . import messages
 
-TOKEN_BYTES = 56
+TOKEN_MEMORY_BYTES = 56
 
 
 class State(enum.StrEnum):
-    """Where a request stands."""
+    """The state of a request on this VM."""
 
     RUNNING = "running"
     ENDED = "ended"
@@ -24,10 +24,11 @@
 
 
 class Outcome:
-    """How a request ended.
+    """The outcome of an ended request.
 
-    :param error: the stable type of the error, or None.
-    :param answer: the whole answer, unless it was a stream.
+    :param executed: whether the upstream ran the request.
+    :param error: the stable type of the error, or None if there was none.
+    :param answer: the complete answer, or None if it was streamed.
     """
 
     __slots__ = ("executed", "error", "answer")
@@ -44,19 +45,24 @@
 
     @property
     def size_bytes(self) -> int:
-        """An estimate of the memory that keeping it takes."""
+        """Estimated memory of the kept answer."""
         return 0 if self.answer is None else self.answer.size_bytes
 
 
 class Record:
     """One request.
 
-    The thread that relays the stream appends to ``tokens`` and sets nothing
-    else; a list's append is atomic.
+    The thread that relays the stream only appends to ``tokens`` and sets no
+    other attribute; appending to a list is atomic.
 
-    :param path: of the upstream call, such as ``/v1/completions``.
-    :param tokens: the text of each token sent to the caller, in order.
-    :param moved_to: the VM that has it now, if it was handed over.
+    :param entry: name of the catalogue entry that serves the request.
+    :param path: path of the upstream call, such as ``/v1/completions``.
+    :param chat: whether the request is a chat completion.
+    :param updated_at: monotonic time, in seconds, when the record was created
+        or adopted on this VM, or when its request ended here.
+
+    ``tokens`` holds the text of each token sent to the caller, in order.
+    ``moved_to`` is the VM that the request was handed over to, or empty.
     """
 
     __slots__ = (
@@ -72,7 +78,7 @@
         "state",
         "outcome",
         "moved_to",
-        "at",
+        "updated_at",
     )
 
     def __init__(
@@ -83,7 +89,7 @@
         path: str,
         body: bytes,
         chat: bool,
-        at: float,
+        updated_at: float,
     ) -> None:
         self.request_id = request_id
         self.customer = customer
@@ -97,25 +103,30 @@
         self.state = State.RUNNING
         self.outcome: Outcome | None = None
         self.moved_to = ""
-        self.at = at
+        self.updated_at = updated_at
 
     @property
     def size_bytes(self) -> int:
-        """An estimate of the memory that keeping it takes."""
+        """Estimated memory of the record."""
         kept = 0 if self.outcome is None else self.outcome.size_bytes
-        return len(self.body) + TOKEN_BYTES * len(self.tokens) + kept
+        return len(self.body) + TOKEN_MEMORY_BYTES * len(self.tokens) + kept
 
 
 class NotFound:
-    """No such request of this customer; a stranger's looks the same."""
+    """Result: this customer has no such request.
+
+    The result is the same whether or not another customer has the request.
+    """
 
     __slots__ = ()
 
 
-class FromHere:
-    """The request is running: send these tokens, then go on.
+class ResumeRunning:
+    """Result: the request is running; send the tokens, then continue.
 
-    :param first_index: of the first token to send, kept or to come.
+    :param first_index: index of the first token to send, which may not have
+        been produced yet.
+    :param tokens: the tokens from that index on that the record holds.
     """
 
     __slots__ = ("record", "first_index", "tokens")
@@ -128,8 +139,11 @@
         self.tokens = tokens
 
 
-class Ended:
-    """The request has ended: send these tokens, then its outcome."""
+class ResumeEnded:
+    """Result: the request has ended; send the tokens, then the outcome.
+
+    :param first_index: index of the first token to send.
+    """
 
     __slots__ = ("record", "first_index", "tokens", "outcome")
 
@@ -147,7 +161,7 @@
 
 
 class Moved:
-    """Another entry VM has the request now."""
+    """Result: the request was handed over to another entry VM."""
 
     __slots__ = ("vm",)
 
@@ -155,18 +169,18 @@
         self.vm = vm
 
 
-Resumed: typing.TypeAlias = NotFound | FromHere | Ended | Moved
+Resumed: typing.TypeAlias = NotFound | ResumeRunning | ResumeEnded | Moved
 
 
 class Records:
-    """All records, bounded.
+    """All request records of a VM, limited in number and memory.
 
-    Running requests are never dropped; :meth:`open` refuses instead.
+    Running requests are never dropped; :meth:`open` refuses new ones instead.
 
-    :param running_bytes: of all running requests together.
-    :param ended: how many ended requests are kept.
-    :param ended_bytes: of all ended requests together.
-    :param keep_s: how long an ended request is kept.
+    :param running_bytes: maximum size of the bodies of running requests.
+    :param ended: maximum number of ended requests.
+    :param ended_bytes: maximum memory of ended requests.
+    :param keep_s: how long an ended request is kept, in seconds.
     """
 
     __slots__ = (
@@ -203,17 +217,17 @@
 
     @property
     def running(self) -> list[Record]:
-        """The requests that have not ended here, the oldest first."""
+        """The running requests, oldest first."""
         return list(self._running.values())
 
     @property
     def ended(self) -> list[Record]:
-        """The requests that have ended or moved, the oldest first."""
+        """The requests that ended or were handed over, oldest first."""
         return [record for record, _ in self._ended.values()]
 
     @property
     def ended_bytes(self) -> int:
-        """The memory that ended requests take."""
+        """Estimated memory of the ended requests."""
         return self._ended_bytes
 
     def open(
@@ -225,17 +239,18 @@
         body: bytes,
         chat: bool,
     ) -> Record | None:
-        """Start a record.
+        """Create the record of a new request.
 
-        :returns: None if the running requests' bodies fill their bound.
+        :returns: None if the bodies of the running requests would exceed
+            their limit.
         """
         record = Record(
             request_id, customer, entry, path, body, chat, self._clock.now()
         )
-        return record if self._admit(record) else None
+        return record if self._store_running(record) else None
 
     def get(self, request_id: str) -> Record | None:
-        """Find a record whosever it is; for the VM's own use."""
+        """Return a record of any customer, or None; for internal use only."""
         running = self._running.get(request_id)
         if running is not None:
             return running
@@ -243,9 +258,10 @@
         return kept and kept[0]
 
     def attempt(self, request_id: str, runner: str) -> int:
-        """Note that a runner was given the request.
+        """Record that the request was given to a runner.
 
-        :returns: the number of the attempt, from 1.
+        :returns: the number of the attempt, starting at 1.
+        :raises KeyError: if the request is not running.
         """
         record = self._running[request_id]
         record.runner = runner
@@ -253,37 +269,38 @@
         return record.attempt
 
     def end(self, request_id: str, outcome: Outcome) -> None:
-        """Note how a running request ended; a second end is ignored."""
-        record = self._close(request_id)
+        """Record the outcome of a running request; a second one is ignored."""
+        record = self._remove_running(request_id)
         if record is not None:
             record.state = State.ENDED
             record.outcome = outcome
-            self._keep(record)
+            self._store_ended(record)
 
     def moved(self, request_id: str, vm: str) -> None:
-        """Note that another VM has confirmed that it has the request."""
-        record = self._close(request_id)
+        """Record that another VM has confirmed taking over the request."""
+        record = self._remove_running(request_id)
         if record is not None:
             record.state = State.MOVED
             record.moved_to = vm
             record.body, record.tokens = b"", []
-            self._keep(record)
+            self._store_ended(record)
 
     def adopt(self, record: Record) -> bool:
-        """Take over another VM's record; a known one stays as it is.
+        """Add the record of another VM; a known request is left unchanged.
 
-        :returns: False if there is no room for it.
+        :returns: False if the bodies of the running requests would exceed
+            their limit.
         """
         if self.get(record.request_id) is not None:
             return True
-        record.at = self._clock.now()
+        record.updated_at = self._clock.now()
         if record.state is State.RUNNING:
-            return self._admit(record)
-        self._keep(record)
+            return self._store_running(record)
+        self._store_ended(record)
         return True
 
     def on_runner(self, runner: str) -> list[Record]:
-        """The running requests that a runner works on."""
+        """Return the running requests that were last given to a runner."""
         return [
             record
             for record in self._running.values()
@@ -293,10 +310,10 @@
     def resume(
         self, request_id: str, customer: str, last_event_id: int | None
     ) -> Resumed:
-        """Answer a caller that comes back.
+        """Find what a reconnecting caller has to be sent.
 
-        :param last_event_id: the index of the last token it has received.
-            It may be ahead of the record, after a handover.
+        :param last_event_id: index of the last token that the caller
+            received, or None. After a handover it may be ahead of the record.
         """
         record = self.get(request_id)
         if record is None or record.customer != customer:
@@ -306,19 +323,19 @@
         first = 0 if last_event_id is None else max(0, last_event_id + 1)
         tokens = tuple(record.tokens[first:])
         if record.outcome is None:
-            return FromHere(record, first, tokens)
-        return Ended(record, first, tokens, record.outcome)
+            return ResumeRunning(record, first, tokens)
+        return ResumeEnded(record, first, tokens, record.outcome)
 
     def expire(self) -> None:
-        """Drop ended requests that were kept long enough."""
+        """Drop ended requests whose retention time has passed."""
         oldest = self._clock.now() - self._keep_s
         while self._ended:
             record, _ = next(iter(self._ended.values()))
-            if record.at >= oldest:
+            if record.updated_at >= oldest:
                 break
             self._drop_oldest()
 
-    def _admit(self, record: Record) -> bool:
+    def _store_running(self, record: Record) -> bool:
         size = len(record.body)
         if self._running_bytes + size > self._running_max:
             return False
@@ -326,14 +343,14 @@
         self._running_bytes += size
         return True
 
-    def _close(self, request_id: str) -> Record | None:
+    def _remove_running(self, request_id: str) -> Record | None:
         record = self._running.pop(request_id, None)
         if record is not None:
             self._running_bytes -= len(record.body)
         return record
 
-    def _keep(self, record: Record) -> None:
-        record.at = self._clock.now()
+    def _store_ended(self, record: Record) -> None:
+        record.updated_at = self._clock.now()
         size = record.size_bytes
         self._ended[record.request_id] = (record, size)
         self._ended_bytes += size
--- a/src/apricotlever/requests/recovery.py
+++ b/src/apricotlever/requests/recovery.py
@@ -1,8 +1,8 @@
-"""What becomes of a stream whose runner leaves or breaks.
+"""Decides how to continue a stream whose runner leaves or fails.
 
-Exporting the runner's state costs nothing again at the next runner, but it
-takes time that a notice may not leave. Replaying the prompt and the tokens
-already sent always works while the deadline lasts.
+After an export of the stream's state the next runner computes no token again,
+but an export can take longer than the notice allows. Replaying the prompt and
+the tokens already sent works at any time before the deadline.
 """
 
 import enum
@@ -10,28 +10,29 @@
 
 from . import messages
 
-RETRY_S = 0.2
-EXPORT_MARGIN = 1.25
+RETRY_INTERVAL_S = 0.2
+SAFETY_FACTOR = 1.25
 RETRY_AFTER_S = 2.0
-SAME_RUNNER_TRIES = 1
+RECONNECTS_MAX = 1
 
 
 class Cause(enum.Enum):
     """Why a stream needs a decision."""
 
-    #: The runner's VM will be taken; the stream still runs.
+    #: The runner's VM will be reclaimed; the stream is still running.
     NOTICE = "notice"
-    #: The connection broke or fell silent; the runner may go on.
+    #: The connection broke or stalled; the runner may still be working.
     BROKEN = "broken"
-    #: The runner is gone, or lost the stream, or an export or import failed.
+    #: The runner is gone or lost the stream, or an export or import failed.
     LOST = "lost"
 
 
 class Candidate:
-    """A runner that may take a stream over.
+    """A runner that can take over a stream.
 
-    :param free_slots: not more than 0 if a new stream has to queue there.
-    :param doomed: its data centre is being reclaimed.
+    :param free_slots: number of free slots; 0 or less if a new stream has to
+        wait in the runner's queue.
+    :param being_reclaimed: whether its data centre is being reclaimed.
     """
 
     __slots__ = ("runner", "data_centre", "free_slots", "doomed")
@@ -50,19 +51,23 @@
 
 
 class Situation:
-    """One stream in trouble.
-
-    :param priority: of its class, the higher first.
-    :param prompt_tokens: that a replay computes again.
-    :param sent: the tokens that the caller has, in order.
-    :param left_s: expected until the stream would end by itself.
-    :param notice_s: until the runner is taken; infinite without a notice.
-    :param export_s: what exporting and importing it is expected to take.
-    :param deadline_s: until the request's own deadline.
-    :param failures: attempts that broke; announced moves don't count.
-    :param same_runner: times it was resumed at the same runner in a row.
-    :param moving_to: the target of an export under way, or empty.
-    :param candidates: runners that may take it, leaving ones left out.
+    """A stream whose runner leaves or fails. Times are in seconds.
+
+    :param priority: priority of the stream's class; higher goes first.
+    :param prompt_tokens: length of the prompt, which a replay computes again.
+    :param sent_tokens: the tokens sent to the caller, in order.
+    :param remaining_s: expected time until the stream ends by itself.
+    :param notice_s: time until the runner is reclaimed; infinite without a
+        notice.
+    :param export_s: expected time of the stream's export and import.
+    :param deadline_s: time until the request's deadline.
+    :param failures: number of failed attempts; announced moves don't count.
+    :param failures_max: number of failed attempts after which the stream is
+        given up.
+    :param reconnects: number of consecutive reconnections to the same runner.
+    :param moving_to: the target of an export in progress, or empty.
+    :param candidates: runners that can take over the stream, without those
+        that are leaving.
     """
 
     __slots__ = (
@@ -119,12 +124,12 @@
 
     @property
     def redo_tokens(self) -> int:
-        """What a replay would compute again."""
+        """Number of tokens that a replay would compute again."""
         return self.prompt_tokens + len(self.sent)
 
 
 class ExportTo:
-    """Export at the present runner, import at this one, read on there."""
+    """Export the stream from its runner and import it at another runner."""
 
     __slots__ = ("runner",)
 
@@ -133,7 +138,7 @@
 
 
 class Replay:
-    """Send the prompt and the tokens already sent to this runner."""
+    """Replay the prompt and the tokens already sent at another runner."""
 
     __slots__ = ("runner", "resume_tokens")
 
@@ -145,7 +150,10 @@
 
 
 class ResumeSame:
-    """Read the runner's own stream on, over a new connection."""
+    """Reconnect to the runner and continue reading the same stream.
+
+    :param first_index: index of the first token to read.
+    """
 
     __slots__ = ("runner", "first_index")
 
@@ -155,13 +163,16 @@
 
 
 class CarryOn:
-    """Nothing to do: it ends in time, or its move is under way."""
+    """Leave the stream alone: it ends in time or is being moved."""
 
     __slots__ = ()
 
 
 class Wait:
-    """No runner can take it yet: ask again."""
+    """Decide again after a delay.
+
+    :param seconds: the delay.
+    """
 
     __slots__ = ("seconds",)
 
@@ -170,7 +181,11 @@
 
 
 class GiveUp:
-    """End the request with an error."""
+    """End the request with an error.
+
+    :param executed: whether the upstream ran the request.
+    :param retry_after_s: seconds after which the caller may retry.
+    """
 
     __slots__ = ("executed", "retry_after_s")
 
@@ -187,30 +202,33 @@
 
 
 def plan(situation: Situation) -> Decision:
-    """Decide about one stream by itself."""
+    """Decide how to continue a single stream."""
     if situation.deadline_s <= 0:
         return _give_up(situation)
     if situation.cause is Cause.NOTICE:
-        return _on_notice(situation)
+        return _decide_on_notice(situation)
     if situation.failures >= situation.failures_max:
         return _give_up(situation)
     if (
         situation.cause is Cause.BROKEN
-        and situation.same_runner < SAME_RUNNER_TRIES
-        and situation.notice_s > RETRY_S
+        and situation.same_runner < RECONNECTS_MAX
+        and situation.notice_s > RETRY_INTERVAL_S
     ):
         return ResumeSame(situation.runner, len(situation.sent))
-    target = pick(situation.candidates)
+    target = pick_target(situation.candidates)
     if target is None:
-        return Wait(min(RETRY_S, situation.deadline_s))
+        return Wait(min(RETRY_INTERVAL_S, situation.deadline_s))
     return Replay(target.runner, situation.sent)
 
 
-def pick(candidates: typing.Sequence[Candidate]) -> Candidate | None:
-    """Choose the emptiest runner, outside of doomed data centres first.
+def pick_target(candidates: typing.Sequence[Candidate]) -> Candidate | None:
+    """Choose the runner with the most free slots.
+
+    Data centres that are not being reclaimed are preferred. A free slot in a
+    data centre being reclaimed is better than a queue elsewhere, because a
+    second move costs less than the caller's wait.
 
-    A free slot in a doomed one beats a queue elsewhere: a second move costs
-    less than the caller's wait.
+    :returns: a candidate, or None if there are none.
     """
     return max(
         candidates,
@@ -225,33 +243,33 @@
 
 
 def ends_in_time(situation: Situation) -> bool:
-    """Whether the stream is over well before its runner is taken."""
-    return situation.left_s * EXPORT_MARGIN < situation.notice_s
+    """Return whether the stream ends well before the reclaim."""
+    return situation.left_s * SAFETY_FACTOR < situation.notice_s
 
 
-def export_fits(situation: Situation, busy_s: float = 0.0) -> bool:
-    """Whether an export is done well before the runner is taken.
+def export_fits(situation: Situation, delay_s: float = 0.0) -> bool:
+    """Return whether an export ends well before reclaim and deadline.
 
-    :param busy_s: until the export can start.
+    :param delay_s: seconds until the export can start.
     """
-    needed = busy_s + situation.export_s * EXPORT_MARGIN
+    needed = delay_s + situation.export_s * SAFETY_FACTOR
     return needed < min(situation.notice_s, situation.deadline_s)
 
 
-def _on_notice(situation: Situation) -> Decision:
-    # A notice can come twice. Moving a stream that is on its way already
-    # would leave two runners at work on it.
+def _decide_on_notice(situation: Situation) -> Decision:
+    # A notice can arrive twice. Moving a stream that is being moved already
+    # would make two runners work on it.
     if situation.moving_to or ends_in_time(situation):
         return CarryOn()
-    target = pick(situation.candidates)
+    target = pick_target(situation.candidates)
     if target is None:
-        return Wait(min(RETRY_S, situation.deadline_s))
+        return Wait(min(RETRY_INTERVAL_S, situation.deadline_s))
     if export_fits(situation):
         return ExportTo(target.runner)
     return Replay(target.runner, situation.sent)
 
 
 def _give_up(situation: Situation) -> GiveUp:
-    seen = bool(situation.sent)
-    executed = messages.Executed.YES if seen else messages.Executed.UNKNOWN
+    started = bool(situation.sent)
+    executed = messages.Executed.YES if started else messages.Executed.UNKNOWN
     return GiveUp(executed, RETRY_AFTER_S)
--- a/src/apricotlever/requests/stream.py
+++ b/src/apricotlever/requests/stream.py
@@ -1,4 +1,4 @@
-"""Puts the tokens of successive attempts together into one answer."""
+"""Merges the tokens of successive attempts into one stream."""
 
 ACCEPTED = 1
 STALE = 0
@@ -6,13 +6,14 @@
 
 
 class StreamCursor:
-    """The next token that the caller is owed, and who may supply it.
+    """The index of the next token to send, and the attempt that supplies it.
 
-    An attempt that was given up can still speak: its connection may deliver
-    tokens that were on the way. They would come twice, so only the current
-    attempt is listened to.
+    The connection of an abandoned attempt can still deliver tokens that were
+    in transit. Sending them would repeat tokens, so only tokens of the current
+    attempt are accepted.
 
-    :param next_index: the index of the first token that is owed.
+    :param attempt: number of the current attempt.
+    :param next_index: index of the next token to send to the caller.
     """
 
     __slots__ = ("_attempt", "_next", "_stale", "_gaps")
@@ -25,29 +26,32 @@
 
     @property
     def attempt(self) -> int:
-        """The attempt whose tokens count."""
+        """The number of the attempt whose tokens are accepted."""
         return self._attempt
 
     @property
     def next_index(self) -> int:
-        """The index of the token that is owed next."""
+        """The index of the next token to send to the caller."""
         return self._next
 
     @property
     def stale(self) -> int:
-        """Tokens dropped: of an old attempt, or sent already."""
+        """Number of tokens dropped because they were old or already sent."""
         return self._stale
 
     @property
     def gaps(self) -> int:
-        """How often the current attempt left a token out."""
+        """Number of times that the current attempt skipped a token."""
         return self._gaps
 
     def offer(self, attempt: int, index: int) -> int:
-        """Judge one token; called for each on its way to the caller.
+        """Check one token before it is sent to the caller.
 
-        :returns: ACCEPTED to pass it on, STALE to drop it, or GAP when a
-            token is missing: pass nothing on and recover the stream.
+        :param attempt: number of the attempt that delivered the token.
+        :param index: index of the token.
+        :returns: ACCEPTED if the token is to be sent, STALE if it is to be
+            dropped, or GAP if a token is missing; then send nothing and
+            recover the stream.
         """
         if index == self._next and attempt == self._attempt:
             self._next = index + 1
@@ -59,10 +63,10 @@
         return GAP
 
     def begin(self, attempt: int) -> int:
-        """Listen to a newer attempt only.
+        """Accept only the tokens of a newer attempt from now on.
 
-        :returns: the index from which it has to go on.
-        :raises ValueError: if the attempt isn't newer.
+        :returns: the index of the first token that the attempt has to supply.
+        :raises ValueError: if the attempt is not newer.
         """
         if attempt <= self._attempt:
             raise ValueError(f"attempt {attempt} is not newer")
--- a/tests/requests/recovery.feature
+++ b/tests/requests/recovery.feature
@@ -1,9 +1,9 @@
-Feature: What becomes of a stream in trouble
+Feature: Recovery of a stream whose runner leaves or fails
 
-  Scenario Outline: One stream
+  Scenario Outline: The recovery depends on the cause and the time left
     Given a stream with <notice> s of notice, cause <cause>, <candidates> runners
     And it needs <export> s to export and ends by itself in <left> s
-    Then its recovery is "<decision>"
+    Then the recovery decision is "<decision>"
 
     Examples:
       | notice | cause  | candidates | export | left | decision   |
@@ -15,25 +15,25 @@
       | 0      | lost   | 0          | 1      | 60   | Wait       |
       | 900    | broken | 2          | 1      | 60   | ResumeSame |
 
-  Scenario: A notice that comes twice
-    Symptom: two runners work on one stream.
-    Events: the notice for a VM is delivered a second time.
-    Cause: the export that is under way is not taken into account.
+  Scenario: A notice that arrives twice
+    Guards against two runners that work on one stream. The notice for a VM is
+    delivered a second time while an export is in progress, and the recovery
+    ignores that export.
 
     Given a stream with 30 s of notice, cause notice, 2 runners
     And it needs 1 s to export and ends by itself in 60 s
-    And its export is under way
-    Then its recovery is "CarryOn"
+    And its export is in progress
+    Then the recovery decision is "CarryOn"
 
   Scenario: The runner is killed during the export
-    Symptom: a stream that was announced for reclaim is lost.
-    Events: the runner goes before the export or the import is done.
-    Cause: nothing follows an export that fails.
+    Guards against losing a stream after a notice. The runner is reclaimed
+    before the export or the import is complete, and nothing is done after the
+    failed export.
 
     Given a stream with 0 s of notice, cause lost, 2 runners
     And it needs 1 s to export and ends by itself in 60 s
-    And its export is under way
-    Then its recovery is "Replay"
+    And its export is in progress
+    Then the recovery decision is "Replay"
 
-  Scenario: It never gives up early
-    Then no stream is given up while its deadline and attempts last
+  Scenario: A stream is not given up early
+    Then no stream is given up before its deadline while attempts are left
--- a/tests/steps/requests_records.py
+++ b/tests/steps/requests_records.py
@@ -57,7 +57,7 @@
 )
 def _resumed(context, customer, last, tokens):
     found = context.records.resume(NAME, customer, last)
-    assert isinstance(found, records.FromHere)
+    assert isinstance(found, records.ResumeRunning)
     assert found.first_index == last + 1
     assert found.tokens == tuple(tokens.split())
 
@@ -70,23 +70,26 @@
 
 
 @then(
-    'customer "{customer}" gets its end after token {last:d} with '
+    'customer "{customer}" gets its outcome after token {last:d} with '
     'tokens "{tokens}"'
 )
 def _ended(context, customer, last, tokens):
     found = context.records.resume(NAME, customer, last)
-    assert isinstance(found, records.Ended)
+    assert isinstance(found, records.ResumeEnded)
     assert found.tokens == tuple(tokens.split())
 
 
-@then('customer "{customer}" is sent to VM "{vm}"')
+@then('customer "{customer}" is redirected to VM "{vm}"')
 def _moved(context, customer, vm):
     found = context.records.resume(NAME, customer, None)
     assert isinstance(found, records.Moved) and found.vm == vm
 
 
-class _Plain:
-    """Running and ended names in the order of their ends."""
+class _ReferenceRecords:
+    """Reference model: states of running and ended requests by name.
+
+    Ended requests are ordered by the time of their end.
+    """
 
     def __init__(self):
         self.running, self.ended = {}, {}
@@ -109,13 +112,13 @@
 
 KINDS = {
     records.NotFound: "none",
-    records.FromHere: "running",
-    records.Ended: "ended",
+    records.ResumeRunning: "running",
+    records.ResumeEnded: "ended",
     records.Moved: "moved",
 }
 
 
-@then("random steps on the records agree with a plain dictionary")
+@then("random steps on the records agree with a reference model")
 def _agree(context):
     steps = strategies.lists(
         strategies.tuples(
@@ -129,7 +132,7 @@
     @hypothesis.given(steps)
     def check(sequence):
         store = records.Records(clock.ManualClock(), RUNNING_BYTES, ENDED_MAX)
-        plain = _Plain()
+        plain = _ReferenceRecords()
         outcome = records.Outcome(messages.Executed.YES)
         for kind, number in sequence:
             name = f"r{number}"
--- a/tests/steps/requests_recovery.py
+++ b/tests/steps/requests_recovery.py
@@ -51,12 +51,12 @@
     context.situation.left_s = left
 
 
-@given("its export is under way")
+@given("its export is in progress")
 def _exporting(context):
     context.situation.moving_to = "r1"
 
 
-@then('its recovery is "{decision}"')
+@then('the recovery decision is "{decision}"')
 def _decision(context, decision):
     found = recovery.plan(context.situation)
     assert type(found).__name__ == decision, type(found)
@@ -77,7 +77,7 @@
 )
 
 
-@then("no stream is given up while its deadline and attempts last")
+@then("no stream is given up before its deadline while attempts are left")
 def _never_early(context):
     @hypothesis.settings(
         derandomize=True, deadline=None, database=None, max_examples=400
@@ -93,9 +93,9 @@
     check()
 
 
-@given("a wave of {count:d} streams with {notice:g} s of notice")
+@given("{count:d} streams on leaving runners with {notice:g} s of notice")
 def _wave(context, count, notice):
-    context.wave = [
+    context.leaving_streams = [
         _situation(
             request_id=f"s{number}",
             priority=number % 3,
@@ -107,18 +107,20 @@
     ]
 
 
-@given("{count:d} runners with {slots:d} free slots, the last one doomed")
+@given(
+    "{count:d} runners with {slots:d} free slots, the last one being reclaimed"
+)
 def _targets(context, count, slots):
     candidates = [
         recovery.Candidate(f"r{number}", "sala-a", slots, number == count - 1)
         for number in range(count)
     ]
-    for situation in context.wave:
+    for situation in context.leaving_streams:
         situation.candidates = candidates
 
 
 def _moves(context):
-    return evacuation.plan(context.wave)
+    return evacuation.plan(context.leaving_streams)
 
 
 def _targets_of(moves):
@@ -130,17 +132,18 @@
 
 
 @then(
-    "no runner gets more than {most:d} of the wave, the doomed one {doomed:d}"
+    "no runner gets more than {most:d} streams, the one being reclaimed "
+    "{reclaimed:d}"
 )
-def _spread(context, most, doomed):
+def _spread(context, most, reclaimed):
     counts = _targets_of(_moves(context))
-    last = context.wave[0].candidates[-1].runner
-    assert counts.pop(last, 0) == doomed, counts
+    last = context.leaving_streams[0].candidates[-1].runner
+    assert counts.pop(last, 0) == reclaimed, counts
     assert max(counts.values()) - min(counts.values()) <= 1, counts
     assert max(counts.values()) <= most, counts
 
 
-@then("{count:d} streams wait, all of the lowest value")
+@then("{count:d} streams wait, all of the lowest rank")
 def _wait(context, count):
     moves = _moves(context)
     waiting = {
@@ -148,13 +151,13 @@
         for move in moves
         if isinstance(move.decision, recovery.Wait)
     }
-    value = {
+    ranks = {
         each.request_id: (each.priority, each.redo_tokens)
-        for each in context.wave
+        for each in context.leaving_streams
     }
-    moved = [value[name] for name in value if name not in waiting]
+    moved = [ranks[name] for name in ranks if name not in waiting]
     assert len(waiting) == count, len(waiting)
-    assert max(value[name] for name in waiting) <= min(moved)
+    assert max(ranks[name] for name in waiting) <= min(moved)
 
 
 def _names(moves, kind):
@@ -170,14 +173,16 @@
 def _exported(context, count, others):
     moves = _moves(context)
     exported = _names(moves, recovery.ExportTo)
-    tokens = {each.request_id: each.redo_tokens for each in context.wave}
+    tokens = {
+        each.request_id: each.redo_tokens for each in context.leaving_streams
+    }
     waiting = _names(moves, recovery.Wait)
     assert (len(exported), len(waiting)) == (count, others)
     least = min(tokens[name] for name in exported)
     for runner in ("old0", "old1"):
         mine = {
             each.request_id
-            for each in context.wave
+            for each in context.leaving_streams
             if each.runner == runner and each.request_id in exported
         }
         assert len(mine) == count // 2
--- a/tests/steps/requests_stream.py
+++ b/tests/steps/requests_stream.py
@@ -19,7 +19,10 @@
 
 
 def _relay(judge, sequence):
-    """Feed offers near the cursor; collect what goes out."""
+    """Offer tokens with indices near the cursor; return those sent.
+
+    :param judge: decides whether a token is sent.
+    """
     cursor = stream.StreamCursor()
     sent = []
     for begins, attempt, offset in sequence:
@@ -31,7 +34,7 @@
     return sent
 
 
-@then("the cursor passes each token once, in order, from any attempts")
+@then("the cursor accepts each token once and in order, from any attempt")
 def _in_order(context):
     @hypothesis.settings(derandomize=True, deadline=None, database=None)
     @hypothesis.given(offers)
@@ -47,7 +50,7 @@
     check()
 
 
-@then("passing on what arrives repeats a token in some sequence")
+@then("sending every token that arrives repeats one in some sequence")
 def _repeats(context):
     def judge(cursor, attempt, index):
         cursor.offer(attempt, index)
@@ -63,7 +66,7 @@
     context.cursor = stream.StreamCursor(attempt, index)
 
 
-@when("attempt {attempt:d} begins at the cursor")
+@when("attempt {attempt:d} starts at the cursor")
 def _begin(context, attempt):
     context.cursor.begin(attempt)
 
