--- a/src/apricotlever/requests/__init__.py
+++ b/src/apricotlever/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Requests: idempotency keys, the ledger, streams and their recovery."""
+"""Idempotency keys, their ledger, request records and stream recovery."""
--- a/src/apricotlever/requests/claims.py
+++ b/src/apricotlever/requests/claims.py
@@ -1,10 +1,11 @@
-"""Claims of keys that callers made up, grouped into objects of the store.
-
-A key falls into one bucket by its hash. A bucket is one object whose value
-holds many claims; a conditional write adds all the claims that wait, and
-only one write per bucket is under way. Whoever's write the store takes owns
-the keys in it. The decisions are pure: they return reads and writes for the
-platform's task to do and take their results back.
+"""Claims keys chosen by callers, batched into objects of the store.
+
+A key belongs to one bucket by its hash. A bucket is one object of the store
+whose value holds many claims. One conditional write adds all claims waiting
+for a bucket, and each bucket has at most one operation in progress. The VM
+whose write the store accepts owns the keys in that write. This module does no
+I/O: it returns reads and writes for the caller to carry out, and is given
+their results.
 """
 
 import hashlib
@@ -17,40 +18,49 @@
 from . import messages
 from ..vms import rendezvous
 
-DEFAULT_BUCKETS = 256
-DEFAULT_KEEP_S = 2 * 3600.0
+DEFAULT_BUCKET_COUNT = 256
+DEFAULT_RETENTION_S = 2 * 3600.0
 VALUE_BYTES_MAX = 900_000
 PRUNE_ABOVE_BYTES = 256_000
-ROW_BYTES = 64
-GIVE_UP_S = 3.0
-DOWN_S = 0.5
+CLAIM_OVERHEAD_BYTES = 64
+CLAIM_TIMEOUT_S = 3.0
+STORE_BACKOFF_S = 0.5
 CACHED_BUCKETS_MAX = 256
 
 _ID_BYTES = 16
 
 
-class Row:
-    """One claim as the store keeps it."""
+class StoredClaim:
+    """One claim as the store holds it.
+
+    :param digest: digest of the claimed call.
+    :param owner: the VM incarnation that holds the claim.
+    :param nonce: identifies the claim attempt.
+    :param claimed_at: wall-clock time of the claim, in seconds.
+    """
 
-    __slots__ = ("digest", "owner", "nonce", "at")
+    __slots__ = ("digest", "owner", "nonce", "claimed_at")
 
     def __init__(
-        self, digest: str, owner: messages.Owner, nonce: str, at: float
+        self, digest: str, owner: messages.Owner, nonce: str, claimed_at: float
     ) -> None:
         self.digest = digest
         self.owner = owner
         self.nonce = nonce
-        self.at = at
+        self.claimed_at = claimed_at
 
     @property
     def size_bytes(self) -> int:
-        """An upper estimate of the row's JSON, its identifier included."""
+        """Upper bound of the size of the claim's JSON with its identifier."""
         names = len(self.digest) + len(self.owner.vm) + len(self.nonce)
-        return ROW_BYTES + 2 * _ID_BYTES + names
+        return CLAIM_OVERHEAD_BYTES + 2 * _ID_BYTES + names
 
 
 class ReadBucket:
-    """Read an object of the store."""
+    """Action: read a bucket's object from the store.
+
+    :param name: the name of the object.
+    """
 
     __slots__ = ("name",)
 
@@ -59,9 +69,12 @@
 
 
 class WriteBucket:
-    """Write an object of the store on a condition.
+    """Action: write a bucket's object if its version is the expected one.
 
-    :param expected_version: None to create it only.
+    :param name: the name of the object.
+    :param value: the new value of the object.
+    :param expected_version: the version to replace, or None to write only if
+        the object doesn't exist.
     """
 
     __slots__ = ("name", "value", "expected_version")
@@ -78,7 +91,7 @@
 
 
 class Tell:
-    """Give the ledger the result of a claim."""
+    """Action: deliver the result of a claim to the ledger."""
 
     __slots__ = ("result",)
 
@@ -89,133 +102,157 @@
 Action: typing.TypeAlias = ReadBucket | WriteBucket | Tell
 
 
-class _Waiting:
-    """A claim on its way; ``maybe`` says that a write of it got lost."""
+class _PendingClaim:
+    """A claim without a result.
 
-    __slots__ = ("claim", "name", "until", "maybe")
+    ``maybe_written`` is set when a write with the claim got no answer.
+    """
+
+    __slots__ = ("claim", "name", "expires_at", "maybe_written")
 
-    def __init__(self, claim: messages.Claim, until: float) -> None:
+    def __init__(self, claim: messages.Claim, expires_at: float) -> None:
         self.claim = claim
         self.name = claim_id(claim.customer, claim.key)
-        self.until = until
-        self.maybe = False
+        self.expires_at = expires_at
+        self.maybe_written = False
 
 
 class _Bucket:
-    """One object: what is known of it and what waits for it."""
+    """One bucket: its last known content and the claims waiting for it.
 
-    __slots__ = ("name", "rows", "version", "busy", "waiting", "writing")
+    ``rows`` is None while the content is unknown.
+    """
+
+    __slots__ = (
+        "name",
+        "rows",
+        "version",
+        "operation_pending",
+        "waiting",
+        "writing",
+    )
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.rows: dict[str, Row] | None = None
+        self.rows: dict[str, StoredClaim] | None = None
         self.version: int | None = None
-        self.busy = False
-        self.waiting: list[_Waiting] = []
-        self.writing: list[_Waiting] = []
+        self.operation_pending = False
+        self.waiting: list[_PendingClaim] = []
+        self.writing: list[_PendingClaim] = []
 
 
 class Claims:
-    """The claims that one VM has under way.
+    """Batches the claims of one VM into conditional writes.
 
-    :param buckets: the same on every VM, for ever.
-    :param keep_s: a claim is kept at least this long; after that its key
-        may be used again for another call.
+    :param buckets: number of buckets; it must be the same on every VM and
+        must never change.
+    :param retention_s: minimum time that a claim is kept, in seconds. A key
+        whose claim was dropped can be used for another call.
     """
 
-    __slots__ = ("_clock", "_count", "_keep_s", "_buckets", "_down_until")
+    __slots__ = (
+        "_clock",
+        "_bucket_count",
+        "_retention_s",
+        "_buckets",
+        "_backoff_until",
+    )
 
     def __init__(
         self,
         clock: clocks.Clock,
-        buckets: int = DEFAULT_BUCKETS,
-        keep_s: float = DEFAULT_KEEP_S,
+        buckets: int = DEFAULT_BUCKET_COUNT,
+        retention_s: float = DEFAULT_RETENTION_S,
     ) -> None:
         self._clock = clock
-        self._count = buckets
-        self._keep_s = keep_s
+        self._bucket_count = buckets
+        self._retention_s = retention_s
         self._buckets: dict[str, _Bucket] = {}
-        self._down_until = float("-inf")
+        self._backoff_until = float("-inf")
 
     def claim(self, claim: messages.Claim) -> list[Action]:
-        """Start to claim a key."""
-        waiting = _Waiting(claim, self._clock.now() + GIVE_UP_S)
-        if self._clock.now() < self._down_until:
+        """Start claiming a key."""
+        waiting = _PendingClaim(claim, self._clock.now() + CLAIM_TIMEOUT_S)
+        if self._clock.now() < self._backoff_until:
             return [_not_claimed(waiting, messages.Reason.STORE_DOWN)]
         bucket = self._bucket(waiting.name)
         bucket.waiting.append(waiting)
-        return [] if bucket.busy else self._advance(bucket)
+        return [] if bucket.operation_pending else self._advance(bucket)
 
     def written(self, name: str, version: int) -> list[Action]:
-        """The store took the write."""
+        """Handle a write that the store accepted."""
         bucket = self._buckets[name]
-        ended, bucket.writing = bucket.writing, []
-        rows = {**(bucket.rows or {}), **self._added(ended)}
+        claimed, bucket.writing = bucket.writing, []
+        rows = {**(bucket.rows or {}), **self._claims_by_id(claimed)}
         bucket.rows, bucket.version = rows, version
-        told: list[Action] = [
-            Tell(_result(each, rows[each.name])) for each in ended
+        results: list[Action] = [
+            Tell(_result(each, rows[each.name])) for each in claimed
         ]
-        return told + self._advance(bucket)
+        return results + self._advance(bucket)
 
     def conflict(self, name: str) -> list[Action]:
-        """Another write came first: read again, claim what is left."""
+        """Handle a write that the store rejected: read the bucket again."""
         return self._read_again(self._buckets[name])
 
     def ambiguous(self, name: str) -> list[Action]:
-        """The write went out and no answer came: read it back.
+        """Handle a write without an answer: read the bucket back.
 
-        A write that is only late can't take effect after a newer one of
-        ours, for both expect the same version.
+        A delayed write can't take effect after a newer write of this VM,
+        because both expect the same version.
         """
         bucket = self._buckets[name]
         for each in bucket.writing:
-            each.maybe = True
+            each.maybe_written = True
         return self._read_again(bucket)
 
     def read(
         self, name: str, version: int, value: dict[str, typing.Any]
     ) -> list[Action]:
-        """The bucket was read."""
+        """Handle the content of a bucket."""
         bucket = self._buckets[name]
         try:
             bucket.rows = _parse(value)
         except (AttributeError, TypeError, ValueError):
-            # Somebody else wrote into the object. To guess at it might run
-            # a call twice, so its keys are refused until it is mended.
+            # The object has unexpected content. Guessing its meaning could
+            # run a call twice, so its keys are refused until it is repaired.
             return self.failed(name)
         bucket.version = version
         return self._advance(bucket)
 
     def missing(self, name: str) -> list[Action]:
-        """The bucket doesn't exist yet."""
+        """Handle a bucket that doesn't exist yet."""
         bucket = self._buckets[name]
         bucket.version, bucket.rows = None, {}
         return self._advance(bucket)
 
     def failed(self, name: str) -> list[Action]:
-        """The store is down or refuses calls; nothing was written now."""
+        """Handle a failed operation that certainly wrote nothing.
+
+        All claims waiting for the bucket fail, and new claims are refused
+        for :data:`STORE_BACKOFF_S`.
+        """
         bucket = self._buckets[name]
-        self._down_until = self._clock.now() + DOWN_S
+        self._backoff_until = self._clock.now() + STORE_BACKOFF_S
         refused = bucket.writing + bucket.waiting
         bucket.writing, bucket.waiting = [], []
-        bucket.rows, bucket.busy = None, False
+        bucket.rows, bucket.operation_pending = None, False
         return [
             _not_claimed(each, messages.Reason.STORE_DOWN) for each in refused
         ]
 
     def _bucket(self, claim_name: str) -> _Bucket:
-        name = bucket_of(claim_name, self._count)
+        name = bucket_name(claim_name, self._bucket_count)
         if name not in self._buckets:
-            self._shrink()
+            self._evict_idle_buckets()
             self._buckets[name] = _Bucket(name)
         return self._buckets[name]
 
-    def _shrink(self) -> None:
+    def _evict_idle_buckets(self) -> None:
         if len(self._buckets) >= CACHED_BUCKETS_MAX:
             self._buckets = {
                 name: bucket
                 for name, bucket in self._buckets.items()
-                if bucket.busy
+                if bucket.operation_pending
             }
 
     def _read_again(self, bucket: _Bucket) -> list[Action]:
@@ -225,78 +262,89 @@
         return self._advance(bucket)
 
     def _advance(self, bucket: _Bucket) -> list[Action]:
-        bucket.busy = bool(bucket.waiting)
+        bucket.operation_pending = bool(bucket.waiting)
         if not bucket.waiting:
             return []
         if bucket.rows is None:
             return [ReadBucket(bucket.name)]
         rows = bucket.rows
         waiting, bucket.waiting = bucket.waiting, []
-        told: list[Action] = [
+        results: list[Action] = [
             Tell(_result(each, rows[each.name]))
             for each in waiting
             if each.name in rows
         ]
-        fresh = [each for each in waiting if each.name not in rows]
+        unclaimed = [each for each in waiting if each.name not in rows]
         now = self._clock.now()
-        tired = [each for each in fresh if each.until < now]
-        eager = [each for each in fresh if each.until >= now]
-        told += [
-            _not_claimed(each, messages.Reason.STORE_DOWN) for each in tired
+        timed_out = [each for each in unclaimed if each.expires_at < now]
+        in_time = [each for each in unclaimed if each.expires_at >= now]
+        results += [
+            _not_claimed(each, messages.Reason.STORE_DOWN)
+            for each in timed_out
         ]
-        return told + self._write(bucket, eager)
+        return results + self._write(bucket, in_time)
 
-    def _write(self, bucket: _Bucket, eager: list[_Waiting]) -> list[Action]:
-        bucket.rows = self._pruned(bucket.rows or {})
-        fitting = self._fitting(bucket.rows, eager)
-        told: list[Action] = [
+    def _write(
+        self, bucket: _Bucket, in_time: list[_PendingClaim]
+    ) -> list[Action]:
+        bucket.rows = self._without_expired(bucket.rows or {})
+        fitting = self._claims_that_fit(bucket.rows, in_time)
+        results: list[Action] = [
             _not_claimed(each, messages.Reason.CLAIMS_FULL)
-            for each in eager[len(fitting) :]
+            for each in in_time[len(fitting) :]
         ]
         bucket.writing = fitting
-        bucket.busy = bool(fitting)
+        bucket.operation_pending = bool(fitting)
         if not fitting:
-            return told
-        value = _document({**bucket.rows, **self._added(fitting)})
-        return told + [WriteBucket(bucket.name, value, bucket.version)]
-
-    def _fitting(
-        self, rows: dict[str, Row], eager: list[_Waiting]
-    ) -> list[_Waiting]:
-        sizes = (self._row(each).size_bytes for each in eager)
+            return results
+        value = _document({**bucket.rows, **self._claims_by_id(fitting)})
+        return results + [WriteBucket(bucket.name, value, bucket.version)]
+
+    def _claims_that_fit(
+        self, rows: dict[str, StoredClaim], in_time: list[_PendingClaim]
+    ) -> list[_PendingClaim]:
+        sizes = (self._stored_claim(each).size_bytes for each in in_time)
         totals = itertools.accumulate(sizes, initial=_size(rows))
         next(totals)
         pairs = itertools.takewhile(
-            lambda pair: pair[1] <= VALUE_BYTES_MAX, zip(eager, totals)
+            lambda pair: pair[1] <= VALUE_BYTES_MAX, zip(in_time, totals)
         )
         return [each for each, _ in pairs]
 
-    def _added(self, writing: list[_Waiting]) -> dict[str, Row]:
-        # Of two claims of one key in the same write the first wins.
-        return {each.name: self._row(each) for each in reversed(writing)}
+    def _claims_by_id(
+        self, writing: list[_PendingClaim]
+    ) -> dict[str, StoredClaim]:
+        # Reversed, so that the first of two claims of one key wins.
+        return {
+            each.name: self._stored_claim(each) for each in reversed(writing)
+        }
 
-    def _row(self, waiting: _Waiting) -> Row:
+    def _stored_claim(self, waiting: _PendingClaim) -> StoredClaim:
         claim = waiting.claim
-        at = round(self._clock.wall(), 1)
-        return Row(claim.digest, claim.owner, claim.nonce, at)
-
-    def _pruned(self, rows: dict[str, Row]) -> dict[str, Row]:
-        # A wall clock that jumped ahead would drop claims that still count,
-        # so nothing is dropped before the room is needed.
+        claimed_at = round(self._clock.wall(), 1)
+        return StoredClaim(claim.digest, claim.owner, claim.nonce, claimed_at)
+
+    def _without_expired(
+        self, rows: dict[str, StoredClaim]
+    ) -> dict[str, StoredClaim]:
+        # A wall clock that jumped ahead would drop claims that are still
+        # valid, so no claim is dropped before the space is needed.
         if _size(rows) < PRUNE_ABOVE_BYTES:
             return rows
-        oldest = self._clock.wall() - self._keep_s
-        return {name: row for name, row in rows.items() if row.at >= oldest}
+        oldest = self._clock.wall() - self._retention_s
+        return {
+            name: row for name, row in rows.items() if row.claimed_at >= oldest
+        }
 
 
 def claim_id(customer: str, key: str) -> str:
-    """Name a customer's key in the store without showing it."""
+    """Return the identifier of a key in the store, which hides the key."""
     text = f"{len(customer)}:{customer}{key}"
     return hashlib.sha256(text.encode()).hexdigest()[: 2 * _ID_BYTES]
 
 
-def bucket_of(claim_name: str, buckets: int = DEFAULT_BUCKETS) -> str:
-    """Name the object that holds a claim."""
+def bucket_name(claim_name: str, buckets: int = DEFAULT_BUCKET_COUNT) -> str:
+    """Return the name of the object that holds a claim."""
     number = xxhash.xxh64_intdigest(claim_name.encode()) % buckets
     return f"claims/{number:04x}"
 
@@ -305,40 +353,43 @@
     customer: str,
     key: str,
     vms: typing.Iterable[str],
-    buckets: int = DEFAULT_BUCKETS,
+    buckets: int = DEFAULT_BUCKET_COUNT,
 ) -> str | None:
-    """Choose the VM that had best claim and run a caller's key.
+    """Return the VM that should claim and run a key chosen by a caller.
 
-    While the VMs agree on who is there, only one of them writes to a bucket,
-    so its writes don't conflict and it need not read before them. When they
-    don't agree, the store's condition still lets one claimer win.
+    While the VMs agree on the membership, only one VM writes to a bucket, so
+    its writes don't conflict and need no read first. If they disagree, the
+    condition of the write still lets only one VM claim a key.
 
-    :param vms: those that take new work.
+    :param vms: names of the VMs that accept new work.
+    :returns: the name of a VM, or None if there is none.
     """
-    bucket = bucket_of(claim_id(customer, key), buckets)
+    bucket = bucket_name(claim_id(customer, key), buckets)
     return rendezvous.pick(bucket, vms)
 
 
-def _size(rows: dict[str, Row]) -> int:
+def _size(rows: dict[str, StoredClaim]) -> int:
     return sum(row.size_bytes for row in rows.values())
 
 
-def _result(waiting: _Waiting, row: Row) -> messages.ClaimResult:
+def _result(waiting: _PendingClaim, row: StoredClaim) -> messages.ClaimResult:
     claim = waiting.claim
     if row.digest != claim.digest:
-        return messages.Conflicting(claim.token)
+        return messages.ClaimConflict(claim.token)
     if row.nonce == claim.nonce:
         return messages.Won(claim.token)
-    return messages.Held(claim.token, row.owner)
+    return messages.ClaimHeld(claim.token, row.owner)
 
 
-def _not_claimed(waiting: _Waiting, reason: messages.Reason) -> Tell:
+def _not_claimed(waiting: _PendingClaim, reason: messages.Reason) -> Tell:
     return Tell(
-        messages.NotClaimed(waiting.claim.token, reason, waiting.maybe)
+        messages.ClaimFailed(
+            waiting.claim.token, reason, waiting.maybe_written
+        )
     )
 
 
-def _document(rows: dict[str, Row]) -> dict[str, typing.Any]:
+def _document(rows: dict[str, StoredClaim]) -> dict[str, typing.Any]:
     return {
         "claims": {
             name: [
@@ -346,17 +397,19 @@
                 row.owner.vm,
                 row.owner.incarnation,
                 row.nonce,
-                row.at,
+                row.claimed_at,
             ]
             for name, row in rows.items()
         }
     }
 
 
-def _parse(value: dict[str, typing.Any]) -> dict[str, Row]:
+def _parse(value: dict[str, typing.Any]) -> dict[str, StoredClaim]:
     return {
-        name: Row(digest, messages.Owner(vm, incarnation), nonce, at)
-        for name, (digest, vm, incarnation, nonce, at) in value.get(
+        name: StoredClaim(
+            digest, messages.Owner(vm, incarnation), nonce, claimed_at
+        )
+        for name, (digest, vm, incarnation, nonce, claimed_at) in value.get(
             "claims", {}
         ).items()
     }
--- a/src/apricotlever/requests/departure.py
+++ b/src/apricotlever/requests/departure.py
@@ -1,9 +1,10 @@
-"""The order in which a leaving entry VM hands over what it has.
+"""Sends the requests and the ledger of a leaving entry VM to its peers.
 
-Running requests go first, spread over the peers, for a caller waits on each.
-The ledger follows, whole, to one heir: without it keys are ``unknown``,
-which is safe. Ended requests go last. A caller is told where to go only
-after the peer's receipt, so that it never arrives before its request.
+Running requests are sent first and spread over the peers, because a caller
+waits for each of them. The whole ledger follows, to a single successor; a
+ledger that never arrives only makes the outcome of its keys ``unknown``, which
+is safe. Ended requests are sent last. Callers are redirected to a peer only
+after its receipt, so that they never arrive before their requests.
 """
 
 import itertools
@@ -16,12 +17,16 @@
 from . import records
 from ..vms import rendezvous
 
-WINDOW = 8
-RESEND_S = 0.5
+PARTS_IN_FLIGHT_MAX = 8
+RESEND_INTERVAL_S = 0.5
 
 
 class Peer:
-    """An entry VM that may take over; leaving ones must not be listed."""
+    """An entry VM that can take over requests; it must not be leaving.
+
+    :param owner: the incarnation of the VM.
+    :param data_centre: the data centre of the VM.
+    """
 
     __slots__ = ("owner", "data_centre")
 
@@ -31,7 +36,7 @@
 
 
 class Send:
-    """Send a part; its receipt goes to :meth:`Departure.receipt`."""
+    """Action: send a part; report to :meth:`HandoverSender.on_receipt`."""
 
     __slots__ = ("part",)
 
@@ -40,7 +45,7 @@
 
 
 class TellMoved:
-    """Tell the callers of these requests where to go on."""
+    """Action: redirect the callers of these requests to another VM."""
 
     __slots__ = ("request_ids", "vm")
 
@@ -50,16 +55,19 @@
 
 
 class ExportLedger:
-    """Call the ledger's ``hand_over`` and give the state back."""
+    """Action: export the ledger to the successor.
+
+    The exported state goes to :meth:`HandoverSender.on_exported`.
+    """
 
     __slots__ = ("heir",)
 
-    def __init__(self, heir: messages.Owner) -> None:
-        self.heir = heir
+    def __init__(self, successor: messages.Owner) -> None:
+        self.heir = successor
 
 
 class LedgerReceived:
-    """The heir's word; the ledger takes it with ``receipt``."""
+    """Action: give the successor's receipt to the ledger's transfer."""
 
     __slots__ = ("receipt",)
 
@@ -68,7 +76,7 @@
 
 
 class OutcomesReceived:
-    """The heir knows these; the ledger's succession takes them."""
+    """Action: tell the ledger's transfer that these outcomes arrived."""
 
     __slots__ = ("settled",)
 
@@ -77,9 +85,9 @@
 
 
 class Finished:
-    """Nothing is left to send.
+    """Action: the handover has ended.
 
-    :param complete: False if no peer was there, or the time ran out.
+    :param complete: False if no peer was available or the deadline passed.
     """
 
     __slots__ = ("complete",)
@@ -98,8 +106,8 @@
 )
 
 
-class _Outgoing:
-    """A part without a receipt yet."""
+class _UnacknowledgedPart:
+    """A part whose receipt has not arrived yet."""
 
     __slots__ = ("part", "records", "settled", "sent_at")
 
@@ -116,11 +124,12 @@
 
 
 class Departure:
-    """One VM's handover, from the first part to the last receipt.
+    """The handover of one VM, from the first part to the last receipt.
 
-    :param data_centre: of this VM; peers elsewhere are preferred, for this
-        data centre may be on its way out as a whole.
-    :param deadline: monotonic time after which nothing more is sent.
+    :param me: the incarnation of the leaving VM.
+    :param data_centre: the data centre of this VM. Peers in other data
+        centres are preferred, because this one may be reclaimed as a whole.
+    :param deadline: monotonic time, in seconds, after which nothing is sent.
     """
 
     __slots__ = (
@@ -129,13 +138,13 @@
         "_data_centre",
         "_deadline",
         "_peers",
-        "_ended",
+        "_ended_records",
         "_queue",
         "_sequence",
-        "_ledger_left",
+        "_ledger_unsent",
         "_exporting",
-        "_in_flight",
-        "_heir",
+        "_calls_in_flight",
+        "_successor",
         "_finished",
     )
 
@@ -151,23 +160,23 @@
         self._data_centre = data_centre
         self._deadline = deadline
         self._peers: dict[messages.Owner, Peer] = {}
-        self._ended: list[records.Record] = []
-        self._queue: dict[int, _Outgoing] = {}
+        self._ended_records: list[records.Record] = []
+        self._queue: dict[int, _UnacknowledgedPart] = {}
         self._sequence = itertools.count()
-        self._ledger_left = True
+        self._ledger_unsent = True
         self._exporting = False
-        self._in_flight = 0
-        self._heir: messages.Owner | None = None
+        self._calls_in_flight = 0
+        self._successor: messages.Owner | None = None
         self._finished = False
 
     @property
-    def heir(self) -> messages.Owner | None:
-        """The incarnation that gets the ledger."""
-        return self._heir
+    def successor(self) -> messages.Owner | None:
+        """The incarnation chosen to receive the ledger, or None."""
+        return self._successor
 
     @property
     def unreceived(self) -> int:
-        """Parts that have no receipt yet."""
+        """Number of parts without a receipt."""
         return len(self._queue)
 
     def begin(
@@ -177,70 +186,73 @@
         ended: list[records.Record],
         in_flight: int = 0,
     ) -> list[Action]:
-        """Start to hand over.
+        """Start the handover.
 
-        :param ended: requests whose outcome callers may still ask for.
-        :param in_flight: keyed calls that have not ended.
+        :param peers: VMs that can take over requests and the ledger.
+        :param running: requests in progress.
+        :param ended: ended requests whose outcome callers can still fetch.
+        :param in_flight: number of keyed calls in progress.
         """
-        self._in_flight = in_flight
+        self._calls_in_flight = in_flight
         self._peers = {peer.owner: peer for peer in peers}
-        self._ended = ended
+        self._ended_records = ended
         self._queue_records(running)
-        return self._go_on()
+        return self._advance()
 
     def exported(self, state: ledger_state.LedgerState) -> list[Action]:
-        """Queue the ledger that :class:`ExportLedger` asked for."""
+        """Queue the ledger exported for :class:`ExportLedger`."""
         self._exporting = False
-        if state.heir != self._heir or state.heir not in self._peers:
-            return self._go_on()
-        pieces = handover.cut(ledger_state.encode(state))
+        if state.heir != self._successor or state.heir not in self._peers:
+            return self._advance()
+        pieces = handover.split_payload(ledger_state.encode(state))
         for index, piece in enumerate(pieces):
             self._enqueue(
                 state.heir,
-                handover.Kind.LEDGER,
+                handover.PartKind.LEDGER,
                 piece,
                 index=index,
                 count=len(pieces),
             )
-        ended, self._ended = self._ended, []
+        ended, self._ended_records = self._ended_records, []
         self._queue_records(ended)
-        return self._go_on()
+        return self._advance()
 
     def outcomes(
         self, settled: list[ledger_state.Settled], in_flight: int
     ) -> list[Action]:
-        """Queue the outcomes of calls that have ended since the export.
+        """Queue the outcomes of calls that ended after the export.
 
-        :param settled: what the ledger's succession still has to send.
-        :param in_flight: calls that have not ended; 0 lets it finish.
+        :param settled: outcomes that the successor has not received yet.
+        :param in_flight: number of keyed calls in progress; the handover
+            finishes only when it is 0.
         """
-        self._in_flight = in_flight
-        under_way = any(each.settled for each in self._queue.values())
-        if self._heir is not None and settled and not under_way:
+        self._calls_in_flight = in_flight
+        sending = any(each.settled for each in self._queue.values())
+        if self._successor is not None and settled and not sending:
             payload = ledger_state.encode_settled(settled)
-            kind = handover.Kind.OUTCOMES
-            self._enqueue(self._heir, kind, payload, settled=settled)
-        return self._go_on()
+            kind = handover.PartKind.OUTCOMES
+            self._enqueue(self._successor, kind, payload, settled=settled)
+        return self._advance()
 
     def receipt(self, sequence: int) -> list[Action]:
-        """The peer has taken a part."""
+        """Handle the receipt of a part by its peer."""
         outgoing = self._queue.pop(sequence, None)
         if outgoing is None:
             return []
-        return self._received(outgoing) + self._go_on()
+        return self._actions_after_receipt(outgoing) + self._advance()
 
     def refused(self, sequence: int) -> list[Action]:
-        """The very incarnation that was asked takes nothing over."""
+        """Handle a part that the addressed incarnation itself refused."""
         outgoing = self._queue.get(sequence)
         if outgoing is None:
             return []
-        heir = outgoing.part.heir
-        refusal = ledger_state.Receipt(self._me, heir, accepted=False)
-        told: list[Action] = [LedgerReceived(refusal)]
-        return told + self.peer_gone(heir)
+        successor = outgoing.part.heir
+        refusal = ledger_state.Receipt(self._me, successor, accepted=False)
+        actions: list[Action] = [LedgerReceived(refusal)]
+        return actions + self.peer_gone(successor)
 
     def peer_gone(self, owner: messages.Owner) -> list[Action]:
-        """A peer has left, died or was replaced: send its parts elsewhere."""
+        """Send the parts of a peer that is gone to other peers."""
         self._peers.pop(owner, None)
         lost = [
             outgoing
@@ -256,30 +268,36 @@
                 )
             )
         )
-        if owner == self._heir:
-            self._heir = None
+        if owner == self._successor:
+            self._successor = None
             self._exporting = False
-            self._ledger_left = True
-        return self._go_on()
+            self._ledger_unsent = True
+        return self._advance()
 
     def tick(self) -> list[Action]:
-        """Send again what has no receipt, until the time is over."""
+        """Resend parts without a receipt until the deadline passes."""
         if self._clock.now() >= self._deadline:
             return self._finish(complete=False)
-        return self._go_on()
+        return self._advance()
 
     def _queue_records(self, rows: list[records.Record]) -> None:
-        placed = [(self._choose(row.request_id), row) for row in rows]
+        assignments = [
+            (self._pick_successor(row.request_id), row) for row in rows
+        ]
         for owner in self._peers:
-            mine = [row for heir, row in placed if heir == owner]
-            for grouped in handover.group(mine):
-                payload = handover.encode_records(grouped)
-                self._enqueue(owner, handover.Kind.RECORDS, payload, grouped)
+            assigned = [
+                row for successor, row in assignments if successor == owner
+            ]
+            for part_records in handover.group_records(assigned):
+                payload = handover.encode_records(part_records)
+                self._enqueue(
+                    owner, handover.PartKind.RECORDS, payload, part_records
+                )
 
     def _enqueue(
         self,
-        heir: messages.Owner,
-        kind: handover.Kind,
+        successor: messages.Owner,
+        kind: handover.PartKind,
         payload: bytes,
         part_records: list[records.Record] | None = None,
         settled: list[ledger_state.Settled] | None = None,
@@ -288,33 +306,35 @@
     ) -> None:
         sequence = next(self._sequence)
         part = handover.Part(
-            self._me, heir, kind, sequence, index, count, payload
+            self._me, successor, kind, sequence, index, count, payload
         )
-        self._queue[sequence] = _Outgoing(
+        self._queue[sequence] = _UnacknowledgedPart(
             part, part_records or [], settled or []
         )
 
-    def _choose(self, key: str) -> messages.Owner | None:
-        elsewhere = [
+    def _pick_successor(self, key: str) -> messages.Owner | None:
+        remote_peers = [
             peer
             for peer in self._peers.values()
             if peer.data_centre != self._data_centre
         ]
-        among = elsewhere or list(self._peers.values())
-        by_vm = {peer.owner.vm: peer.owner for peer in among}
+        candidates = remote_peers or list(self._peers.values())
+        by_vm = {peer.owner.vm: peer.owner for peer in candidates}
         vm = rendezvous.pick(key, by_vm)
         return None if vm is None else by_vm[vm]
 
-    def _received(self, outgoing: _Outgoing) -> list[Action]:
+    def _actions_after_receipt(
+        self, outgoing: _UnacknowledgedPart
+    ) -> list[Action]:
         part = outgoing.part
-        if part.kind is handover.Kind.LEDGER:
+        if part.kind is handover.PartKind.LEDGER:
             missing = any(
-                each.part.kind is handover.Kind.LEDGER
+                each.part.kind is handover.PartKind.LEDGER
                 for each in self._queue.values()
             )
             receipt = ledger_state.Receipt(self._me, part.heir, True)
             return [] if missing else [LedgerReceived(receipt)]
-        if part.kind is handover.Kind.OUTCOMES:
+        if part.kind is handover.PartKind.OUTCOMES:
             return [OutcomesReceived(outgoing.settled)]
         running = tuple(
             record.request_id
@@ -323,41 +343,44 @@
         )
         return [TellMoved(running, part.heir.vm)] if running else []
 
-    def _go_on(self) -> list[Action]:
+    def _advance(self) -> list[Action]:
         if self._finished:
             return []
         if not self._peers:
             return self._finish(complete=False)
-        sends = self._sends()
+        sends = self._due_sends()
         unsent = any(
             outgoing.sent_at is None for outgoing in self._queue.values()
         )
-        if self._ledger_left and not unsent:
+        if self._ledger_unsent and not unsent:
             return sends + self._export()
-        busy = self._queue or self._exporting or self._in_flight
-        if not busy and not self._ledger_left:
+        busy = self._queue or self._exporting or self._calls_in_flight
+        if not busy and not self._ledger_unsent:
             return sends + self._finish(complete=True)
         return sends
 
-    def _sends(self) -> list[Action]:
+    def _due_sends(self) -> list[Action]:
         now = self._clock.now()
-        window = list(itertools.islice(self._queue.values(), WINDOW))
+        window = list(
+            itertools.islice(self._queue.values(), PARTS_IN_FLIGHT_MAX)
+        )
         due = [
             outgoing
             for outgoing in window
-            if outgoing.sent_at is None or now - outgoing.sent_at >= RESEND_S
+            if outgoing.sent_at is None
+            or now - outgoing.sent_at >= RESEND_INTERVAL_S
         ]
         for outgoing in due:
             outgoing.sent_at = now
         return [Send(outgoing.part) for outgoing in due]
 
     def _export(self) -> list[Action]:
-        self._ledger_left = False
-        self._heir = self._choose(self._me.vm)
-        if self._heir is None:
+        self._ledger_unsent = False
+        self._successor = self._pick_successor(self._me.vm)
+        if self._successor is None:
             return []
         self._exporting = True
-        return [ExportLedger(self._heir)]
+        return [ExportLedger(self._successor)]
 
     def _finish(self, complete: bool) -> list[Action]:
         done, self._finished = self._finished, True
--- a/src/apricotlever/requests/entries.py
+++ b/src/apricotlever/requests/entries.py
@@ -1,8 +1,8 @@
-"""The ledger's table of keys: states, kept answers and what may be dropped.
+"""The ledger's bounded table of keys, their run states and kept answers.
 
-Dropping an entry must never let its key run again. The entry of a minted
-key raises the floor of its origin, below which unseen keys are refused; the
-entry of a key that the caller made up leaves its claim in the store.
+Dropping an entry must never let its key run again. When the entry of a minted
+key is dropped, its issuer refuses all unseen keys minted up to that time. A
+dropped entry of a key chosen by the caller still has its claim in the store.
 """
 
 import collections
@@ -13,8 +13,8 @@
 from . import messages
 
 
-class State(enum.StrEnum):
-    """How far the one run of a key has come."""
+class RunState(enum.StrEnum):
+    """Progress of the single run of a key."""
 
     CLAIMING = "claiming"
     CLAIMED = "claimed"
@@ -24,91 +24,118 @@
     UNKNOWN = "unknown"
 
 
-IN_FLIGHT = frozenset((State.CLAIMING, State.CLAIMED, State.SENDING))
+IN_FLIGHT = frozenset((RunState.CLAIMING, RunState.CLAIMED, RunState.SENDING))
 
 
-class Bounds:
-    """How much a ledger keeps, and for how long.
+class LedgerLimits:
+    """How much a ledger keeps, and for how long. Times are in seconds.
 
-    :param key_life_s: a minted key may start its run this long.
-    :param made_life_s: how long an entry of a caller's key is kept here.
-    :param margin_s: an entry outlives its key by this much.
-    :param reserve_s: a run that hasn't started by then is taken back.
-    :param run_s: a run that hasn't ended by then is ``unknown``.
+    :param minted_key_life_s: how long after its minting a key may be run.
+    :param caller_key_life_s: how long the ledger keeps the entry of a key
+        chosen by the caller.
+    :param margin_s: how much longer than its minted key an entry is kept.
+    :param entries_max: maximum number of entries.
+    :param answers_max: maximum number of kept answers.
+    :param answers_bytes_max: maximum memory of all kept answers.
+    :param answer_retention_s: how long an answer is kept.
+    :param unsent_timeout_s: how long a run may take until its call is sent;
+        after that the run is cancelled.
+    :param run_timeout_s: how long a call may take after it was sent; after
+        that its outcome counts as ``unknown``.
     """
 
     __slots__ = (
-        "key_life_s",
-        "made_life_s",
+        "minted_key_life_s",
+        "caller_key_life_s",
         "margin_s",
-        "entries",
-        "answers",
-        "answers_bytes",
-        "answer_s",
-        "reserve_s",
-        "run_s",
+        "entries_max",
+        "answers_max",
+        "answers_bytes_max",
+        "answer_retention_s",
+        "unsent_timeout_s",
+        "run_timeout_s",
     )
 
     def __init__(
         self,
-        key_life_s: float = 3600.0,
-        made_life_s: float = 6 * 3600.0,
+        minted_key_life_s: float = 3600.0,
+        caller_key_life_s: float = 6 * 3600.0,
         margin_s: float = 60.0,
-        entries: int = 200_000,
-        answers: int = 20_000,
-        answers_bytes: int = 32_000_000,
-        answer_s: float = 3600.0,
-        reserve_s: float = 120.0,
-        run_s: float = 900.0,
+        entries_max: int = 200_000,
+        answers_max: int = 20_000,
+        answers_bytes_max: int = 32_000_000,
+        answer_retention_s: float = 3600.0,
+        unsent_timeout_s: float = 120.0,
+        run_timeout_s: float = 900.0,
     ) -> None:
-        self.key_life_s = key_life_s
-        self.made_life_s = made_life_s
+        self.minted_key_life_s = minted_key_life_s
+        self.caller_key_life_s = caller_key_life_s
         self.margin_s = margin_s
-        self.entries = entries
-        self.answers = answers
-        self.answers_bytes = answers_bytes
-        self.answer_s = answer_s
-        self.reserve_s = reserve_s
-        self.run_s = run_s
-
-
-class Origin:
-    """One incarnation whose keys this ledger may judge.
-
-    :param started: this clock's reading when that incarnation started.
-    :param floor_s: an unseen key minted by then may have been forgotten.
-    :param may_run: False if another heir may hold a live copy.
-    :param ended: when it stopped minting, or None for the own one.
+        self.entries_max = entries_max
+        self.answers_max = answers_max
+        self.answers_bytes_max = answers_bytes_max
+        self.answer_retention_s = answer_retention_s
+        self.unsent_timeout_s = unsent_timeout_s
+        self.run_timeout_s = run_timeout_s
+
+
+class KeyIssuer:
+    """A VM incarnation that minted keys which this ledger decides on.
+
+    :param owner: the incarnation that minted the keys.
+    :param secret: the secret that authenticates its keys.
+    :param started: monotonic time of this VM's clock when the incarnation
+        started.
+    :param forgotten_until_s: mint time, in seconds since ``started``, up to
+        which an unseen key may have had an entry that was dropped.
+    :param may_run: False if another successor may run the same keys.
+    :param ended: monotonic time when the incarnation stopped minting keys, or
+        None for this ledger's own incarnation.
     """
 
-    __slots__ = ("owner", "secret", "started", "floor_s", "may_run", "ended")
+    __slots__ = (
+        "owner",
+        "secret",
+        "started",
+        "forgotten_until_s",
+        "may_run",
+        "ended",
+    )
 
     def __init__(
         self,
         owner: messages.Owner,
         secret: bytes,
         started: float,
-        floor_s: int = -1,
+        forgotten_until_s: int = -1,
         may_run: bool = True,
         ended: float | None = None,
     ) -> None:
         self.owner = owner
         self.secret = secret
         self.started = started
-        self.floor_s = floor_s
+        self.forgotten_until_s = forgotten_until_s
         self.may_run = may_run
         self.ended = ended
 
 
 class Entry:
-    """One key of one customer, and the one call it stands for.
-
-    :param minted_s: the mint time in its origin's seconds.
-    :param origin: None for a key that the caller made up.
-    :param nonce: of the claim in the store, for a caller's key.
-    :param certain: the store is known to hold the claim.
-    :param written: the store may hold the claim.
-    :param away: the incarnation that is still running it, or None.
+    """One key of one customer, with the single call that it stands for.
+
+    :param digest: digest of the call.
+    :param minted_s: mint time in seconds since the start of the issuer; 0 for
+        a key chosen by the caller.
+    :param issuer: the issuer of a minted key; None for a key chosen by the
+        caller.
+    :param updated_at: monotonic time of the entry's creation, or of the last
+        start or send of its run.
+    :param nonce: identifies the claim in the store, for a key chosen by the
+        caller.
+    :param claim_held: the store is known to hold this ledger's claim.
+    :param maybe_claimed: the store may hold this ledger's claim.
+
+    ``running_on`` is the incarnation that is still running the call after the
+    ledger was transferred, or None.
     """
 
     __slots__ = (
@@ -117,15 +144,15 @@
         "digest",
         "state",
         "minted_s",
-        "origin",
+        "issuer",
         "nonce",
-        "certain",
-        "written",
-        "first",
+        "claim_held",
+        "maybe_claimed",
+        "first_send",
         "token",
-        "since",
+        "updated_at",
         "answer",
-        "away",
+        "running_on",
     )
 
     def __init__(
@@ -133,85 +160,96 @@
         customer: str,
         key: str,
         digest: str,
-        state: State,
+        state: RunState,
         minted_s: int,
-        origin: Origin | None,
-        since: float,
+        issuer: KeyIssuer | None,
+        updated_at: float,
         nonce: str = "",
-        certain: bool = False,
-        written: bool = False,
+        claim_held: bool = False,
+        maybe_claimed: bool = False,
     ) -> None:
         self.customer = customer
         self.key = key
         self.digest = digest
         self.state = state
         self.minted_s = minted_s
-        self.origin = origin
-        self.since = since
+        self.issuer = issuer
+        self.updated_at = updated_at
         self.nonce = nonce
-        self.certain = certain
-        self.written = written
-        self.first = False
+        self.claim_held = claim_held
+        self.maybe_claimed = maybe_claimed
+        self.first_send = False
         self.token = 0
         self.answer: messages.Answer | None = None
-        self.away: messages.Owner | None = None
+        self.running_on: messages.Owner | None = None
 
     @property
     def in_flight(self) -> bool:
-        """Whether some exchange still works on the key."""
+        """Whether a run of the key is in progress."""
         return self.state in IN_FLIGHT
 
     @property
     def may_claim_again(self) -> bool:
         """Whether the store may hold another VM's claim of the key."""
-        unsettled = self.state in (State.CLAIMING, State.NOT_RUN)
-        return self.origin is None and unsettled and not self.certain
+        unsettled = self.state in (RunState.CLAIMING, RunState.NOT_RUN)
+        return self.issuer is None and unsettled and not self.claim_held
 
 
-class Table:
-    """All entries by customer and key, bounded."""
+class EntryTable:
+    """All entries by customer and key, limited in number and memory."""
 
-    __slots__ = ("_bounds", "_entries", "_due", "_answers", "_bytes", "_order")
+    __slots__ = (
+        "_limits",
+        "_entries",
+        "_expiry_queue",
+        "_answers",
+        "_answers_bytes",
+        "_insertion_order",
+    )
 
-    def __init__(self, bounds: Bounds) -> None:
-        self._bounds = bounds
+    def __init__(self, limits: LedgerLimits) -> None:
+        self._limits = limits
         self._entries: dict[tuple[str, str], Entry] = {}
-        self._due: list[tuple[float, int, Entry]] = []
+        self._expiry_queue: list[tuple[float, int, Entry]] = []
         self._answers: collections.OrderedDict[
             tuple[str, str], tuple[float, int]
         ] = collections.OrderedDict()
-        self._bytes = 0
-        self._order = itertools.count()
+        self._answers_bytes = 0
+        self._insertion_order = itertools.count()
 
     def __len__(self) -> int:
         return len(self._entries)
 
     @property
     def answers_bytes(self) -> int:
-        """The memory that kept answers take."""
-        return self._bytes
+        """Estimated memory of the kept answers."""
+        return self._answers_bytes
 
     def all(self) -> list[Entry]:
-        """Every entry, the oldest first."""
+        """Return all entries, oldest first."""
         return list(self._entries.values())
 
     def get(self, customer: str, key: str) -> Entry | None:
-        """Find the entry of a customer's key."""
+        """Return the entry of a customer's key, or None."""
         return self._entries.get((customer, key))
 
     def add(self, entry: Entry) -> bool:
-        """Keep an entry, dropping the oldest settled one if need be.
+        """Add an entry; if the table is full, drop the first to expire.
 
-        :returns: False, and nothing is kept, if all entries are in flight.
+        :returns: False if the table is full of entries in flight; the entry
+            is not added then.
         """
-        if len(self._entries) >= self._bounds.entries and not self._evict():
+        if (
+            len(self._entries) >= self._limits.entries_max
+            and not self._evict()
+        ):
             return False
         self._entries[(entry.customer, entry.key)] = entry
         self._schedule(entry)
         return True
 
     def remove(self, entry: Entry) -> None:
-        """Take out an entry whose key this ledger has never run."""
+        """Remove an entry whose key this ledger has never run."""
         name = (entry.customer, entry.key)
         if self._entries.get(name) is entry:
             self._drop_answer(name)
@@ -219,63 +257,68 @@
 
     def forget(self, entry: Entry) -> None:
         """Drop an entry whose key may have run."""
-        # A key whose entry is gone looks like a new one and would run a
-        # second time. The floor turns it into a refusal instead.
-        if entry.origin is not None:
-            floor = max(entry.origin.floor_s, entry.minted_s)
-            entry.origin.floor_s = floor
+        # A key without an entry looks new and would run a second time. The
+        # raised time limit makes the ledger refuse such a key.
+        if entry.issuer is not None:
+            forgotten_until_s = max(
+                entry.issuer.forgotten_until_s, entry.minted_s
+            )
+            entry.issuer.forgotten_until_s = forgotten_until_s
         self.remove(entry)
 
     def keep_answer(
         self, entry: Entry, answer: messages.Answer, now: float
     ) -> None:
-        """Keep an answer for replays, as long as the bounds allow it."""
+        """Keep an answer for replays, within the limits."""
         size = answer.size_bytes
-        if size > self._bounds.answers_bytes:
+        if size > self._limits.answers_bytes_max:
             return
         name = (entry.customer, entry.key)
         entry.answer = answer
         self._answers[name] = (now, size)
-        self._bytes += size
+        self._answers_bytes += size
         while (
-            len(self._answers) > self._bounds.answers
-            or self._bytes > self._bounds.answers_bytes
+            len(self._answers) > self._limits.answers_max
+            or self._answers_bytes > self._limits.answers_bytes_max
         ):
             self._drop_answer(next(iter(self._answers)))
 
     def expire(self, now: float) -> None:
-        """Drop answers and entries whose time is over."""
-        oldest = now - self._bounds.answer_s
+        """Drop answers and entries whose retention time has passed."""
+        oldest = now - self._limits.answer_retention_s
         while self._answers:
             name, (kept_at, _) = next(iter(self._answers.items()))
             if kept_at >= oldest:
                 break
             self._drop_answer(name)
-        while self._due and self._due[0][0] <= now:
-            entry = heapq.heappop(self._due)[2]
+        while self._expiry_queue and self._expiry_queue[0][0] <= now:
+            entry = heapq.heappop(self._expiry_queue)[2]
             if self._entries.get((entry.customer, entry.key)) is not entry:
                 continue
             if entry.in_flight:
-                self._schedule(entry, now + self._bounds.margin_s)
+                self._schedule(entry, now + self._limits.margin_s)
             else:
                 self.forget(entry)
 
     def _schedule(self, entry: Entry, at: float | None = None) -> None:
-        due = self._end_of(entry) if at is None else at
-        heapq.heappush(self._due, (due, next(self._order), entry))
-
-    def _end_of(self, entry: Entry) -> float:
-        bounds = self._bounds
-        if entry.origin is None:
-            return entry.since + bounds.made_life_s
-        minted = entry.origin.started + entry.minted_s
-        return minted + bounds.key_life_s + bounds.margin_s
+        expires_at = self._expiry_of(entry) if at is None else at
+        heapq.heappush(
+            self._expiry_queue,
+            (expires_at, next(self._insertion_order), entry),
+        )
+
+    def _expiry_of(self, entry: Entry) -> float:
+        limits = self._limits
+        if entry.issuer is None:
+            return entry.updated_at + limits.caller_key_life_s
+        minted_at = entry.issuer.started + entry.minted_s
+        return minted_at + limits.minted_key_life_s + limits.margin_s
 
     def _evict(self) -> bool:
         in_flight = []
         evicted = False
-        while self._due and not evicted:
-            item = heapq.heappop(self._due)
+        while self._expiry_queue and not evicted:
+            item = heapq.heappop(self._expiry_queue)
             entry = item[2]
             if self._entries.get((entry.customer, entry.key)) is not entry:
                 continue
@@ -285,14 +328,14 @@
             self.forget(entry)
             evicted = True
         for item in in_flight:
-            heapq.heappush(self._due, item)
+            heapq.heappush(self._expiry_queue, item)
         return evicted
 
     def _drop_answer(self, name: tuple[str, str]) -> None:
         kept = self._answers.pop(name, None)
         if kept is None:
             return
-        self._bytes -= kept[1]
+        self._answers_bytes -= kept[1]
         entry = self._entries.get(name)
         if entry is not None:
             entry.answer = None
--- a/src/apricotlever/requests/handover.py
+++ b/src/apricotlever/requests/handover.py
@@ -1,7 +1,8 @@
-"""What a leaving entry VM sends to its peers, cut into bounded parts.
+"""Encoding of the parts, of limited size, that a leaving entry VM sends.
 
-A part of records stands for itself. The parts of a ledger count only
-together: half a ledger would run keys that the other half knows of.
+Each part with records is usable by itself. The parts of a ledger are usable
+only together: a VM with half of a ledger would run keys whose entries are in
+the other half.
 """
 
 import base64
@@ -16,11 +17,11 @@
 from . import records
 
 PART_BYTES = 256_000
-RECORD_BYTES = 400
+RECORD_OVERHEAD_BYTES = 400
 
 
-class Kind(enum.StrEnum):
-    """What a part carries."""
+class PartKind(enum.StrEnum):
+    """The content of a part."""
 
     RECORDS = "records"
     LEDGER = "ledger"
@@ -30,8 +31,12 @@
 class Part:
     """One message of a handover.
 
-    :param sequence: numbers the parts of one sender, all kinds together.
-    :param index: of this part among ``count`` that belong together.
+    :param sender: the incarnation that is leaving.
+    :param successor: the incarnation that takes over the content.
+    :param sequence: number of the part among all parts of its sender.
+    :param index: position of the part in its group, from 0.
+    :param count: number of parts in the group.
+    :param payload: the encoded content.
     """
 
     __slots__ = (
@@ -47,15 +52,15 @@
     def __init__(
         self,
         sender: messages.Owner,
-        heir: messages.Owner,
-        kind: Kind,
+        successor: messages.Owner,
+        kind: PartKind,
         sequence: int,
         index: int,
         count: int,
         payload: bytes,
     ) -> None:
         self.sender = sender
-        self.heir = heir
+        self.heir = successor
         self.kind = kind
         self.sequence = sequence
         self.index = index
@@ -64,7 +69,7 @@
 
 
 def encode(part: Part) -> bytes:
-    """Write a part: a line of JSON, then the payload."""
+    """Encode a part as one line of JSON followed by the payload."""
     head = [
         part.sender.vm,
         part.sender.incarnation,
@@ -79,44 +84,51 @@
 
 
 def decode(data: bytes) -> Part:
-    """Read what :func:`encode` wrote.
+    """Decode the output of :func:`encode`.
 
-    :raises HandoverInvalid: if it isn't a part.
+    :raises HandoverInvalid: if the data is not an encoded part.
     """
     head, _, payload = data.partition(b"\n")
     try:
-        vm, incarnation, heir, heir_incarnation, kind, *numbers = json.loads(
-            head
+        vm, incarnation, successor, successor_incarnation, kind, *numbers = (
+            json.loads(head)
         )
         sequence, index, count = map(int, numbers)
         return Part(
             messages.Owner(str(vm), int(incarnation)),
-            messages.Owner(str(heir), int(heir_incarnation)),
-            Kind(kind),
+            messages.Owner(str(successor), int(successor_incarnation)),
+            PartKind(kind),
             sequence,
             index,
             count,
             payload,
         )
     except (ValueError, TypeError) as error:
-        raise errors.HandoverInvalid(f"unreadable part ({error})") from error
+        raise errors.HandoverInvalid(
+            f"can't decode the part: {error}"
+        ) from error
+
 
+def split_payload(payload: bytes, part_bytes: int = PART_BYTES) -> list[bytes]:
+    """Split a payload into pieces; an empty payload gives one piece.
 
-def cut(payload: bytes, part_bytes: int = PART_BYTES) -> list[bytes]:
-    """Cut a payload into pieces; an empty one gives one empty piece."""
+    :param part_bytes: maximum size of a piece.
+    """
     starts = range(0, max(1, len(payload)), part_bytes)
     return [payload[start : start + part_bytes] for start in starts]
 
 
-def group(
+def group_records(
     rows: typing.Sequence[records.Record], part_bytes: int = PART_BYTES
 ) -> list[list[records.Record]]:
-    """Group records so that each group's encoding is about a part.
+    """Group records so that the encoding of each group fills about one part.
+
+    A record that is larger than a part gets a group of its own.
 
-    A record that is larger than a part travels alone.
+    :param part_bytes: estimated size of a group's encoding.
     """
     ends = itertools.accumulate(
-        RECORD_BYTES + 2 * record.size_bytes for record in rows
+        RECORD_OVERHEAD_BYTES + 2 * record.size_bytes for record in rows
     )
     grouped = itertools.groupby(
         zip(rows, ends), key=lambda pair: pair[1] // part_bytes
@@ -125,7 +137,7 @@
 
 
 def encode_records(rows: typing.Iterable[records.Record]) -> bytes:
-    """Write records as compact JSON."""
+    """Encode records as compact JSON."""
     document = [
         [
             record.request_id,
@@ -138,7 +150,7 @@
             record.attempt,
             record.runner,
             record.state.value,
-            _outcome_out(record.outcome),
+            _encode_outcome(record.outcome),
             record.moved_to,
         ]
         for record in rows
@@ -147,37 +159,37 @@
 
 
 def decode_records(data: bytes) -> list[records.Record]:
-    """Read what :func:`encode_records` wrote.
+    """Decode the output of :func:`encode_records`.
 
-    :raises HandoverInvalid: if it isn't such a document.
+    :raises HandoverInvalid: if the data is not a list of records.
     """
     try:
-        return [_record(row) for row in json.loads(data)]
+        return [_decode_record(row) for row in json.loads(data)]
     except (ValueError, TypeError) as error:
         raise errors.HandoverInvalid(
-            f"unreadable records ({error})"
+            f"can't decode the records: {error}"
         ) from error
 
 
-def _outcome_out(
+def _encode_outcome(
     outcome: records.Outcome | None,
 ) -> list[typing.Any] | None:
     if outcome is None:
         return None
-    answer = ledger_state.answer_out(outcome.answer)
+    answer = ledger_state.encode_answer(outcome.answer)
     return [outcome.executed.value, outcome.error, answer]
 
 
-def _outcome(row: typing.Any) -> records.Outcome | None:
+def _decode_outcome(row: typing.Any) -> records.Outcome | None:
     if row is None:
         return None
     executed, error, answer = row
     return records.Outcome(
-        messages.Executed(executed), error, ledger_state.answer_in(answer)
+        messages.Executed(executed), error, ledger_state.decode_answer(answer)
     )
 
 
-def _record(row: typing.Any) -> records.Record:
+def _decode_record(row: typing.Any) -> records.Record:
     request_id, customer, entry, path, body, chat, *rest = row
     tokens, attempt, runner, state, outcome, moved_to = rest
     record = records.Record(
@@ -187,6 +199,6 @@
     record.attempt = attempt
     record.runner = runner
     record.state = records.State(state)
-    record.outcome = _outcome(outcome)
+    record.outcome = _decode_outcome(outcome)
     record.moved_to = moved_to
     return record
--- a/src/apricotlever/requests/inheritance.py
+++ b/src/apricotlever/requests/inheritance.py
@@ -1,4 +1,4 @@
-"""What an heir takes over: the keys of VMs that have left."""
+"""The VM incarnations whose minted keys a ledger decides on."""
 
 from .. import clock as clocks
 from . import entries
@@ -9,72 +9,76 @@
 from . import succession
 
 
-class Inheritance:
-    """The incarnations whose keys a ledger judges, its own and adopted.
+class KeyIssuers:
+    """The ledger's own incarnation and those whose ledgers it adopted.
 
-    :param own: the share of the ledger's own incarnation.
+    :param active_runs: the runs in flight of the ledger.
+    :param incarnations: which incarnations are gone, and their successors.
+    :param own_issuer: the issuer of the ledger's own keys.
     """
 
     __slots__ = (
         "_clock",
-        "_bounds",
+        "_limits",
         "_table",
         "_runs",
-        "_owners",
+        "_incarnations",
         "_me",
-        "_origins",
+        "_issuers",
         "_adopted",
     )
 
     def __init__(
         self,
         clock: clocks.Clock,
-        bounds: entries.Bounds,
-        table: entries.Table,
-        ledger_runs: runs.Runs,
-        known_owners: owners.Owners,
-        own: entries.Origin,
+        limits: entries.LedgerLimits,
+        table: entries.EntryTable,
+        active_runs: runs.ActiveRuns,
+        incarnations: owners.KnownIncarnations,
+        own_issuer: entries.KeyIssuer,
     ) -> None:
         self._clock = clock
-        self._bounds = bounds
+        self._limits = limits
         self._table = table
-        self._runs = ledger_runs
-        self._owners = known_owners
-        self._me = own.owner
-        self._origins = {own.owner: own}
+        self._runs = active_runs
+        self._incarnations = incarnations
+        self._me = own_issuer.owner
+        self._issuers = {own_issuer.owner: own_issuer}
         self._adopted: dict[messages.Owner, float] = {}
 
     def __contains__(self, owner: messages.Owner) -> bool:
-        return owner in self._origins
+        return owner in self._issuers
 
-    def origin(self, owner: messages.Owner) -> entries.Origin | None:
-        """Find the share of an incarnation, if it is judged here."""
-        return self._origins.get(owner)
+    def find(self, owner: messages.Owner) -> entries.KeyIssuer | None:
+        """Return the issuer, or None if another ledger decides on its keys."""
+        return self._issuers.get(owner)
 
     def export(
-        self, heir: messages.Owner, may_run: bool
+        self, successor: messages.Owner, may_run: bool
     ) -> ledger_state.LedgerState:
-        """Write down everything, for one heir.
+        """Export the ledger to a successor.
 
-        :param may_run: False if another heir may hold a live copy.
+        :param may_run: False if another successor may run the keys.
         """
         now = self._clock.now()
-        origins = [
-            succession.export_origin(origin, may_run, now)
-            for origin in self._origins.values()
+        issuers = [
+            succession.export_issuer(issuer, may_run, now)
+            for issuer in self._issuers.values()
         ]
         rows = [
             succession.export_entry(entry, self._me, now)
             for entry in self._table.all()
         ]
-        return ledger_state.LedgerState(self._me, heir, may_run, origins, rows)
+        return ledger_state.LedgerState(
+            self._me, successor, may_run, issuers, rows
+        )
 
     def adopt(
         self, state: ledger_state.LedgerState, frozen: bool
     ) -> ledger_state.Receipt:
-        """Take over a ledger; a copy that comes later changes nothing.
+        """Adopt a ledger; a repeated copy changes nothing.
 
-        :param frozen: this ledger is itself on the way to an heir.
+        :param frozen: whether this ledger is itself being handed over.
         """
         known = state.sender in self._adopted
         accepted = known or (state.heir == self._me and not frozen)
@@ -83,9 +87,9 @@
         return ledger_state.Receipt(state.sender, self._me, accepted)
 
     def settle(self, settled: list[ledger_state.Settled]) -> list[int]:
-        """Note how calls ended that a leaving VM had in flight.
+        """Record the outcomes of calls that a leaving VM had in flight.
 
-        :returns: their tokens.
+        :returns: the tokens of the runs that ended.
         """
         found = [
             (self._table.get(item.customer, item.key), item)
@@ -94,54 +98,54 @@
         waiting = [
             (entry, item)
             for entry, item in found
-            if entry is not None and entry.away and entry.in_flight
+            if entry is not None and entry.running_on and entry.in_flight
         ]
         for entry, item in waiting:
             self._runs.settle(entry, item.state, item.answer)
         return [entry.token for entry, _ in waiting]
 
     def expire(self) -> None:
-        """Forget incarnations whose keys have all expired."""
+        """Remove issuers whose keys have all expired."""
         now = self._clock.now()
-        keep_s = self._bounds.key_life_s + self._bounds.margin_s
-        self._origins = {
-            owner: origin
-            for owner, origin in self._origins.items()
-            if origin.ended is None or now - origin.ended <= keep_s
+        retention_s = self._limits.minted_key_life_s + self._limits.margin_s
+        self._issuers = {
+            owner: issuer
+            for owner, issuer in self._issuers.items()
+            if issuer.ended is None or now - issuer.ended <= retention_s
         }
         self._adopted = {
             sender: at
             for sender, at in self._adopted.items()
-            if now - at <= self._bounds.made_life_s
+            if now - at <= self._limits.caller_key_life_s
         }
 
     def _adopt(self, state: ledger_state.LedgerState) -> None:
         now = self._clock.now()
         self._adopted[state.sender] = now
         taken = {
-            item.owner: succession.adopt_origin(item, now)
-            for item in state.origins
-            if item.owner not in self._origins
+            item.owner: succession.import_issuer(item, now)
+            for item in state.issuers
+            if item.owner not in self._issuers
         }
-        self._origins.update(taken)
+        self._issuers.update(taken)
         for item in state.entries:
-            origin = taken.get(item.origin) if item.origin else None
-            if origin is not None or item.origin is None:
-                self._adopt_entry(item, origin, state.may_run)
+            issuer = taken.get(item.issuer) if item.issuer else None
+            if issuer is not None or item.issuer is None:
+                self._adopt_entry(item, issuer, state.may_run)
 
     def _adopt_entry(
         self,
         item: ledger_state.EntryState,
-        origin: entries.Origin | None,
+        issuer: entries.KeyIssuer | None,
         may_run: bool,
     ) -> None:
         local = self._table.get(item.customer, item.key)
-        if not succession.outranks(item, local):
+        if not succession.replaces_local(item, local):
             return
         if local is not None:
             self._runs.release(local)
         now = self._clock.now()
-        entry = succession.adopt_entry(item, origin, may_run, now)
+        entry = succession.import_entry(item, issuer, may_run, now)
         if not self._table.add(entry):
             self._table.forget(entry)
             return
@@ -149,5 +153,5 @@
             self._runs.activate(entry)
         if item.answer is not None:
             self._table.keep_answer(entry, item.answer, now)
-        if entry.away and self._owners.is_gone(entry.away):
-            self._runs.settle(entry, entries.State.UNKNOWN)
+        if entry.running_on and self._incarnations.is_gone(entry.running_on):
+            self._runs.settle(entry, entries.RunState.UNKNOWN)
--- a/src/apricotlever/requests/intake.py
+++ b/src/apricotlever/requests/intake.py
@@ -1,4 +1,4 @@
-"""The heir's side of a handover: parts in, whole things out."""
+"""Receiving side of a handover: assembles the parts that a VM sent."""
 
 import typing
 
@@ -12,7 +12,7 @@
 
 
 class AdoptRecords:
-    """Adopt these requests, resume their streams, then give the receipt."""
+    """Action: adopt requests, resume their streams, then send a receipt."""
 
     __slots__ = ("sender", "records")
 
@@ -24,7 +24,7 @@
 
 
 class AdoptLedger:
-    """Adopt this ledger; the receipt follows the ledger's own."""
+    """Action: adopt a ledger and send a receipt as the ledger decides."""
 
     __slots__ = ("state",)
 
@@ -33,7 +33,7 @@
 
 
 class AdoptOutcomes:
-    """Settle keys that the sender had in flight."""
+    """Action: settle keys that the sender had in flight."""
 
     __slots__ = ("settled",)
 
@@ -41,30 +41,31 @@
         self.settled = settled
 
 
-class Received:
-    """The part was kept, others are missing: give the receipt."""
+class PartStored:
+    """Action: send a receipt; the part is kept until the rest arrives."""
 
     __slots__ = ()
 
 
 class WrongHeir:
-    """The part is meant for another incarnation: refuse it.
+    """Action: refuse a part that is addressed to another incarnation.
 
-    The sender must not take it for the word of the heir that it chose.
+    The sender must not mistake the refusal for an answer of the successor
+    that it chose.
     """
 
     __slots__ = ()
 
 
-Taken: typing.TypeAlias = (
-    AdoptRecords | AdoptLedger | AdoptOutcomes | Received | WrongHeir
+ReceiveResult: typing.TypeAlias = (
+    AdoptRecords | AdoptLedger | AdoptOutcomes | PartStored | WrongHeir
 )
 
 
 class Intake:
-    """Puts parts together. Any part may come twice or out of order.
+    """Assembles parts, which may arrive repeatedly and in any order.
 
-    :param me: the incarnation that takes over.
+    :param me: the incarnation of this VM, which takes over.
     """
 
     __slots__ = ("_me", "_ledgers")
@@ -73,32 +74,34 @@
         self._me = me
         self._ledgers: dict[messages.Owner, dict[int, bytes]] = {}
 
-    def receive(self, data: bytes) -> Taken:
-        """Take one part.
+    def receive(self, data: bytes) -> ReceiveResult:
+        """Process one encoded part.
 
-        :raises HandoverInvalid: if it can't be read.
+        :returns: the action to carry out.
+        :raises HandoverInvalid: if the part can't be decoded, or the parts of
+            the ledger exceed :data:`ASSEMBLED_BYTES_MAX`.
         """
         part = handover.decode(data)
         if part.heir != self._me:
             return WrongHeir()
-        if part.kind is handover.Kind.RECORDS:
+        if part.kind is handover.PartKind.RECORDS:
             rows = handover.decode_records(part.payload)
             return AdoptRecords(part.sender, rows)
-        if part.kind is handover.Kind.OUTCOMES:
+        if part.kind is handover.PartKind.OUTCOMES:
             return AdoptOutcomes(ledger_state.decode_settled(part.payload))
-        return self._ledger(part)
+        return self._store_ledger_part(part)
 
     def forget(self, sender: messages.Owner) -> None:
-        """Drop the parts of a sender that is done or gone."""
+        """Drop the parts of a sender that has finished or is gone."""
         self._ledgers.pop(sender, None)
 
-    def _ledger(self, part: handover.Part) -> Taken:
+    def _store_ledger_part(self, part: handover.Part) -> ReceiveResult:
         pieces = self._ledgers.setdefault(part.sender, {})
         pieces[part.index] = part.payload
         if sum(map(len, pieces.values())) > ASSEMBLED_BYTES_MAX:
             self.forget(part.sender)
-            raise errors.HandoverInvalid("the ledger is too large")
+            raise errors.HandoverInvalid("the ledger exceeds the size limit")
         if len(pieces) < part.count:
-            return Received()
+            return PartStored()
         whole = b"".join(pieces[index] for index in sorted(pieces))
         return AdoptLedger(ledger_state.decode(whole))
--- a/src/apricotlever/requests/keys.py
+++ b/src/apricotlever/requests/keys.py
@@ -1,9 +1,9 @@
-"""Idempotency keys that a VM mints, bound to it and to one customer.
+"""Idempotency keys minted by a VM and bound to that VM and one customer.
 
-A minted key reads ``al1.VM.INCARNATION.NONCE.MAC``. It names the only
-incarnation whose ledger may run the call, so no VM needs the store to know
-whom to ask. The nonce carries the time at which it was minted, in seconds
-since that incarnation started, so the ledger can forget old keys safely.
+A minted key has the form ``al1.VM.INCARNATION.NONCE.MAC``. It names the only
+incarnation whose ledger may run the call, so a VM can find the owner of a key
+without the store. The nonce contains the mint time, in seconds since the
+start of that incarnation, so the ledger can drop old keys safely.
 """
 
 import hashlib
@@ -17,7 +17,10 @@
 
 
 class MintedKey:
-    """The parts of a minted key; the MAC is not verified yet."""
+    """The fields of a parsed key, whose MAC may not have been verified.
+
+    :param minted_s: mint time, in seconds since the incarnation started.
+    """
 
     __slots__ = ("vm", "incarnation", "minted_s", "nonce", "mac")
 
@@ -37,15 +40,16 @@
 
 
 def new_secret(rng: random.Random) -> bytes:
-    """Make the secret of one incarnation.
+    """Generate the secret of one incarnation.
 
-    :param rng: a daemon passes :class:`random.SystemRandom`.
+    :param rng: source of the secret; a daemon passes
+        :class:`random.SystemRandom`.
     """
     return rng.randbytes(SECRET_BYTES)
 
 
 def is_minted(key: str) -> bool:
-    """Tell a key that a VM minted from one that the caller made up."""
+    """Return whether a key has the prefix of minted keys."""
     return key.startswith(PREFIX)
 
 
@@ -57,7 +61,7 @@
     secret: bytes,
     rng: random.Random,
 ) -> str:
-    """Make a key for one call of one customer.
+    """Create a key for one call of one customer.
 
     :param minted_s: whole seconds since the incarnation started.
     """
@@ -67,27 +71,28 @@
 
 
 def parse(key: str) -> MintedKey | None:
-    """Take a minted key apart.
+    """Parse a minted key without verifying its MAC.
 
-    :returns: None if the text isn't a well-formed minted key.
+    :returns: the fields of the key, or None if the text is not a well-formed
+        minted key.
     """
     parts = key.removeprefix(PREFIX).rsplit(".", 3)
     if not is_minted(key) or len(parts) != 4 or not parts[0]:
         return None
     vm, incarnation, nonce, mac = parts
-    minted, dash, _ = nonce.partition("-")
+    minted_hex, dash, _ = nonce.partition("-")
     if not dash or not (incarnation.isascii() and incarnation.isdigit()):
         return None
     try:
-        return MintedKey(vm, int(incarnation), int(minted, 16), nonce, mac)
+        return MintedKey(vm, int(incarnation), int(minted_hex, 16), nonce, mac)
     except ValueError:
         return None
 
 
 def verify(key: MintedKey, customer: str, secret: bytes) -> bool:
-    """Check in constant time that the key was minted for this customer."""
-    wanted = _mac(secret, key.vm, key.incarnation, key.nonce, customer)
-    return hmac.compare_digest(wanted.encode(), key.mac.encode())
+    """Return whether the MAC is valid for this customer, in constant time."""
+    expected = _mac(secret, key.vm, key.incarnation, key.nonce, customer)
+    return hmac.compare_digest(expected.encode(), key.mac.encode())
 
 
 def _mac(
--- a/src/apricotlever/requests/ledger.py
+++ b/src/apricotlever/requests/ledger.py
@@ -1,12 +1,14 @@
-"""Which keyed calls may run here, so that none runs twice.
+"""Decides which keyed calls this VM may run, so that no call runs twice.
 
-A key that a VM minted is run by that incarnation's ledger alone, or by the
-one heir that was given the whole ledger. A key that the caller made up is
-claimed in the store first. Every other ledger forwards or refuses.
+A minted key is run only by the ledger of the VM incarnation that minted it,
+or by the one successor that received the whole ledger. A key chosen by the
+caller must be claimed in the store before its call is run. All other ledgers
+forward or refuse the call.
 
-A worker reports under the token of its :class:`messages.Run`: first
-:meth:`Ledger.sent`, whose False forbids the call, then exactly one of
-:meth:`Ledger.finished`, :meth:`Ledger.not_sent` and :meth:`Ledger.lost`.
+A worker reports under the token of its :class:`ledger_messages.RunCall`. It
+first calls :meth:`Ledger.start_sending` and must not send the call if that
+returns False. It then calls exactly one of :meth:`Ledger.record_answer`,
+:meth:`Ledger.record_not_sent` and :meth:`Ledger.record_lost_answer`.
 """
 
 import functools
@@ -28,28 +30,31 @@
 
 _NO = messages.Executed.NO
 _UNKNOWN = messages.Executed.UNKNOWN
-_State = entries.State
+_State = entries.RunState
 
 
 class Ledger:
-    """The keys of one incarnation of one entry VM.
+    """The idempotency keys that one incarnation of an entry VM decides on.
 
-    :param rng: mints keys; a daemon passes :class:`random.SystemRandom`.
-    :param incarnation: the start of the process, ms since the Unix epoch.
+    :param rng: source of the keys' random parts; a daemon passes
+        :class:`random.SystemRandom`.
+    :param vm: the name of this VM.
+    :param incarnation: start time of the process, in ms since the Unix epoch.
+    :param limits: how much the ledger keeps; None for the defaults.
     """
 
     __slots__ = (
         "_clock",
         "_rng",
         "_me",
-        "_bounds",
+        "_limits",
         "_table",
-        "_owners",
-        "_own",
+        "_incarnations",
+        "_own_issuer",
         "_runs",
         "_frozen",
-        "_succession",
-        "_inheritance",
+        "_transfer",
+        "_issuers",
     )
 
     def __init__(
@@ -58,67 +63,73 @@
         rng: random.Random,
         vm: str,
         incarnation: int,
-        bounds: entries.Bounds | None = None,
+        limits: entries.LedgerLimits | None = None,
     ) -> None:
         self._clock = clock
         self._rng = rng
         self._me = messages.Owner(vm, incarnation)
-        self._bounds = bounds or entries.Bounds()
-        self._table = entries.Table(self._bounds)
-        self._owners = owners.Owners(clock, self._bounds.made_life_s)
-        self._owners.alive(vm, incarnation)
-        self._own = entries.Origin(self._me, keys.new_secret(rng), clock.now())
+        self._limits = limits or entries.LedgerLimits()
+        self._table = entries.EntryTable(self._limits)
+        self._incarnations = owners.KnownIncarnations(
+            clock, self._limits.caller_key_life_s
+        )
+        self._incarnations.record_alive(vm, incarnation)
+        self._own_issuer = entries.KeyIssuer(
+            self._me, keys.new_secret(rng), clock.now()
+        )
         self._frozen = False
-        self._succession = succession.Succession(self._me)
-        self._runs = runs.Runs(
-            clock, self._bounds, self._table, self._succession
+        self._transfer = succession.Succession(self._me)
+        self._runs = runs.ActiveRuns(
+            clock, self._limits, self._table, self._transfer
         )
-        self._inheritance = inheritance.Inheritance(
+        self._issuers = inheritance.KeyIssuers(
             clock,
-            self._bounds,
+            self._limits,
             self._table,
             self._runs,
-            self._owners,
-            self._own,
+            self._incarnations,
+            self._own_issuer,
         )
 
     @property
     def me(self) -> messages.Owner:
-        """The incarnation whose ledger this is."""
+        """The VM incarnation that this ledger belongs to."""
         return self._me
 
     @property
     def frozen(self) -> bool:
-        """Whether new runs are refused because the VM is leaving."""
+        """Whether the ledger starts no new runs because its VM is leaving."""
         return self._frozen
 
     @property
     def succession(self) -> succession.Succession:
-        """The handover of this ledger: heir, receipt, late outcomes."""
-        return self._succession
+        """State of the transfer of this ledger to its successor."""
+        return self._transfer
 
     @property
     def in_flight(self) -> int:
-        """How many keys an exchange is working on."""
+        """Number of keys with a run in flight."""
         return len(self._runs)
 
     def __len__(self) -> int:
         return len(self._table)
 
     def mint(self, customer: str) -> str:
-        """Make a key that only this ledger may run.
+        """Create a key whose call only this ledger may run.
 
+        :param customer: the customer that the key is bound to.
+        :returns: the text of the key.
         :raises LedgerFrozen: if the VM is leaving.
         """
         if self._frozen:
             raise errors.LedgerFrozen(self._me.vm)
-        minted_s = int(self._clock.now() - self._own.started)
+        minted_s = int(self._clock.now() - self._own_issuer.started)
         return keys.mint(
             self._me.vm,
             self._me.incarnation,
             minted_s,
             customer,
-            self._own.secret,
+            self._own_issuer.secret,
             self._rng,
         )
 
@@ -127,24 +138,26 @@
         key: str,
         customer: str,
         digest: str,
-        first: bool = False,
+        first_send: bool = False,
         forwarded: bool = False,
     ) -> messages.Decision:
-        """Decide what becomes of a keyed call.
-
-        :param digest: of the method, path and body.
-        :param first: the caller vouches that it never sent this key before
-            and drops this answer if it sends the key again meanwhile.
-        :param forwarded: another VM holds that this ledger owns the key.
+        """Decide how to handle a keyed call.
+
+        :param digest: digest of the call's method, path and body.
+        :param first_send: the caller guarantees that it never sent this key
+            before, and ignores the answer to this send if it sends the key
+            again in the meantime.
+        :param forwarded: another VM forwarded the call because it considers
+            this ledger the owner of the key.
         """
         entry = self._table.get(customer, key)
         if entry is not None:
-            return self._again(entry, digest, first)
+            return self._decide_known(entry, digest, first_send)
         if keys.is_minted(key):
-            return self._unseen_minted(key, customer, digest, forwarded)
+            return self._decide_unseen_minted(key, customer, digest, forwarded)
         if forwarded:
-            # The store names this ledger as the claimer, yet the entry is
-            # gone: the call may have run before it was dropped.
+            # The store names this ledger as the holder of the claim, but the
+            # ledger has dropped the entry. The call may have run before.
             return _refuse(messages.Reason.FORGOTTEN, _UNKNOWN)
         entry = entries.Entry(
             customer,
@@ -156,158 +169,173 @@
             self._clock.now(),
             nonce=f"{self._rng.getrandbits(CLAIM_NONCE_BITS):016x}",
         )
-        return self._reserve(entry, first)
+        return self._reserve(entry, first_send)
 
     def sent(self, token: int) -> bool:
-        """Ask, just before the first byte, whether the call may go out.
+        """Mark a call as being sent, just before its first byte.
 
-        :returns: False if it must not be sent; begin the key again.
+        :returns: False if the call must not be sent; the worker then calls
+            :meth:`begin` again for the key.
         """
-        return self._runs.sent(token)
+        return self._runs.start_sending(token)
 
     def finished(self, token: int, answer: messages.Answer) -> bool:
-        """Keep the whole answer of a call that was sent.
+        """Record the complete answer of a call that was sent.
 
         :returns: False if the token is no longer valid.
         """
-        return self._runs.finished(token, answer)
+        return self._runs.record_answer(token, answer)
 
     def not_sent(self, token: int) -> bool:
-        """Note that certainly not one byte reached the upstream.
+        """Record that no byte of the call reached the upstream.
 
         :returns: False if the token is no longer valid.
         """
-        return self._runs.not_sent(token)
+        return self._runs.record_not_sent(token)
 
     def lost(self, token: int) -> bool:
-        """Note that the call may have run but its answer won't come.
+        """Record that the call may have run but no answer will arrive.
 
         :returns: False if the token is no longer valid.
         """
-        return self._runs.lost(token)
+        return self._runs.record_lost_answer(token)
 
     @functools.singledispatchmethod
     def claimed(self, result: typing.Any) -> messages.Decision:
-        """Go on after the claim of a caller's key.
+        """Continue a call after the attempt to claim its key.
 
-        :param result: one of :data:`messages.ClaimResult`.
-        :returns: never a Claim.
+        :param result: one of :data:`ledger_messages.ClaimResult`.
+        :returns: a decision other than :class:`ledger_messages.ClaimKey`.
         """
         raise TypeError(type(result))
 
     @claimed.register
-    def _won(self, result: messages.Won) -> messages.Decision:
-        entry = self._runs.claiming(result.token)
+    def _continue_won(self, result: messages.Won) -> messages.Decision:
+        entry = self._runs.find_claiming(result.token)
         if entry is None:
-            return owners.moving()
-        entry.certain = True
+            return owners.refuse_while_moving()
+        entry.claim_held = True
         entry.state = _State.CLAIMED
         return messages.Run(entry.token)
 
     @claimed.register
-    def _held(self, result: messages.Held) -> messages.Decision:
-        entry = self._runs.claiming(result.token)
+    def _continue_held(self, result: messages.ClaimHeld) -> messages.Decision:
+        entry = self._runs.find_claiming(result.token)
         if entry is None:
-            return owners.moving()
+            return owners.refuse_while_moving()
         self._runs.discard(entry)
-        if result.owner in self._inheritance:
-            # Claimed here before, under an entry that was dropped since.
+        if result.owner in self._issuers:
+            # This ledger claimed the key before and has dropped the entry
+            # since, so the call may have run.
             return _refuse(messages.Reason.FORGOTTEN, _UNKNOWN)
-        return self._owners.route(result.owner, self._me, forwarded=False)
+        return self._incarnations.route(
+            result.owner, self._me, forwarded=False
+        )
 
     @claimed.register
-    def _conflicting(self, result: messages.Conflicting) -> messages.Decision:
-        entry = self._runs.claiming(result.token)
+    def _refuse_conflicting(
+        self, result: messages.ClaimConflict
+    ) -> messages.Decision:
+        entry = self._runs.find_claiming(result.token)
         if entry is None:
-            return owners.moving()
+            return owners.refuse_while_moving()
         self._runs.discard(entry)
         return _refuse(messages.Reason.CONFLICT, _NO)
 
     @claimed.register
-    def _not_claimed(self, result: messages.NotClaimed) -> messages.Decision:
-        entry = self._runs.claiming(result.token)
+    def _refuse_unclaimed(
+        self, result: messages.ClaimFailed
+    ) -> messages.Decision:
+        entry = self._runs.find_claiming(result.token)
         if entry is None:
-            return owners.moving()
-        # Without the store an earlier send of this key through another VM
-        # can't be ruled out, unless the caller vouches for it.
-        executed = _NO if entry.first else _UNKNOWN
-        entry.written = entry.written or result.maybe_written
-        if entry.written:
+            return owners.refuse_while_moving()
+        # Without the store, an earlier send of this key through another VM
+        # can't be ruled out unless the caller guarantees a first send.
+        executed = _NO if entry.first_send else _UNKNOWN
+        entry.maybe_claimed = entry.maybe_claimed or result.maybe_written
+        if entry.maybe_claimed:
             self._runs.settle(entry, _State.NOT_RUN)
         else:
             self._runs.discard(entry)
         return _refuse(result.reason, executed, owners.RETRY_AFTER_S)
 
     def tick(self) -> list[int]:
-        """Expire what is old.
+        """Expire old entries, facts about other VMs and overdue runs.
 
-        :returns: tokens that were settled, for those who wait on them.
+        :returns: tokens of the runs that ended, for calls waiting on them.
         """
         self._table.expire(self._clock.now())
-        self._owners.expire()
-        self._inheritance.expire()
-        return self._runs.overdue()
+        self._incarnations.expire()
+        self._issuers.expire()
+        return self._runs.expire_overdue()
 
     def alive(self, vm: str, incarnation: int) -> list[int]:
-        """Note a live incarnation of a VM; lower ones are gone.
+        """Record a live incarnation of a VM; its older ones are gone.
 
-        :returns: tokens that were settled by it.
+        :returns: tokens of the runs that ended because of this.
         """
-        self._owners.alive(vm, incarnation)
-        return self._runs.give_up_away(self._owners)
+        self._incarnations.record_alive(vm, incarnation)
+        return self._runs.settle_orphaned(self._incarnations)
 
     def gone(self, vm: str, incarnation: int) -> list[int]:
-        """Note that an incarnation has left or died.
+        """Record that an incarnation has left or crashed.
 
-        :returns: tokens that were settled by it.
+        :returns: tokens of the runs that ended because of this.
         """
-        self._owners.gone(messages.Owner(vm, incarnation))
-        return self._runs.give_up_away(self._owners)
+        self._incarnations.record_gone(messages.Owner(vm, incarnation))
+        return self._runs.settle_orphaned(self._incarnations)
 
-    def handed_over(self, owner: messages.Owner, heir: messages.Owner) -> None:
-        """Note which incarnation adopted another's ledger."""
-        self._owners.handed_over(owner, heir)
+    def handed_over(
+        self, owner: messages.Owner, successor: messages.Owner
+    ) -> None:
+        """Record which incarnation adopted the ledger of another one."""
+        self._incarnations.record_transfer(owner, successor)
 
     def freeze(self) -> None:
-        """Start no more runs; those in flight go on."""
+        """Start no new runs; runs in flight continue."""
         self._frozen = True
 
     def hand_over(self, vm: str, incarnation: int) -> ledger_state.LedgerState:
-        """Freeze, and export the ledger to an heir; repeat it at will.
+        """Freeze the ledger and export it to a successor; repeatable.
+
+        Only the first successor may ever run the keys, because it may hold
+        the ledger even if its receipt never arrived. A later successor gets
+        a copy that replays answers and runs nothing.
 
-        The first heir is the only one that may ever run the keys, for it may
-        hold the ledger although its receipt never came. A later heir gets a
-        copy that replays answers and runs nothing.
+        :param vm: the name of the successor.
+        :param incarnation: the incarnation of the successor.
         """
-        heir = messages.Owner(vm, incarnation)
+        successor = messages.Owner(vm, incarnation)
         self.freeze()
         self._runs.release_unsent()
-        return self._inheritance.export(heir, self._succession.offer(heir))
+        return self._issuers.export(
+            successor, self._transfer.record_export(successor)
+        )
 
     def adopt(self, state: ledger_state.LedgerState) -> ledger_state.Receipt:
-        """Take over the whole ledger of a leaving VM; idempotent."""
-        return self._inheritance.adopt(state, self._frozen)
+        """Adopt the whole ledger of a leaving VM; idempotent."""
+        return self._issuers.adopt(state, self._frozen)
 
     def settle(self, settled: list[ledger_state.Settled]) -> list[int]:
-        """Note how calls ended that a leaving VM had in flight.
+        """Record the outcomes of calls that a leaving VM had in flight.
 
-        :returns: tokens that were settled by it.
+        :returns: tokens of the runs that ended because of this.
         """
-        return self._inheritance.settle(settled)
+        return self._issuers.settle(settled)
 
-    def _unseen_minted(
+    def _decide_unseen_minted(
         self, key: str, customer: str, digest: str, forwarded: bool
     ) -> messages.Decision:
         parsed = keys.parse(key)
         if parsed is None:
             return _refuse(messages.Reason.MALFORMED, _NO)
         owner = messages.Owner(parsed.vm, parsed.incarnation)
-        origin = self._inheritance.origin(owner)
-        if origin is None:
-            return self._owners.route(owner, self._me, forwarded)
-        if not keys.verify(parsed, customer, origin.secret):
+        issuer = self._issuers.find(owner)
+        if issuer is None:
+            return self._incarnations.route(owner, self._me, forwarded)
+        if not keys.verify(parsed, customer, issuer.secret):
             return _refuse(messages.Reason.NOT_YOURS, _NO)
-        if parsed.minted_s <= origin.floor_s or not origin.may_run:
+        if parsed.minted_s <= issuer.forgotten_until_s or not issuer.may_run:
             return _refuse(messages.Reason.FORGOTTEN, _UNKNOWN)
         entry = entries.Entry(
             customer,
@@ -315,19 +343,19 @@
             digest,
             _State.NOT_RUN,
             parsed.minted_s,
-            origin,
+            issuer,
             self._clock.now(),
         )
         return self._reserve(entry)
 
-    def _again(
-        self, entry: entries.Entry, digest: str, first: bool
+    def _decide_known(
+        self, entry: entries.Entry, digest: str, first_send: bool
     ) -> messages.Decision:
         if entry.state is _State.CLAIMING:
             return messages.Pending(entry.token)
         if entry.digest != digest:
-            # While the claim is uncertain, another VM may be running the
-            # key for this very call.
+            # While it is unknown who holds the claim, another VM may be
+            # running this very call under the key.
             executed = _UNKNOWN if entry.may_claim_again else _NO
             return _refuse(messages.Reason.CONFLICT, executed)
         if entry.in_flight:
@@ -339,26 +367,26 @@
             return _refuse(reason, messages.Executed.YES)
         if entry.state is _State.UNKNOWN:
             return _refuse(messages.Reason.LOST, _UNKNOWN)
-        return self._reserve(entry, first)
+        return self._reserve(entry, first_send)
 
     def _reserve(
-        self, entry: entries.Entry, first: bool = False
+        self, entry: entries.Entry, first_send: bool = False
     ) -> messages.Decision:
-        certain = entry.certain or entry.origin is not None
+        owned = entry.claim_held or entry.issuer is not None
         if self._frozen:
-            return self._leaving(certain or first)
-        if entry.origin is not None and self._expired(entry):
+            return self._forward_to_successor(owned or first_send)
+        if entry.issuer is not None and self._is_expired(entry):
             return _refuse(messages.Reason.EXPIRED, _NO)
         known = self._table.get(entry.customer, entry.key) is entry
         if not known and not self._table.add(entry):
-            executed = _NO if certain or first else _UNKNOWN
+            executed = _NO if owned or first_send else _UNKNOWN
             return _refuse(
                 messages.Reason.FULL, executed, owners.RETRY_AFTER_S
             )
-        entry.first = first
-        entry.since = self._clock.now()
+        entry.first_send = first_send
+        entry.updated_at = self._clock.now()
         self._runs.activate(entry)
-        if certain:
+        if owned:
             entry.state = _State.CLAIMED
             return messages.Run(entry.token)
         entry.state = _State.CLAIMING
@@ -371,20 +399,22 @@
             self._me,
         )
 
-    def _leaving(self, certain: bool) -> messages.Decision:
-        heir = self._succession.heir
-        if heir is None:
-            executed = _NO if certain else _UNKNOWN
+    def _forward_to_successor(self, never_run: bool) -> messages.Decision:
+        successor = self._transfer.heir
+        if successor is None:
+            executed = _NO if never_run else _UNKNOWN
             reason = messages.Reason.LEAVING
             return _refuse(reason, executed, owners.RETRY_AFTER_S)
-        if self._owners.is_gone(heir):
-            return self._owners.route(heir, self._me, forwarded=True)
-        return messages.Forward(heir.vm, heir.incarnation)
-
-    def _expired(self, entry: entries.Entry) -> bool:
-        assert entry.origin is not None
-        minted = entry.origin.started + entry.minted_s
-        return self._clock.now() - minted > self._bounds.key_life_s
+        if self._incarnations.is_gone(successor):
+            return self._incarnations.route(
+                successor, self._me, forwarded=True
+            )
+        return messages.Forward(successor.vm, successor.incarnation)
+
+    def _is_expired(self, entry: entries.Entry) -> bool:
+        assert entry.issuer is not None
+        minted_at = entry.issuer.started + entry.minted_s
+        return self._clock.now() - minted_at > self._limits.minted_key_life_s
 
 
 def _refuse(
--- a/src/apricotlever/requests/ledger_state.py
+++ b/src/apricotlever/requests/ledger_state.py
@@ -1,4 +1,4 @@
-"""A ledger as it travels to its heir, and its JSON form."""
+"""The state of a ledger sent to its successor, and its JSON encoding."""
 
 import base64
 import json
@@ -9,18 +9,23 @@
 from . import messages
 
 
-class OriginState:
-    """One incarnation whose keys the heir takes over.
+class KeyIssuerState:
+    """A VM incarnation whose keys the successor takes over.
 
-    :param elapsed_s: the age of the incarnation at the export.
-    :param ended_s: how long before the export it stopped minting.
+    :param owner: the incarnation that minted the keys.
+    :param secret: the secret that authenticates its keys.
+    :param elapsed_s: seconds from the incarnation's start to the export.
+    :param forgotten_until_s: mint time, in seconds since the incarnation's
+        start, up to which an unseen key may have had a dropped entry.
+    :param may_run: False if another successor may run the keys.
+    :param ended_s: seconds from the end of its minting to the export.
     """
 
     __slots__ = (
         "owner",
         "secret",
         "elapsed_s",
-        "floor_s",
+        "forgotten_until_s",
         "may_run",
         "ended_s",
     )
@@ -30,24 +35,27 @@
         owner: messages.Owner,
         secret: bytes,
         elapsed_s: float,
-        floor_s: int,
+        forgotten_until_s: int,
         may_run: bool,
         ended_s: float,
     ) -> None:
         self.owner = owner
         self.secret = secret
         self.elapsed_s = elapsed_s
-        self.floor_s = floor_s
+        self.forgotten_until_s = forgotten_until_s
         self.may_run = may_run
         self.ended_s = ended_s
 
 
 class EntryState:
-    """One key of a travelling ledger.
+    """The exported entry of one key.
 
-    :param origin: None for a key that the caller made up.
-    :param age_s: how long before the export it was begun.
-    :param away: the incarnation that still runs the call, or None.
+    :param issuer: the incarnation that minted the key; None for a key chosen
+        by the caller.
+    :param age_s: seconds from the entry's last update to the export.
+    :param running_on: the incarnation that still runs the call, or None.
+
+    The other parameters are those of :class:`ledger_entries.Entry`.
     """
 
     __slots__ = (
@@ -56,12 +64,12 @@
         "digest",
         "state",
         "minted_s",
-        "origin",
+        "issuer",
         "age_s",
         "nonce",
-        "certain",
-        "written",
-        "away",
+        "claim_held",
+        "maybe_claimed",
+        "running_on",
         "answer",
     )
 
@@ -70,14 +78,14 @@
         customer: str,
         key: str,
         digest: str,
-        state: entries.State,
+        state: entries.RunState,
         minted_s: int,
-        origin: messages.Owner | None,
+        issuer: messages.Owner | None,
         age_s: float,
         nonce: str,
-        certain: bool,
-        written: bool,
-        away: messages.Owner | None,
+        claim_held: bool,
+        maybe_claimed: bool,
+        running_on: messages.Owner | None,
         answer: messages.Answer | None,
     ) -> None:
         self.customer = customer
@@ -85,57 +93,61 @@
         self.digest = digest
         self.state = state
         self.minted_s = minted_s
-        self.origin = origin
+        self.issuer = issuer
         self.age_s = age_s
         self.nonce = nonce
-        self.certain = certain
-        self.written = written
-        self.away = away
+        self.claim_held = claim_held
+        self.maybe_claimed = maybe_claimed
+        self.running_on = running_on
         self.answer = answer
 
 
 class LedgerState:
-    """A whole ledger.
+    """The complete exported state of a ledger.
 
-    :param heir: the only incarnation that may adopt it.
-    :param may_run: False if another heir may run the keys.
+    :param sender: the incarnation that exports its ledger.
+    :param successor: the only incarnation that may adopt the ledger.
+    :param may_run: False if another successor may run the keys.
     """
 
-    __slots__ = ("sender", "heir", "may_run", "origins", "entries")
+    __slots__ = ("sender", "heir", "may_run", "issuers", "entries")
 
     def __init__(
         self,
         sender: messages.Owner,
-        heir: messages.Owner,
+        successor: messages.Owner,
         may_run: bool,
-        origins: list[OriginState],
+        issuers: list[KeyIssuerState],
         entry_states: list[EntryState],
     ) -> None:
         self.sender = sender
-        self.heir = heir
+        self.heir = successor
         self.may_run = may_run
-        self.origins = origins
+        self.issuers = issuers
         self.entries = entry_states
 
 
 class Receipt:
-    """The heir's word on a ledger that was offered to it.
+    """The successor's answer to a ledger that was sent to it.
 
-    :param accepted: False says that this incarnation never adopts it.
+    :param sender: the incarnation that exported the ledger.
+    :param successor: the incarnation that answers.
+    :param accepted: whether the successor adopted the ledger; if False, that
+        incarnation will never adopt it.
     """
 
     __slots__ = ("sender", "heir", "accepted")
 
     def __init__(
-        self, sender: messages.Owner, heir: messages.Owner, accepted: bool
+        self, sender: messages.Owner, successor: messages.Owner, accepted: bool
     ) -> None:
         self.sender = sender
-        self.heir = heir
+        self.heir = successor
         self.accepted = accepted
 
 
 class Settled:
-    """How a call that was in flight during the handover has ended."""
+    """The outcome of a call that was in flight during the handover."""
 
     __slots__ = ("customer", "key", "state", "answer")
 
@@ -143,7 +155,7 @@
         self,
         customer: str,
         key: str,
-        state: entries.State,
+        state: entries.RunState,
         answer: messages.Answer | None,
     ) -> None:
         self.customer = customer
@@ -153,21 +165,21 @@
 
 
 def encode(state: LedgerState) -> bytes:
-    """Write a ledger as compact JSON."""
+    """Encode a ledger as compact JSON."""
     document = {
-        "sender": _owner_out(state.sender),
-        "heir": _owner_out(state.heir),
+        "sender": _encode_owner(state.sender),
+        "heir": _encode_owner(state.heir),
         "may_run": state.may_run,
         "origins": [
             [
-                _owner_out(origin.owner),
-                origin.secret.hex(),
-                origin.elapsed_s,
-                origin.floor_s,
-                origin.may_run,
-                origin.ended_s,
+                _encode_owner(issuer.owner),
+                issuer.secret.hex(),
+                issuer.elapsed_s,
+                issuer.forgotten_until_s,
+                issuer.may_run,
+                issuer.ended_s,
             ]
-            for origin in state.origins
+            for issuer in state.issuers
         ],
         "entries": [
             [
@@ -176,13 +188,13 @@
                 entry.digest,
                 entry.state.value,
                 entry.minted_s,
-                _owner_out(entry.origin),
+                _encode_owner(entry.issuer),
                 entry.age_s,
                 entry.nonce,
-                entry.certain,
-                entry.written,
-                _owner_out(entry.away),
-                answer_out(entry.answer),
+                entry.claim_held,
+                entry.maybe_claimed,
+                _encode_owner(entry.running_on),
+                encode_answer(entry.answer),
             ]
             for entry in state.entries
         ],
@@ -191,54 +203,58 @@
 
 
 def decode(data: bytes) -> LedgerState:
-    """Read what :func:`encode` wrote.
+    """Decode the output of :func:`encode`.
 
-    :raises HandoverInvalid: if it isn't such a document.
+    :raises HandoverInvalid: if the data is not an encoded ledger.
     """
     try:
         document = json.loads(data)
         return LedgerState(
-            _owner(document["sender"]),
-            _owner(document["heir"]),
+            _decode_owner(document["sender"]),
+            _decode_owner(document["heir"]),
             bool(document["may_run"]),
-            [_origin(row) for row in document["origins"]],
-            [_entry(row) for row in document["entries"]],
+            [_decode_issuer(row) for row in document["origins"]],
+            [_decode_entry(row) for row in document["entries"]],
         )
     except (ValueError, KeyError, TypeError) as error:
-        raise errors.HandoverInvalid(f"unreadable ledger ({error})") from error
+        raise errors.HandoverInvalid(
+            f"can't decode the ledger: {error}"
+        ) from error
 
 
 def encode_settled(settled: list[Settled]) -> bytes:
-    """Write late outcomes as compact JSON."""
+    """Encode the outcomes of calls as compact JSON."""
     rows = [
-        [item.customer, item.key, item.state.value, answer_out(item.answer)]
+        [item.customer, item.key, item.state.value, encode_answer(item.answer)]
         for item in settled
     ]
     return json.dumps(rows, separators=(",", ":")).encode()
 
 
 def decode_settled(data: bytes) -> list[Settled]:
-    """Read what :func:`encode_settled` wrote.
+    """Decode the output of :func:`encode_settled`.
 
-    :raises HandoverInvalid: if it isn't such a document.
+    :raises HandoverInvalid: if the data is not a list of outcomes.
     """
     try:
         return [
-            Settled(customer, key, entries.State(state), answer_in(answer))
+            Settled(
+                customer, key, entries.RunState(state), decode_answer(answer)
+            )
             for customer, key, state, answer in json.loads(data)
         ]
     except (ValueError, KeyError, TypeError) as error:
         raise errors.HandoverInvalid(
-            f"unreadable outcomes ({error})"
+            f"can't decode the outcomes: {error}"
         ) from error
 
 
-def _owner_out(owner: messages.Owner | None) -> list[typing.Any] | None:
+def _encode_owner(owner: messages.Owner | None) -> list[typing.Any] | None:
     return None if owner is None else [owner.vm, owner.incarnation]
 
 
-def answer_out(answer: messages.Answer | None) -> list[typing.Any] | None:
-    """Turn an answer into what JSON can hold."""
+def encode_answer(answer: messages.Answer | None) -> list[typing.Any] | None:
+    """Convert an answer to JSON values."""
     if answer is None:
         return None
     return [
@@ -248,13 +264,13 @@
     ]
 
 
-def _owner(row: typing.Any) -> messages.Owner:
+def _decode_owner(row: typing.Any) -> messages.Owner:
     vm, incarnation = row
     return messages.Owner(str(vm), int(incarnation))
 
 
-def answer_in(row: typing.Any) -> messages.Answer | None:
-    """Turn back what :func:`answer_out` made."""
+def decode_answer(row: typing.Any) -> messages.Answer | None:
+    """Convert the JSON values of :func:`encode_answer` to an answer."""
     if row is None:
         return None
     status, headers, body = row
@@ -262,32 +278,32 @@
     return messages.Answer(int(status), pairs, base64.b64decode(body))
 
 
-def _origin(row: typing.Any) -> OriginState:
-    owner, secret, elapsed_s, floor_s, may_run, ended_s = row
-    return OriginState(
-        _owner(owner),
+def _decode_issuer(row: typing.Any) -> KeyIssuerState:
+    owner, secret, elapsed_s, forgotten_until_s, may_run, ended_s = row
+    return KeyIssuerState(
+        _decode_owner(owner),
         bytes.fromhex(secret),
         elapsed_s,
-        floor_s,
+        forgotten_until_s,
         may_run,
         ended_s,
     )
 
 
-def _entry(row: typing.Any) -> EntryState:
-    customer, key, digest, state, minted_s, origin, age_s, *rest = row
-    nonce, certain, written, away, answer = rest
+def _decode_entry(row: typing.Any) -> EntryState:
+    customer, key, digest, state, minted_s, issuer, age_s, *rest = row
+    nonce, claim_held, maybe_claimed, running_on, answer = rest
     return EntryState(
         customer,
         key,
         digest,
-        entries.State(state),
+        entries.RunState(state),
         minted_s,
-        origin and _owner(origin),
+        issuer and _decode_owner(issuer),
         age_s,
         nonce,
-        certain,
-        written,
-        away and _owner(away),
-        answer_in(answer),
+        claim_held,
+        maybe_claimed,
+        running_on and _decode_owner(running_on),
+        decode_answer(answer),
     )
--- a/src/apricotlever/requests/messages.py
+++ b/src/apricotlever/requests/messages.py
@@ -1,14 +1,14 @@
-"""What the ledger is told and what it answers, as typed values."""
+"""Types of the ledger's decisions, its claims and their results."""
 
 import enum
 import typing
 
 
 class Executed(enum.StrEnum):
-    """Whether the upstream ran the call, as far as the system can know.
+    """Whether the upstream ran the call, as far as the system can tell.
 
-    ``NO`` is a promise: no upstream has seen a call under this key. ``YES``
-    says that it ran and was answered.
+    ``NO`` guarantees that no upstream has seen a call under this key. ``YES``
+    means that the call ran and was answered.
     """
 
     YES = "yes"
@@ -17,7 +17,7 @@
 
 
 class Reason(enum.StrEnum):
-    """Why a keyed call is refused."""
+    """The reason for refusing a keyed call."""
 
     MALFORMED = "key_malformed"
     NOT_YOURS = "key_of_another_customer"
@@ -35,7 +35,12 @@
 
 
 class Owner:
-    """One incarnation of one entry VM."""
+    """One incarnation of an entry VM, such as the owner of a key.
+
+    :param vm: the name of the VM.
+    :param incarnation: start time of its process, in ms since the Unix
+        epoch.
+    """
 
     __slots__ = ("vm", "incarnation")
 
@@ -58,7 +63,7 @@
 
 
 class Answer:
-    """A whole answer of an upstream, fit to be replayed."""
+    """A complete answer of an upstream, which can be replayed."""
 
     __slots__ = ("status", "headers", "body")
 
@@ -74,14 +79,14 @@
 
     @property
     def size_bytes(self) -> int:
-        """An estimate of the memory that keeping it takes."""
+        """Estimated memory of the kept answer."""
         return len(self.body) + sum(
             len(name) + len(value) for name, value in self.headers
         )
 
 
 class Run:
-    """Run the call; report on it under the token."""
+    """Decision: run the call and report its outcome under the token."""
 
     __slots__ = ("token",)
 
@@ -90,7 +95,7 @@
 
 
 class Replay:
-    """Give the kept answer again."""
+    """Decision: return the kept answer of the earlier run."""
 
     __slots__ = ("answer",)
 
@@ -99,7 +104,10 @@
 
 
 class Pending:
-    """Another exchange is busy: begin again when the token is settled."""
+    """Decision: a run of the key is in progress; retry when it ends.
+
+    :param token: the token of that run.
+    """
 
     __slots__ = ("token",)
 
@@ -108,7 +116,7 @@
 
 
 class Forward:
-    """Only this incarnation's ledger may run or answer the call."""
+    """Decision: forward the call to the only ledger that may handle it."""
 
     __slots__ = ("vm", "incarnation")
 
@@ -118,10 +126,11 @@
 
 
 class Refuse:
-    """Don't run the call.
+    """Decision: refuse the call.
 
-    :param executed: what is known of every call made under this key.
-    :param retry_after_s: when the same key may fare better, or None.
+    :param executed: what is known about all calls made under this key.
+    :param retry_after_s: seconds after which a retry with the same key may
+        succeed, or None.
     """
 
     __slots__ = ("reason", "executed", "retry_after_s")
@@ -138,10 +147,13 @@
 
 
 class Claim:
-    """Claim a key that the caller made up, then report under the token.
+    """Decision: claim a key chosen by the caller, then report the result.
 
-    :param nonce: names this claim, so that the ledger knows its own claim
-        again after the answer to the write was lost.
+    :param token: identifies the run; the result carries the same token.
+    :param digest: digest of the call.
+    :param nonce: identifies this claim, so that the ledger recognizes its own
+        claim after the answer to the write was lost.
+    :param owner: the incarnation that claims the key.
     """
 
     __slots__ = ("token", "customer", "key", "digest", "nonce", "owner")
@@ -164,7 +176,7 @@
 
 
 class Won:
-    """The store holds the claim."""
+    """Result: the store holds this claim."""
 
     __slots__ = ("token",)
 
@@ -172,8 +184,11 @@
         self.token = token
 
 
-class Held:
-    """The store holds an earlier claim of the same call."""
+class ClaimHeld:
+    """Result: the store holds another claim of the key for the same call.
+
+    :param owner: the incarnation that holds the other claim.
+    """
 
     __slots__ = ("token", "owner")
 
@@ -182,8 +197,8 @@
         self.owner = owner
 
 
-class Conflicting:
-    """The store holds a claim of the key for a different call."""
+class ClaimConflict:
+    """Result: the store holds a claim of the key for a different call."""
 
     __slots__ = ("token",)
 
@@ -191,10 +206,10 @@
         self.token = token
 
 
-class NotClaimed:
-    """The claim could not be made.
+class ClaimFailed:
+    """Result: the claim failed.
 
-    :param maybe_written: the store may hold the claim all the same.
+    :param maybe_written: whether the store may hold the claim nevertheless.
     """
 
     __slots__ = ("token", "reason", "maybe_written")
@@ -208,4 +223,4 @@
 
 
 Decision: typing.TypeAlias = Run | Replay | Pending | Forward | Refuse | Claim
-ClaimResult: typing.TypeAlias = Won | Held | Conflicting | NotClaimed
+ClaimResult: typing.TypeAlias = Won | ClaimHeld | ClaimConflict | ClaimFailed
--- a/src/apricotlever/requests/owners.py
+++ b/src/apricotlever/requests/owners.py
@@ -1,7 +1,7 @@
-"""What one VM knows of the incarnations that own keys: gone, or replaced.
+"""What one VM knows about the incarnations of other VMs that own keys.
 
-Ignorance is safe here: an owner that is wrongly taken for gone costs an
-``unknown``, one that is wrongly taken for alive costs a forward that fails.
+Outdated knowledge is safe. If an owner is wrongly considered gone, a call is
+refused as ``unknown``; if it is wrongly considered alive, a forward fails.
 """
 
 from .. import clock as clocks
@@ -10,84 +10,91 @@
 RETRY_AFTER_S = 1.0
 
 
-class Owners:
-    """Heirs and deaths of incarnations, remembered for a bounded time.
+class KnownIncarnations:
+    """Which incarnations are gone, and which successors have their ledgers.
 
-    :param keep_s: how long a fact may matter, that is, the life of a key.
+    :param retention_s: how long a fact is kept, in seconds; at least the life
+        of a key.
     """
 
-    __slots__ = ("_clock", "_keep_s", "_newest", "_gone", "_heirs")
+    __slots__ = ("_clock", "_retention_s", "_latest", "_gone", "_successors")
 
-    def __init__(self, clock: clocks.Clock, keep_s: float) -> None:
+    def __init__(self, clock: clocks.Clock, retention_s: float) -> None:
         self._clock = clock
-        self._keep_s = keep_s
-        self._newest: dict[str, int] = {}
+        self._retention_s = retention_s
+        self._latest: dict[str, int] = {}
         self._gone: dict[messages.Owner, float] = {}
-        self._heirs: dict[messages.Owner, tuple[messages.Owner, float]] = {}
-
-    def alive(self, vm: str, incarnation: int) -> None:
-        """Note a live incarnation; all lower ones of the VM are gone."""
-        known = self._newest.get(vm, incarnation)
-        self._newest[vm] = max(known, incarnation)
+        self._successors: dict[
+            messages.Owner, tuple[messages.Owner, float]
+        ] = {}
+
+    def record_alive(self, vm: str, incarnation: int) -> None:
+        """Record a live incarnation; all older ones of the VM are gone."""
+        known = self._latest.get(vm, incarnation)
+        self._latest[vm] = max(known, incarnation)
         self._gone.pop(messages.Owner(vm, incarnation), None)
 
-    def gone(self, owner: messages.Owner) -> None:
-        """Note that an incarnation has left or died."""
+    def record_gone(self, owner: messages.Owner) -> None:
+        """Record that an incarnation has left or crashed."""
         self._gone[owner] = self._clock.now()
 
-    def handed_over(self, owner: messages.Owner, heir: messages.Owner) -> None:
-        """Note who took over the whole ledger of an incarnation."""
-        self._heirs[owner] = (heir, self._clock.now())
+    def record_transfer(
+        self, owner: messages.Owner, successor: messages.Owner
+    ) -> None:
+        """Record which successor adopted the ledger of an incarnation."""
+        self._successors[owner] = (successor, self._clock.now())
 
     def is_gone(self, owner: messages.Owner) -> bool:
-        """Tell whether an incarnation will answer no more."""
-        newest = self._newest.get(owner.vm, owner.incarnation)
-        return owner in self._gone or owner.incarnation < newest
+        """Return whether an incarnation has left, crashed or restarted."""
+        latest = self._latest.get(owner.vm, owner.incarnation)
+        return owner in self._gone or owner.incarnation < latest
 
-    def heir(self, owner: messages.Owner) -> messages.Owner | None:
-        """Follow the handovers from an incarnation to the last heir."""
+    def successor(self, owner: messages.Owner) -> messages.Owner | None:
+        """Return the last successor in the chain of handovers, or None."""
         seen = {owner}
         last = None
-        following = self._heirs.get(owner)
+        following = self._successors.get(owner)
         while following is not None and following[0] not in seen:
             last = following[0]
             seen.add(last)
-            following = self._heirs.get(last)
+            following = self._successors.get(last)
         return last
 
     def route(
         self, owner: messages.Owner, me: messages.Owner, forwarded: bool
     ) -> messages.Forward | messages.Refuse:
-        """Decide whom to ask about a key that is not judged here.
+        """Decide where to send a call whose key belongs to another VM.
 
-        :param forwarded: another VM asked here already.
+        :param owner: the incarnation that owns the key.
+        :param me: the incarnation of this VM.
+        :param forwarded: whether another VM forwarded the call to this one.
         """
-        heir = self.heir(owner)
-        target = heir or owner
+        successor = self.successor(owner)
+        target = successor or owner
         if self.is_gone(target):
             return messages.Refuse(
                 messages.Reason.OWNER_GONE, messages.Executed.UNKNOWN
             )
-        if target == me or (forwarded and heir is None):
-            # Sending it back could go round for ever.
-            return moving()
+        if target == me or (forwarded and successor is None):
+            # Forwarding the call again could loop between VMs forever.
+            return refuse_while_moving()
         return messages.Forward(target.vm, target.incarnation)
 
     def expire(self) -> None:
-        """Forget facts about incarnations whose keys have all expired."""
-        oldest = self._clock.now() - self._keep_s
+        """Drop facts about incarnations whose keys have all expired."""
+        oldest = self._clock.now() - self._retention_s
         self._gone = {
             owner: at for owner, at in self._gone.items() if at >= oldest
         }
-        self._heirs = {
-            owner: (heir, at)
-            for owner, (heir, at) in self._heirs.items()
+        self._successors = {
+            owner: (successor, at)
+            for owner, (successor, at) in self._successors.items()
             if at >= oldest
         }
 
 
-def moving() -> messages.Refuse:
-    """The refusal while a ledger is on its way to its heir."""
+def refuse_while_moving() -> messages.Refuse:
+    """Return the refusal for a key whose ledger is being handed over."""
     return messages.Refuse(
         messages.Reason.MOVING, messages.Executed.UNKNOWN, RETRY_AFTER_S
     )
--- a/src/apricotlever/requests/runs.py
+++ b/src/apricotlever/requests/runs.py
@@ -1,7 +1,8 @@
-"""The runs in flight of a ledger, each under a token of its own.
+"""The runs in flight of a ledger, each identified by a token.
 
-A token is valid for one attempt at most, so a worker that was overtaken
-(paused, timed out, its ledger handed over) can't send the call any more.
+A token is valid for one attempt at most. A worker whose run was ended in the
+meantime (because it was paused, timed out or its ledger was handed over) can
+therefore no longer send the call.
 """
 
 import itertools
@@ -12,20 +13,20 @@
 from . import owners
 from . import succession
 
-_State = entries.State
+_State = entries.RunState
 
 
-class Runs:
-    """Entries that some exchange is working on.
+class ActiveRuns:
+    """The entries whose runs are in progress.
 
-    :param ledger_succession: hears how each run ended.
+    :param transfer: records how each run ended, for the successor.
     """
 
     __slots__ = (
         "_clock",
-        "_bounds",
+        "_limits",
         "_table",
-        "_succession",
+        "_transfer",
         "_active",
         "_tokens",
         "_released",
@@ -34,14 +35,14 @@
     def __init__(
         self,
         clock: clocks.Clock,
-        bounds: entries.Bounds,
-        table: entries.Table,
-        ledger_succession: succession.Succession,
+        limits: entries.LedgerLimits,
+        table: entries.EntryTable,
+        transfer: succession.Succession,
     ) -> None:
         self._clock = clock
-        self._bounds = bounds
+        self._limits = limits
         self._table = table
-        self._succession = ledger_succession
+        self._transfer = transfer
         self._active: dict[int, entries.Entry] = {}
         self._tokens = itertools.count(1)
         self._released: list[int] = []
@@ -50,45 +51,48 @@
         return len(self._active)
 
     def activate(self, entry: entries.Entry) -> None:
-        """Give the entry a new token."""
+        """Start a run of the entry under a new token."""
         entry.token = next(self._tokens)
         self._active[entry.token] = entry
 
-    def claiming(self, token: int) -> entries.Entry | None:
-        """Find the entry whose claim is under way."""
+    def find_claiming(self, token: int) -> entries.Entry | None:
+        """Return the entry whose claim is in progress, or None."""
         entry = self._active.get(token)
         if entry is None or entry.state is not _State.CLAIMING:
             return None
         return entry
 
-    def sent(self, token: int) -> bool:
-        """Pass the point after which the upstream may have seen the call."""
+    def start_sending(self, token: int) -> bool:
+        """Mark a run whose call may reach the upstream from now on.
+
+        :returns: False if the call must not be sent.
+        """
         entry = self._active.get(token)
         if entry is None or entry.state is not _State.CLAIMED:
             return False
         entry.state = _State.SENDING
-        entry.since = self._clock.now()
+        entry.updated_at = self._clock.now()
         return True
 
-    def finished(self, token: int, answer: messages.Answer) -> bool:
-        """Keep the whole answer of a call that was sent."""
-        entry = self._here(token)
+    def record_answer(self, token: int, answer: messages.Answer) -> bool:
+        """Record the complete answer of a call that was sent."""
+        entry = self._local_entry(token)
         if entry is None or entry.state is not _State.SENDING:
             return False
         self.settle(entry, _State.ANSWERED, answer)
         return True
 
-    def not_sent(self, token: int) -> bool:
-        """Note that not one byte reached the upstream."""
-        entry = self._here(token)
+    def record_not_sent(self, token: int) -> bool:
+        """Record that no byte of the call reached the upstream."""
+        entry = self._local_entry(token)
         if entry is None:
             return False
         self.settle(entry, _State.NOT_RUN)
         return True
 
-    def lost(self, token: int) -> bool:
-        """Note that the answer won't come."""
-        entry = self._here(token)
+    def record_lost_answer(self, token: int) -> bool:
+        """Record that no answer will arrive."""
+        entry = self._local_entry(token)
         if entry is None:
             return False
         self._give_up(entry)
@@ -97,29 +101,29 @@
     def settle(
         self,
         entry: entries.Entry,
-        state: entries.State,
+        state: entries.RunState,
         answer: messages.Answer | None = None,
     ) -> None:
-        """End a run; its token is void from now on."""
+        """End a run and invalidate its token."""
         self._active.pop(entry.token, None)
         entry.state = state
-        entry.away = None
+        entry.running_on = None
         if answer is not None:
             self._table.keep_answer(entry, answer, self._clock.now())
-        self._succession.ended(entry)
+        self._transfer.record_outcome(entry)
 
     def discard(self, entry: entries.Entry) -> None:
-        """Drop an entry that another owner has, or nobody."""
+        """Remove an entry that this ledger doesn't own."""
         self._active.pop(entry.token, None)
         self._table.remove(entry)
 
     def release(self, entry: entries.Entry) -> None:
-        """Discard an entry; the next :meth:`overdue` names its token."""
+        """Discard an entry; :meth:`expire_overdue` returns its token."""
         self._released.append(entry.token)
         self.discard(entry)
 
     def release_unsent(self) -> None:
-        """Take back every run whose first byte has not left."""
+        """Cancel every run whose call was not being sent yet."""
         unsent = [
             entry
             for entry in self._active.values()
@@ -130,40 +134,49 @@
             entry.state = _State.NOT_RUN
         self._released.extend(entry.token for entry in unsent)
 
-    def overdue(self) -> list[int]:
-        """Give up runs that took too long.
+    def expire_overdue(self) -> list[int]:
+        """End runs that exceeded their time limit.
 
-        :returns: tokens that were settled since the last call.
+        :returns: their tokens and those of the runs released since the last
+            call.
         """
         released, self._released = self._released, []
-        late = [entry for entry in self._active.values() if self._late(entry)]
-        for entry in late:
+        overdue = [
+            entry for entry in self._active.values() if self._is_overdue(entry)
+        ]
+        for entry in overdue:
             self._give_up(entry)
-        return released + [entry.token for entry in late]
+        return released + [entry.token for entry in overdue]
 
-    def give_up_away(self, known: owners.Owners) -> list[int]:
-        """Settle runs whose VM is gone before it told how they ended.
+    def settle_orphaned(
+        self, incarnations: owners.KnownIncarnations
+    ) -> list[int]:
+        """End runs whose VM is gone without having reported an outcome.
 
         :returns: their tokens.
         """
         orphans = [
             entry
             for entry in self._active.values()
-            if entry.away and known.is_gone(entry.away)
+            if entry.running_on and incarnations.is_gone(entry.running_on)
         ]
         for entry in orphans:
             self.settle(entry, _State.UNKNOWN)
         return [entry.token for entry in orphans]
 
-    def _here(self, token: int) -> entries.Entry | None:
+    def _local_entry(self, token: int) -> entries.Entry | None:
         entry = self._active.get(token)
-        return None if entry is None or entry.away else entry
+        return None if entry is None or entry.running_on else entry
 
     def _give_up(self, entry: entries.Entry) -> None:
         sending = entry.state is _State.SENDING
         self.settle(entry, _State.UNKNOWN if sending else _State.NOT_RUN)
 
-    def _late(self, entry: entries.Entry) -> bool:
+    def _is_overdue(self, entry: entries.Entry) -> bool:
         sending = entry.state is _State.SENDING
-        limit = self._bounds.run_s if sending else self._bounds.reserve_s
-        return self._clock.now() - entry.since > limit
+        limit = (
+            self._limits.run_timeout_s
+            if sending
+            else self._limits.unsent_timeout_s
+        )
+        return self._clock.now() - entry.updated_at > limit
--- a/src/apricotlever/requests/succession.py
+++ b/src/apricotlever/requests/succession.py
@@ -1,7 +1,8 @@
-"""The handover of one ledger to exactly one heir.
+"""The transfer of a ledger to exactly one successor.
 
-The heir's receipt can get lost on the way. From the first export on, the
-heir may hold the ledger and run its keys, so nobody else ever may.
+The successor's receipt can get lost. From the first export on, the successor
+may hold the ledger and run its keys, so no other VM may ever run them unless
+that successor refuses the ledger.
 """
 
 from . import entries
@@ -10,75 +11,82 @@
 
 
 class Succession:
-    """Who inherits a ledger, and what the heir has still to hear."""
+    """The successor of a ledger, and the outcomes it has yet to receive.
 
-    __slots__ = ("_me", "_heir", "_confirmed", "_late")
+    :param me: the incarnation whose ledger is transferred.
+    """
+
+    __slots__ = ("_me", "_successor", "_confirmed", "_unacknowledged")
 
     def __init__(self, me: messages.Owner) -> None:
         self._me = me
-        self._heir: messages.Owner | None = None
+        self._successor: messages.Owner | None = None
         self._confirmed = False
-        self._late: dict[tuple[str, str], ledger_state.Settled] = {}
+        self._unacknowledged: dict[tuple[str, str], ledger_state.Settled] = {}
 
     @property
     def heir(self) -> messages.Owner | None:
-        """The incarnation that the ledger was offered to."""
-        return self._heir
+        """The incarnation that the ledger was first exported to, or None."""
+        return self._successor
 
     @property
     def confirmed(self) -> bool:
-        """Whether the heir has said that it holds the ledger."""
+        """Whether the successor has confirmed that it holds the ledger."""
         return self._confirmed
 
-    def offer(self, heir: messages.Owner) -> bool:
-        """Note an export.
+    def record_export(self, successor: messages.Owner) -> bool:
+        """Record an export of the ledger.
 
-        :returns: whether this heir may run the keys.
+        :returns: whether this successor may run the keys.
         """
-        if self._heir is None:
-            self._heir = heir
-        return heir == self._heir
+        if self._successor is None:
+            self._successor = successor
+        return successor == self._successor
 
     def receipt(self, receipt: ledger_state.Receipt) -> None:
-        """Take the heir's word; a refusal frees the choice of heir."""
-        if receipt.sender != self._me or receipt.heir != self._heir:
+        """Process a receipt; a refusal allows another successor."""
+        if receipt.sender != self._me or receipt.heir != self._successor:
             return
         if receipt.accepted:
             self._confirmed = True
         elif not self._confirmed:
-            # The refusal comes from the very incarnation that was offered
-            # the ledger, so it never ran a key and never will.
-            self._heir = None
+            # The refusal comes from the same incarnation that the ledger
+            # was sent to, so that VM never ran a key of it and never will.
+            self._successor = None
 
-    def ended(self, entry: entries.Entry) -> None:
-        """Note how a call ended, in case it was exported in flight."""
-        if self._heir is not None:
+    def record_outcome(self, entry: entries.Entry) -> None:
+        """Record an outcome, in case the call was exported in flight."""
+        if self._successor is not None:
             name = (entry.customer, entry.key)
-            self._late[name] = ledger_state.Settled(
+            self._unacknowledged[name] = ledger_state.Settled(
                 entry.customer, entry.key, entry.state, entry.answer
             )
 
     def outcomes(self) -> list[ledger_state.Settled]:
-        """Outcomes to send, none before the heir holds the ledger."""
-        return list(self._late.values()) if self._confirmed else []
+        """Return the outcomes to send; none before the successor's receipt."""
+        return list(self._unacknowledged.values()) if self._confirmed else []
 
     def received(self, sent: list[ledger_state.Settled]) -> None:
-        """Stop repeating outcomes that the heir has received."""
+        """Remove outcomes that the successor has received."""
         for settled in sent:
-            self._late.pop((settled.customer, settled.key), None)
-
-
-def export_origin(
-    origin: entries.Origin, may_run: bool, now: float
-) -> ledger_state.OriginState:
-    """Write down one incarnation's share of a ledger."""
-    ended = now if origin.ended is None else origin.ended
-    return ledger_state.OriginState(
-        origin.owner,
-        origin.secret,
-        now - origin.started,
-        origin.floor_s,
-        origin.may_run and may_run,
+            self._unacknowledged.pop((settled.customer, settled.key), None)
+
+
+def export_issuer(
+    issuer: entries.KeyIssuer, may_run: bool, now: float
+) -> ledger_state.KeyIssuerState:
+    """Convert an issuer to its exported form.
+
+    :param may_run: False if another successor may run the keys.
+    :param now: monotonic time in seconds.
+    """
+    ended = now if issuer.ended is None else issuer.ended
+    return ledger_state.KeyIssuerState(
+        issuer.owner,
+        issuer.secret,
+        now - issuer.started,
+        issuer.forgotten_until_s,
+        issuer.may_run and may_run,
         now - ended,
     )
 
@@ -86,76 +94,87 @@
 def export_entry(
     entry: entries.Entry, me: messages.Owner, now: float
 ) -> ledger_state.EntryState:
-    """Write down one key; a call in flight stays with this VM."""
-    here = me if entry.in_flight else None
+    """Convert an entry to its exported form.
+
+    A call in flight keeps running on this VM.
+
+    :param me: the incarnation of this VM.
+    :param now: monotonic time in seconds.
+    """
+    running_on = me if entry.in_flight else None
     return ledger_state.EntryState(
         entry.customer,
         entry.key,
         entry.digest,
         entry.state,
         entry.minted_s,
-        None if entry.origin is None else entry.origin.owner,
-        now - entry.since,
+        None if entry.issuer is None else entry.issuer.owner,
+        now - entry.updated_at,
         entry.nonce,
-        entry.certain,
-        entry.written,
-        entry.away or here,
+        entry.claim_held,
+        entry.maybe_claimed,
+        entry.running_on or running_on,
         entry.answer,
     )
 
 
-def adopt_origin(
-    state: ledger_state.OriginState, now: float
-) -> entries.Origin:
-    """Rebuild an incarnation's share on this VM's clock.
+def import_issuer(
+    state: ledger_state.KeyIssuerState, now: float
+) -> entries.KeyIssuer:
+    """Convert an exported issuer to times of this VM's clock.
 
-    The time on the way is not counted, so its keys look a little younger
-    and are kept a little longer.
+    The time of the transfer is not counted, so the keys appear slightly
+    younger and are kept slightly longer.
+
+    :param now: monotonic time in seconds.
     """
-    return entries.Origin(
+    return entries.KeyIssuer(
         state.owner,
         state.secret,
         now - state.elapsed_s,
-        state.floor_s,
+        state.forgotten_until_s,
         state.may_run,
         now - state.ended_s,
     )
 
 
-def adopt_entry(
+def import_entry(
     state: ledger_state.EntryState,
-    origin: entries.Origin | None,
+    issuer: entries.KeyIssuer | None,
     may_run: bool,
     now: float,
 ) -> entries.Entry:
-    """Rebuild one key on this VM's clock.
+    """Convert an exported entry to times of this VM's clock.
 
-    :param may_run: False turns a key that never ran into ``unknown``,
-        because another heir may be running it.
+    :param may_run: if False, a key that never ran becomes ``unknown``,
+        because another successor may be running it.
+    :param now: monotonic time in seconds.
     """
-    idle = state.state is entries.State.NOT_RUN
+    idle = state.state is entries.RunState.NOT_RUN
     entry = entries.Entry(
         state.customer,
         state.key,
         state.digest,
-        entries.State.UNKNOWN if idle and not may_run else state.state,
+        entries.RunState.UNKNOWN if idle and not may_run else state.state,
         state.minted_s,
-        origin,
+        issuer,
         now - state.age_s,
         state.nonce,
-        state.certain,
-        state.written,
+        state.claim_held,
+        state.maybe_claimed,
     )
-    entry.away = state.away
+    entry.running_on = state.running_on
     return entry
 
 
-def outranks(
+def replaces_local(
     state: ledger_state.EntryState, local: entries.Entry | None
 ) -> bool:
-    """Whether an adopted key replaces the heir's own entry, if any.
+    """Return whether an adopted entry replaces the ledger's own entry.
+
+    Only a local entry that never held the claim is replaced.
 
-    Only an entry that never held the claim gives way.
+    :param local: the ledger's own entry of the same key, or None.
     """
-    decided = state.certain or state.state is not entries.State.NOT_RUN
+    decided = state.claim_held or state.state is not entries.RunState.NOT_RUN
     return local is None or (decided and local.may_claim_again)
--- a/tests/requests/__init__.py
+++ b/tests/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Helpers of the tests of requests."""
+"""Helpers for the tests of requests."""
--- a/tests/requests/at_most_once.py
+++ b/tests/requests/at_most_once.py
@@ -1,4 +1,4 @@
-"""The state machine that looks for a call that runs twice."""
+"""State machine that searches for faults which run a call twice."""
 
 import itertools
 import typing
@@ -14,10 +14,10 @@
 PAIRS = tuple(itertools.permutations(VMS, 2))
 CUSTOMERS = ("notary", "lounge")
 DIGESTS = ("register", "revoke")
-MADE_KEYS = ("order-1",)
+CALLER_KEYS = ("order-1",)
 KEYS_MAX = 6
 FAULTS = ("", "", "", "applied", "lost", "late")
-WORK = (
+WORKER_STEPS = (
     ("send",),
     ("send", "execute"),
     ("send", "execute", "report"),
@@ -27,7 +27,7 @@
     ("report",),
     ("vanish",),
 )
-OPENINGS = (
+INITIAL_STATES = (
     "nothing",
     "handover",
     "send, handover",
@@ -37,14 +37,14 @@
 )
 PAUSES_S = (0.3, 70.0, 700.0, 4000.0)
 
-SMALL = entries.Bounds(
-    key_life_s=3600.0,
-    made_life_s=7200.0,
-    entries=4,
-    answers=2,
-    answer_s=600.0,
-    reserve_s=60.0,
-    run_s=600.0,
+SMALL_LIMITS = entries.LedgerLimits(
+    minted_key_life_s=3600.0,
+    caller_key_life_s=7200.0,
+    entries_max=4,
+    answers_max=2,
+    answer_retention_s=600.0,
+    unsent_timeout_s=60.0,
+    run_timeout_s=600.0,
 )
 
 vms = strategies.sampled_from(VMS)
@@ -52,34 +52,40 @@
 booleans = strategies.booleans()
 
 
-def _some(name: str) -> typing.Callable[[typing.Any], bool]:
+def _has(name: str) -> typing.Callable[[typing.Any], bool]:
     return lambda machine: bool(getattr(machine.fleet, name))
 
 
 class AtMostOnce(stateful.RuleBasedStateMachine):
-    """Callers, VMs, the store and the upstream in any order of steps."""
+    """Steps of callers, VMs, the store and the upstream in random order."""
 
     make_ledger: typing.Any = None
 
     def __init__(self) -> None:
         super().__init__()
-        self.fleet = fleet.Fleet(type(self).make_ledger, SMALL, VMS)
+        self.fleet = fleet.SimulatedFleet(
+            type(self).make_ledger, SMALL_LIMITS, VMS
+        )
         self.keys = [
-            (customer, key) for customer in CUSTOMERS for key in MADE_KEYS
+            (customer, key) for customer in CUSTOMERS for key in CALLER_KEYS
         ]
         self.mint(VMS[0], CUSTOMERS[0])
 
-    @stateful.initialize(opening=strategies.sampled_from(OPENINGS))
-    def open(self, opening: str) -> None:
-        """Start next to where things go wrong."""
-        if "send" in opening:
-            self.call(VMS[0], 0, DIGESTS[0], stranger=False, vouch=False)
-        if "wire" in opening:
+    @stateful.initialize(initial_state=strategies.sampled_from(INITIAL_STATES))
+    def open(self, initial_state: str) -> None:
+        """Start from a state that is close to known faults."""
+        if "send" in initial_state:
+            self.call(
+                VMS[0], 0, DIGESTS[0], other_customer=False, first_send=False
+            )
+        if "wire" in initial_state:
             self.work(0, ("send",))
-        if "claim" in opening:
-            self.call(VMS[0], 1, DIGESTS[0], stranger=False, vouch=False)
+        if "claim" in initial_state:
+            self.call(
+                VMS[0], 1, DIGESTS[0], other_customer=False, first_send=False
+            )
             self.fleet.store_answers(0, "")
-        if "handover" in opening:
+        if "handover" in initial_state:
             self.hand_over(PAIRS[0], at_once=True)
 
     @stateful.rule(vm=vms, customer=strategies.sampled_from(CUSTOMERS))
@@ -93,19 +99,24 @@
         vm=vms,
         number=numbers,
         digest=strategies.sampled_from(DIGESTS[:1] * 7 + DIGESTS[1:]),
-        stranger=strategies.sampled_from((False,) * 7 + (True,)),
-        vouch=booleans,
+        other_customer=strategies.sampled_from((False,) * 7 + (True,)),
+        first_send=booleans,
     )
     def call(
-        self, vm: str, number: int, digest: str, stranger: bool, vouch: bool
+        self,
+        vm: str,
+        number: int,
+        digest: str,
+        other_customer: bool,
+        first_send: bool,
     ) -> None:
         customer, key = self.keys[-1 - number % len(self.keys)]
-        if stranger:
+        if other_customer:
             customer = CUSTOMERS[1 - CUSTOMERS.index(customer)]
-        first = vouch and (customer, key) not in self.fleet.known_keys
+        first = first_send and (customer, key) not in self.fleet.known_keys
         self.fleet.call(vm, fleet.Call(customer, key, digest, first))
 
-    @stateful.precondition(_some("calls"))
+    @stateful.precondition(_has("calls"))
     @stateful.rule(vm=vms, number=numbers, settle=booleans)
     def resend(self, vm: str, number: int, settle: bool) -> None:
         call = self.fleet.calls[-1 - number % len(self.fleet.calls)]
@@ -113,7 +124,7 @@
         if settle:
             self.store_answers_all()
 
-    @stateful.precondition(_some("calls"))
+    @stateful.precondition(_has("calls"))
     @stateful.rule()
     def resend_everywhere(self) -> None:
         call = self.fleet.calls[-1]
@@ -121,20 +132,20 @@
             again = fleet.Call(call.customer, call.key, call.digest)
             self.fleet.call(each, again)
 
-    @stateful.precondition(_some("attempts"))
-    @stateful.rule(steps=strategies.sampled_from(WORK))
+    @stateful.precondition(_has("attempts"))
+    @stateful.rule(steps=strategies.sampled_from(WORKER_STEPS))
     def work_on_all(self, steps: tuple[str, ...]) -> None:
         for number in reversed(range(len(self.fleet.attempts))):
             if self.fleet.attempts:
                 self.work(number, steps)
 
-    @stateful.precondition(_some("attempts"))
-    @stateful.rule(steps=strategies.sampled_from(WORK))
+    @stateful.precondition(_has("attempts"))
+    @stateful.rule(steps=strategies.sampled_from(WORKER_STEPS))
     def work_on_newest(self, steps: tuple[str, ...]) -> None:
         self.work(0, steps)
 
-    @stateful.precondition(_some("attempts"))
-    @stateful.rule(number=numbers, steps=strategies.sampled_from(WORK))
+    @stateful.precondition(_has("attempts"))
+    @stateful.rule(number=numbers, steps=strategies.sampled_from(WORKER_STEPS))
     def work(self, number: int, steps: tuple[str, ...]) -> None:
         attempts = self.fleet.attempts
         attempt = attempts[-1 - number % len(attempts)]
@@ -142,13 +153,13 @@
             if attempt in attempts:
                 getattr(self.fleet, step)(attempts.index(attempt))
 
-    @stateful.precondition(_some("store_calls"))
+    @stateful.precondition(_has("store_calls"))
     @stateful.rule(number=numbers, fault=strategies.sampled_from(FAULTS))
     def store_answers(self, number: int, fault: str) -> None:
         index = number % len(self.fleet.store_calls)
         self.fleet.store_answers(index, fault)
 
-    @stateful.precondition(_some("late_writes"))
+    @stateful.precondition(_has("late_writes"))
     @stateful.rule(number=numbers)
     def late_write(self, number: int) -> None:
         writes = self.fleet.late_writes
@@ -158,24 +169,24 @@
     def outage(self, down: bool) -> None:
         self.fleet.store.down = down
 
-    @stateful.precondition(_some("network"))
+    @stateful.precondition(_has("network"))
     @stateful.rule(number=numbers, again=booleans)
     def arrive(self, number: int, again: bool) -> None:
         self.fleet.arrive(number % len(self.fleet.network), again)
 
-    @stateful.precondition(_some("network"))
+    @stateful.precondition(_has("network"))
     @stateful.rule()
     def arrive_all(self) -> None:
         for _ in range(len(self.fleet.network)):
             self.fleet.arrive(0, again=False)
 
-    @stateful.precondition(_some("store_calls"))
+    @stateful.precondition(_has("store_calls"))
     @stateful.rule()
     def store_answers_all(self) -> None:
         for _ in range(len(self.fleet.store_calls)):
             self.fleet.store_answers(0, "")
 
-    @stateful.precondition(_some("network"))
+    @stateful.precondition(_has("network"))
     @stateful.rule(number=numbers)
     def drop(self, number: int) -> None:
         self.fleet.network.pop(number % len(self.fleet.network))
@@ -194,7 +205,7 @@
             if at_once:
                 self.fleet.arrive(len(self.fleet.network) - 1, again=False)
 
-    @stateful.precondition(_some("heirs"))
+    @stateful.precondition(_has("heirs"))
     @stateful.rule()
     def send_outcomes(self) -> None:
         for vm in self.fleet.live:
@@ -210,10 +221,10 @@
             me = subject.ledger.me
             process.ledger.alive(me.vm, me.incarnation)
         elif subject is not None:
-            # A suspicion that is wrong: the VM was only slow.
+            # A false suspicion: the VM was only slow.
             process.ledger.gone(other, subject.ledger.me.incarnation)
-        for owner, heir in self.fleet.heirs.items():
-            process.ledger.handed_over(owner, heir)
+        for owner, successor in self.fleet.heirs.items():
+            process.ledger.handed_over(owner, successor)
 
     @stateful.rule(seconds=strategies.sampled_from(PAUSES_S))
     def pause(self, seconds: float) -> None:
@@ -222,13 +233,16 @@
             process.ledger.tick()
 
 
-def look_for_doubles(
+def check_at_most_once(
     make_ledger: typing.Any, examples: int, steps: int
 ) -> None:
-    """Run the machine.
+    """Search for a sequence of steps that runs a call twice.
 
     :param make_ledger: a class with the ledger's interface.
-    :raises AssertionError: if a sequence of steps breaks it.
+    :param examples: number of sequences.
+    :param steps: maximum number of steps in a sequence.
+    :raises AssertionError: if a sequence runs a call twice or makes the
+        ledger give a false answer.
     """
     machine = type("Machine", (AtMostOnce,), {"make_ledger": make_ledger})
     stateful.run_state_machine_as_test(
--- a/tests/requests/claims.feature
+++ b/tests/requests/claims.feature
@@ -1,51 +1,51 @@
-Feature: Claims of keys that callers made up
+Feature: Claims of keys chosen by callers
 
-  Scenario: Claims that wait share one write
-    Given claims on one bucket
+  Scenario: Waiting claims share one write
+    Given claims with one bucket
     When 50 keys are claimed before the store answers
-    And the store answers all claim calls
-    Then 50 claims are won with 1 writes
+    And the store answers all calls for claims
+    Then 50 claims succeed with 1 writes
 
   Scenario: The answer to a write is lost after it took effect
-    Symptom: a claim that was made counts as not made, or is made twice.
-    Events: the store writes, its answer gets lost.
-    Cause: no answer says nothing about the effect.
+    Guards against a claim that counts as failed although the store holds it,
+    or that is written twice. The store accepts the write but its answer is
+    lost, and a missing answer does not tell whether the write took effect.
 
-    Given claims on one bucket
+    Given claims with one bucket
     When key "k" is claimed and the answer to its write is lost
-    And the store answers all claim calls
-    Then 1 claims are won with 1 writes
+    And the store answers all calls for claims
+    Then 1 claims succeed with 1 writes
 
-  Scenario: The store goes down before the write could be read back
-    Given claims on one bucket
+  Scenario: The store fails before the write can be read back
+    Given claims with one bucket
     When key "k" is claimed and the answer to its write is lost
-    And the claims' store fails
-    Then the claim of "k" is not made, but maybe written
+    And the store of the claims fails
+    Then the claim of "k" fails, but may have been written
     When key "j" is claimed
-    Then the claim of "j" is refused without a call of the store
+    Then the claim of "j" is refused without a call to the store
 
-  Scenario: A key is claimed by one VM only, whatever the faults
-    Then in random sequences one claimer at most wins each key
+  Scenario: Only one VM claims a key, whatever the faults
+    Then in random sequences at most one VM claims each key
 
   Scenario: A full bucket refuses new keys
-    Given claims on one bucket that is full
+    Given claims with one bucket that is full
     When key "k" is claimed
-    And the store answers all claim calls
+    And the store answers all calls for claims
     Then the claim of "k" fails with "claims_full"
 
-  Scenario: A full bucket drops claims that are older than promised
-    Given claims on one bucket that is full
+  Scenario: A full bucket drops claims older than their retention time
+    Given claims with one bucket that is full
     When the claims are 22000 seconds old
     And key "k" is claimed
-    And the store answers all claim calls
-    Then 1 claims are won with 1 writes
+    And the store answers all calls for claims
+    Then 1 claims succeed with 1 writes
 
-  Scenario: An object that holds something else
-    Given claims on one bucket that holds something else
+  Scenario: A bucket with unexpected content refuses its keys
+    Given claims with one bucket that has unexpected content
     When key "k" is claimed
-    And the store answers all claim calls
+    And the store answers all calls for claims
     Then the claim of "k" fails with "store_unavailable"
 
-  Scenario: VMs that see the same fleet send a key to one home
-    Then 3 VMs agree on the home of each of 200 keys, in any order
-    And the homes of 200 keys are shared by 7 VMs
+  Scenario: VMs with the same membership choose the same home VM for a key
+    Then 3 VMs agree on the home VM of each of 200 keys, in any order of VMs
+    And 200 keys have their home VMs spread over 7 VMs
--- a/tests/requests/departure.feature
+++ b/tests/requests/departure.feature
@@ -1,26 +1,26 @@
-Feature: A leaving entry VM hands over what it has
+Feature: A leaving entry VM hands over its requests and its ledger
 
-  Scenario: Callers are told only after a peer has their request
-    Symptom: a caller that goes where it was told finds no such request.
-    Events: parts, receipts or whole peers get lost during the handover.
-    Cause: the caller was told before the peer had confirmed.
+  Scenario: Callers are redirected only after a peer has their request
+    Guards against redirecting a caller to a VM without its request. Parts,
+    receipts or whole peers are lost during the handover, and the caller was
+    redirected before the peer confirmed that it has the request.
 
-    Then in random handovers each caller is told where its request is
-    And in random handovers one peer at most may run the keys
+    Then in random handovers each caller is redirected to its request
+    And in random handovers at most one peer may run the keys
 
-  Scenario: Telling callers at once sends them where nothing is
-    Then telling callers at once fails in some handover
+  Scenario: Redirecting callers at once sends some to the wrong VM
+    Then redirecting callers at once fails in some handover
 
-  Scenario: Peers of other data centres come first
-    Given a departure from "sala-a" with 40 running requests
+  Scenario: Peers in other data centres are preferred
+    Given a handover from "sala-a" with 40 running requests
     And peers "b" in "sala-a", "c" in "sala-b" and "d" in "sala-c"
-    When the departure begins
+    When the handover starts
     Then its parts go to "c" and "d" only
 
-  Scenario: Nobody is left to take over
-    Given a departure from "sala-a" with 1 running requests
-    When the departure begins
-    Then it is finished, incomplete
+  Scenario: A handover without peers ends incomplete
+    Given a handover from "sala-a" with 1 running requests
+    When the handover starts
+    Then the handover ends incomplete
 
-  Scenario: A record travels unchanged
-    Then any record and ledger come out of their encoding as they went in
+  Scenario: Encoding does not change records and ledgers
+    Then any record and ledger are decoded as they were encoded
--- a/tests/requests/fleet.py
+++ b/tests/requests/fleet.py
@@ -1,7 +1,7 @@
-"""Entry VMs, a store and an upstream that fail step by step.
+"""Simulated entry VMs, store and upstream with faults chosen by the test.
 
-Nothing happens by itself: a test picks which message arrives next, whose
-answer is lost and who crashes. The fleet checks each answer as it is given.
+A test chooses which message arrives next, which answer is lost and which VM
+crashes. The fleet checks each answer of a ledger when it is given.
 """
 
 import collections
@@ -19,7 +19,11 @@
 
 
 class Call:
-    """What a caller sent: the same call may be sent many times."""
+    """A call of a caller, who may send it several times.
+
+    :param first: the caller guarantees that it never sent the key before.
+    :param hops: number of times that the call was forwarded.
+    """
 
     def __init__(
         self,
@@ -40,12 +44,12 @@
         return (self.customer, self.key)
 
     @property
-    def whole_name(self) -> tuple[str, str, str]:
+    def call_name(self) -> tuple[str, str, str]:
         return (self.customer, self.key, self.digest)
 
 
 class Attempt:
-    """A run on its way: reserved, on the wire, executed."""
+    """A run of a call: reserved, then sent, then executed."""
 
     def __init__(self, process: "Process", token: int, call: Call) -> None:
         self.process = process
@@ -65,7 +69,7 @@
 
 
 class Message:
-    """Something between two incarnations."""
+    """A message to another incarnation."""
 
     def __init__(
         self,
@@ -77,7 +81,7 @@
 
 
 class Store:
-    """Objects with versions."""
+    """A store of objects with versions."""
 
     def __init__(self) -> None:
         self.objects: dict[str, tuple[int, dict]] = {}
@@ -85,7 +89,10 @@
         self.writes = 0
 
     def write(self, action: claims.WriteBucket) -> int | None:
-        """Write on the condition; None says that it didn't hold."""
+        """Write if the version matches.
+
+        :returns: the new version, or None if the version doesn't match.
+        """
         version = self.objects.get(action.name, (None, {}))[0]
         if version != action.expected_version:
             return None
@@ -94,17 +101,20 @@
         return self.writes
 
 
-class Fleet:
-    """Three entry VMs, one store, one upstream."""
+class SimulatedFleet:
+    """Entry VMs with one store and one upstream.
+
+    :param make_ledger: creates the ledger of an incarnation.
+    """
 
     def __init__(
         self,
         make_ledger: typing.Callable[..., typing.Any],
-        bounds: entries.Bounds,
+        limits: entries.LedgerLimits,
         vms: tuple[str, ...] = ("a", "b", "c"),
     ) -> None:
         self.make_ledger = make_ledger
-        self.bounds = bounds
+        self.limits = limits
         self.clock = clock.ManualClock()
         self.store = Store()
         self.live: dict[str, Process] = {}
@@ -130,7 +140,7 @@
             random.Random(self.incarnations),
             vm,
             self.incarnations,
-            self.bounds,
+            self.limits,
         )
         self.live[vm] = Process(ledger, claims.Claims(self.clock, buckets=1))
         return self.live[vm]
@@ -177,19 +187,26 @@
         )
 
     def _check_answer(self, call: Call, body: bytes) -> None:
-        told = self.answers.setdefault(call.name, body)
-        assert told == body, "a replay differs from the answer"
-        wanted = "|".join(call.whole_name).encode()
-        assert body.startswith(wanted), "the answer of another call"
+        first_body = self.answers.setdefault(call.name, body)
+        assert first_body == body, "a replay differs from the answer"
+        expected_prefix = "|".join(call.call_name).encode()
+        assert body.startswith(
+            expected_prefix
+        ), "the answer belongs to another call"
 
     def _check_refusal(self, call: Call, refusal: messages.Refuse) -> None:
         if call.first and self._sent_again(call):
-            # The caller vouched for this send and has abandoned it since.
+            # The caller guaranteed a first send and has sent the key again
+            # since, so it ignores this answer.
             return
         if refusal.executed is messages.Executed.NO:
-            assert call.whole_name not in self.sent, "said no, but it was sent"
+            assert (
+                call.call_name not in self.sent
+            ), "refused as not executed, but it was sent"
         if refusal.executed is messages.Executed.YES:
-            assert self.runs[call.name], "said yes, but it never ran"
+            assert self.runs[
+                call.name
+            ], "refused as executed, but it never ran"
 
     def _sent_again(self, call: Call) -> bool:
         sends = [each for each in self.calls if each.name == call.name]
@@ -205,7 +222,12 @@
             self._answer(process, call, decision)
 
     def store_answers(self, index: int, fault: str) -> None:
-        """One call of the store ends, well or badly."""
+        """Complete one call to the store.
+
+        :param index: position of the call in ``store_calls``.
+        :param fault: empty, or what happens to a write whose answer is lost:
+            ``applied``, ``lost`` or ``late``.
+        """
         process, action = self.store_calls.pop(index)
         if self.store.down:
             self._do(process, process.claims.failed(action.name))
@@ -241,9 +263,9 @@
             self._do(process, process.claims.written(action.name, version))
 
     def send(self, index: int) -> None:
-        """A worker wants to send its call."""
+        """Let a worker send its call if the ledger allows it."""
         attempt = self.attempts[index]
-        if not self._alive(attempt.process):
+        if not self._is_live(attempt.process):
             self.attempts.pop(index)
         elif attempt.process.ledger.sent(attempt.token):
             if attempt.on_wire:
@@ -251,27 +273,27 @@
                 again.on_wire = True
                 self.attempts.append(again)
             attempt.on_wire = True
-            self.sent.add(attempt.call.whole_name)
+            self.sent.add(attempt.call.call_name)
         else:
             self.attempts.pop(index)
             self.call(attempt.process.ledger.me.vm, attempt.call)
 
     def execute(self, index: int) -> None:
-        """The call arrives at the upstream, maybe long after."""
+        """Deliver a call to the upstream, possibly much later."""
         attempt = self.attempts[index]
         if not attempt.on_wire or attempt.body is not None:
             return
         name = attempt.call.name
         self.runs[name] += 1
         assert self.runs[name] == 1, f"{name} ran twice"
-        text = "|".join(attempt.call.whole_name)
+        text = "|".join(attempt.call.call_name)
         attempt.body = f"{text}|{self.runs[name]}".encode()
 
     def report(self, index: int) -> None:
-        """The worker reports how its call ended."""
+        """Let a worker report the outcome of its call to the ledger."""
         attempt = self.attempts[index]
         ledger = attempt.process.ledger
-        if not self._alive(attempt.process):
+        if not self._is_live(attempt.process):
             self.attempts.pop(index)
         elif not attempt.on_wire:
             self.attempts.pop(index)
@@ -285,12 +307,12 @@
             ledger.lost(attempt.token)
 
     def vanish(self, index: int) -> None:
-        """What was on the wire never arrives."""
+        """Lose a run, whether or not its call was sent."""
         self.attempts.pop(index)
 
-    def hand_over(self, vm: str, heir: str) -> None:
+    def hand_over(self, vm: str, successor: str) -> None:
         source = self.live[vm]
-        target = self.live[heir].ledger.me
+        target = self.live[successor].ledger.me
         state = source.ledger.hand_over(target.vm, target.incarnation)
         data = ledger_state.encode(state)
 
@@ -314,27 +336,27 @@
         source = self.live[vm]
         settled = source.ledger.succession.outcomes()
         data = ledger_state.encode_settled(settled)
-        heir = source.ledger.succession.heir
-        if heir is None or not settled:
+        successor = source.ledger.succession.heir
+        if successor is None or not settled:
             return
 
         def deliver(process: Process) -> None:
-            if process.ledger.me != heir:
+            if process.ledger.me != successor:
                 return
             process.ledger.settle(ledger_state.decode_settled(data))
             source.ledger.succession.received(settled)
 
-        self.network.append(Message(heir, deliver))
+        self.network.append(Message(successor, deliver))
 
     def arrive(self, index: int, again: bool) -> None:
-        """A message reaches whoever bears the name of its target now.
+        """Deliver a message to the current incarnation of its target VM.
 
-        :param again: it stays on the way and arrives once more later.
+        :param again: whether the message is delivered once more later.
         """
         message = self.network[index] if again else self.network.pop(index)
         process = self.live.get(message.target.vm)
         if process is not None:
             message.deliver(process)
 
-    def _alive(self, process: Process) -> bool:
+    def _is_live(self, process: Process) -> bool:
         return process in self.live.values()
--- a/tests/requests/keys.feature
+++ b/tests/requests/keys.feature
@@ -1,10 +1,10 @@
-Feature: Keys that a VM mints
+Feature: Keys minted by a VM
 
-  Scenario: A key is good for its own customer only
-    Then no altered or foreign key passes for a minted one
+  Scenario: A key is valid for its own customer only
+    Then no altered key and no key of another customer is valid
 
-  Scenario: Text that is no key is refused
-    Then these texts are no minted keys
+  Scenario: A malformed key is refused
+    Then these texts are not minted keys
       | text             |
       | al1.             |
       | al1.a.1.0-5      |
--- a/tests/requests/naive_ledger.py
+++ b/tests/requests/naive_ledger.py
@@ -1,4 +1,4 @@
-"""Ledgers as one would first write them."""
+"""Ledgers with the faults of a naive implementation."""
 
 import typing
 
@@ -8,44 +8,44 @@
 
 
 class RetryingLedger(ledger.Ledger):
-    """Takes a timeout for a call that did not run."""
+    """Treats a call that timed out as a call that did not run."""
 
     __slots__ = ()
 
     def lost(self, token: int) -> bool:
-        entry = self._runs._here(token)
+        entry = self._runs._local_entry(token)
         if entry is None:
             return False
-        self._runs.settle(entry, entries.State.NOT_RUN)
+        self._runs.settle(entry, entries.RunState.NOT_RUN)
         return True
 
 
 class LocalLedger(ledger.Ledger):
-    """Judges every key by its own table, whoever minted it."""
+    """Decides on every key by its own table, whichever VM minted it."""
 
     __slots__ = ()
 
-    def _unseen_minted(
+    def _decide_unseen_minted(
         self, key: str, customer: str, digest: str, forwarded: bool
     ) -> messages.Decision:
         entry = entries.Entry(
             customer,
             key,
             digest,
-            entries.State.NOT_RUN,
+            entries.RunState.NOT_RUN,
             0,
-            self._own,
+            self._own_issuer,
             self._clock.now(),
         )
         return self._reserve(entry)
 
 
 class RepeatingLedger(ledger.Ledger):
-    """Takes the ledger back when the heir's receipt doesn't come."""
+    """Unfreezes the ledger while the successor's receipt is missing."""
 
     __slots__ = ()
 
     def begin(self, *args: typing.Any) -> messages.Decision:
-        if not self._succession.confirmed:
+        if not self._transfer.confirmed:
             self._frozen = False
         return super().begin(*args)
--- a/tests/steps/requests_claims.py
+++ b/tests/steps/requests_claims.py
@@ -17,13 +17,16 @@
 FAULTS = ("", "applied", "lost", "late")
 
 
-class _Bench:
-    """Claimers on one store; each result is kept."""
+class _ClaimSimulation:
+    """VMs that claim keys in one store.
+
+    Each claim must get exactly one result.
+    """
 
     def __init__(self, vms):
         self.clock = clock.ManualClock()
         self.store = fleet.Store()
-        self.claimers = {vm: claims.Claims(self.clock, 1) for vm in vms}
+        self.batchers = {vm: claims.Claims(self.clock, 1) for vm in vms}
         self.calls = []
         self.late = []
         self.results = {}
@@ -35,26 +38,26 @@
         owner = messages.Owner(vm, 1)
         nonce = f"{token:016x}"
         claim = messages.Claim(token, "notary", key, digest, nonce, owner)
-        self._do(vm, self.claimers[vm].claim(claim))
+        self._do(vm, self.batchers[vm].claim(claim))
 
     def _do(self, vm, actions):
-        told = [each for each in actions if isinstance(each, claims.Tell)]
-        for each in told:
+        results = [each for each in actions if isinstance(each, claims.Tell)]
+        for each in results:
             assert each.result.token not in self.results
             self.results[each.result.token] = each.result
-        self.calls += [(vm, each) for each in actions if each not in told]
+        self.calls += [(vm, each) for each in actions if each not in results]
 
-    def answer(self, index, fault=""):
+    def complete_call(self, index, fault=""):
         vm, action = self.calls.pop(index)
-        claimer = self.claimers[vm]
+        batcher = self.batchers[vm]
         if isinstance(action, claims.ReadBucket):
             stored = self.store.objects.get(action.name)
             if fault:
-                self._do(vm, claimer.failed(action.name))
+                self._do(vm, batcher.failed(action.name))
             elif stored is None:
-                self._do(vm, claimer.missing(action.name))
+                self._do(vm, batcher.missing(action.name))
             else:
-                self._do(vm, claimer.read(action.name, *stored))
+                self._do(vm, batcher.read(action.name, *stored))
             return
         version = None
         if fault == "late":
@@ -62,11 +65,11 @@
         elif fault != "lost":
             version = self.store.write(action)
         if fault:
-            self._do(vm, claimer.ambiguous(action.name))
+            self._do(vm, batcher.ambiguous(action.name))
         elif version is None:
-            self._do(vm, claimer.conflict(action.name))
+            self._do(vm, batcher.conflict(action.name))
         else:
-            self._do(vm, claimer.written(action.name, version))
+            self._do(vm, batcher.written(action.name, version))
 
     def result_of(self, key):
         return [
@@ -76,22 +79,22 @@
         ][-1]
 
 
-@given("claims on one bucket")
+@given("claims with one bucket")
 def _claims(context):
-    context.claiming = _Bench(["a"])
+    context.claiming = _ClaimSimulation(["a"])
 
 
-@given("claims on one bucket that is full")
+@given("claims with one bucket that is full")
 def _full(context):
     _claims(context)
     at = context.claiming.clock.wall()
     row = ["d" * 64, "vm" * 8, 1, "0" * 16, at]
-    count = claims.VALUE_BYTES_MAX // (claims.ROW_BYTES + 32 + 96)
+    count = claims.VALUE_BYTES_MAX // (claims.CLAIM_OVERHEAD_BYTES + 32 + 96)
     rows = {f"{number:032x}": row for number in range(count)}
     context.claiming.store.objects[BUCKET] = (0, {"claims": rows})
 
 
-@given("claims on one bucket that holds something else")
+@given("claims with one bucket that has unexpected content")
 def _something_else(context):
     _claims(context)
     value = {"claims": {"x": "y"}}
@@ -117,39 +120,39 @@
 @when('key "{key}" is claimed and the answer to its write is lost')
 def _lost(context, key):
     context.claiming.claim("a", key)
-    context.claiming.answer(0)
-    context.claiming.answer(0, "applied")
+    context.claiming.complete_call(0)
+    context.claiming.complete_call(0, "applied")
 
 
-@when("the store answers all claim calls")
+@when("the store answers all calls for claims")
 def _all(context):
     while context.claiming.calls:
-        context.claiming.answer(0)
+        context.claiming.complete_call(0)
 
 
-@when("the claims' store fails")
+@when("the store of the claims fails")
 def _fails(context):
-    context.claiming.answer(0, "lost")
+    context.claiming.complete_call(0, "lost")
 
 
-@then("{count:d} claims are won with {writes:d} writes")
-def _won(context, count, writes):
+@then("{count:d} claims succeed with {writes:d} writes")
+def _succeeded(context, count, writes):
     results = context.claiming.results.values()
     won = [each for each in results if isinstance(each, messages.Won)]
     found = (len(won), context.claiming.store.writes)
     assert found == (count, writes), found
 
 
-@then('the claim of "{key}" is not made, but maybe written')
-def _maybe(context, key):
+@then('the claim of "{key}" fails, but may have been written')
+def _maybe_written(context, key):
     result = context.claiming.result_of(key)
-    assert isinstance(result, messages.NotClaimed) and result.maybe_written
+    assert isinstance(result, messages.ClaimFailed) and result.maybe_written
 
 
-@then('the claim of "{key}" is refused without a call of the store')
+@then('the claim of "{key}" is refused without a call to the store')
 def _refused_at_once(context, key):
     result = context.claiming.result_of(key)
-    assert isinstance(result, messages.NotClaimed)
+    assert isinstance(result, messages.ClaimFailed)
     assert not result.maybe_written and not context.claiming.calls
 
 
@@ -158,7 +161,7 @@
     assert context.claiming.result_of(key).reason == reason
 
 
-@then("in random sequences one claimer at most wins each key")
+@then("in random sequences at most one VM claims each key")
 def _one_winner(context):
     steps = strategies.lists(
         strategies.tuples(
@@ -174,48 +177,49 @@
     )
     @hypothesis.given(steps)
     def check(sequence):
-        bench = _Bench(["a", "b", "c"])
+        simulation = _ClaimSimulation(["a", "b", "c"])
         for kind, number, fault in sequence:
             if kind == "claim":
-                bench.claim("abc"[number % 3], f"k{number % 2}")
-            elif kind == "answer" and bench.calls:
-                bench.answer(number % len(bench.calls), fault)
-            elif kind == "late" and bench.late:
-                bench.store.write(bench.late.pop(0))
-        while bench.calls:
-            bench.answer(0)
-        _check_winners(bench)
+                simulation.claim("abc"[number % 3], f"k{number % 2}")
+            elif kind == "answer" and simulation.calls:
+                simulation.complete_call(number % len(simulation.calls), fault)
+            elif kind == "late" and simulation.late:
+                simulation.store.write(simulation.late.pop(0))
+        while simulation.calls:
+            simulation.complete_call(0)
+        _check_winners(simulation)
 
     check()
 
 
-def _check_winners(bench):
-    assert set(bench.results) == set(bench.tokens)
+def _check_winners(simulation):
+    assert set(simulation.results) == set(simulation.tokens)
     won = collections.Counter(
-        bench.tokens[token][1]
-        for token, result in bench.results.items()
+        simulation.tokens[token][1]
+        for token, result in simulation.results.items()
         if isinstance(result, messages.Won)
     )
     assert all(count == 1 for count in won.values()), won
 
 
-def _homes(vms, count):
+def _home_vms(vms, count):
     return [
         claims.home("notary", f"k{number}", vms) for number in range(count)
     ]
 
 
 @then(
-    "{viewers:d} VMs agree on the home of each of {count:d} keys, in any order"
+    "{viewers:d} VMs agree on the home VM of each of {count:d} keys, in any "
+    "order of VMs"
 )
 def _agree(context, viewers, count):
     vms = [f"vm-{number}" for number in range(7)]
     views = [vms[turn:] + vms[:turn] for turn in range(viewers)]
-    first, *others = [_homes(view, count) for view in views]
+    first, *others = [_home_vms(view, count) for view in views]
     assert all(other == first for other in others)
 
 
-@then("the homes of {count:d} keys are shared by {vms:d} VMs")
+@then("{count:d} keys have their home VMs spread over {vms:d} VMs")
 def _shared(context, count, vms):
     names = [f"vm-{number}" for number in range(vms)]
-    assert set(_homes(names, count)) == set(names)
+    assert set(_home_vms(names, count)) == set(names)
--- a/tests/steps/requests_departure.py
+++ b/tests/steps/requests_departure.py
@@ -18,7 +18,14 @@
 from apricotlever.requests import records
 
 ME = messages.Owner("a", 1)
-FATES = ("taken", "taken", "taken", "part lost", "receipt lost", "peer dies")
+DELIVERIES = (
+    "taken",
+    "taken",
+    "taken",
+    "part lost",
+    "receipt lost",
+    "peer crashes",
+)
 STEPS_MAX = 400
 
 
@@ -30,10 +37,13 @@
     ]
 
 
-class _Scene:
-    """A leaving VM and three peers, driven by a list of fates."""
+class _HandoverSimulation:
+    """A leaving VM and three peers.
 
-    def __init__(self, count, eager=False):
+    :param redirect_at_once: whether callers are redirected before a receipt.
+    """
+
+    def __init__(self, count, redirect_at_once=False):
         self.clock = clock.ManualClock()
         self.ledger = ledger.Ledger(self.clock, random.Random(1), "a", 1)
         self.key = self.ledger.mint("notary")
@@ -41,134 +51,141 @@
             self.clock, ME, "sala-a", self.clock.now() + 60
         )
         self.running = _records(count)
-        self.eager = eager
-        self.intakes, self.held, self.ledgers = {}, {}, {}
+        self.redirect_at_once = redirect_at_once
+        self.receivers, self.adopted, self.ledgers = {}, {}, {}
         for number, vm in enumerate("bcd"):
             owner = messages.Owner(vm, 1)
-            self.intakes[owner] = intake.Intake(owner)
-            self.held[owner] = set()
+            self.receivers[owner] = intake.Intake(owner)
+            self.adopted[owner] = set()
             self.ledgers[owner] = ledger.Ledger(
                 self.clock, random.Random(number), vm, 1
             )
-        self.parts, self.told, self.finished = [], {}, None
+        self.parts, self.redirected, self.finished = [], {}, None
 
     def peers(self):
         return [
-            departure.Peer(owner, f"sala-{owner.vm}") for owner in self.intakes
+            departure.Peer(owner, f"sala-{owner.vm}")
+            for owner in self.receivers
         ]
 
-    def run(self, fates):
+    def run(self, deliveries):
         self.do(self.leaving.begin(self.peers(), self.running, []))
-        fates = iter(fates)
+        deliveries = iter(deliveries)
         for _ in range(STEPS_MAX):
             if self.finished is not None:
                 break
             if self.parts:
-                self.deliver(self.parts.pop(0), next(fates, "taken"))
+                self.deliver(self.parts.pop(0), next(deliveries, "taken"))
             else:
-                self.clock.advance(departure.RESEND_S)
+                self.clock.advance(departure.RESEND_INTERVAL_S)
                 self.do(self.leaving.tick())
 
     def do(self, actions):
         for action in actions:
             if isinstance(action, departure.Send):
                 self.parts.append(action.part)
-                if self.eager:
+                if self.redirect_at_once:
                     rows = handover.decode_records(action.part.payload)
-                    self.tell([row.request_id for row in rows], action.part)
+                    self.redirect(
+                        [row.request_id for row in rows], action.part
+                    )
             elif isinstance(action, departure.TellMoved):
                 for request_id in action.request_ids:
-                    self.told[request_id] = action.vm
-                    self.check(request_id)
+                    self.redirected[request_id] = action.vm
+                    self.check_adopted(request_id)
             elif isinstance(action, departure.ExportLedger):
-                heir = action.heir
-                state = self.ledger.hand_over(heir.vm, heir.incarnation)
+                owner = action.heir
+                state = self.ledger.hand_over(owner.vm, owner.incarnation)
                 self.do(self.leaving.exported(state))
             elif isinstance(action, departure.LedgerReceived):
                 self.ledger.succession.receipt(action.receipt)
             elif isinstance(action, departure.Finished):
                 self.finished = action.complete
 
-    def tell(self, request_ids, part):
+    def redirect(self, request_ids, part):
         for request_id in request_ids:
-            self.told[request_id] = part.heir.vm
-            self.check(request_id)
-
-    def check(self, request_id):
-        owner = messages.Owner(self.told[request_id], 1)
-        assert request_id in self.held[owner], "told before it is there"
-
-    def deliver(self, part, fate):
-        if fate == "peer dies" and len(self.intakes) > 1:
-            self.intakes.pop(part.heir, None)
-        taker = self.intakes.get(part.heir)
-        if taker is None:
+            self.redirected[request_id] = part.heir.vm
+            self.check_adopted(request_id)
+
+    def check_adopted(self, request_id):
+        owner = messages.Owner(self.redirected[request_id], 1)
+        assert (
+            request_id in self.adopted[owner]
+        ), "redirected before the peer has the request"
+
+    def deliver(self, part, delivery):
+        if delivery == "peer crashes" and len(self.receivers) > 1:
+            self.receivers.pop(part.heir, None)
+        receiver = self.receivers.get(part.heir)
+        if receiver is None:
             self.do(self.leaving.peer_gone(part.heir))
-        elif fate != "part lost":
-            self.take(part.heir, taker.receive(handover.encode(part)))
-            if fate != "receipt lost":
+        elif delivery != "part lost":
+            self.adopt(part.heir, receiver.receive(handover.encode(part)))
+            if delivery != "receipt lost":
                 self.do(self.leaving.receipt(part.sequence))
 
-    def take(self, owner, taken):
+    def adopt(self, owner, taken):
         if isinstance(taken, intake.AdoptRecords):
             names = {row.request_id for row in taken.records}
-            self.held[owner] |= names
+            self.adopted[owner] |= names
         elif isinstance(taken, intake.AdoptLedger):
             self.ledgers[owner].adopt(taken.state)
 
 
-def _random_scenes(check):
+def _simulate_random_handovers(check):
     @hypothesis.settings(
         derandomize=True, deadline=None, database=None, max_examples=200
     )
     @hypothesis.given(
         strategies.integers(0, 12),
-        strategies.lists(strategies.sampled_from(FATES), max_size=40),
+        strategies.lists(strategies.sampled_from(DELIVERIES), max_size=40),
     )
-    def run(count, fates):
-        scene = _Scene(count)
-        scene.run(fates)
-        check(scene)
+    def run(count, deliveries):
+        simulation = _HandoverSimulation(count)
+        simulation.run(deliveries)
+        check(simulation)
 
     run()
 
 
-@then("in random handovers each caller is told where its request is")
-def _told(context):
-    def check(scene):
-        assert scene.finished, "it ends complete, for one peer stays"
-        wanted = {record.request_id for record in scene.running}
-        assert set(scene.told) == wanted
+@then("in random handovers each caller is redirected to its request")
+def _redirected(context):
+    def check(simulation):
+        assert simulation.finished, "incomplete although one peer is left"
+        expected = {record.request_id for record in simulation.running}
+        assert set(simulation.redirected) == expected
 
-    _random_scenes(check)
+    _simulate_random_handovers(check)
 
 
-@then("in random handovers one peer at most may run the keys")
-def _one_heir(context):
-    def check(scene):
-        may = [
+@then("in random handovers at most one peer may run the keys")
+def _one_successor(context):
+    def check(simulation):
+        runnable_on = [
             owner
-            for owner, each in scene.ledgers.items()
-            if isinstance(each.begin(scene.key, "notary", "d"), messages.Run)
+            for owner, each in simulation.ledgers.items()
+            if isinstance(
+                each.begin(simulation.key, "notary", "d"), messages.Run
+            )
         ]
-        assert len(may) <= 1, may
+        assert len(runnable_on) <= 1, runnable_on
 
-    _random_scenes(check)
+    _simulate_random_handovers(check)
 
 
-@then("telling callers at once fails in some handover")
+@then("redirecting callers at once fails in some handover")
 def _too_early(context):
     try:
-        _Scene(3, eager=True).run([])
+        _HandoverSimulation(3, redirect_at_once=True).run([])
     except AssertionError:
         return
-    raise AssertionError("the eager departure was not caught")
+    raise AssertionError("redirecting at once caused no failure")
 
 
-@given('a departure from "{data_centre}" with {count:d} running requests')
-def _departure(context, data_centre, count):
+@given('a handover from "{data_centre}" with {count:d} running requests')
+def _handover(context, data_centre, count):
     manual = clock.ManualClock()
-    context.departure = departure.Departure(
+    context.handover = departure.Departure(
         manual, ME, data_centre, manual.now() + 60
     )
     context.running = _records(count)
@@ -183,24 +200,24 @@
     ]
 
 
-@when("the departure begins")
+@when("the handover starts")
 def _begin(context):
-    context.actions = context.departure.begin(
+    context.actions = context.handover.begin(
         context.peers, context.running, []
     )
 
 
 @then('its parts go to "{one}" and "{other}" only')
 def _targets(context, one, other):
-    heirs = {
+    successors = {
         action.part.heir.vm
         for action in context.actions
         if isinstance(action, departure.Send)
     }
-    assert heirs == {one, other}, heirs
+    assert successors == {one, other}, successors
 
 
-@then("it is finished, incomplete")
+@then("the handover ends incomplete")
 def _incomplete(context):
     assert not context.actions[-1].complete
 
@@ -208,7 +225,7 @@
 texts = strategies.text(max_size=9)
 
 
-@then("any record and ledger come out of their encoding as they went in")
+@then("any record and ledger are decoded as they were encoded")
 def _codec(context):
     @hypothesis.settings(derandomize=True, deadline=None, database=None)
     @hypothesis.given(
--- a/tests/steps/requests_ledger.py
+++ b/tests/steps/requests_ledger.py
@@ -22,46 +22,50 @@
 
 
 def _last(context):
-    return context.keyed.decisions[-1]
+    return context.fleet.decisions[-1]
 
 
 @then("no key runs twice in {examples:d} sequences on the ledger")
-def _no_doubles(context, examples):
-    at_most_once.look_for_doubles(ledger.Ledger, examples, STEPS)
+def _at_most_once(context, examples):
+    at_most_once.check_at_most_once(ledger.Ledger, examples, STEPS)
 
 
-@then("some sequence on the {kind} ledger runs a key twice or lies")
-def _doubles(context, kind):
+@then("some sequence on the {kind} ledger runs a key twice or reports falsely")
+def _finds_fault(context, kind):
     try:
-        at_most_once.look_for_doubles(NAIVE[kind], EXAMPLES, STEPS)
+        at_most_once.check_at_most_once(NAIVE[kind], EXAMPLES, STEPS)
     except AssertionError:
         return
-    raise AssertionError("the naive ledger was not caught")
+    raise AssertionError("the search found no fault of the naive ledger")
 
 
-@given('a keyed fleet with a key minted by VM "{vm}"')
+@given('a simulated fleet with a key minted by VM "{vm}"')
 def _minted(context, vm):
-    context.keyed = fleet.Fleet(ledger.Ledger, at_most_once.SMALL)
-    context.key = context.keyed.live[vm].ledger.mint(CUSTOMER)
+    context.fleet = fleet.SimulatedFleet(
+        ledger.Ledger, at_most_once.SMALL_LIMITS
+    )
+    context.key = context.fleet.live[vm].ledger.mint(CUSTOMER)
 
 
-@given("a keyed fleet whose caller made up a key")
+@given("a simulated fleet with a key chosen by the caller")
 def _made_up(context):
-    context.keyed = fleet.Fleet(ledger.Ledger, at_most_once.SMALL)
+    context.fleet = fleet.SimulatedFleet(
+        ledger.Ledger, at_most_once.SMALL_LIMITS
+    )
     context.key = "order-1"
 
 
-@given("the claims' store is down")
+@given("the store of the claims is down")
 def _store_down(context):
-    context.keyed.store.down = True
+    context.fleet.store.down = True
 
 
 def _send(context, vm, digest="register", first=False):
     call = fleet.Call(CUSTOMER, context.key, digest, first)
-    context.keyed.call(vm, call)
+    context.fleet.call(vm, call)
 
 
-@when('the keyed call is sent to VM "{vm}"')
+@when('the call with the key is sent to VM "{vm}"')
 def _call(context, vm):
     _send(context, vm)
 
@@ -79,8 +83,8 @@
 
 
 def _settle_claims(context):
-    while context.keyed.store_calls:
-        context.keyed.store_answers(0, "")
+    while context.fleet.store_calls:
+        context.fleet.store_answers(0, "")
 
 
 @when('the call "{digest}" is sent to VM "{vm}"')
@@ -90,86 +94,88 @@
 
 @when('another customer sends the key to VM "{vm}"')
 def _stranger(context, vm):
-    context.keyed.call(vm, fleet.Call("lounge", context.key, "register"))
+    context.fleet.call(vm, fleet.Call("lounge", context.key, "register"))
 
 
-@when('VM "{vm}" hands its ledger to VM "{heir}" and the receipt is lost')
-def _hand_over_in_silence(context, vm, heir):
-    _hand_over(context, vm, heir)
-    context.keyed.network.clear()
+@when('VM "{vm}" hands its ledger to VM "{successor}" and the receipt is lost')
+def _hand_over_without_receipt(context, vm, successor):
+    _hand_over(context, vm, successor)
+    context.fleet.network.clear()
 
 
-@when('VM "{vm}" hands its ledger to VM "{heir}"')
-def _hand_over(context, vm, heir):
-    context.keyed.hand_over(vm, heir)
-    context.keyed.arrive(0, again=False)
+@when('VM "{vm}" hands its ledger to VM "{successor}"')
+def _hand_over(context, vm, successor):
+    context.fleet.hand_over(vm, successor)
+    context.fleet.arrive(0, again=False)
 
 
-@when('VM "{vm}" crashes and is back')
+@when('VM "{vm}" crashes and restarts')
 def _restart(context, vm):
-    context.keyed.crash(vm)
-    context.keyed.start(vm)
-    for process in context.keyed.live.values():
-        process.ledger.alive(vm, context.keyed.incarnations)
-
-
-@when('a receipt of the new VM "{heir}" refuses the ledger of VM "{vm}"')
-def _refusal(context, heir, vm):
-    source = context.keyed.live[vm].ledger
-    refuser = context.keyed.live[heir].ledger.me
+    context.fleet.crash(vm)
+    context.fleet.start(vm)
+    for process in context.fleet.live.values():
+        process.ledger.alive(vm, context.fleet.incarnations)
+
+
+@when(
+    'the new incarnation of VM "{successor}" refuses the ledger of VM "{vm}"'
+)
+def _refusal(context, successor, vm):
+    source = context.fleet.live[vm].ledger
+    refuser = context.fleet.live[successor].ledger.me
     source.succession.receipt(
         ledger_state.Receipt(source.me, refuser, accepted=False)
     )
 
 
-@when("its attempt is put on the wire")
-def _on_the_wire(context):
-    context.keyed.send(len(context.keyed.attempts) - 1)
+@when("its call is sent to the upstream")
+def _sent_upstream(context):
+    context.fleet.send(len(context.fleet.attempts) - 1)
 
 
 @when("the upstream answers and the worker reports")
 def _answered(context):
-    context.keyed.execute(0)
-    context.keyed.report(0)
+    context.fleet.execute(0)
+    context.fleet.report(0)
 
 
-@when('VM "{vm}" answers {count:d} other keyed calls')
+@when('VM "{vm}" answers {count:d} other calls with keys')
 def _others(context, vm, count):
     for _ in range(count):
-        context.keyed.clock.advance(1)
-        key = context.keyed.live[vm].ledger.mint(CUSTOMER)
-        context.keyed.call(vm, fleet.Call(CUSTOMER, key, "register"))
-        _on_the_wire(context)
+        context.fleet.clock.advance(1)
+        key = context.fleet.live[vm].ledger.mint(CUSTOMER)
+        context.fleet.call(vm, fleet.Call(CUSTOMER, key, "register"))
+        _sent_upstream(context)
         _answered(context)
 
 
 @when("the messages between the VMs arrive")
 def _arrive(context):
-    while context.keyed.network:
-        context.keyed.arrive(0, again=False)
+    while context.fleet.network:
+        context.fleet.arrive(0, again=False)
 
 
-@when("the keyed fleet waits {seconds:d} seconds")
+@when("the simulated fleet waits {seconds:d} seconds")
 def _wait(context, seconds):
-    context.keyed.clock.advance(seconds)
-    for process in context.keyed.live.values():
+    context.fleet.clock.advance(seconds)
+    for process in context.fleet.live.values():
         process.ledger.tick()
 
 
-@then('the ledger answers with a forward to VM "{vm}"')
+@then('the ledger forwards the call to VM "{vm}"')
 def _forwarded(context, vm):
     assert isinstance(_last(context), messages.Forward)
     assert _last(context).vm == vm
 
 
-@then("the ledger answers that it is pending")
+@then("the ledger answers that a run is in progress")
 def _pending(context):
     assert isinstance(_last(context), messages.Pending)
 
 
-@then('{count:d} keyed attempt is reserved, on VM "{vm}"')
+@then('{count:d} run is reserved, on VM "{vm}"')
 def _reserved(context, count, vm):
-    found = [each.process.ledger.me.vm for each in context.keyed.attempts]
+    found = [each.process.ledger.me.vm for each in context.fleet.attempts]
     assert found == [vm] * count, found
 
 
