--- a/src/apricotlever/requests/runs.py
+++ b/src/apricotlever/requests/runs.py
@@ -51,7 +51,7 @@
         return len(self._active)
 
     def activate(self, entry: entries.Entry) -> None:
-        """Start a run of the entry under a new token."""
+        """Track a run of the entry under a new token."""
         entry.token = next(self._tokens)
         self._active[entry.token] = entry
 
--- a/tests/requests/fleet.py
+++ b/tests/requests/fleet.py
@@ -226,7 +226,7 @@
 
         :param index: position of the call in ``store_calls``.
         :param fault: empty, or what happens to a write whose answer is lost:
-            ``applied``, ``lost`` or ``late``.
+            ``applied``, ``lost`` or ``late``. A read fails with any fault.
         """
         process, action = self.store_calls.pop(index)
         if self.store.down:
