--- a/src/apricotlever/vms/aggregates.py
+++ b/src/apricotlever/vms/aggregates.py
@@ -1,8 +1,9 @@
-"""What a VM that aggregates tells of many others at once.
+"""Messages by which an aggregator reports on many VMs at once.
 
-In a large fleet each VM gives its records to one VM of its data centre, the
-aggregator. That one sums up what may be summed and passes on what is new of
-the rest: to the VMs that it serves, and to the other aggregators.
+In a large fleet each VM sends its records to one VM of its data centre, the
+aggregator. The aggregator sums the counters that can be summed and passes on
+changes of the other fields, to the VMs that it serves and to the other
+aggregators.
 """
 
 import typing
@@ -12,34 +13,35 @@
 
 from . import digests
 
-#: Calls and prompt tokens that wait, at one runner.
+#: Calls in flight and waiting prompt tokens at one runner.
 Load = tuple[int, int]
 Loads = dict[str, Load]
-#: Failed and all calls, by runner.
+#: Counts of failed calls and of all calls, by runner.
 Failures = dict[str, tuple[int, int]]
 
 
 class Aggregate:
     """One message of an aggregator.
 
-    :param vm: its name.
-    :param incarnation: of its process.
-    :param number: rises with each message.
-    :param peer_address: where it hears the others, ``host:port``.
-    :param whole: whether it is about the whole fleet, for the VMs that the
-        aggregator serves; else about these only, for other aggregators.
-    :param entries: records of VMs of which something has changed, or whose
-        turn it is, without what is summed up.
-    :param ages: seconds since each living VM was heard; empty in most
-        messages.
-    :param used: what has changed of the units let in, by process and
-        customer.
-    :param loads: of each runner that has any, all VMs together.
-    :param silent: how many VMs hear nothing from a runner.
+    :param vm: name of the aggregator.
+    :param incarnation: incarnation of its process.
+    :param number: sequence number of the message.
+    :param peer_address: where the aggregator receives messages of peers,
+        ``host:port``.
+    :param whole: whether the message covers the whole fleet, for the VMs that
+        the aggregator serves; otherwise it covers only these VMs, for the
+        other aggregators.
+    :param entries: records of VMs that have changed or are due for a repeat,
+        without the fields that are summed.
+    :param ages: seconds since each live VM was last heard from; in most
+        messages only of the VMs in ``entries``.
+    :param used: changed totals of admitted units, by process and customer.
+    :param loads: load of each runner that has any, summed over VMs.
+    :param silent: number of VMs that find a runner silent.
     :param failures: calls counted since the aggregator's process started;
         empty in most messages.
-    :param included: the number of the last record of each VM that is part of
-        the loads.
+    :param included: sequence number of the last record of each VM that the
+        loads include.
     :param trials: summed counts of calls at old and new versions.
     """
 
@@ -91,7 +93,7 @@
 
     @property
     def process(self) -> str:
-        """Names the process and not only the VM."""
+        """Identifier of the aggregator's process, not only of its VM."""
         return f"{self.vm}#{self.incarnation}"
 
     def to_record(self) -> list[typing.Any]:
@@ -140,9 +142,10 @@
 class Tally:
     """Counts of the VMs that an aggregator serves, for duty holders.
 
-    :param vm: the aggregator's name.
-    :param peer_address: where it hears the others, ``host:port``.
-    :param counts: usage and work as :class:`digests.Digest` has them, by
+    :param vm: name of the aggregator.
+    :param peer_address: where the aggregator receives messages of peers,
+        ``host:port``.
+    :param counts: ``usage`` and ``work`` of :class:`digests.Digest`, by
         process.
     """
 
--- a/src/apricotlever/vms/aggregators.py
+++ b/src/apricotlever/vms/aggregators.py
@@ -1,10 +1,11 @@
-"""Which VMs of a data centre aggregate, and which of them a VM uses.
-
-All VMs rank the living ones of a data centre alike, so they agree without
-talking, and nobody is set aside: when an aggregator ends, the next in rank
-takes its part. A VM that is not served passes its aggregator over for a while
-and uses the next, whatever the others see. Two that both take themselves for
-an aggregator do no harm, as each tells only of the VMs that use it.
+"""Selection of the aggregators, and of the one that a VM uses.
+
+All VMs compute the same ranking of the live VMs of a data centre, so they
+agree on the aggregators without coordination. When an aggregator ends, the
+next VM in the ranking replaces it. A VM that is not served excludes its
+aggregator for a while and uses the next one, independently of the other VMs.
+Having too many aggregators is harmless, as each one reports only on the VMs
+that use it.
 """
 
 import typing
@@ -13,69 +14,69 @@
 
 from . import rendezvous
 
-#: VMs that one aggregator serves, on the mean, at most.
-SERVED = 24
-#: A VM that hears nothing from its aggregator for so long, in seconds, uses
-#: the next one: two or more messages were lost or not sent by then.
-SILENT_S = 0.7
-#: The same for one that it has just begun to use, and that would answer at
-#: once.
-FIRST_SILENT_S = 0.3
-#: For how long it passes that one over, in seconds.
-PASSED_OVER_S = 5.0
+#: Upper bound of the mean number of VMs that one aggregator serves.
+VMS_PER_AGGREGATOR = 24
+#: Seconds without a message from its aggregator after which a VM uses the next
+#: one: two or more messages were lost or not sent by then.
+SILENCE_TIMEOUT_S = 0.7
+#: The same for a newly selected aggregator, which answers at once if it is
+#: alive.
+FIRST_MESSAGE_TIMEOUT_S = 0.3
+#: Seconds for which a silent aggregator is excluded.
+EXCLUSION_S = 5.0
 RANK_KEY = "aggregate"
 
 
-def of_data_centre(vms: typing.Collection[str]) -> list[str]:
-    """The aggregators of a data centre, one more than it needs.
+def select_aggregators(vms: typing.Collection[str]) -> list[str]:
+    """Select the aggregators of a data centre, one more than it needs.
 
-    :param vms: names of its living VMs.
+    :param vms: names of its live VMs.
     """
-    count = -(-len(vms) // SERVED) + 1
+    count = -(-len(vms) // VMS_PER_AGGREGATOR) + 1
     return rendezvous.rank(RANK_KEY, vms)[:count]
 
 
-class Choice:
-    """The aggregator that one VM uses, and the next in case it ends.
+class AggregatorSelector:
+    """Selects the aggregator that one VM uses, and its fallback.
 
-    :param vm: its name; it uses itself while it is an aggregator.
+    :param vm: name of the VM, which uses itself while it is an aggregator.
     """
 
     __slots__ = (
         "_aggregators",
         "_clock",
-        "_passed_over",
+        "_excluded_until",
         "_ranked",
-        "_silent_at",
-        "_used",
+        "_timeout_at",
+        "_current",
         "_vm",
-        "_vms",
+        "_candidates",
     )
 
     def __init__(self, clock: clocks.Clock, vm: str) -> None:
         self._clock = clock
         self._vm = vm
-        self._vms: frozenset[str] = frozenset()
+        self._candidates: frozenset[str] = frozenset()
         self._aggregators: list[str] = []
-        #: All that may be used, in this VM's order.
+        #: All candidates in this VM's order of preference.
         self._ranked: list[str] = []
-        #: To when each that did not serve may be used again.
-        self._passed_over: dict[str, float] = {}
-        self._used = ""
-        #: When the used one counts as silent.
-        self._silent_at = float("inf")
+        #: Time at which each excluded VM may be used again.
+        self._excluded_until: dict[str, float] = {}
+        self._current = ""
+        #: When the current aggregator counts as silent.
+        self._timeout_at = float("inf")
 
     @property
-    def used(self) -> str:
-        """The aggregator in use; "" for none."""
-        return self._used
+    def current(self) -> str:
+        """Name of the aggregator in use; "" for none."""
+        return self._current
 
     @property
-    def next(self) -> str:
-        """The VM that would be used after it; "" for none."""
-        if self._used == self._vm:
+    def fallback(self) -> str:
+        """Name of the next VM to use if the current one ends; "" for none."""
+        if self._current == self._vm:
             return ""
-        others = (name for name in self._usable if name != self._used)
+        others = (name for name in self._eligible if name != self._current)
         return next(others, "")
 
     @property
@@ -83,15 +84,16 @@
         """Whether this VM is an aggregator itself."""
         return self._vm in self._aggregators
 
-    def set_vms(self, vms: typing.Iterable[str]) -> None:
-        """Take over which VMs may aggregate, this one's data centre's."""
+    def set_candidates(self, vms: typing.Iterable[str]) -> None:
+        """Set the VMs of this data centre that may be aggregators."""
         found = frozenset(vms)
-        if found == self._vms:
+        if found == self._candidates:
             return
-        self._vms = found
-        self._aggregators = of_data_centre(found)
-        # Behind the aggregators come all others: when these end together,
-        # it takes longer to see them gone than to pass them over.
+        self._candidates = found
+        self._aggregators = select_aggregators(found)
+        # All other VMs follow the aggregators. When all aggregators end
+        # together, excluding them one by one is faster than detecting that
+        # they have ended.
         self._ranked = list(
             dict.fromkeys(
                 [
@@ -102,32 +104,34 @@
         )
         if self.is_aggregator:
             self._ranked = [self._vm]
-        self._choose()
+        self._select()
 
-    def heard(self, vm: str) -> None:
-        """A message came from an aggregator that serves this VM."""
-        if vm == self._used:
-            self._silent_at = self._clock.now() + SILENT_S
+    def record_message(self, vm: str) -> None:
+        """Note a message from an aggregator that serves this VM."""
+        if vm == self._current:
+            self._timeout_at = self._clock.now() + SILENCE_TIMEOUT_S
 
     def tick(self) -> None:
-        """Pass the aggregator over if it does not serve this VM."""
+        """Exclude the current aggregator if it does not serve this VM."""
         now = self._clock.now()
-        self._passed_over = {
-            vm: until for vm, until in self._passed_over.items() if until > now
+        self._excluded_until = {
+            vm: until
+            for vm, until in self._excluded_until.items()
+            if until > now
         }
-        if self._used not in ("", self._vm) and now > self._silent_at:
-            self._passed_over[self._used] = now + PASSED_OVER_S
-        self._choose()
+        if self._current not in ("", self._vm) and now > self._timeout_at:
+            self._excluded_until[self._current] = now + EXCLUSION_S
+        self._select()
 
     @property
-    def _usable(self) -> list[str]:
-        """Aggregators in this VM's order; all of them if all were silent."""
-        left = [vm for vm in self._ranked if vm not in self._passed_over]
+    def _eligible(self) -> list[str]:
+        """Candidates that are not excluded; all if each one is excluded."""
+        left = [vm for vm in self._ranked if vm not in self._excluded_until]
         return left or self._ranked
 
-    def _choose(self) -> None:
-        """Use the first in this VM's order."""
-        first = next(iter(self._usable), "")
-        if first != self._used:
-            self._used = first
-            self._silent_at = self._clock.now() + FIRST_SILENT_S
+    def _select(self) -> None:
+        """Use the first eligible candidate."""
+        first = next(iter(self._eligible), "")
+        if first != self._current:
+            self._current = first
+            self._timeout_at = self._clock.now() + FIRST_MESSAGE_TIMEOUT_S
--- a/src/apricotlever/vms/collector.py
+++ b/src/apricotlever/vms/collector.py
@@ -1,8 +1,9 @@
-"""What an aggregator knows of the fleet, and what it tells of it next.
+"""State of the fleet at an aggregator, and the aggregates built from it.
 
-It hears the records of the VMs that use it, and what the other aggregators
-tell of theirs. Loads are summed. Of the rest only what has changed is told on,
-and each VM's record in turn, so that a message that is lost is made up for.
+An aggregator receives the records of the VMs that use it, and the aggregates
+of the other aggregators. It sums the loads. Of the other fields it passes on
+only changes, and repeats each VM's record in turn to make up for lost
+messages.
 """
 
 import itertools
@@ -17,22 +18,22 @@
 from . import fleet_entries
 from . import peer_loads
 
-#: Between two messages, in seconds.
+#: Seconds between two aggregates.
 FLUSH_S = 0.1
-#: Messages of which one is sent without any news, too. It tells how long ago
-#: each VM was heard.
-ALWAYS_EVERY = 3
-#: Messages of which one tells the counts of failures.
+#: One aggregate in this many is sent even without changes. It has the age of
+#: each VM's last sign of life.
+KEEPALIVE_EVERY = 3
+#: One aggregate in this many includes the counts of failures.
 FAILURES_EVERY = 6
-#: Loads of another aggregator's VMs count for so long, in seconds. It may have
-#: ended, and its VMs then use another one by this time.
-CELL_S = 1.0
+#: Seconds for which the loads reported by another aggregator count. If that
+#: aggregator has ended, its VMs use another one by this time.
+REPORT_VALID_S = 1.0
 
 
-class _Member:
-    """A VM whose records come here.
+class _ReportingVm:
+    """A VM whose records are received directly.
 
-    :param usage: its counts, by the last record that had them.
+    ``usage`` and ``work`` are those of the last record that had them.
     """
 
     __slots__ = ("record", "heard_at", "usage", "work")
@@ -44,8 +45,8 @@
         self.work = record.work
 
 
-class _Cell:
-    """What another aggregator tells of the VMs that use it."""
+class _AggregatorReport:
+    """Latest sums that another aggregator reported of its VMs."""
 
     __slots__ = (
         "number",
@@ -67,8 +68,8 @@
         self.heard_at = heard_at
 
 
-class _Told:
-    """The loads that were told last."""
+class _LastSent:
+    """The sums in the aggregate that was sent last."""
 
     __slots__ = ("_loads", "_silent", "_trials")
 
@@ -77,64 +78,64 @@
         self._silent: dict[str, int] = {}
         self._trials: samples.Records = {}
 
-    def news(
-        self, aggregate: aggregates.Aggregate, always: bool
+    def if_changed(
+        self, aggregate: aggregates.Aggregate, keepalive: bool
     ) -> aggregates.Aggregate | None:
-        """The message, if it tells anything new.
+        """Return the aggregate if it has to be sent, else None.
 
-        :param always: whether it is to be sent in any case.
+        :param keepalive: whether to send it even without changes.
         """
         same = (aggregate.loads, aggregate.silent, aggregate.trials) == (
             self._loads,
             self._silent,
             self._trials,
         )
-        if same and not (always or aggregate.entries or aggregate.used):
+        if same and not (keepalive or aggregate.entries or aggregate.used):
             return None
         self._loads, self._silent = aggregate.loads, aggregate.silent
         self._trials = aggregate.trials
         return aggregate
 
 
-class Collector:
-    """The fleet as one aggregator knows it.
+class RecordAggregator:
+    """Collects records and reports, and builds aggregates from them.
 
-    :param vm: its name.
+    :param vm: name of the aggregator.
     """
 
     __slots__ = (
-        "_cell",
-        "_cells",
+        "_sent_to_aggregators",
+        "_reports",
         "_clock",
-        "_entries",
+        "_relay",
         "_failures",
         "_flushes",
         "_members",
-        "_others_failures",
+        "_remote_failures",
         "_trials",
         "_vm",
-        "_whole",
+        "_sent_to_served",
     )
 
     def __init__(self, clock: clocks.Clock, vm: str) -> None:
         self._clock = clock
         self._vm = vm
-        self._members: dict[str, _Member] = {}
-        self._entries = fleet_entries.FleetEntries(clock)
-        self._cells: dict[str, _Cell] = {}
+        self._members: dict[str, _ReportingVm] = {}
+        self._relay = fleet_entries.RecordRelay(clock)
+        self._reports: dict[str, _AggregatorReport] = {}
         self._failures = totals.Totals()
-        self._others_failures = totals.Totals()
-        #: Last counts of the processes that use this VM as aggregator.
+        self._remote_failures = totals.Totals()
+        #: Last trial counts of each process that uses this VM as aggregator.
         self._trials: dict[str, samples.Records] = {}
         self._flushes = 0
-        #: What the other aggregators, and the VMs served, were told last.
-        self._cell = _Told()
-        self._whole = _Told()
+        #: Sums last sent to the other aggregators and to the served VMs.
+        self._sent_to_aggregators = _LastSent()
+        self._sent_to_served = _LastSent()
 
     @property
-    def entries(self) -> fleet_entries.FleetEntries:
-        """What is known of each VM."""
-        return self._entries
+    def relay(self) -> fleet_entries.RecordRelay:
+        """Records of all VMs of the fleet."""
+        return self._relay
 
     @property
     def served(self) -> list[digests.Digest]:
@@ -155,97 +156,103 @@
         }
 
     @property
-    def tellers(self) -> list[str]:
-        """The other aggregators that were heard just now."""
-        since = self._clock.now() - CELL_S
+    def recent_aggregators(self) -> list[str]:
+        """Names of the aggregators with a recent report."""
+        since = self._clock.now() - REPORT_VALID_S
         return [
-            vm for vm, cell in self._cells.items() if cell.heard_at > since
+            vm
+            for vm, report in self._reports.items()
+            if report.heard_at > since
         ]
 
-    def tell_again(self) -> None:
-        """Tell all of the VMs whose records come here: somebody is new."""
-        self._entries.tell_again(self._members)
+    def resend_records(self) -> None:
+        """Send all directly received records again, for a new aggregator."""
+        self._relay.resend(self._members)
 
-    def record(self, record: digests.Digest) -> bool:
-        """Take in a VM's own record.
+    def receive_record(self, record: digests.Digest) -> bool:
+        """Handle a record sent by the VM itself.
 
-        :returns: whether the VM was not among those that use this one.
+        :returns: whether the VM has just begun to use this aggregator.
         """
         now = self._clock.now()
         known = self._members.get(record.vm)
         if known is not None and not record.supersedes(known.record):
             return False
-        member = _Member(record, now)
+        member = _ReportingVm(record, now)
         if known is not None and known.record.process == record.process:
             member.usage = record.usage or known.usage
             member.work = record.work or known.work
         self._members[record.vm] = member
         serves = self._serves(member)
         self._failures.heard(record.process, record.failures, serves)
-        self._note_trials(record)
-        self._entries.note(record, now)
+        self._update_trials(record)
+        self._relay.merge_record(record, now)
         return serves and not (known is not None and self._serves(known))
 
-    def aggregate(self, aggregate: aggregates.Aggregate) -> None:
-        """Take in what another aggregator tells of the VMs that use it."""
+    def receive_aggregate(self, aggregate: aggregates.Aggregate) -> None:
+        """Handle the aggregate of another aggregator about its VMs."""
         now = self._clock.now()
-        known = self._cells.get(aggregate.vm)
+        known = self._reports.get(aggregate.vm)
         if (
             known is not None
             and known.process == aggregate.process
             and known.number >= aggregate.number
         ):
             return
-        self._cells[aggregate.vm] = _Cell(aggregate, now)
-        self._others_failures.heard(aggregate.process, aggregate.failures)
+        self._reports[aggregate.vm] = _AggregatorReport(aggregate, now)
+        self._remote_failures.heard(aggregate.process, aggregate.failures)
         for record in aggregate.entries:
-            age_s = aggregate.ages.get(record.vm, fleet_entries.HEARD_S)
-            self._entries.note(record, now - age_s)
+            age_s = aggregate.ages.get(
+                record.vm, fleet_entries.LIVENESS_TIMEOUT_S
+            )
+            self._relay.merge_record(record, now - age_s)
         for vm, age_s in aggregate.ages.items():
-            self._entries.heard(vm, now - age_s)
+            self._relay.note_heard(vm, now - age_s)
         for process, used in aggregate.used.items():
-            self._entries.note_used(process, used)
+            self._relay.merge_used(process, used)
 
-    def flush(
+    def build_aggregates(
         self, own: digests.Digest, number: int, runners: typing.Container[str]
     ) -> tuple[aggregates.Aggregate | None, aggregates.Aggregate | None]:
-        """What to tell now; None for nothing.
+        """Build the next aggregates.
 
         :param own: the aggregator's own next record.
-        :param number: of the messages.
-        :param runners: those that live.
-        :returns: what other aggregators are told, and what the VMs are that
-            use this one.
+        :param number: sequence number of the aggregates.
+        :param runners: identifiers of the live runners.
+        :returns: the aggregate for other aggregators and the one for the
+            served VMs; None for one that need not be sent.
         """
         self._flushes += 1
-        if self._flushes % ALWAYS_EVERY == 0:
-            self._forget(runners)
-        self._forget_cells()
-        self.record(own)
+        if self._flushes % KEEPALIVE_EVERY == 0:
+            self._drop_ended(runners)
+        self._drop_old_reports()
+        self.receive_record(own)
         served = self.served
-        always = self._flushes % ALWAYS_EVERY == 0
-        entries = self._entries.due(ALWAYS_EVERY * FLUSH_S if always else 0.0)
-        ages = self._entries.ages(None if always else entries)
-        used = self._entries.take_used()
+        keepalive = self._flushes % KEEPALIVE_EVERY == 0
+        entries = self._relay.select_due(
+            KEEPALIVE_EVERY * FLUSH_S if keepalive else 0.0
+        )
+        ages = self._relay.ages(None if keepalive else entries)
+        used = self._relay.take_changed_used()
         own_processes = {m.record.process for m in self._members.values()}
         failures = self._flushes % FAILURES_EVERY == 0
-        loads, silent = _loads(served), _silent(served)
+        loads, silent = _sum_loads(served), _count_silent(served)
         trials = samples.sum_records(self._trials.values())
-        cell = aggregates.Aggregate(
+        report = aggregates.Aggregate(
             own.vm,
             own.incarnation,
             number,
             own.peer_address,
             False,
             [entry for entry in entries if entry.vm in self._members],
-            self._ages_here(ages),
+            self._own_ages(ages),
             {name: used[name] for name in used if name in own_processes},
             loads,
             silent,
             dict(self._failures.sums) if failures else None,
             trials=trials,
         )
-        cells = list(self._cells.values())
+        reports = list(self._reports.values())
         whole = aggregates.Aggregate(
             own.vm,
             own.incarnation,
@@ -255,48 +262,51 @@
             entries,
             ages,
             used,
-            _added([loads, *(each.loads for each in cells)]),
-            peer_loads.summed([silent, *(each.silent for each in cells)]),
+            _sum_pairs([loads, *(each.loads for each in reports)]),
+            peer_loads.sum_counts(
+                [silent, *(each.silent for each in reports)]
+            ),
             self._all_failures() if failures else None,
             {record.vm: record.number for record in served},
-            samples.sum_records([trials, *(each.trials for each in cells)]),
+            samples.sum_records([trials, *(each.trials for each in reports)]),
         )
         return (
-            self._cell.news(cell, always),
-            self._whole.news(whole, always),
+            self._sent_to_aggregators.if_changed(report, keepalive),
+            self._sent_to_served.if_changed(whole, keepalive),
         )
 
-    def knows_more(self, record: digests.Digest) -> bool:
-        """Whether a VM that uses this one hears fewer VMs than it could.
+    def needs_catch_up(self, record: digests.Digest) -> bool:
+        """Whether a served VM hears from fewer VMs than are known here.
 
-        It has just started, or messages about some were lost.
+        That VM has just started, or messages about some VMs were lost.
         """
-        return record.hears + 1 < self._entries.spread()
+        return record.hears + 1 < self._relay.count_propagated()
 
-    def everybody(
+    def ages_message(
         self, own: digests.Digest, number: int
     ) -> aggregates.Aggregate:
-        """How long ago each VM was heard, for one that uses this one now."""
+        """Build the answer to a newly served VM: ages of all live VMs."""
         return aggregates.Aggregate(
             own.vm,
             own.incarnation,
             number,
             own.peer_address,
             True,
-            ages=self._entries.ages(),
+            ages=self._relay.ages(),
         )
 
-    def everything(
+    def full_state(
         self, own: digests.Digest, number: int, data_centre: str
     ) -> list[aggregates.Aggregate]:
-        """All that is known, for a VM that knows few others.
+        """Build the aggregates for a VM that knows few others.
 
-        :param data_centre: of that VM. In another one than this it is told
-            of the VMs there only, to find an aggregator among them: all VMs
-            of a fleet that starts ask the few whose addresses they know.
+        :param data_centre: data centre of that VM. In a remote data centre it
+            is sent only the records of that data centre, to find an aggregator
+            there: all VMs of a starting fleet ask the few VMs whose addresses
+            they know.
         """
         here = data_centre == own.data_centre
-        living = self._entries.living("" if here else data_centre)
+        living = self._relay.live_records("" if here else data_centre)
         return [
             aggregates.Aggregate(
                 own.vm,
@@ -305,18 +315,21 @@
                 own.peer_address,
                 True,
                 entries,
-                self._entries.ages(entries),
+                self._relay.ages(entries),
+            )
+            for entries in _batches(
+                living, fleet_entries.MAX_RECORDS_PER_MESSAGE
             )
-            for entries in _parts(living, fleet_entries.MOST_ENTRIES)
         ]
 
-    def _serves(self, member: _Member) -> bool:
+    def _serves(self, member: _ReportingVm) -> bool:
         return (
             member.record.aggregator == self._vm
-            and self._clock.now() - member.heard_at <= fleet_entries.HEARD_S
+            and self._clock.now() - member.heard_at
+            <= fleet_entries.LIVENESS_TIMEOUT_S
         )
 
-    def _note_trials(self, record: digests.Digest) -> None:
+    def _update_trials(self, record: digests.Digest) -> None:
         """Keep the counts of a process that uses this VM as aggregator.
 
         The last counts of a terminated process are kept; those of a process
@@ -327,11 +340,12 @@
         else:
             self._trials.pop(record.process, None)
 
-    def _ages_here(self, vms: typing.Iterable[str]) -> dict[str, float]:
-        """How long ago VMs' own records came here, in seconds.
+    def _own_ages(self, vms: typing.Iterable[str]) -> dict[str, float]:
+        """Seconds since each VM's own record was received here.
 
-        Not what other aggregators tell of them: two that took it from each
-        other, some moments late each time, would keep the dead alive.
+        Ages reported by other aggregators are left out: two aggregators that
+        took ages from each other, each time with some delay, would keep VMs
+        that have ended alive.
         """
         now = self._clock.now()
         heard_at = {
@@ -340,62 +354,62 @@
         return {vm: round(now - at, 1) for vm, at in heard_at.items()}
 
     def _all_failures(self) -> aggregates.Failures:
-        return _added([self._failures.sums, self._others_failures.sums])
-
-    def _forget_cells(self) -> None:
-        """Forget what aggregators told that are not heard any more."""
-        since = self._clock.now() - CELL_S
-        self._cells = {
-            vm: cell
-            for vm, cell in self._cells.items()
-            if cell.heard_at >= since
+        return _sum_pairs([self._failures.sums, self._remote_failures.sums])
+
+    def _drop_old_reports(self) -> None:
+        """Drop the reports of aggregators that have fallen silent."""
+        since = self._clock.now() - REPORT_VALID_S
+        self._reports = {
+            vm: report
+            for vm, report in self._reports.items()
+            if report.heard_at >= since
         }
 
-    def _forget(self, runners: typing.Container[str]) -> None:
-        """Forget VMs and runners that are gone."""
-        self._entries.forget()
+    def _drop_ended(self, runners: typing.Container[str]) -> None:
+        """Drop VMs and runners that have ended."""
+        self._relay.drop_expired()
         self._members = {
             vm: member
             for vm, member in self._members.items()
-            if vm in self._entries
+            if vm in self._relay
         }
         processes = {m.record.process for m in self._members.values()}
         self._trials = {
-            process: told
-            for process, told in self._trials.items()
+            process: counts
+            for process, counts in self._trials.items()
             if process in processes
         }
         self._failures.keep_only(processes)
         self._failures.keep_runners(runners)
-        self._others_failures.keep_runners(runners)
+        self._remote_failures.keep_runners(runners)
 
 
-def _parts(
+def _batches(
     records: list[digests.Digest], size: int
 ) -> typing.Iterator[list[digests.Digest]]:
     rest = iter(records)
     return iter(lambda: list(itertools.islice(rest, size)), [])
 
 
-def _loads(records: typing.Sequence[digests.Digest]) -> aggregates.Loads:
-    in_flight = peer_loads.summed(record.in_flight for record in records)
-    pending = peer_loads.summed(record.pending for record in records)
+def _sum_loads(records: typing.Sequence[digests.Digest]) -> aggregates.Loads:
+    in_flight = peer_loads.sum_counts(record.in_flight for record in records)
+    pending = peer_loads.sum_counts(record.pending for record in records)
     return {
         runner: (in_flight.get(runner, 0), pending.get(runner, 0))
         for runner in {**in_flight, **pending}
     }
 
 
-def _silent(records: typing.Sequence[digests.Digest]) -> dict[str, int]:
-    return peer_loads.summed(
+def _count_silent(records: typing.Sequence[digests.Digest]) -> dict[str, int]:
+    return peer_loads.sum_counts(
         dict.fromkeys(record.silent, 1) for record in records
     )
 
 
-def _added(
+def _sum_pairs(
     parts: typing.Iterable[typing.Mapping[str, tuple[int, int]]],
 ) -> dict[str, tuple[int, int]]:
-    """The sums of pairs of counts by name."""
+    """Sum pairs of counts by name."""
     sums: dict[str, tuple[int, int]] = {}
     for part in parts:
         for name, (one, two) in part.items():
--- a/src/apricotlever/vms/deltas.py
+++ b/src/apricotlever/vms/deltas.py
@@ -1,4 +1,4 @@
-"""What changed between two catalogue documents, and their digests."""
+"""Deltas between catalogue documents, and digests of documents."""
 
 import collections
 import itertools
@@ -11,11 +11,11 @@
 
 Document = dict[str, typing.Any]
 
-STEPS_KEPT = 16
+DELTAS_KEPT = 16
 
 
 def canonical(value: typing.Any) -> bytes:
-    """JSON with sorted keys and no blanks: equal values, equal bytes."""
+    """Encode as canonical JSON: equal values give equal bytes."""
     text = json.dumps(
         value, sort_keys=True, separators=(",", ":"), ensure_ascii=False
     )
@@ -23,27 +23,27 @@
 
 
 def digest_of(document: Document) -> int:
-    """The 64-bit digest by which two copies of a version are compared."""
+    """The 64-bit hash by which two copies of a version are compared."""
     return xxhash.xxh64_intdigest(canonical(document))
 
 
-def difference(old: Document, new: Document) -> list[pb.CatalogueChange]:
-    """Named items of the sections that were set or removed."""
+def compute_changes(old: Document, new: Document) -> list[pb.CatalogueChange]:
+    """List the items of all sections that were set or removed."""
     sections = sorted(set(old) | set(new))
     return list(
         itertools.chain.from_iterable(
-            _section_difference(name, old.get(name, {}), new.get(name, {}))
+            _section_changes(name, old.get(name, {}), new.get(name, {}))
             for name in sections
         )
     )
 
 
-def patched(
+def apply_changes(
     document: Document, changes: typing.Iterable[pb.CatalogueChange]
 ) -> Document:
-    """A copy with the changes made; unchanged items are shared.
+    """Apply changes to a copy of a document; unchanged items are shared.
 
-    :raises ValueError: a value is not JSON.
+    :raises ValueError: when a value is not JSON.
     """
     copy = {name: dict(section) for name, section in document.items()}
     for change in changes:
@@ -55,19 +55,19 @@
     return copy
 
 
-def comparable(old: Document, new: Document) -> bool:
-    """Whether a delta can tell the whole difference.
+def can_express_change(old: Document, new: Document) -> bool:
+    """Whether a list of changes can express the whole difference.
 
-    It names items of sections; a section that comes, goes or is no mapping
-    it cannot tell.
+    A change names an item of a section. It can't express a section that is
+    added, removed or not a mapping.
     """
     sections = itertools.chain(old.values(), new.values())
     mappings = all(isinstance(section, dict) for section in sections)
     return mappings and set(old) == set(new)
 
 
-class _Step:
-    """From one version to the next one that was in force here."""
+class _Delta:
+    """Changes from one version in force here to the next one."""
 
     __slots__ = ("version", "digest", "changes")
 
@@ -79,44 +79,49 @@
         self.changes = changes
 
 
-class Steps:
-    """The last changes, to bring those up to date who lag a little."""
+class DeltaHistory:
+    """The last deltas, to update peers that are a few versions behind."""
 
-    __slots__ = ("_steps",)
+    __slots__ = ("_deltas",)
 
     def __init__(self) -> None:
-        self._steps: collections.deque[_Step] = collections.deque(
-            maxlen=STEPS_KEPT
+        self._deltas: collections.deque[_Delta] = collections.deque(
+            maxlen=DELTAS_KEPT
         )
 
     def add(
         self, version: int, digest: int, changes: list[pb.CatalogueChange]
     ) -> None:
-        """Remember how the version given was changed into the next."""
-        self._steps.append(_Step(version, digest, changes))
+        """Add the changes from a version to its successor.
+
+        :param version: version that the changes start from.
+        :param digest: digest of that version.
+        """
+        self._deltas.append(_Delta(version, digest, changes))
 
     def clear(self) -> None:
-        """Forget: the next version did not come about by changes."""
-        self._steps.clear()
+        """Drop all deltas, as no changes lead to the next version."""
+        self._deltas.clear()
 
-    def since(
+    def changes_since(
         self, version: int, digest: int
     ) -> list[pb.CatalogueChange] | None:
-        """All changes after a version, or None when it is not known."""
-        steps = list(
+        """All changes after a version; None when that version is not kept."""
+        deltas = list(
             itertools.dropwhile(
-                lambda step: (step.version, step.digest) != (version, digest),
-                self._steps,
+                lambda delta: (delta.version, delta.digest)
+                != (version, digest),
+                self._deltas,
             )
         )
-        if not steps:
+        if not deltas:
             return None
-        changes = itertools.chain.from_iterable(s.changes for s in steps)
+        changes = itertools.chain.from_iterable(s.changes for s in deltas)
         last = {(c.section, c.name): c for c in changes}
         return list(last.values())
 
 
-def _section_difference(
+def _section_changes(
     section: str, old: Document, new: Document
 ) -> list[pb.CatalogueChange]:
     removed = [
--- a/src/apricotlever/vms/digests.py
+++ b/src/apricotlever/vms/digests.py
@@ -1,8 +1,8 @@
-"""What an entry VM tells the others of itself, several times a second.
+"""Status records that each entry VM sends to its peers several times a second.
 
-A record carries counters that only have to be told often and may be lost at
-times, and addresses that its VM knows, so that a newcomer that reaches one VM
-is soon known to all.
+A record carries counters, of which single updates may be lost, as they are
+sent often. It also carries peer addresses known to its VM, so that a new VM
+that reaches one peer is soon known to all.
 """
 
 import typing
@@ -12,51 +12,56 @@
 from ..roll_outs import samples
 from ..runners import culprits
 
-#: Between two records, in seconds. Limits kept by counting overshoot by
-#: what is let in meanwhile.
+#: Seconds between two records. Limits that are enforced by counters overshoot
+#: by what is admitted in this time.
 INTERVAL_S = 0.2
-#: Records of which one carries all, the first of a process among them.
+#: One record in this many is a full one, starting with the first of a process.
 WHOLE_EVERY = 5
 
 
 class Digest:
-    """One VM's record.
+    """Status record of one VM.
 
-    Fields that are empty tell nothing; levels, failures and known addresses
-    stand in one of :data:`WHOLE_EVERY` records only.
+    An empty field carries no information. ``levels``, ``failures`` and
+    ``known`` are filled in only in full records, one in :data:`WHOLE_EVERY`.
 
-    :param vm: its name.
-    :param incarnation: of its process, rises with each start.
-    :param number: rises with each record.
-    :param peer_address: where it hears the others, ``host:port``.
-    :param caller_address: where it hears callers, ``host:port``.
-    :param ready: whether it takes callers' calls.
-    :param leaving: whether it is about to end.
-    :param follows: whether it follows the store itself, with success.
-    :param configuration: the version in force there.
-    :param directory: the revision of its newest news of a runner.
-    :param runners: a checksum of the runners that it believes to live.
-    :param in_flight: its calls at each runner.
-    :param pending: prompt tokens that wait for it at each runner.
-    :param used: units it let in, by customer.
-    :param levels: units left of each customer's limit, as it knows.
+    :param vm: name of the VM.
+    :param incarnation: incarnation of its process; rises with each start.
+    :param number: sequence number of the record in that process.
+    :param peer_address: where the VM receives messages of peers,
+        ``host:port``.
+    :param caller_address: where the VM receives calls, ``host:port``.
+    :param data_centre: data centre of the VM.
+    :param ready: whether the VM takes calls of callers.
+    :param leaving: whether the VM is about to end.
+    :param follows: whether the VM follows the store itself, with success.
+    :param configuration: version of the configuration in force there.
+    :param directory: newest revision in its directory of runners.
+    :param runners: checksum of the runners that the VM considers alive.
+    :param in_flight: number of its calls in flight at each runner.
+    :param pending: waiting prompt tokens of its calls at each runner.
+    :param used: totals of units that the VM has admitted, by customer.
+    :param levels: units left of each customer's limit, as known to the VM.
     :param usage: its counts for usage reports, by window and customer.
-    :param work: tokens read for it, a runner's speed and the part of their
-        objective that first answers took, by service.
-    :param silent: runners from which it hears nothing.
-    :param failures: its failed and all calls, by runner.
-    :param reported: the newest window that is known to be reported.
+    :param work: prompt tokens that runners have read for the VM, speed of a
+        runner, and part of their objective that first answers took, by
+        service.
+    :param silent: runners that the VM finds silent: calls wait there, and
+        none receives any data.
+    :param failures: its counts of failed calls and of all calls, by runner.
+    :param reported: newest usage window known to be reported.
     :param known: peer addresses of other members.
-    :param crashes: what it tells of crashed runners; None for nothing.
-    :param gave_up: the fencing number of the fleet's duties that it has just
-        handed over, as it can't reach the store; 0 for none.
-    :param lease: version and fencing number of the lease on the fleet's
-        duties while it holds that.
-    :param limits_port: where it is asked of limits; 0 for nowhere.
-    :param aggregator: the VM that it wants to tell the others of it; "" for
-        none, so that it tells them itself.
-    :param hears: how many other VMs it hears.
-    :param roll_outs: records of the roll-out orders known to it.
+    :param crashes: its report of crashed runners; None for no report.
+    :param gave_up: fencing number of the fleet's duties that the VM has just
+        released, as it can't reach the store; 0 for none.
+    :param lease: version and fencing number of the lease on the fleet's duties
+        while the VM holds it.
+    :param limits_port: port on which the VM answers questions about limits; 0
+        for none.
+    :param aggregator: VM chosen to pass the record on; "" if the VM sends its
+        records to all peers itself.
+    :param hears: number of other VMs from which the VM hears.
+    :param roll_outs: records of the roll-out orders known to the VM.
     :param trials: its own counts of calls at old and new versions.
     """
 
@@ -159,25 +164,25 @@
 
     @property
     def limits_address(self) -> tuple[str, int] | None:
-        """Where it is asked of limits."""
+        """Host and port for questions about limits; None if there is none."""
         if not self.limits_port:
             return None
         return self.peer_address.rpartition(":")[0], self.limits_port
 
     @property
     def process(self) -> str:
-        """Names the process and not only the VM."""
+        """Identifier of the process, not only of its VM."""
         return f"{self.vm}#{self.incarnation}"
 
     def supersedes(self, other: "Digest") -> bool:
-        """Whether it is a later record of the same VM."""
+        """Whether this is a later record than another one of the same VM."""
         return (self.incarnation, self.number) > (
             other.incarnation,
             other.number,
         )
 
-    def rare(self) -> "Digest":
-        """A copy without what is summed up where VMs are told of many."""
+    def without_summed_fields(self) -> "Digest":
+        """A copy without the fields that aggregates carry in other ways."""
         copy = Digest(*self.to_record())
         copy.in_flight, copy.pending, copy.failures = {}, {}, {}
         copy.levels, copy.usage, copy.work = {}, {}, {}
@@ -185,14 +190,18 @@
         copy.used, copy.trials = {}, {}
         return copy
 
-    def differs(self, other: "Digest", versions: bool) -> bool:
-        """Whether it tells other things of its VM than another record.
+    def differs_from(self, other: "Digest", versions: bool) -> bool:
+        """Whether the status fields differ from those of another record.
 
-        What any record changes, or is told in another way, does not count.
+        Counters and sequence numbers, which each record changes, are not
+        compared, and neither are fields that aggregates carry in other ways.
 
-        :param versions: whether it counts how new its VM's knowledge is.
+        :param versions: whether to compare configuration and directory
+            versions, too.
         """
-        names = _LASTING + _VERSIONS if versions else _LASTING
+        names = (
+            _STATUS_FIELDS + _VERSION_FIELDS if versions else _STATUS_FIELDS
+        )
         return any(
             getattr(self, name) != getattr(other, name) for name in names
         )
@@ -210,8 +219,8 @@
         return cls(*shapes.checked_record(_FIELDS, record))
 
 
-#: Fields of which a change is news.
-_LASTING = (
+#: Status fields; an aggregator passes on changes of these at once.
+_STATUS_FIELDS = (
     "incarnation",
     "ready",
     "leaving",
@@ -222,16 +231,16 @@
     "limits_port",
     "roll_outs",
 )
-_VERSIONS = ("configuration", "directory", "runners")
-_TEXT_TO_COUNT = shapes.is_map(shapes.is_text, shapes.is_whole)
-_TEXT_TO_UNITS = shapes.is_map(shapes.is_text, shapes.is_finite)
-is_usage = shapes.is_map(shapes.is_whole, _TEXT_TO_COUNT)
+_VERSION_FIELDS = ("configuration", "directory", "runners")
+_COUNT_BY_NAME = shapes.is_map(shapes.is_text, shapes.is_whole)
+_UNITS_BY_NAME = shapes.is_map(shapes.is_text, shapes.is_finite)
+is_usage = shapes.is_map(shapes.is_whole, _COUNT_BY_NAME)
 is_work = shapes.is_map(
     shapes.is_text,
     shapes.is_row(shapes.is_whole, shapes.is_number, shapes.is_number),
 )
-#: What each field of a record has to be, in order. A record of another form
-#: would fail where its figures are used, in a task that many calls need.
+#: Name and check of each field, in order. An invalid field would otherwise
+#: raise where its value is used, in a task that many calls depend on.
 _FIELDS: tuple[tuple[str, shapes.Check], ...] = (
     ("vm", shapes.is_text),
     ("incarnation", shapes.is_whole),
@@ -245,10 +254,10 @@
     ("configuration", shapes.is_whole),
     ("directory", shapes.is_whole),
     ("runners", shapes.is_whole),
-    ("in_flight", _TEXT_TO_COUNT),
-    ("pending", _TEXT_TO_COUNT),
-    ("used", _TEXT_TO_UNITS),
-    ("levels", _TEXT_TO_UNITS),
+    ("in_flight", _COUNT_BY_NAME),
+    ("pending", _COUNT_BY_NAME),
+    ("used", _UNITS_BY_NAME),
+    ("levels", _UNITS_BY_NAME),
     ("usage", is_usage),
     ("work", is_work),
     ("silent", shapes.is_list(shapes.is_text)),
--- a/src/apricotlever/vms/fleet_entries.py
+++ b/src/apricotlever/vms/fleet_entries.py
@@ -1,8 +1,8 @@
-"""What an aggregator tells of each VM of the fleet, and when.
+"""Relay of VMs' records by an aggregator.
 
-A VM's record is told when something lasting of it has changed, and in turn
-with all others, so that a message that is lost is made up for. Units let in
-are told as they change.
+A VM's record is sent when a status field has changed. All records are also
+repeated in turn, to make up for lost messages. Totals of admitted units are
+sent as they change.
 """
 
 import typing
@@ -12,185 +12,197 @@
 from . import digests
 from . import peer_table
 
-#: A record that has changed is told so often.
-TOLD_TIMES = 2
-#: Each VM's record is told again within this time, in seconds.
-ROUND_S = 5.0
-#: Records of one message, so that it fits into a datagram.
-MOST_ENTRIES = 40
-#: A VM not heard for so long, in seconds, is not told of any more.
-HEARD_S = 1.6
-#: All that are told of a VM know it after this time, in seconds.
-SPREAD_S = 1.0
-#: Crashes of runners that a VM noticed are told again after this time, in
-#: seconds, by so many VMs at once: when many runners end, all VMs notice them.
-CRASHES_S = 0.5
-MOST_CRASHES = 4
-
-
-class _Entry:
-    """What is told of one VM.
-
-    :param due: how many messages are still to tell it.
+#: How many messages include a changed record.
+SENDS_PER_CHANGE = 2
+#: Seconds within which each VM's record is repeated.
+RESEND_ROUND_S = 5.0
+#: Most changed records in a message, so that it fits into a datagram.
+MAX_RECORDS_PER_MESSAGE = 40
+#: Seconds without a sign of life after which a VM is not reported any more.
+LIVENESS_TIMEOUT_S = 1.6
+#: Seconds after which a newly known VM counts as known to all served VMs.
+PROPAGATION_S = 1.0
+#: Seconds after which a VM's crash report is repeated, and the most VMs whose
+#: reports one message repeats: when many runners end, all VMs notice them.
+CRASH_RESEND_S = 0.5
+MAX_CRASH_RESENDS = 4
+
+
+class _RelayedRecord:
+    """The record of one VM and its sends.
+
+    ``sends_left`` is the number of messages that are still to include it.
     """
 
-    __slots__ = ("record", "first_at", "heard_at", "due", "told_at")
+    __slots__ = ("record", "first_at", "heard_at", "sends_left", "sent_at")
 
     def __init__(self, record: digests.Digest, heard_at: float) -> None:
         self.record = record
         self.first_at = heard_at
         self.heard_at = heard_at
-        self.due = TOLD_TIMES
-        self.told_at = float("-inf")
+        self.sends_left = SENDS_PER_CHANGE
+        self.sent_at = float("-inf")
 
-    def told(self, now: float) -> None:
-        """A message tells it now."""
-        self.due = max(0, self.due - 1)
-        self.told_at = now
+    def mark_sent(self, now: float) -> None:
+        """Note that a message includes the record."""
+        self.sends_left = max(0, self.sends_left - 1)
+        self.sent_at = now
 
 
-class FleetEntries:
-    """What is known of each VM."""
+class RecordRelay:
+    """Latest records of all VMs, and the schedule of their sends."""
 
     __slots__ = (
         "_by_vm",
         "_clock",
-        "_turn",
+        "_last_in_turn",
         "_used",
-        "_used_due",
-        "sources",
+        "_used_changed",
+        "directory_sources",
     )
 
     def __init__(self, clock: clocks.Clock) -> None:
         self._clock = clock
-        self._by_vm: dict[str, _Entry] = {}
+        self._by_vm: dict[str, _RelayedRecord] = {}
         self._used: dict[str, dict[str, float]] = {}
-        #: Units let in that were not told on, by process and customer.
-        self._used_due: dict[str, dict[str, float]] = {}
-        #: VMs that others compare their news of runners with.
-        self.sources: frozenset[str] = frozenset()
-        #: Whose turn it was last to be told again.
-        self._turn = ""
+        #: Changed totals of admitted units to send, by process and customer.
+        self._used_changed: dict[str, dict[str, float]] = {}
+        #: VMs with which others compare their directory of runners.
+        self.directory_sources: frozenset[str] = frozenset()
+        #: The VM whose record was last repeated in turn.
+        self._last_in_turn = ""
 
     @property
     def processes(self) -> set[str]:
-        """The processes of all VMs that are known."""
+        """Processes of all known VMs."""
         return {entry.record.process for entry in self._by_vm.values()}
 
     def __contains__(self, vm: str) -> bool:
         return vm in self._by_vm
 
-    def spread(self) -> int:
-        """How many living VMs all that are told of them know by now."""
-        until = self._clock.now() - SPREAD_S
-        return sum(entry.first_at < until for entry in self._living.values())
+    def count_propagated(self) -> int:
+        """Number of live VMs that all served VMs should know by now."""
+        until = self._clock.now() - PROPAGATION_S
+        return sum(entry.first_at < until for entry in self._live.values())
 
-    def living(self, data_centre: str = "") -> list[digests.Digest]:
-        """Records of the VMs that live, with all units let in.
+    def live_records(self, data_centre: str = "") -> list[digests.Digest]:
+        """Records of the live VMs, with their totals of admitted units.
 
-        :param data_centre: of the VMs; "" for all.
+        :param data_centre: data centre of the VMs; "" for all.
         """
         return [
             self._with_used(entry.record)
-            for entry in self._living.values()
+            for entry in self._live.values()
             if data_centre in ("", entry.record.data_centre)
         ]
 
     def ages(
         self, records: typing.Iterable[digests.Digest] | None = None
     ) -> dict[str, float]:
-        """How long ago VMs were heard, in seconds, of those that live.
+        """Seconds since the last sign of life of each live VM.
 
-        :param records: of the VMs; None for all.
+        :param records: records of the VMs to include; None for all VMs.
         """
         now = self._clock.now()
-        living = self._living
-        vms = living if records is None else [r.vm for r in records]
+        live = self._live
+        vms = live if records is None else [r.vm for r in records]
         return {
-            vm: round(now - living[vm].heard_at, 1)
-            for vm in vms
-            if vm in living
+            vm: round(now - live[vm].heard_at, 1) for vm in vms if vm in live
         }
 
-    def tell_again(self, vms: typing.Iterable[str]) -> None:
-        """Tell VMs' records as if they had changed."""
+    def resend(self, vms: typing.Iterable[str]) -> None:
+        """Send VMs' records as if they had changed."""
         for vm in vms:
-            self._by_vm[vm].due = TOLD_TIMES
+            self._by_vm[vm].sends_left = SENDS_PER_CHANGE
 
-    def heard(self, vm: str, heard_at: float) -> None:
-        """A VM was heard at a time, by whomever."""
+    def note_heard(self, vm: str, heard_at: float) -> None:
+        """Note a sign of life of a VM, reported by any VM.
+
+        :param heard_at: time of it by the local clock.
+        """
         entry = self._by_vm.get(vm)
         if entry is not None:
             entry.heard_at = max(entry.heard_at, heard_at)
 
-    def note(self, record: digests.Digest, heard_at: float) -> None:
-        """Note what is told of a VM, if it is news."""
+    def merge_record(self, record: digests.Digest, heard_at: float) -> None:
+        """Merge a VM's record, if it is later than the known one."""
         known = self._by_vm.get(record.vm)
-        self.note_used(record.process, record.used)
+        self.merge_used(record.process, record.used)
         if known is None or known.record.process != record.process:
             if known is None or record.incarnation > known.record.incarnation:
-                self._by_vm[record.vm] = _Entry(record.rare(), heard_at)
+                self._by_vm[record.vm] = _RelayedRecord(
+                    record.without_summed_fields(), heard_at
+                )
             return
         known.heard_at = max(known.heard_at, heard_at)
         if not record.supersedes(known.record):
             return
-        before, known.record = known.record, record.rare()
-        # Who fetches news asks one of the sources; a change of the others'
-        # versions would make each change of a runner one of all VMs.
-        is_source = record.follows or record.vm in self.sources
-        if known.record.differs(before, is_source):
-            known.due = TOLD_TIMES
-
-    def note_used(
+        before, known.record = known.record, record.without_summed_fields()
+        # VMs fetch the directory from the sources only. If the versions of
+        # the other VMs counted, each change of a runner would change the
+        # records of all VMs.
+        is_source = record.follows or record.vm in self.directory_sources
+        if known.record.differs_from(before, is_source):
+            known.sends_left = SENDS_PER_CHANGE
+
+    def merge_used(
         self, process: str, used: typing.Mapping[str, float]
     ) -> None:
+        """Merge a process's totals of admitted units, by customer."""
         known = self._used.setdefault(process, {})
         new = {
             customer: units
             for customer, units in used.items()
-            # What was told on may be late, and totals only grow but for calls
-            # that did not run.
+            # Relayed totals may arrive late. Totals only grow, except for
+            # calls that did not run.
             if known.get(customer, -1.0) < units
         }
         if new:
             known.update(new)
-            self._used_due.setdefault(process, {}).update(new)
+            self._used_changed.setdefault(process, {}).update(new)
 
-    def take_used(self) -> dict[str, dict[str, float]]:
-        """Units let in that were not told on yet, by process and customer."""
-        used, self._used_due = self._used_due, {}
+    def take_changed_used(self) -> dict[str, dict[str, float]]:
+        """Take the changed totals to send, by process and customer."""
+        used, self._used_changed = self._used_changed, {}
         return used
 
-    def due(self, turns_s: float) -> list[digests.Digest]:
-        """Records that have changed, and those whose turn it is.
+    def select_due(self, since_last_turn_s: float) -> list[digests.Digest]:
+        """Select changed records, and those due for a repeat.
 
-        :param turns_s: how long ago some were told in turn; 0 for not now.
+        :param since_last_turn_s: seconds since records were last repeated in
+            turn; 0 to repeat none now.
         """
         now = self._clock.now()
-        living = self._living
-        # Those that waited longest first: who changes often must not keep
-        # the others from being told at all.
-        waiting = sorted(living, key=lambda vm: (living[vm].told_at, vm))
-        changed = [vm for vm in waiting if living[vm].due]
+        live = self._live
+        # Records sent longest ago come first, so that VMs that change often
+        # don't keep the others from being sent.
+        waiting = sorted(live, key=lambda vm: (live[vm].sent_at, vm))
+        changed = [vm for vm in waiting if live[vm].sends_left]
         crashes = [
             vm
             for vm in waiting
-            if living[vm].record.crashes
-            and now - living[vm].told_at > CRASHES_S
+            if live[vm].record.crashes
+            and now - live[vm].sent_at > CRASH_RESEND_S
         ]
-        turns = self._next_turns(sorted(living), turns_s)
+        in_turn = self._select_in_turn(sorted(live), since_last_turn_s)
         vms = dict.fromkeys(
-            [*changed[:MOST_ENTRIES], *crashes[:MOST_CRASHES], *turns]
+            [
+                *changed[:MAX_RECORDS_PER_MESSAGE],
+                *crashes[:MAX_CRASH_RESENDS],
+                *in_turn,
+            ]
         )
         for vm in vms:
-            living[vm].told(now)
-        in_turn = frozenset(turns)
-        records = (living[vm].record for vm in vms)
-        return [self._with_used(r) if r.vm in in_turn else r for r in records]
-
-    def forget(self) -> None:
-        """Forget the VMs that are gone."""
-        since = self._clock.now() - peer_table.MEMBER_S
+            live[vm].mark_sent(now)
+        in_turn_names = frozenset(in_turn)
+        records = (live[vm].record for vm in vms)
+        return [
+            self._with_used(r) if r.vm in in_turn_names else r for r in records
+        ]
+
+    def drop_expired(self) -> None:
+        """Drop VMs that have ended."""
+        since = self._clock.now() - peer_table.MEMBER_TTL_S
         self._by_vm = {
             vm: entry
             for vm, entry in self._by_vm.items()
@@ -200,8 +212,8 @@
         self._used = {p: u for p, u in self._used.items() if p in known}
 
     @property
-    def _living(self) -> dict[str, _Entry]:
-        since = self._clock.now() - HEARD_S
+    def _live(self) -> dict[str, _RelayedRecord]:
+        since = self._clock.now() - LIVENESS_TIMEOUT_S
         return {
             vm: entry
             for vm, entry in self._by_vm.items()
@@ -209,15 +221,17 @@
         }
 
     def _with_used(self, record: digests.Digest) -> digests.Digest:
-        """A record with all units let in, as some may not have been heard."""
-        copy = record.rare()
+        """Copy a record with all totals, as single updates may be lost."""
+        copy = record.without_summed_fields()
         copy.used = self._used.get(record.process, {})
         return copy
 
-    def _next_turns(self, vms: list[str], turns_s: float) -> list[str]:
-        """Names of the VMs whose turn it is to be told again."""
-        count = -(-len(vms) * turns_s // ROUND_S)
-        after = [vm for vm in vms if vm > self._turn]
-        turns = (after + vms)[: int(count)]
-        self._turn = turns[-1] if turns else self._turn
-        return turns
+    def _select_in_turn(
+        self, vms: list[str], since_last_turn_s: float
+    ) -> list[str]:
+        """Select the VMs whose records are repeated in turn."""
+        count = -(-len(vms) * since_last_turn_s // RESEND_ROUND_S)
+        after = [vm for vm in vms if vm > self._last_in_turn]
+        in_turn = (after + vms)[: int(count)]
+        self._last_in_turn = in_turn[-1] if in_turn else self._last_in_turn
+        return in_turn
--- a/src/apricotlever/vms/fleet_news.py
+++ b/src/apricotlever/vms/fleet_news.py
@@ -1,9 +1,9 @@
-"""To whom a VM tells its records, and what it tells of others.
+"""Exchange of status records between the VMs of a fleet.
 
-While a record can go to all others, it does. In a larger fleet a VM gives its
-records to the aggregator that it uses, as soon as they are news, and to the
-next one more rarely, so that this one can take over. A VM that no aggregator
-serves tells the others itself, to some at a time.
+In a small fleet each record is sent to all other VMs. In a larger fleet a VM
+sends each changed record at once to the aggregator that it uses, and less
+often to the fallback aggregator, so that this one can take over. A VM without
+an aggregator sends its records to the other VMs itself, to some at a time.
 """
 
 import itertools
@@ -19,19 +19,19 @@
 from . import peer_loads
 from . import peer_table
 
-#: Between two records of a VM that has no news for its aggregator, in looks
-#: of :data:`digests.INTERVAL_S`.
-IDLE_LOOKS = 2
-#: Messages of an aggregator of which one has its own whole record.
-WHOLE_EVERY = 10
-#: A VM that uses no aggregator is answered once in so long, in seconds.
-ANSWER_S = 1.0
+#: Ticks of :data:`digests.INTERVAL_S` between two records of a VM that has no
+#: change to report to its aggregator.
+IDLE_TICKS = 2
+#: One message of an aggregator in this many has its own full record.
+FULL_OWN_RECORD_EVERY = 10
+#: Shortest time between two answers to the same VM, in seconds.
+ANSWER_INTERVAL_S = 1.0
 
 Message = digests.Digest | aggregates.Aggregate | aggregates.Tally
 
 
 class Outgoing:
-    """A message and the peer addresses that it goes to."""
+    """A message and the peer addresses to send it to."""
 
     __slots__ = ("message", "receivers")
 
@@ -41,42 +41,46 @@
 
 
 class Source(typing.Protocol):
-    """Makes this VM's records."""
+    """Builds this VM's records."""
 
     def record(
         self, number: int, known: list[str], whole: bool, aggregator: str
     ) -> digests.Digest:
-        """This VM's next record.
+        """Build this VM's next record.
 
+        :param number: sequence number of the record.
         :param known: peer addresses of other members.
-        :param whole: whether it also tells what may be a second old.
-        :param aggregator: the VM that it goes to; "" when it goes to all.
+        :param whole: whether to include the fields that may be a second old.
+        :param aggregator: VM that is to pass the record on; "" when it is sent
+            to all peers.
         """
 
 
 class FleetNews:
-    """This VM's part in telling the fleet.
+    """One VM's part in the exchange of records.
 
-    :param source: makes its records.
+    :param vm: name of this VM.
+    :param data_centre: data centre of this VM.
     :param table: the other VMs.
+    :param source: builds the records of this VM.
     """
 
     __slots__ = (
         "_aggregators",
-        "_alive",
+        "_live_data_centres",
         "_answered_at",
-        "_choice",
+        "_selector",
         "_clock",
-        "_collector",
+        "_aggregation",
         "_data_centre",
         "_flushes",
-        "_hears",
+        "_peer_count",
         "_is_large",
         "_loads",
-        "_looks",
+        "_ticks",
         "_number",
         "_rng",
-        "_served",
+        "_published",
         "_source",
         "_table",
         "_vm",
@@ -97,118 +101,128 @@
         self._data_centre = data_centre
         self._table = table
         self._source = source
-        self._choice = aggregators.Choice(clock, vm)
-        self._collector = collector.Collector(clock, vm)
-        self._loads = peer_loads.LoadView(clock, vm)
+        self._selector = aggregators.AggregatorSelector(clock, vm)
+        self._aggregation = collector.RecordAggregator(clock, vm)
+        self._loads = peer_loads.PeerLoadTracker(clock, vm)
         self._is_large = False
         self._number = 0
-        self._looks = 0
+        self._ticks = 0
         self._flushes = 0
-        #: Data centres of the VMs that may aggregate, as last looked at.
-        self._alive: dict[str, str] = {}
-        #: The aggregators of all data centres but this VM.
+        #: Data centre of each peer that may be an aggregator, as of the last
+        #: tick.
+        self._live_data_centres: dict[str, str] = {}
+        #: Aggregators of all data centres, without this VM.
         self._aggregators: list[str] = []
-        #: Whether the last message was told for others.
-        self._served = False
-        self._hears = 0
+        #: Whether this VM reported on others with its last aggregate.
+        self._published = False
+        self._peer_count = 0
         self._answered_at: dict[str, float] = {}
 
     @property
     def aggregator(self) -> str:
-        """The VM that tells the others of this one; "" for itself alone."""
-        return self._choice.used if self._is_large else ""
+        """Aggregator of this VM; "" while it sends to all peers itself."""
+        return self._selector.current if self._is_large else ""
 
     @property
     def is_aggregator(self) -> bool:
-        """Whether this VM tells the others of many."""
-        return self._is_large and self._choice.is_aggregator
+        """Whether this VM is an aggregator in a large fleet."""
+        return self._is_large and self._selector.is_aggregator
 
     @property
     def sources(self) -> frozenset[str] | None:
-        """The VMs to compare one's news of runners with; None for all.
+        """VMs to compare the directory of runners with; None for all.
 
-        Were all compared with all, some would always be a little behind in a
-        large fleet, and each would ask for everything again and again.
+        If all VMs of a large fleet compared themselves with all others, some
+        would always be slightly behind, and would fetch the whole directory
+        repeatedly.
         """
         if not self.aggregator:
             return None
         if self.is_aggregator:
             followers = (p.vm for p in self._table.alive() if p.follows)
             return frozenset([*self._aggregators, *followers])
-        return frozenset({self._choice.used, self._choice.next})
+        return frozenset({self._selector.current, self._selector.fallback})
 
     def uses(self, aggregate: aggregates.Aggregate) -> bool:
-        """Whether loads are taken from an aggregate."""
+        """Whether this VM takes the loads of peers from an aggregate."""
         return aggregate.whole and aggregate.vm == self.aggregator
 
     @property
     def loads(self) -> peer_loads.PeerLoads:
-        """What the other VMs do at the runners."""
+        """Loads of the other VMs at the runners."""
         summed = self._loads.loads
         if self.aggregator and summed is not None:
             return summed
-        return peer_loads.of_records(self._table.alive())
+        return peer_loads.loads_of_records(self._table.alive())
 
     def look(self) -> list[Outgoing]:
-        """Tell what is due.
+        """Build the messages that are due.
 
-        To be called each :data:`digests.INTERVAL_S`.
+        The caller calls this once in :data:`digests.INTERVAL_S`.
         """
-        self._looks += 1
+        self._ticks += 1
         before = self.aggregator
         self._is_large = self._table.is_large
-        self._note_alive()
-        self._choice.tick()
-        self._table.summed = bool(self.aggregator)
+        self._update_aggregators()
+        self._selector.tick()
+        self._table.is_aggregated = bool(self.aggregator)
         if not self.aggregator:
-            return [self._to_all()]
+            return [self._record_for_all()]
         if self.aggregator != before:
-            # The one before must not count this VM any more.
-            return self._to_aggregators(before)
-        return self._to_aggregators() if self._looks % IDLE_LOOKS == 0 else []
+            # The record tells the former aggregator to stop counting this VM.
+            return self._records_for_aggregators(before)
+        return (
+            self._records_for_aggregators()
+            if self._ticks % IDLE_TICKS == 0
+            else []
+        )
 
     def news(self) -> list[Outgoing]:
-        """Tell what has just changed."""
+        """Build the messages that report a change of this VM."""
         if not self.aggregator:
-            return [self._to_all()]
-        if self._choice.used == self._vm:
-            # The next message to the others has it.
+            return [self._record_for_all()]
+        if self._selector.current == self._vm:
+            # This VM's next aggregate includes the change.
             return []
-        receivers = self._addresses([self._choice.used])
-        return [Outgoing(self._record(False), receivers)]
+        receivers = self._addresses([self._selector.current])
+        return [Outgoing(self._next_record(False), receivers)]
 
     def flush(self, runners: typing.Container[str]) -> list[Outgoing]:
-        """Tell the fleet of the VMs that use this one, and these of the fleet.
+        """Build the aggregates for other aggregators and for served VMs.
 
-        To be called each :data:`collector.FLUSH_S`.
+        The caller calls this once in :data:`collector.FLUSH_S`.
 
-        :param runners: those that live.
+        :param runners: identifiers of the live runners.
         """
-        served = [r.vm for r in self._collector.served if r.vm != self._vm]
-        serves = self._choice.is_aggregator or bool(served)
-        # After the last one has left, others are told once more: of nobody.
-        tells, self._served = serves or self._served, serves
+        served = [r.vm for r in self._aggregation.served if r.vm != self._vm]
+        serves = self._selector.is_aggregator or bool(served)
+        # After the last served VM has left, one more aggregate reports none.
+        tells, self._published = serves or self._published, serves
         if not self._is_large or not tells:
             return []
         self._flushes += 1
-        own = self._record(self._flushes % WHOLE_EVERY == 0)
-        cell, whole = self._collector.flush(own, own.number, runners)
-        told = []
-        if cell is not None:
-            others = sorted({*self._aggregators, *self._collector.tellers})
-            told.append(Outgoing(cell, self._addresses(others)))
+        own = self._next_record(self._flushes % FULL_OWN_RECORD_EVERY == 0)
+        for_aggregators, whole = self._aggregation.build_aggregates(
+            own, own.number, runners
+        )
+        outgoing = []
+        if for_aggregators is not None:
+            others = sorted(
+                {*self._aggregators, *self._aggregation.recent_aggregators}
+            )
+            outgoing.append(Outgoing(for_aggregators, self._addresses(others)))
         if whole is not None:
-            told.append(Outgoing(whole, self._addresses(served)))
-            if self._choice.used == self._vm:
-                self._loads.heard(whole)
-        return told
+            outgoing.append(Outgoing(whole, self._addresses(served)))
+            if self._selector.current == self._vm:
+                self._loads.receive_aggregate(whole)
+        return outgoing
 
     def tally(self, wanted_by: typing.Iterable[str]) -> list[Outgoing]:
-        """Tell duty holders what the VMs that use this one have counted.
+        """Build the tally of the served VMs for duty holders.
 
-        :param wanted_by: names of the VMs that need it.
+        :param wanted_by: names of the VMs that need the tally.
         """
-        counts = self._collector.counts
+        counts = self._aggregation.counts
         if not self._is_large or not counts:
             return []
         tally = aggregates.Tally(self._vm, self._table.address, counts)
@@ -216,60 +230,65 @@
         return [Outgoing(tally, self._addresses(others))]
 
     def record(self, record: digests.Digest) -> list[Outgoing]:
-        """Take in the record of another VM; the table has it already."""
+        """Handle a peer's record, which the table already has."""
         if not self._is_large:
             return []
-        is_new = self._collector.record(record)
+        is_new = self._aggregation.receive_record(record)
         if record.aggregator == self._vm:
-            return self._serve(record, is_new)
-        if record.aggregator or not self._may_answer(record.vm):
+            return self._answer_served(record, is_new)
+        if record.aggregator or not self._may_answer_now(record.vm):
             return []
-        # It does not know how many there are, and would hear of nobody.
-        return [Outgoing(self._record(True), [record.peer_address])]
+        # The VM does not know yet that the fleet is large, and no aggregator
+        # would report to it.
+        return [Outgoing(self._next_record(True), [record.peer_address])]
 
     def aggregate(self, aggregate: aggregates.Aggregate) -> list[Outgoing]:
-        """Take in what an aggregator tells; the table has it already."""
+        """Handle an aggregate, whose entries the table already has."""
         if not aggregate.whole:
-            self._collector.aggregate(aggregate)
-            stranger = aggregate.vm not in self._aggregators
+            self._aggregation.receive_aggregate(aggregate)
+            is_unknown = aggregate.vm not in self._aggregators
             place = self._table.data_centre(aggregate.vm)
-            if stranger and place and self._may_answer(aggregate.vm):
-                # It knows so few that it takes itself for an aggregator.
-                return self._everything(aggregate.peer_address, place)
+            if is_unknown and place and self._may_answer_now(aggregate.vm):
+                # The sender knows so few VMs that it considers itself an
+                # aggregator.
+                return self._full_state_for(aggregate.peer_address, place)
         elif not aggregate.included:
-            # The answer to this VM's first record there.
-            self._choice.heard(aggregate.vm)
+            # An aggregator sends this in answer to this VM's first record.
+            self._selector.record_message(aggregate.vm)
         elif self._vm in aggregate.included:
-            self._choice.heard(aggregate.vm)
-            if aggregate.vm == self._choice.used:
-                self._loads.heard(aggregate)
+            self._selector.record_message(aggregate.vm)
+            if aggregate.vm == self._selector.current:
+                self._loads.receive_aggregate(aggregate)
         return []
 
-    def _to_all(self) -> Outgoing:
+    def _record_for_all(self) -> Outgoing:
         whole = self._number % digests.WHOLE_EVERY == 0
-        return Outgoing(self._record(whole), self._table.receivers())
+        return Outgoing(self._next_record(whole), self._table.receivers())
 
-    def _to_aggregators(self, left: str = "") -> list[Outgoing]:
-        """Tell the aggregator and the next, and ask one that is not heard.
+    def _records_for_aggregators(self, left: str = "") -> list[Outgoing]:
+        """Build records for the aggregators and for one silent address.
 
-        :param left: the aggregator that this VM has just left.
+        :param left: the aggregator that this VM has just left; "" for none.
         """
-        whole = self._looks % (2 * IDLE_LOOKS) == 0
-        named = {self._choice.used, self._choice.next, left} - {"", self._vm}
-        told = []
+        whole = self._ticks % (2 * IDLE_TICKS) == 0
+        named = {self._selector.current, self._selector.fallback, left} - {
+            "",
+            self._vm,
+        }
+        outgoing = []
         if named:
             receivers = self._addresses(sorted(named))
-            told.append(Outgoing(self._record(whole), receivers))
-        unheard = self._table.unheard()
+            outgoing.append(Outgoing(self._next_record(whole), receivers))
+        unheard = self._table.silent_addresses()
         if unheard:
-            # Who uses no aggregator is answered. Parts of a fleet that lost
-            # each other find together again by it.
-            asking = self._record(True)
+            # A record without an aggregator is answered. By this exchange the
+            # parts of a partitioned fleet find each other again.
+            asking = self._next_record(True)
             asking.aggregator = ""
-            told.append(Outgoing(asking, [self._rng.choice(unheard)]))
-        return told
+            outgoing.append(Outgoing(asking, [self._rng.choice(unheard)]))
+        return outgoing
 
-    def _record(self, whole: bool) -> digests.Digest:
+    def _next_record(self, whole: bool) -> digests.Digest:
         self._number += 1
         record = self._source.record(
             self._number,
@@ -277,57 +296,65 @@
             whole,
             self.aggregator,
         )
-        record.hears = self._hears
-        self._loads.sent(record)
+        record.hears = self._peer_count
+        self._loads.record_sent(record)
         return record
 
-    def _serve(self, record: digests.Digest, is_new: bool) -> list[Outgoing]:
+    def _answer_served(
+        self, record: digests.Digest, is_new: bool
+    ) -> list[Outgoing]:
         """Answer a VM that uses this one, if it needs an answer."""
-        if self._collector.knows_more(record) and self._may_answer(record.vm):
-            return self._everything(record.peer_address, record.data_centre)
+        if self._aggregation.needs_catch_up(record) and self._may_answer_now(
+            record.vm
+        ):
+            return self._full_state_for(
+                record.peer_address, record.data_centre
+            )
         if not is_new:
             return []
-        own = self._record(False)
-        answer = self._collector.everybody(own, own.number)
+        own = self._next_record(False)
+        answer = self._aggregation.ages_message(own, own.number)
         return [Outgoing(answer, [record.peer_address])]
 
-    def _everything(self, receiver: str, data_centre: str) -> list[Outgoing]:
-        """Tell one VM all that is known of the fleet."""
-        own = self._record(False)
-        parts = self._collector.everything(own, own.number, data_centre)
+    def _full_state_for(
+        self, receiver: str, data_centre: str
+    ) -> list[Outgoing]:
+        """Build the messages with the whole known state of the fleet."""
+        own = self._next_record(False)
+        parts = self._aggregation.full_state(own, own.number, data_centre)
         return [Outgoing(part, [receiver]) for part in parts]
 
     def _addresses(self, vms: typing.Iterable[str]) -> list[str]:
         return self._table.addresses(vms)
 
-    def _may_answer(self, vm: str) -> bool:
+    def _may_answer_now(self, vm: str) -> bool:
         now = self._clock.now()
-        if now - self._answered_at.get(vm, float("-inf")) < ANSWER_S:
+        if now - self._answered_at.get(vm, float("-inf")) < ANSWER_INTERVAL_S:
             return False
         self._answered_at[vm] = now
         return True
 
-    def _note_alive(self) -> None:
-        """Find out who aggregates, if other VMs may."""
+    def _update_aggregators(self) -> None:
+        """Select the aggregators again if the live peers have changed."""
         peers = self._table.alive()
-        self._hears = len(peers)
+        self._peer_count = len(peers)
         alive = {
             peer.vm: peer.data_centre for peer in peers if not peer.leaving
         }
-        if alive == self._alive:
+        if alive == self._live_data_centres:
             return
-        self._alive = alive
+        self._live_data_centres = alive
         by_place = dict[str, list[str]]()
         for vm, place in [*alive.items(), (self._vm, self._data_centre)]:
             by_place.setdefault(place, []).append(vm)
-        self._choice.set_vms(by_place[self._data_centre])
+        self._selector.set_candidates(by_place[self._data_centre])
         found = set(
             itertools.chain.from_iterable(
-                map(aggregators.of_data_centre, by_place.values())
+                map(aggregators.select_aggregators, by_place.values())
             )
         )
         before = set(self._aggregators)
         self._aggregators = sorted(found - {self._vm})
-        self._collector.entries.sources = frozenset(found)
+        self._aggregation.relay.directory_sources = frozenset(found)
         if not before.issuperset(self._aggregators):
-            self._collector.tell_again()
+            self._aggregation.resend_records()
--- a/src/apricotlever/vms/followers.py
+++ b/src/apricotlever/vms/followers.py
@@ -1,8 +1,9 @@
-"""Which VMs follow the store for all.
+"""Selection of the VMs that follow the store on behalf of all.
 
-Each change of what is followed ends a call of each VM that follows, so a few
-do it and the others hear of it from them. VMs whose calls fail don't count,
-so that others take their place.
+Each change of a followed object completes a long-poll call of every follower.
+Only a few VMs follow the store, therefore, and the others learn of changes
+from them. VMs whose calls fail don't count as followers, so that others
+replace them.
 """
 
 import typing
@@ -12,28 +13,29 @@
 from . import digests
 from . import rendezvous
 
-#: With one turned away and one just ended there is still one.
-FOLLOWERS = 3
+#: If one follower is refused by the store and another has just ended, one is
+#: left.
+FOLLOWER_COUNT = 3
 RANK_KEY = "follow"
-#: A process that has just started knows few others, in seconds. Of a fleet
-#: that starts at once, each VM would else take itself for one of the few.
+#: Seconds after its start in which a process does not decide, as it knows few
+#: peers. Otherwise each VM of a fleet that starts at once would select itself.
 STARTED_S = 1.0
-#: While nobody follows with success, twice as many VMs try after each such
-#: time, in seconds: the first ones may be those that can't reach the store.
-WIDENED_S = 0.25
+#: While no VM follows with success, the number of VMs that try doubles after
+#: each such time, in seconds: the first ones may be unable to reach the store.
+WIDENING_INTERVAL_S = 0.25
 
 
 class Followers:
     """Decides whether one VM follows the store.
 
-    :param vm: its name.
+    :param vm: name of the VM.
     """
 
     __slots__ = (
         "_clock",
         "_follows",
-        "_known",
-        "_nobody_since",
+        "_last_inputs",
+        "_no_follower_since",
         "_started_at",
         "_vm",
     )
@@ -43,38 +45,42 @@
         self._vm = vm
         self._started_at = clock.now()
         self._follows = False
-        #: Who followed and who lived at the last look.
-        self._known: tuple[frozenset[str], frozenset[str]] | None = None
-        self._nobody_since: float | None = None
+        #: Followers and live peers at the last decision.
+        self._last_inputs: tuple[frozenset[str], frozenset[str]] | None = None
+        self._no_follower_since: float | None = None
 
     @property
     def follows(self) -> bool:
-        """Whether this VM has to follow the store itself."""
+        """Whether this VM has to follow the store."""
         return self._follows
 
     def look(self, peers: typing.Iterable[digests.Digest]) -> None:
-        """Decide by the records of the other living VMs."""
+        """Decide by the records of the live peers.
+
+        :param peers: records of the other live VMs.
+        """
         now = self._clock.now()
         if now - self._started_at < STARTED_S:
             return
         alive = [p for p in peers if not p.leaving]
         following = frozenset(p.vm for p in alive if p.follows)
         if following:
-            self._nobody_since = None
-        elif self._nobody_since is None:
-            self._nobody_since = now
-        known = (following, frozenset(p.vm for p in alive))
-        if following and known == self._known:
-            # Ranking would be most of a look in a large fleet.
+            self._no_follower_since = None
+        elif self._no_follower_since is None:
+            self._no_follower_since = now
+        inputs = (following, frozenset(p.vm for p in alive))
+        if following and inputs == self._last_inputs:
+            # Ranking would take most of the time of a decision in a large
+            # fleet.
             return
-        self._known = known
+        self._last_inputs = inputs
         ranked = rendezvous.rank(
-            RANK_KEY, [*(following or known[1]), self._vm]
+            RANK_KEY, [*(following or inputs[1]), self._vm]
         )
-        self._follows = self._vm in ranked[: self._wanted(now)]
+        self._follows = self._vm in ranked[: self._target_count(now)]
 
-    def _wanted(self, now: float) -> int:
-        if self._nobody_since is None:
-            return FOLLOWERS
-        doublings = int((now - self._nobody_since) / WIDENED_S)
-        return FOLLOWERS << min(doublings, 32)
+    def _target_count(self, now: float) -> int:
+        if self._no_follower_since is None:
+            return FOLLOWER_COUNT
+        doublings = int((now - self._no_follower_since) / WIDENING_INTERVAL_S)
+        return FOLLOWER_COUNT << min(doublings, 32)
--- a/src/apricotlever/vms/learning.py
+++ b/src/apricotlever/vms/learning.py
@@ -1,4 +1,4 @@
-"""What heard records and rumours change, and suspicions that run out."""
+"""Merges received records and rumours, and expires suspicions."""
 
 import typing
 
@@ -7,28 +7,29 @@
 from . import knowledge
 from ..links import peer_pb2 as pb
 from . import roster as rosters
-from . import rumours as rumour_books
+from . import rumours as rumour_buffer
 from . import suspicion
 from . import timing as timings
 
 Actions = list[actions.Action]
 
-# A record learned from a whole view is no news to most: after a join of
-# many, passing all on in full would fill the messages for a minute.
-VIEW_SENDS = 2
+# Most VMs already have a record that came with a full view. After many VMs
+# join, sending each such record the usual number of times would fill the
+# messages for a minute.
+FULL_VIEW_SENDS = 2
 
 
 class Learner:
-    """Takes in what others say, and judges the silent.
+    """Merges updates from peers and declares members suspect or dead.
 
-    :param known: where it is kept.
-    :param health: suffers when others suspect this VM.
+    :param state: gossip state that the updates are merged into.
+    :param health: worsened when other VMs suspect this one.
     """
 
     __slots__ = (
         "push_due",
         "_clock",
-        "_known",
+        "_state",
         "_health",
         "_timing",
         "_suspicions",
@@ -37,78 +38,79 @@
     def __init__(
         self,
         clock: clocks.Clock,
-        known: knowledge.Knowledge,
+        state: knowledge.Knowledge,
         health: suspicion.LocalHealth,
         timing: timings.MembershipTiming,
     ) -> None:
-        #: Something was learned that others should hear at once.
+        #: Whether an update was merged that peers should receive at once.
         self.push_due = False
         self._clock = clock
-        self._known = known
+        self._state = state
         self._health = health
         self._timing = timing
         self._suspicions: dict[str, suspicion.Suspicion] = {}
 
     def hear(self, message: pb.GossipMessage) -> Actions:
-        """Take in all that a message carries beside its kind."""
+        """Merge all that a message carries beside its ``kind`` field."""
         sender = message.sender
-        found = self._learn_sender(sender)
-        found += self.learn_members(message.members, sender.vm)
-        self._known.learn_summaries(message.summaries)
-        found += self.learn_rumours(message.rumours, sender.vm)
-        return found + self._hear_catalogue(message.catalogue, sender.vm)
+        result = self._merge_sender(sender)
+        result += self.merge_members(message.members, sender.vm)
+        self._state.learn_summaries(message.summaries)
+        result += self.learn_rumours(message.rumours, sender.vm)
+        return result + self._compare_catalogue(message.catalogue, sender.vm)
 
-    def learn_members(
+    def merge_members(
         self, members: typing.Iterable[pb.Member], via: str, sent: int = 0
     ) -> Actions:
-        """Take in records, those of this VM itself included.
+        """Merge member records, which may include this VM's own.
 
-        :param via: who passed them on.
-        :param sent: sends that are saved in passing them on.
+        :param via: the VM that sent them.
+        :param sent: sends to count as already made when they are passed on.
         """
-        known = self._known
+        state = self._state
         seen = (
             member
             for member in members
-            if not (known.large and known.is_far(member))
+            if not (state.large and state.is_far(member))
         )
         return [
             action
             for member in seen
-            for action in self._learn(member, via, sent)
+            for action in self._merge_member(member, via, sent)
         ]
 
     def learn_view(
         self, members: typing.Iterable[pb.Member], sender: str
     ) -> Actions:
-        """Take in another VM's whole view.
+        """Merge the full view of another VM.
 
-        Its dead may be alive: after a cut between data centres each side
-        holds the other for dead. A death that we did not hear of as news
-        is therefore a suspicion only, which a live VM denies.
+        Members that it lists as dead may be alive: after a network partition
+        between data centres each side declares the other one dead. A death
+        learned from a full view is therefore merged as a suspicion, which a
+        live VM refutes.
         """
-        members_known = len(self._known.roster.live) + 1
-        limit = rumour_books.urgent_sends(members_known)
-        doubted = (self._doubt(member, sender) for member in members)
-        return self.learn_members(doubted, sender, limit - VIEW_SENDS)
+        members_known = len(self._state.roster.live) + 1
+        limit = rumour_buffer.urgent_send_limit(members_known)
+        doubted = (self._downgrade_death(member, sender) for member in members)
+        return self.merge_members(doubted, sender, limit - FULL_VIEW_SENDS)
 
     def learn_rumours(
         self, rumours: typing.Iterable[pb.Rumour], via: str
     ) -> Actions:
-        """Take in rumours; each is delivered once."""
-        fresh = [r for r in rumours if self._known.rumours.take(r, via)]
-        self.push_due |= any(map(rumour_books.is_urgent, fresh))
+        """Merge rumours; each one is delivered once."""
+        fresh = [r for r in rumours if self._state.rumours.receive(r, via)]
+        self.push_due |= any(map(rumour_buffer.is_urgent, fresh))
         return [actions.Delivered(rumour, via) for rumour in fresh]
 
     def suspect(self, vm: str) -> Actions:
-        """This VM got no answer from that one."""
-        member = self._known.roster.live.get(vm)
-        return [] if member is None else self._judge(member, pb.VM_SUSPECT)
+        """Declare a VM suspect, as it did not answer this one."""
+        member = self._state.roster.live.get(vm)
+        return [] if member is None else self._declare(member, pb.VM_SUSPECT)
 
     def bury(self) -> Actions:
-        """Suspects that did not deny in time count as dead."""
+        """Declare the suspects dead that did not refute in time."""
         now = self._clock.now()
-        live = self._known.roster.live
+        live = self._state.roster.live
         late = [
             live[vm]
             for vm, timer in self._suspicions.items()
@@ -117,50 +119,53 @@
         return [
             action
             for member in late
-            for action in self._judge(member, pb.VM_DEAD)
+            for action in self._declare(member, pb.VM_DEAD)
         ]
 
     def restate(self, **fields: typing.Any) -> None:
-        """Raise our refutation, so that our own record beats all others.
+        """Raise the own refutation, so that the own record takes precedence.
 
-        :param fields: fields of our record to be replaced.
+        :param fields: fields of the own record to replace.
         """
-        me = self._known.me
+        me = self._state.me
         refutation = fields.pop("refutation", me.refutation) + 1
-        self._known.me = rosters.changed(me, refutation=refutation, **fields)
-        self._known.news.add(me.vm)
+        self._state.me = rosters.changed(me, refutation=refutation, **fields)
+        self._state.news.add(me.vm)
         self.push_due = True
 
     def postpone(self, seconds: float) -> None:
-        """Leave out a time in which nothing could be heard."""
+        """Extend all suspicions by a time in which this VM received nothing.
+
+        :param seconds: the length of that time.
+        """
         for timer in self._suspicions.values():
             timer.postpone(seconds)
 
     def drop_suspicions(self) -> None:
-        """Forget all suspicions."""
+        """Drop all suspicions."""
         self._suspicions.clear()
 
-    def _learn_sender(self, sender: pb.Member) -> Actions:
-        if self._known.large and self._known.is_far(sender):
-            self._known.summaries.met(sender)
+    def _merge_sender(self, sender: pb.Member) -> Actions:
+        if self._state.large and self._state.is_far(sender):
+            self._state.summaries.note_contact(sender)
             return []
-        return self._learn(sender)
+        return self._merge_member(sender)
 
-    def _learn(
+    def _merge_member(
         self, member: pb.Member, via: str = "", sent: int = 0
     ) -> Actions:
-        if member.vm == self._known.me.vm:
-            return self._hear_of_myself(member)
-        merged = self._known.roster.merge(member)
+        if member.vm == self._state.me.vm:
+            return self._merge_own_record(member)
+        merged = self._state.roster.merge(member)
         if merged is None:
-            self._confirm(member)
+            self._add_accuser(member)
             return []
         if merged.before is None and member.state == pb.VM_DEAD:
             return []
-        self._known.news.add(member.vm, via, sent)
-        return self._changed(merged)
+        self._state.news.add(member.vm, via, sent)
+        return self._apply_change(merged)
 
-    def _changed(self, merged: rosters.Merged) -> Actions:
+    def _apply_change(self, merged: rosters.Merged) -> Actions:
         member = merged.after
         self._suspicions.pop(member.vm, None)
         if member.state == pb.VM_SUSPECT:
@@ -169,18 +174,18 @@
             pb.VM_LEAVING,
             pb.VM_DEAD,
         )
-        found: Actions = [actions.Changed(merged.before, member)]
-        return found + [
+        result: Actions = [actions.Changed(merged.before, member)]
+        return result + [
             actions.IncarnationEnded(member.vm, incarnation)
-            for incarnation in _ended(merged)
+            for incarnation in _ended_incarnations(merged)
         ]
 
-    def _hear_of_myself(self, member: pb.Member) -> Actions:
-        me = self._known.me
+    def _merge_own_record(self, member: pb.Member) -> Actions:
+        me = self._state.me
         if member.incarnation > me.incarnation:
             return [actions.Superseded(member.incarnation)]
         if member.incarnation < me.incarnation:
-            self._known.news.add(me.vm)
+            self._state.news.add(me.vm)
             return []
         accused = member.state >= pb.VM_SUSPECT
         if not accused or member.refutation < me.refutation:
@@ -189,23 +194,25 @@
         self._health.worse()
         return [actions.Refuted(member.suspected_by)]
 
-    def _hear_catalogue(self, heard: pb.CatalogueVersion, via: str) -> Actions:
-        ours = self._known.catalogue or pb.CatalogueVersion()
+    def _compare_catalogue(
+        self, heard: pb.CatalogueVersion, via: str
+    ) -> Actions:
+        ours = self._state.catalogue or pb.CatalogueVersion()
         news = heard.version > ours.version
         clash = heard.version == ours.version and heard.digest != ours.digest
         if not heard.version or not (news or clash):
             return []
         return [actions.CatalogueHeard(heard.version, heard.digest, via)]
 
-    def _judge(self, member: pb.Member, state: pb.VmState) -> Actions:
-        accuser = self._known.me.vm
-        return self._learn(
+    def _declare(self, member: pb.Member, state: pb.VmState) -> Actions:
+        accuser = self._state.me.vm
+        return self._merge_member(
             rosters.changed(member, state=state, suspected_by=accuser)
         )
 
-    def _doubt(self, member: pb.Member, sender: str) -> pb.Member:
-        known = self._known.roster.live.get(member.vm)
-        if member.state != pb.VM_DEAD or _left_by_itself(member):
+    def _downgrade_death(self, member: pb.Member, sender: str) -> pb.Member:
+        known = self._state.roster.live.get(member.vm)
+        if member.state != pb.VM_DEAD or _departed_voluntarily(member):
             return member
         if known is None or known.incarnation != member.incarnation:
             return member
@@ -214,7 +221,7 @@
         )
 
     def _start_suspicion(self, member: pb.Member) -> None:
-        live = len(self._known.roster.live)
+        live = len(self._state.roster.live)
         shortest, longest = suspicion.bounds_s(
             live + 1,
             self._timing.probe_interval_s,
@@ -227,28 +234,28 @@
         timer.accuse(member.suspected_by)
         self._suspicions[member.vm] = timer
 
-    def _confirm(self, member: pb.Member) -> None:
-        """Count one more accuser of a VM that is suspected already."""
+    def _add_accuser(self, member: pb.Member) -> None:
+        """Add an accuser to the suspicion of a VM already suspected."""
         timer = self._suspicions.get(member.vm)
-        known = self._known.roster.get(member.vm)
+        known = self._state.roster.get(member.vm)
         if timer is None or known is None:
             return
         if rosters.standing(known) != rosters.standing(member):
             return
         if timer.accuse(member.suspected_by):
-            self._known.roster.keep_accuser(member)
-            self._known.news.add(member.vm)
+            self._state.roster.keep_accuser(member)
+            self._state.news.add(member.vm)
 
 
-def _left_by_itself(member: pb.Member) -> bool:
+def _departed_voluntarily(member: pb.Member) -> bool:
     return member.state == pb.VM_DEAD and member.suspected_by == member.vm
 
 
-def _ended(merged: rosters.Merged) -> list[int]:
-    """Incarnations that surely ended by this change."""
+def _ended_incarnations(merged: rosters.Merged) -> list[int]:
+    """Incarnations that have certainly ended with this change."""
     ended = []
     if merged.before is not None and merged.replaced:
         ended.append(merged.before.incarnation)
-    if _left_by_itself(merged.after):
+    if _departed_voluntarily(merged.after):
         ended.append(merged.after.incarnation)
     return ended
--- a/src/apricotlever/vms/peer_loads.py
+++ b/src/apricotlever/vms/peer_loads.py
@@ -1,4 +1,4 @@
-"""What the other VMs do at the runners, whichever way it was told."""
+"""Loads of the other VMs at the runners, from records or aggregates."""
 
 import collections
 import typing
@@ -9,24 +9,25 @@
 from . import aggregates
 from . import digests
 
-#: This VM's records that an aggregate may be about, kept for so long, in
-#: seconds: from a record to the aggregate that includes it.
-KEPT_S = 3.0
+#: Seconds for which the loads of each own record are kept, until an aggregate
+#: that includes the record has been received.
+SENT_KEPT_S = 3.0
 
 Counts = dict[str, int]
 
 
 class PeerLoads:
-    """What the other VMs do at each runner.
+    """Loads of the other VMs, by runner.
 
-    :param in_flight: their calls.
-    :param pending: prompt tokens that wait for them.
-    :param silent: how many of them hear nothing from it.
-    :param failures: failed and all calls, by who counted them.
+    :param in_flight: number of their calls.
+    :param pending: waiting prompt tokens of their calls.
+    :param silent: number of VMs that find the runner silent.
+    :param failures: counts of failed calls and of all calls, by the process
+        that counted them.
     :param summed: whether the failures are those of all VMs, this one
         included.
     :param trials: counts of calls at old and new versions; includes those of
-        this VM if the loads are summed.
+        this VM if ``summed`` is set.
     """
 
     __slots__ = (
@@ -55,19 +56,19 @@
         self.trials = trials or {}
 
 
-def of_records(records: typing.Sequence[digests.Digest]) -> PeerLoads:
-    """What the others do, by a record of each."""
+def loads_of_records(records: typing.Sequence[digests.Digest]) -> PeerLoads:
+    """Sum the loads in the records of the other VMs."""
     return PeerLoads(
-        summed(record.in_flight for record in records),
-        summed(record.pending for record in records),
-        summed(dict.fromkeys(record.silent, 1) for record in records),
+        sum_counts(record.in_flight for record in records),
+        sum_counts(record.pending for record in records),
+        sum_counts(dict.fromkeys(record.silent, 1) for record in records),
         {record.process: record.failures for record in records},
         trials=samples.sum_records(record.trials for record in records),
     )
 
 
-def summed(parts: typing.Iterable[typing.Mapping[str, int]]) -> Counts:
-    """The sums of counts by name."""
+def sum_counts(parts: typing.Iterable[typing.Mapping[str, int]]) -> Counts:
+    """Sum counts by name."""
     sums: Counts = {}
     for part in parts:
         for name, count in part.items():
@@ -75,8 +76,8 @@
     return sums
 
 
-class _Sent:
-    """This VM's part of the loads, as one of its records told it."""
+class _SentLoads:
+    """This VM's own loads as sent with one of its records."""
 
     __slots__ = ("at", "in_flight", "pending")
 
@@ -86,53 +87,57 @@
         self.pending = pending
 
 
-class LoadView:
-    """The other VMs' loads, out of aggregates that include this VM's own.
+class PeerLoadTracker:
+    """Derives the other VMs' loads from aggregates that include this VM.
 
-    Loads that come are some moments old, and so is this VM's part of them: it
-    is taken out as the record told it that they include. With the part of
-    this moment instead, a prompt just sent would be counted by nobody.
+    The loads in an aggregate are slightly old, and so is this VM's part of
+    them. The part subtracted is that of the own record which the aggregate
+    includes. If the current loads were subtracted instead, a prompt that has
+    just been sent would be missing from the result.
     """
 
-    __slots__ = ("_clock", "_last", "_loads", "_sent", "_vm")
+    __slots__ = ("_clock", "_last_aggregate", "_loads", "_sent", "_vm")
 
     def __init__(self, clock: clocks.Clock, vm: str) -> None:
         self._clock = clock
         self._vm = vm
-        #: This VM's records by number, the oldest first.
-        self._sent: collections.OrderedDict[int, _Sent] = (
+        #: Loads sent with own records, by sequence number, oldest first.
+        self._sent: collections.OrderedDict[int, _SentLoads] = (
             collections.OrderedDict()
         )
         self._loads: PeerLoads | None = None
-        #: Process and number of the aggregate that the loads are from.
-        self._last = ("", 0)
+        #: Process and sequence number of the latest aggregate.
+        self._last_aggregate = ("", 0)
 
     @property
     def loads(self) -> PeerLoads | None:
-        """What the others do; None before an aggregate came."""
+        """Loads of the other VMs; None before the first aggregate."""
         return self._loads
 
-    def sent(self, record: digests.Digest) -> None:
-        """This VM has told a record of its own."""
+    def record_sent(self, record: digests.Digest) -> None:
+        """Note the loads sent with a record of this VM."""
         now = self._clock.now()
-        self._sent[record.number] = _Sent(
+        self._sent[record.number] = _SentLoads(
             now, record.in_flight, record.pending
         )
-        while now - next(iter(self._sent.values())).at > KEPT_S:
+        while now - next(iter(self._sent.values())).at > SENT_KEPT_S:
             self._sent.popitem(last=False)
 
-    def heard(self, aggregate: aggregates.Aggregate) -> None:
-        """Take over loads of the whole fleet, unless they are late."""
-        last = (aggregate.process, aggregate.number)
-        if last[0] == self._last[0] and last[1] <= self._last[1]:
+    def receive_aggregate(self, aggregate: aggregates.Aggregate) -> None:
+        """Set the loads from an aggregate, unless a later one came before."""
+        latest = (aggregate.process, aggregate.number)
+        if (
+            latest[0] == self._last_aggregate[0]
+            and latest[1] <= self._last_aggregate[1]
+        ):
             return
-        self._last = last
+        self._last_aggregate = latest
         own = self._sent.get(aggregate.included.get(self._vm, -1))
         in_flight = {r: load[0] for r, load in aggregate.loads.items()}
         pending = {r: load[1] for r, load in aggregate.loads.items()}
         if own is not None:
-            _take_out(in_flight, own.in_flight)
-            _take_out(pending, own.pending)
+            _subtract(in_flight, own.in_flight)
+            _subtract(pending, own.pending)
         self._loads = PeerLoads(
             in_flight,
             pending,
@@ -143,6 +148,6 @@
         )
 
 
-def _take_out(counts: Counts, own: Counts) -> None:
+def _subtract(counts: Counts, own: Counts) -> None:
     for name, count in own.items():
         counts[name] = max(0, counts.get(name, 0) - count)
--- a/src/apricotlever/vms/peer_table.py
+++ b/src/apricotlever/vms/peer_table.py
@@ -1,6 +1,6 @@
-"""Whom an entry VM hears, by their latest records.
+"""Latest records of the other VMs, and which of them are alive.
 
-Whoever is heard is alive, by its own record or by an aggregator's word.
+A VM is alive while its own records or an aggregator's reports of it arrive.
 """
 
 import random
@@ -10,25 +10,27 @@
 
 from . import digests
 
-#: A VM is taken out of the answers to callers after this silence: five
+#: Seconds of silence after which a VM is no longer given to callers: five
 #: records in a row are hardly lost by chance.
-ALIVE_S = 1.1
-#: The same where VMs are told of by an aggregator: their records come more
-#: rarely, how long ago each was heard is told every third time, and it takes
-#: a moment to use another aggregator.
-ALIVE_SUMMED_S = 2.4
-#: Mean seconds between two signs of life of a VM there.
-BETWEEN_SUMMED_S = 0.8
-#: A VM that was heard is still counted as a member, and told, for so long.
-MEMBER_S = 30.0
-#: Receivers of one record. In a fleet of more VMs each record goes to some,
-#: to all in turn.
+ALIVE_TIMEOUT_S = 1.1
+#: The same where an aggregator reports the VMs: their records are less
+#: frequent, only every third aggregate has the ages of all VMs, and the change
+#: to another aggregator takes some time.
+ALIVE_TIMEOUT_AGGREGATED_S = 2.4
+#: Mean seconds between two signs of life of a VM reported by an aggregator.
+MEAN_INTERVAL_AGGREGATED_S = 0.8
+#: Seconds after its last sign of life in which a VM still counts as a member.
+MEMBER_TTL_S = 30.0
+#: Most receivers of one record. In a larger fleet each record is sent to some
+#: VMs, and successive records reach all VMs in turn.
 FANOUT = 24
-#: Addresses in one record, so that it fits into a datagram.
+#: Most peer addresses in one record, so that it fits into a datagram.
 MOST_KNOWN = 24
 
 
 class _Peer:
+    """A VM's latest record and the time of its last sign of life."""
+
     __slots__ = ("digest", "heard_at")
 
     def __init__(self, digest: digests.Digest, heard_at: float) -> None:
@@ -39,8 +41,8 @@
 class PeerTable:
     """The other VMs, by their latest records.
 
-    :param vm: this VM's name.
-    :param address: where this VM hears the others.
+    :param vm: name of this VM.
+    :param address: where this VM receives messages of peers, ``host:port``.
     :param seeds: peer addresses from the settings; may be stale.
     """
 
@@ -51,9 +53,9 @@
         "_peers",
         "_rng",
         "_seeds",
-        "_turn",
+        "_receiver_offset",
         "_vm",
-        "summed",
+        "is_aggregated",
     )
 
     def __init__(
@@ -69,46 +71,48 @@
         self._vm = vm
         self._address = address
         self._seeds = frozenset(seeds) - {address}
-        #: Addresses heard of to when that was.
+        #: Time at which each address was noted.
         self._hints: dict[str, float] = {}
         self._peers: dict[str, _Peer] = {}
-        #: Where among all addresses the last record's receivers began. VMs
-        #: that began alike would all tell the same ones at once.
-        self._turn = rng.randrange(FANOUT * FANOUT)
-        #: Whether this VM hears of the others by an aggregator.
-        self.summed = False
+        #: Offset of the last record's receivers among all addresses. It starts
+        #: at random, as VMs with the same offset would all send to the same
+        #: receivers at once.
+        self._receiver_offset = rng.randrange(FANOUT * FANOUT)
+        #: Whether an aggregator reports the other VMs to this one.
+        self.is_aggregated = False
 
     @property
     def address(self) -> str:
-        """Where this VM hears the others."""
+        """Where this VM receives messages of peers."""
         return self._address
 
     @property
     def between_s(self) -> float:
         """Mean seconds between two signs of life of one peer."""
-        if self.summed:
-            return BETWEEN_SUMMED_S
-        return digests.INTERVAL_S * self._rounds
+        if self.is_aggregated:
+            return MEAN_INTERVAL_AGGREGATED_S
+        return digests.INTERVAL_S * self._sends_per_arrival
 
     @property
     def is_large(self) -> bool:
-        """Whether there are more members than receivers of a record."""
-        return len(self.everybody()) > FANOUT
+        """Whether there are more members than receivers of one record."""
+        return len(self.member_addresses()) > FANOUT
 
     @property
-    def _rounds(self) -> float:
-        """Records that a peer sends for each one that comes here.
+    def _sends_per_arrival(self) -> float:
+        """Records that a peer sends for each one received here.
 
-        With more members than receivers of a record that is more than one.
+        This is more than 1 if there are more members than receivers of one
+        record.
         """
         return max(1.0, len(self._peers) / FANOUT)
 
     def set_seeds(self, seeds: typing.Iterable[str]) -> None:
-        """Take over changed settings."""
+        """Replace the seeds after a change of the settings."""
         self._seeds = frozenset(seeds) - {self._address}
 
     def hint(self, addresses: typing.Iterable[str]) -> None:
-        """Addresses at which there may be members."""
+        """Note addresses of possible members."""
         now = self._clock.now()
         for address in addresses:
             if address != self._address:
@@ -117,11 +121,11 @@
     def heard(
         self, digest: digests.Digest, age_s: float = 0.0
     ) -> digests.Digest | None:
-        """Take in a record.
+        """Merge a record.
 
-        :param age_s: how long ago its VM told it.
-        :returns: the last record of the VM's former process, if the VM has
-            restarted since, else None.
+        :param age_s: seconds since its VM sent it.
+        :returns: the last record of the VM's former process if this record
+            shows that the VM has restarted, else None.
         """
         known = self._peers.get(digest.vm)
         if digest.vm == self._vm:
@@ -141,101 +145,113 @@
         return former
 
     def heard_of(self, vm: str, age_s: float) -> None:
-        """An aggregator has heard a VM so long ago, in seconds."""
+        """Note a sign of life of a VM that an aggregator reports.
+
+        :param age_s: seconds since that sign of life.
+        """
         peer = self._peers.get(vm)
         if peer is not None:
             heard_at = self._clock.now() - age_s
             peer.heard_at = max(peer.heard_at, heard_at)
 
     def addresses(self, vms: typing.Iterable[str]) -> list[str]:
-        """Where VMs hear the others, of those that are known."""
+        """Peer addresses of VMs, without those not known."""
         peers = map(self._peers.get, vms)
         return [peer.digest.peer_address for peer in peers if peer is not None]
 
     def data_centre(self, vm: str) -> str:
-        """Where a VM is; "" when it is not known."""
+        """Data centre of a VM; "" when the VM is not known."""
         peer = self._peers.get(vm)
         return peer.digest.data_centre if peer is not None else ""
 
     def processes(self, vms: typing.Iterable[str]) -> list[str]:
-        """The processes of VMs, of those that are known."""
+        """Processes of VMs, without those not known."""
         peers = map(self._peers.get, vms)
         return [peer.digest.process for peer in peers if peer is not None]
 
-    def unheard(self) -> list[str]:
-        """Addresses at which there may be members that are not heard."""
+    def silent_addresses(self) -> list[str]:
+        """Addresses of possible members that are silent."""
         alive = {digest.peer_address for digest in self.alive()}
-        return [a for a in self.everybody() if a not in alive]
+        return [a for a in self.member_addresses() if a not in alive]
 
     def receivers(self) -> list[str]:
-        """Addresses to which the next record goes; all come in turn.
+        """Select the receivers of the next record; all come in turn.
 
-        With receivers drawn at random some VMs of a large fleet would not hear
-        of another one for so long that they take it for silent, and set its
-        part of each customer's limit aside.
+        If receivers were drawn at random, some VMs of a large fleet would get
+        no record of another one for so long that they considered it silent,
+        and would reserve its part of each customer's limit.
         """
-        everybody = self.everybody()
-        if len(everybody) <= FANOUT:
-            return everybody
-        self._turn = (self._turn + FANOUT) % len(everybody)
-        return (everybody + everybody)[self._turn : self._turn + FANOUT]
+        member_addresses = self.member_addresses()
+        if len(member_addresses) <= FANOUT:
+            return member_addresses
+        self._receiver_offset = (self._receiver_offset + FANOUT) % len(
+            member_addresses
+        )
+        return (member_addresses + member_addresses)[
+            self._receiver_offset : self._receiver_offset + FANOUT
+        ]
 
     def is_member(self, host: str) -> bool:
-        """Whether an IP number may be a member's.
+        """Whether an IP address may belong to a member.
 
-        All that are known count: who is merely not among the receivers that
-        were drawn last would else be turned away as a stranger.
+        All known addresses count. A member that is not among the receivers of
+        the last record must not be refused.
         """
         return any(
-            address.rpartition(":")[0] == host for address in self.everybody()
+            address.rpartition(":")[0] == host
+            for address in self.member_addresses()
         )
 
-    def everybody(self) -> list[str]:
-        """Addresses at which there may be members."""
+    def member_addresses(self) -> list[str]:
+        """Addresses of all possible members."""
         now = self._clock.now()
         members = {
             peer.digest.peer_address
             for peer in self._peers.values()
-            if now - peer.heard_at < MEMBER_S
+            if now - peer.heard_at < MEMBER_TTL_S
         }
         self._hints = {
             address: since
             for address, since in self._hints.items()
-            if now - since < MEMBER_S
+            if now - since < MEMBER_TTL_S
         }
         return sorted(members | set(self._hints) | self._seeds)
 
     def known(self) -> list[str]:
-        """Addresses of living members to tell others."""
+        """Addresses of live members to include in a record."""
         addresses = [digest.peer_address for digest in self.alive()]
         if len(addresses) <= MOST_KNOWN:
             return addresses
         return self._rng.sample(addresses, MOST_KNOWN)
 
     def alive(self) -> list[digests.Digest]:
-        """Records of the VMs that were heard just now."""
-        since = self._clock.now() - self._alive_s()
+        """Records of the VMs that are alive."""
+        since = self._clock.now() - self._alive_timeout_s()
         return [p.digest for p in self._peers.values() if p.heard_at > since]
 
     def members(self) -> list[digests.Digest]:
-        """Records of VMs that may be alive, heard or not.
+        """Records of the VMs that may be alive, even if they are silent.
 
-        One that said that it leaves and fell silent has ended.
+        A VM that announced its departure and then fell silent has ended.
         """
         now = self._clock.now()
-        alive_s = self._alive_s()
+        alive_s = self._alive_timeout_s()
         return [
             peer.digest
             for peer in self._peers.values()
-            if now - peer.heard_at < MEMBER_S
+            if now - peer.heard_at < MEMBER_TTL_S
             and not (peer.digest.leaving and now - peer.heard_at > alive_s)
         ]
 
     def silence(self) -> None:
-        """This VM stood still: nobody has been heard since."""
-        long_ago = self._clock.now() - self._alive_s()
+        """Treat all peers as silent, after a pause of this process."""
+        long_ago = self._clock.now() - self._alive_timeout_s()
         for peer in self._peers.values():
             peer.heard_at = min(peer.heard_at, long_ago)
 
-    def _alive_s(self) -> float:
-        return ALIVE_SUMMED_S if self.summed else ALIVE_S * self._rounds
+    def _alive_timeout_s(self) -> float:
+        return (
+            ALIVE_TIMEOUT_AGGREGATED_S
+            if self.is_aggregated
+            else ALIVE_TIMEOUT_S * self._sends_per_arrival
+        )
--- a/src/apricotlever/vms/rumours.py
+++ b/src/apricotlever/vms/rumours.py
@@ -1,9 +1,10 @@
-"""Rumours and changes of members that ride on other messages.
+"""Rumours and member updates that are piggybacked on other messages.
 
-Each is sent a number of times that grows with the logarithm of the count of
-members, which is enough for it to reach nearly all; the exchange of whole
-views brings it to the rest. Messages are bounded in bytes: what is new and
-urgent goes first, and a flood of digests makes digests late, not probes.
+Each update is sent a number of times that grows with the logarithm of the
+count of members. That is enough for it to reach nearly all VMs; the exchange
+of full views brings it to the rest. Messages are bounded in bytes, and new and
+urgent updates go first: a flood of load digests delays load digests, not
+probes.
 """
 
 import math
@@ -14,10 +15,10 @@
 from .. import clock as clocks
 from ..links import peer_pb2 as pb
 
-DIGEST_FACTOR = 4
-URGENT_FACTOR = 3
+ROUTINE_SEND_FACTOR = 4
+URGENT_SEND_FACTOR = 3
 URGENT_SENDS_MAX = 12
-URGENT = frozenset(
+URGENT_BODIES = frozenset(
     (
         "runner_leaving",
         "runner_gone",
@@ -26,50 +27,56 @@
         "ledger_moved",
     )
 )
-RUMOURS_MAX = 8192
-# A copy may still be on its way when the rumour's lifetime is over.
-SEEN_SLACK_S = 60.0
-# Tag and length of an embedded message.
+BUFFERED_RUMOURS_MAX = 8192
+# How long after the end of a rumour's lifetime its identity is kept, as a copy
+# may still be in transit then.
+SEEN_GRACE_S = 60.0
+# Bytes of the tag and length of an embedded message.
 _FIELD_BYTES = 4
 _MS = 1000.0
 
 Identity = tuple[str, int, int]
 
 
-def digest_sends(members: int) -> int:
-    """How often one VM sends a digest in a group of that size."""
-    return DIGEST_FACTOR * max(1, math.ceil(math.log10(members + 1)))
+def routine_send_limit(members: int) -> int:
+    """How many times one VM sends a rumour that is not urgent.
 
+    :param members: size of the group.
+    """
+    return ROUTINE_SEND_FACTOR * max(1, math.ceil(math.log10(members + 1)))
+
+
+def urgent_send_limit(members: int) -> int:
+    """How many times one VM sends an urgent rumour or a member update.
 
-def urgent_sends(members: int) -> int:
-    """How often it sends what nobody should miss.
+    The count is capped: the push alone reaches nearly all VMs of a large
+    group.
 
-    A push reaches nearly all of a large group, which needs no more sends
-    than a small one.
+    :param members: size of the group.
     """
-    wanted = URGENT_FACTOR * max(1, math.ceil(math.log2(members + 1)))
+    wanted = URGENT_SEND_FACTOR * max(1, math.ceil(math.log2(members + 1)))
     return min(URGENT_SENDS_MAX, wanted)
 
 
 def is_urgent(rumour: pb.Rumour) -> bool:
-    """Whether it is pushed at once rather than with the next probes."""
-    return rumour.WhichOneof("body") in URGENT
+    """Whether a rumour is pushed at once, not with the next probes."""
+    return rumour.WhichOneof("body") in URGENT_BODIES
 
 
-def size_bytes(message: protobuf.Message) -> int:
-    """What the message takes inside another one."""
+def embedded_size_bytes(message: protobuf.Message) -> int:
+    """Size of a message when it is embedded in another one."""
     return message.ByteSize() + _FIELD_BYTES
 
 
-class _Held:
-    """One rumour and how often it was sent, near and far."""
+class _BufferedRumour:
+    """A rumour and its sends within and beyond this data centre."""
 
     __slots__ = (
         "rumour",
         "via",
         "learned_at",
-        "near",
-        "far",
+        "local_sends",
+        "remote_sends",
         "urgent",
         "size",
     )
@@ -78,17 +85,17 @@
         self.rumour = rumour
         self.via = via
         self.learned_at = learned_at
-        self.near = 0
-        self.far = 0
+        self.local_sends = 0
+        self.remote_sends = 0
         self.urgent = is_urgent(rumour)
-        self.size = size_bytes(rumour)
+        self.size = embedded_size_bytes(rumour)
 
 
 class Rumours:
-    """The rumours one VM has heard, to be passed on.
+    """Rumours that one VM has received and passes on.
 
-    :param vm: this VM.
-    :param incarnation: of this process.
+    :param vm: name of this VM.
+    :param incarnation: incarnation of this process.
     """
 
     __slots__ = (
@@ -96,7 +103,7 @@
         "_vm",
         "_incarnation",
         "_sequence",
-        "_held",
+        "_buffered",
         "_seen_until",
         "_by_key",
     )
@@ -106,19 +113,20 @@
         self._vm = vm
         self._incarnation = incarnation
         self._sequence = 0
-        self._held: dict[Identity, _Held] = {}
+        self._buffered: dict[Identity, _BufferedRumour] = {}
         self._seen_until: dict[Identity, float] = {}
         self._by_key: dict[tuple[str, str], Identity] = {}
 
     @property
-    def held_count(self) -> int:
-        """Rumours that may still be passed on."""
-        return len(self._held)
+    def buffered_count(self) -> int:
+        """Number of rumours in the buffer."""
+        return len(self._buffered)
 
     def stamp(self, rumour: pb.Rumour) -> pb.Rumour:
-        """Make a rumour of this VM's own and hold it.
+        """Add a rumour that originates at this VM.
 
         :param rumour: body, scope, ``lifetime_ms`` and ``replaces_key``.
+        :returns: a copy with origin, sequence number and age filled in.
         """
         self._sequence += 1
         own = pb.Rumour()
@@ -127,76 +135,89 @@
         own.origin_incarnation = self._incarnation
         own.sequence = self._sequence
         own.age_ms = 0
-        self.take(own, self._vm)
+        self.receive(own, self._vm)
         return own
 
-    def take(self, rumour: pb.Rumour, via: str) -> bool:
-        """Hold a rumour that was heard.
+    def receive(self, rumour: pb.Rumour, via: str) -> bool:
+        """Buffer a received rumour.
 
-        :param via: who passed it on; it is not sent back there.
-        :returns: whether it is news; expired ones and doubles are not.
+        :param via: the VM that sent it; the rumour is not sent back there.
+        :returns: whether it is new; expired rumours and duplicates are not.
         """
         identity = _identity(rumour)
         left_s = (rumour.lifetime_ms - rumour.age_ms) / _MS
         if identity in self._seen_until or left_s <= 0:
             return False
         now = self._clock.now()
-        until = now + left_s + SEEN_SLACK_S
-        known_otherwise = self._seen_until.get(_topic(rumour), 0.0) > now
-        self._seen_until[identity] = self._seen_until[_topic(rumour)] = until
+        until = now + left_s + SEEN_GRACE_S
+        known_otherwise = (
+            self._seen_until.get(_content_identity(rumour), 0.0) > now
+        )
+        self._seen_until[identity] = self._seen_until[
+            _content_identity(rumour)
+        ] = until
         if known_otherwise:
             return False
         if not self._replace_older(rumour, identity):
             return False
-        self._held[identity] = _Held(rumour, via, now)
-        if len(self._held) > RUMOURS_MAX:
+        self._buffered[identity] = _BufferedRumour(rumour, via, now)
+        if len(self._buffered) > BUFFERED_RUMOURS_MAX:
             self._drop_one()
         return True
 
     def pick(
-        self, room_bytes: int, members: int, to: str, far: bool = False
+        self, room_bytes: int, members: int, to: str, remote: bool = False
     ) -> list[pb.Rumour]:
-        """The rumours to put into one message; counts them as sent.
+        """Select rumours for one message and count them as sent.
 
-        :param room_bytes: what they may take together.
-        :param members: the size of the group, which bounds the sends.
-        :param to: the VM that the message is for.
-        :param far: for another data centre: those for the fleet only.
+        :param room_bytes: upper bound of their total size.
+        :param members: size of the group, which bounds the sends.
+        :param to: receiver of the message.
+        :param remote: whether the receiver is in another data centre; only
+            rumours of fleet scope are selected then.
         """
-        limits = digest_sends(members), urgent_sends(members)
+        limits = routine_send_limit(members), urgent_send_limit(members)
         wanted = sorted(
             (
-                held
-                for held in self._held.values()
-                if held.via != to and _goes(held, far, limits[held.urgent])
+                buffered
+                for buffered in self._buffered.values()
+                if buffered.via != to
+                and _is_sendable(buffered, remote, limits[buffered.urgent])
             ),
-            key=_far_order if far else _near_order,
+            key=_remote_order if remote else _local_order,
         )
-        return [self._send(held, far) for held in _fitting(wanted, room_bytes)]
+        return [
+            self._send(buffered, remote)
+            for buffered in _fit(wanted, room_bytes)
+        ]
+
+    def urgent_rumours(self, remote: bool = False) -> list[pb.Rumour]:
+        """Urgent rumours within their lifetime, for a VM that has joined.
 
-    def everything(self, far: bool = False) -> list[pb.Rumour]:
-        """All that a newcomer has to hear: what is urgent and still holds."""
+        :param remote: whether that VM is in another data centre; only rumours
+            of fleet scope are selected then.
+        """
         return [
-            self._aged(held)
-            for held in self._held.values()
-            if held.urgent and (not far or _for_fleet(held))
+            self._copy_with_age(buffered)
+            for buffered in self._buffered.values()
+            if buffered.urgent and (not remote or _has_fleet_scope(buffered))
         ]
 
     def purge(self) -> None:
-        """Forget what is over."""
+        """Drop expired rumours and identities."""
         now = self._clock.now()
         for identity in [
             identity
-            for identity, held in self._held.items()
-            if self._left_s(held, now) <= 0
+            for identity, buffered in self._buffered.items()
+            if self._left_s(buffered, now) <= 0
         ]:
-            del self._held[identity]
+            del self._buffered[identity]
         for identity in [i for i, at in self._seen_until.items() if at < now]:
             del self._seen_until[identity]
         self._by_key = {
             key: identity
             for key, identity in self._by_key.items()
-            if identity in self._held
+            if identity in self._buffered
         }
 
     def _replace_older(self, rumour: pb.Rumour, identity: Identity) -> bool:
@@ -208,35 +229,37 @@
             return False
         self._by_key[key] = identity
         if known is not None:
-            self._held.pop(known, None)
+            self._buffered.pop(known, None)
         return True
 
     def _drop_one(self) -> None:
-        calm = (i for i, held in self._held.items() if not held.urgent)
-        del self._held[next(calm, next(iter(self._held)))]
+        calm = (
+            i for i, buffered in self._buffered.items() if not buffered.urgent
+        )
+        del self._buffered[next(calm, next(iter(self._buffered)))]
 
-    def _send(self, held: _Held, far: bool) -> pb.Rumour:
-        if far:
-            held.far += 1
+    def _send(self, buffered: _BufferedRumour, remote: bool) -> pb.Rumour:
+        if remote:
+            buffered.remote_sends += 1
         else:
-            held.near += 1
-        return self._aged(held)
+            buffered.local_sends += 1
+        return self._copy_with_age(buffered)
 
-    def _aged(self, held: _Held) -> pb.Rumour:
+    def _copy_with_age(self, buffered: _BufferedRumour) -> pb.Rumour:
         copy = pb.Rumour()
-        copy.CopyFrom(held.rumour)
-        held_ms = (self._clock.now() - held.learned_at) * _MS
-        copy.age_ms = held.rumour.age_ms + int(held_ms)
+        copy.CopyFrom(buffered.rumour)
+        held_ms = (self._clock.now() - buffered.learned_at) * _MS
+        copy.age_ms = buffered.rumour.age_ms + int(held_ms)
         return copy
 
-    def _left_s(self, held: _Held, now: float) -> float:
-        rumour = held.rumour
+    def _left_s(self, buffered: _BufferedRumour, now: float) -> float:
+        rumour = buffered.rumour
         whole_s = (rumour.lifetime_ms - rumour.age_ms) / _MS
-        return held.learned_at + whole_s - now
+        return buffered.learned_at + whole_s - now
 
 
-class MemberNews:
-    """Changed records of members, each sent a bounded number of times."""
+class MemberUpdates:
+    """Updated member records, each sent a bounded number of times."""
 
     __slots__ = ("_sent", "_via")
 
@@ -247,8 +270,9 @@
     def add(self, vm: str, via: str = "", sent: int = 0) -> None:
         """Start passing on the record of a VM.
 
-        :param via: who told of it; it is not sent back there.
-        :param sent: sends that are saved, as others most likely know it.
+        :param via: the VM that sent it; the record is not sent back there.
+        :param sent: sends to count as already made, for a record that most
+            other VMs are likely to have.
         """
         self._sent[vm] = sent
         self._via[vm] = via
@@ -260,11 +284,15 @@
         to: str,
         record_of: typing.Callable[[str], pb.Member | None],
     ) -> list[pb.Member]:
-        """The records to put into one message; counts them as sent.
+        """Select records for one message and count them as sent.
 
-        :param to: the VM that the message is for.
+        :param room_bytes: upper bound of their total size.
+        :param members: size of the group, which bounds the sends.
+        :param to: receiver of the message.
+        :param record_of: returns the current record of a VM, None if it is
+            unknown.
         """
-        limit = urgent_sends(members)
+        limit = urgent_send_limit(members)
         picked: list[pb.Member] = []
         for vm in sorted(self._sent, key=self._sent.__getitem__):
             if to in (vm, self._via[vm]):
@@ -273,7 +301,7 @@
             if member is None:
                 del self._sent[vm]
                 continue
-            room_bytes -= size_bytes(member)
+            room_bytes -= embedded_size_bytes(member)
             if room_bytes < 0:
                 break
             picked.append(member)
@@ -290,11 +318,11 @@
     return rumour.origin, rumour.origin_incarnation, rumour.sequence
 
 
-def _topic(rumour: pb.Rumour) -> Identity:
-    """What the rumour tells, when several VMs tell the same.
+def _content_identity(rumour: pb.Rumour) -> Identity:
+    """Identify a rumour by its content if several VMs announce the same.
 
-    Each watcher of a data centre announces a new catalogue; passing on all
-    of their rumours would multiply its bytes.
+    Each watcher of a data centre announces a new catalogue. Passing on all of
+    their rumours would multiply the bytes sent.
     """
     if rumour.HasField("catalogue"):
         catalogue = rumour.catalogue
@@ -302,32 +330,33 @@
     return _identity(rumour)
 
 
-def _for_fleet(held: _Held) -> bool:
-    return held.rumour.scope == pb.SCOPE_FLEET
+def _has_fleet_scope(buffered: _BufferedRumour) -> bool:
+    return buffered.rumour.scope == pb.SCOPE_FLEET
 
 
-def _goes(held: _Held, far: bool, limit: int) -> bool:
-    if far:
-        return held.far < limit and _for_fleet(held)
-    return held.near < limit
+def _is_sendable(buffered: _BufferedRumour, remote: bool, limit: int) -> bool:
+    if remote:
+        return buffered.remote_sends < limit and _has_fleet_scope(buffered)
+    return buffered.local_sends < limit
 
 
-def _near_order(held: _Held) -> tuple[bool, int, float]:
-    return not held.urgent, held.near, -held.learned_at
+def _local_order(buffered: _BufferedRumour) -> tuple[bool, int, float]:
+    return not buffered.urgent, buffered.local_sends, -buffered.learned_at
 
 
-def _far_order(held: _Held) -> tuple[bool, int, float]:
-    return not held.urgent, held.far, -held.learned_at
+def _remote_order(buffered: _BufferedRumour) -> tuple[bool, int, float]:
+    return not buffered.urgent, buffered.remote_sends, -buffered.learned_at
 
 
-def _fitting(
-    wanted: typing.Sequence[_Held], room_bytes: int
-) -> typing.Iterator[_Held]:
+def _fit(
+    wanted: typing.Sequence[_BufferedRumour], room_bytes: int
+) -> typing.Iterator[_BufferedRumour]:
     if wanted and wanted[0].size > room_bytes:
-        # Alone, or one that is larger than a message could never be sent.
+        # A rumour larger than the room is sent on its own, as it could never
+        # be sent otherwise.
         yield wanted[0]
         return
-    for held in wanted:
-        if held.size <= room_bytes:
-            room_bytes -= held.size
-            yield held
+    for buffered in wanted:
+        if buffered.size <= room_bytes:
+            room_bytes -= buffered.size
+            yield buffered
--- a/src/apricotlever/vms/spread.py
+++ b/src/apricotlever/vms/spread.py
@@ -1,9 +1,10 @@
-"""How an accepted catalogue comes into force at every entry VM.
+"""Replication of the accepted catalogue to every entry VM.
 
 The platform's store orders the versions. A few watchers in each data centre,
-picked by rendezvous hashing, hold its long-poll watch; the rest hear of a
-version from peers and get the change with the rumour or fetch it from a
-peer. A version only rises, whoever says what. The class does no I/O.
+picked by rendezvous hashing, hold a long-poll watch on the store. The other
+VMs learn of a version from peers and take the change from the rumour or fetch
+it from a peer. The version in force at a VM never decreases, whatever it
+receives. The class does no I/O.
 """
 
 import random
@@ -15,17 +16,17 @@
 from . import rendezvous
 from . import spread_actions
 from . import versions
-from . import view as views
+from . import view as fleet_view
 
 Document = deltas.Document
-Check = typing.Callable[[Document, int], str | None]
+DocumentCheck = typing.Callable[[Document, int], str | None]
 
-WATCHERS = 2
+WATCHERS_PER_DATA_CENTRE = 2
 FETCH_TIMEOUT_S = 1.0
 FETCH_RETRY_S = 0.2
-START_PEERS = 3
-WANTED_S = 30.0
-FAULT_REPEAT_S = 60.0
+INITIAL_FETCH_PEERS = 3
+WANTED_VERSION_TTL_S = 30.0
+FAULT_REPEAT_INTERVAL_S = 60.0
 
 
 STORE = "store"
@@ -34,11 +35,12 @@
 
 
 class ConfigurationSpread:
-    """One VM's part in spreading the catalogue.
+    """One VM's part in replicating the catalogue.
 
-    :param vm: this VM.
-    :param data_centre: this VM's.
-    :param check: says what is wrong with a document, or None.
+    :param vm: name of this VM.
+    :param data_centre: data centre of this VM.
+    :param check: describes the error in a document and version; returns None
+        for a valid document.
     """
 
     __slots__ = (
@@ -64,41 +66,43 @@
         rng: random.Random,
         vm: str,
         data_centre: str,
-        check: Check = lambda document, version: None,
+        check: DocumentCheck = lambda document, version: None,
     ) -> None:
         self._clock = clock
         self._rng = rng
         self._vm = vm
         self._data_centre = data_centre
         self._check = check
-        self._versions = versions.Versions()
-        self._view: views.View | None = None
+        self._versions = versions.CatalogueVersions()
+        self._view: fleet_view.View | None = None
         self._watching = False
         self._wanted = 0
         self._wanted_until = float("-inf")
-        # VM that is asked, and until when its answer is waited for.
+        # Deadline of each fetch in progress, by the VM that was asked.
         self._fetching: dict[str, float] = {}
         self._retry_at = float("-inf")
-        # Versions of bad form, not to be fetched again.
+        # Versions of invalid documents, which are not fetched again.
         self._rejected: set[int] = set()
         self._reported: dict[tuple[type, int, str], float] = {}
 
     @property
-    def in_force(self) -> versions.InForce:
-        """What this VM goes by; version 0: nothing yet."""
+    def in_force(self) -> versions.CatalogueInForce:
+        """The catalogue in force; its version is 0 before the first one."""
         return self._versions.in_force
 
     @property
     def watching(self) -> bool:
-        """Whether this VM holds the store's watch."""
+        """Whether this VM holds a watch on the store."""
         return self._watching
 
-    def look(self, view: views.View) -> Actions:
-        """Take in a view: who watches now, whom to fetch from."""
+    def look(self, view: fleet_view.View) -> Actions:
+        """Update the watchers and the peers to fetch from."""
         self._view = view
         names = view.names(self._data_centre)
         key = f"watch/{self._data_centre}"
-        watching = self._vm in rendezvous.rank(key, names)[:WATCHERS]
+        watching = (
+            self._vm in rendezvous.rank(key, names)[:WATCHERS_PER_DATA_CENTRE]
+        )
         if watching == self._watching:
             return []
         self._watching = watching
@@ -111,7 +115,7 @@
         ]
 
     def tick(self) -> Actions:
-        """Fetches that are due; a VM without any catalogue asks several."""
+        """Start fetches that are due; several if there is no catalogue yet."""
         now = self._clock.now()
         self._fetching = {
             vm: until for vm, until in self._fetching.items() if until > now
@@ -119,25 +123,26 @@
         if self._fetching or now < self._retry_at:
             return []
         if self._versions.in_force.version == 0:
-            return self._fetch(START_PEERS)
-        if self._lags() and now < self._wanted_until:
+            return self._fetch(INITIAL_FETCH_PEERS)
+        if self._is_behind() and now < self._wanted_until:
             return self._fetch(1)
         return []
 
     def heard(self, version: int, digest: int, via: str) -> Actions:
-        """A peer mentioned a version that is in force at it."""
+        """Handle a peer's mention of the version in force there."""
         ours = self._versions.in_force
         if version == ours.version and digest != ours.digest and version:
-            return self._clash(version, via)
-        if not self._is_news(version):
+            return self._report_clash(version, via)
+        if not self._is_newer(version):
             return []
-        self._want(version)
+        self._set_wanted(version)
         return [] if self._fetching else self._fetch_from([via])
 
     def rumoured(self, rumour: pb.Rumour, via: str) -> Actions:
-        """A catalogue rumour was delivered; it may carry the change.
+        """Handle a catalogue rumour, which may carry the change.
 
-        :param via: who passed it on; it may not have the version yet.
+        :param via: the VM that passed it on, which may not have the version
+            yet.
         """
         catalogue = rumour.catalogue
         ours = self._versions.in_force
@@ -146,65 +151,72 @@
             ours.version,
             ours.digest,
         )
-        newer = self._is_news(catalogue.version)
+        newer = self._is_newer(catalogue.version)
         if newer and delta.base_version and fits:
-            return self._take(delta, via)
+            return self._receive_document(delta, via)
         return self.heard(catalogue.version, catalogue.digest, via)
 
     def answered(self, vm: str, answer: pb.CatalogueDocument) -> Actions:
-        """What a peer gave to a fetch."""
+        """Handle a peer's answer to a fetch."""
         self._fetching.pop(vm, None)
-        found = self._take(answer, vm)
-        if self._lags():
+        result = self._receive_document(answer, vm)
+        if self._is_behind():
             self._retry_at = self._clock.now() + FETCH_RETRY_S
         elif self._versions.in_force.version == 0:
             self._retry_at = self._clock.now() + FETCH_TIMEOUT_S
-        return found
+        return result
 
     def fetch_failed(self, vm: str) -> None:
-        """No answer came; another peer is asked at a later tick."""
+        """Note a failed fetch; a later tick asks a random peer."""
         self._fetching.pop(vm, None)
         self._retry_at = self._clock.now() + FETCH_RETRY_S
 
     def stored(self, version: int, document: Document | None) -> Actions:
-        """What the store holds; None when there is no such object.
+        """Handle the catalogue read from the store.
 
-        :param version: of the object; 0 when there is none.
+        :param version: version of the object; 0 when there is none.
+        :param document: content of the object; None when there is none.
         """
         ours = self._versions.in_force
         if version < ours.version or document is None:
-            return self._behind(version) if ours.version else []
+            return self._report_store_behind(version) if ours.version else []
         digest = deltas.digest_of(document)
         if version == ours.version:
-            return [] if digest == ours.digest else self._clash(version, STORE)
+            return (
+                []
+                if digest == ours.digest
+                else self._report_clash(version, STORE)
+            )
         return self._adopt(version, digest, document, STORE)
 
     def serve(self, request: pb.FetchCatalogue) -> pb.CatalogueDocument:
-        """The answer to a peer's fetch."""
-        return self._versions.serve(request)
+        """Answer a peer's fetch."""
+        return self._versions.answer_fetch(request)
 
-    def _is_news(self, version: int) -> bool:
+    def _is_newer(self, version: int) -> bool:
         return version > self._versions.in_force.version and (
             version not in self._rejected
         )
 
-    def _lags(self) -> bool:
-        return self._is_news(self._wanted)
+    def _is_behind(self) -> bool:
+        return self._is_newer(self._wanted)
 
-    def _want(self, version: int) -> None:
-        # Given up after a while: its holders may all be lost, and as long
-        # as there are any, their messages mention it again.
+    def _set_wanted(self, version: int) -> None:
+        # A wanted version expires, as all VMs that have it may be lost. While
+        # there are any, their messages mention the version again.
         self._wanted = max(self._wanted, version)
-        self._wanted_until = self._clock.now() + WANTED_S
+        self._wanted_until = self._clock.now() + WANTED_VERSION_TTL_S
 
-    def _take(self, heard: pb.CatalogueDocument, via: str) -> Actions:
+    def _receive_document(
+        self, heard: pb.CatalogueDocument, via: str
+    ) -> Actions:
         ours = self._versions.in_force
-        if not self._is_news(heard.version):
+        if not self._is_newer(heard.version):
             clash = heard.version == ours.version != 0
             if clash and heard.digest != ours.digest:
-                return self._clash(heard.version, via)
+                return self._report_clash(heard.version, via)
             return []
-        self._want(heard.version)
+        self._set_wanted(heard.version)
         try:
             document = self._versions.decode(heard)
         except ValueError as error:
@@ -215,7 +227,7 @@
         if document is None:
             return self._fetch_from([via])
         if deltas.digest_of(document) != heard.digest:
-            # The next fetch goes to another peer.
+            # The next fetch goes to a random peer.
             detail = "the document does not match its digest"
             return self._report(
                 spread_actions.Invalid(heard.version, via, detail)
@@ -225,20 +237,21 @@
     def _adopt(
         self, version: int, digest: int, document: Document, source: str
     ) -> Actions:
-        if not self._is_news(version):
+        if not self._is_newer(version):
             return []
         wrong = self._check(document, version)
         if wrong is not None:
-            # Remembered, or it would be fetched again and again.
+            # The version is remembered, or it would be fetched again and
+            # again.
             self._rejected.add(version)
             return self._report(spread_actions.Invalid(version, source, wrong))
         rumour = self._versions.adopt(version, digest, document)
-        found: Actions = [spread_actions.Apply(version, digest, document)]
-        if source == STORE or self._is_elsewhere(source):
-            found.append(spread_actions.Announce(rumour))
-        return found
+        result: Actions = [spread_actions.Apply(version, digest, document)]
+        if source == STORE or self._is_remote(source):
+            result.append(spread_actions.Announce(rumour))
+        return result
 
-    def _is_elsewhere(self, vm: str) -> bool:
+    def _is_remote(self, vm: str) -> bool:
         if self._view is None:
             return False
         member = self._view.members.get(vm)
@@ -253,17 +266,19 @@
 
     def _fetch_from(self, vms: list[str]) -> Actions:
         until = self._clock.now() + FETCH_TIMEOUT_S
-        found: Actions = []
+        result: Actions = []
         for vm in vms:
             address = self._address_of(vm)
             if address:
                 self._fetching[vm] = until
-                found.append(
-                    spread_actions.FetchFrom(vm, address, self._question())
+                result.append(
+                    spread_actions.FetchFrom(
+                        vm, address, self._fetch_request()
+                    )
                 )
-        return found
+        return result
 
-    def _question(self) -> pb.FetchCatalogue:
+    def _fetch_request(self) -> pb.FetchCatalogue:
         return pb.FetchCatalogue(
             have_version=self._versions.in_force.version,
             have_digest=self._versions.in_force.digest,
@@ -281,14 +296,14 @@
         )
         return known[vm].peers_address if vm in known else ""
 
-    def _behind(self, version: int) -> Actions:
+    def _report_store_behind(self, version: int) -> Actions:
         detail = (
             f"the store holds version {version}, older than version "
             f"{self._versions.in_force.version} in force; that one stays"
         )
         return self._report(spread_actions.StoreBehind(version, STORE, detail))
 
-    def _clash(self, version: int, source: str) -> Actions:
+    def _report_clash(self, version: int, source: str) -> Actions:
         detail = f"{source} has another document as version {version}"
         return self._report(
             spread_actions.DigestClash(version, source, detail)
@@ -297,12 +312,15 @@
     def _report(self, fault: spread_actions.Fault) -> Actions:
         key = (type(fault), fault.version, fault.source)
         now = self._clock.now()
-        if now < self._reported.get(key, float("-inf")) + FAULT_REPEAT_S:
+        if (
+            now
+            < self._reported.get(key, float("-inf")) + FAULT_REPEAT_INTERVAL_S
+        ):
             return []
         self._reported = {
             known: at
             for known, at in self._reported.items()
-            if at + FAULT_REPEAT_S > now
+            if at + FAULT_REPEAT_INTERVAL_S > now
         }
         self._reported[key] = now
         return [fault]
--- a/src/apricotlever/vms/spread_actions.py
+++ b/src/apricotlever/vms/spread_actions.py
@@ -1,29 +1,35 @@
-"""What :class:`~.spread.ConfigurationSpread` asks its owner to do."""
+"""Actions that the catalogue replicator asks its owner to take."""
 
 from . import deltas
 from ..links import peer_pb2 as pb
 
 
 class SpreadAction:
-    """Any of the below."""
+    """Base class of the actions."""
 
     __slots__ = ()
 
 
 class Watch(SpreadAction):
-    """Read the object, then watch it; report by ``stored``."""
+    """Read the object from the store, then watch it.
+
+    Each result is passed to ``receive_stored``.
+    """
 
     __slots__ = ()
 
 
 class StopWatching(SpreadAction):
-    """This VM watches no longer."""
+    """Stop watching the store."""
 
     __slots__ = ()
 
 
 class FetchFrom(SpreadAction):
-    """Call Fetch at a peer; report by ``answered`` or ``fetch_failed``."""
+    """Call Fetch at a peer.
+
+    The result is passed to ``receive_answer`` or ``fetch_failed``.
+    """
 
     __slots__ = ("vm", "address", "message")
 
@@ -36,9 +42,9 @@
 
 
 class Apply(SpreadAction):
-    """This is in force from now on.
+    """Put a document in force.
 
-    Its version and digest also go to ``Membership.set_catalogue``.
+    Its version and digest are also passed to ``Membership.set_catalogue``.
     """
 
     __slots__ = ("version", "digest", "document")
@@ -52,7 +58,7 @@
 
 
 class Announce(SpreadAction):
-    """Give the rumour to membership's ``announce``."""
+    """Pass a rumour to ``Membership.announce``."""
 
     __slots__ = ("rumour",)
 
@@ -61,11 +67,11 @@
 
 
 class Fault(SpreadAction):
-    """Something an operator has to know of; nothing was taken over.
+    """A fault reported to operators; the catalogue in force is unchanged.
 
-    :param version: the version that came.
-    :param source: "store" or the VM that sent it.
-    :param detail: one sentence.
+    :param version: version that was received.
+    :param source: "store" or the name of the VM that sent it.
+    :param detail: description of the fault in one sentence.
     """
 
     __slots__ = ("version", "source", "detail")
@@ -77,21 +83,21 @@
 
 
 class StoreBehind(Fault):
-    """The store went back to an older version, as after a restore.
+    """The store holds an older version, as after a restore of a backup.
 
-    What is in force stays.
+    The catalogue in force stays.
     """
 
     __slots__ = ()
 
 
 class DigestClash(Fault):
-    """Two documents carry one version number; the one in force stays."""
+    """Two documents have one version number; the one in force stays."""
 
     __slots__ = ()
 
 
 class Invalid(Fault):
-    """A document of a newer version is of bad form; the old one stays."""
+    """The document of a newer version is invalid; the old one stays."""
 
     __slots__ = ()
--- a/src/apricotlever/vms/summaries.py
+++ b/src/apricotlever/vms/summaries.py
@@ -1,7 +1,8 @@
-"""Data centres as seen from outside, in a fleet too large for one view.
+"""Summaries of data centres, for a fleet too large for a full view.
 
-The first gateway of a data centre issues its summary; gateways exchange
-summaries among each other, and the rest get them with the whole view.
+The first gateway of a data centre issues its summary. Gateways exchange
+summaries with each other; the other VMs get a few with each gossip message and
+more with the exchange of views.
 """
 
 import random
@@ -14,12 +15,12 @@
 from . import rumours
 from . import timing as timings
 
-KIN_MAX = 16
+OWN_GATEWAYS_MAX = 16
 _MS = 1000.0
 
 
-class _Known:
-    """A summary and when it was issued, by our own clock."""
+class _ReceivedSummary:
+    """A summary and the time of its issue by the local clock."""
 
     __slots__ = ("summary", "issued_at", "sent")
 
@@ -29,7 +30,7 @@
         self.sent = 0
 
     def copy(self, now: float) -> pb.DataCentreSummary:
-        """The summary with the age that it has by now; counts as sent."""
+        """Copy the summary with its current age, and count it as sent."""
         self.sent += 1
         copy = pb.DataCentreSummary()
         copy.CopyFrom(self.summary)
@@ -38,10 +39,10 @@
 
 
 class Summaries:
-    """Summaries of all data centres, and VMs to reach each by.
+    """Summaries of all data centres, and VMs by which each is reachable.
 
-    :param data_centre: this VM's own.
-    :param region: this VM's own.
+    :param data_centre: data centre of this VM.
+    :param region: region of this VM.
     """
 
     __slots__ = (
@@ -52,8 +53,8 @@
         "_region",
         "_known",
         "_contacts",
-        "_kin",
-        "_round",
+        "_own_gateways",
+        "_remaining_round",
     )
 
     def __init__(
@@ -69,10 +70,10 @@
         self._timing = timing
         self._data_centre = data_centre
         self._region = region
-        self._known: dict[str, _Known] = {}
+        self._known: dict[str, _ReceivedSummary] = {}
         self._contacts: dict[str, pb.Member] = {}
-        self._kin: dict[str, pb.Member] = {}
-        self._round: list[str] = []
+        self._own_gateways: dict[str, pb.Member] = {}
+        self._remaining_round: list[str] = []
 
     @property
     def fresh(self) -> typing.Mapping[str, pb.DataCentreSummary]:
@@ -86,21 +87,21 @@
 
     @property
     def others(self) -> list[str]:
-        """Every other data centre ever heard of."""
+        """Names of all other data centres seen so far."""
         names = set(self._known) | set(self._contacts)
         return sorted(names - {self._data_centre})
 
     @property
     def kin(self) -> list[pb.Member]:
-        """Gateways that some summary named for our own data centre.
+        """Gateways that received summaries name for the own data centre.
 
         VMs of one data centre that do not know each other yet each issue a
-        summary of it; by these names they find together.
+        summary of it. They discover each other by these gateways.
         """
-        return list(self._kin.values())
+        return list(self._own_gateways.values())
 
-    def elsewhere(self) -> int:
-        """Members in other data centres, by fresh summaries."""
+    def count_remote_members(self) -> int:
+        """Number of members in other data centres, by fresh summaries."""
         return sum(
             summary.members
             for name, summary in self.fresh.items()
@@ -108,28 +109,30 @@
         )
 
     def merge(self, summary: pb.DataCentreSummary) -> bool:
-        """Take in a summary.
+        """Merge a summary.
 
         :returns: whether it was newer than the one known.
         """
         if summary.data_centre == self._data_centre:
             newest = {gateway.vm: gateway for gateway in summary.gateways}
-            kept = list({**self._kin, **newest}.items())
-            self._kin = dict(kept[-KIN_MAX:])
+            kept = list({**self._own_gateways, **newest}.items())
+            self._own_gateways = dict(kept[-OWN_GATEWAYS_MAX:])
         known = self._known.get(summary.data_centre)
         if known is not None and known.summary.version >= summary.version:
             return False
-        self._known[summary.data_centre] = _Known(summary, self._clock.now())
+        self._known[summary.data_centre] = _ReceivedSummary(
+            summary, self._clock.now()
+        )
         return True
 
-    def met(self, member: pb.Member) -> None:
-        """A VM of another data centre spoke to us."""
+    def note_contact(self, member: pb.Member) -> None:
+        """Note a VM of another data centre that has sent a message."""
         self._contacts[member.data_centre] = member
 
-    def gateway_names(self, live: typing.Iterable[pb.Member]) -> list[str]:
-        """The gateways of this data centre, first one first.
+    def rank_gateways(self, live: typing.Iterable[pb.Member]) -> list[str]:
+        """Names of this data centre's gateways, in order of rank.
 
-        :param live: its members that take work, this VM included.
+        :param live: its live members that are not leaving, this VM included.
         """
         names = [member.vm for member in live]
         key = f"gateway/{self._data_centre}"
@@ -138,9 +141,10 @@
     def issue_if_due(
         self, members: list[pb.Member], gateways: list[str]
     ) -> None:
-        """The first gateway renews its data centre's summary.
+        """Renew the summary of this data centre if it is due.
 
-        :param members: live members here, this VM included.
+        :param members: live members of this data centre, this VM included.
+        :param gateways: names of its gateways.
         """
         known = self._known.get(self._data_centre)
         if known is not None and not self._issue_due(known, gateways):
@@ -161,48 +165,53 @@
         )
 
     def pick(self, room_bytes: int) -> list[pb.DataCentreSummary]:
-        """Our own summary and the least-sent others for one message."""
-        order = sorted(self._least_sent(), key=self._is_elsewhere)
-        return self._fitting(order, room_bytes)
+        """Select the own and the least-sent other summaries for a message.
+
+        :param room_bytes: upper bound of their total size.
+        """
+        order = sorted(self._by_send_count(), key=self._is_of_other)
+        return self._fit(order, room_bytes)
 
-    def pick_few(self, count: int) -> list[pb.DataCentreSummary]:
-        """The least-sent ones."""
+    def pick_least_sent(self, count: int) -> list[pb.DataCentreSummary]:
+        """Select the summaries sent least often."""
         now = self._clock.now()
-        return [known.copy(now) for known in self._least_sent()[:count]]
+        return [known.copy(now) for known in self._by_send_count()[:count]]
 
-    def _is_elsewhere(self, known: _Known) -> bool:
+    def _is_of_other(self, known: _ReceivedSummary) -> bool:
         return known.summary.data_centre != self._data_centre
 
-    def _least_sent(self) -> list[_Known]:
+    def _by_send_count(self) -> list[_ReceivedSummary]:
         return sorted(
             (self._known[name] for name in self.fresh),
             key=lambda known: (known.sent, -known.issued_at),
         )
 
-    def _fitting(
-        self, order: list[_Known], room_bytes: int
+    def _fit(
+        self, order: list[_ReceivedSummary], room_bytes: int
     ) -> list[pb.DataCentreSummary]:
         now = self._clock.now()
         picked = []
         for known in order:
-            room_bytes -= rumours.size_bytes(known.summary)
+            room_bytes -= rumours.embedded_size_bytes(known.summary)
             if room_bytes < 0:
                 break
             picked.append(known.copy(now))
         return picked
 
     def next_data_centre(self) -> str | None:
-        """The data centre to speak to next, in shuffled rounds."""
-        if not self._round:
-            self._round = self.others
-            self._rng.shuffle(self._round)
-        return self._round.pop() if self._round else None
+        """The next data centre to contact, in shuffled rounds."""
+        if not self._remaining_round:
+            self._remaining_round = self.others
+            self._rng.shuffle(self._remaining_round)
+        return self._remaining_round.pop() if self._remaining_round else None
 
     def gateway_of(self, data_centre: str) -> pb.Member | None:
-        """Some VM there to speak to.
+        """Pick a VM by which a data centre can be contacted.
+
+        All gateways of a stale summary may have ended. The VM of that data
+        centre that last sent a message is then a candidate, too.
 
-        A stale summary's gateways may all be gone; the VM that spoke to us
-        last is then another way in.
+        :returns: None when no VM there is known.
         """
         known = self._known.get(data_centre)
         ways = list(known.summary.gateways) if known is not None else []
@@ -211,7 +220,7 @@
             ways.append(contact)
         return self._rng.choice(ways) if ways else None
 
-    def _issue_due(self, known: _Known, gateways: list[str]) -> bool:
+    def _issue_due(self, known: _ReceivedSummary, gateways: list[str]) -> bool:
         age_s = self._clock.now() - known.issued_at
         listed = [member.vm for member in known.summary.gateways]
         return age_s >= self._timing.summary_interval_s or listed != gateways
--- a/src/apricotlever/vms/versions.py
+++ b/src/apricotlever/vms/versions.py
@@ -1,4 +1,4 @@
-"""The catalogue in force at one VM, and how it gives it to others."""
+"""The catalogue in force at one VM, and its encoding for peers."""
 
 import json
 import typing
@@ -9,12 +9,12 @@
 Document = deltas.Document
 
 RUMOUR_LIFETIME_MS = 30_000
-# A change up to this size rides on the rumour; a larger one is fetched.
+# A change up to this size is sent with the rumour; a larger one is fetched.
 DELTA_BYTES_MAX = 600
 
 
-class InForce:
-    """The catalogue that this VM goes by."""
+class CatalogueInForce:
+    """The catalogue in force, with its version and digest."""
 
     __slots__ = ("version", "digest", "document")
 
@@ -24,21 +24,21 @@
         self.document = document
 
 
-NOTHING = InForce(0, 0, {})
+NO_CATALOGUE = CatalogueInForce(0, 0, {})
 
 
-class Versions:
-    """The document in force and the last changes that led to it."""
+class CatalogueVersions:
+    """The catalogue in force and the last changes that led to it."""
 
-    __slots__ = ("_in_force", "_steps")
+    __slots__ = ("_in_force", "_deltas")
 
     def __init__(self) -> None:
-        self._in_force = NOTHING
-        self._steps = deltas.Steps()
+        self._in_force = NO_CATALOGUE
+        self._deltas = deltas.DeltaHistory()
 
     @property
-    def in_force(self) -> InForce:
-        """What this VM goes by; version 0: nothing yet."""
+    def in_force(self) -> CatalogueInForce:
+        """The catalogue in force; its version is 0 before the first one."""
         return self._in_force
 
     def adopt(
@@ -46,20 +46,20 @@
     ) -> pb.Rumour:
         """Put a document in force.
 
-        :returns: a rumour of it, with the change when that is small.
+        :returns: a rumour that announces it, with the change if that is small.
         """
         old = self._in_force
-        self._in_force = InForce(version, digest, document)
-        return self._rumour(old, self._remember_step(old, document))
+        self._in_force = CatalogueInForce(version, digest, document)
+        return self._rumour(old, self._remember_delta(old, document))
 
-    def serve(self, request: pb.FetchCatalogue) -> pb.CatalogueDocument:
-        """The answer to a peer's fetch."""
+    def answer_fetch(self, request: pb.FetchCatalogue) -> pb.CatalogueDocument:
+        """Answer a peer's fetch with a delta if that is smaller."""
         ours = self._in_force
         answer = pb.CatalogueDocument(version=ours.version, digest=ours.digest)
         has = (request.have_version, request.have_digest)
         if has == (ours.version, ours.digest) or not ours.version:
             return answer
-        changes = self._steps.since(*has)
+        changes = self._deltas.changes_since(*has)
         whole = deltas.canonical(ours.document)
         if changes is not None and _size(changes) < len(whole):
             answer.base_version, answer.base_digest = has
@@ -68,38 +68,41 @@
             answer.whole = whole
         return answer
 
-    def decode(self, heard: pb.CatalogueDocument) -> Document | None:
-        """The document that a peer gave.
+    def decode(self, received: pb.CatalogueDocument) -> Document | None:
+        """Decode the document in a peer's message.
 
-        :returns: None for a delta against a version that is not ours.
-        :raises ValueError: not readable.
+        :returns: None for a delta whose base is not the version in force.
+        :raises ValueError: when the document can't be decoded.
         """
         ours = self._in_force
-        if heard.whole:
-            document = json.loads(heard.whole)
+        if received.whole:
+            document = json.loads(received.whole)
             if not isinstance(document, dict):
                 raise ValueError("not a JSON object")
             return document
-        base = (heard.base_version, heard.base_digest)
-        if not heard.base_version or base != (ours.version, ours.digest):
+        base = (received.base_version, received.base_digest)
+        if not received.base_version or base != (ours.version, ours.digest):
             return None
-        return deltas.patched(ours.document, heard.changes)
+        return deltas.apply_changes(ours.document, received.changes)
 
-    def _remember_step(
-        self, old: InForce, document: Document
+    def _remember_delta(
+        self, old: CatalogueInForce, document: Document
     ) -> list[pb.CatalogueChange] | None:
-        if not old.version or not deltas.comparable(old.document, document):
-            self._steps.clear()
+        if not old.version or not deltas.can_express_change(
+            old.document, document
+        ):
+            self._deltas.clear()
             return None
-        changes = deltas.difference(old.document, document)
-        self._steps.add(old.version, old.digest, changes)
+        changes = deltas.compute_changes(old.document, document)
+        self._deltas.add(old.version, old.digest, changes)
         return changes
 
     def _rumour(
-        self, old: InForce, changes: list[pb.CatalogueChange] | None
+        self, old: CatalogueInForce, changes: list[pb.CatalogueChange] | None
     ) -> pb.Rumour:
-        # For this data centre only: each has watchers of its own, and its
-        # gateways hear of the version from others when those are cut off.
+        # The rumour's scope is this data centre only: each one has watchers of
+        # its own. When these are cut off from the store, its gateways learn of
+        # the version from other gateways.
         ours = self._in_force
         rumour = pb.Rumour(
             scope=pb.SCOPE_DATA_CENTRE,
--- a/src/apricotlever/vms/view.py
+++ b/src/apricotlever/vms/view.py
@@ -1,4 +1,4 @@
-"""A VM's view of the fleet at one moment."""
+"""A snapshot of the fleet as one VM knows it."""
 
 import typing
 
@@ -9,8 +9,8 @@
 class View:
     """Members that are not dead, this VM included.
 
-    In a small fleet that is all of it. In a large one it is this VM's own
-    data centre, and ``summaries`` tell of the others.
+    In a small fleet these are all members. In a large fleet they are those of
+    this VM's data centre, and ``summaries`` describe the other data centres.
 
     :param me: this VM's own record.
     :param members: records by name.
@@ -40,16 +40,16 @@
 
     @property
     def data_centres(self) -> list[str]:
-        """Those with at least one live member that is known."""
+        """Data centres with at least one known live member."""
         return sorted(
             {member.data_centre for member in self.members.values()}
             | set(self.summaries)
         )
 
     def serving(self, data_centre: str | None = None) -> list[pb.Member]:
-        """Members that take new work, by name.
+        """Members that take new work, ordered by name.
 
-        :param data_centre: only there; None for all that are seen.
+        :param data_centre: data centre to restrict to; None for all in view.
         """
         return [
             member
@@ -63,10 +63,10 @@
         return [member.vm for member in self.serving(data_centre)]
 
     def entries(self) -> list[pb.Member]:
-        """Members to name to callers.
+        """Members whose addresses are given to callers.
 
-        All seen that take new work, and the gateways of the data centres
-        that are seen by summary only.
+        These are all known members that take new work, and the gateways of the
+        data centres known by summary only.
         """
         here = self.serving()
         seen = {member.data_centre for member in self.members.values()}
--- a/tests/steps/vms_rumours.py
+++ b/tests/steps/vms_rumours.py
@@ -134,7 +134,7 @@
     def check(copies):
         clock = clocks.ManualClock()
         source = rumours.Rumours(clock, "a", 1)
-        held = rumours.Rumours(clock, "b", 1)
+        receiver = rumours.Rumours(clock, "b", 1)
         start = clock.now()
         made = [
             source.stamp(
@@ -151,9 +151,9 @@
             copy = pb.Rumour()
             copy.CopyFrom(made[number])
             copy.age_ms = int((clock.now() - start) * 1000)
-            taken[number] += held.take(copy, "a")
-            held.purge()
-            for passed_on in held.pick(10_000, 99, "c"):
+            taken[number] += receiver.receive(copy, "a")
+            receiver.purge()
+            for passed_on in receiver.pick(10_000, 99, "c"):
                 age_s = clock.now() - start
                 assert abs(passed_on.age_ms / 1000 - age_s) < 0.01
                 assert age_s < lifetime_s
