--- a/src/apricotlever/vms/aggregators.py
+++ b/src/apricotlever/vms/aggregators.py
@@ -86,11 +86,11 @@
 
     def set_candidates(self, vms: typing.Iterable[str]) -> None:
         """Set the VMs of this data centre that may be aggregators."""
-        found = frozenset(vms)
-        if found == self._candidates:
+        candidates = frozenset(vms)
+        if candidates == self._candidates:
             return
-        self._candidates = found
-        self._aggregators = select_aggregators(found)
+        self._candidates = candidates
+        self._aggregators = select_aggregators(candidates)
         # All other VMs follow the aggregators. When all aggregators end
         # together, excluding them one by one is faster than detecting that
         # they have ended.
@@ -98,7 +98,7 @@
             dict.fromkeys(
                 [
                     *rendezvous.rank(self._vm, self._aggregators),
-                    *rendezvous.rank(RANK_KEY, found - {self._vm}),
+                    *rendezvous.rank(RANK_KEY, candidates - {self._vm}),
                 ]
             )
         )
@@ -126,8 +126,10 @@
     @property
     def _eligible(self) -> list[str]:
         """Candidates that are not excluded; all if each one is excluded."""
-        left = [vm for vm in self._ranked if vm not in self._excluded_until]
-        return left or self._ranked
+        eligible = [
+            vm for vm in self._ranked if vm not in self._excluded_until
+        ]
+        return eligible or self._ranked
 
     def _select(self) -> None:
         """Use the first eligible candidate."""
--- a/src/apricotlever/vms/collector.py
+++ b/src/apricotlever/vms/collector.py
@@ -305,8 +305,8 @@
             there: all VMs of a starting fleet ask the few VMs whose addresses
             they know.
         """
-        here = data_centre == own.data_centre
-        living = self._relay.live_records("" if here else data_centre)
+        is_local = data_centre == own.data_centre
+        records = self._relay.live_records("" if is_local else data_centre)
         return [
             aggregates.Aggregate(
                 own.vm,
@@ -318,7 +318,7 @@
                 self._relay.ages(entries),
             )
             for entries in _batches(
-                living, fleet_entries.MAX_RECORDS_PER_MESSAGE
+                records, fleet_entries.MAX_RECORDS_PER_MESSAGE
             )
         ]
 
--- a/src/apricotlever/vms/fleet_news.py
+++ b/src/apricotlever/vms/fleet_news.py
@@ -246,12 +246,18 @@
         """Handle an aggregate, whose entries the table already has."""
         if not aggregate.whole:
             self._aggregation.receive_aggregate(aggregate)
-            is_unknown = aggregate.vm not in self._aggregators
-            place = self._table.data_centre(aggregate.vm)
-            if is_unknown and place and self._may_answer_now(aggregate.vm):
+            is_unexpected = aggregate.vm not in self._aggregators
+            data_centre = self._table.data_centre(aggregate.vm)
+            if (
+                is_unexpected
+                and data_centre
+                and self._may_answer_now(aggregate.vm)
+            ):
                 # The sender knows so few VMs that it considers itself an
                 # aggregator.
-                return self._full_state_for(aggregate.peer_address, place)
+                return self._full_state_for(
+                    aggregate.peer_address, data_centre
+                )
         elif not aggregate.included:
             # An aggregator sends this in answer to this VM's first record.
             self._selector.record_message(aggregate.vm)
@@ -265,27 +271,31 @@
         whole = self._number % digests.WHOLE_EVERY == 0
         return Outgoing(self._next_record(whole), self._table.receivers())
 
-    def _records_for_aggregators(self, left: str = "") -> list[Outgoing]:
+    def _records_for_aggregators(self, former: str = "") -> list[Outgoing]:
         """Build records for the aggregators and for one silent address.
 
-        :param left: the aggregator that this VM has just left; "" for none.
+        :param former: aggregator that this VM has just left; "" for none.
         """
         whole = self._ticks % (2 * IDLE_TICKS) == 0
-        named = {self._selector.current, self._selector.fallback, left} - {
+        receiving_vms = {
+            self._selector.current,
+            self._selector.fallback,
+            former,
+        } - {
             "",
             self._vm,
         }
         outgoing = []
-        if named:
-            receivers = self._addresses(sorted(named))
+        if receiving_vms:
+            receivers = self._addresses(sorted(receiving_vms))
             outgoing.append(Outgoing(self._next_record(whole), receivers))
-        unheard = self._table.silent_addresses()
-        if unheard:
+        silent = self._table.silent_addresses()
+        if silent:
             # A record without an aggregator is answered. By this exchange the
             # parts of a partitioned fleet find each other again.
-            asking = self._next_record(True)
-            asking.aggregator = ""
-            outgoing.append(Outgoing(asking, [self._rng.choice(unheard)]))
+            request = self._next_record(True)
+            request.aggregator = ""
+            outgoing.append(Outgoing(request, [self._rng.choice(silent)]))
         return outgoing
 
     def _next_record(self, whole: bool) -> digests.Digest:
@@ -344,17 +354,17 @@
         if alive == self._live_data_centres:
             return
         self._live_data_centres = alive
-        by_place = dict[str, list[str]]()
-        for vm, place in [*alive.items(), (self._vm, self._data_centre)]:
-            by_place.setdefault(place, []).append(vm)
-        self._selector.set_candidates(by_place[self._data_centre])
-        found = set(
+        by_data_centre = dict[str, list[str]]()
+        for vm, data_centre in [*alive.items(), (self._vm, self._data_centre)]:
+            by_data_centre.setdefault(data_centre, []).append(vm)
+        self._selector.set_candidates(by_data_centre[self._data_centre])
+        selected = set(
             itertools.chain.from_iterable(
-                map(aggregators.select_aggregators, by_place.values())
+                map(aggregators.select_aggregators, by_data_centre.values())
             )
         )
         before = set(self._aggregators)
-        self._aggregators = sorted(found - {self._vm})
-        self._aggregation.relay.directory_sources = frozenset(found)
+        self._aggregators = sorted(selected - {self._vm})
+        self._aggregation.relay.directory_sources = frozenset(selected)
         if not before.issuperset(self._aggregators):
             self._aggregation.resend_records()
--- a/src/apricotlever/vms/learning.py
+++ b/src/apricotlever/vms/learning.py
@@ -91,16 +91,18 @@
         """
         members_known = len(self._state.roster.live) + 1
         limit = rumour_buffer.urgent_send_limit(members_known)
-        doubted = (self._downgrade_death(member, sender) for member in members)
-        return self.merge_members(doubted, sender, limit - FULL_VIEW_SENDS)
+        downgraded = (
+            self._downgrade_death(member, sender) for member in members
+        )
+        return self.merge_members(downgraded, sender, limit - FULL_VIEW_SENDS)
 
     def learn_rumours(
         self, rumours: typing.Iterable[pb.Rumour], via: str
     ) -> Actions:
         """Merge rumours; each one is delivered once."""
-        fresh = [r for r in rumours if self._state.rumours.receive(r, via)]
-        self.push_due |= any(map(rumour_buffer.is_urgent, fresh))
-        return [actions.Delivered(rumour, via) for rumour in fresh]
+        added = [r for r in rumours if self._state.rumours.receive(r, via)]
+        self.push_due |= any(map(rumour_buffer.is_urgent, added))
+        return [actions.Delivered(rumour, via) for rumour in added]
 
     def suspect(self, vm: str) -> Actions:
         """Declare a VM suspect, as it did not answer this one."""
@@ -111,14 +113,14 @@
         """Declare the suspects dead that did not refute in time."""
         now = self._clock.now()
         live = self._state.roster.live
-        late = [
+        expired = [
             live[vm]
             for vm, timer in self._suspicions.items()
             if timer.ends_at <= now and vm in live
         ]
         return [
             action
-            for member in late
+            for member in expired
             for action in self._declare(member, pb.VM_DEAD)
         ]
 
@@ -195,14 +197,17 @@
         return [actions.Refuted(member.suspected_by)]
 
     def _compare_catalogue(
-        self, heard: pb.CatalogueVersion, via: str
+        self, received: pb.CatalogueVersion, via: str
     ) -> Actions:
-        ours = self._state.catalogue or pb.CatalogueVersion()
-        news = heard.version > ours.version
-        clash = heard.version == ours.version and heard.digest != ours.digest
-        if not heard.version or not (news or clash):
+        current = self._state.catalogue or pb.CatalogueVersion()
+        is_newer = received.version > current.version
+        is_clash = (
+            received.version == current.version
+            and received.digest != current.digest
+        )
+        if not received.version or not (is_newer or is_clash):
             return []
-        return [actions.CatalogueHeard(heard.version, heard.digest, via)]
+        return [actions.CatalogueHeard(received.version, received.digest, via)]
 
     def _declare(self, member: pb.Member, state: pb.VmState) -> Actions:
         accuser = self._state.me.vm
--- a/src/apricotlever/vms/rumours.py
+++ b/src/apricotlever/vms/rumours.py
@@ -54,8 +54,8 @@
 
     :param members: size of the group.
     """
-    wanted = URGENT_SEND_FACTOR * max(1, math.ceil(math.log2(members + 1)))
-    return min(URGENT_SENDS_MAX, wanted)
+    sends = URGENT_SEND_FACTOR * max(1, math.ceil(math.log2(members + 1)))
+    return min(URGENT_SENDS_MAX, sends)
 
 
 def is_urgent(rumour: pb.Rumour) -> bool:
@@ -177,7 +177,7 @@
             rumours of fleet scope are selected then.
         """
         limits = routine_send_limit(members), urgent_send_limit(members)
-        wanted = sorted(
+        candidates = sorted(
             (
                 buffered
                 for buffered in self._buffered.values()
@@ -188,7 +188,7 @@
         )
         return [
             self._send(buffered, remote)
-            for buffered in _fit(wanted, room_bytes)
+            for buffered in _fit(candidates, room_bytes)
         ]
 
     def urgent_rumours(self, remote: bool = False) -> list[pb.Rumour]:
@@ -233,10 +233,10 @@
         return True
 
     def _drop_one(self) -> None:
-        calm = (
+        not_urgent = (
             i for i, buffered in self._buffered.items() if not buffered.urgent
         )
-        del self._buffered[next(calm, next(iter(self._buffered)))]
+        del self._buffered[next(not_urgent, next(iter(self._buffered)))]
 
     def _send(self, buffered: _BufferedRumour, remote: bool) -> pb.Rumour:
         if remote:
@@ -349,14 +349,14 @@
 
 
 def _fit(
-    wanted: typing.Sequence[_BufferedRumour], room_bytes: int
+    candidates: typing.Sequence[_BufferedRumour], room_bytes: int
 ) -> typing.Iterator[_BufferedRumour]:
-    if wanted and wanted[0].size > room_bytes:
+    if candidates and candidates[0].size > room_bytes:
         # A rumour larger than the room is sent on its own, as it could never
         # be sent otherwise.
-        yield wanted[0]
+        yield candidates[0]
         return
-    for buffered in wanted:
+    for buffered in candidates:
         if buffered.size <= room_bytes:
             room_bytes -= buffered.size
             yield buffered
--- a/src/apricotlever/vms/spread.py
+++ b/src/apricotlever/vms/spread.py
@@ -130,8 +130,8 @@
 
     def heard(self, version: int, digest: int, via: str) -> Actions:
         """Handle a peer's mention of the version in force there."""
-        ours = self._versions.in_force
-        if version == ours.version and digest != ours.digest and version:
+        current = self._versions.in_force
+        if version == current.version and digest != current.digest and version:
             return self._report_clash(version, via)
         if not self._is_newer(version):
             return []
@@ -145,11 +145,11 @@
             yet.
         """
         catalogue = rumour.catalogue
-        ours = self._versions.in_force
+        current = self._versions.in_force
         delta = catalogue.delta
         fits = (delta.base_version, delta.base_digest) == (
-            ours.version,
-            ours.digest,
+            current.version,
+            current.digest,
         )
         newer = self._is_newer(catalogue.version)
         if newer and delta.base_version and fits:
@@ -177,14 +177,16 @@
         :param version: version of the object; 0 when there is none.
         :param document: content of the object; None when there is none.
         """
-        ours = self._versions.in_force
-        if version < ours.version or document is None:
-            return self._report_store_behind(version) if ours.version else []
+        current = self._versions.in_force
+        if version < current.version or document is None:
+            return (
+                self._report_store_behind(version) if current.version else []
+            )
         digest = deltas.digest_of(document)
-        if version == ours.version:
+        if version == current.version:
             return (
                 []
-                if digest == ours.digest
+                if digest == current.digest
                 else self._report_clash(version, STORE)
             )
         return self._adopt(version, digest, document, STORE)
@@ -208,43 +210,43 @@
         self._wanted_until = self._clock.now() + WANTED_VERSION_TTL_S
 
     def _receive_document(
-        self, heard: pb.CatalogueDocument, via: str
+        self, received: pb.CatalogueDocument, via: str
     ) -> Actions:
-        ours = self._versions.in_force
-        if not self._is_newer(heard.version):
-            clash = heard.version == ours.version != 0
-            if clash and heard.digest != ours.digest:
-                return self._report_clash(heard.version, via)
+        current = self._versions.in_force
+        if not self._is_newer(received.version):
+            is_clash = received.version == current.version != 0
+            if is_clash and received.digest != current.digest:
+                return self._report_clash(received.version, via)
             return []
-        self._set_wanted(heard.version)
+        self._set_wanted(received.version)
         try:
-            document = self._versions.decode(heard)
+            document = self._versions.decode(received)
         except ValueError as error:
             detail = f"not readable: {error}"
             return self._report(
-                spread_actions.Invalid(heard.version, via, detail)
+                spread_actions.Invalid(received.version, via, detail)
             )
         if document is None:
             return self._fetch_from([via])
-        if deltas.digest_of(document) != heard.digest:
+        if deltas.digest_of(document) != received.digest:
             # The next fetch goes to a random peer.
             detail = "the document does not match its digest"
             return self._report(
-                spread_actions.Invalid(heard.version, via, detail)
+                spread_actions.Invalid(received.version, via, detail)
             )
-        return self._adopt(heard.version, heard.digest, document, via)
+        return self._adopt(received.version, received.digest, document, via)
 
     def _adopt(
         self, version: int, digest: int, document: Document, source: str
     ) -> Actions:
         if not self._is_newer(version):
             return []
-        wrong = self._check(document, version)
-        if wrong is not None:
+        error = self._check(document, version)
+        if error is not None:
             # The version is remembered, or it would be fetched again and
             # again.
             self._rejected.add(version)
-            return self._report(spread_actions.Invalid(version, source, wrong))
+            return self._report(spread_actions.Invalid(version, source, error))
         rumour = self._versions.adopt(version, digest, document)
         result: Actions = [spread_actions.Apply(version, digest, document)]
         if source == STORE or self._is_remote(source):
--- a/src/apricotlever/vms/summaries.py
+++ b/src/apricotlever/vms/summaries.py
@@ -169,8 +169,8 @@
 
         :param room_bytes: upper bound of their total size.
         """
-        order = sorted(self._by_send_count(), key=self._is_of_other)
-        return self._fit(order, room_bytes)
+        ordered = sorted(self._by_send_count(), key=self._is_of_other)
+        return self._fit(ordered, room_bytes)
 
     def pick_least_sent(self, count: int) -> list[pb.DataCentreSummary]:
         """Select the summaries sent least often."""
@@ -187,11 +187,11 @@
         )
 
     def _fit(
-        self, order: list[_ReceivedSummary], room_bytes: int
+        self, ordered: list[_ReceivedSummary], room_bytes: int
     ) -> list[pb.DataCentreSummary]:
         now = self._clock.now()
         picked = []
-        for known in order:
+        for known in ordered:
             room_bytes -= rumours.embedded_size_bytes(known.summary)
             if room_bytes < 0:
                 break
@@ -214,11 +214,11 @@
         :returns: None when no VM there is known.
         """
         known = self._known.get(data_centre)
-        ways = list(known.summary.gateways) if known is not None else []
+        candidates = list(known.summary.gateways) if known is not None else []
         contact = self._contacts.get(data_centre)
         if contact is not None and (data_centre not in self.fresh):
-            ways.append(contact)
-        return self._rng.choice(ways) if ways else None
+            candidates.append(contact)
+        return self._rng.choice(candidates) if candidates else None
 
     def _issue_due(self, known: _ReceivedSummary, gateways: list[str]) -> bool:
         age_s = self._clock.now() - known.issued_at
--- a/src/apricotlever/vms/versions.py
+++ b/src/apricotlever/vms/versions.py
@@ -54,15 +54,17 @@
 
     def answer_fetch(self, request: pb.FetchCatalogue) -> pb.CatalogueDocument:
         """Answer a peer's fetch with a delta if that is smaller."""
-        ours = self._in_force
-        answer = pb.CatalogueDocument(version=ours.version, digest=ours.digest)
-        has = (request.have_version, request.have_digest)
-        if has == (ours.version, ours.digest) or not ours.version:
+        current = self._in_force
+        answer = pb.CatalogueDocument(
+            version=current.version, digest=current.digest
+        )
+        base = (request.have_version, request.have_digest)
+        if base == (current.version, current.digest) or not current.version:
             return answer
-        changes = self._deltas.changes_since(*has)
-        whole = deltas.canonical(ours.document)
+        changes = self._deltas.changes_since(*base)
+        whole = deltas.canonical(current.document)
         if changes is not None and _size(changes) < len(whole):
-            answer.base_version, answer.base_digest = has
+            answer.base_version, answer.base_digest = base
             answer.changes.extend(changes)
         else:
             answer.whole = whole
@@ -74,16 +76,19 @@
         :returns: None for a delta whose base is not the version in force.
         :raises ValueError: when the document can't be decoded.
         """
-        ours = self._in_force
+        current = self._in_force
         if received.whole:
             document = json.loads(received.whole)
             if not isinstance(document, dict):
                 raise ValueError("not a JSON object")
             return document
         base = (received.base_version, received.base_digest)
-        if not received.base_version or base != (ours.version, ours.digest):
+        if not received.base_version or base != (
+            current.version,
+            current.digest,
+        ):
             return None
-        return deltas.apply_changes(ours.document, received.changes)
+        return deltas.apply_changes(current.document, received.changes)
 
     def _remember_delta(
         self, old: CatalogueInForce, document: Document
@@ -103,17 +108,17 @@
         # The rumour's scope is this data centre only: each one has watchers of
         # its own. When these are cut off from the store, its gateways learn of
         # the version from other gateways.
-        ours = self._in_force
+        current = self._in_force
         rumour = pb.Rumour(
             scope=pb.SCOPE_DATA_CENTRE,
             lifetime_ms=RUMOUR_LIFETIME_MS,
             replaces_key="catalogue",
         )
-        rumour.catalogue.version = ours.version
-        rumour.catalogue.digest = ours.digest
+        rumour.catalogue.version = current.version
+        rumour.catalogue.digest = current.digest
         if changes is not None and _size(changes) <= DELTA_BYTES_MAX:
             delta = rumour.catalogue.delta
-            delta.version, delta.digest = ours.version, ours.digest
+            delta.version, delta.digest = current.version, current.digest
             delta.base_version, delta.base_digest = old.version, old.digest
             delta.changes.extend(changes)
         return rumour
--- a/src/apricotlever/vms/view.py
+++ b/src/apricotlever/vms/view.py
@@ -68,12 +68,12 @@
         These are all known members that take new work, and the gateways of the
         data centres known by summary only.
         """
-        here = self.serving()
+        serving = self.serving()
         seen = {member.data_centre for member in self.members.values()}
-        beyond = [
+        gateways = [
             gateway
             for name, summary in sorted(self.summaries.items())
             if name not in seen
             for gateway in summary.gateways
         ]
-        return here + beyond
+        return serving + gateways
