--- a/src/apricotlever/vms/aggregates.py
+++ b/src/apricotlever/vms/aggregates.py
@@ -97,16 +97,16 @@
         return f"{self.vm}#{self.incarnation}"
 
     def to_record(self) -> list[typing.Any]:
-        """The fields in order."""
+        """Encode as a list of the fields in order."""
         record = [getattr(self, name) for name in self.__slots__]
         record[_ENTRIES_AT] = [entry.to_record() for entry in self.entries]
         return record
 
     @classmethod
     def from_record(cls, record: typing.Any) -> "Aggregate":
-        """The reverse of :meth:`to_record`.
+        """Decode the result of :meth:`to_record`.
 
-        :raises shapes.Misshapen: when it is no such record.
+        :raises shapes.Misshapen: when a field is missing or invalid.
         """
         fields = shapes.checked_record(_FIELDS, record)
         fields[_ENTRIES_AT] = [
@@ -162,14 +162,14 @@
         self.counts = counts
 
     def to_record(self) -> list[typing.Any]:
-        """The fields in order."""
+        """Encode as a list of the fields in order."""
         return [getattr(self, name) for name in self.__slots__]
 
     @classmethod
     def from_record(cls, record: typing.Any) -> "Tally":
-        """The reverse of :meth:`to_record`.
+        """Decode the result of :meth:`to_record`.
 
-        :raises shapes.Misshapen: when it is no such record.
+        :raises shapes.Misshapen: when a field is missing or invalid.
         """
         return cls(*shapes.checked_record(_TALLY_FIELDS, record))
 
--- a/src/apricotlever/vms/digests.py
+++ b/src/apricotlever/vms/digests.py
@@ -207,14 +207,14 @@
         )
 
     def to_record(self) -> list[typing.Any]:
-        """The fields in order."""
+        """Encode as a list of the fields in order."""
         return [getattr(self, name) for name in self.__slots__]
 
     @classmethod
     def from_record(cls, record: typing.Any) -> "Digest":
-        """The reverse of :meth:`to_record`.
+        """Decode the result of :meth:`to_record`.
 
-        :raises shapes.Misshapen: when it is no such record.
+        :raises shapes.Misshapen: when a field is missing or invalid.
         """
         return cls(*shapes.checked_record(_FIELDS, record))
 
--- a/src/apricotlever/vms/fleet_entries.py
+++ b/src/apricotlever/vms/fleet_entries.py
@@ -16,8 +16,8 @@
 SENDS_PER_CHANGE = 2
 #: Seconds within which each VM's record is repeated.
 RESEND_ROUND_S = 5.0
-#: Most changed records in an aggregate, and most records in a catch-up message,
-#: so that each fits into a datagram.
+#: Most changed records in an aggregate, and most records in a catch-up
+#: message, so that each fits into a datagram.
 MAX_RECORDS_PER_MESSAGE = 40
 #: Seconds without a sign of life after which a VM is not reported any more.
 LIVENESS_TIMEOUT_S = 1.6
--- a/tests/steps/vms_digests.py
+++ b/tests/steps/vms_digests.py
@@ -13,7 +13,7 @@
 
 
 class Vm:
-    """A VM with its table."""
+    """A VM with its peer table."""
 
     def __init__(self, clock, number, seed):
         self.name = f"vm-{number}"
@@ -26,8 +26,8 @@
             clock, random.Random(number), self.name, self.address, [seed]
         )
 
-    def digest(self):
-        """The next record."""
+    def next_record(self):
+        """Build the next record of this VM."""
         self.number += 1
         return digests.Digest(
             self.name,
@@ -51,93 +51,95 @@
             Vm(self.clock, n + 1, "10.0.0.1:7000") for n in range(count)
         ]
         self.by_address = {vm.address: vm for vm in self.vms}
-        #: Receiver and sender to the last time of a record, and the longest
-        #: pause between two.
-        self.last = {}
-        self.longest = {}
+        #: Time of the last record and longest pause between two records, by
+        #: receiver and sender.
+        self.received_at = {}
+        self.longest_pause = {}
 
     def run(self, seconds):
-        """Let all tell for a while."""
+        """Let all VMs exchange records for a time."""
         for _ in range(round(seconds / digests.INTERVAL_S)):
             for vm in self.vms:
                 if vm.silent:
                     continue
-                record = vm.digest().to_record()
+                record = vm.next_record().to_record()
                 for address in vm.table.receivers():
-                    self._note(address, vm)
+                    self._note_record(address, vm)
                     self.by_address[address].table.heard(
                         digests.Digest.from_record(record)
                     )
             self.clock.advance(digests.INTERVAL_S)
 
-    def _note(self, address, sender):
+    def _note_record(self, address, sender):
         pair = (address, sender.name)
         now = self.clock.now()
-        pause = now - self.last.get(pair, now)
-        self.last[pair] = now
-        self.longest[pair] = max(pause, self.longest.get(pair, 0.0))
+        pause = now - self.received_at.get(pair, now)
+        self.received_at[pair] = now
+        self.longest_pause[pair] = max(
+            pause, self.longest_pause.get(pair, 0.0)
+        )
 
 
-@given("{count:d} VMs of which only the first is in everybody's settings")
+@given("{count:d} VMs whose settings name only the first one")
 def _fleet(context, count):
     context.fleet = Fleet(count)
 
 
-@step("they tell each other for {seconds:d} seconds")
-def _tell(context, seconds):
+@step("they exchange records for {seconds:d} seconds")
+def _exchange(context, seconds):
     context.fleet.run(seconds)
 
 
 @when("VM {number:d} falls silent for {seconds:d} seconds")
-def _silent(context, number, seconds):
+def _fall_silent(context, number, seconds):
     context.fleet.vms[number - 1].silent = True
     context.fleet.run(seconds)
 
 
 @when("VM {number:d} leaves and falls silent for {seconds:d} seconds")
-def _leaves(context, number, seconds):
+def _leave_and_fall_silent(context, number, seconds):
     context.fleet.vms[number - 1].leaving = True
     context.fleet.run(1)
     context.fleet.vms[number - 1].silent = True
     context.fleet.run(seconds)
 
 
-@when("VM 2 restarts and a record of its former process comes late")
-def _restarts(context):
+@when("VM 2 restarts and a record of its former process arrives late")
+def _restart(context):
     one, two = context.fleet.vms
-    late = two.digest()
+    late = two.next_record()
     two.incarnation, two.number = 2, 0
-    assert one.table.heard(two.digest()).incarnation == 1
+    assert one.table.heard(two.next_record()).incarnation == 1
     one.table.heard(late)
 
 
-@when("VM 1 notices that it stood still")
-def _stood(context):
+@when("VM 1 detects that its process was paused")
+def _detect_pause(context):
     context.fleet.vms[0].table.silence()
 
 
-@then("each hears all others")
-def _all(context):
+@then("each peer table lists all others as alive")
+def _lists_all(context):
     for vm in context.fleet.vms:
         heard = {digest.vm for digest in vm.table.alive()}
         assert len(heard) == len(context.fleet.vms) - 1, (vm.name, heard)
 
 
-@then("VM 1 hears {heard:d} other and counts {members:d} members")
-def _counts(context, heard, members):
+@then("VM 1 counts {alive:d} other as alive and {members:d} as members")
+def _counts(context, alive, members):
     table = context.fleet.vms[0].table
-    assert len(table.alive()) == heard
+    assert len(table.alive()) == alive
     assert len(table.members()) == members
 
 
-@then("VM 1 knows the new process")
-def _new(context):
+@then("VM 1 has the record of the new process")
+def _has_new_process(context):
     (digest,) = context.fleet.vms[0].table.alive()
     assert digest.incarnation == 2
 
 
-@then("each knows all others as members")
-def _members(context):
+@then("each VM counts all others as members")
+def _counts_all_as_members(context):
     vms = context.fleet.vms
     for vm in vms:
         for other in vms:
@@ -145,15 +147,15 @@
             assert other is vm or vm.table.is_member(host), (vm, other)
 
 
-@when("they go on for {seconds:d} seconds")
-def _go_on(context, seconds):
-    context.fleet.longest.clear()
+@when("they exchange records for another {seconds:d} seconds")
+def _exchange_more(context, seconds):
+    context.fleet.longest_pause.clear()
     context.fleet.run(seconds)
 
 
-@then("no VM was silent to another one for over {seconds:f} seconds")
-def _regular(context, seconds):
-    longest = context.fleet.longest
+@then("no VM waited for a record of another one for over {seconds:f} seconds")
+def _records_are_regular(context, seconds):
+    longest = context.fleet.longest_pause
     count = len(context.fleet.vms)
     assert len(longest) == count * (count - 1), len(longest)
     worst = max(longest, key=longest.get)
--- a/tests/steps/vms_fleet_news.py
+++ b/tests/steps/vms_fleet_news.py
@@ -9,44 +9,45 @@
 
 from bench import _news_world as news_world
 
-#: Calls a second while a scenario is not about them.
+#: Calls a second in scenarios that don't set a rate.
 FEW_CALLS = 40.0
-CALLS_A_VM = 1.6
-#: Restarts a second.
-RESTARTS = 2.0
+#: Calls a second for each VM in the scenario of a rolling restart.
+CALLS_PER_VM = 1.6
+#: Mean number of restarts a second.
+RESTARTS_PER_S = 2.0
 
 
 @given("{count:d} VMs in {places:d} data centres that start at once")
-def _start(context, count, places):
+def _start_at_once(context, count, places):
     context.world = news_world.World(count, places)
     context.calls = news_world.Calls(context.world, 0.0)
 
 
 @given("{count:d} VMs in {places:d} data centres that know each other")
-def _know(context, count, places):
-    _know_at(context, count, places, 1)
+def _start_complete(context, count, places):
+    _start_complete_with_seed(context, count, places, 1)
 
 
 @given(
     "{count:d} VMs in {places:d} data centres that know each other, "
     "at seed {seed:d}"
 )
-def _know_at(context, count, places, seed):
+def _start_complete_with_seed(context, count, places, seed):
     context.world = news_world.World(count, places, seed)
     context.world.run(3.0)
-    _everybody(context)
+    _all_alive(context)
     context.calls = news_world.Calls(context.world, FEW_CALLS)
     context.world.run(1.0, context.calls)
     context.calls.per_s = 0.0
 
 
-@step("the fleet goes on for {seconds:g} seconds")
-def _pass(context, seconds):
+@step("the fleet runs for {seconds:g} seconds")
+def _run(context, seconds):
     context.world.run(seconds)
 
 
 @when("{calls:g} calls a second begin and end for {seconds:g} seconds")
-def _calls(context, calls, seconds):
+def _run_with_calls(context, calls, seconds):
     world = context.world
     world.forget_traffic()
     world.run(seconds)
@@ -61,27 +62,27 @@
 
 
 @then(
-    "loads that VMs know are older than {old_s:g} seconds at most "
-    "{count:d} time in {of:d}"
+    "known loads are older than {old_s:g} seconds in at most {count:d} of "
+    "{of:d} samples"
 )
-def _fresh(context, old_s, count, of):
+def _loads_are_recent(context, old_s, count, of):
     ages_s = context.ages_s
     old = len(ages_s) - bisect.bisect_right(ages_s, old_s)
     assert old * of <= count * len(ages_s), (old, len(ages_s), ages_s[-1])
 
 
-@then("a VM sends and receives at most {most:d} bytes a second on the mean")
-def _loaded(context, most):
+@then("a VM sends and receives at most {most:d} bytes a second on average")
+def _traffic_with_calls(context, most):
     assert context.loaded <= most, context.loaded
 
 
-@then("without calls it is at most {most:d} bytes a second")
-def _idle(context, most):
+@then("without calls the average is at most {most:d} bytes a second")
+def _traffic_without_calls(context, most):
     assert context.idle <= most, context.idle
 
 
-@then("each VM hears all others")
-def _everybody(context):
+@then("each VM considers all others alive")
+def _all_alive(context):
     names = set(context.world.vms)
     wrong = {
         vm.name: vm.others ^ (names - {vm.name})
@@ -91,8 +92,8 @@
     assert not wrong, (len(wrong), next(iter(wrong.items())))
 
 
-@then("each knows the loads of the others exactly")
-def _exactly(context):
+@then("each VM has the exact loads of the others")
+def _loads_are_exact(context):
     world = context.world
     for vm in world.vms.values():
         known = vm.news.loads.in_flight
@@ -110,21 +111,21 @@
 
 
 @when("all aggregators of a data centre end")
-def _aggregators_end(context):
+def _end_aggregators(context):
     for vm in _aggregators(context.world, context.world.places[0]):
         context.world.kill(vm)
 
 
-@then("no living VM counts as dead")
-def _nobody_dead(context):
+@then("no live VM counts as dead")
+def _none_dead(context):
     names = set(context.world.vms)
     for vm in context.world.vms.values():
         missed = names - {vm.name} - vm.others
         assert not missed, (vm.name, missed)
 
 
-@when("a data centre is cut off for {seconds:g} seconds")
-def _cut_off(context, seconds):
+@when("a data centre is partitioned from the others for {seconds:g} seconds")
+def _partition(context, seconds):
     world = context.world
     inside = {
         vm.name
@@ -141,15 +142,15 @@
     world.cut = set()
 
 
-def _user(world):
-    """A VM that uses another one as its aggregator."""
+def _served_vm(world):
+    """Pick a VM that uses another one as its aggregator."""
     return next(vm for vm in world.vms.values() if not vm.news.is_aggregator)
 
 
-@when("a VM hears nothing from its aggregator for {seconds:g} seconds")
-def _deaf(context, seconds):
+@when("a VM receives nothing from its aggregator for {seconds:g} seconds")
+def _lose_aggregates(context, seconds):
     world = context.world
-    vm = _user(world)
+    vm = _served_vm(world)
     world.cut = {(vm.news.aggregator, vm.name)}
     context.fewest = len(world.vms)
 
@@ -159,32 +160,32 @@
     world.run(seconds, look)
 
 
-@then("it hears all others all the while")
-def _all_the_while(context):
+@then("it considers all others alive throughout")
+def _all_alive_throughout(context):
     assert context.fewest == len(context.world.vms) - 1, context.fewest
 
 
-@when("an aggregator stands still for {seconds:g} seconds")
-def _still(context, seconds):
+@when("an aggregator stalls for {seconds:g} seconds")
+def _stall(context, seconds):
     world = context.world
-    still, *_ = _aggregators(world, world.places[0])
+    stalled, *_ = _aggregators(world, world.places[0])
     used_it = [
-        v for v in world.vms.values() if v.news.aggregator == still.name
+        v for v in world.vms.values() if v.news.aggregator == stalled.name
     ]
-    used_it.remove(still)
+    used_it.remove(stalled)
     assert used_it
-    still.slow_until = world.clock.now() + seconds
+    stalled.slow_until = world.clock.now() + seconds
     context.fewest = len(world.vms)
 
     def look(now):
-        fewest = min(len(vm.others - {still.name}) for vm in used_it)
+        fewest = min(len(vm.others - {stalled.name}) for vm in used_it)
         context.fewest = min(context.fewest, fewest)
 
     world.run(seconds, look)
 
 
-@then("the VMs that used it hear all others but it all the while")
-def _but_it(context):
+@then("the VMs that used it consider all VMs but it alive throughout")
+def _others_alive_throughout(context):
     assert context.fewest == len(context.world.vms) - 2, context.fewest
 
 
@@ -196,7 +197,7 @@
 
 
 @when("a third of the VMs end")
-def _third(context):
+def _end_third(context):
     vms = list(context.world.vms.values())
     for vm in context.world.rng.sample(vms, len(vms) // 3):
         context.world.kill(vm)
@@ -206,15 +207,15 @@
     "for {seconds:g} seconds each {pause_s:g} seconds a VM restarts and a "
     "runner changes"
 )
-def _in_turn(context, seconds, pause_s):
+def _restart_in_turn(context, seconds, pause_s):
     world = context.world
     world.forget_traffic()
     context.seconds = seconds
-    context.calls.per_s = CALLS_A_VM * len(world.vms)
+    context.calls.per_s = CALLS_PER_VM * len(world.vms)
     turns = list(world.vms.values())
     world.rng.shuffle(turns)
-    #: Those that have not been restarted.
-    context.sound = set(turns)
+    #: VMs that have not been restarted.
+    context.running = set(turns)
     context.missed = {}
     restarts = []
     context.next_at = world.clock.now()
@@ -225,14 +226,14 @@
             context.next_at += pause_s
             world.revision += 1
             vm = turns.pop()
-            context.sound.discard(vm)
+            context.running.discard(vm)
             world.kill(vm)
             restarts.append((now + pause_s, vm))
         while restarts and restarts[0][0] <= now:
             _, vm = restarts.pop(0)
             world.add(vm.number, vm.incarnation + 1)
-        names = {vm.name for vm in context.sound}
-        for vm in context.sound:
+        names = {vm.name for vm in context.running}
+        for vm in context.running:
             missed = names - vm.others - {vm.name}
             if missed:
                 context.missed[(round(now, 2), vm.name)] = missed
@@ -240,7 +241,7 @@
     world.run(seconds, load)
 
 
-@then("no VM that ran on ever counted as dead")
+@then("no VM that kept running ever counted as dead")
 def _never_dead(context):
     assert not context.missed, (
         len(context.missed),
@@ -258,14 +259,14 @@
     "for {seconds:g} seconds {percent:g} in 100 datagrams are lost and VMs "
     "restart"
 )
-def _trouble(context, seconds, percent):
+def _lose_and_restart(context, seconds, percent):
     world = context.world
     world.loss = percent / 100.0
     context.calls.per_s = FEW_CALLS
 
     def load(now):
         context.calls(now)
-        if world.rng.random() < RESTARTS * news_world.STEP_S:
+        if world.rng.random() < RESTARTS_PER_S * news_world.STEP_S:
             vms = list(world.vms.values())
             world.restart(world.rng.choice(vms))
 
@@ -282,7 +283,7 @@
     context.calls.per_s = 0.0
 
 
-@then("no total was told that was never true")
+@then("no received total exceeds the true one")
 def _true_totals(context):
     for vm in context.world.vms.values():
         for process, used in vm.heard_used.items():
@@ -291,14 +292,14 @@
                 assert units <= truth[customer], (vm.name, process, customer)
 
 
-@when("the network is sound again for {seconds:g} seconds")
-def _sound(context, seconds):
+@when("the network loses nothing for {seconds:g} seconds")
+def _lose_nothing(context, seconds):
     context.world.loss = 0.0
     context.world.run(seconds)
 
 
-@then("each knows all totals of the others")
-def _totals(context):
+@then("each VM has all totals of the others")
+def _all_totals(context):
     vms = context.world.vms.values()
     for vm in vms:
         for other in vms:
--- a/tests/steps/vms_rumours.py
+++ b/tests/steps/vms_rumours.py
@@ -1,4 +1,4 @@
-"""Steps for what members tell each other by rumour."""
+"""Steps for the rumours in tests/vms/membership.feature."""
 
 import collections
 
@@ -11,12 +11,13 @@
 from apricotlever.vms import actions
 from apricotlever.vms import rumours
 
+#: Upper bound of the bytes that a message has besides its updates.
 FRAME_BYTES = 400
 
 
 @behave.when('gossip VM "{vm}" announces a runner that leaves to the fleet')
 def announces_leaving(context, vm):
-    """Urgent."""
+    """Announce a rumour that is urgent."""
     context.world.fleet.nodes[vm].membership.announce(
         pb.Rumour(
             scope=pb.SCOPE_FLEET,
@@ -28,7 +29,7 @@
 
 @behave.when('gossip VM "{vm}" announces a runner\'s load to its data centre')
 def announces_load(context, vm, runner="r1"):
-    """Not urgent."""
+    """Announce a rumour that is not urgent."""
     context.world.fleet.nodes[vm].membership.announce(
         pb.Rumour(
             scope=pb.SCOPE_DATA_CENTRE,
@@ -43,13 +44,14 @@
     'gossip VM "{vm}" announces {count:d} loads and a runner that leaves'
 )
 def announces_flood(context, vm, count):
-    """The digests come first."""
+    """The loads are announced before the urgent rumour."""
     for i in range(count):
         announces_load(context, vm, f"r{i}")
     announces_leaving(context, vm)
 
 
-def _heard(world, body):
+def _counts(world, body):
+    """Number of deliveries of such rumours, by VM."""
     return collections.Counter(
         node.vm
         for _, node, action in world.told[actions.Delivered]
@@ -59,10 +61,10 @@
 
 def _reaches(context, seconds, count, body):
     world = context.world
-    world.within(seconds, lambda: len(_heard(world, body)) == count)
+    world.within(seconds, lambda: len(_counts(world, body)) == count)
     world.fleet.run(20.0)
-    heard = _heard(world, body)
-    assert len(heard) == count and set(heard.values()) == {1}, heard
+    counts = _counts(world, body)
+    assert len(counts) == count and set(counts.values()) == {1}, counts
 
 
 @behave.then(
@@ -70,7 +72,7 @@
     "VMs, once each"
 )
 def leaving_known(context, seconds, count):
-    """Nowhere else."""
+    """Check that it is delivered at just that many VMs."""
     _reaches(context, seconds, count, "runner_leaving")
 
 
@@ -78,13 +80,13 @@
     "within {seconds:d} s the load is known at {count:d} gossip VMs, once each"
 )
 def load_known(context, seconds, count):
-    """Nowhere else."""
+    """Check that it is delivered at just that many VMs."""
     _reaches(context, seconds, count, "load")
 
 
 @behave.when('gossip VMs "{one}" and "{other}" announce the same catalogue')
 def announce_alike(context, one, other):
-    """As the watchers of one data centre do."""
+    """Announce a catalogue as two watchers of a data centre do."""
     rumour = pb.Rumour(scope=pb.SCOPE_DATA_CENTRE, lifetime_ms=30_000)
     rumour.catalogue.version, rumour.catalogue.digest = 5, 55
     for vm in (one, other):
@@ -96,15 +98,15 @@
     '"d0", once each'
 )
 def catalogue_known(context, seconds, count):
-    """The announcers know it already."""
+    """Check the deliveries, which leave out the announcing VMs."""
     _reaches(context, seconds, count, "catalogue")
 
 
 @behave.then(
     "no gossip message carried more than {count:d} bytes beside its frame"
 )
-def bounded(context, count):
-    """Whole views aside."""
+def messages_are_bounded(context, count):
+    """Check all messages but those with a full view."""
     sizes = [
         action.message.ByteSize()
         for _, _, action in context.world.told[actions.Send]
@@ -117,7 +119,7 @@
     "with any loss and order every rumour comes at most once and ages"
 )
 def exactly_once(context):
-    """Copies in any order, some after the end of the lifetime."""
+    """Deliver copies in any order, some after the lifetime has ended."""
     lifetime_s = 5.0
     steps = strategies.lists(
         strategies.tuples(
--- a/tests/steps/vms_spread.py
+++ b/tests/steps/vms_spread.py
@@ -1,4 +1,4 @@
-"""Steps for the configuration spread."""
+"""Steps for tests/vms/spread.feature."""
 
 import random
 
@@ -11,14 +11,14 @@
 from apricotlever.vms import deltas
 from apricotlever.vms import membership
 from apricotlever.vms import spread
-from apricotlever.vms import spread_actions as wanted
-from apricotlever.vms import view as views
+from apricotlever.vms import spread_actions
+from apricotlever.vms import view as fleet_view
 from bench import fleets
 from bench import spreading
 from bench import virtual
 from tests.vms import naive_spread
 
-SOME = hypothesis.settings(
+PROPERTY_SETTINGS = hypothesis.settings(
     derandomize=True, deadline=None, database=None, max_examples=150
 )
 VERSIONS = strategies.lists(
@@ -49,68 +49,70 @@
     )
 
 
-def _spread(check=lambda document, version: None):
+def _new_replicator(check=lambda document, version: None):
     clock = clocks.ManualClock()
-    made = spread.ConfigurationSpread(
+    replicator = spread.ConfigurationSpread(
         clock, random.Random(1), "me", "d0", check
     )
     members = {vm: virtual.member_of(vm, "d0") for vm in ("me", "p1", "p2")}
-    made.look(views.View(members["me"], members, {}))
-    return clock, made
+    replicator.look(fleet_view.View(members["me"], members, {}))
+    return clock, replicator
 
 
-def _feed(made, version, source):
+def _receive(replicator, version, source):
     if source == "store":
-        return made.stored(version, _document(version))
-    return made.answered("p1", _whole(version))
+        return replicator.stored(version, _document(version))
+    return replicator.answered("p1", _whole(version))
 
 
 @behave.then("any order of answers leaves the greatest version in force")
 def rises(context):
-    """After each answer, not just at the end."""
+    """The version is checked after each answer, not just at the end."""
 
-    @SOME
+    @PROPERTY_SETTINGS
     @hypothesis.given(VERSIONS)
     def check(answers):
-        _, made = _spread()
+        _, replicator = _new_replicator()
         highest = 0
         for version, source in answers:
-            _feed(made, version, source)
+            _receive(replicator, version, source)
             highest = max(highest, version)
-            assert made.in_force.version == highest
-            assert made.in_force.document == _document(highest)
+            assert replicator.in_force.version == highest
+            assert replicator.in_force.document == _document(highest)
 
     check()
 
 
-@behave.then("some order of answers reverts a spread that takes any answer")
+@behave.then(
+    "some order of answers reverts a replicator that takes any answer"
+)
 def reverts(context):
-    """The check above fails for the naive version."""
+    """The check of the real replicator has to fail for the naive one."""
 
-    @SOME
+    @PROPERTY_SETTINGS
     @hypothesis.given(VERSIONS)
     def check(answers):
-        made = naive_spread.NaiveSpread()
+        replicator = naive_spread.NaiveReplicator()
         for version, _ in answers:
-            made.take(version, _document(version))
-        assert made.version == max(version for version, _ in answers)
+            replicator.receive(version, _document(version))
+        assert replicator.version == max(version for version, _ in answers)
 
     try:
         check()
     except AssertionError:
         return
-    raise AssertionError("the naive spread passed")
+    raise AssertionError("the naive replicator passed")
 
 
-@behave.then("for any two documents the delta gives the new one")
+@behave.then("for any two documents the delta leads to the new one")
 def delta_same(context):
-    """And the server prefers what is shorter."""
+    """The client has version 1; the server has versions 1 to 3."""
 
-    @SOME
+    @PROPERTY_SETTINGS
     @hypothesis.given(DOCUMENTS, DOCUMENTS, DOCUMENTS)
     def check(one, two, three):
-        _, server = _spread()
-        _, client = _spread()
+        _, server = _new_replicator()
+        _, client = _new_replicator()
         client.stored(1, one)
         for version, document in enumerate((one, two, three), start=1):
             server.stored(version, document)
@@ -127,9 +129,11 @@
     check()
 
 
-@behave.given("a spread fleet of {count:d} VMs in {places:d} data centres")
+@behave.given(
+    "a replicating fleet of {count:d} VMs in {places:d} data centres"
+)
 def spread_fleet(context, count, places):
-    """A first catalogue is in force everywhere."""
+    """Start a fleet in which version 1 is in force at every VM."""
     fleet = virtual.Fleet()
     members = fleets.members_of(fleets.even_sizes(count, places))
     context.seeds = [
@@ -143,150 +147,150 @@
     assert not context.world.lagging()
 
 
-@behave.when("an operator changes the spread catalogue")
+@behave.when("an operator changes the replicated catalogue")
 def changed(context):
-    """Once."""
     context.world.put(_document(context.world.store.version + 1))
 
 
-@behave.then("within {seconds:d} s it is in force at every spread VM")
+@behave.then("within {seconds:d} s it is in force at every replicating VM")
 def in_force(context, seconds):
-    """And nobody went back."""
+    """Each VM applied versions in ascending order only."""
     world = context.world
-    took = world.fleet.run_until(lambda: not world.lagging(), seconds)
-    assert took is not None, world.lagging()
+    elapsed_s = world.fleet.run_until(lambda: not world.lagging(), seconds)
+    assert elapsed_s is not None, world.lagging()
     for applied in world.applied.values():
         versions = [version for version, _ in applied]
         assert versions == sorted(set(versions))
 
 
-@behave.when("the spread store goes down and a VM starts")
+@behave.when("the replicated store goes down and a VM starts")
 def starts_without(context):
-    """It knows first contacts only."""
+    """The new VM knows only the seeds."""
     world = context.world
     world.store.up = False
     node = world.fleet.add(virtual.member_of("new", "d0"), context.seeds)
     world.join(node)
 
 
-@behave.when('the spread watchers of "{place}" lose the store')
-def lose_store(context, place):
-    """Their connections are silent."""
+@behave.when('the catalogue watchers of "{data_centre}" lose the store')
+def lose_store(context, data_centre):
+    """The store sends no more events to these watchers."""
     watchers = context.world.store.watchers
     lost = [
-        vm for vm, node in watchers.items() if node.member.data_centre == place
+        vm
+        for vm, node in watchers.items()
+        if node.member.data_centre == data_centre
     ]
     assert lost
     for vm in lost:
         del watchers[vm]
 
 
-@behave.given("a spread with version 5 in force")
+@behave.given("a replicator with version 5 in force")
 def at_five(context):
-    """Documents with a "bad" section are refused."""
-    context.clock, context.spread = _spread(
+    """Documents with a section named "bad" are invalid."""
+    context.clock, context.replicator = _new_replicator(
         lambda document, version: "bad" if "bad" in document else None
     )
-    context.found = context.spread.stored(5, _document(5))
-    assert isinstance(context.found[0], wanted.Apply)
+    context.result = context.replicator.stored(5, _document(5))
+    assert isinstance(context.result[0], spread_actions.Apply)
 
 
-@behave.when("the spread store shows version 3")
+@behave.when("the replicator's store returns version 3")
 def store_older(context):
-    """It was restored."""
-    context.found = context.spread.stored(3, _document(3))
+    """As after the restore of a backup."""
+    context.result = context.replicator.stored(3, _document(3))
 
 
-@behave.when("the spread store shows another document as version 5")
+@behave.when("the replicator's store returns another document as version 5")
 def store_clash(context):
-    """Twice."""
-    context.found = context.spread.stored(5, _document(9))
-    context.found += context.spread.stored(5, _document(9))
+    """The store returns it twice, to check that it is reported once."""
+    context.result = context.replicator.stored(5, _document(9))
+    context.result += context.replicator.stored(5, _document(9))
 
 
 @behave.when("a peer mentions version 5 with another digest")
 def peer_clash(context):
-    """Twice."""
-    context.found = context.spread.heard(5, 1, "p1")
-    context.found += context.spread.heard(5, 1, "p1")
+    """The peer mentions it twice; one of the two is reported."""
+    context.result = context.replicator.heard(5, 1, "p1")
+    context.result += context.replicator.heard(5, 1, "p1")
 
 
-@behave.when("the spread store shows a bad document as version 6")
+@behave.when("the replicator's store returns an invalid document as version 6")
 def store_bad(context):
-    """And peers go on about it."""
+    """Peers send and mention the same document afterwards."""
     bad = dict(_document(6), bad={})
-    context.found = context.spread.stored(6, bad)
-    context.found += context.spread.answered("p1", _whole(6, bad))
-    context.found += context.spread.heard(6, deltas.digest_of(bad), "p1")
+    context.result = context.replicator.stored(6, bad)
+    context.result += context.replicator.answered("p1", _whole(6, bad))
+    context.result += context.replicator.heard(6, deltas.digest_of(bad), "p1")
     context.clock.advance(1.0)
-    context.found += context.spread.tick()
+    context.result += context.replicator.tick()
 
 
-@behave.when("a peer gives version 6 with a wrong digest")
+@behave.when("a peer sends version 6 with a wrong digest")
 def wrong_digest(context):
-    """Something changed it on the way."""
-    context.found = context.spread.answered("p1", _whole(6, digest=1))
+    """The document was altered in transit."""
+    context.result = context.replicator.answered("p1", _whole(6, digest=1))
 
 
-def _stays(context, kind):
-    assert context.spread.in_force.version == 5
-    assert context.spread.in_force.document == _document(5)
-    assert [type(action) for action in context.found] == [kind]
+def _stays_and_reports(context, kind):
+    assert context.replicator.in_force.version == 5
+    assert context.replicator.in_force.document == _document(5)
+    assert [type(action) for action in context.result] == [kind]
 
 
 @behave.then("version 5 stays in force and the older store is reported")
 def behind(context):
-    """Loudly."""
-    _stays(context, wanted.StoreBehind)
+    _stays_and_reports(context, spread_actions.StoreBehind)
 
 
 @behave.then("version 5 stays in force and the clash is reported once")
 def clash(context):
-    """Loudly, but not at each mention."""
-    _stays(context, wanted.DigestClash)
+    """The clash is not reported again at each mention."""
+    _stays_and_reports(context, spread_actions.DigestClash)
 
 
-@behave.then("version 5 stays in force and the bad one is reported once")
+@behave.then("version 5 stays in force and the invalid one is reported once")
 def bad(context):
-    """It is not fetched again either."""
-    _stays(context, wanted.Invalid)
+    """The result has the report only, so nothing is fetched again."""
+    _stays_and_reports(context, spread_actions.Invalid)
 
 
-@behave.then("a good version 7 is taken")
+@behave.then("a valid version 7 is put in force")
 def good(context):
-    """The bad one does not stand in its way."""
-    context.spread.stored(7, _document(7))
-    assert context.spread.in_force.version == 7
+    """The invalid version before it does not block it."""
+    context.replicator.stored(7, _document(7))
+    assert context.replicator.in_force.version == 7
 
 
 @behave.when("a rumour brings version 8 as a change of version 7")
 def unfit(context):
-    """This VM missed versions 6 and 7."""
+    """The replicator has not received versions 6 and 7."""
     rumour = pb.Rumour()
     rumour.catalogue.version = 8
     rumour.catalogue.digest = deltas.digest_of(_document(8))
     delta = rumour.catalogue.delta
     delta.version, delta.digest = 8, rumour.catalogue.digest
     delta.base_version, delta.base_digest = 7, 77
-    context.found = context.spread.rumoured(rumour, "p2")
+    context.result = context.replicator.rumoured(rumour, "p2")
 
 
-@behave.then("the spread fetches from the VM that passed it on")
+@behave.then("the replicator fetches from the VM that passed it on")
 def fetches(context):
-    """Saying what it has."""
-    (fetch,) = context.found
-    assert isinstance(fetch, wanted.FetchFrom) and fetch.vm == "p2"
+    """The request names the version in force."""
+    (fetch,) = context.result
+    assert isinstance(fetch, spread_actions.FetchFrom) and fetch.vm == "p2"
     assert fetch.message.have_version == 5
 
 
-@behave.then("a failed fetch is tried again at another VM")
+@behave.then("a failed fetch is retried at a random VM")
 def fetched_again(context):
-    """After a short while, whoever it is."""
-    context.spread.fetch_failed("p2")
-    assert not context.spread.tick()
+    """The retry comes after FETCH_RETRY_S."""
+    context.replicator.fetch_failed("p2")
+    assert not context.replicator.tick()
     context.clock.advance(spread.FETCH_RETRY_S)
-    (fetch,) = context.spread.tick()
-    context.spread.answered(fetch.vm, _whole(8))
-    assert context.spread.in_force.version == 8
+    (fetch,) = context.replicator.tick()
+    context.replicator.answered(fetch.vm, _whole(8))
+    assert context.replicator.in_force.version == 8
     context.clock.advance(5.0)
-    assert not context.spread.tick()
+    assert not context.replicator.tick()
--- a/tests/vms/fleet_news.feature
+++ b/tests/vms/fleet_news.feature
@@ -1,14 +1,14 @@
-Feature: What VMs of a large fleet tell each other, and by whom
+Feature: Record exchange of large fleets by aggregators
 
-  # Symptom: first answers late at a light load in a fleet of 195.
-  # Cause: each record went to some of the others only, so VMs knew each
-  # other's loads as they had been up to two seconds before.
-  Scenario Outline: News of loads is fresh, and its cost stays flat
+  # Symptom: first answers are late at a light load in a fleet of 195.
+  # Cause: each record was sent to some of the VMs only, so known loads of
+  # other VMs were up to two seconds old.
+  Scenario Outline: Known loads are recent, and their cost stays flat
     Given <vms> VMs in <places> data centres that know each other
     When <calls> calls a second begin and end for 4 seconds
-    Then loads that VMs know are older than 0.3 seconds at most 1 time in 100
-    And a VM sends and receives at most 30000 bytes a second on the mean
-    And without calls it is at most 12000 bytes a second
+    Then known loads are older than 0.3 seconds in at most 1 of 100 samples
+    And a VM sends and receives at most 30000 bytes a second on average
+    And without calls the average is at most 12000 bytes a second
 
     Examples:
       | vms | places | calls |
@@ -16,11 +16,11 @@
       | 70  | 3      | 110   |
       | 195 | 5      | 310   |
 
-  Scenario Outline: All VMs of a fleet that starts at once hear each other
+  Scenario Outline: All VMs of a fleet that starts at once find each other
     Given <vms> VMs in <places> data centres that start at once
-    When the fleet goes on for 3 seconds
-    Then each VM hears all others
-    And each knows the loads of the others exactly
+    When the fleet runs for 3 seconds
+    Then each VM considers all others alive
+    And each VM has the exact loads of the others
 
     Examples:
       | vms | places |
@@ -30,63 +30,62 @@
       | 70  | 3      |
       | 195 | 5      |
 
-  # Symptom: VMs that end at once take the news of many others with them.
-  # Events: all VMs that aggregate in a data centre lose their power.
-  Scenario: When all aggregators of a data centre end, others take their part
+  # Symptom: when VMs end together, records of many other VMs are lost.
+  # Events: all aggregators of a data centre lose power.
+  Scenario: When all aggregators of a data centre end, others replace them
     Given 70 VMs in 3 data centres that know each other
     When all aggregators of a data centre end
-    And the fleet goes on for 1 seconds
-    Then no living VM counts as dead
-    When the fleet goes on for 2 seconds
-    Then each VM hears all others
-    And each knows the loads of the others exactly
+    And the fleet runs for 1 seconds
+    Then no live VM counts as dead
+    When the fleet runs for 2 seconds
+    Then each VM considers all others alive
+    And each VM has the exact loads of the others
 
-  # Symptom: limits, loads and who is alive are those of one data centre only.
-  # Events: a data centre can't be reached for seconds; each side forgets the
-  # other and makes up aggregators of its own.
-  Scenario: Parts of a fleet that lost each other find together again
+  # Symptom: limits, loads and membership cover one data centre only.
+  # Events: a data centre is unreachable for seconds; each side drops the
+  # records of the other and selects aggregators of its own.
+  Scenario: The parts of a partitioned fleet find each other again
     Given 70 VMs in 3 data centres that know each other
-    When a data centre is cut off for 8 seconds
-    And the fleet goes on for 4 seconds
-    Then each VM hears all others
-    And each knows the loads of the others exactly
+    When a data centre is partitioned from the others for 8 seconds
+    And the fleet runs for 4 seconds
+    Then each VM considers all others alive
+    And each VM has the exact loads of the others
 
-  # Symptom: a VM is told nothing for as long as its aggregator lives.
-  # Events: datagrams get from the VM to the aggregator, but not back.
-  Scenario: A VM that hears nothing from its aggregator uses another one
+  # Symptom: a VM gets no reports for as long as its aggregator lives.
+  # Events: datagrams of the VM reach the aggregator, but not the reverse.
+  Scenario: A VM that gets nothing from its aggregator uses another one
     Given 70 VMs in 3 data centres that know each other
-    When a VM hears nothing from its aggregator for 3 seconds
-    Then it hears all others all the while
+    When a VM receives nothing from its aggregator for 3 seconds
+    Then it considers all others alive throughout
 
-  # Symptom: as before, of an aggregator that has become slow.
+  # Symptom: a VM gets no reports while its aggregator is slow.
   Scenario: VMs leave an aggregator that is slow
     Given 70 VMs in 3 data centres that know each other
-    When an aggregator stands still for 3 seconds
-    Then the VMs that used it hear all others but it all the while
+    When an aggregator stalls for 3 seconds
+    Then the VMs that used it consider all VMs but it alive throughout
 
-  # Symptom: a VM that joined is told nothing by the many that were there.
-  Scenario: VMs that join in a wave are soon known to all
+  # Symptom: a VM that has joined gets no records of the existing VMs.
+  Scenario: VMs that join together are soon known to all
     Given 40 VMs in 3 data centres that know each other
     When 30 VMs join at once
-    And the fleet goes on for 3 seconds
-    Then each VM hears all others
-    And each knows the loads of the others exactly
+    And the fleet runs for 3 seconds
+    Then each VM considers all others alive
+    And each VM has the exact loads of the others
 
-  Scenario: A VM that ended is out of all VMs' sight soon
+  Scenario: A VM that ended is soon alive to no other VM
     Given 70 VMs in 3 data centres that know each other
     When a third of the VMs end
-    And the fleet goes on for 3 seconds
-    Then each VM hears all others
+    And the fleet runs for 3 seconds
+    Then each VM considers all others alive
 
-  # Symptom: hundreds of VMs a second count as dead while VMs are restarted
-  # one after the other, and long after.
-  # Events: each start and each change of a runner was told by a record of
-  # every VM; the link of the VM that told them was full, so those that it
-  # served left it for others, which were asked for everything.
-  Scenario Outline: While VMs are restarted in turn nobody else counts as dead
+  # Symptom: hundreds of VMs a second count as dead in a rolling restart and
+  # long after.
+  # Events: each start and runner change alters the records of all VMs; an
+  # aggregator's link is full; its VMs switch to others and ask for all.
+  Scenario Outline: During a rolling restart no other VM counts as dead
     Given <vms> VMs in <places> data centres that know each other
     When for 10 seconds each 0.8 seconds a VM restarts and a runner changes
-    Then no VM that ran on ever counted as dead
+    Then no VM that kept running ever counted as dead
     And a VM sends at most 250000 bytes a second
 
     Examples:
@@ -94,16 +93,16 @@
       | 70  | 3      |
       | 75  | 3      |
 
-  # The sums that limits are kept by only rise, whatever gets lost: a total
+  # The sums by which limits are enforced only rise, whatever is lost. A total
   # of a former process that is taken for one of the next would lower them.
-  Scenario Outline: Under loss and restarts nothing false is told
+  Scenario Outline: Under loss and restarts no false total is received
     Given 60 VMs in 3 data centres that know each other, at seed <seed>
     When for 6 seconds 5 in 100 datagrams are lost and VMs restart
-    Then no total was told that was never true
-    When the network is sound again for 6 seconds
-    Then each VM hears all others
-    And each knows the loads of the others exactly
-    And each knows all totals of the others
+    Then no received total exceeds the true one
+    When the network loses nothing for 6 seconds
+    Then each VM considers all others alive
+    And each VM has the exact loads of the others
+    And each VM has all totals of the others
 
     Examples:
       | seed |
--- a/tests/vms/gossip_world.py
+++ b/tests/vms/gossip_world.py
@@ -1,4 +1,4 @@
-"""A virtual fleet of members, and all that they were told."""
+"""A simulated fleet of gossip members that records their actions."""
 
 import collections
 
@@ -11,13 +11,13 @@
 
 
 class World:
-    """A fleet and all that its VMs were told."""
+    """A simulated fleet and the actions of its VMs, by type."""
 
     def __init__(self, count, data_centres, make, **timings):
         sizes = fleets.even_sizes(count, data_centres)
         self.fleet = virtual.Fleet(timing=timing.MembershipTiming(**timings))
         self.told = collections.defaultdict(list)
-        self.fleet.watchers.append(self._watch)
+        self.fleet.watchers.append(self._record)
         members = fleets.members_of(sizes)
         hints = [membership.Hint(m.vm, m.peers_address) for m in members]
         all_known = make is not membership.Membership
@@ -25,7 +25,7 @@
             self.fleet.add(member, hints if all_known else hints[:1], make)
         self.since = self.fleet.clock.now()
 
-    def _watch(self, node, action):
+    def _record(self, node, action):
         now = self.fleet.clock.now()
         self.told[type(action)].append((now, node, action))
 
@@ -40,7 +40,7 @@
         return all(self.seen_by(node) == names for node in self.running())
 
     def wrong_deaths(self):
-        """(judge, victim) where the victim's process ran."""
+        """Deaths declared of running processes, as (declaring VM, victim)."""
         return [
             (node.vm, action.after.vm)
             for at, node, action in self.told[actions.Changed]
@@ -51,4 +51,4 @@
 
     def within(self, seconds, done):
         took = self.fleet.run_until(done, seconds)
-        assert took is not None, "not within the time"
+        assert took is not None, "the condition was not met in time"
--- a/tests/vms/naive_spread.py
+++ b/tests/vms/naive_spread.py
@@ -1,16 +1,16 @@
-"""The spread most would write first: the last answer counts."""
+"""A naive replicator, in which the last answer counts."""
 
 import typing
 
 
-class NaiveSpread:
-    """Takes whatever it is told last."""
+class NaiveReplicator:
+    """Puts every document in force, whatever its version."""
 
     def __init__(self) -> None:
         self.version = 0
         self.document: dict[str, typing.Any] = {}
 
-    def take(self, version: int, document: dict[str, typing.Any]) -> None:
-        """An answer of the store or a peer."""
+    def receive(self, version: int, document: dict[str, typing.Any]) -> None:
+        """Handle an answer of the store or a peer."""
         self.version = version
         self.document = document
