--- a/src/apricotlever/vms/aggregates.py
+++ b/src/apricotlever/vms/aggregates.py
@@ -145,7 +145,7 @@
     :param vm: name of the aggregator.
     :param peer_address: where the aggregator receives messages of peers,
         ``host:port``.
-    :param counts: ``usage`` and ``work`` of :class:`digests.Digest`, by
+    :param counts: ``usage`` and ``work`` of :class:`vm_records.VmRecord`, by
         process.
     """
 
--- a/src/apricotlever/vms/digests.py
+++ b/src/apricotlever/vms/digests.py
@@ -23,7 +23,8 @@
     """Status record of one VM.
 
     An empty field carries no information. ``levels``, ``failures`` and
-    ``known`` are filled in only in full records, one in :data:`WHOLE_EVERY`.
+    ``known`` are filled in only in full records, one in
+    :data:`FULL_RECORD_EVERY`.
 
     :param vm: name of the VM.
     :param incarnation: incarnation of its process; rises with each start.
--- a/src/apricotlever/vms/fleet_news.py
+++ b/src/apricotlever/vms/fleet_news.py
@@ -19,8 +19,8 @@
 from . import peer_loads
 from . import peer_table
 
-#: Ticks of :data:`digests.INTERVAL_S` between two records of a VM that has no
-#: change to report to its aggregator.
+#: Ticks of :data:`vm_records.RECORD_INTERVAL_S` between two records of a VM
+#: that has no change to report to its aggregator.
 IDLE_TICKS = 2
 #: One message of an aggregator in this many has its own full record.
 FULL_OWN_RECORD_EVERY = 10
@@ -158,7 +158,7 @@
     def look(self) -> list[Outgoing]:
         """Build the messages that are due.
 
-        The caller calls this once in :data:`digests.INTERVAL_S`.
+        The caller calls this once in :data:`vm_records.RECORD_INTERVAL_S`.
         """
         self._ticks += 1
         before = self.aggregator
@@ -190,7 +190,8 @@
     def flush(self, runners: typing.Container[str]) -> list[Outgoing]:
         """Build the aggregates for other aggregators and for served VMs.
 
-        The caller calls this once in :data:`collector.FLUSH_S`.
+        The caller calls this once in
+        :data:`record_aggregation.AGGREGATE_INTERVAL_S`.
 
         :param runners: identifiers of the live runners.
         """
