--- a/src/apricotlever/vms/__init__.py
+++ b/src/apricotlever/vms/__init__.py
@@ -1,1 +1,1 @@
-"""The entry VMs: membership, drains, duties, leases and configuration."""
+"""Coordination of the entry VMs: membership, duties, leases, catalogue."""
--- a/src/apricotlever/vms/actions.py
+++ b/src/apricotlever/vms/actions.py
@@ -1,21 +1,26 @@
-"""What :class:`~.membership.Membership` asks its owner to do, or tells it."""
+"""Actions and events that the membership protocol returns to its caller.
+
+:class:`~.membership.Membership` does no I/O: its caller sends the messages
+and handles the events.
+"""
 
 from ..links import peer_pb2 as pb
 
 
 class Action:
-    """Any of the below."""
+    """Base class of the membership actions and events."""
 
     __slots__ = ()
 
 
 class Send(Action):
-    """Call Gossip at a peer; hand its answer to ``Membership.receive``.
+    """Call Gossip at a peer.
 
-    An answer that does not come needs no report.
+    The answer goes to :meth:`~.membership.Membership.answered`. A missing
+    answer need not be reported.
 
-    :param vm: whom it is meant for; empty when only the address is known.
-    :param address: "host:port".
+    :param vm: the intended recipient; empty when only the address is known.
+    :param address: the recipient's "host:port".
     """
 
     __slots__ = ("vm", "address", "message")
@@ -29,7 +34,7 @@
 
 
 class Reply(Action):
-    """The answer to the call whose message was just received."""
+    """The answer to the call that carried the message just received."""
 
     __slots__ = ("message",)
 
@@ -38,12 +43,13 @@
 
 
 class Changed(Action):
-    """What is known of a VM changed.
+    """The record of a VM changed.
 
-    A death here is a judgement, not a proof: the VM may turn out to have
-    been paused or cut off, and come back in the same incarnation.
+    A VM recorded as dead is not certain to be so: it may have been paused
+    or disconnected, and can return in the same incarnation.
 
-    :param before: None for a VM that was not known.
+    :param before: the previous record; None for a VM that was not known.
+    :param after: the new record.
     """
 
     __slots__ = ("before", "after")
@@ -54,7 +60,10 @@
 
 
 class IncarnationEnded(Action):
-    """Proof that a process is gone: its VM runs a newer one, or it left."""
+    """A process has certainly ended: its VM runs a newer one, or it left.
+
+    :param incarnation: the incarnation of the ended process.
+    """
 
     __slots__ = ("vm", "incarnation")
 
@@ -64,10 +73,10 @@
 
 
 class Delivered(Action):
-    """A rumour, once.
+    """A rumour arrived; each rumour is delivered once.
 
-    :param rumour: its ``age_ms`` tells how long ago it was announced.
-    :param via: the VM that passed it on.
+    :param rumour: its ``age_ms`` is the time since it was announced.
+    :param via: the VM that forwarded it.
     """
 
     __slots__ = ("rumour", "via")
@@ -78,7 +87,10 @@
 
 
 class Paused(Action):
-    """This process stood still; whatever it held by time may have lapsed."""
+    """This process was paused; leases and timeouts may have expired.
+
+    :param seconds: the gap in this process's activity that showed the pause.
+    """
 
     __slots__ = ("seconds",)
 
@@ -87,7 +99,10 @@
 
 
 class Refuted(Action):
-    """Others took this VM for silent or dead; it has denied that."""
+    """Others suspected this VM or declared it dead; it has refuted that.
+
+    :param suspected_by: the VM that raised the suspicion.
+    """
 
     __slots__ = ("suspected_by",)
 
@@ -96,7 +111,10 @@
 
 
 class Superseded(Action):
-    """A newer process runs under this VM's name; this one has to stop."""
+    """A newer process runs under this VM's name; this process must stop.
+
+    :param incarnation: the incarnation of the newer process.
+    """
 
     __slots__ = ("incarnation",)
 
@@ -105,7 +123,13 @@
 
 
 class CatalogueHeard(Action):
-    """A peer mentioned a catalogue version greater than any heard before."""
+    """A peer advertised a catalogue that this VM may have to fetch.
+
+    Its version is greater than the one in force here, or the same version
+    has another digest.
+
+    :param via: the VM that advertised it.
+    """
 
     __slots__ = ("version", "digest", "via")
 
--- a/src/apricotlever/vms/duties.py
+++ b/src/apricotlever/vms/duties.py
@@ -1,9 +1,10 @@
-"""Duties that one VM at a time does for all, such as buying VMs.
+"""Duties that one VM at a time performs for the fleet, such as buying VMs.
 
-Rendezvous hashing over the live view names the VM that should do a duty,
-without talk; views differ for moments, so a lease confirms it. Only the VM
-named contends for the lease: the store sees a write for each duty in a
-third of the lease's duration, whatever the size of the fleet.
+Each VM determines the responsible VM by rendezvous hashing over its live
+view, without exchanging messages. Views may differ for a short time, so the
+responsible VM must also hold a lease. Only that VM contends for the lease:
+the store receives one write per duty in each third of the lease's duration,
+whatever the size of the fleet.
 """
 
 import random
@@ -15,15 +16,16 @@
 from . import rendezvous
 from . import view as views
 
-PREFIX = "leases/"
+LEASE_PREFIX = "leases/"
 
 
 class Duty:
-    """Something that one VM does.
+    """A duty that one VM at a time performs.
 
-    :param name: such as "capacity/sala-a"; the lease object is
-        ``leases/`` and this.
-    :param data_centre: where its holder should be; empty for anywhere.
+    :param name: the duty's name, such as "capacity/sala-a"; the name of its
+        lease object is ``leases/`` followed by this name.
+    :param data_centre: the data centre whose VMs should perform the duty;
+        empty for any.
     :param longest_order_s: see :class:`~.leases.Lease`; 0 when upstreams
         check fencing numbers.
     """
@@ -38,11 +40,14 @@
         self.longest_order_s = longest_order_s
 
 
-def place(duty: Duty, view: views.View) -> str:
-    """The data centre whose VMs do the duty, by this view.
+def responsible_data_centre(duty: Duty, view: views.View) -> str:
+    """The data centre whose VMs perform the duty, according to a view.
 
-    Its own, or when nobody serves there another one, so that what is left
-    of a lost data centre is still looked after.
+    This is the duty's own data centre. Rendezvous hashing chooses another
+    one when no VM serves there, so that the duties of a lost data centre
+    are still performed, and for a duty without a data centre.
+
+    :returns: the data centre; empty when no VM serves anywhere.
     """
     serving = {member.data_centre for member in view.serving()} | {
         name for name, summary in view.summaries.items() if summary.serving
@@ -52,18 +57,22 @@
     return rendezvous.pick(duty.name, serving) or ""
 
 
-def holder(duty: Duty, view: views.View) -> str | None:
-    """The VM that should do the duty, if this view can tell."""
-    names = view.names(place(duty, view) or None)
+def responsible_vm(duty: Duty, view: views.View) -> str | None:
+    """The VM that should perform the duty, according to a view.
+
+    :returns: None when the view has no serving VM of the responsible data
+        centre.
+    """
+    names = view.names(responsible_data_centre(duty, view) or None)
     return rendezvous.pick(duty.name, names)
 
 
 class Duties:
-    """This VM's part in all duties.
+    """Contends for the leases of the duties that this VM should perform.
 
-    :param vm: this VM.
-    :param incarnation: of this process.
-    :param duration_s: of each lease.
+    :param vm: this VM's name.
+    :param incarnation: the incarnation of this process.
+    :param duration_s: the duration of each lease, in seconds.
     """
 
     __slots__ = (
@@ -94,64 +103,72 @@
 
     @property
     def held(self) -> list[str]:
-        """Names of the duties whose lease is valid here now."""
+        """Names of the duties whose lease this VM holds now."""
         return sorted(
             name for name in self._duties if self.may_order(name) is not None
         )
 
     def configure(self, duties: typing.Iterable[Duty]) -> None:
-        """Replace the duties; leases of those that went are released."""
+        """Replace the set of duties; leases of removed ones are released."""
         self._duties = {duty.name: duty for duty in duties}
         for name, lease in self._leases.items():
             if name not in self._duties:
                 lease.want(False)
 
     def look(self, view: views.View) -> None:
-        """Take in a view: who should do what now."""
+        """Contend for the duties that this view assigns to this VM."""
         for duty in self._duties.values():
-            wanted = holder(duty, view) == self._vm
+            wanted = responsible_vm(duty, view) == self._vm
             if wanted or duty.name in self._leases:
-                self._lease_of(duty).want(wanted)
+                self._lease_for(duty).want(wanted)
 
     def leave(self) -> None:
-        """This VM stops: give all duties back."""
+        """Release the leases of all duties, because this VM stops."""
         self._duties = {}
         for lease in self._leases.values():
             lease.want(False)
 
     def tick(self) -> list[lease_objects.LeaseAction]:
-        """Store calls that are due; report them to :meth:`lease`."""
+        """The store calls that are due.
+
+        Each result is reported to the lease that :meth:`lease` returns.
+        """
         due = (lease.tick() for lease in self._leases.values())
         return [action for action in due if action is not None]
 
     def lease(self, name: str) -> leases.Lease:
         """The lease that a store call belongs to.
 
-        :param name: the object's name, from the action.
-        :raises KeyError: no such lease here.
+        :param name: the name of the lease object, from the action.
+        :raises KeyError: if this VM never contended for that lease.
         """
-        return self._leases[name.removeprefix(PREFIX)]
+        return self._leases[name.removeprefix(LEASE_PREFIX)]
 
     def may_order(self, name: str, order_s: float = 0.0) -> int | None:
-        """Ask just before each order of a duty.
+        """The fencing number for an order, checked just before sending it.
 
-        :param order_s: how long it takes to send the order off.
-        :returns: the fencing number, or None: this VM must not order.
+        :param name: the duty's name.
+        :param order_s: the time needed to send the order, in seconds.
+        :returns: the fencing number; None when this VM must not order.
         """
         lease = self._leases.get(name)
         return None if lease is None else lease.may_order(order_s)
 
     def fenced_off(self, name: str, highest: int) -> None:
-        """An upstream refused an order of the duty by fencing."""
+        """Handle an upstream's refusal of an order by its fencing number.
+
+        :param name: the duty's name.
+        :param highest: the highest fencing number that the upstream saw.
+        """
         if name in self._leases:
             self._leases[name].fenced_off(highest)
 
-    def _lease_of(self, duty: Duty) -> leases.Lease:
+    def _lease_for(self, duty: Duty) -> leases.Lease:
         if duty.name not in self._leases:
             self._leases[duty.name] = leases.Lease(
                 self._clock,
                 self._rng,
-                PREFIX + duty.name,
+                LEASE_PREFIX + duty.name,
                 self._vm,
                 self._incarnation,
                 duty.longest_order_s,
--- a/src/apricotlever/vms/leads.py
+++ b/src/apricotlever/vms/leads.py
@@ -1,9 +1,9 @@
-"""When to ask a peer for news that the store has not brought.
+"""Timers that decide when to fetch newer data from a peer.
 
-A peer that is further may only have heard of a change a moment sooner, so
-its lead is given some time. Each peer's lead is timed by itself: were there
-one timer, the records of peers that are no further than this VM, which come
-in between, would start it anew for ever.
+A peer with newer data may only have received a change from the store a
+moment earlier, so it may stay ahead for some time before it is asked. Each
+peer has its own timer: records of peers that are not ahead arrive in between
+and would restart a shared timer again and again.
 """
 
 from .. import clock as clocks
@@ -12,7 +12,7 @@
 
 
 class Leads:
-    """The leads of peers, by what they are further in."""
+    """Measures for how long each peer has been ahead, by kind of data."""
 
     __slots__ = ("_clock", "_since")
 
@@ -20,19 +20,22 @@
         self._clock = clock
         self._since: dict[Key, float] = {}
 
-    def due(self, what: str, peer: str, is_ahead: bool, lead_s: float) -> bool:
-        """Note a peer's record.
+    def due(
+        self, kind: str, peer: str, is_ahead: bool, tolerated_s: float
+    ) -> bool:
+        """Record whether a peer is ahead of this VM.
 
-        :param is_ahead: whether the peer is further than this VM.
-        :param lead_s: for how long it may be.
-        :returns: whether to ask the peer now; its time then begins anew.
+        :param kind: the kind of data compared.
+        :param is_ahead: whether the peer's data is newer than this VM's.
+        :param tolerated_s: how long the peer may be ahead, in seconds.
+        :returns: whether to ask the peer now; its timer then restarts.
         """
-        key = (what, peer)
+        key = (kind, peer)
         if not is_ahead:
             self._since.pop(key, None)
             return False
         now = self._clock.now()
-        if now - self._since.setdefault(key, now) < lead_s:
+        if now - self._since.setdefault(key, now) < tolerated_s:
             return False
         del self._since[key]
         return True
--- a/src/apricotlever/vms/lease_objects.py
+++ b/src/apricotlever/vms/lease_objects.py
@@ -1,4 +1,4 @@
-"""The lease object in the store, and the calls that read and write it."""
+"""The lease object in the store, and the store calls that access it."""
 
 import typing
 
@@ -8,9 +8,9 @@
 
 
 class LeaseAction:
-    """Any of the below; each is one store call.
+    """Base class of the store calls that a lease requests.
 
-    :param name: the object's name.
+    :param name: the lease object's name.
     """
 
     __slots__ = ("name",)
@@ -20,19 +20,23 @@
 
 
 class ReadLease(LeaseAction):
-    """Get the object; report by :meth:`Lease.read` or ``failed``."""
+    """Read the lease object.
+
+    Report the result by :meth:`~.leases.Lease.read` or ``failed``.
+    """
 
     __slots__ = ()
 
 
 class WriteLease(LeaseAction):
-    """Put the object.
+    """Write the lease object, conditional on its version.
 
-    Report by :meth:`Lease.written`, ``conflict``, ``ambiguous`` or
-    ``failed``.
+    Report the result by :meth:`~.leases.Lease.written`, ``conflict``,
+    ``ambiguous`` or ``failed``.
 
-    :param value: the JSON value.
-    :param expected_version: None to create only.
+    :param value: the JSON value to write.
+    :param expected_version: the version to replace; None to create the
+        object only if it does not exist.
     """
 
     __slots__ = ("value", "expected_version")
@@ -48,8 +52,11 @@
         self.expected_version = expected_version
 
 
-class Doubt:
-    """A write that may or may not have taken effect, or still may."""
+class UnconfirmedWrite:
+    """A write without an answer: it may have taken effect, or still may.
+
+    :param sent_at: when the write was sent, on the local monotonic clock.
+    """
 
     __slots__ = ("write", "sent_at")
 
@@ -58,8 +65,13 @@
         self.sent_at = sent_at
 
 
-class Seen:
-    """The object as last seen, and since when it is known to be so."""
+class ObservedLease:
+    """The lease object as this VM last observed it.
+
+    :param version: None when the object does not exist.
+    :param now: the time of the observation: ``since`` when this version was
+        first observed, ``checked_at`` when it was last confirmed.
+    """
 
     __slots__ = ("version", "value", "since", "checked_at")
 
@@ -72,8 +84,8 @@
         self.checked_at = now
 
 
-def free(fencing: int, duration_s: float) -> dict[str, typing.Any]:
-    """The value of a lease that nobody holds."""
+def unheld_value(fencing: int, duration_s: float) -> dict[str, typing.Any]:
+    """The value of a lease without a holder."""
     return {
         "holder": "",
         "incarnation": 0,
@@ -83,7 +95,7 @@
 
 
 def is_lease(value: typing.Any) -> bool:
-    """Whether a value has the form of a lease."""
+    """Whether a JSON value has the fields and types of a lease."""
     return (
         isinstance(value, dict)
         and shapes.is_any_text(value.get("holder"))
--- a/src/apricotlever/vms/leases.py
+++ b/src/apricotlever/vms/leases.py
@@ -1,16 +1,16 @@
 """A lease on a duty: an object in the platform's store, with fencing.
 
 The object's value is ``{"holder", "incarnation", "fencing", "duration_s"}``.
-Each new holder raises the fencing number by one; renewing is a conditional
-update on the version, so of two writers one loses. Times are monotonic and
-local; no clock of another machine is trusted:
+Each new holder raises the fencing number by one. Writes are conditional on
+the object's version, so only one of two concurrent writers succeeds. All
+times are local and monotonic; no clock of another machine is trusted:
 
-- the holder counts its duration from before it sent the renewal;
-- a contender counts it from when it first saw the current version, which is
-  later, so the holder's time is always over first.
+- the holder measures the duration from before it sent the renewal;
+- a contender measures it from its first observation of the current version,
+  which is later, so the lease always expires at the holder first.
 
-A holder that was paused, or whose answer was slow, finds its time over in
-:meth:`Lease.may_order`, which is to be asked just before each order.
+:meth:`Lease.may_order` must be called just before each order: it detects a
+lease that expired during a pause or a slow answer.
 """
 
 import random
@@ -20,27 +20,31 @@
 from . import lease_objects
 
 DEFAULT_DURATION_S = 15.0
-# Renewed when this part of the duration has passed.
-RENEW_PART = 1 / 3
-# Rates of two machines' monotonic clocks may differ by this part.
-DRIFT_PART = 0.01
+# A lease is renewed when this fraction of its duration has passed.
+RENEW_FRACTION = 1 / 3
+# The rates of two machines' monotonic clocks may differ by this fraction.
+CLOCK_DRIFT_FRACTION = 0.01
+# Delay after a failed call; a random jitter is added to it.
 RETRY_S = 1.0
 RETRY_JITTER_S = 0.5
 NEVER = float("-inf")
 
 
 class Lease:
-    """One VM's side of one lease.
-
-    :param name: the object's name, such as "leases/capacity/sala-a".
-    :param holder: this VM.
-    :param incarnation: of this process; a restarted one is another holder.
-    :param longest_order_s: how long an order may take to act. For upstreams
-        that ignore fencing numbers a successor waits for this too, as the
-        last order of its predecessor may still be on its way; 0 when all of
-        them check the number.
-    :param durable: whether the store keeps whatever it has acknowledged. An
-        object that is not there was never written then, and is taken at once.
+    """This VM's side of one lease.
+
+    :param name: the lease object's name, such as "leases/capacity/sala-a".
+    :param holder: this VM's name.
+    :param incarnation: the incarnation of this process; a restarted process
+        is another holder.
+    :param longest_order_s: the longest time, in seconds, until an order takes
+        effect. For upstreams that ignore fencing numbers a new holder also
+        waits for this time, as the last order of the previous holder may
+        still be on its way; 0 when all upstreams check the number.
+    :param duration_s: the duration of the lease, in seconds.
+    :param durable: whether the store keeps every acknowledged write. A
+        missing object was then never written, so its lease is acquired at
+        once.
     """
 
     __slots__ = (
@@ -52,18 +56,18 @@
         "_longest_order_s",
         "_duration_s",
         "_durable",
-        "_seen",
+        "_observed",
         "_wanted",
         "_pending",
         "_sent_at",
-        "_doubt",
+        "_unconfirmed",
         "_own_version",
         "_fencing",
         "_renewed_at",
         "_valid_until",
-        "_highest",
-        "_given_up",
-        "_given_up_at",
+        "_highest_fencing",
+        "_surrendered",
+        "_surrendered_at",
         "_retry_at",
     )
 
@@ -86,76 +90,81 @@
         self._longest_order_s = longest_order_s
         self._duration_s = duration_s
         self._durable = durable
-        self._seen: lease_objects.Seen | None = None
+        self._observed: lease_objects.ObservedLease | None = None
         self._wanted = False
         self._pending: lease_objects.LeaseAction | None = None
         self._sent_at = NEVER
-        self._doubt: lease_objects.Doubt | None = None
+        self._unconfirmed: lease_objects.UnconfirmedWrite | None = None
         self._own_version: int | None = None
         self._fencing = 0
         self._renewed_at = NEVER
         self._valid_until = NEVER
-        self._highest = 0
-        self._given_up = 0
-        self._given_up_at = NEVER
+        self._highest_fencing = 0
+        self._surrendered = 0
+        self._surrendered_at = NEVER
         self._retry_at = NEVER
 
     @property
     def name(self) -> str:
-        """The object's name."""
+        """The lease object's name."""
         return self._name
 
     @property
     def held(self) -> bool:
-        """Whether the lease is valid at this moment."""
+        """Whether this VM's lease is valid now."""
         return self._clock.now() < self._valid_until
 
     @property
     def wanted(self) -> bool:
-        """Whether this VM wants to hold it."""
+        """Whether this VM should hold the lease."""
         return self._wanted
 
     def may_order(self, order_s: float = 0.0) -> int | None:
-        """Ask just before each order.
+        """The fencing number for an order, checked just before sending it.
 
-        :param order_s: how long it takes to send the order off; the lease
-            has to last that long.
-        :returns: the fencing number to send with it, or None: no order.
+        :param order_s: the time needed to send the order, in seconds; the
+            lease must stay valid for that long.
+        :returns: the fencing number to send with the order; None when this
+            VM must not order.
         """
-        if not self._wanted or self._fencing < self._highest:
+        if not self._wanted or self._fencing < self._highest_fencing:
             return None
         if self._clock.now() + order_s >= self._valid_until:
             return None
         return self._fencing
 
     def want(self, wanted: bool) -> None:
-        """Set whether this VM should hold it; it stops ordering at once."""
+        """Set whether this VM should hold the lease.
+
+        A holder that should not hold it any longer stops ordering at once.
+        """
         self._wanted = wanted
 
     def give_up(self) -> int:
-        """Never act again with the number held now.
+        """Stop using the current fencing number for good.
 
-        For a holder whose renewals fail while others reach the store: they
-        need not wait until its time is over once they know. What it writes
-        later, if the object is still its own, has a greater number.
+        This is for a holder whose renewals fail while other VMs reach the
+        store: once they know, they need not wait until its lease expires. A
+        later write by this VM, if the object is still its own, has a greater
+        number.
 
-        :returns: the number.
+        :returns: the surrendered fencing number.
         """
-        given_up = self._fencing
+        surrendered = self._fencing
         self._wanted = False
         self._valid_until = NEVER
-        self._highest = max(self._highest, given_up + 1)
-        return given_up
+        self._highest_fencing = max(self._highest_fencing, surrendered + 1)
+        return surrendered
 
     def given_up(self, fencing: int) -> None:
-        """Its holder says that it never acts again with a number."""
-        if fencing > self._given_up:
-            self._given_up = fencing
-            self._given_up_at = self._clock.now()
+        """Record that a fencing number's holder has surrendered it."""
+        if fencing > self._surrendered:
+            self._surrendered = fencing
+            self._surrendered_at = self._clock.now()
 
     @property
     def renewed(self) -> tuple[int, int] | None:
-        """The version and the number of the lease while it is held."""
+        """The version and the fencing number while this VM holds the lease."""
         if not self.held or self._own_version is None:
             return None
         return self._own_version, self._fencing
@@ -163,17 +172,18 @@
     def told(
         self, version: int, fencing: int, holder: str, incarnation: int
     ) -> None:
-        """The holder tells of the version that it wrote.
+        """Record a renewal that the holder announced.
 
-        It wrote it before it told, so the time from now covers the time that
-        the holder counts. The object is still read before it is taken. A VM
-        that does not contend yet takes it in, too: it may have to as soon as
-        the holder is not heard any more, and would count from then on.
+        The write preceded the announcement, so a duration measured from now
+        ends after the lease has expired at the holder. The object is still
+        read before this VM acquires the lease. A VM that does not contend
+        records renewals, too: it may have to contend as soon as the holder
+        fails, and would otherwise measure the duration only from then on.
         """
-        seen = self._seen
-        if self._pending is not None or self._doubt or self._is_mine():
+        observed = self._observed
+        if self._pending is not None or self._unconfirmed or self._is_own():
             return
-        if seen is not None and version <= (seen.version or 0):
+        if observed is not None and version <= (observed.version or 0):
             return
         value = {
             "holder": holder,
@@ -184,89 +194,100 @@
         self._observe(version, value)
 
     def process_seen(self, vm: str, incarnation: int) -> None:
-        """A VM runs a process; its number as the VM tells it.
+        """Record the incarnation of the process that a VM runs.
 
-        One of the holder's VM that is newer than the holder shows that the
-        holder has ended: no order of it can follow. Only where the store is
-        durable: an old copy may name a process that ended long ago while
-        another VM's lease runs.
+        A newer process on the holder's VM shows that the holder has ended
+        and sends no more orders. This holds only for a durable store: one
+        restored from an old copy may name a process that ended long ago
+        while another VM's lease is still valid.
         """
-        seen = self._seen
-        if not self._durable or seen is None or vm != seen.value["holder"]:
+        observed = self._observed
+        if (
+            not self._durable
+            or observed is None
+            or vm != observed.value["holder"]
+        ):
             return
-        if incarnation > seen.value["incarnation"]:
-            self.given_up(int(seen.value["fencing"]))
+        if incarnation > observed.value["incarnation"]:
+            self.given_up(int(observed.value["fencing"]))
 
     def fenced_off(self, highest: int) -> None:
-        """An upstream refused an order: it has seen a greater number.
+        """Handle an upstream that has seen a greater fencing number.
 
         Either another VM holds the lease by now, or the store lost the
-        object and the numbers began anew. The object is read to see which.
+        object and the numbers restarted. The object is read to find out.
 
-        :param highest: the number that the upstream has seen.
+        :param highest: the highest number that the upstream has seen.
         """
-        self._highest = max(self._highest, highest)
+        self._highest_fencing = max(self._highest_fencing, highest)
         self._valid_until = NEVER
         if self._pending is None:
-            self._seen = None
+            self._observed = None
 
     def tick(self) -> lease_objects.LeaseAction | None:
-        """The next store call, if one is due; one at a time."""
+        """The store call that is due, if any; one is in progress at a time."""
         now = self._clock.now()
         if self._pending is not None or now < self._retry_at:
             return None
         if not self._wanted:
             return self._release()
-        if self._seen is None:
+        if self._observed is None:
             return self._begin(lease_objects.ReadLease(self._name))
-        if self._is_mine():
+        if self._is_own():
             return self._renew(now)
-        return self._contend(now, self._seen)
+        return self._contend(now, self._observed)
 
     def read(
         self, version: int | None, value: dict[str, typing.Any] | None
     ) -> None:
-        """The object as the store holds it; None when there is none."""
+        """Report the object that was read; both None when there is none."""
         self._pending = None
         if value is not None and not lease_objects.is_lease(value):
-            # Overwriting what somebody put there by hand would start the
-            # fencing numbers again; the duty rests until it is mended.
+            # Overwriting an object that somebody edited by hand would restart
+            # the fencing numbers. Nobody holds the lease until the object is
+            # repaired.
             self._backoff()
             return
         self._observe(
-            version, value or lease_objects.free(0, self._duration_s)
+            version, value or lease_objects.unheld_value(0, self._duration_s)
         )
-        self._settle_doubt()
-        if not self._is_mine():
+        self._resolve_unconfirmed()
+        if not self._is_own():
             self._valid_until = NEVER
 
     def written(self, version: int) -> None:
-        """The write took effect."""
+        """Report that the write took effect."""
         write, self._pending = self._pending, None
         if not isinstance(write, lease_objects.WriteLease):
             return
-        self._doubt = None
+        self._unconfirmed = None
         self._observe(version, write.value)
-        self._confirm(version, write.value, self._sent_at)
+        self._apply_own_write(version, write.value, self._sent_at)
 
     def conflict(self) -> None:
-        """Another version is there: it is read to see whose.
+        """Report that a write found another version of the object.
 
-        It may be our own, by a write whose answer was lost.
+        The object is read next. That version may be this VM's own, from a
+        write whose answer was lost.
         """
         self._pending = None
-        self._seen = None
+        self._observed = None
 
     def ambiguous(self) -> None:
-        """The write went out and no answer came; it is read back."""
+        """Report a write without an answer; the object is read next."""
         write, self._pending = self._pending, None
-        self._seen = None
-        if isinstance(write, lease_objects.WriteLease) and self._doubt is None:
-            self._doubt = lease_objects.Doubt(write, self._sent_at)
+        self._observed = None
+        if (
+            isinstance(write, lease_objects.WriteLease)
+            and self._unconfirmed is None
+        ):
+            self._unconfirmed = lease_objects.UnconfirmedWrite(
+                write, self._sent_at
+            )
         self._backoff()
 
     def failed(self) -> None:
-        """The call surely had no effect; tried again after a while."""
+        """Report a call that had no effect; it is retried after a delay."""
         self._pending = None
         self._backoff()
 
@@ -278,45 +299,47 @@
         self, action: lease_objects.LeaseAction
     ) -> lease_objects.LeaseAction:
         self._pending = action
-        # From before the call: the store may apply it any time after.
+        # Taken before the call: the store may apply it at any later moment.
         self._sent_at = self._clock.now()
         return action
 
     def _renew(self, now: float) -> lease_objects.LeaseAction | None:
-        assert self._seen is not None
-        fencing = int(self._seen.value["fencing"])
-        if fencing < self._highest:
-            return self._write(self._holder, self._highest + 1)
-        if now < self._renewed_at + RENEW_PART * self._duration_s:
+        assert self._observed is not None
+        fencing = int(self._observed.value["fencing"])
+        if fencing < self._highest_fencing:
+            return self._write(self._holder, self._highest_fencing + 1)
+        if now < self._renewed_at + RENEW_FRACTION * self._duration_s:
             return None
         return self._write(self._holder, fencing)
 
     def _contend(
-        self, now: float, seen: lease_objects.Seen
+        self, now: float, observed: lease_objects.ObservedLease
     ) -> lease_objects.LeaseAction | None:
         self.process_seen(self._holder, self._incarnation)
-        free_at = self._free_at(seen)
-        if now < free_at:
+        available_at = self._available_at(observed)
+        if now < available_at:
             return None
-        if seen.checked_at < free_at and seen.value["holder"]:
-            # The holder has most likely renewed; a read is cheaper for the
-            # store than a write that loses.
+        if observed.checked_at < available_at and observed.value["holder"]:
+            # The holder has most likely renewed the lease; a read costs the
+            # store less than a write that fails.
             return self._begin(lease_objects.ReadLease(self._name))
-        fencing = max(int(seen.value["fencing"]), self._highest) + 1
+        fencing = (
+            max(int(observed.value["fencing"]), self._highest_fencing) + 1
+        )
         return self._write(self._holder, fencing)
 
     def _release(self) -> lease_objects.LeaseAction | None:
-        if self._own_version is None and self._doubt is None:
+        if self._own_version is None and self._unconfirmed is None:
             return None
-        if self._seen is None:
+        if self._observed is None:
             return self._begin(lease_objects.ReadLease(self._name))
-        if not self._is_mine():
+        if not self._is_own():
             return None
         self._valid_until = NEVER
-        return self._write("", int(self._seen.value["fencing"]))
+        return self._write("", int(self._observed.value["fencing"]))
 
     def _write(self, holder: str, fencing: int) -> lease_objects.LeaseAction:
-        assert self._seen is not None
+        assert self._observed is not None
         value = {
             "holder": holder,
             "incarnation": self._incarnation,
@@ -324,34 +347,41 @@
             "duration_s": self._duration_s,
         }
         return self._begin(
-            lease_objects.WriteLease(self._name, value, self._seen.version)
+            lease_objects.WriteLease(self._name, value, self._observed.version)
         )
 
     def _observe(
         self, version: int | None, value: dict[str, typing.Any]
     ) -> None:
         now = self._clock.now()
-        self._highest = max(self._highest, int(value["fencing"]))
-        if self._seen is not None and self._seen.version == version:
-            self._seen.checked_at = now
+        self._highest_fencing = max(
+            self._highest_fencing, int(value["fencing"])
+        )
+        if self._observed is not None and self._observed.version == version:
+            self._observed.checked_at = now
             return
-        self._seen = lease_objects.Seen(version, value, now)
+        self._observed = lease_objects.ObservedLease(version, value, now)
 
-    def _settle_doubt(self) -> None:
-        """Find out whether a write whose answer was lost took effect."""
-        doubt, seen = self._doubt, self._seen
-        if doubt is None or seen is None:
+    def _resolve_unconfirmed(self) -> None:
+        """Determine whether a write without an answer took effect."""
+        unconfirmed, observed = self._unconfirmed, self._observed
+        if unconfirmed is None or observed is None:
             return
-        if seen.version == doubt.write.expected_version:
-            # Not yet; it may still arrive, so the doubt stays.
+        if observed.version == unconfirmed.write.expected_version:
+            # The write has had no effect yet, but may still arrive.
             return
-        self._doubt = None
-        if seen.value == doubt.write.value and seen.version is not None:
-            # Counted from the first write in doubt: a later one with the
-            # same value may not be the one that took effect.
-            self._confirm(seen.version, seen.value, doubt.sent_at)
-
-    def _confirm(
+        self._unconfirmed = None
+        if (
+            observed.value == unconfirmed.write.value
+            and observed.version is not None
+        ):
+            # The duration is measured from the first unconfirmed write: a
+            # later one with the same value may not have taken effect.
+            self._apply_own_write(
+                observed.version, observed.value, unconfirmed.sent_at
+            )
+
+    def _apply_own_write(
         self, version: int, value: dict[str, typing.Any], sent_at: float
     ) -> None:
         if not value["holder"]:
@@ -360,27 +390,29 @@
         self._own_version = version
         self._fencing = int(value["fencing"])
         self._renewed_at = sent_at
-        self._valid_until = sent_at + self._duration_s * (1 - DRIFT_PART)
+        self._valid_until = sent_at + self._duration_s * (
+            1 - CLOCK_DRIFT_FRACTION
+        )
 
-    def _is_mine(self) -> bool:
-        # By the version that we know we wrote, not by the name in the
-        # value: a store restored from an old copy may name us as holder
-        # while another VM's lease still runs.
+    def _is_own(self) -> bool:
+        # This compares the version known to be written by this VM, not the
+        # name in the value: a store restored from an old copy may name this
+        # VM as the holder while another VM's lease is still valid.
         return (
-            self._seen is not None
+            self._observed is not None
             and self._own_version is not None
-            and self._seen.version == self._own_version
+            and self._observed.version == self._own_version
         )
 
-    def _free_at(self, seen: lease_objects.Seen) -> float:
-        # A missing object is waited out like a held one, unless the store is
-        # durable: it may have been lost while its holder counts on it.
-        known = self._durable or seen.version is not None
-        if seen.version is None and self._durable:
-            return seen.since
-        if not seen.value["holder"] and known:
-            return seen.since + self._longest_order_s
-        if 0 < int(seen.value["fencing"]) <= self._given_up:
-            return self._given_up_at + self._longest_order_s
-        wait_s = seen.value["duration_s"] * (1 + DRIFT_PART)
-        return seen.since + wait_s + self._longest_order_s
+    def _available_at(self, observed: lease_objects.ObservedLease) -> float:
+        # Unless the store is durable, a missing object is treated like a held
+        # lease: the store may have lost it while its holder relies on it.
+        is_reliable = self._durable or observed.version is not None
+        if observed.version is None and self._durable:
+            return observed.since
+        if not observed.value["holder"] and is_reliable:
+            return observed.since + self._longest_order_s
+        if 0 < int(observed.value["fencing"]) <= self._surrendered:
+            return self._surrendered_at + self._longest_order_s
+        wait_s = observed.value["duration_s"] * (1 + CLOCK_DRIFT_FRACTION)
+        return observed.since + wait_s + self._longest_order_s
--- a/src/apricotlever/vms/mediation.py
+++ b/src/apricotlever/vms/mediation.py
@@ -1,15 +1,16 @@
-"""Probes that this VM makes on behalf of others."""
+"""Indirect probes that this VM performs at the request of other VMs."""
 
 from .. import clock as clocks
 from ..links import peer_pb2 as pb
 
 
-class Mediation:
-    """One probe for another VM.
+class RelayedProbe:
+    """One probe performed for another VM.
 
-    :param origin: who asked.
-    :param sequence: the number that the asker gave.
-    :param target: the VM probed.
+    :param origin: the VM that requested the probe.
+    :param sequence: the requester's sequence number.
+    :param target: the VM to probe.
+    :param ends_at: when the probe times out, on the local monotonic clock.
     """
 
     __slots__ = ("origin", "sequence", "target", "ends_at")
@@ -27,44 +28,57 @@
         self.ends_at = ends_at
 
 
-class Mediations:
-    """Those in progress, by the number of our own probe.
+class RelayedProbes:
+    """Relayed probes in progress, by this VM's own sequence number.
 
-    :param timeout_s: after that the asker is told that nothing came, early
-        enough for it to count as a sign that its own link works.
+    :param timeout_s: when the target has not answered after this many
+        seconds, the requester gets a negative answer. It must arrive before
+        the requester's probe ends: it shows that the requester's own link
+        works.
     """
 
-    __slots__ = ("_clock", "_timeout_s", "_by_sequence")
+    __slots__ = ("_clock", "_timeout_s", "_by_own_sequence")
 
     def __init__(self, clock: clocks.Clock, timeout_s: float) -> None:
         self._clock = clock
         self._timeout_s = timeout_s
-        self._by_sequence: dict[int, Mediation] = {}
+        self._by_own_sequence: dict[int, RelayedProbe] = {}
 
     def begin(
-        self, own: int, origin: pb.Member, request: pb.IndirectProbe
+        self, own_sequence: int, origin: pb.Member, request: pb.IndirectProbe
     ) -> None:
-        """Remember whom to tell about our probe number ``own``."""
-        self._by_sequence[own] = Mediation(
+        """Register a relayed probe.
+
+        :param own_sequence: the number of this VM's probe of the target.
+        :param origin: the VM that requested the probe.
+        """
+        self._by_own_sequence[own_sequence] = RelayedProbe(
             origin,
             request.sequence,
             request.target.vm,
             self._clock.now() + self._timeout_s,
         )
 
-    def acked(self, vm: str, own: int) -> Mediation | None:
-        """The target answered our probe."""
-        mediation = self._by_sequence.get(own)
-        if mediation is None or mediation.target != vm:
+    def acked(self, vm: str, own_sequence: int) -> RelayedProbe | None:
+        """Remove the relayed probe that a VM's ack belongs to.
+
+        :returns: the probe; None when the ack belongs to none of them.
+        """
+        relayed = self._by_own_sequence.get(own_sequence)
+        if relayed is None or relayed.target != vm:
             return None
-        return self._by_sequence.pop(own)
+        return self._by_own_sequence.pop(own_sequence)
 
-    def expired(self) -> list[Mediation]:
-        """Those whose target did not answer in time."""
+    def expired(self) -> list[RelayedProbe]:
+        """Remove and return the probes whose target did not answer in time."""
         now = self._clock.now()
-        late = [s for s, m in self._by_sequence.items() if m.ends_at <= now]
-        return [self._by_sequence.pop(sequence) for sequence in late]
+        late = [
+            own_sequence
+            for own_sequence, relayed in self._by_own_sequence.items()
+            if relayed.ends_at <= now
+        ]
+        return [self._by_own_sequence.pop(sequence) for sequence in late]
 
     def clear(self) -> None:
-        """Forget them all."""
-        self._by_sequence.clear()
+        """Drop all relayed probes without answering their requesters."""
+        self._by_own_sequence.clear()
--- a/src/apricotlever/vms/membership.py
+++ b/src/apricotlever/vms/membership.py
@@ -1,10 +1,11 @@
-"""Which entry VMs are there: a gossip protocol after SWIM, with Lifeguard.
-
-Each VM probes one other in each interval, directly and then through others;
-a silent one is suspected, may deny it, and else counts as dead. Records and
-rumours ride on the probes; urgent ones are pushed at once. The class does
-no I/O: its owner calls :meth:`Membership.tick` about every ``TICK_S``,
-hands it received messages and carries out the actions returned.
+"""Membership of the entry VMs: a SWIM gossip protocol with Lifeguard.
+
+Each VM probes one other VM per interval, directly and then indirectly. A VM
+that does not answer is suspected; it is declared dead unless it refutes the
+suspicion in time. Member records and rumours are piggybacked on the probes;
+urgent ones are pushed at once. The class does no I/O: its caller calls
+:meth:`Membership.tick` about every ``TICK_S``, hands over received messages
+and performs the returned actions.
 """
 
 import random
@@ -27,15 +28,18 @@
 Actions = list[actions.Action]
 _Handler = typing.Callable[["Membership", pb.GossipMessage], Actions]
 
-# The asker has to hear that nothing came before its own interval ends.
-MEDIATION_PART = 0.75
-PAUSE_HEALTH_COST = 2
-RESYNC_S = 2.0
+# Part of the probe timeout after which a relayed probe fails. The requester
+# must receive the negative answer before its own probe interval ends.
+RELAY_TIMEOUT_FRACTION = 0.75
+# Added to the local health score after a pause of this process.
+PAUSE_HEALTH_PENALTY = 2
+# After a VM has joined, the next view exchange starts within this time.
+JOIN_RESYNC_S = 2.0
 
 _handlers: dict[str, _Handler] = {}
 
 
-def _handles(kind: str) -> typing.Callable[[_Handler], _Handler]:
+def _handler_for(kind: str) -> typing.Callable[[_Handler], _Handler]:
     def register(handler: _Handler) -> _Handler:
         _handlers[kind] = handler
         return handler
@@ -44,12 +48,12 @@
 
 
 class Membership:
-    """One VM's part in the membership of the fleet.
+    """This VM's side of the membership protocol.
 
-    :param me: this VM's own record, alive, with both addresses and the
+    :param me: this VM's own record: alive, with both addresses and the
         incarnation of this process.
-    :param timing: intervals and bounds.
-    :param hints: first contacts from the settings.
+    :param timing: the protocol's intervals and bounds.
+    :param hints: the seed nodes from the settings.
     """
 
     def __init__(
@@ -68,260 +72,265 @@
             clock, self._known, self._health, self._timing
         )
         self._prober = probing.Prober(clock, rng, self._timing, self._health)
-        self._outreach = outreach.Outreach(
+        self._disseminator = outreach.Disseminator(
             clock, rng, self._known, self._timing, hints
         )
-        self._mediations = mediation.Mediations(
-            clock, MEDIATION_PART * self._timing.probe_timeout_s
+        self._relayed_probes = mediation.RelayedProbes(
+            clock, RELAY_TIMEOUT_FRACTION * self._timing.probe_timeout_s
         )
-        self._departed = False
-        self._last_tick = clock.now()
-        self._purge_at = self._last_tick
+        self._exited = False
+        self._last_active_at = clock.now()
+        self._purge_at = self._last_active_at
 
     @property
     def me(self) -> pb.Member:
-        """This VM's own record as others are told it."""
+        """This VM's own record, as it is sent to others."""
         return self._known.me
 
     @property
     def health_factor(self) -> int:
-        """1 when well; timeouts are stretched by it."""
+        """The factor for probe interval and timeout; 1 when healthy."""
         return self._health.factor
 
     @property
     def is_gateway(self) -> bool:
-        """Whether this VM speaks to other data centres for its own."""
+        """Whether this VM represents its data centre to the others."""
         return self._known.is_gateway
 
     @property
     def view(self) -> views.View:
-        """The members as seen now."""
+        """The current view of the fleet."""
         return self._known.view()
 
     def hint(self, hints: typing.Iterable[Hint]) -> None:
-        """Replace the names known from the platform's lagging list."""
-        self._outreach.set_hints(hints)
+        """Replace the hints from the platform's list, which may be stale."""
+        self._disseminator.set_hints(hints)
 
     def announce(self, rumour: pb.Rumour) -> pb.Rumour:
         """Spread a rumour; it is not delivered to this VM itself.
 
-        :param rumour: body, ``scope``, ``lifetime_ms`` and, if newer ones
-            replace it, ``replaces_key``; the rest is filled in.
+        :param rumour: the body, ``scope``, ``lifetime_ms`` and, if newer
+            rumours replace it, ``replaces_key``; other fields are filled in.
         :returns: the rumour as it is sent.
         """
-        own = self._known.rumours.stamp(rumour)
-        self._learner.push_due |= rumour_books.is_urgent(own)
-        return own
+        stamped = self._known.rumours.stamp(rumour)
+        self._learner.push_due |= rumour_books.is_urgent(stamped)
+        return stamped
 
     def set_catalogue(self, version: int, digest: int) -> None:
-        """Mention what is in force here in every message from now on."""
+        """Advertise the catalogue in force here in all later messages."""
         self._known.catalogue = pb.CatalogueVersion(
             version=version, digest=digest
         )
 
     def tick(self) -> Actions:
-        """What is due now; to be called about every ``TICK_S``."""
-        if self._departed:
+        """The actions that are due; to be called about every ``TICK_S``."""
+        if self._exited:
             return []
-        found = self._notice_pause()
+        result = self._check_for_pause()
         self._known.resize()
-        found += self._probe()
-        found += [
-            self._tell_asker(late, alive=False)
-            for late in self._mediations.expired()
+        result += self._step_prober()
+        result += [
+            self._send_indirect_ack(late, alive=False)
+            for late in self._relayed_probes.expired()
         ]
-        found += self._learner.bury()
-        found += self._push_if_due()
-        found += self._outreach.speak_for_data_centre()
-        found += self._outreach.sync()
-        found += self._outreach.reconnect()
-        self._purge()
-        return found
+        result += self._learner.bury()
+        result += self._push_if_due()
+        result += self._disseminator.send_summaries()
+        result += self._disseminator.sync()
+        result += self._disseminator.reconnect()
+        self._purge_expired()
+        return result
 
     def receive(self, message: pb.GossipMessage) -> Actions:
-        """Take in an incoming call.
+        """Process the message of an incoming call.
 
-        :returns: actions, among them one :class:`~.actions.Reply`, or none
-            at all when the message is not to be answered.
+        :returns: actions, among them one :class:`~.actions.Reply`; an empty
+            list when the message must not be answered.
         """
-        if self._departed or not message.sender.vm:
+        if self._exited or not message.sender.vm:
             return []
-        found = self._hear(message)
-        if not any(isinstance(action, actions.Reply) for action in found):
-            found.append(actions.Reply(self._answer_carrier(message)))
-        return found
+        result = self._process(message)
+        if not any(isinstance(action, actions.Reply) for action in result):
+            result.append(actions.Reply(self._default_reply(message)))
+        return result
 
     def answered(self, message: pb.GossipMessage) -> Actions:
-        """Take in the answer to one of our calls; it is not answered."""
-        if self._departed or not message.sender.vm:
+        """Process the answer to a call that this VM made."""
+        if self._exited or not message.sender.vm:
             return []
-        return self._hear(message)
+        return self._process(message)
 
     def leave(self) -> Actions:
-        """Announce that this VM takes no new work; it goes on probing."""
+        """Announce that this VM takes no new work; probing continues."""
         if self.me.leaving:
             return []
         self._learner.restate(leaving=True, state=pb.VM_LEAVING)
         return self._push_if_due()
 
     def depart(self) -> Actions:
-        """Tell some peers that this process ends now; the last call."""
+        """Tell some peers that this process ends; must be the last call."""
         self._learner.restate(state=pb.VM_DEAD, suspected_by=self.me.vm)
-        found = self._push_if_due()
-        self._departed = True
-        return found
+        result = self._push_if_due()
+        self._exited = True
+        return result
 
-    def _hear(self, message: pb.GossipMessage) -> Actions:
-        found = self._notice_pause()
+    def _process(self, message: pb.GossipMessage) -> Actions:
+        result = self._check_for_pause()
         self._known.hear_size(message.fleet_members)
-        found += self._learner.hear(message)
+        result += self._learner.hear(message)
         handler = _handlers.get(message.WhichOneof("kind") or "")
-        return found if handler is None else found + handler(self, message)
+        return result if handler is None else result + handler(self, message)
 
-    def _answer_carrier(self, message: pb.GossipMessage) -> pb.GossipMessage:
+    def _default_reply(self, message: pb.GossipMessage) -> pb.GossipMessage:
         sender = message.sender
         if not self._known.is_far(sender):
-            # Whoever pushes something has it from where we got it: sends
-            # spent on telling it back would be missing for others.
+            # A peer that pushes news usually got it from the same source as
+            # this VM. The limited number of sends is kept for other peers.
             return self._known.receipt(sender)
         answer = self._known.compose(sender)
         if message.summaries:
             self._known.add_summaries(answer)
         return answer
 
-    @_handles("probe")
-    def _hear_probe(self, message: pb.GossipMessage) -> Actions:
-        # Answered also when another VM was meant that had this address
-        # before: the prober sees from the sender that it is not the one.
+    @_handler_for("probe")
+    def _handle_probe(self, message: pb.GossipMessage) -> Actions:
+        # A probe meant for another VM that used this address before is
+        # answered, too: the ack's sender shows the prober the mismatch.
         answer = self._known.compose(message.sender)
         answer.ack.sequence = message.probe.sequence
         return [actions.Reply(answer)]
 
-    @_handles("ack")
-    def _hear_ack(self, message: pb.GossipMessage) -> Actions:
+    @_handler_for("ack")
+    def _handle_ack(self, message: pb.GossipMessage) -> Actions:
         vm = message.sender.vm
         sequence = message.ack.sequence
         self._prober.acked(vm, sequence)
-        mediated = self._mediations.acked(vm, sequence)
-        if mediated is None:
+        relayed = self._relayed_probes.acked(vm, sequence)
+        if relayed is None:
             return []
-        return [self._tell_asker(mediated, alive=True)]
+        return [self._send_indirect_ack(relayed, alive=True)]
 
-    @_handles("indirect_probe")
-    def _hear_indirect_probe(self, message: pb.GossipMessage) -> Actions:
+    @_handler_for("indirect_probe")
+    def _handle_indirect_probe(self, message: pb.GossipMessage) -> Actions:
         target = message.indirect_probe.target
-        own = self._prober.next_sequence()
-        self._mediations.begin(own, message.sender, message.indirect_probe)
-        return [self._probe_message(target, own)]
-
-    @_handles("indirect_ack")
-    def _hear_indirect_ack(self, message: pb.GossipMessage) -> Actions:
-        heard = message.indirect_ack
-        if heard.alive:
-            self._prober.acked(heard.target, heard.sequence)
+        own_sequence = self._prober.next_sequence()
+        self._relayed_probes.begin(
+            own_sequence, message.sender, message.indirect_probe
+        )
+        return [self._send_probe(target, own_sequence)]
+
+    @_handler_for("indirect_ack")
+    def _handle_indirect_ack(self, message: pb.GossipMessage) -> Actions:
+        ack = message.indirect_ack
+        if ack.alive:
+            self._prober.acked(ack.target, ack.sequence)
         else:
-            self._prober.denied(heard.target, heard.sequence)
+            self._prober.nacked(ack.target, ack.sequence)
         return []
 
-    @_handles("sync")
-    def _hear_sync(self, message: pb.GossipMessage) -> Actions:
+    @_handler_for("sync")
+    def _handle_sync(self, message: pb.GossipMessage) -> Actions:
         sync = message.sync
         self._known.learn_summaries(sync.summaries)
         vm = message.sender.vm
-        found = self._learner.learn_view(sync.members, vm)
-        if any(map(_is_newcomer, found)):
-            # Where many join at once one view does not have them all.
-            self._outreach.sync_within(RESYNC_S)
-        found += self._learner.learn_rumours(sync.rumours, vm)
+        result = self._learner.learn_view(sync.members, vm)
+        if any(map(_is_join, result)):
+            # When many VMs join at once, a single view lacks some of them.
+            self._disseminator.sync_within(JOIN_RESYNC_S)
+        result += self._learner.learn_rumours(sync.rumours, vm)
         if sync.question:
             answer = self._known.answer_sync(message.sender)
-            found.append(actions.Reply(answer))
-        return found
+            result.append(actions.Reply(answer))
+        return result
 
-    def _probe(self) -> Actions:
+    def _step_prober(self) -> Actions:
         live = self._known.roster.live
         return [
             action
             for step in self._prober.step(live)
             if step.vm in live
-            for action in self._take_step(step, live[step.vm])
+            for action in self._perform_step(step, live[step.vm])
         ]
 
-    def _take_step(self, step: probing.Step, member: pb.Member) -> Actions:
+    def _perform_step(
+        self, step: probing.ProbeStep, member: pb.Member
+    ) -> Actions:
         if isinstance(step, probing.Suspect):
             return self._learner.suspect(member.vm)
-        if isinstance(step, probing.AskOthers):
-            return self._ask_others(step.sequence, member)
-        return [self._probe_message(member, step.sequence)]
+        if isinstance(step, probing.ProbeIndirectly):
+            return self._send_indirect_probes(step.sequence, member)
+        return [self._send_probe(member, step.sequence)]
 
-    def _probe_message(
-        self, member: pb.Member, sequence: int
-    ) -> actions.Action:
+    def _send_probe(self, member: pb.Member, sequence: int) -> actions.Action:
         message = self._known.compose(member)
         message.probe.sequence = sequence
         message.probe.target = member.vm
         return outreach.send(member, message)
 
-    def _ask_others(self, sequence: int, target: pb.Member) -> Actions:
+    def _send_indirect_probes(
+        self, sequence: int, target: pb.Member
+    ) -> Actions:
         count = self._timing.indirect_probes
-        others = self._outreach.some(count, {target.vm})
-        self._prober.asked(len(others))
-        found: Actions = []
+        others = self._disseminator.random_peers(count, {target.vm})
+        self._prober.indirect_probes_sent(len(others))
+        result: Actions = []
         for other in others:
             message = self._known.compose(other)
             message.indirect_probe.sequence = sequence
             message.indirect_probe.target.CopyFrom(target)
-            found.append(outreach.send(other, message))
-        return found
+            result.append(outreach.send(other, message))
+        return result
 
-    def _tell_asker(
-        self, mediated: mediation.Mediation, alive: bool
+    def _send_indirect_ack(
+        self, relayed: mediation.RelayedProbe, alive: bool
     ) -> actions.Action:
-        message = self._known.compose(mediated.origin)
-        message.indirect_ack.sequence = mediated.sequence
-        message.indirect_ack.target = mediated.target
+        message = self._known.compose(relayed.origin)
+        message.indirect_ack.sequence = relayed.sequence
+        message.indirect_ack.target = relayed.target
         message.indirect_ack.alive = alive
-        return outreach.send(mediated.origin, message)
+        return outreach.send(relayed.origin, message)
 
     def _push_if_due(self) -> Actions:
         if not self._learner.push_due:
             return []
         self._learner.push_due = False
-        return self._outreach.push()
+        return self._disseminator.push()
 
-    def _notice_pause(self) -> Actions:
-        """Find out that this process stood still.
+    def _check_for_pause(self) -> Actions:
+        """Detect a pause of this process by a gap in its activity.
 
-        After a pause every timer here is over at once: all the others
-        would be taken for dead, though it was us who did not listen. It
-        shows as a gap between ticks. Timers are moved by the gap, the
-        probe in progress is dropped, and others are told that we live.
+        After a pause all timers of this VM have expired, and all other VMs
+        would be declared dead although this VM was the one not receiving.
+        Suspicion timers are therefore moved by the gap, the probe in
+        progress is cancelled, and this VM announces that it is alive.
         """
         now = self._clock.now()
-        gap_s = now - self._last_tick
-        self._last_tick = now
+        gap_s = now - self._last_active_at
+        self._last_active_at = now
         if gap_s <= self._timing.pause_s:
             return []
         self._learner.postpone(gap_s)
-        self._prober.abandon()
-        self._mediations.clear()
-        self._health.worse(PAUSE_HEALTH_COST)
+        self._prober.cancel()
+        self._relayed_probes.clear()
+        self._health.worse(PAUSE_HEALTH_PENALTY)
         self._learner.restate()
-        self._outreach.sync_within(0.0)
+        self._disseminator.sync_within(0.0)
         if gap_s > self._timing.tombstone_s / 2:
-            self._distrust_everything()
+            self._discard_records()
         return [actions.Paused(gap_s)]
 
-    def _distrust_everything(self) -> None:
-        # Others have forgotten by now who died meanwhile, so our old list
-        # would resurrect the dead. Its names become mere hints.
+    def _discard_records(self) -> None:
+        # The other VMs may have dropped the records of VMs that died during
+        # the pause, so this VM's old records would resurrect those. The
+        # records are demoted to contact addresses.
         records = list(self._known.roster.all.values())
-        self._outreach.keep_as_seeds(records)
+        self._disseminator.add_seeds(records)
         for member in records:
             self._known.roster.forget(member.vm)
         self._learner.drop_suspicions()
 
-    def _purge(self) -> None:
+    def _purge_expired(self) -> None:
         now = self._clock.now()
         if now >= self._purge_at:
             self._purge_at = now + self._timing.probe_interval_s
@@ -329,5 +338,5 @@
             self._known.rumours.purge()
 
 
-def _is_newcomer(action: actions.Action) -> bool:
+def _is_join(action: actions.Action) -> bool:
     return isinstance(action, actions.Changed) and action.before is None
--- a/src/apricotlever/vms/orders.py
+++ b/src/apricotlever/vms/orders.py
@@ -1,8 +1,9 @@
-"""Orders to upstreams: a target state, sent under a lease, read back.
+"""Orders that set the target state of upstreams, under a lease.
 
-An order says what should be in force there, not what to change, so sending
-it twice does no harm. An order whose answer was lost, or that an upstream
-without fencing took from an old holder, shows when the target is read back.
+An order states the whole target, not a change, so sending it twice is
+harmless. The target is read back from the upstream. This shows whether an
+order without an answer took effect, and reveals a late order of a previous
+lease holder that an upstream without fencing accepted.
 """
 
 import typing
@@ -11,14 +12,16 @@
 
 Target = dict[str, typing.Any]
 
+# Time between two reads of a confirmed target.
 READ_BACK_S = 30.0
+# Time until an action that failed or was not reported is repeated.
 RETRY_S = 2.0
 
 
 class OrderAction:
-    """Any of the below.
+    """Base class of the calls to upstreams.
 
-    :param upstream: whom to call.
+    :param upstream: the upstream to call.
     """
 
     __slots__ = ("upstream",)
@@ -28,9 +31,9 @@
 
 
 class SendOrder(OrderAction):
-    """Send the target; ask ``Duties.may_order`` just before.
+    """Send the target; check ``Duties.may_order`` just before.
 
-    Report by :meth:`Orders.sent` or :meth:`Orders.not_sent`.
+    Report the result by :meth:`Orders.sent` or :meth:`Orders.not_sent`.
     """
 
     __slots__ = ("order_id", "target")
@@ -42,13 +45,17 @@
 
 
 class ReadBack(OrderAction):
-    """Read the target in force; report by :meth:`Orders.found`."""
+    """Read the target in force; report it by :meth:`Orders.target_read`."""
 
     __slots__ = ()
 
 
-class _Wanted:
-    """What one upstream should have, and how far that is known."""
+class _TargetState:
+    """The target of one upstream and whether it is confirmed.
+
+    :param number: the number of this target, part of the order ID.
+    :param due_at: when the next call is due, on the local monotonic clock.
+    """
 
     __slots__ = ("target", "number", "confirmed", "due_at", "must_read")
 
@@ -61,87 +68,90 @@
 
 
 class Orders:
-    """The targets that this VM has to bring about.
+    """The targets of upstreams that this VM is responsible for.
 
-    :param vm: this VM, for the order IDs.
-    :param incarnation: of this process.
+    :param vm: this VM's name, part of the order IDs.
+    :param incarnation: the incarnation of this process.
     """
 
-    __slots__ = ("_clock", "_vm", "_incarnation", "_wanted", "_number")
+    __slots__ = ("_clock", "_vm", "_incarnation", "_targets", "_number")
 
     def __init__(self, clock: clocks.Clock, vm: str, incarnation: int) -> None:
         self._clock = clock
         self._vm = vm
         self._incarnation = incarnation
-        self._wanted: dict[str, _Wanted] = {}
+        self._targets: dict[str, _TargetState] = {}
         self._number = 0
 
     @property
     def unconfirmed(self) -> list[str]:
-        """Upstreams whose target was not read back yet."""
+        """Upstreams whose target is not confirmed by a read."""
         return sorted(
             upstream
-            for upstream, wanted in self._wanted.items()
-            if not wanted.confirmed
+            for upstream, state in self._targets.items()
+            if not state.confirmed
         )
 
     @property
     def wanted(self) -> list[str]:
         """Upstreams that have a target."""
-        return sorted(self._wanted)
+        return sorted(self._targets)
 
     def want(self, upstream: str, target: Target) -> None:
-        """Set what should be in force; the same again changes nothing."""
-        known = self._wanted.get(upstream)
+        """Set the target of an upstream; an equal one changes nothing."""
+        known = self._targets.get(upstream)
         if known is None or known.target != target:
             self._number += 1
-            self._wanted[upstream] = _Wanted(
+            self._targets[upstream] = _TargetState(
                 target, self._number, self._clock.now()
             )
 
     def forget(self, upstream: str) -> None:
-        """It is gone, or another VM's business."""
-        self._wanted.pop(upstream, None)
+        """Drop an upstream's target: it is gone, or another VM directs it."""
+        self._targets.pop(upstream, None)
 
     def tick(self) -> list[OrderAction]:
-        """What is due; each has to be reported before it comes again."""
+        """The calls that are due.
+
+        A call is due again after ``RETRY_S`` unless its result is reported.
+        """
         now = self._clock.now()
-        due = [u for u, wanted in self._wanted.items() if wanted.due_at <= now]
-        return [self._next(upstream, now) for upstream in due]
+        due = [u for u, state in self._targets.items() if state.due_at <= now]
+        return [self._next_action(upstream, now) for upstream in due]
 
     def sent(self, upstream: str) -> None:
-        """The upstream took the order, or its answer was lost."""
-        self._read_next(upstream, 0.0)
+        """Report that the upstream accepted the order, or may have done so."""
+        self._schedule_read_back(upstream, 0.0)
 
     def not_sent(self, upstream: str) -> None:
-        """It surely did not get there, or was refused: tried again."""
-        wanted = self._wanted.get(upstream)
-        if wanted is not None:
-            wanted.must_read = False
-            wanted.due_at = self._clock.now() + RETRY_S
+        """Report that the call had no effect or was refused; it is retried."""
+        state = self._targets.get(upstream)
+        if state is not None:
+            state.must_read = False
+            state.due_at = self._clock.now() + RETRY_S
 
     def found(self, upstream: str, target: Target) -> None:
-        """What is in force there, as read back."""
-        wanted = self._wanted.get(upstream)
-        if wanted is None:
+        """Report the target in force, as read from the upstream."""
+        state = self._targets.get(upstream)
+        if state is None:
             return
-        wanted.confirmed = target == wanted.target
-        # Read again later: an old holder's late order may undo it where
-        # fencing is not checked.
-        delay_s = READ_BACK_S if wanted.confirmed else 0.0
-        wanted.must_read = wanted.confirmed
-        wanted.due_at = self._clock.now() + delay_s
-
-    def _next(self, upstream: str, now: float) -> OrderAction:
-        wanted = self._wanted[upstream]
-        wanted.due_at = now + RETRY_S
-        if wanted.must_read:
+        state.confirmed = target == state.target
+        # A confirmed target is read again later: where fencing is not
+        # checked, a late order of a previous holder may replace it.
+        delay_s = READ_BACK_S if state.confirmed else 0.0
+        state.must_read = state.confirmed
+        state.due_at = self._clock.now() + delay_s
+
+    def _next_action(self, upstream: str, now: float) -> OrderAction:
+        state = self._targets[upstream]
+        state.due_at = now + RETRY_S
+        if state.must_read:
             return ReadBack(upstream)
-        order_id = f"{self._vm}.{self._incarnation}.{wanted.number}"
-        return SendOrder(upstream, order_id, wanted.target)
-
-    def _read_next(self, upstream: str, delay_s: float) -> None:
-        wanted = self._wanted.get(upstream)
-        if wanted is not None:
-            wanted.must_read = True
-            wanted.due_at = self._clock.now() + delay_s
+        order_id = f"{self._vm}.{self._incarnation}.{state.number}"
+        return SendOrder(upstream, order_id, state.target)
+
+    def _schedule_read_back(self, upstream: str, delay_s: float) -> None:
+        state = self._targets.get(upstream)
+        if state is not None:
+            state.must_read = True
+            state.due_at = self._clock.now() + delay_s
--- a/src/apricotlever/vms/outreach.py
+++ b/src/apricotlever/vms/outreach.py
@@ -1,4 +1,4 @@
-"""Messages that nobody asked for: pushes, summaries, syncs, reconnects."""
+"""Gossip sent beside the probes: pushes, summaries, syncs, reconnects."""
 
 import itertools
 import random
@@ -12,18 +12,19 @@
 
 Actions = list[actions.Action]
 
+# Addresses contacted at a time while this VM knows no live member.
 CONTACTS_WHEN_ALONE = 3
 
 
 def send(member: pb.Member, message: pb.GossipMessage) -> actions.Send:
-    """A message to a VM that is known."""
+    """The action that sends a message to a known VM."""
     return actions.Send(member.vm, member.peers_address, message)
 
 
-class Outreach:
-    """Decides whom to tell or ask something beside the probes.
+class Disseminator:
+    """Schedules the gossip that is not part of a probe.
 
-    :param hints: first contacts from the settings.
+    :param hints: the seed nodes from the settings.
     """
 
     __slots__ = (
@@ -35,7 +36,7 @@
         "_hints",
         "_sync_at",
         "_contact_at",
-        "_gateway_at",
+        "_summaries_at",
     )
 
     def __init__(
@@ -53,67 +54,75 @@
         self._seeds = {hint.vm: hint for hint in hints}
         self._hints: dict[str, knowledge.Hint] = {}
         now = clock.now()
-        # Views differ most just after a start, so the first one comes soon.
+        # Views differ most just after a start, so the first sync is early.
         self._sync_at = now + rng.uniform(0, timing.reconnect_interval_s)
         self._contact_at = now
-        self._gateway_at = now
+        self._summaries_at = now
 
     def set_hints(self, hints: typing.Iterable[knowledge.Hint]) -> None:
-        """Replace the names from the platform's list."""
+        """Replace the hints from the platform's list."""
         self._hints = {hint.vm: hint for hint in hints}
 
-    def keep_as_seeds(self, members: typing.Iterable[pb.Member]) -> None:
-        """Records that are no longer trusted become first contacts."""
+    def add_seeds(self, members: typing.Iterable[pb.Member]) -> None:
+        """Add the addresses of records that are no longer trusted as seeds."""
         self._seeds.update((member.vm, _hint(member)) for member in members)
 
     def sync_within(self, seconds: float) -> None:
-        """Exchange views again after that time at the latest."""
+        """Start the next view exchange within this time at the latest."""
         self._sync_at = min(self._sync_at, self._clock.now() + seconds)
 
-    def some(self, count: int, without: set[str]) -> list[pb.Member]:
-        """Random live members."""
+    def random_peers(self, count: int, without: set[str]) -> list[pb.Member]:
+        """Random live members.
+
+        :param count: the most members to return.
+        :param without: names of members to leave out.
+        """
         live = self._known.roster.live
         names = [vm for vm in live if vm not in without]
         picked = self._rng.sample(names, min(count, len(names)))
         return [live[vm] for vm in picked]
 
     def push(self) -> Actions:
-        """Send what is urgent to a few peers now, not with the probes."""
-        peers = self.some(self._timing.push_fanout, set())
-        near = peers + self._first_gateway_beside(peers)
-        found: Actions = [
-            send(peer, self._known.compose(peer)) for peer in near
+        """Send urgent news to a few peers now, not with the next probes."""
+        peers = self.random_peers(self._timing.push_fanout, set())
+        recipients = peers + self._first_gateway_not_among(peers)
+        result: Actions = [
+            send(peer, self._known.compose(peer)) for peer in recipients
         ]
         if self._known.is_gateway:
-            found += self._tell_data_centres(self._timing.gateway_fanout)
-        return found
+            result += self._send_to_data_centres(self._timing.gateway_fanout)
+        return result
+
+    def send_summaries(self) -> Actions:
+        """Send summaries to one other data centre per probe interval.
 
-    def speak_for_data_centre(self) -> Actions:
-        """A gateway tells one other data centre in each interval."""
+        Only gateways do so; the first gateway also issues the summary of
+        its own data centre when it is due.
+        """
         now = self._clock.now()
-        if now < self._gateway_at:
+        if now < self._summaries_at:
             return []
-        self._gateway_at = now + self._timing.probe_interval_s
+        self._summaries_at = now + self._timing.probe_interval_s
         if not self._known.is_gateway:
             return []
         gateways = self._known.gateways
         if gateways[0] == self._known.me.vm:
             self._known.summaries.issue_if_due(self._known.here(), gateways)
-        return self._tell_data_centres(1)
+        return self._send_to_data_centres(1)
 
     def sync(self) -> Actions:
-        """Exchange the whole view with one peer now and then."""
+        """Start the periodic exchange of the whole view with one peer."""
         now = self._clock.now()
         if now < self._sync_at:
             return []
         self._sync_at = now + self._timing.sync_interval_s
         return [
             send(peer, self._known.ask_sync(peer))
-            for peer in self.some(1, set())
+            for peer in self.random_peers(1, set())
         ]
 
     def reconnect(self) -> Actions:
-        """Ask at the address of somebody who is not seen."""
+        """Ask for a sync at the addresses of VMs that are not in the view."""
         now = self._clock.now()
         if now < self._contact_at:
             return []
@@ -123,54 +132,56 @@
             if alone
             else self._timing.reconnect_interval_s
         )
-        lost = self._lost()
-        count = min(len(lost), CONTACTS_WHEN_ALONE if alone else 1)
+        unseen = self._unseen()
+        count = min(len(unseen), CONTACTS_WHEN_ALONE if alone else 1)
         return [
             actions.Send(hint.vm, hint.address, self._known.ask_sync(None))
-            for hint in self._rng.sample(lost, count)
+            for hint in self._rng.sample(unseen, count)
         ]
 
-    def _first_gateway_beside(self, peers: list[pb.Member]) -> list[pb.Member]:
+    def _first_gateway_not_among(
+        self, peers: list[pb.Member]
+    ) -> list[pb.Member]:
         if self._known.is_gateway:
             return []
         live = self._known.roster.live
-        told = {peer.vm for peer in peers}
+        among = {peer.vm for peer in peers}
         return [
             live[vm]
             for vm in self._known.gateways[:1]
-            if vm in live and vm not in told
+            if vm in live and vm not in among
         ]
 
-    def _tell_data_centres(self, count: int) -> Actions:
+    def _send_to_data_centres(self, count: int) -> Actions:
         summaries = self._known.summaries
         names = {summaries.next_data_centre() for _ in range(count)}
-        ways = [
+        gateways = [
             summaries.gateway_of(name)
             for name in sorted(name for name in names if name is not None)
         ]
-        found: Actions = []
-        for way in ways:
-            if way is None:
+        result: Actions = []
+        for gateway in gateways:
+            if gateway is None:
                 continue
-            message = self._known.compose(way)
+            message = self._known.compose(gateway)
             self._known.add_summaries(message)
-            found.append(send(way, message))
-        return found
+            result.append(send(gateway, message))
+        return result
 
-    def _lost(self) -> list[knowledge.Hint]:
-        """Who might be there without being seen."""
+    def _unseen(self) -> list[knowledge.Hint]:
+        """Hints of VMs that may run although the view lacks them."""
         known = self._known
-        named = itertools.chain(
+        hints = itertools.chain(
             self._hints.values(),
             self._seeds.values(),
             map(
                 _hint, itertools.chain(known.roster.dead, known.summaries.kin)
             ),
         )
-        by_name = {hint.vm: hint for hint in named}
-        return [hint for hint in by_name.values() if self._is_lost(hint)]
+        by_name = {hint.vm: hint for hint in hints}
+        return [hint for hint in by_name.values() if self._is_unseen(hint)]
 
-    def _is_lost(self, hint: knowledge.Hint) -> bool:
+    def _is_unseen(self, hint: knowledge.Hint) -> bool:
         known = self._known
         if hint.vm == known.me.vm or hint.vm in known.roster.live:
             return False
--- a/src/apricotlever/vms/probing.py
+++ b/src/apricotlever/vms/probing.py
@@ -1,4 +1,7 @@
-"""One probe at a time: direct, then through others, then a suspicion."""
+"""The failure detector: direct probe, indirect probes, then suspicion.
+
+One member is probed at a time.
+"""
 
 import random
 import typing
@@ -9,8 +12,12 @@
 from . import timing as timings
 
 
-class Step:
-    """What the prober wants done next."""
+class ProbeStep:
+    """Base class of the steps that the prober requests.
+
+    :param vm: the probed VM.
+    :param sequence: the probe's sequence number.
+    """
 
     __slots__ = ("vm", "sequence")
 
@@ -19,45 +26,57 @@
         self.sequence = sequence
 
 
-class SendProbe(Step):
-    """Probe the VM directly."""
+class SendProbe(ProbeStep):
+    """Send a direct probe to the VM."""
 
     __slots__ = ()
 
 
-class AskOthers(Step):
-    """Have other VMs probe it."""
+class ProbeIndirectly(ProbeStep):
+    """Ask other VMs to probe the VM."""
 
     __slots__ = ()
 
 
-class Suspect(Step):
-    """Nobody got an answer from it."""
+class Suspect(ProbeStep):
+    """Suspect the VM: no probe of it was answered."""
 
     __slots__ = ()
 
 
-class _Outstanding:
-    """The probe in progress."""
+class _ProbeInProgress:
+    """The state of the probe in progress.
 
-    __slots__ = ("vm", "sequence", "sent_at", "asked", "denials", "acked")
+    :param sent_at: when the direct probe was sent, on the local monotonic
+        clock.
+    """
+
+    __slots__ = (
+        "vm",
+        "sequence",
+        "sent_at",
+        "indirect_probes",
+        "nacks",
+        "acked",
+    )
 
     def __init__(self, vm: str, sequence: int, sent_at: float) -> None:
         self.vm = vm
         self.sequence = sequence
         self.sent_at = sent_at
-        self.asked = 0
-        self.denials = 0
+        self.indirect_probes = 0
+        self.nacks = 0
         self.acked = False
 
 
 class Prober:
-    """Goes round the members in a shuffled order, one in each interval.
+    """Probes the members in rounds of shuffled order, one per interval.
 
-    A shuffled round bounds the time until a given VM is probed, which
-    picking at random would not.
+    Shuffled rounds bound the time until a given VM is probed; independent
+    random choices would not.
 
-    :param health: stretches interval and timeout, and learns from results.
+    :param health: lengthens interval and timeout, and is updated by the
+        results of the probes.
     """
 
     __slots__ = (
@@ -67,7 +86,7 @@
         "_health",
         "_round",
         "_sequence",
-        "_current",
+        "_in_progress",
         "_next_at",
     )
 
@@ -84,91 +103,97 @@
         self._health = health
         self._round: list[str] = []
         self._sequence = 0
-        self._current: _Outstanding | None = None
-        # Spread over the interval, so that VMs started together don't
-        # probe in step.
+        self._in_progress: _ProbeInProgress | None = None
+        # A random start within the interval, so that VMs started together
+        # do not probe at the same moments.
         self._next_at = clock.now() + rng.uniform(0, timing.probe_interval_s)
 
-    def step(self, live: typing.Mapping[str, pb.Member]) -> list[Step]:
-        """What is due now.
+    def step(self, live: typing.Mapping[str, pb.Member]) -> list[ProbeStep]:
+        """The steps that are due.
 
-        :param live: members that may be probed.
+        :param live: the members that may be probed, by name.
         """
         now = self._clock.now()
         if now >= self._next_at:
-            return self._end(live) + self._begin(now, live)
-        if self._wants_others(now):
-            assert self._current is not None
-            return [AskOthers(self._current.vm, self._current.sequence)]
+            return self._finish_probe(live) + self._start_probe(now, live)
+        if self._needs_indirect_probes(now):
+            assert self._in_progress is not None
+            return [
+                ProbeIndirectly(
+                    self._in_progress.vm, self._in_progress.sequence
+                )
+            ]
         return []
 
-    def asked(self, count: int) -> None:
-        """So many others were asked about the probe in progress.
+    def indirect_probes_sent(self, count: int) -> None:
+        """Record how many VMs were asked to probe the current target.
 
-        With nobody to ask, nobody can vouch for our own link, so that
-        counts as one asked who stays silent.
+        With no VM to ask, nothing shows that this VM's own link works, so
+        that case counts as one VM that was asked and did not answer.
         """
-        if self._current is not None:
-            self._current.asked = max(1, count)
+        if self._in_progress is not None:
+            self._in_progress.indirect_probes = max(1, count)
 
     def acked(self, vm: str, sequence: int) -> None:
-        """The VM itself, or another on its behalf, answered."""
+        """Handle an ack, direct or relayed by another VM."""
         if self._matches(vm, sequence):
-            assert self._current is not None
-            self._current.acked = True
+            assert self._in_progress is not None
+            self._in_progress.acked = True
 
-    def denied(self, vm: str, sequence: int) -> None:
-        """Another VM got no answer from it either."""
+    def nacked(self, vm: str, sequence: int) -> None:
+        """Handle a nack: another VM got no answer from the target either."""
         if self._matches(vm, sequence):
-            assert self._current is not None
-            self._current.denials += 1
+            assert self._in_progress is not None
+            self._in_progress.nacks += 1
 
-    def abandon(self) -> None:
-        """Forget the probe in progress: we were paused, not the other."""
-        self._current = None
+    def cancel(self) -> None:
+        """Drop the probe in progress: this VM was paused, not the target."""
+        self._in_progress = None
 
     def next_sequence(self) -> int:
-        """A number for a probe on another VM's behalf."""
+        """A new sequence number, for an own probe or a relayed one."""
         self._sequence += 1
         return self._sequence
 
     def _matches(self, vm: str, sequence: int) -> bool:
-        current = self._current
+        current = self._in_progress
         return (
             current is not None
             and current.sequence == sequence
             and current.vm == vm
         )
 
-    def _wants_others(self, now: float) -> bool:
-        current = self._current
-        if current is None or current.acked or current.asked:
+    def _needs_indirect_probes(self, now: float) -> bool:
+        current = self._in_progress
+        if current is None or current.acked or current.indirect_probes:
             return False
         timeout_s = self._timing.probe_timeout_s * self._health.factor
         return now >= current.sent_at + timeout_s
 
-    def _end(self, live: typing.Mapping[str, pb.Member]) -> list[Step]:
-        current, self._current = self._current, None
+    def _finish_probe(
+        self, live: typing.Mapping[str, pb.Member]
+    ) -> list[ProbeStep]:
+        current, self._in_progress = self._in_progress, None
         if current is None or current.vm not in live:
             return []
         if current.acked:
             self._health.better()
             return []
-        # Those asked answer even when they got nothing. When they are
-        # silent as well, it is our own link that fails.
-        silent = max(0, current.asked - current.denials)
+        # The VMs asked send a nack when the target did not answer. When they
+        # are silent as well, this VM's own link has failed.
+        silent = max(0, current.indirect_probes - current.nacks)
         self._health.worse(min(1, silent))
         return [Suspect(current.vm, current.sequence)]
 
-    def _begin(
+    def _start_probe(
         self, now: float, live: typing.Mapping[str, pb.Member]
-    ) -> list[Step]:
+    ) -> list[ProbeStep]:
         interval_s = self._timing.probe_interval_s * self._health.factor
         self._next_at = now + interval_s
         vm = self._next_vm(live)
         if vm is None:
             return []
-        self._current = _Outstanding(vm, self.next_sequence(), now)
+        self._in_progress = _ProbeInProgress(vm, self.next_sequence(), now)
         return [SendProbe(vm, self._sequence)]
 
     def _next_vm(self, live: typing.Mapping[str, pb.Member]) -> str | None:
--- a/src/apricotlever/vms/rendezvous.py
+++ b/src/apricotlever/vms/rendezvous.py
@@ -1,7 +1,8 @@
-"""Rendezvous hashing: VMs with the same view agree without talking.
+"""Rendezvous hashing: VMs with the same view agree without messages.
 
-Each name gets a weight from the key and itself; the heaviest wins. When a
-name goes, only the keys that it had won move.
+Each name gets a weight by hashing it together with the key; the name with
+the greatest weight is chosen. When a name is removed, only the keys assigned
+to it move.
 """
 
 import typing
@@ -15,10 +16,10 @@
 
 
 def rank(key: str, names: typing.Iterable[str]) -> list[str]:
-    """All names, best first.
+    """All names by falling weight.
 
-    :param key: what is to be placed.
-    :param names: who may hold it; order and doubles don't matter.
+    :param key: the key to assign.
+    :param names: the candidates; order and duplicates do not matter.
     """
     return sorted(
         set(names), key=lambda name: (weight(key, name), name), reverse=True
@@ -26,5 +27,5 @@
 
 
 def pick(key: str, names: typing.Iterable[str]) -> str | None:
-    """The best name, or None when there are none."""
+    """The name with the greatest weight; None when there are no names."""
     return max(names, key=lambda name: (weight(key, name), name), default=None)
--- a/src/apricotlever/vms/roster.py
+++ b/src/apricotlever/vms/roster.py
@@ -1,4 +1,4 @@
-"""What one VM knows of the others, merged by a strict order of records."""
+"""The records of other VMs, merged by a strict order of precedence."""
 
 import typing
 
@@ -9,17 +9,17 @@
 
 
 def standing(member: pb.Member) -> Standing:
-    """The order of two records of one VM; the greater one counts."""
+    """The precedence of a record; the greater one of a VM prevails."""
     return member.incarnation, member.refutation, member.state
 
 
 def accepts_work(member: pb.Member) -> bool:
-    """Whether new work may go there."""
+    """Whether new work may be sent to the VM."""
     return member.state == pb.VM_ALIVE and not member.leaving
 
 
 def changed(member: pb.Member, **fields: typing.Any) -> pb.Member:
-    """A copy with some fields replaced; records are never changed."""
+    """A copy with some fields replaced; records themselves never change."""
     copy = pb.Member()
     copy.CopyFrom(member)
     for name, value in fields.items():
@@ -28,9 +28,10 @@
 
 
 class Merged:
-    """The outcome of a merge that changed something.
+    """The outcome of a merge that changed a record.
 
-    :param before: None when the VM was not known.
+    :param before: the previous record; None when the VM was not known.
+    :param after: the new record.
     """
 
     __slots__ = ("before", "after")
@@ -41,7 +42,7 @@
 
     @property
     def replaced(self) -> bool:
-        """Whether a newer process runs under the same name."""
+        """Whether the new record is of a newer process of the same VM."""
         return (
             self.before is not None
             and self.before.incarnation < self.after.incarnation
@@ -49,13 +50,13 @@
 
 
 class Roster:
-    """Records of the other VMs, the dead remembered for a while.
+    """Records of the other VMs, with tombstones for the dead ones.
 
-    Why the dead are remembered: an old list that still names one would
-    resurrect it; it would show as work sent to nobody. Its record loses
-    against the remembered one.
+    Without tombstones, a stale record from another VM would make a dead VM
+    live again, and work would be sent to it. The stale record loses against
+    the tombstone.
 
-    :param tombstone_s: how long a dead VM is remembered.
+    :param tombstone_s: how long the record of a dead VM is kept, in seconds.
     """
 
     __slots__ = (
@@ -64,7 +65,7 @@
         "_records",
         "_died_at",
         "_live",
-        "_changes",
+        "_change_count",
     )
 
     def __init__(self, clock: clocks.Clock, tombstone_s: float) -> None:
@@ -73,12 +74,12 @@
         self._records: dict[str, pb.Member] = {}
         self._died_at: dict[str, float] = {}
         self._live: dict[str, pb.Member] = {}
-        self._changes = 0
+        self._change_count = 0
 
     @property
     def changes(self) -> int:
-        """Rises with every change of a record."""
-        return self._changes
+        """A counter that rises with every change of a record."""
+        return self._change_count
 
     @property
     def live(self) -> typing.Mapping[str, pb.Member]:
@@ -87,53 +88,56 @@
 
     @property
     def all(self) -> typing.Mapping[str, pb.Member]:
-        """Every record, the remembered dead included."""
+        """Every record by name, dead VMs included."""
         return self._records
 
     @property
     def dead(self) -> list[pb.Member]:
-        """The remembered dead."""
+        """The records of dead VMs that have not expired."""
         return [self._records[vm] for vm in self._died_at]
 
     def get(self, vm: str) -> pb.Member | None:
-        """The record of a VM, dead ones included."""
+        """The record of a VM, alive or dead; None when it is unknown."""
         return self._records.get(vm)
 
     def merge(self, member: pb.Member) -> Merged | None:
-        """Take in a record.
+        """Merge a received record.
 
-        :returns: what changed; None when the record is not newer.
+        :returns: the change; None when the record adds nothing new.
         """
         before = self._records.get(member.vm)
         if before is None:
             return self._store(None, member)
         if standing(member) > standing(before):
-            return self._store(before, _keep_leaving(before, member))
+            return self._store(before, _preserve_leaving(before, member))
         if _learns_leaving(before, member):
-            return self._store(before, _leaving(before))
+            return self._store(before, _as_leaving(before))
         return None
 
     def keep_accuser(self, member: pb.Member) -> None:
-        """Hold a record that differs from ours in who suspects only."""
+        """Store a record that differs from the known one in its accuser only.
+
+        :param member: a record of the same precedence.
+        """
         self._records[member.vm] = member
         if member.vm in self._live:
             self._live[member.vm] = member
 
     def forget(self, vm: str) -> None:
-        """Drop all that is known of a VM."""
-        self._changes += 1
+        """Remove the record of a VM."""
+        self._change_count += 1
         self._records.pop(vm, None)
         self._live.pop(vm, None)
         self._died_at.pop(vm, None)
 
     def purge(self) -> None:
-        """Drop the dead of long ago."""
+        """Remove the records of dead VMs that have expired."""
         oldest = self._clock.now() - self._tombstone_s
         for vm in [v for v, at in self._died_at.items() if at < oldest]:
             self.forget(vm)
 
     def _store(self, before: pb.Member | None, after: pb.Member) -> Merged:
-        self._changes += 1
+        self._change_count += 1
         self._records[after.vm] = after
         if after.state == pb.VM_DEAD:
             self._live.pop(after.vm, None)
@@ -144,15 +148,16 @@
         return Merged(before, after)
 
 
-def _keep_leaving(before: pb.Member, member: pb.Member) -> pb.Member:
-    # A suspicion raised by a VM that had not heard of the leaving must not
-    # undo it, or new work would go to a VM that is about to stop.
+def _preserve_leaving(before: pb.Member, member: pb.Member) -> pb.Member:
+    # The accuser may not know yet that the suspect is leaving. Its record
+    # must not clear that flag, or new work would go to a VM that is about
+    # to stop.
     if not _same_process(before, member) or not before.leaving:
         return member
-    return _leaving(member)
+    return _as_leaving(member)
 
 
-def _leaving(member: pb.Member) -> pb.Member:
+def _as_leaving(member: pb.Member) -> pb.Member:
     alive = member.state == pb.VM_ALIVE
     state = pb.VM_LEAVING if alive else member.state
     return changed(member, leaving=True, state=state)
@@ -167,5 +172,5 @@
     )
 
 
-def _same_process(one: pb.Member, other: pb.Member) -> bool:
-    return one.incarnation == other.incarnation
+def _same_process(first: pb.Member, second: pb.Member) -> bool:
+    return first.incarnation == second.incarnation
--- a/src/apricotlever/vms/timing.py
+++ b/src/apricotlever/vms/timing.py
@@ -1,4 +1,4 @@
-"""How often members probe each other and how long they wait."""
+"""Intervals, timeouts and sizes of the membership protocol."""
 
 TICK_S = 0.1
 
@@ -6,24 +6,32 @@
 class MembershipTiming:
     """Settings of :class:`~.membership.Membership`; times in seconds.
 
-    :param probe_interval_s: one probe is made in each interval.
-    :param probe_timeout_s: without an ack by then, others are asked.
-    :param indirect_probes: how many others are asked.
-    :param suspicion_factor: the shortest suspicion lasts this many
-        intervals for each factor of ten in the count of members.
+    :param probe_interval_s: each VM sends one direct probe per interval.
+    :param probe_timeout_s: without an ack after this time, other VMs are
+        asked to probe the target.
+    :param indirect_probes: the number of VMs asked to probe the target.
+    :param suspicion_factor: the shortest suspicion lasts this many probe
+        intervals for each factor of ten in the number of members.
     :param suspicion_max_factor: an unconfirmed suspicion lasts this many
-        times the shortest.
-    :param pause_s: a gap between ticks beyond this is a pause of our own.
-    :param sync_interval_s: between two exchanges of the whole view.
-    :param reconnect_interval_s: between two tries to reach a lost VM.
-    :param tombstone_s: how long the dead are remembered.
-    :param summary_interval_s: between two summaries of a data centre.
-    :param summary_stale_s: past this a summary says nothing any more.
-    :param full_view_max: fleets up to this size see all members.
-    :param gateways: VMs of a data centre that speak to the others.
-    :param gateway_fanout: data centres that a gateway tells at once.
-    :param push_fanout: peers that an urgent rumour is sent to at once.
-    :param packet_bytes: piggybacked members and rumours in a message.
+        times the shortest one.
+    :param pause_s: a longer gap between ticks is taken as a pause of this
+        process.
+    :param sync_interval_s: time between two exchanges of the whole view.
+    :param reconnect_interval_s: time between two attempts to reach a VM
+        that is not in the view.
+    :param tombstone_s: how long the record of a dead VM is kept.
+    :param summary_interval_s: time between two summaries of a data centre.
+    :param summary_stale_s: older summaries are ignored.
+    :param full_view_max: in fleets of at most this many members, each VM's
+        view has all members.
+    :param gateways: the number of VMs in a data centre that exchange
+        messages with the other data centres.
+    :param gateway_fanout: the number of data centres to which a gateway
+        pushes urgent news.
+    :param push_fanout: the number of peers to which a VM pushes urgent news.
+    :param packet_bytes: the most bytes of piggybacked members and rumours
+        in a message; the summaries in a gateway's message have a limit of
+        the same size.
     """
 
     __slots__ = (
--- a/tests/steps/vms_duties.py
+++ b/tests/steps/vms_duties.py
@@ -31,7 +31,7 @@
 
 def _holders(context, duty):
     return {
-        duties.holder(duty, _view_of(vm, context.members))
+        duties.responsible_vm(duty, _view_of(vm, context.members))
         for vm in context.members
     }
 
--- a/tests/steps/vms_leases.py
+++ b/tests/steps/vms_leases.py
@@ -14,8 +14,8 @@
 
 DURATION_S = 15.0
 LONGEST_ORDER_S = 3.0
-HELD_S = DURATION_S * (1 - leases.DRIFT_PART)
-WAITED_S = DURATION_S * (1 + leases.DRIFT_PART)
+HELD_S = DURATION_S * (1 - leases.CLOCK_DRIFT_FRACTION)
+WAITED_S = DURATION_S * (1 + leases.CLOCK_DRIFT_FRACTION)
 SOME = hypothesis.settings(
     derandomize=True,
     deadline=None,
--- a/tests/vms/lease_world.py
+++ b/tests/vms/lease_world.py
@@ -84,7 +84,7 @@
             while self._events and self._events[0][0] <= now:
                 heapq.heappop(self._events)[2]()
             for i in range(len(self.contenders)):
-                self._step(i, now)
+                self._step_contender(i, now)
             self.holders.append(
                 {
                     i
@@ -111,11 +111,11 @@
         """Steps in which two VMs would have ordered."""
         return sum(len(holders) > 1 for holders in self.holders)
 
-    def _later(self, delay_s: float, work: typing.Any) -> None:
+    def _schedule(self, delay_s: float, work: typing.Any) -> None:
         at = self.clock.now() + delay_s
         heapq.heappush(self._events, (at, next(self._order), work))
 
-    def _step(self, i: int, now: float) -> None:
+    def _step_contender(self, i: int, now: float) -> None:
         if now < self._paused[i]:
             return
         if self.faults.pause_s and self.rng.random() < STEP_S / 60:
@@ -123,19 +123,19 @@
             return
         lease = self.contenders[i]
         # An order first: what a paused VM does when it wakes up.
-        self._order_something(i, lease, now)
+        self._send_order(i, lease, now)
         if self.rng.random() < STEP_S / 20:
             lease.want(self.rng.random() >= self.faults.away)
         action = lease.tick()
         if action is not None:
             self._call(i, lease, action)
 
-    def _order_something(self, i: int, lease: typing.Any, now: float) -> None:
+    def _send_order(self, i: int, lease: typing.Any, now: float) -> None:
         fencing = lease.may_order()
         if fencing is None or now < self._order_at[i]:
             return
         self._order_at[i] = now + ORDER_EVERY_S
-        self._later(
+        self._schedule(
             self.rng.uniform(0, LONGEST_ORDER_S),
             lambda: self.applied.append((fencing, i)),
         )
@@ -150,7 +150,7 @@
                 return
             wait_s = self._paused[i] - self.clock.now()
             if wait_s > 0:
-                self._later(wait_s, lambda: answer(report))
+                self._schedule(wait_s, lambda: answer(report))
                 return
             done.append(True)
             report()
@@ -158,13 +158,13 @@
         if self.rng.random() >= self.faults.dropped:
             # Some arrive long after the caller gave up.
             late = self.rng.random() < self.faults.lost
-            self._later(
+            self._schedule(
                 self.rng.uniform(0.0, LATE_S if late else 0.5),
                 lambda: self._arrive(lease, action, answer),
             )
         is_write = isinstance(action, lease_objects.WriteLease)
         no_answer = lease.ambiguous if is_write else lease.failed
-        self._later(CALL_TIMEOUT_S, lambda: answer(no_answer))
+        self._schedule(CALL_TIMEOUT_S, lambda: answer(no_answer))
 
     def _arrive(
         self,
@@ -174,7 +174,7 @@
     ) -> None:
         report = self._apply(lease, action)
         if self.rng.random() >= self.faults.lost:
-            self._later(self.rng.uniform(0.0, 0.5), lambda: answer(report))
+            self._schedule(self.rng.uniform(0.0, 0.5), lambda: answer(report))
 
     def _apply(
         self, lease: typing.Any, action: lease_objects.LeaseAction
--- a/tests/vms/naive_leases.py
+++ b/tests/vms/naive_leases.py
@@ -32,7 +32,7 @@
         self._duration_s = duration_s
         self._wanted = False
         self._fencing: int | None = None
-        self._value = lease_objects.free(0, duration_s)
+        self._value = lease_objects.unheld_value(0, duration_s)
         self._version: int | None = None
         self._since = clock.now()
         self._next_at = clock.now()
@@ -70,7 +70,7 @@
         if version != self._version:
             self._since = self._clock.now()
         self._version = version
-        self._value = value or lease_objects.free(0, self._duration_s)
+        self._value = value or lease_objects.unheld_value(0, self._duration_s)
 
     def written(self, version: int) -> None:
         """It is ours."""
