--- a/tests/steps/vms_duties.py
+++ b/tests/steps/vms_duties.py
@@ -24,30 +24,30 @@
 
 @behave.given("a duty view of {count:d} VMs in {places:d} data centres")
 def duty_view(context, count, places):
-    """The same for all."""
+    """All VMs have the same view."""
     sizes = fleets.even_sizes(count, places)
     context.members = {m.vm: m for m in fleets.members_of(sizes)}
 
 
-def _holders(context, duty):
+def _responsible_vms(context, duty):
     return {
         duties.responsible_vm(duty, _view_of(vm, context.members))
         for vm in context.members
     }
 
 
-@behave.then("each duty has one holder, in its own data centre")
-def one_holder(context):
-    """By every VM's view."""
+@behave.then("each duty has one responsible VM, in its own data centre")
+def one_responsible_vm(context):
+    """All views agree on it."""
     for duty in DUTIES:
-        (holder,) = _holders(context, duty)
+        (holder,) = _responsible_vms(context, duty)
         place = context.members[holder].data_centre
         assert duty.data_centre in ("", place)
 
 
 @behave.when('the duty view loses data centre "{place}"')
-def loses(context, place):
-    """All its VMs are dead."""
+def loses_data_centre(context, place):
+    """Its VMs are missing from every view."""
     context.members = {
         vm: member
         for vm, member in context.members.items()
@@ -55,11 +55,11 @@
     }
 
 
-@behave.then('each duty has one holder, also those of "{place}"')
-def one_holder_left(context, place):
-    """Among those left."""
+@behave.then('each duty has one responsible VM, also the duties of "{place}"')
+def one_responsible_vm_remains(context, place):
+    """It is one of the remaining VMs."""
     for duty in DUTIES:
-        (holder,) = _holders(context, duty)
+        (holder,) = _responsible_vms(context, duty)
         assert holder in context.members
 
 
@@ -67,24 +67,24 @@
     return next(duty for duty in DUTIES if duty.name == name)
 
 
-@behave.when('the holder of duty "{name}" leaves the view')
-def leaves(context, name):
-    """It announced so."""
-    (context.holder,) = _holders(context, _duty(name))
+@behave.when('the VM responsible for duty "{name}" starts to leave')
+def responsible_vm_leaves(context, name):
+    """The view shows that it announced its leave."""
+    (context.holder,) = _responsible_vms(context, _duty(name))
     context.members[context.holder] = roster.changed(
         context.members[context.holder], leaving=True, state=pb.VM_LEAVING
     )
 
 
-@behave.then('duty "{name}" has another holder')
-def another(context, name):
-    """At every VM."""
-    (holder,) = _holders(context, _duty(name))
+@behave.then('another VM is responsible for duty "{name}"')
+def another_responsible_vm(context, name):
+    """All views agree on it."""
+    (holder,) = _responsible_vms(context, _duty(name))
     assert holder != context.holder
 
 
 class Store:
-    """Lease objects; answers at once."""
+    """A store of lease objects that answers at once."""
 
     def __init__(self):
         self.objects = {}
@@ -102,58 +102,58 @@
             lease.written((version or 0) + 1)
 
 
-@behave.when("every VM of the duty view looks at it for {seconds:d} s")
-def look(context, seconds):
-    """Ticks of 0.1 s."""
+@behave.when("every VM follows the duty view for {seconds:d} s")
+def follow_view(context, seconds):
+    """Time passes in ticks of 0.1 s."""
     clock = clocks.ManualClock()
     context.store = Store()
-    context.parts = {}
+    context.duties_by_vm = {}
     for vm in context.members:
-        part = duties.Duties(clock, random.Random(1), vm, 1)
-        part.configure(DUTIES)
-        context.parts[vm] = part
+        vm_duties = duties.Duties(clock, random.Random(1), vm, 1)
+        vm_duties.configure(DUTIES)
+        context.duties_by_vm[vm] = vm_duties
     for _ in range(seconds * 10):
         clock.advance(0.1)
-        for vm, part in context.parts.items():
-            part.look(_view_of(vm, context.members))
-            for action in part.tick():
-                context.store.perform(part.lease(action.name), action)
+        for vm, vm_duties in context.duties_by_vm.items():
+            vm_duties.look(_view_of(vm, context.members))
+            for action in vm_duties.tick():
+                context.store.perform(vm_duties.lease(action.name), action)
 
 
-@behave.then("each duty is held by the VM named")
-def held(context):
-    """And by nobody else."""
+@behave.then("each duty lease is held by the responsible VM only")
+def held_by_responsible_vm(context):
+    """No other VM may order."""
     for duty in DUTIES:
-        (holder,) = _holders(context, duty)
+        (holder,) = _responsible_vms(context, duty)
         assert [
             vm
-            for vm, part in context.parts.items()
-            if part.may_order(duty.name) is not None
+            for vm, vm_duties in context.duties_by_vm.items()
+            if vm_duties.may_order(duty.name) is not None
         ] == [holder]
 
 
 @behave.then(
-    "the store saw {count:d} calls for each duty lease, and its renewals"
+    "the store received {count:d} calls for each duty lease, and its renewals"
 )
 def few_calls(context, count):
-    """A missing object is waited out for 15 s; then 45 s are left."""
+    """A lease without an object is acquired after 15 s; 45 s remain."""
     renewals = 45 / 5
     assert context.store.calls <= len(DUTIES) * (count + renewals)
 
 
-@behave.when('the holder of duty "{name}" gives its duties back')
-def gives_back(context, name):
-    """It stops."""
-    (context.holder,) = _holders(context, _duty(name))
-    context.parts[context.holder].leave()
+@behave.when('the VM responsible for duty "{name}" releases its duties')
+def releases(context, name):
+    """It does so because it stops."""
+    (context.holder,) = _responsible_vms(context, _duty(name))
+    context.duties_by_vm[context.holder].leave()
 
 
-@behave.then('it orders nothing for duty "{name}" at once')
-def no_orders(context, name):
-    """And releases the lease object."""
-    part = context.parts[context.holder]
-    assert part.may_order(name) is None
-    for action in part.tick():
-        context.store.perform(part.lease(action.name), action)
+@behave.then('that VM must not order for duty "{name}" any more')
+def must_not_order(context, name):
+    """It also writes the lease object without a holder."""
+    vm_duties = context.duties_by_vm[context.holder]
+    assert vm_duties.may_order(name) is None
+    for action in vm_duties.tick():
+        context.store.perform(vm_duties.lease(action.name), action)
     _, value = context.store.objects["leases/" + name]
     assert value["holder"] == ""
--- a/tests/steps/vms_leads.py
+++ b/tests/steps/vms_leads.py
@@ -1,4 +1,4 @@
-"""Steps for tests/vms/leads.feature."""
+"""Steps for the timers that decide when to ask a peer for newer data."""
 
 from behave import given
 from behave import then
@@ -10,40 +10,42 @@
 STEP_S = 0.1
 
 
-@given("a VM that gives leads of {lead:g} seconds")
-def _vm(context, lead):
+@given("a VM that tolerates peers being ahead for {seconds:g} seconds")
+def _vm(context, seconds):
     context.clock = clocks.ManualClock()
     context.leads = leads.Leads(context.clock)
-    context.lead_s = lead
+    context.tolerated_s = seconds
     context.asked = []
 
 
-def _records(context, ahead, level):
-    for peer in [*ahead, *level]:
-        if context.leads.due("runners", peer, peer in ahead, context.lead_s):
+def _receive_records(context, ahead, not_ahead):
+    for peer in [*ahead, *not_ahead]:
+        if context.leads.due(
+            "runners", peer, peer in ahead, context.tolerated_s
+        ):
             context.asked.append(peer)
     context.clock.advance(STEP_S)
 
 
 @when("one peer is ahead and three are not for {seconds:g} seconds")
-def _ahead(context, seconds):
+def _stays_ahead(context, seconds):
     for _ in range(round(seconds / STEP_S)):
-        _records(context, ["one"], ["two", "three", "four"])
+        _receive_records(context, ["one"], ["two", "three", "four"])
 
 
 @when("one peer is ahead for {seconds:g} seconds and then no more")
-def _then_no_more(context, seconds):
+def _stops_being_ahead(context, seconds):
     for _ in range(round(seconds / STEP_S)):
-        _records(context, ["one"], ["two"])
+        _receive_records(context, ["one"], ["two"])
     for _ in range(10):
-        _records(context, [], ["one", "two"])
+        _receive_records(context, [], ["one", "two"])
 
 
-@then("the VM asks the one that is ahead")
-def _asks(context):
+@then("the VM asks the peer that is ahead")
+def _asks_peer_ahead(context):
     assert set(context.asked) == {"one"}, context.asked
 
 
-@then("the VM asks nobody")
-def _nobody(context):
+@then("the VM asks no peer")
+def _asks_no_peer(context):
     assert not context.asked
--- a/tests/steps/vms_leases.py
+++ b/tests/steps/vms_leases.py
@@ -15,13 +15,13 @@
 DURATION_S = 15.0
 LONGEST_ORDER_S = 3.0
 HELD_S = DURATION_S * (1 - leases.CLOCK_DRIFT_FRACTION)
-WAITED_S = DURATION_S * (1 + leases.CLOCK_DRIFT_FRACTION)
+CONTENDER_WAIT_S = DURATION_S * (1 + leases.CLOCK_DRIFT_FRACTION)
 SOME = hypothesis.settings(
     derandomize=True,
     deadline=None,
     database=None,
     max_examples=60,
-    # Making a failing world smaller takes minutes and tells little.
+    # Shrinking a failing example takes minutes and gives little insight.
     phases=(hypothesis.Phase.generate,),
 )
 FAULTS = strategies.builds(
@@ -39,9 +39,11 @@
     return world
 
 
-@behave.then("with lost answers, pauses and moves no two hold a lease at once")
+@behave.then(
+    "no two VMs hold a lease at once under lost answers, pauses and moves"
+)
 def one_holder(context):
-    """In many worlds."""
+    """This is checked in many simulations."""
     context.ordered = 0
 
     @SOME
@@ -55,13 +57,13 @@
     check()
 
 
-@behave.then("no lease order takes effect after one of a later holder")
-def no_races(context):
-    """Checked in the same worlds; there were orders to check."""
+@behave.then("no lease order takes effect after an order of a later holder")
+def orders_in_sequence(context):
+    """Checked in the same simulations; this asserts that orders were sent."""
     assert context.ordered > 1000
 
 
-def _paused_world(context, make):
+def _run_with_pause(context, make):
     world = _all_want(lease_world.World(5, lease_world.Faults(), make))
     world.run(60.0)
     (holder,) = world.holders[-1]
@@ -72,43 +74,45 @@
 
 @behave.given("naive lease contenders, the holder paused for 40 s")
 def naive_contenders(context):
-    """They look when they renew."""
-    _paused_world(context, naive_leases.NaiveLease)
+    """They check the lease only when they renew it."""
+    _run_with_pause(context, naive_leases.NaiveLease)
 
 
 @behave.given("lease contenders, the holder paused for 40 s")
 def contenders(context):
-    """They ask before each order."""
-    _paused_world(context, leases.Lease)
+    """They check the lease before each order."""
+    _run_with_pause(context, leases.Lease)
 
 
-@behave.then("two would have ordered at once under the lease")
-def two_ordered(context):
+@behave.then("two VMs could have ordered at once under the lease")
+def two_could_order(context):
     """The naive version does."""
     assert context.world.double_holders()
 
 
-@behave.then("some lease order took effect after one of a later holder")
-def raced(context):
+@behave.then("some lease order took effect after an order of a later holder")
+def order_took_effect_late(context):
     """The naive version does."""
     assert context.world.order_races()
 
 
-@behave.then("at no time would two have ordered under the lease")
-def never_two(context):
-    """At no step."""
+@behave.then("no two VMs could have ordered at once under the lease")
+def no_two_could_order(context):
+    """This holds at every step of the simulation."""
     assert not context.world.double_holders()
 
 
-@behave.then("every lease order took effect before those of later holders")
-def in_order(context):
-    """At an upstream that ignores the numbers."""
+@behave.then(
+    "every lease order took effect before the orders of later holders"
+)
+def every_order_in_sequence(context):
+    """The upstream ignores fencing numbers."""
     assert context.world.applied and not context.world.order_races()
 
 
-@behave.then("the lease has moved to another holder")
-def moved(context):
-    """Else nothing would have been proved."""
+@behave.then("another VM holds the lease")
+def has_new_holder(context):
+    """Without a new holder the scenario would prove nothing."""
     assert context.world.holders[-1] not in (set(), {context.holder})
 
 
@@ -137,7 +141,7 @@
 
 
 def _next_action(context, limit_s=60.0):
-    """The next store call, and the seconds until it was due."""
+    """The next store call and the seconds until it was due."""
     start = context.clock.now()
     while context.clock.now() - start < limit_s:
         action = context.lease.tick()
@@ -147,24 +151,24 @@
     raise AssertionError("no store call")
 
 
-def _take(context, value=None, version=1):
-    """Read a free object, wait, write it."""
+def _next_write(context, value=None, version=1):
+    """Read an unheld lease object and wait until a write is due."""
     _lease(context)
     context.lease.tick()
     context.lease.read(version, value or _value("", 0))
     return _next_action(context)
 
 
-def _held(context):
-    write, _ = _take(context)
+def _acquire_lease(context):
+    write, _ = _next_write(context)
     context.lease.written(2)
     assert context.lease.may_order() == write.value["fencing"] == 1
 
 
 @behave.given("a held lease whose renewal gets no answer")
 def renewal_lost(context):
-    """The call goes out and times out two seconds later."""
-    _held(context)
+    """The call is sent and times out two seconds later."""
+    _acquire_lease(context)
     context.taken_at = context.clock.now()
     context.write, _ = _next_action(context)
     context.sent_at = context.clock.now()
@@ -177,20 +181,20 @@
 
 
 @behave.when("the lease is read and shows that the renewal took effect")
-def took_effect(context):
-    """Another version, the value that was written."""
+def renewal_took_effect(context):
+    """The object has a new version and the written value."""
     context.lease.read(3, _value())
 
 
-@behave.when("the lease is read and shows the version before")
-def no_effect(context):
-    """It may still arrive later."""
+@behave.when("the lease is read and shows the previous version")
+def renewal_had_no_effect(context):
+    """The renewal may still arrive later."""
     context.lease.read(2, _value())
 
 
-@behave.when("its next renewal gets no answer either")
-def lost_again(context):
-    """It writes the same value."""
+@behave.when("the next renewal gets no answer either")
+def next_renewal_lost(context):
+    """The second renewal writes the same value."""
     action, _ = _next_action(context)
     assert action.value == context.write.value
     context.clock.advance(2.0)
@@ -207,79 +211,81 @@
     raise AssertionError("the lease does not end")
 
 
-@behave.then("the lease counts from before that renewal was sent")
-def from_sent(context):
-    """Not from the answer."""
+@behave.then(
+    "the lease duration is measured from before that renewal was sent"
+)
+def measured_from_sending(context):
+    """The time of the answer does not matter."""
     assert abs(_ends_at(context) - context.sent_at - HELD_S) < 0.02
 
 
 @behave.then("the lease ends when it would have without that renewal")
 def unchanged_end(context):
-    """The first write counts on."""
+    """The duration is still measured from the first write."""
     assert abs(_ends_at(context) - context.taken_at - HELD_S) < 0.02
 
 
 @behave.given("a lease whose first write was answered after 10 s")
 def slow_answer(context):
-    """The store was slow."""
-    _take(context)
+    """The store takes 10 s to answer."""
+    _next_write(context)
     context.clock.advance(10.0)
     context.lease.written(2)
 
 
-@behave.then("the lease holds for less than 5 s more")
-def not_longer(context):
-    """The successor counts from when the write took effect."""
+@behave.then("the lease stays valid for less than 5 s")
+def not_extended(context):
+    """A successor measures the duration from the write's effect."""
     assert context.lease.may_order() == 1
     start = context.clock.now()
     assert _ends_at(context) - start < 5.0
 
 
-@behave.given("a lease that another VM took over")
-def taken_over(context):
-    """After this one held it."""
-    _held(context)
+@behave.given("a lease that another VM acquired later")
+def acquired_by_other(context):
+    """This VM held it before."""
+    _acquire_lease(context)
     context.clock.advance(60.0)
     context.lease.tick()
     context.lease.conflict()
     _next_action(context)
     context.lease.read(9, _value("other", 2))
-    context.clock.advance(WAITED_S + LONGEST_ORDER_S + 1)
+    context.clock.advance(CONTENDER_WAIT_S + LONGEST_ORDER_S + 1)
     assert isinstance(context.lease.tick(), lease_objects.ReadLease)
 
 
 @behave.when("the lease is read as it was when this VM held it")
 def restored(context):
-    """Its name and its incarnation, under a new version."""
+    """The value has this VM's name and incarnation, with a new version."""
     context.lease.read(4, _value())
 
 
-@behave.then("the lease is not held and is waited out")
-def waited_out(context):
-    """Then it is taken with a number above all seen."""
+@behave.then("the lease is not held until its duration has passed")
+def acquired_after_duration(context):
+    """It is then acquired with a number above all observed ones."""
     assert context.lease.may_order() is None
     action, waited_s = _next_action(context)
-    assert waited_s >= WAITED_S + LONGEST_ORDER_S - 0.1
+    assert waited_s >= CONTENDER_WAIT_S + LONGEST_ORDER_S - 0.1
     context.lease.read(4, _value())
     write, _ = _next_action(context)
     assert write.value["fencing"] == 3
 
 
 @behave.given("a held lease with fencing number 1")
-def held_one(context):
-    """Valid."""
-    _held(context)
+def held_with_number_one(context):
+    """This VM holds the lease."""
+    _acquire_lease(context)
 
 
-@behave.when("an upstream refuses it as it has seen fencing number 7")
+@behave.when("an upstream that has seen fencing number 7 refuses an order")
 def refused(context):
-    """From before the store lost the object."""
+    """The number 7 dates from before the store lost the object."""
     context.lease.fenced_off(7)
 
 
-@behave.then("no order goes out until the lease is written with number 8")
-def raised(context):
-    """After a read that shows it is still ours."""
+@behave.then("no order is sent until the lease is written with number 8")
+def written_with_number_eight(context):
+    """A read before that shows that this VM still holds the lease."""
     assert context.lease.may_order() is None
     action, _ = _next_action(context)
     assert isinstance(action, lease_objects.ReadLease)
@@ -292,21 +298,22 @@
 
 
 @behave.given("a lease that was last renewed by another VM")
-def others(context):
-    """Seen now for the first time."""
+def held_by_other(context):
+    """This VM observes the object for the first time."""
     _lease(context)
     context.lease.tick()
     context.lease.read(5, _value("other", 4))
 
 
 @behave.then(
-    "it is taken after its duration and the longest order, not before"
+    "the lease is acquired after its duration and the longest order, "
+    "not before"
 )
-def taken_late(context):
-    """A read comes first, as the holder has most likely renewed."""
+def acquired_late(context):
+    """A read comes first, as the holder has most likely renewed it."""
     action, waited_s = _next_action(context)
     assert isinstance(action, lease_objects.ReadLease)
-    assert 0 <= waited_s - WAITED_S - LONGEST_ORDER_S < 0.2
+    assert 0 <= waited_s - CONTENDER_WAIT_S - LONGEST_ORDER_S < 0.2
     context.lease.read(5, _value("other", 4))
     write, _ = _next_action(context)
     assert write.expected_version == 5 and write.value == _value(fencing=5)
@@ -314,28 +321,28 @@
 
 @behave.given("a lease that another VM released")
 def released(context):
-    """Its last order may still be on its way."""
-    context.write, context.waited_s = _take(context, _value("", 4), 5)
+    """The last order of that VM may still be on its way."""
+    context.write, context.waited_s = _next_write(context, _value("", 4), 5)
 
 
-@behave.then("it is taken after the longest order")
-def taken_soon(context):
-    """With the next number."""
+@behave.then("the lease is acquired after the longest order")
+def acquired_early(context):
+    """The next fencing number is written."""
     assert 0 <= context.waited_s - LONGEST_ORDER_S < 0.2
     assert context.write.value == _value(fencing=5)
 
 
-@behave.given("a lease object that holds something else")
-def no_lease(context):
-    """Written by hand, say."""
+@behave.given("a lease object with a value that is not a lease")
+def not_a_lease(context):
+    """Somebody may have edited it by hand."""
     _lease(context)
     context.lease.tick()
     context.lease.read(5, {"hello": "world"})
 
 
-@behave.then("nothing is written over it")
-def untouched(context):
-    """It is read again now and then."""
+@behave.then("the lease object is not overwritten")
+def not_overwritten(context):
+    """It is read again after a while."""
     action, _ = _next_action(context)
     assert isinstance(action, lease_objects.ReadLease)
     assert context.lease.may_order() is None
--- a/tests/steps/vms_membership.py
+++ b/tests/steps/vms_membership.py
@@ -14,15 +14,15 @@
 
 @behave.given("a gossip fleet of {count:d} VMs in {places:d} data centres")
 def gossip_fleet(context, count, places):
-    """They know one first contact."""
+    """The VMs know one seed node."""
     context.world = gossip_world.World(count, places, membership.Membership)
 
 
 @behave.given(
-    "a settled gossip fleet of {count:d} VMs in {places:d} data centres"
+    "a converged gossip fleet of {count:d} VMs in {places:d} data centres"
 )
-def settled(context, count, places):
-    """They all see each other."""
+def converged_fleet(context, count, places):
+    """All VMs see each other."""
     gossip_fleet(context, count, places)
     context.world.fleet.run(SETTLE_S)
     assert context.world.complete()
@@ -31,7 +31,7 @@
 
 @behave.given("a heartbeat fleet of {count:d} VMs in {places:d} data centres")
 def heartbeat_fleet(context, count, places):
-    """The naive version."""
+    """The VMs use the naive membership."""
     make = naive_membership.HeartbeatMembership
     context.world = gossip_world.World(count, places, make)
     context.world.fleet.run(3.0)
@@ -42,7 +42,7 @@
     "a large gossip fleet of {count:d} VMs in {places:d} data centres"
 )
 def large_fleet(context, count, places):
-    """One above the bound of the full view."""
+    """The fleet is above the size limit of a full view."""
     context.world = gossip_world.World(
         count,
         places,
@@ -53,15 +53,17 @@
     context.world.fleet.run(SETTLE_S)
 
 
-@behave.then("within {seconds:d} s every gossip VM sees all that run")
+@behave.then(
+    "within {seconds:d} s every gossip VM sees exactly the running VMs"
+)
 def sees_all(context, seconds):
-    """And nobody else."""
+    """No view has other members."""
     context.world.within(seconds, context.world.complete)
 
 
 @behave.when('gossip VM "{vm}" crashes')
 def crashes(context, vm):
-    """Without a word."""
+    """The process ends without an announcement."""
     context.world.fleet.crash(vm)
 
 
@@ -69,47 +71,47 @@
     "for {seconds:d} s the gossip network loses {part:d} in 100 messages"
 )
 def loses(context, seconds, part):
-    """Each way, independently."""
+    """Each direction loses messages independently."""
     context.world.fleet.loss = part / 100
     context.world.fleet.run(seconds)
 
 
-@behave.then("no gossip VM was wrongly held for dead")
-def none_wrong(context):
-    """By anybody."""
+@behave.then("no running gossip VM was declared dead")
+def none_declared_dead(context):
+    """No VM declared it dead."""
     assert not context.world.wrong_deaths(), context.world.wrong_deaths()
 
 
-@behave.then("some gossip VM was wrongly held for dead")
-def some_wrong(context):
-    """The check above fails for the naive version."""
+@behave.then("some running gossip VM was declared dead")
+def some_declared_dead(context):
+    """The previous check fails for the naive version."""
     assert context.world.wrong_deaths()
 
 
 @behave.when('gossip VM "{vm}" pauses for {seconds:d} s')
 def pauses(context, vm, seconds):
-    """And wakes up."""
+    """The VM runs for 2 s after the pause."""
     context.world.fleet.pause(vm, seconds)
     context.world.fleet.run(seconds + 2.0)
 
 
-@behave.then('gossip VM "{vm}" held nobody for dead')
-def held_nobody(context, vm):
-    """As a judge of its own or by hearsay."""
-    judged = [j for j, _ in context.world.wrong_deaths()]
-    assert vm not in judged
+@behave.then('gossip VM "{vm}" declared no running VM dead')
+def declared_none_dead(context, vm):
+    """It did so neither by its own timers nor by records of others."""
+    judges = [j for j, _ in context.world.wrong_deaths()]
+    assert vm not in judges
 
 
-@behave.then('gossip VM "{vm}" held {count:d} others for dead')
-def held_others(context, vm, count):
-    """The naive version does."""
-    judged = [j for j, _ in context.world.wrong_deaths()]
-    assert judged.count(vm) == count, judged
+@behave.then('gossip VM "{vm}" declared {count:d} running VMs dead')
+def declared_others_dead(context, vm, count):
+    """The naive version does so."""
+    judges = [j for j, _ in context.world.wrong_deaths()]
+    assert judges.count(vm) == count, judges
 
 
 @behave.then('gossip VM "{vm}" reported a pause of about {seconds:d} s')
-def reported(context, vm, seconds):
-    """Once."""
+def reported_pause(context, vm, seconds):
+    """It reported the pause once."""
     found = [
         action.seconds
         for _, node, action in context.world.told[actions.Paused]
@@ -123,15 +125,15 @@
     "{seconds:d} s"
 )
 def cannot_reach(context, one, other, seconds):
-    """All else works."""
+    """All other links work."""
     fleet = context.world.fleet
     fleet.cut = lambda a, b: {a.vm, b.vm} == {one, other}
     fleet.run(seconds)
 
 
 @behave.then("no gossip VM was suspected")
-def unsuspected(context):
-    """By anybody, since all see each other."""
+def none_suspected(context):
+    """No VM raised a suspicion after the fleet converged."""
     world = context.world
     assert not [
         action
@@ -142,7 +144,7 @@
 
 @behave.when('gossip VM "{vm}" is replaced while its old process still runs')
 def replaced(context, vm):
-    """Its address goes to the new one; the old one can still call."""
+    """The new process gets the address; the old one can still call."""
     fleet = context.world.fleet
     context.old = fleet.nodes[vm]
     member = virtual.member_of(vm, context.old.member.data_centre, "", 2)
@@ -154,8 +156,8 @@
     "within {seconds:d} s every gossip VM knows that incarnation "
     '{number:d} of "{vm}" ended'
 )
-def ended(context, seconds, number, vm):
-    """By proof, not by a judgement."""
+def incarnation_ended(context, seconds, number, vm):
+    """They know it for certain, not by a suspicion."""
     world = context.world
     others = {node.vm for node in world.running()} - {vm}
 
@@ -172,7 +174,7 @@
 
 @behave.then('the old process of "{vm}" was told that it is superseded')
 def superseded(context, vm):
-    """It has to stop."""
+    """The old process must stop then."""
     world = context.world
     world.within(
         5,
@@ -185,22 +187,24 @@
 
 @behave.when('gossip VM "{vm}" announces that it leaves')
 def leaves(context, vm):
-    """It goes on probing and answering."""
+    """The VM still probes and answers."""
     node = context.world.fleet.nodes[vm]
     context.world.fleet.perform(node, node.membership.leave())
 
 
-@behave.when('gossip VM "{vm}" departs')
-def departs(context, vm):
-    """The process ends."""
+@behave.when('gossip VM "{vm}" announces its exit')
+def announces_exit(context, vm):
+    """The process ends after the announcement."""
     node = context.world.fleet.nodes[vm]
     context.world.fleet.perform(node, node.membership.depart())
     node.running = False
 
 
-@behave.when('gossip VM "{vm}" is suspected by one that had not heard of it')
+@behave.when(
+    'gossip VM "{vm}" is suspected by a VM that does not know of the leave'
+)
 def suspected(context, vm):
-    """The suspicion outranks the leave."""
+    """The suspicion has precedence over the leave."""
     world = context.world
     member = pb.Member()
     member.CopyFrom(world.fleet.nodes[vm].membership.me)
@@ -216,7 +220,7 @@
 
 @behave.then('within {seconds:d} s no gossip VM sends new work to "{vm}"')
 def no_new_work(context, seconds, vm):
-    """By their views."""
+    """No view names the VM for new work."""
     world = context.world
     world.within(
         seconds,
@@ -228,14 +232,14 @@
 
 @behave.then('every gossip VM still sees "{vm}"')
 def still_seen(context, vm):
-    """Its work in progress goes on."""
+    """The VM finishes its work in progress."""
     world = context.world
     assert all(vm in world.seen_by(node) for node in world.running())
 
 
-@behave.then('"{vm}" is a leaving VM everywhere')
-def leaving_everywhere(context, vm):
-    """After it denied the suspicion."""
+@behave.then('every gossip VM records "{vm}" as leaving')
+def recorded_as_leaving(context, vm):
+    """The VM has refuted the suspicion by then."""
     world = context.world
     world.within(
         10,
@@ -247,10 +251,11 @@
 
 
 @behave.when(
-    'data centre "{place}" is cut off the gossip network for {seconds:d} s'
+    'data centre "{place}" is partitioned from the gossip network for '
+    "{seconds:d} s"
 )
-def cut_off(context, place, seconds):
-    """Then the cut heals."""
+def partitioned(context, place, seconds):
+    """The partition heals afterwards."""
     world = context.world
 
     def cut(one, other):
@@ -264,15 +269,19 @@
     world.since = world.fleet.clock.now()
 
 
-@behave.then("since the cut healed no gossip VM held another for dead")
-def none_since(context):
-    """Those of the own side above all."""
+@behave.then(
+    "since the partition healed no running gossip VM was declared dead"
+)
+def none_declared_dead_since(context):
+    """A view from the other side could make VMs drop their own side."""
     assert not context.world.wrong_deaths(), context.world.wrong_deaths()
 
 
-@behave.when('{seconds:d} s later the list hints at "{vm}" and at its address')
-def listed(context, seconds, vm):
-    """At every VM."""
+@behave.when(
+    '{seconds:d} s later the platform lists "{vm}" with its old address'
+)
+def platform_lists(context, seconds, vm):
+    """Every VM gets the hint."""
     context.world.fleet.run(seconds)
     member = context.world.fleet.nodes[vm].member
     hint = membership.Hint(vm, member.peers_address, member.data_centre)
@@ -282,7 +291,7 @@
 
 @behave.then('for {seconds:d} s no gossip VM sees "{vm}"')
 def unseen(context, seconds, vm):
-    """At no moment."""
+    """This holds at every moment."""
     world = context.world
     took = world.fleet.run_until(
         lambda: any(vm in world.seen_by(node) for node in world.running()),
@@ -293,7 +302,7 @@
 
 @behave.when('gossip VM "{vm}" crashes and "{new}" takes its address')
 def address_reused(context, vm, new):
-    """The platform gave the IP number to another VM."""
+    """The platform gave the IP address to another VM."""
     fleet = context.world.fleet
     old = fleet.nodes[vm].member
     fleet.crash(vm)
@@ -306,7 +315,7 @@
     'gossip VM "{vm}" pauses for {seconds:d} s and "{other}" crashes meanwhile'
 )
 def long_pause(context, vm, seconds, other):
-    """Long enough for the death to be forgotten."""
+    """The pause outlasts the tombstone of the other VM."""
     fleet = context.world.fleet
     fleet.pause(vm, seconds)
     fleet.run(1.0)
@@ -318,8 +327,8 @@
     "within {seconds:d} s each gossip VM sees {members:d} members and "
     "{count:d} summaries"
 )
-def summarised(context, seconds, members, count):
-    """Its own data centre in full."""
+def sees_summaries(context, seconds, members, count):
+    """The members are those of its own data centre."""
     world = context.world
 
     def done():
@@ -333,7 +342,7 @@
 
 
 @behave.then("the gossip view counts {count:d} members")
-def counted(context, count):
-    """Over all data centres."""
+def view_counts(context, count):
+    """The count includes all data centres."""
     for node in context.world.running():
         assert node.membership.view.size == count
--- a/tests/steps/vms_rendezvous.py
+++ b/tests/steps/vms_rendezvous.py
@@ -15,9 +15,9 @@
 )
 
 
-@behave.then("removing any name moves just the keys that it had won")
-def moves_own_keys(context):
-    """Minimal disruption."""
+@behave.then("removing any name moves only the keys assigned to that name")
+def moves_only_own_keys(context):
+    """All other keys stay where they are."""
 
     @QUICK
     @hypothesis.given(NAMES)
@@ -31,9 +31,9 @@
     check()
 
 
-@behave.then("rendezvous ranks depend on the set of names only")
-def set_only(context):
-    """Order and doubles don't count; the first is the pick."""
+@behave.then("rendezvous ranks depend only on the set of names")
+def depends_on_set_only(context):
+    """Order and duplicates do not matter; the first rank is the pick."""
 
     @QUICK
     @hypothesis.given(NAMES, strategies.randoms(use_true_random=False))
--- a/tests/steps/vms_roster.py
+++ b/tests/steps/vms_roster.py
@@ -39,10 +39,10 @@
 
 
 def _merged(records):
-    held = roster.Roster(clocks.ManualClock(), TOMBSTONE_S)
+    merged = roster.Roster(clocks.ManualClock(), TOMBSTONE_S)
     for record in records:
-        held.merge(record)
-    return held.get("a")
+        merged.merge(record)
+    return merged.get("a")
 
 
 def _last_wins(records):
@@ -54,8 +54,8 @@
 
 
 @behave.then("any order of the same records gives the same roster")
-def order_free(context):
-    """Merging commutes: also for whether new work may go there."""
+def order_does_not_matter(context):
+    """Merging commutes in incarnation and death; the greatest record wins."""
 
     @QUICK
     @hypothesis.given(RECORDS, strategies.randoms(use_true_random=False))
@@ -70,9 +70,11 @@
     check()
 
 
-@behave.then("some order of the same records misleads a last-one-wins roster")
-def last_misleads(context):
-    """The check above fails for the naive version."""
+@behave.then(
+    "some order of the same records gives a wrong last-record-wins roster"
+)
+def last_record_misleads(context):
+    """The previous check fails for the naive version."""
 
     @QUICK
     @hypothesis.given(RECORDS, strategies.randoms(use_true_random=False))
@@ -87,32 +89,32 @@
         check()
     except AssertionError:
         return
-    raise AssertionError("the naive roster passed")
+    raise AssertionError("the naive roster passed the check")
 
 
-@behave.given('a roster that heard that "a" leaves')
-def heard_leave(context):
-    """As announced by itself."""
+@behave.given('a roster that knows that "a" leaves')
+def knows_leave(context):
+    """The VM announced it itself."""
     context.roster = roster.Roster(clocks.ManualClock(), TOMBSTONE_S)
     context.roster.merge(_record(1, 1, pb.VM_LEAVING, True))
 
 
-@behave.when('the roster hears a suspicion of "a" from before')
-def heard_suspicion(context):
-    """It outranks the leave."""
+@behave.when('the roster receives a suspicion of "a" without the leave')
+def receives_suspicion(context):
+    """The suspicion has precedence over the leave."""
     context.roster.merge(_record(1, 1, pb.VM_SUSPECT, False))
 
 
-@behave.then('the roster holds "a" for suspect and leaving')
+@behave.then('the roster records "a" as suspect and leaving')
 def suspect_and_leaving(context):
-    """Both."""
+    """The suspicion does not clear the leave."""
     record = context.roster.get("a")
     assert (record.state, record.leaving) == (pb.VM_SUSPECT, True)
 
 
-@behave.given('a roster that heard of the death of "a"')
-def heard_death(context):
-    """It had known it alive."""
+@behave.given('a roster that recorded the death of "a"')
+def recorded_death(context):
+    """The VM was recorded as alive before."""
     context.clock = clocks.ManualClock()
     context.roster = roster.Roster(context.clock, TOMBSTONE_S)
     context.roster.merge(_record(1, 0, pb.VM_ALIVE, False))
@@ -120,28 +122,28 @@
 
 
 @behave.when('an older roster record says that "a" is alive')
-def older(context):
-    """As a stale list would."""
+def older_record(context):
+    """The record comes from a stale view of another VM."""
     context.clock.advance(TOMBSTONE_S / 2)
     context.roster.purge()
     context.merged = context.roster.merge(_record(1, 0, pb.VM_ALIVE, False))
 
 
-@behave.then('the roster holds "a" for dead')
+@behave.then('the roster still records "a" as dead')
 def still_dead(context):
-    """Nothing changed."""
+    """The older record has no effect."""
     assert context.merged is None
     assert "a" not in context.roster.live
 
 
-@behave.when("the roster's tombstones have run out")
-def run_out(context):
-    """Time passes."""
+@behave.when("the roster's tombstones have expired")
+def tombstones_expired(context):
+    """The time of the tombstones passes."""
     context.clock.advance(TOMBSTONE_S)
     context.roster.purge()
 
 
-@behave.then('the roster knows nothing of "a"')
+@behave.then('the roster has no record of "a"')
 def forgotten(context):
-    """Not even as dead."""
+    """Not even the record of its death remains."""
     assert context.roster.get("a") is None
--- a/tests/vms/__init__.py
+++ b/tests/vms/__init__.py
@@ -1,1 +1,1 @@
-"""Naive versions and helpers for the tests of ``apricotlever.vms``."""
+"""Naive baselines and simulations for the tests of ``apricotlever.vms``."""
--- a/tests/vms/leads.feature
+++ b/tests/vms/leads.feature
@@ -1,20 +1,19 @@
-Feature: Asking peers for news that the store has not brought
+Feature: Timers for fetching newer data from peers
 
-  # Symptom: four VMs never learn that a runner has left.
-  # Events: two peers know of it, three others don't; records of all come five
-  # times a second.
-  # Cause: one timer for all peers, started anew by each that is no further.
-  Scenario: A peer's lead is noticed among peers that are no further
-    Given a VM that gives leads of 0.3 seconds
+  # A VM must fetch data that two of its five peers have, although records of
+  # all peers arrive five times a second: with one timer for all peers, each
+  # peer that is not ahead would restart it, and the VM would never ask.
+  Scenario: A peer that is ahead is asked although other peers are not ahead
+    Given a VM that tolerates peers being ahead for 0.3 seconds
     When one peer is ahead and three are not for 0.5 seconds
-    Then the VM asks the one that is ahead
+    Then the VM asks the peer that is ahead
 
-  Scenario: A lead that is made up for in time is not asked about
-    Given a VM that gives leads of 0.3 seconds
+  Scenario: A peer that is ahead only briefly is not asked
+    Given a VM that tolerates peers being ahead for 0.3 seconds
     When one peer is ahead for 0.2 seconds and then no more
-    Then the VM asks nobody
+    Then the VM asks no peer
 
-  Scenario: News without a lead is asked for at once
-    Given a VM that gives leads of 0 seconds
+  Scenario: Without a tolerated time a peer that is ahead is asked at once
+    Given a VM that tolerates peers being ahead for 0 seconds
     When one peer is ahead and three are not for 0.1 seconds
-    Then the VM asks the one that is ahead
+    Then the VM asks the peer that is ahead
--- a/tests/vms/lease_world.py
+++ b/tests/vms/lease_world.py
@@ -1,4 +1,4 @@
-"""VMs that contend for one lease, through a store that answers late."""
+"""A simulation of VMs that contend for one lease in an unreliable store."""
 
 import heapq
 import itertools
@@ -18,13 +18,15 @@
 
 
 class Faults:
-    """How bad it gets, as probabilities and lengths.
-
-    :param lost: part of the answers that is lost, and of the requests that
-        come late.
-    :param dropped: part of the requests that never arrives.
-    :param pause_s: the longest pause of a VM; one begins about each minute.
-    :param away: part of the time in which another VM is wanted as holder.
+    """Probabilities and durations of the simulated faults.
+
+    :param lost: the fraction of answers that are lost, and of requests that
+        arrive late.
+    :param dropped: the fraction of requests that never arrive.
+    :param pause_s: the longest pause of a VM, in seconds; each VM is paused
+        about once a minute.
+    :param away: the fraction of time in which another VM should be the
+        holder.
     """
 
     def __init__(
@@ -41,7 +43,11 @@
 
 
 class World:
-    """Contenders, store and one upstream that ignores fencing numbers."""
+    """Contenders, a store and one upstream that ignores fencing numbers.
+
+    :param make: the lease class of the contenders.
+    :param count: the number of contenders.
+    """
 
     def __init__(
         self,
@@ -77,7 +83,7 @@
         ]
 
     def run(self, seconds: float) -> "World":
-        """Let time pass in small steps."""
+        """Simulate a time span in steps of ``STEP_S``."""
         for _ in range(int(seconds / STEP_S)):
             self.clock.advance(STEP_S)
             now = self.clock.now()
@@ -95,11 +101,11 @@
         return self
 
     def pause(self, i: int, seconds: float) -> None:
-        """The process of one VM stands still."""
+        """Pause the process of one VM."""
         self._paused[i] = self.clock.now() + seconds
 
     def order_races(self) -> int:
-        """Orders that took effect after one of a later holder."""
+        """The number of orders applied after an order of a later holder."""
         highest = itertools.accumulate(
             (fencing for fencing, _ in self.applied), max
         )
@@ -108,7 +114,7 @@
         )
 
     def double_holders(self) -> int:
-        """Steps in which two VMs would have ordered."""
+        """The number of steps in which two VMs could have ordered."""
         return sum(len(holders) > 1 for holders in self.holders)
 
     def _schedule(self, delay_s: float, work: typing.Any) -> None:
@@ -122,7 +128,7 @@
             self.pause(i, self.rng.uniform(0, self.faults.pause_s))
             return
         lease = self.contenders[i]
-        # An order first: what a paused VM does when it wakes up.
+        # The order precedes the tick, as in a VM that wakes up from a pause.
         self._send_order(i, lease, now)
         if self.rng.random() < STEP_S / 20:
             lease.want(self.rng.random() >= self.faults.away)
@@ -156,7 +162,7 @@
             report()
 
         if self.rng.random() >= self.faults.dropped:
-            # Some arrive long after the caller gave up.
+            # Some requests arrive long after the caller gave up on them.
             late = self.rng.random() < self.faults.lost
             self._schedule(
                 self.rng.uniform(0.0, LATE_S if late else 0.5),
--- a/tests/vms/leases.feature
+++ b/tests/vms/leases.feature
@@ -1,73 +1,70 @@
 Feature: Leases with fencing
 
-  Scenario: One holder at a time, whatever the store and the VMs do
-    Then with lost answers, pauses and moves no two hold a lease at once
-    And no lease order takes effect after one of a later holder
+  Scenario: There is one holder at a time whatever the store and the VMs do
+    Then no two VMs hold a lease at once under lost answers, pauses and moves
+    And no lease order takes effect after an order of a later holder
 
-  Scenario: The naive lease has two holders and lets old orders through
-    Symptom: an upstream loads what an old holder had wanted.
-    Events: the holder renews, is paused past its lease, another VM takes
-      over and orders; the first wakes up and orders too.
-    Cause: it looks at the lease when it renews, not when it orders.
+  Scenario: A naive lease has two holders and lets late orders through
+    The holder is paused beyond its lease, and another VM takes over and
+    orders. The naive holder then wakes up and orders too, because it checks
+    the lease when it renews it and not when it orders.
     Given naive lease contenders, the holder paused for 40 s
-    Then two would have ordered at once under the lease
-    And some lease order took effect after one of a later holder
+    Then two VMs could have ordered at once under the lease
+    And some lease order took effect after an order of a later holder
 
-  Scenario: The same pause with the lease asked before each order
+  Scenario: A lease checked before each order survives the same pause
     Given lease contenders, the holder paused for 40 s
-    Then at no time would two have ordered under the lease
-    And every lease order took effect before those of later holders
-    And the lease has moved to another holder
+    Then no two VMs could have ordered at once under the lease
+    And every lease order took effect before the orders of later holders
+    And another VM holds the lease
 
-  Scenario: A renewal whose answer is lost is read back
-    Symptom: a healthy holder gives up its duty, or extends it wrongly.
-    Events: the renewal took effect, its answer is lost.
-    Cause: a lost answer tells nothing about the write.
+  Scenario: A renewal without an answer is read back
+    A renewal took effect but its answer was lost. Without reading the object
+    back, a healthy holder would give up its lease or extend it wrongly.
     Given a held lease whose renewal gets no answer
     When the lease is read and shows that the renewal took effect
-    Then the lease counts from before that renewal was sent
+    Then the lease duration is measured from before that renewal was sent
 
-  Scenario: A renewal that did not take effect extends nothing
+  Scenario: A renewal without effect does not extend the lease
     Given a held lease whose renewal gets no answer
-    When the lease is read and shows the version before
+    When the lease is read and shows the previous version
     Then the lease ends when it would have without that renewal
 
-  Scenario: Of two renewals in doubt the first one counts
-    Symptom: a holder orders a little past its lease.
-    Events: two renewals in a row get no answer; the first took effect.
-    Cause: both wrote the same value, so a read cannot tell them apart.
+  Scenario: The duration is measured from the first of two unanswered renewals
+    Two renewals in a row get no answer and the first one took effect. Both
+    wrote the same value, so a read cannot tell which one it was; measuring
+    from the second one would let the holder order after its lease expired.
     Given a held lease whose renewal gets no answer
-    When the lease is read and shows the version before
-    And its next renewal gets no answer either
+    When the lease is read and shows the previous version
+    And the next renewal gets no answer either
     And the lease is read and shows that the renewal took effect
-    Then the lease counts from before that renewal was sent
+    Then the lease duration is measured from before that renewal was sent
 
-  Scenario: A slow answer does not lengthen the lease
+  Scenario: A slow answer does not extend the lease
     Given a lease whose first write was answered after 10 s
-    Then the lease holds for less than 5 s more
+    Then the lease stays valid for less than 5 s
 
-  Scenario: A name in a restored object does not make a holder
-    Symptom: two VMs order at once after the store was restored.
-    Events: an old copy of the object names a former holder; its name and
-      incarnation fit.
-    Cause: a name says who held it once, not who may order now.
-    Given a lease that another VM took over
+  Scenario: A VM named in a restored object does not hold the lease
+    The store is restored from an old copy of the object, which names a
+    previous holder with its current incarnation. If that VM took the name as
+    proof, two VMs would order at once.
+    Given a lease that another VM acquired later
     When the lease is read as it was when this VM held it
-    Then the lease is not held and is waited out
+    Then the lease is not held until its duration has passed
 
-  Scenario: Fencing numbers rise again after the store lost the object
+  Scenario: Fencing numbers keep rising after the store lost the object
     Given a held lease with fencing number 1
-    When an upstream refuses it as it has seen fencing number 7
-    Then no order goes out until the lease is written with number 8
+    When an upstream that has seen fencing number 7 refuses an order
+    Then no order is sent until the lease is written with number 8
 
   Scenario: A successor waits for the longest order where fencing is ignored
     Given a lease that was last renewed by another VM
-    Then it is taken after its duration and the longest order, not before
+    Then the lease is acquired after its duration and the longest order, not before
 
-  Scenario: A released lease is taken without waiting for its duration
+  Scenario: A released lease is acquired without waiting for its duration
     Given a lease that another VM released
-    Then it is taken after the longest order
+    Then the lease is acquired after the longest order
 
-  Scenario: An object that is no lease is left alone
-    Given a lease object that holds something else
-    Then nothing is written over it
+  Scenario: An object that is not a lease is not overwritten
+    Given a lease object with a value that is not a lease
+    Then the lease object is not overwritten
--- a/tests/vms/naive_leases.py
+++ b/tests/vms/naive_leases.py
@@ -1,8 +1,8 @@
-"""The lease most would write first.
+"""A naive lease, the baseline for the tests of leases.
 
-It looks at the lease when it renews, counts from the moment of the store's
-answer, takes an unanswered write for a failed one, and orders in between
-without asking again.
+It checks the lease only when it renews it, measures the duration from the
+store's answer, treats an unanswered write as a failed one, and orders in
+between without another check.
 """
 
 import random
@@ -14,7 +14,7 @@
 
 
 class NaiveLease:
-    """Stands in for ``Lease``, without its care."""
+    """Has the interface of ``Lease`` without its safeguards."""
 
     def __init__(
         self,
@@ -38,25 +38,25 @@
         self._next_at = clock.now()
 
     def want(self, wanted: bool) -> None:
-        """Set whether this VM should hold it."""
+        """Set whether this VM should hold the lease."""
         self._wanted = wanted
 
     def may_order(self, order_s: float = 0.0) -> int | None:
-        """What the last renewal said."""
+        """The fencing number of the last renewal."""
         return self._fencing if self._wanted else None
 
     def tick(self) -> lease_objects.LeaseAction | None:
-        """Read, or write when free or ours."""
+        """Write an unheld or own lease; else read the object."""
         now = self._clock.now()
         if now < self._next_at or not self._wanted:
             return None
         self._next_at = now + RENEW_S
-        mine = self._value["holder"] == self._holder
-        lapsed = now - self._since >= self._value["duration_s"]
-        if not (mine or lapsed or not self._value["holder"]):
+        is_own = self._value["holder"] == self._holder
+        has_expired = now - self._since >= self._value["duration_s"]
+        if not (is_own or has_expired or not self._value["holder"]):
             self._fencing = None
             return lease_objects.ReadLease(self._name)
-        fencing = self._value["fencing"] + (0 if mine else 1)
+        fencing = self._value["fencing"] + (0 if is_own else 1)
         self._write = {
             "holder": self._holder,
             "incarnation": 1,
@@ -66,23 +66,23 @@
         return lease_objects.WriteLease(self._name, self._write, self._version)
 
     def read(self, version, value) -> None:
-        """The object."""
+        """Report the object that was read."""
         if version != self._version:
             self._since = self._clock.now()
         self._version = version
         self._value = value or lease_objects.unheld_value(0, self._duration_s)
 
     def written(self, version: int) -> None:
-        """It is ours."""
+        """Report that the write took effect."""
         self.read(version, self._write)
         self._fencing = self._write["fencing"]
 
     def conflict(self) -> None:
-        """It is another's."""
+        """Report that another VM has written the object."""
         self._fencing = None
         self._value = dict(self._value, holder="?")
 
     def ambiguous(self) -> None:
-        """Taken for a failure."""
+        """Report a write without an answer; it is ignored."""
 
     failed = ambiguous
--- a/tests/vms/naive_membership.py
+++ b/tests/vms/naive_membership.py
@@ -1,7 +1,7 @@
-"""The membership most would write first: heartbeats from all to all.
+"""A naive membership, the baseline for tests: heartbeats from all to all.
 
-Each VM calls every other once in an interval, and one that was not heard
-for ``TIMEOUT_S`` counts as dead.
+Each VM calls every other VM once per interval and declares a VM dead after
+``TIMEOUT_S`` without a message from it.
 """
 
 import random
@@ -19,7 +19,7 @@
 
 
 class HeartbeatMembership:
-    """Stands in for ``Membership``, without its care."""
+    """Has the interface of ``Membership`` without its safeguards."""
 
     def __init__(
         self,
@@ -33,49 +33,49 @@
         self._interval_s = timing.probe_interval_s
         self.me = me
         self._addresses = {hint.vm: hint.address for hint in hints}
-        self._heard: dict[str, float] = {}
+        self._last_message_at: dict[str, float] = {}
         self._members: dict[str, pb.Member] = {}
         self._next_at = clock.now() + rng.uniform(0, self._interval_s)
 
     @property
     def view(self) -> views.View:
-        """Those heard of lately."""
+        """The VMs that sent a message within ``TIMEOUT_S``."""
         members = {**self._members, self.me.vm: self.me}
         return views.View(self.me, members, {})
 
     def tick(self) -> list[actions.Action]:
-        """Send heartbeats; bury the silent."""
+        """Send heartbeats and declare silent VMs dead."""
         now = self._clock.now()
         if now < self._next_at:
             return []
         self._next_at = now + self._interval_s
-        found = [
-            self._bury(vm)
-            for vm, at in list(self._heard.items())
+        result = [
+            self._declare_dead(vm)
+            for vm, at in list(self._last_message_at.items())
             if now - at > TIMEOUT_S
         ]
         message = pb.GossipMessage(sender=self.me)
-        return found + [
+        return result + [
             actions.Send(vm, address, message)
             for vm, address in self._addresses.items()
             if vm != self.me.vm
         ]
 
     def receive(self, message: pb.GossipMessage) -> list[actions.Action]:
-        """A heartbeat."""
+        """Process a heartbeat and answer it."""
         reply = actions.Reply(pb.GossipMessage(sender=self.me))
         return self.answered(message) + [reply]
 
     def answered(self, message: pb.GossipMessage) -> list[actions.Action]:
-        """The sender lives."""
+        """Record that the sender is alive."""
         sender = message.sender
         before = self._members.get(sender.vm)
         self._members[sender.vm] = sender
-        self._heard[sender.vm] = self._clock.now()
+        self._last_message_at[sender.vm] = self._clock.now()
         return [] if before else [actions.Changed(None, sender)]
 
-    def _bury(self, vm: str) -> actions.Action:
-        del self._heard[vm]
+    def _declare_dead(self, vm: str) -> actions.Action:
+        del self._last_message_at[vm]
         member = self._members.pop(vm)
         return actions.Changed(
             member, rosters.changed(member, state=pb.VM_DEAD)
--- a/tests/vms/rendezvous.feature
+++ b/tests/vms/rendezvous.feature
@@ -1,7 +1,7 @@
 Feature: Rendezvous hashing
 
-  Scenario: A lost name moves only its own keys
-    Then removing any name moves just the keys that it had won
+  Scenario: Removing a name moves only the keys assigned to it
+    Then removing any name moves only the keys assigned to that name
 
-  Scenario: Order and doubles of the names do not matter
-    Then rendezvous ranks depend on the set of names only
+  Scenario: Order and duplicates of the names do not matter
+    Then rendezvous ranks depend only on the set of names
--- a/tests/vms/roster.feature
+++ b/tests/vms/roster.feature
@@ -3,17 +3,17 @@
   Scenario: The order in which records arrive does not matter
     Then any order of the same records gives the same roster
 
-  Scenario: With the last record winning it does matter
-    Then some order of the same records misleads a last-one-wins roster
+  Scenario: The order matters for a roster in which the last record wins
+    Then some order of the same records gives a wrong last-record-wins roster
 
-  Scenario: A suspicion that had not heard of a leave does not undo it
-    Given a roster that heard that "a" leaves
-    When the roster hears a suspicion of "a" from before
-    Then the roster holds "a" for suspect and leaving
+  Scenario: A suspicion by a VM that does not know of a leave does not undo it
+    Given a roster that knows that "a" leaves
+    When the roster receives a suspicion of "a" without the leave
+    Then the roster records "a" as suspect and leaving
 
-  Scenario: The dead are remembered for a while
-    Given a roster that heard of the death of "a"
+  Scenario: The records of dead VMs are kept for a while
+    Given a roster that recorded the death of "a"
     When an older roster record says that "a" is alive
-    Then the roster holds "a" for dead
-    When the roster's tombstones have run out
-    Then the roster knows nothing of "a"
+    Then the roster still records "a" as dead
+    When the roster's tombstones have expired
+    Then the roster has no record of "a"
