--- a/src/apricotlever/vms/duties.py
+++ b/src/apricotlever/vms/duties.py
@@ -116,7 +116,10 @@
                 lease.want(False)
 
     def look(self, view: views.View) -> None:
-        """Contend for the duties that this view assigns to this VM."""
+        """Contend for the duties assigned to this VM; release all others.
+
+        :param view: the view that determines the responsible VMs.
+        """
         for duty in self._duties.values():
             wanted = responsible_vm(duty, view) == self._vm
             if wanted or duty.name in self._leases:
