--- a/tests/contracts/call_budget.feature
+++ b/tests/contracts/call_budget.feature
@@ -27,15 +27,15 @@
     When the call budget's fleet grows to 100
     Then the call budget allows 3 claims per second
 
-    Scenario: A network partition between regions doesn't double the load
-      Symptom: the object API throttles everyone during a partition.
-      Events: each half of the fleet sees the other half disappear.
-      Cause: each half takes over the shares that the other half still uses.
-      Given a call budget of 300 writes per second in a fleet of 100
-      When the call budget's fleet shrinks to 50 for 60 seconds
-      Then the call budget allows 3 claims per second
-      When the call budget's fleet shrinks to 50 for 300 seconds
-      Then the call budget allows 6 claims per second
+  Scenario: A network partition between regions doesn't double the load
+    Symptom: the object API throttles everyone during a partition.
+    Events: each half of the fleet sees the other half disappear.
+    Cause: each half takes over the shares that the other half still uses.
+    Given a call budget of 300 writes per second in a fleet of 100
+    When the call budget's fleet shrinks to 50 for 60 seconds
+    Then the call budget allows 3 claims per second
+    When the call budget's fleet shrinks to 50 for 300 seconds
+    Then the call budget allows 6 claims per second
 
   Scenario: After a throttled call the share is halved, then recovers
     Given a call budget of 300 writes per second in a fleet of 10
--- a/tests/contracts/fleet_rate.feature
+++ b/tests/contracts/fleet_rate.feature
@@ -25,19 +25,19 @@
     When VM 1 is flooded for 10 seconds
     Then VM 1 has admitted at least 900 units
 
-    Scenario: A call that did not run is refunded
-      Given 1 VMs that share a limit of 100 a second and a burst of 100
-      And they have exchanged totals for 5 seconds
-      When VM 1 admits 50 units and is refunded 50
-      Then VM 1 admits 50 units at once
-
-    Scenario: Shared counting refuses less than fixed equal shares
-      Then shared counting keeps the limit and refuses less than equal shares
-
-    # Symptom: a customer's limit is exceeded by two bursts in a window.
-    # Events: all VMs restart at once, or are flooded while the level is full.
-    # Cause: a VM does not know yet what the others admit at the same moment.
-    Scenario Outline: A flood at all VMs stays near the limit
+  Scenario: A call that did not run is refunded
+    Given 1 VMs that share a limit of 100 a second and a burst of 100
+    And they have exchanged totals for 5 seconds
+    When VM 1 admits 50 units and is refunded 50
+    Then VM 1 admits 50 units at once
+
+  Scenario: Shared counting refuses less than fixed equal shares
+    Then shared counting keeps the limit and refuses less than equal shares
+
+  # Symptom: a customer's limit is exceeded by two bursts in a window.
+  # Events: all VMs restart at once, or are flooded while the level is full.
+  # Cause: a VM does not know yet what the others admit at the same moment.
+  Scenario Outline: A flood at all VMs stays near the limit
     Given <vms> VMs that share a limit of 100 a second and a burst of 100
     When all of them <event> and are flooded for 8 seconds
     Then together they admit at most 1.1 times the limit of that time
--- a/tests/contracts/naive.py
+++ b/tests/contracts/naive.py
@@ -14,35 +14,41 @@
     def __init__(self, weights: dict[str, float]) -> None:
         self.weights = weights
         self.waiting: list[tuple[int, float, int, tickets.Ticket]] = []
-        self.tags: dict[str, float] = collections.defaultdict(float)
-        self.virtual = 0.0
-        self.number = 0
+        self.start_tags: dict[str, float] = collections.defaultdict(float)
+        self.virtual_time = 0.0
+        self.push_count = 0
 
     def push(self, ticket: tickets.Ticket, shed_order: int) -> None:
         """Append a ticket."""
-        self.number += 1
+        self.push_count += 1
         if all(t.customer != ticket.customer for *_, t in self.waiting):
-            tag = max(self.tags[ticket.customer], self.virtual)
-            self.tags[ticket.customer] = tag
-        entry = (shed_order, ticket.deadline, self.number, ticket)
+            tag = max(self.start_tags[ticket.customer], self.virtual_time)
+            self.start_tags[ticket.customer] = tag
+        entry = (shed_order, ticket.deadline, self.push_count, ticket)
         self.waiting.append(entry)
 
     def pop(
         self, may_start: typing.Callable[[tickets.Ticket], bool]
     ) -> tickets.Ticket | None:
         """Remove the ticket that is served next."""
-        able = [entry for entry in self.waiting if may_start(entry[3])]
-        if not able:
+        startable = [entry for entry in self.waiting if may_start(entry[3])]
+        if not startable:
             return None
         entry = min(
-            able,
-            key=lambda e: (self.tags[e[3].customer], e[3].customer, e[:3]),
+            startable,
+            key=lambda e: (
+                self.start_tags[e[3].customer],
+                e[3].customer,
+                e[:3],
+            ),
         )
         self.waiting.remove(entry)
         ticket = entry[3]
-        self.virtual = max(self.virtual, self.tags[ticket.customer])
+        self.virtual_time = max(
+            self.virtual_time, self.start_tags[ticket.customer]
+        )
         weight = self.weights.get(ticket.customer, 1.0)
-        self.tags[ticket.customer] += max(1.0, ticket.tokens) / weight
+        self.start_tags[ticket.customer] += max(1.0, ticket.tokens) / weight
         return ticket
 
     def remove(self, request_id: str) -> None:
@@ -72,14 +78,14 @@
 class GreedyShare:
     """Splits a limit by the demands known now, without silent members."""
 
-    def __init__(self, me: str, limit: float) -> None:
-        self.me = me
+    def __init__(self, own_name: str, limit: float) -> None:
+        self.own_name = own_name
         self.limit = limit
-        self.demands: dict[str, float] = {me: 0.0}
+        self.demands: dict[str, float] = {own_name: 0.0}
 
     def announce(self, demand: float) -> None:
         """Use the new demand at once."""
-        self.demands[self.me] = demand
+        self.demands[self.own_name] = demand
 
     def receive(self, member: str, demand: float, number: int) -> None:
         """Receive another member's demand."""
@@ -91,7 +97,7 @@
         total = sum(self.demands.values())
         if not total:
             return self.limit / len(self.demands)
-        return self.limit * self.demands[self.me] / total
+        return self.limit * self.demands[self.own_name] / total
 
 
 class AlwaysRetry:
--- a/tests/contracts/shares.feature
+++ b/tests/contracts/shares.feature
@@ -35,6 +35,6 @@
     When one of the others has certainly ended
     Then the remaining two share 100 at once
 
-    Scenario: Shares of a data centre are split further
+  Scenario: Shares of a data centre are split further
     Given 2 data centres of 3 members that share a limit of 60
     Then the members' shares sum to 60
