--- a/bench/_news_world.py
+++ b/bench/_news_world.py
@@ -6,10 +6,10 @@
 
 from apricotlever import clock as clocks
 from apricotlever.serving import datagrams
-from apricotlever.vms import collector
-from apricotlever.vms import digests
-from apricotlever.vms import fleet_news
 from apricotlever.vms import peer_table
+from apricotlever.vms import record_aggregation
+from apricotlever.vms import record_exchange
+from apricotlever.vms import vm_records
 
 STEP_S = 0.01
 #: One way, in seconds.
@@ -46,7 +46,7 @@
         #: When each of this VM's changes came, the latest last.
         self.changes = []
         #: Times of day at which it does its repeated work, by name.
-        self.phase_s = world.rng.random() * digests.INTERVAL_S
+        self.phase_s = world.rng.random() * vm_records.RECORD_INTERVAL_S
         self.slow_until = 0.0
         self.link_free_at = 0.0
         self.inbox = []
@@ -81,7 +81,7 @@
 
     def record(self, number, known, whole, aggregator):
         """This VM's next record."""
-        return digests.Digest(
+        return vm_records.VmRecord(
             self.name,
             self.incarnation,
             number,
@@ -130,10 +130,10 @@
             self.send(self.news.news())
         if self._due(datagrams.READ_S, now, before):
             self.read()
-        if self._due(collector.FLUSH_S, now, before):
+        if self._due(record_aggregation.AGGREGATE_INTERVAL_S, now, before):
             self.read()
             self.send(self.news.flush(self.world.runners))
-        if self._due(digests.INTERVAL_S, now, before):
+        if self._due(vm_records.RECORD_INTERVAL_S, now, before):
             self.send(self.news.look())
 
     def read(self):
@@ -144,7 +144,7 @@
 
     def take(self, message):
         """Take a message in, as a VM's link does."""
-        if isinstance(message, digests.Digest):
+        if isinstance(message, vm_records.VmRecord):
             self.table.heard(message)
             self.note_used(message.process, message.used)
             self.send(self.news.record(message))
@@ -192,7 +192,7 @@
         seed=1,
         runners=44,
         table=peer_table.PeerTable,
-        news=fleet_news.FleetNews,
+        news=record_exchange.RecordExchange,
     ):
         self.table = table
         self.news = news
--- a/bench/_overload_ways.py
+++ b/bench/_overload_ways.py
@@ -72,7 +72,7 @@
     def offer(self, ticket: admission.Ticket) -> list[admission.Verdict]:
         """Admit or refuse."""
         if self._in_flight >= self._limit:
-            reason = admission.Reason.OVERLOAD
+            reason = admission.RefusalReason.OVERLOAD
             return [admission.Refused(ticket.request_id, reason, 1.0)]
         self._in_flight += 1
         return [admission.Admitted(ticket.request_id)]
--- a/bench/_slope_cases.py
+++ b/bench/_slope_cases.py
@@ -15,11 +15,11 @@
 from apricotlever.daemon import transcripts
 from apricotlever import histograms
 from apricotlever.requests import ledger
-from apricotlever.requests import messages as keyed
+from apricotlever.requests import ledger_messages as keyed
 from apricotlever.runners import model as runners
 from apricotlever.runners import prefix
 from apricotlever.runners import routing
-from apricotlever.vms import deltas
+from apricotlever.vms import catalogue_deltas
 
 from . import fleets
 from . import virtual
@@ -167,7 +167,7 @@
 
 @slope("catalogue_bytes", "entries", "bytes whole", 50, 100, 200, 400)
 def _catalogue_bytes(size: int) -> float:
-    return float(len(deltas.canonical(catalogue_of(size))))
+    return float(len(catalogue_deltas.canonical_json(catalogue_of(size))))
 
 
 @slope("catalogue_apply", "entries", "us a change", 50, 100, 200, 400)
@@ -179,7 +179,7 @@
         document = catalogue_of(size)
         document["entries"]["entry-0"]["version"] = str(time.monotonic())
         began = time.process_time()
-        deltas.digest_of(document)
+        catalogue_deltas.compute_digest(document)
         parser.parse(document, 2)
         spent.append(time.process_time() - began)
         return 1
@@ -201,10 +201,10 @@
     for number in range(size):
         key = book.mint("ana")
         decision = book.begin(key, "ana", f"{number:032x}")
-        assert isinstance(decision, keyed.Run)
-        book.sent(decision.token)
+        assert isinstance(decision, keyed.RunCall)
+        book.start_sending(decision.token)
         answer = keyed.Answer(200, (("Content-Type", "x"),), b"x" * 120)
-        book.finished(decision.token, answer)
+        book.record_answer(decision.token, answer)
     return book
 
 
@@ -244,7 +244,7 @@
 @slope("routing_core", "runners", "us a choice", 8, 16, 32, 64)
 def _routing_core(size: int) -> float:
     router = _router(size)
-    blocks = prefix.blocks_of("m", "clause " * 300)
+    blocks = prefix.block_hashes("m", "clause " * 300)
     query = runners.Query(
         "entry", "pool", "m", blocks, 525, 200, 5, frozenset(), 1.2
     )
@@ -266,7 +266,7 @@
             index.add_runner(name)
             base = hash(name) & 0xFFFFFFFF
             blocks = tuple(base + i for i in range(per_runner))
-            index.routed(name, blocks)
+            index.claim(name, blocks)
         return index
 
     return memory_bytes(make)
@@ -275,7 +275,7 @@
 @slope("admission_core", "customers", "us a request", 5, 20, 80, 320)
 def _admission_core(size: int) -> float:
     clock = clocks.ManualClock()
-    desk = admission.Admission(clock, random.Random(1), "vm-1")
+    desk = admission.AdmissionController(clock, random.Random(1), "vm-1")
     desk.configure(catalogue.parse(catalogue_of(4), 1))
 
     def work() -> int:
--- a/bench/_slope_links.py
+++ b/bench/_slope_links.py
@@ -27,7 +27,7 @@
 from apricotlever.links import platform
 from apricotlever.links import upstreams
 from apricotlever.requests import claims
-from apricotlever.requests import messages as keyed
+from apricotlever.requests import ledger_messages as keyed
 from apricotlever.runners import crashes
 from apricotlever import settings
 from tests.support import http
@@ -315,34 +315,38 @@
         log = crashes.CrashLog(clocks.ManualClock())
         for death in range(size // CHARGES):
             charges = tuple(
-                crashes.Charge(f"{death:060x}{i:04x}", f"vm-1.1.{i}", 1)
+                crashes.SuspectRequest(
+                    f"{death:060x}{i:04x}", f"vm-1.1.{i}", 1
+                )
                 for i in range(CHARGES)
             )
             log.add(
-                crashes.CrashSeen("vm", f"r{death}", "dc", 0.0, False, charges)
+                crashes.CrashObservation(
+                    "vm", f"r{death}", "dc", 0.0, False, charges
+                )
             )
         return log
 
     return cases.memory_bytes(make)
 
 
-def _claim(number: int) -> keyed.Claim:
-    owner = keyed.Owner("vm-1234", 1_796_240_221_394)
-    return keyed.Claim(
+def _claim(number: int) -> keyed.ClaimKey:
+    owner = keyed.VmIncarnation("vm-1234", 1_796_240_221_394)
+    return keyed.ClaimKey(
         number, "ana", f"key-{number}", f"{number:064x}", "n" * 16, owner
     )
 
 
-def _bucket(size: int) -> tuple[claims.Claims, claims.WriteBucket]:
+def _bucket(size: int) -> tuple[claims.ClaimBatcher, claims.WriteBucket]:
     """Claims in one bucket, and the write of the last of them."""
-    book = claims.Claims(clocks.ManualClock(), buckets=1)
+    book = claims.ClaimBatcher(clocks.ManualClock(), buckets=1)
     read = book.claim(_claim(0))[0]
     assert isinstance(read, claims.ReadBucket)
-    write = book.missing(read.name)[0]
+    write = book.on_missing(read.name)[0]
     for number in range(1, size):
         book.claim(_claim(number))
     assert isinstance(write, claims.WriteBucket)
-    write = book.written(write.name, 1)[-1]
+    write = book.on_written(write.name, 1)[-1]
     assert isinstance(write, claims.WriteBucket)
     return book, write
 
@@ -356,7 +360,7 @@
 @cases.slope("claims_core", "claims held", "us a write", 100, 200, 400, 800)
 def _claims_core(size: int) -> float:
     book, write = _bucket(size)
-    book.written(write.name, 2)
+    book.on_written(write.name, 2)
     numbers = iter(range(size, 10**9))
 
     def work() -> int:
@@ -364,7 +368,7 @@
             begun = book.claim(_claim(next(numbers)))[-1]
             assert isinstance(begun, claims.WriteBucket)
             json.dumps(begun.value)
-            book.written(begun.name, version)
+            book.on_written(begun.name, version)
         return 20
 
     return cases.processor_us(work)
@@ -384,9 +388,9 @@
 def _lease_gap(size: int) -> float:
     clock = clocks.ManualClock()
     budget = call_budget.CallBudget(clock, 2000.0, 300.0)
-    budget.configure(size)
+    budget.set_fleet_size(size)
     allowed = 0
     for _ in range(round(LEASE_TRIAL_S / LEASE_TRY_S)):
-        allowed += budget.allow(call_budget.Rank.LEASE)
+        allowed += budget.try_acquire(call_budget.CallPriority.LEASE)
         clock.advance(LEASE_TRY_S)
     return LEASE_TRIAL_S / allowed
--- a/bench/at_most_once.py
+++ b/bench/at_most_once.py
@@ -19,8 +19,8 @@
 from apricotlever import clock as clocks
 from apricotlever.requests import claims
 from apricotlever.requests import ledger
+from apricotlever.requests import ledger_messages
 from apricotlever.requests import ledger_state
-from apricotlever.requests import messages
 
 VMS = 7
 NAMES = [str(number) for number in range(VMS)]
@@ -29,7 +29,9 @@
 RATES_PER_S = (50, 400, 2000)
 KEYED_CALLS = 20_000
 TOMBSTONES = 50_000
-ANSWER = messages.Answer(200, (("Content-Type", "text/plain"),), b"x" * 200)
+ANSWER = ledger_messages.Answer(
+    200, (("Content-Type", "text/plain"),), b"x" * 200
+)
 Event: typing.TypeAlias = tuple[float, int, str, typing.Any]
 
 
@@ -41,7 +43,9 @@
     ) -> None:
         rng = random.Random(5)
         self.clock = clocks.ManualClock(0.0)
-        self.claims = [claims.Claims(self.clock, buckets) for _ in range(VMS)]
+        self.claims = [
+            claims.ClaimBatcher(self.clock, buckets) for _ in range(VMS)
+        ]
         self.objects: dict[str, tuple[int, typing.Any]] = {}
         self.order = itertools.count()
         self.events: list[Event] = []
@@ -75,20 +79,20 @@
         arrived = vm
         if self.homes:
             vm = int(
-                claims.home("notary", f"key-{token}", NAMES, self.buckets)
+                claims.home_vm("notary", f"key-{token}", NAMES, self.buckets)
             )
         self.hops += vm != arrived
         self.begun[token] = self.clock.now()
-        owner = messages.Owner(f"vm-{vm}", 1_700_000_000_000)
-        claim = messages.Claim(
+        owner = ledger_messages.VmIncarnation(f"vm-{vm}", 1_700_000_000_000)
+        claim = ledger_messages.ClaimKey(
             token, "notary", f"key-{token}", "0" * 16, f"{token:016x}", owner
         )
         self._do(vm, self.claims[vm].claim(claim))
 
     def _do(self, vm: int, actions: list[claims.Action]) -> None:
         for action in actions:
-            if isinstance(action, claims.Tell):
-                won = isinstance(action.result, messages.Won)
+            if isinstance(action, claims.DeliverResult):
+                won = isinstance(action.result, ledger_messages.ClaimWon)
                 begun = self.begun.pop(action.result.token)
                 self.waits.append(self.clock.now() - begun)
                 self.ended += won
@@ -103,18 +107,18 @@
             self.reads += 1
             stored = self.objects.get(action.name)
             if stored is None:
-                self._do(vm, claimer.missing(action.name))
+                self._do(vm, claimer.on_missing(action.name))
             else:
-                self._do(vm, claimer.read(action.name, *stored))
+                self._do(vm, claimer.on_read(action.name, *stored))
         elif isinstance(action, claims.WriteBucket):
             self.writes += 1
             version = self.objects.get(action.name, (None,))[0]
             if version != action.expected_version:
                 self.conflicts += 1
-                self._do(vm, claimer.conflict(action.name))
+                self._do(vm, claimer.on_conflict(action.name))
                 return
             self.objects[action.name] = (self.writes, action.value)
-            self._do(vm, claimer.written(action.name, self.writes))
+            self._do(vm, claimer.on_written(action.name, self.writes))
 
 
 def _claims(seconds: float) -> typing.Iterator[dict[str, typing.Any]]:
@@ -147,7 +151,7 @@
 
 def _keyed_call(keyed: ledger.Ledger) -> None:
     run = keyed.begin(keyed.mint("notary"), "notary", "0" * 16)
-    assert isinstance(run, messages.Run)
+    assert isinstance(run, ledger_messages.RunCall)
     keyed.sent(run.token)
     keyed.finished(run.token, ANSWER)
 
@@ -181,7 +185,7 @@
         for _ in range(count):
             _keyed_call(keyed)
         begun = time.process_time()
-        data = ledger_state.encode(keyed.hand_over("vm-2", 1))
+        data = ledger_state.encode(keyed.export_to("vm-2", 1))
         exported = time.process_time()
         heir.adopt(ledger_state.decode(data))
         adopted = time.process_time()
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -16,9 +16,9 @@
 import typing
 
 from apricotlever import clock as clocks
-from apricotlever.contracts import fleet_rate
+from apricotlever.contracts import fleet_rate_limit
 from apricotlever.contracts import limit_keepers
-from apricotlever.contracts import rates
+from apricotlever.contracts import token_bucket
 from apricotlever.serving import limit_calls
 from apricotlever.serving import log_limit
 
@@ -124,7 +124,7 @@
         self._rng = rng
         names = [f"vm-{number}" for number in range(vms)]
         self._rates = {
-            name: fleet_rate.FleetRate(
+            name: fleet_rate_limit.FleetRateLimit(
                 self.clock, RATE, BURST, SPARE, overshoot=OVERSHOOT
             )
             for name in names
@@ -186,7 +186,7 @@
         fleet.wait_until(fleet.clock.now() + TICK_S)
         fleet.look()
     began = fleet.clock.now()
-    one = rates.TokenBucket(fleet.clock, RATE, BURST)
+    one = token_bucket.TokenBucket(fleet.clock, RATE, BURST)
     looked = began
     owed = refused = 0
     let_in: list[Call] = []
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -64,7 +64,7 @@
         return sum(self._fleet.nodes[vm].running for vm in self.suspected)
 
     def _watch(self, node: virtual.Node, action: actions.Action) -> None:
-        if not isinstance(action, actions.Changed):
+        if not isinstance(action, actions.MemberChanged):
             return
         now = self._fleet.clock.now()
         vm = action.after.vm
@@ -199,7 +199,7 @@
     heard: dict[str, float] = {}
 
     def watch(node: virtual.Node, action: actions.Action) -> None:
-        if isinstance(action, actions.Delivered):
+        if isinstance(action, actions.RumourDelivered):
             heard[node.vm] = fleet.clock.now()
 
     fleet.watchers.append(watch)
--- a/bench/news.py
+++ b/bench/news.py
@@ -11,8 +11,8 @@
 import time
 import typing
 
-from apricotlever.vms import fleet_news
 from apricotlever.vms import peer_table
+from apricotlever.vms import record_exchange
 from bench import _news_world
 
 START_S = 3.0
@@ -33,10 +33,10 @@
         return False
 
 
-class FlatNews(fleet_news.FleetNews):
+class FlatNews(record_exchange.RecordExchange):
     """Tells some of the others in turn."""
 
-    def news(self) -> list[fleet_news.Outgoing]:
+    def news(self) -> list[record_exchange.OutgoingMessage]:
         """Nothing between two records, where these go to some only."""
         return super().news() if len(self._table.alive()) <= 24 else []
 
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -165,7 +165,7 @@
             return _overload_ways.Fifo()
         if way in _overload_ways.FIXED_LIMITS:
             return _overload_ways.Fixed(_overload_ways.FIXED_LIMITS[way])
-        ours = admission.Admission(
+        ours = admission.AdmissionController(
             self._events.clock, random.Random(vm), f"vm{vm}"
         )
         ours.configure(CATALOGUE)
@@ -282,7 +282,7 @@
 def _offer_us(customers: int) -> dict[str, typing.Any]:
     """The processor time of one offer while the desk is flooded."""
     clock = clocks.ManualClock()
-    desk = admission.Admission(clock, random.Random(1), "vm0")
+    desk = admission.AdmissionController(clock, random.Random(1), "vm0")
     desk.configure(CATALOGUE)
     desk.set_pool("pool", _overload_ways.RUNNERS * _overload_ways.SLOTS, 1.0)
     spent = []
--- a/bench/records.py
+++ b/bench/records.py
@@ -22,8 +22,8 @@
 from apricotlever.serving import routes
 from apricotlever.serving import runners
 from apricotlever.serving import settings
-from apricotlever.vms import digests
 from apricotlever.vms import peer_table
+from apricotlever.vms import vm_records
 
 SEED = 7
 ROUNDS = 60
@@ -99,10 +99,10 @@
 
     def record(
         self, rng: random.Random, window: int, version: int, checksum: int
-    ) -> digests.Digest:
+    ) -> vm_records.VmRecord:
         """Its next record."""
         self._sent += 1
-        whole = self._sent % digests.WHOLE_EVERY == 1
+        whole = self._sent % vm_records.FULL_RECORD_EVERY == 1
         for name in rng.sample(self._customers, BUSY_CUSTOMERS):
             self._counts[name] += rng.randrange(3000)
         busy = rng.sample(self._runners, min(BUSY_RUNNERS, len(self._runners)))
@@ -114,7 +114,7 @@
             }
             for i in range(WINDOWS)
         }
-        return digests.Digest(
+        return vm_records.VmRecord(
             self._vm,
             1,
             self._sent,
@@ -136,7 +136,11 @@
             usage=usage,
             work={"llm": (self._sent, 8e3, 0.4)},
             failures={name: (1, 9) for name in busy} if whole else None,
-            known=["10.0.0.9:9"] * peer_table.MOST_KNOWN if whole else None,
+            known=(
+                ["10.0.0.9:9"] * peer_table.MAX_KNOWN_ADDRESSES
+                if whole
+                else None
+            ),
         )
 
 
@@ -161,10 +165,12 @@
 
     def core(self, vms: int) -> float:
         """Part of a core, without the kernel's work for the datagrams."""
-        a_second = min(vms - 1, peer_table.FANOUT) / digests.INTERVAL_S
+        a_second = (
+            min(vms - 1, peer_table.FANOUT) / vm_records.RECORD_INTERVAL_S
+        )
         return (
             a_second * self.heard_us
-            + self.sent_us / digests.INTERVAL_S
+            + self.sent_us / vm_records.RECORD_INTERVAL_S
             + self.tick_us / node.TICK_S
         ) / US
 
@@ -246,7 +252,7 @@
             size.append(len(data))
             heard(datagrams._take, data, peer.address[0])
         sent(member._fleet.tell)
-        for _ in range(round(digests.INTERVAL_S / node.TICK_S)):
+        for _ in range(round(vm_records.RECORD_INTERVAL_S / node.TICK_S)):
             clock.advance(node.TICK_S)
             tick(member._look)
     return Costs(
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -13,7 +13,7 @@
 import typing
 
 from apricotlever.requests import evacuation
-from apricotlever.requests import export_times
+from apricotlever.requests import export_time_estimator
 from apricotlever.requests import recovery
 
 NOTICES_S = (2.0, 5.0, 15.0, 30.0)
@@ -26,7 +26,7 @@
 TRUE_FIXED_S = 0.15
 TRUE_PER_TOKEN_S = 1e-4
 LEARNED_FROM = 30
-RULES: dict[str, typing.Callable[..., list[evacuation.Move]]] = {}
+RULES: dict[str, typing.Callable[..., list[evacuation.StreamMove]]] = {}
 
 
 def rule(name: str) -> typing.Callable[[typing.Any], typing.Any]:
@@ -41,15 +41,15 @@
 
 @rule("evacuation")
 def _evacuation(
-    waiting: list[recovery.Situation], rng: random.Random
-) -> list[evacuation.Move]:
-    return evacuation.plan(waiting)
+    waiting: list[recovery.AffectedStream], rng: random.Random
+) -> list[evacuation.StreamMove]:
+    return evacuation.plan_evacuation(waiting)
 
 
 @rule("export_in_order_of_arrival")
 def _in_order(
-    waiting: list[recovery.Situation], rng: random.Random
-) -> list[evacuation.Move]:
+    waiting: list[recovery.AffectedStream], rng: random.Random
+) -> list[evacuation.StreamMove]:
     return _all(
         waiting,
         lambda each: recovery.ExportTo(rng.choice(each.candidates).runner),
@@ -58,8 +58,8 @@
 
 @rule("replay_all")
 def _replay_all(
-    waiting: list[recovery.Situation], rng: random.Random
-) -> list[evacuation.Move]:
+    waiting: list[recovery.AffectedStream], rng: random.Random
+) -> list[evacuation.StreamMove]:
     return _all(
         waiting,
         lambda each: recovery.Replay(
@@ -70,17 +70,19 @@
 
 @rule("restart_when_taken")
 def _restart(
-    waiting: list[recovery.Situation], rng: random.Random
-) -> list[evacuation.Move]:
-    return _all(waiting, lambda each: recovery.CarryOn())
+    waiting: list[recovery.AffectedStream], rng: random.Random
+) -> list[evacuation.StreamMove]:
+    return _all(waiting, lambda each: recovery.KeepRunning())
 
 
 def _all(
-    waiting: list[recovery.Situation],
-    decide: typing.Callable[[recovery.Situation], recovery.Decision],
-) -> list[evacuation.Move]:
+    waiting: list[recovery.AffectedStream],
+    decide: typing.Callable[
+        [recovery.AffectedStream], recovery.RecoveryDecision
+    ],
+) -> list[evacuation.StreamMove]:
     return [
-        evacuation.Move(each.request_id, decide(each))
+        evacuation.StreamMove(each.request_id, decide(each))
         for each in waiting
         if not each.moving_to
     ]
@@ -93,8 +95,8 @@
 
 def _wave(
     count: int, notice_s: float, rng: random.Random
-) -> list[recovery.Situation]:
-    learned = export_times.ExportTimes()
+) -> list[recovery.AffectedStream]:
+    learned = export_time_estimator.ExportTimeEstimator()
     for _ in range(LEARNED_FROM):
         tokens = rng.randrange(200, 12_000)
         learned.observe(tokens, _true_s(tokens, rng))
@@ -111,17 +113,17 @@
 def _stream(
     number: int,
     notice_s: float,
-    learned: export_times.ExportTimes,
+    learned: export_time_estimator.ExportTimeEstimator,
     candidates: list[recovery.Candidate],
     rng: random.Random,
-) -> recovery.Situation:
+) -> recovery.AffectedStream:
     long = rng.random() < 0.3
     prompt = rng.randrange(4_000, 12_000) if long else rng.randrange(50, 800)
     whole = rng.randrange(50, 900)
     sent = rng.randrange(0, whole)
-    return recovery.Situation(
+    return recovery.AffectedStream(
         f"s{number}",
-        recovery.Cause.NOTICE,
+        recovery.RecoveryCause.NOTICE,
         f"leaving{number % RUNNERS_LEAVING}",
         rng.randrange(3),
         prompt,
@@ -138,13 +140,16 @@
     """Plays a wave in steps, each export taking its true time."""
 
     def __init__(
-        self, streams: list[recovery.Situation], notice_s: float, seed: int
+        self,
+        streams: list[recovery.AffectedStream],
+        notice_s: float,
+        seed: int,
     ) -> None:
         self.streams = {each.request_id: each for each in streams}
         self.notice_s = notice_s
         self.rng = random.Random(seed)
         self.lanes: dict[str, list[float]] = {
-            each.runner: [0.0] * evacuation.LANES_PER_RUNNER
+            each.runner: [0.0] * evacuation.EXPORTS_PER_RUNNER
             for each in streams
         }
         self.exported: dict[str, float] = {}
@@ -183,7 +188,7 @@
                 del self.streams[name]
                 self.totals["ended"] += 1
 
-    def _obey(self, chosen: evacuation.Move, now: float) -> None:
+    def _obey(self, chosen: evacuation.StreamMove, now: float) -> None:
         stream = self.streams[chosen.request_id]
         decision = chosen.decision
         if isinstance(decision, recovery.ExportTo):
@@ -200,7 +205,7 @@
             self.totals["recomputed"] += stream.redo_tokens
             del self.streams[chosen.request_id]
 
-    def _lose(self, stream: recovery.Situation) -> None:
+    def _lose(self, stream: recovery.AffectedStream) -> None:
         self.totals["lost_on_the_way"] += bool(stream.moving_to)
         self.totals["taken_with_runner"] += not stream.moving_to
         self.totals["recomputed"] += stream.redo_tokens
--- a/bench/retries.py
+++ b/bench/retries.py
@@ -12,8 +12,8 @@
 import typing
 
 from apricotlever import clock as clocks
-from apricotlever.contracts import retries
 from apricotlever.contracts import retry_budget
+from apricotlever.contracts import retry_policy
 from apricotlever.runners import crashes
 from apricotlever.runners import quarantine
 
@@ -44,10 +44,12 @@
 
 
 def _may_retry(budget: retry_budget.RetryBudget, attempts: int) -> bool:
-    failure = retries.Failure(
+    failure = retry_policy.FailedAttempt(
         "entry", True, True, attempts, 10.0, 1.0, frozenset({"r0"}), TAKERS
     )
-    return isinstance(retries.decide(failure, budget), retries.Retry)
+    return isinstance(
+        retry_policy.decide_retry(failure, budget), retry_policy.Retry
+    )
 
 
 def _partial(way: str, failing: float, seed: int) -> dict[str, typing.Any]:
@@ -57,7 +59,7 @@
     attempts = answered = 0
     offered = OFFERED_PER_S * SECONDS
     for _ in range(offered):
-        for attempt in range(1, retries.MOST_ATTEMPTS + 1):
+        for attempt in range(1, retry_policy.MAX_ATTEMPTS + 1):
             attempts += 1
             if rng.random() >= failing:
                 budget.succeeded("entry")
@@ -77,20 +79,20 @@
 def _overloaded(way: str) -> dict[str, typing.Any]:
     """Runners fail whatever is above their capacity; half the time calm."""
     budget = WAYS[way]()
-    again = [0] * retries.MOST_ATTEMPTS
+    again = [0] * retry_policy.MAX_ATTEMPTS
     answered = total = offered_sum = 0
     for second in range(2 * SECONDS):
         offered = OVERLOAD_PER_S if second < SECONDS else OFFERED_PER_S
         attempts = [offered, *again[1:]]
         load = sum(attempts)
         failing = max(0.0, 1.0 - CAPACITY_PER_S / load)
-        again = [0] * retries.MOST_ATTEMPTS
+        again = [0] * retry_policy.MAX_ATTEMPTS
         for number, count in enumerate(attempts, start=1):
             failed = round(count * failing)
             answered += count - failed
             for _ in range(count - failed):
                 budget.succeeded("entry")
-            if number < retries.MOST_ATTEMPTS:
+            if number < retry_policy.MAX_ATTEMPTS:
                 again[number] = sum(
                     _may_retry(budget, number) for _ in range(failed)
                 )
@@ -114,26 +116,33 @@
     for number in range(RESENDS):
         clock.advance(RESEND_S)
         places = tuple(
-            quarantine.Place(f"r{n}", f"dc{n % DATA_CENTRES}")
+            quarantine.TrialCandidate(f"r{n}", f"dc{n % DATA_CENTRES}")
             for n in range(RUNNERS)
         )
         runner: str | None = places[number % RUNNERS].runner
-        standing = rule.standing(name)
-        on_trial = standing.state is quarantine.State.SUSPECT
-        if with_quarantine and standing.state is not quarantine.State.CLEAR:
-            answer = rule.judge(quarantine.MayRun(name, str(number), places))
-            run = isinstance(answer, quarantine.RunAt)
+        standing = rule.status(name)
+        on_trial = standing.state is quarantine.FingerprintState.SUSPECT
+        if (
+            with_quarantine
+            and standing.state is not quarantine.FingerprintState.CLEAR
+        ):
+            answer = rule.decide(
+                quarantine.TrialRequest(name, str(number), places)
+            )
+            run = isinstance(answer, quarantine.RunAsTrial)
             runner = answer.runner if run else None
         if runner is None:
             refused += 1
             continue
         crashed += 1
-        charge = crashes.Charge(name, str(number), 1, on_trial)
+        charge = crashes.SuspectRequest(name, str(number), 1, on_trial)
         data_centre = f"dc{int(runner[1:]) % DATA_CENTRES}"
         rule.receive(
-            crashes.CrashSeen("vm", runner, data_centre, 0.0, False, (charge,))
+            crashes.CrashObservation(
+                "vm", runner, data_centre, 0.0, False, (charge,)
+            )
         )
-        rule.trial_over(quarantine.TrialOver(name, str(number)))
+        rule.end_trial(quarantine.TrialEnded(name, str(number)))
     return {
         "trial": "poison",
         "quarantine": with_quarantine,
--- a/bench/routing.py
+++ b/bench/routing.py
@@ -154,11 +154,11 @@
                 self._first.append((wait_s, arrival.target_s))
 
         def on_end() -> None:
-            router.finished(name, models.Outcome.DONE, job.answer)
+            router.request_finished(name, models.Outcome.DONE, job.answer)
 
         job.on_first = on_first
         job.on_end = on_end
-        router.started(name, route.runner.name, query)
+        router.request_started(name, route.runner.name, query)
         self._engines[route.runner.name].submit(job)
 
     def _poll(self) -> None:
@@ -218,10 +218,12 @@
         route = router.choose(query)
         spent.append(time.perf_counter() - start)
         assert isinstance(route, models.Route)
-        router.started(str(number), route.runner.name, query)
+        router.request_started(str(number), route.runner.name, query)
         clock.advance(1 / 26.0)
         router.first_token(str(number - 30))
-        router.finished(str(number - 30), models.Outcome.DONE, job.answer)
+        router.request_finished(
+            str(number - 30), models.Outcome.DONE, job.answer
+        )
     spent.sort()
     return {
         "runners": runners,
@@ -240,7 +242,9 @@
     parser = argparse.ArgumentParser(prog="bench routing")
     parser.add_argument("--seconds", type=float, default=90.0)
     parser.add_argument("--seeds", type=int, default=2)
-    parser.add_argument("--policies", nargs="*", default=policies.names())
+    parser.add_argument(
+        "--policies", nargs="*", default=policies.policy_names()
+    )
     parser.add_argument("--workloads", nargs="*", default=[])
     options = parser.parse_args(arguments)
     for workload in WORKLOADS:
--- a/bench/spreading.py
+++ b/bench/spreading.py
@@ -6,8 +6,8 @@
 
 from apricotlever.links import peer_pb2 as pb
 from apricotlever.vms import actions
-from apricotlever.vms import spread
-from apricotlever.vms import spread_actions as wanted
+from apricotlever.vms import catalogue_replicator
+from apricotlever.vms import replication_actions as wanted
 
 from . import virtual
 
@@ -39,7 +39,7 @@
     def __init__(self, fleet: virtual.Fleet) -> None:
         self.fleet = fleet
         self.store = Store()
-        self.spreads: dict[str, spread.ConfigurationSpread] = {}
+        self.spreads: dict[str, catalogue_replicator.CatalogueReplicator] = {}
         self.applied: dict[str, list[tuple[int, float]]] = {}
         self.faults: list[tuple[str, wanted.Fault]] = []
         self.fetched_bytes = 0
@@ -49,7 +49,7 @@
         """Give a VM its part; its name replaces an older one's."""
         vm = node.vm
         own = random.Random(self.fleet.rng.random())
-        self.spreads[vm] = spread.ConfigurationSpread(
+        self.spreads[vm] = catalogue_replicator.CatalogueReplicator(
             self.fleet.clock, own, vm, node.member.data_centre
         )
         self.applied[vm] = []
@@ -92,13 +92,13 @@
         if node.vm not in self.spreads:
             return
         part = self.spreads[node.vm]
-        if isinstance(action, actions.CatalogueHeard):
+        if isinstance(action, actions.CatalogueAdvertised):
             self._perform(
                 node, part.heard(action.version, action.digest, action.via)
             )
-        if isinstance(action, actions.Delivered) and action.rumour.HasField(
-            "catalogue"
-        ):
+        if isinstance(
+            action, actions.RumourDelivered
+        ) and action.rumour.HasField("catalogue"):
             self._perform(node, part.rumoured(action.rumour, action.via))
 
     @functools.singledispatchmethod
@@ -107,7 +107,7 @@
 
     @_do.register
     def _start_watching(
-        self, action: wanted.Watch, node: virtual.Node
+        self, action: wanted.StartWatching, node: virtual.Node
     ) -> None:
         self.store.watchers[node.vm] = node
         self._read(node)
@@ -120,7 +120,7 @@
         self.store.watchers.pop(node.vm, None)
 
     @_do.register
-    def _fetch(self, action: wanted.FetchFrom, node: virtual.Node) -> None:
+    def _fetch(self, action: wanted.FetchFromPeer, node: virtual.Node) -> None:
         target = self.fleet.nodes.get(action.vm)
         if target is not None and target.running:
             self.fleet.later(
@@ -128,13 +128,17 @@
             )
 
     @_do.register
-    def _apply(self, action: wanted.Apply, node: virtual.Node) -> None:
+    def _apply(
+        self, action: wanted.ApplyCatalogue, node: virtual.Node
+    ) -> None:
         now = self.fleet.clock.now()
         self.applied[node.vm].append((action.version, now))
         node.membership.set_catalogue(action.version, action.digest)
 
     @_do.register
-    def _announce(self, action: wanted.Announce, node: virtual.Node) -> None:
+    def _announce(
+        self, action: wanted.AnnounceRumour, node: virtual.Node
+    ) -> None:
         node.membership.announce(action.rumour)
 
     @_do.register
@@ -142,7 +146,7 @@
         self.faults.append((node.vm, action))
 
     def _perform(
-        self, node: virtual.Node, found: list[wanted.SpreadAction]
+        self, node: virtual.Node, found: list[wanted.ReplicationAction]
     ) -> None:
         for action in found:
             self._do(action, node)
--- a/src/apricotlever/contracts/admission.py
+++ b/src/apricotlever/contracts/admission.py
@@ -7,15 +7,15 @@
 from ..catalogue import model as catalogue_model
 from . import entry_limits
 from . import fleet_shares
-from . import gate
+from . import pool_admission
 from ..runners import model as runner_model
-from . import spend
+from . import spend_meter
 from . import tickets
 
 Ticket = tickets.Ticket
 Admitted = tickets.Admitted
 Refused = tickets.Refused
-Reason = tickets.Reason
+RefusalReason = tickets.RefusalReason
 Verdict = tickets.Verdict
 
 UNKNOWN_ENTRY_RETRY_S = 5.0
@@ -36,7 +36,7 @@
         self.price_per_slot_hour = price_per_slot_hour
 
 
-class Admission:
+class AdmissionController:
     """Decides on all requests of one entry VM.
 
     It holds a queue and a concurrency limit for each pool, the limits of
@@ -70,10 +70,10 @@
         #: Classes by name. Classes that were removed from the catalogue stay
         #: here for the requests that still use them.
         self._classes: dict[str, catalogue_model.ServiceClass] = {}
-        self._spend_meter = spend.SpendMeter(clock)
+        self._spend_meter = spend_meter.SpendMeter(clock)
         self._fleet_shares = fleet_shares.FleetShares(clock, vm)
         self._limits_by_entry: dict[str, entry_limits.EntryLimits] = {}
-        self._pool_admissions: dict[str, gate.PoolAdmission] = {}
+        self._pool_admissions: dict[str, pool_admission.PoolAdmission] = {}
         self._pools: dict[str, PoolCapacity] = {}
         #: The pool of each request that is queued or in flight.
         self._pool_by_request: dict[str, str] = {}
@@ -85,12 +85,14 @@
         return self._fleet_shares
 
     @property
-    def spending(self) -> spend.SpendMeter:
+    def spend_meter(self) -> spend_meter.SpendMeter:
         """The meter of costs by customer and entry."""
         return self._spend_meter
 
     @property
-    def pool_admissions(self) -> typing.Mapping[str, gate.PoolAdmission]:
+    def pool_admissions(
+        self,
+    ) -> typing.Mapping[str, pool_admission.PoolAdmission]:
         """The admission state of each pool that has had a request."""
         return self._pool_admissions
 
@@ -151,7 +153,7 @@
             return [
                 Refused(
                     ticket.request_id,
-                    Reason.UNKNOWN_ENTRY,
+                    RefusalReason.UNKNOWN_ENTRY,
                     UNKNOWN_ENTRY_RETRY_S,
                 )
             ]
@@ -244,11 +246,11 @@
             self._apply_share(entry, limits)
         return limits
 
-    def _pool_admission(self, pool: str) -> gate.PoolAdmission:
+    def _pool_admission(self, pool: str) -> pool_admission.PoolAdmission:
         known = self._pool_admissions.get(pool)
         if known is not None:
             return known
-        created = gate.PoolAdmission(
+        created = pool_admission.PoolAdmission(
             self._clock, self._rng, self._entry_limits, self._service_class
         )
         customers = self._catalogue.customers.values()
@@ -282,7 +284,7 @@
         if known is None:
             return 0.0
         held_s = self._clock.now() - admitted_at
-        return spend.request_cost(known.price_per_slot_hour, 1, held_s)
+        return spend_meter.request_cost(known.price_per_slot_hour, 1, held_s)
 
     def _apply_shares(self) -> None:
         for entry, limits in self._limits_by_entry.items():
--- a/src/apricotlever/contracts/call_budget.py
+++ b/src/apricotlever/contracts/call_budget.py
@@ -20,7 +20,7 @@
 FACTOR_RECOVERY_PER_S = 0.05
 
 
-class Rank(enum.IntEnum):
+class CallPriority(enum.IntEnum):
     """The priority of a call; the lowest number goes first."""
 
     CLAIM = 0
@@ -29,7 +29,7 @@
     STATUS = 3
 
 
-class Kind(enum.Enum):
+class CallKind(enum.Enum):
     """The kind of a call; reads and writes have separate rates."""
 
     READ = "read"
@@ -67,14 +67,14 @@
         self._tokens = min(_depth(self, fleet_size), self._tokens + gained)
         self._refilled_at = max(self._refilled_at, now)
 
-    def take(self, rank: Rank, fleet_size: int) -> bool:
+    def take(self, rank: CallPriority, fleet_size: int) -> bool:
         """Take a token if the priority allows it."""
         if self._missing(rank, fleet_size) > 0:
             return False
         self._tokens -= 1
         return True
 
-    def wait_s(self, rank: Rank, now: float, fleet_size: int) -> float:
+    def wait_s(self, rank: CallPriority, now: float, fleet_size: int) -> float:
         """Return the seconds until the priority allows a call.
 
         The result assumes that no other call takes a token meanwhile.
@@ -94,8 +94,8 @@
         self._paused_until = max(self._paused_until, until)
         self._factor = max(MIN_FACTOR, self._factor * THROTTLE_FACTOR)
 
-    def _missing(self, rank: Rank, fleet_size: int) -> float:
-        reserved = rank * _depth(self, fleet_size) / len(Rank)
+    def _missing(self, rank: CallPriority, fleet_size: int) -> float:
+        reserved = rank * _depth(self, fleet_size) / len(CallPriority)
         return reserved + 1.0 - self._tokens
 
 
@@ -121,8 +121,8 @@
         now = clock.now()
         self._clock = clock
         self._buckets = {
-            Kind.READ: _PriorityBucket(reads_per_s, now),
-            Kind.WRITE: _PriorityBucket(writes_per_s, now),
+            CallKind.READ: _PriorityBucket(reads_per_s, now),
+            CallKind.WRITE: _PriorityBucket(writes_per_s, now),
         }
         self._fleet_size = INITIAL_FLEET_SIZE
         self._reported_size = 0
@@ -135,7 +135,7 @@
             self._fleet_size = self._reported_size
         return self._fleet_size
 
-    def configure(self, fleet_size: int) -> None:
+    def set_fleet_size(self, fleet_size: int) -> None:
         """Set how many entry VMs the membership view holds.
 
         A larger fleet applies at once. A smaller one applies only after it
@@ -153,7 +153,9 @@
             self._shrinks_at = self._clock.now() + SHRINK_HOLD_S
         self._reported_size = size
 
-    def allow(self, rank: Rank, kind: Kind = Kind.WRITE) -> bool:
+    def try_acquire(
+        self, rank: CallPriority, kind: CallKind = CallKind.WRITE
+    ) -> bool:
         """Take a token for one call if the priority allows it.
 
         A watch takes one read when it starts and one at each renewal.
@@ -163,7 +165,9 @@
         bucket = self._refilled(kind)
         return bucket.take(rank, self._fleet_size)
 
-    def wait_s(self, rank: Rank, kind: Kind = Kind.WRITE) -> float:
+    def wait_s(
+        self, rank: CallPriority, kind: CallKind = CallKind.WRITE
+    ) -> float:
         """Return the seconds until :meth:`try_acquire` may succeed.
 
         No token is taken.
@@ -171,7 +175,7 @@
         bucket = self._refilled(kind)
         return bucket.wait_s(rank, self._clock.now(), self._fleet_size)
 
-    def throttled(self, kind: Kind, retry_after_s: float) -> None:
+    def record_throttling(self, kind: CallKind, retry_after_s: float) -> None:
         """Note that the object API refused a call because of its rate.
 
         Some client uses more than its share. At an unchanged rate, all
@@ -184,7 +188,7 @@
         """
         self._refilled(kind).pause(self._clock.now() + retry_after_s)
 
-    def _refilled(self, kind: Kind) -> _PriorityBucket:
+    def _refilled(self, kind: CallKind) -> _PriorityBucket:
         bucket = self._buckets[kind]
         bucket.refill(self._clock.now(), self.fleet_size)
         return bucket
@@ -192,4 +196,4 @@
 
 def _depth(bucket: _PriorityBucket, fleet_size: int) -> float:
     """Return the size of a bucket: at least one token per priority."""
-    return max(float(len(Rank)), bucket.rate(fleet_size) * BURST_S)
+    return max(float(len(CallPriority)), bucket.rate(fleet_size) * BURST_S)
--- a/src/apricotlever/contracts/arrivals.py
+++ b/src/apricotlever/contracts/demand_meter.py
@@ -6,8 +6,8 @@
 SMOOTHING_FACTOR = 0.2
 REPORT_INTERVAL_S = 1.0
 MIN_REPORTED_RATE = 1e-3
-ARRIVALS = "arrivals_per_s"
-SERVICE = "service_s"
+ARRIVAL_RATE_FIELD = "arrivals_per_s"
+SERVICE_TIME_FIELD = "service_s"
 
 
 class _PoolDemand:
@@ -21,7 +21,7 @@
         self.service_s = 0.0
 
 
-class Arrivals:
+class DemandMeter:
     """Measures the demand at this VM for capacity planning.
 
     :param clock: the source of time.
@@ -37,15 +37,15 @@
         self._started: dict[str, tuple[str, float]] = {}
         self._reported_at = clock.now()
 
-    def arrived(self, pool: str) -> None:
+    def record_arrival(self, pool: str) -> None:
         """Count a request for a pool, whether it is admitted or not."""
         self._pools.setdefault(pool, _PoolDemand()).arrival_count += 1
 
-    def started(self, request_id: str, pool: str) -> None:
+    def record_start(self, request_id: str, pool: str) -> None:
         """Note that a request was sent to a runner; only the first counts."""
         self._started.setdefault(request_id, (pool, self._clock.now()))
 
-    def ended(self, request_id: str) -> None:
+    def record_end(self, request_id: str) -> None:
         """Note that a request released its slot."""
         start = self._started.pop(request_id, None)
         if start is None:
@@ -55,7 +55,7 @@
         weight = SMOOTHING_FACTOR if pool.service_s else 1.0
         pool.service_s += weight * (held_s - pool.service_s)
 
-    def report(self) -> pb.DemandReport | None:
+    def take_report(self) -> pb.DemandReport | None:
         """Return the demand report if it is due, else None.
 
         A report is due every :data:`REPORT_INTERVAL_S` seconds.
@@ -73,8 +73,8 @@
             if pool.rate < MIN_REPORTED_RATE:
                 continue
             for limit, value in (
-                (ARRIVALS, pool.rate),
-                (SERVICE, pool.service_s),
+                (ARRIVAL_RATE_FIELD, pool.rate),
+                (SERVICE_TIME_FIELD, pool.service_s),
             ):
                 message.demands.add(entry=name, limit=limit, demand=value)
         return message if message.demands else None
--- a/src/apricotlever/contracts/entry_limits.py
+++ b/src/apricotlever/contracts/entry_limits.py
@@ -3,9 +3,9 @@
 import math
 
 from .. import clock as clocks
-from . import rates
-from . import spend
+from . import spend_meter
 from . import tickets
+from . import token_bucket
 
 #: Time constant of the measured demand, in seconds.
 DEMAND_DECAY_S = 5.0
@@ -22,7 +22,7 @@
     __slots__ = ("seconds", "reason", "interval_s")
 
     def __init__(
-        self, seconds: float, reason: tickets.Reason, interval_s: float
+        self, seconds: float, reason: tickets.RefusalReason, interval_s: float
     ) -> None:
         self.seconds = seconds
         self.reason = reason
@@ -51,13 +51,13 @@
     )
 
     def __init__(
-        self, clock: clocks.Clock, entry: str, spending: spend.SpendMeter
+        self, clock: clocks.Clock, entry: str, spending: spend_meter.SpendMeter
     ) -> None:
         self._clock = clock
         self._entry = entry
         self._spending = spending
-        self._request_bucket: rates.TokenBucket | None = None
-        self._token_bucket: rates.TokenBucket | None = None
+        self._request_bucket: token_bucket.TokenBucket | None = None
+        self._token_bucket: token_bucket.TokenBucket | None = None
         self._concurrency: int | None = None
         self._in_flight = 0
         self._decayed_at = clock.now()
@@ -166,7 +166,7 @@
         :param tokens: the tokens of those requests and of the ticket.
         :param mean_hold_s: mean time that a request is in flight.
         """
-        reason = tickets.Reason
+        reason = tickets.RefusalReason
         waits = [
             LimitWait(self._spending.wait_s(self._entry), reason.SPEND, 0.0)
         ]
@@ -195,13 +195,13 @@
         return max(0.0, missing) * mean_hold_s / units
 
     def _update_bucket(
-        self, bucket: rates.TokenBucket | None, rate: float | None
-    ) -> rates.TokenBucket | None:
+        self, bucket: token_bucket.TokenBucket | None, rate: float | None
+    ) -> token_bucket.TokenBucket | None:
         if rate is None:
             return None
-        burst = rate * rates.DEFAULT_BURST_S
+        burst = rate * token_bucket.DEFAULT_BURST_S
         if bucket is None:
-            return rates.TokenBucket(self._clock, rate, burst)
+            return token_bucket.TokenBucket(self._clock, rate, burst)
         bucket.set_rate(rate, burst)
         return bucket
 
--- a/src/apricotlever/contracts/fleet_rate.py
+++ b/src/apricotlever/contracts/fleet_rate_limit.py
@@ -19,7 +19,7 @@
 import typing
 
 from .. import clock as clocks
-from . import rates
+from . import token_bucket
 
 #: Seconds without contact after which a member's share is reserved. Records
 #: arrive every 0.2 s, and five in a row are rarely lost by chance.
@@ -53,7 +53,7 @@
 LATE_TOTALS_OVERSHOOT_FRACTION = 0.5
 
 
-class Presence:
+class MemberLiveness:
     """The other VMs that may admit work, and the last contact with each.
 
     The limits of all customers share one instance. Separate instances would
@@ -61,21 +61,21 @@
     an idle VM.
     """
 
-    __slots__ = ("_clock", "heard_at", "members", "_silence_timeout_s")
+    __slots__ = ("_clock", "last_contact", "members", "_silence_timeout_s")
 
     def __init__(self, clock: clocks.Clock) -> None:
         self._clock = clock
         self.members: frozenset[str] = frozenset()
         #: The monotonic time in seconds of the last contact, by member.
-        self.heard_at: dict[str, float] = {}
+        self.last_contact: dict[str, float] = {}
         self._silence_timeout_s = SILENCE_TIMEOUT_S
 
     @property
-    def silent(self) -> int:
+    def silent_count(self) -> int:
         """The number of members that have been silent for too long."""
         oldest = self._clock.now() - self._silence_timeout_s
-        heard = map(self.heard_at.get, self.members)
-        return sum(at is None or at < oldest for at in heard)
+        record_contact = map(self.last_contact.get, self.members)
+        return sum(at is None or at < oldest for at in record_contact)
 
     def set_members(
         self, members: typing.Iterable[str], record_interval_s: float = 0.0
@@ -92,10 +92,10 @@
 
     def heard(self, member: str) -> None:
         """Note that a record of a member arrived."""
-        self.heard_at[member] = self._clock.now()
+        self.last_contact[member] = self._clock.now()
 
 
-class FleetRate:
+class FleetRateLimit:
     """One VM's instance of a customer's limit.
 
     :param rate: units per second of the whole fleet.
@@ -137,17 +137,17 @@
         rate: float,
         burst: float,
         overshoot_units: float = 0.0,
-        presence: Presence | None = None,
+        presence: MemberLiveness | None = None,
         overshoot: float = 0.0,
     ) -> None:
-        self._presence = presence or Presence(clock)
+        self._presence = presence or MemberLiveness(clock)
         self._clock = clock
         self._rate = rate
         self._burst = burst
         self._started_at = clock.now()
         self._is_initialized = False
         self._withheld = 0.0
-        self._bucket = rates.TokenBucket(clock, rate, burst)
+        self._bucket = token_bucket.TokenBucket(clock, rate, burst)
         #: Units that this process may admit before it knows the level.
         self._initial_units = max(
             burst / ASSUMED_FLEET_SIZE / 2,
@@ -159,7 +159,7 @@
         #: admitted units, including the excess that late totals reveal.
         self._late_allowance = LATE_TOTALS_FRACTION * overshoot_units
         self._ceiling_factor = 1.0 + LATE_TOTALS_OVERSHOOT_FRACTION * overshoot
-        self._ceiling = rates.TokenBucket(
+        self._ceiling = token_bucket.TokenBucket(
             clock, rate * self._ceiling_factor, burst + self._late_allowance
         )
         self._ceiling.charge(max(0.0, burst - self._initial_units))
@@ -173,12 +173,12 @@
         self._usable_fraction = 1.0
 
     @property
-    def used(self) -> float:
+    def admitted_units(self) -> float:
         """Units that this VM has admitted since it started."""
         return self._admitted_units
 
     @property
-    def part(self) -> float:
+    def usable_fraction(self) -> float:
         """The fraction of the limit that is not reserved for silent VMs."""
         return self._usable_fraction
 
@@ -203,11 +203,11 @@
         self._presence.set_members(members, record_interval_s)
         self.tick()
 
-    def present(self, member: str) -> None:
+    def record_contact(self, member: str) -> None:
         """Note a record of another VM that has no total for this customer."""
         self._presence.heard(member)
 
-    def heard(self, member: str, total: float) -> None:
+    def receive_total(self, member: str, total: float) -> None:
         """Receive the units that another VM has admitted since it started.
 
         :param member: the name of the VM's process, which changes when the
@@ -233,7 +233,7 @@
         self._totals[member] = total
         self._charge_remote(total - previous)
 
-    def told_on(self, member: str, total: float) -> None:
+    def receive_relayed_total(self, member: str, total: float) -> None:
         """Receive another VM's total that a third VM relays.
 
         The relaying VM may have been suspended and may send an outdated
@@ -244,9 +244,9 @@
         :param total: units admitted for this customer.
         """
         if total > self._totals.get(member, 0.0):
-            self.heard(member, total)
+            self.receive_total(member, total)
 
-    def heard_ahead(self, member: str, total: float) -> None:
+    def receive_early_total(self, member: str, total: float) -> None:
         """Receive a total that is newer than the member's records.
 
         Records that the total overtook bring lower totals when they arrive.
@@ -258,11 +258,11 @@
         """
         if total > self._totals.get(member, 0.0):
             self._early_at.pop(member, None)
-            self.heard(member, total)
+            self.receive_total(member, total)
             self._early_at[member] = self._clock.now()
 
     @property
-    def limited(self) -> bool:
+    def is_limited(self) -> bool:
         """Whether the customer has a limit."""
         return self._rate > 0.0
 
@@ -271,7 +271,7 @@
         """The units left; None while this process does not know them."""
         return self._bucket.level if self._is_initialized else None
 
-    def learn(self, level: float) -> None:
+    def initialize_level(self, level: float) -> None:
         """Set the level from another process that knows it; only once.
 
         A process that starts does not know what was admitted before. If it
@@ -296,11 +296,11 @@
         self._ceiling.charge(self._ceiling.level - max_ceiling_level)
         self._tick_level = max(0.0, usable_level)
 
-    def forget(self, member: str) -> None:
+    def remove_member(self, member: str) -> None:
         """Forget a VM's process that has ended."""
         self._totals.pop(member, None)
         self._early_at.pop(member, None)
-        self._presence.heard_at.pop(member, None)
+        self._presence.last_contact.pop(member, None)
 
     def take(self, units: float, for_all: bool = False) -> float:
         """Admit a call if the limit allows it.
@@ -333,7 +333,7 @@
         fleet_size = len(self._presence.members) + 1
         return self._tick_level * min(1.0, TICK_SHARE_FACTOR / fleet_size)
 
-    def give_back(self, units: float) -> None:
+    def refund(self, units: float) -> None:
         """Refund the units of an admitted call that did not run."""
         self._credit(units)
         self._tick_admitted = max(0.0, self._tick_admitted - units)
@@ -350,8 +350,8 @@
         self._tick_level = max(0.0, self._bucket.level)
         self._tick_admitted = 0.0
         if silent is None:
-            silent = self._presence.silent
-        has_contact = bool(self._presence.heard_at)
+            silent = self._presence.silent_count
+        has_contact = bool(self._presence.last_contact)
         fleet_size = len(self._presence.members) + 1
         if now - self._started_at > WARM_UP_S:
             self._is_initialized = True
--- a/src/apricotlever/contracts/fleet_shares.py
+++ b/src/apricotlever/contracts/fleet_shares.py
@@ -4,7 +4,7 @@
 import typing
 
 from .. import clock as clocks
-from . import shares
+from . import limit_share
 
 REPORT_INTERVAL_S = 1.0
 
@@ -72,7 +72,7 @@
         self._members: frozenset[str] = frozenset({vm})
         self._number = int(clock.wall() * 1000)
         self._reported_at = float("-inf")
-        self._shares: dict[LimitKey, shares.LimitShare] = {}
+        self._shares: dict[LimitKey, limit_share.LimitShare] = {}
 
     @property
     def members(self) -> frozenset[str]:
@@ -89,7 +89,7 @@
                 share.set_limit(limit)
                 continue
             name = f"{key[0]} {key[1].value}"
-            share = shares.LimitShare(self._clock, self._vm, limit, name)
+            share = limit_share.LimitShare(self._clock, self._vm, limit, name)
             share.set_members(self._members)
             self._shares[key] = share
 
@@ -99,7 +99,7 @@
         for share in self._shares.values():
             share.set_members(self._members)
 
-    def left(self, vm: str) -> None:
+    def remove_member(self, vm: str) -> None:
         """Remove a VM that has certainly ended."""
         self._members -= {vm}
         for share in self._shares.values():
--- a/src/apricotlever/contracts/limit_keepers.py
+++ b/src/apricotlever/contracts/limit_keepers.py
@@ -47,7 +47,7 @@
         #: The keeper found for each customer.
         self._keeper_cache: dict[str, str] = {}
 
-    def set_vms(self, others: typing.Iterable[str]) -> None:
+    def set_other_vms(self, others: typing.Iterable[str]) -> None:
         """Set which other VMs may be keepers."""
         now = self._clock.now()
         available_again = [
@@ -69,7 +69,7 @@
             self._keeper_cache[customer] = found
         return found
 
-    def unanswered(self, vm: str) -> None:
+    def record_timeout(self, vm: str) -> None:
         """Note that a VM did not answer, and skip it for a while."""
         self._unavailable_until[vm] = self._clock.now() + UNAVAILABLE_S
         self._keeper_cache.clear()
--- a/src/apricotlever/contracts/shedding.py
+++ b/src/apricotlever/contracts/load_shedding.py
@@ -2,8 +2,8 @@
 
 from .. import clock as clocks
 from ..catalogue import model as catalogue_model
+from . import pool_usage
 from . import tickets
-from . import usage
 
 #: The fraction of the latency target that a standing queue may use up.
 STANDING_QUEUE_FRACTION = 0.3
@@ -30,7 +30,7 @@
 
     def __init__(self, clock: clocks.Clock) -> None:
         self._clock = clock
-        self._usage = usage.PoolUsage(clock)
+        self._usage = pool_usage.PoolUsage(clock)
         #: Customers with a standing queue, and until when it counts as such.
         self._standing_until: dict[str, float] = {}
         #: By customer: the refused shed orders, and until when tickets of
@@ -38,7 +38,7 @@
         self._shed_until: dict[str, dict[int, float]] = {}
 
     @property
-    def usage(self) -> usage.PoolUsage:
+    def usage(self) -> pool_usage.PoolUsage:
         """The customers' recent usage of the pool."""
         return self._usage
 
--- a/src/apricotlever/contracts/gate.py
+++ b/src/apricotlever/contracts/pool_admission.py
@@ -5,14 +5,14 @@
 
 from .. import clock as clocks
 from ..catalogue import model as catalogue_model
-from . import comeback
-from . import concurrency
+from . import concurrency_limit
 from . import entry_limits
 from . import fair_queue
-from . import outlook
+from . import load_shedding
+from . import retry_after
 from ..runners import model as runner_model
-from . import shedding
 from . import tickets
+from . import wait_estimator
 
 #: Tickets of all customers that the queue of a pool may hold.
 MAX_QUEUE_LENGTH = 4096
@@ -69,10 +69,10 @@
         self._limits_of = limits_of
         self._class_of = class_of
         self._queue = fair_queue.FairQueue()
-        self._wait_estimator = outlook.WaitEstimator(self._queue)
-        self._load_shedder = shedding.LoadShedder(clock)
-        self._retry_after = comeback.RetryAfterScheduler(clock, rng)
-        self._limit = concurrency.ConcurrencyLimit(clock)
+        self._wait_estimator = wait_estimator.WaitEstimator(self._queue)
+        self._load_shedder = load_shedding.LoadShedder(clock)
+        self._retry_after = retry_after.RetryAfterScheduler(clock, rng)
+        self._limit = concurrency_limit.ConcurrencyLimit(clock)
         self._in_flight: dict[str, InFlightRequest] = {}
 
     @property
@@ -106,7 +106,7 @@
         floor = max(1, int(equal_share * FLOOR_FRACTION))
         if not self._wait_estimator.mean_hold_s and not self._in_flight:
             start = int(equal_share * OVERCOMMIT_FACTOR)
-            self._limit = concurrency.ConcurrencyLimit(
+            self._limit = concurrency_limit.ConcurrencyLimit(
                 self._clock, floor, ceiling, start
             )
         else:
@@ -127,9 +127,9 @@
             self._load_shedder.is_shed(customer, shed_order)
             or len(self._queue) >= MAX_QUEUE_LENGTH
         ):
-            reason = tickets.Reason.OVERLOAD
+            reason = tickets.RefusalReason.OVERLOAD
             interval_s = self._wait_estimator.mean_hold_s / self._limit.limit
-            wait_s = shedding.SHED_HOLD_S
+            wait_s = load_shedding.SHED_HOLD_S
             return [self._refuse(ticket, reason, wait_s, interval_s)]
         if not len(self._queue) and self._may_start(ticket):
             self._queue.charge_unqueued(customer, ticket.tokens)
@@ -204,7 +204,7 @@
             if ticket is None:
                 break
             if self._start_deadline(ticket) < now:
-                reason = tickets.Reason.OVERLOAD
+                reason = tickets.RefusalReason.OVERLOAD
                 verdicts.append(self._refuse(ticket, reason, 0.0, 0.0))
                 continue
             verdicts.append(self._admit(ticket))
@@ -226,7 +226,7 @@
             start_deadline = self._start_deadline(last.ticket)
             if now + wait.seconds <= start_deadline:
                 break
-            if wait.reason is tickets.Reason.OVERLOAD:
+            if wait.reason is tickets.RefusalReason.OVERLOAD:
                 if self._keeps_only_ticket(customer, start_deadline - now):
                     break
                 last = self._queue.oldest_to_shed(customer)
@@ -302,8 +302,8 @@
         start_deadline = self._start_deadline(ticket)
         reason = wait.reason
         if start_deadline >= ticket.deadline:
-            reason = tickets.Reason.DEADLINE
-        if reason is tickets.Reason.OVERLOAD:
+            reason = tickets.RefusalReason.DEADLINE
+        if reason is tickets.RefusalReason.OVERLOAD:
             self._load_shedder.record_refusal(
                 ticket.customer, queued.shed_order
             )
@@ -314,7 +314,7 @@
     def _refuse(
         self,
         ticket: tickets.Ticket,
-        reason: tickets.Reason,
+        reason: tickets.RefusalReason,
         wait_s: float,
         interval_s: float,
     ) -> tickets.Verdict:
--- a/src/apricotlever/contracts/retry_allowance.py
+++ b/src/apricotlever/contracts/retry_allowance.py
@@ -53,11 +53,11 @@
         """Set how many VMs share the fixed number, this one included."""
         self._members = max(1, count)
 
-    def request(self, service: str) -> None:
+    def record_request(self, service: str) -> None:
         """Count the first attempt of a request."""
         self._append_time(self._requests, service)
 
-    def left(self, service: str) -> float:
+    def remaining(self, service: str) -> float:
         """Return the retries of a service that may be sent now."""
         requests = self._count_recent(self._requests, service)
         allowed = self._ratio * requests + self._min_retries / self._members
@@ -65,9 +65,9 @@
             self._retries, service
         )
 
-    def take(self, service: str) -> bool:
+    def try_acquire(self, service: str) -> bool:
         """Count a retry if the allowance has one; return whether it had."""
-        if self.left(service) < 1.0:
+        if self.remaining(service) < 1.0:
             return False
         self._append_time(self._retries, service)
         return True
--- a/src/apricotlever/contracts/retry_budget.py
+++ b/src/apricotlever/contracts/retry_budget.py
@@ -40,7 +40,7 @@
         self._initial_tokens = min(initial_tokens, most)
         self._tokens: dict[str, float] = {}
 
-    def succeeded(self, entry: str) -> None:
+    def record_success(self, entry: str) -> None:
         """Add tokens for an answered request of the entry."""
         tokens = (
             self._tokens.get(entry, self._initial_tokens)
@@ -52,7 +52,7 @@
         """Return the retries that the entry may still send."""
         return self._tokens.get(entry, self._initial_tokens)
 
-    def take(self, entry: str) -> bool:
+    def try_acquire(self, entry: str) -> bool:
         """Take a token for one retry; return whether there was one."""
         tokens = self._tokens.get(entry, self._initial_tokens)
         # The tolerance is needed because ten times 0.1 sums to less than 1.0.
@@ -61,7 +61,7 @@
         self._tokens[entry] = tokens - 1.0
         return True
 
-    def keep_only(self, entries: frozenset[str]) -> None:
+    def retain_entries(self, entries: frozenset[str]) -> None:
         """Forget all entries but these, those of the current catalogue."""
         self._tokens = {
             entry: tokens
--- a/src/apricotlever/contracts/retries.py
+++ b/src/apricotlever/contracts/retry_policy.py
@@ -5,10 +5,10 @@
 
 from . import retry_budget
 
-MOST_ATTEMPTS = 3
+MAX_ATTEMPTS = 3
 
 
-class Failure:
+class FailedAttempt:
     """A failed attempt to send a request.
 
     :param entry: the name of the catalogue entry.
@@ -92,10 +92,10 @@
         self.reason = reason
 
 
-def decide(
-    failure: Failure,
+def decide_retry(
+    failure: FailedAttempt,
     budget: retry_budget.RetryBudget,
-    most_attempts: int = MOST_ATTEMPTS,
+    most_attempts: int = MAX_ATTEMPTS,
 ) -> typing.Union[Retry, NoRetry]:
     """Decide on another attempt; a retry is charged to the budget.
 
@@ -115,7 +115,7 @@
         return NoRetry(NoRetryReason.DEADLINE)
     if not failure.takers:
         return NoRetry(NoRetryReason.NO_RUNNER)
-    if not failure.announced and not budget.take(failure.entry):
+    if not failure.announced and not budget.try_acquire(failure.entry):
         return NoRetry(NoRetryReason.BUDGET)
     untried = failure.takers - failure.tried
     return Retry(failure.tried if untried else frozenset())
--- a/src/apricotlever/contracts/spend.py
+++ b/src/apricotlever/contracts/spend_meter.py
@@ -1,7 +1,7 @@
 """Measures what requests cost, by customer and entry."""
 
 from .. import clock as clocks
-from . import rates
+from . import token_bucket
 
 SECONDS_PER_HOUR = 3600.0
 #: The spend that idle time can save up, in seconds of the limit.
@@ -55,11 +55,11 @@
 
     def __init__(self, clock: clocks.Clock) -> None:
         self._clock = clock
-        self._buckets: dict[str, rates.TokenBucket] = {}
+        self._buckets: dict[str, token_bucket.TokenBucket] = {}
         self._totals: dict[tuple[str, str], SpendTotal] = {}
 
     @property
-    def lines(self) -> tuple[SpendTotal, ...]:
+    def totals(self) -> tuple[SpendTotal, ...]:
         """All totals since the start of the process."""
         return tuple(self._totals.values())
 
@@ -71,7 +71,7 @@
         rate = per_hour / SECONDS_PER_HOUR
         bucket = self._buckets.get(entry)
         if bucket is None:
-            self._buckets[entry] = rates.TokenBucket(
+            self._buckets[entry] = token_bucket.TokenBucket(
                 self._clock, rate, rate * BURST_S
             )
         else:
--- a/src/apricotlever/contracts/tickets.py
+++ b/src/apricotlever/contracts/tickets.py
@@ -46,7 +46,7 @@
         self.deadline = deadline
 
 
-class Reason(enum.Enum):
+class RefusalReason(enum.Enum):
     """Why a request was refused; it was sent to no upstream."""
 
     UNKNOWN_ENTRY = "unknown_entry"
@@ -80,7 +80,7 @@
     __slots__ = ("request_id", "reason", "retry_after_s")
 
     def __init__(
-        self, request_id: str, reason: Reason, retry_after_s: float
+        self, request_id: str, reason: RefusalReason, retry_after_s: float
     ) -> None:
         self.request_id = request_id
         self.reason = reason
--- a/src/apricotlever/contracts/usage_windows.py
+++ b/src/apricotlever/contracts/usage_windows.py
@@ -14,7 +14,7 @@
 #: window's end.
 KEPT_WINDOWS = 8
 
-Counts = dict[str, int]
+CallCounts = dict[str, int]
 
 
 class UsageWindows:
@@ -35,18 +35,18 @@
         self._process = process
         self._window_s = window_s
         #: Counts by window, process and customer.
-        self._counts: dict[int, dict[str, Counts]] = {}
+        self._counts: dict[int, dict[str, CallCounts]] = {}
 
     @property
     def window(self) -> int:
         """The number of the current window."""
         return int(self._clock.wall() // self._window_s)
 
-    def end_of(self, window: int) -> float:
+    def window_end_s(self, window: int) -> float:
         """Return when a window ends, in seconds of wall-clock time."""
         return (window + 1) * self._window_s
 
-    def began(self, customer: str, ago_s: float = 0.0) -> None:
+    def record_call(self, customer: str, ago_s: float = 0.0) -> None:
         """Count a call of a customer that began to run.
 
         :param customer: the customer's name.
@@ -58,7 +58,7 @@
         counts[customer] = counts.get(customer, 0) + 1
         self._drop_old_windows()
 
-    def own(self, reported_window: int = 0) -> dict[int, Counts]:
+    def own_counts(self, reported_window: int = 0) -> dict[int, CallCounts]:
         """Return this process's counts of the kept windows.
 
         :param reported_window: the newest window that was reported; the
@@ -71,8 +71,8 @@
             if window > reported_window and self._process in by_process
         }
 
-    def heard(
-        self, process: str, windows: typing.Mapping[int, Counts]
+    def merge_counts(
+        self, process: str, windows: typing.Mapping[int, CallCounts]
     ) -> None:
         """Merge the counts received from another VM's process."""
         for window, counts in windows.items():
@@ -85,13 +85,13 @@
                 known[customer] = max(count, known.get(customer, 0))
         self._drop_old_windows()
 
-    def tables(self) -> dict[int, dict[str, Counts]]:
+    def all_counts(self) -> dict[int, dict[str, CallCounts]]:
         """Return all counts by window and process, for a checkpoint."""
         return self._counts
 
-    def total(self, window: int) -> Counts:
+    def total(self, window: int) -> CallCounts:
         """Return a window's counts by customer, summed over all processes."""
-        total: Counts = {}
+        total: CallCounts = {}
         for counts in self._counts.get(window, {}).values():
             for customer, count in counts.items():
                 total[customer] = total.get(customer, 0) + count
--- a/src/apricotlever/contracts/outlook.py
+++ b/src/apricotlever/contracts/wait_estimator.py
@@ -66,7 +66,7 @@
         pool_s = self._pool_wait_s(queued, in_flight, limit)
         interval_s = self._mean_hold_s / limit
         pool_wait = entry_limits.LimitWait(
-            pool_s, tickets.Reason.OVERLOAD, interval_s
+            pool_s, tickets.RefusalReason.OVERLOAD, interval_s
         )
         limits_wait = limits.longest_wait(requests, tokens, self._mean_hold_s)
         return max(pool_wait, limits_wait, key=lambda wait: wait.seconds)
--- a/src/apricotlever/daemon/archive.py
+++ b/src/apricotlever/daemon/archive.py
@@ -2,7 +2,7 @@
 
 from .. import clock as clocks
 from .. import mailbox
-from ..requests import messages as request_messages
+from ..requests import ledger_messages as request_messages
 from ..requests import records
 
 from . import flights
@@ -27,7 +27,9 @@
 
     __slots__ = ("request_id", "outcome")
 
-    def __init__(self, request_id: str, outcome: records.Outcome) -> None:
+    def __init__(
+        self, request_id: str, outcome: records.RequestOutcome
+    ) -> None:
         self.request_id = request_id
         self.outcome = outcome
 
@@ -60,8 +62,8 @@
 
     def __init__(
         self,
-        record: records.Record,
-        resumed: records.Resumed,
+        record: records.RequestRecord,
+        resumed: records.ResumeResult,
         flight: flights.Flight | None,
     ) -> None:
         self.record = record
@@ -77,7 +79,7 @@
 
     __slots__ = ("adopted",)
 
-    def __init__(self, adopted: list[records.Record]) -> None:
+    def __init__(self, adopted: list[records.RequestRecord]) -> None:
         self.adopted = adopted
 
 
@@ -109,7 +111,9 @@
     __slots__ = ("running", "ended")
 
     def __init__(
-        self, running: list[records.Record], ended: list[records.Record]
+        self,
+        running: list[records.RequestRecord],
+        ended: list[records.RequestRecord],
     ) -> None:
         self.running = running
         self.ended = ended
@@ -148,7 +152,7 @@
         self, clock: clocks.Clock, keep_s: float, keep_bytes: int
     ) -> None:
         super().__init__("archive", clock, EXPIRE_S)
-        self._records = records.Records(
+        self._records = records.RequestRecords(
             clock, ended_bytes=keep_bytes, keep_s=keep_s
         )
         self._flights: dict[str, flights.Flight] = {}
@@ -173,7 +177,7 @@
     def _close(self, message: Close) -> None:
         record = self._records.get(message.request_id)
         flight = self._flights.pop(message.request_id, None)
-        if record is None or record.state is not records.State.RUNNING:
+        if record is None or record.state is not records.RequestState.RUNNING:
             return
         if flight is not None:
             record.tokens = list(flight.transcript.tokens())
@@ -186,12 +190,12 @@
             message.request_id, message.customer, message.last_event_id
         )
         record = self._records.get(message.request_id)
-        if record is None or isinstance(resumed, records.NotFound):
+        if record is None or isinstance(resumed, records.ResumeNotFound):
             return None
         return Found(record, resumed, flight)
 
     @mailbox.handles(Adopt)
-    def _adopt(self, message: Adopt) -> list[records.Record]:
+    def _adopt(self, message: Adopt) -> list[records.RequestRecord]:
         fresh = [
             record
             for record in message.adopted
@@ -199,7 +203,9 @@
         ]
         taken = [record for record in fresh if self._records.adopt(record)]
         return [
-            record for record in taken if record.state is records.State.RUNNING
+            record
+            for record in taken
+            if record.state is records.RequestState.RUNNING
         ]
 
     @mailbox.handles(Join)
@@ -223,7 +229,7 @@
     def _tell_moved(self, message: TellMoved) -> None:
         for request_id in message.request_ids:
             flight = self._flights.pop(request_id, None)
-            self._records.moved(request_id, message.address)
+            self._records.record_move(request_id, message.address)
             if flight is not None:
                 flight.move(message.address)
 
@@ -236,15 +242,15 @@
         self._records.expire()
 
 
-def outcome_done() -> records.Outcome:
+def outcome_done() -> records.RequestOutcome:
     """The outcome of a request that was answered whole."""
-    return records.Outcome(request_messages.Executed.YES)
+    return records.RequestOutcome(request_messages.Executed.YES)
 
 
-def outcome_failed(executed: str, error: str) -> records.Outcome:
+def outcome_failed(executed: str, error: str) -> records.RequestOutcome:
     """The outcome of a request that was given up.
 
     :param executed: ``yes``, ``no`` or ``unknown``.
     :param error: the stable type of the refusal.
     """
-    return records.Outcome(request_messages.Executed(executed), error)
+    return records.RequestOutcome(request_messages.Executed(executed), error)
--- a/src/apricotlever/daemon/attempt_reports.py
+++ b/src/apricotlever/daemon/attempt_reports.py
@@ -3,7 +3,7 @@
 import time
 
 from .. import refusals
-from ..contracts import retries
+from ..contracts import retry_policy
 from ..runners import crashes
 from ..runners import quarantine
 
@@ -21,7 +21,7 @@
     context: contexts.Context,
     question: messages.MayRetry,
     refusal: placing.RefusalOf,
-) -> retries.Retry:
+) -> retry_policy.Retry:
     """Ask the desk for another attempt.
 
     :param context: the daemon's tasks.
@@ -31,7 +31,7 @@
     :raises Refusal: when there is no further attempt.
     """
     answer = context.answer_of(context.desk.ask(question))
-    if isinstance(answer, retries.NoRetry):
+    if isinstance(answer, retry_policy.NoRetry):
         raise refusal(
             refusals.GAVE_UP,
             f"the upstream failed and is not tried again: "
@@ -81,5 +81,5 @@
     :param fingerprint: of the suspect.
     :param request_id: of the request that was the trial.
     """
-    over = quarantine.TrialOver(fingerprint, request_id)
+    over = quarantine.TrialEnded(fingerprint, request_id)
     context.fleet.tell(fleet.TrialDone(pool, over))
--- a/src/apricotlever/daemon/book.py
+++ b/src/apricotlever/daemon/book.py
@@ -14,8 +14,8 @@
 from .. import mailbox
 from ..requests import claims
 from ..requests import ledger
+from ..requests import ledger_messages
 from ..requests import ledger_state
-from ..requests import messages
 
 from . import claim_calls
 from . import store as stores
@@ -73,7 +73,7 @@
 
     __slots__ = ("token", "answer")
 
-    def __init__(self, token: int, answer: messages.Answer) -> None:
+    def __init__(self, token: int, answer: ledger_messages.Answer) -> None:
         self.token = token
         self.answer = answer
 
@@ -121,7 +121,11 @@
 
     __slots__ = ("owner", "heir")
 
-    def __init__(self, owner: messages.Owner, heir: messages.Owner) -> None:
+    def __init__(
+        self,
+        owner: ledger_messages.VmIncarnation,
+        heir: ledger_messages.VmIncarnation,
+    ) -> None:
         self.owner = owner
         self.heir = heir
 
@@ -137,7 +141,7 @@
 
     __slots__ = ("heir",)
 
-    def __init__(self, heir: messages.Owner) -> None:
+    def __init__(self, heir: ledger_messages.VmIncarnation) -> None:
         self.heir = heir
 
 
@@ -146,7 +150,7 @@
 
     __slots__ = ("receipt",)
 
-    def __init__(self, receipt: ledger_state.Receipt) -> None:
+    def __init__(self, receipt: ledger_state.LedgerReceipt) -> None:
         self.receipt = receipt
 
 
@@ -161,7 +165,7 @@
 
     __slots__ = ("settled",)
 
-    def __init__(self, settled: list[ledger_state.Settled]) -> None:
+    def __init__(self, settled: list[ledger_state.SettledCall]) -> None:
         self.settled = settled
 
 
@@ -179,7 +183,7 @@
 
     __slots__ = ("settled",)
 
-    def __init__(self, settled: list[ledger_state.Settled]) -> None:
+    def __init__(self, settled: list[ledger_state.SettledCall]) -> None:
         self.settled = settled
 
 
@@ -218,7 +222,7 @@
     ) -> None:
         super().__init__("book", clock, TICK_S)
         self._ledger = ledger.Ledger(clock, rng, vm, incarnation)
-        self._claims = claims.Claims(clock)
+        self._claims = claims.ClaimBatcher(clock)
         self._calls = claim_calls.ClaimCalls(store, self.tell)
         self._claiming: dict[int, _Asked] = {}
         self._pending: dict[int, list[_Asked]] = {}
@@ -234,34 +238,38 @@
 
     @mailbox.handles(Sent)
     def _sent(self, message: Sent) -> bool:
-        return self._ledger.sent(message.token)
+        return self._ledger.start_sending(message.token)
 
     @mailbox.handles(Finished)
     def _finished(self, message: Finished) -> None:
-        self._ledger.finished(message.token, message.answer)
+        self._ledger.record_answer(message.token, message.answer)
         self._settled([message.token])
 
     @mailbox.handles(NotSent)
     def _not_sent(self, message: NotSent) -> None:
-        self._ledger.not_sent(message.token)
+        self._ledger.record_not_sent(message.token)
         self._settled([message.token])
 
     @mailbox.handles(Lost)
     def _lost(self, message: Lost) -> None:
-        self._ledger.lost(message.token)
+        self._ledger.record_lost_answer(message.token)
         self._settled([message.token])
 
     @mailbox.handles(OwnerSeen)
     def _owner_seen(self, message: OwnerSeen) -> None:
-        self._settled(self._ledger.alive(message.vm, message.incarnation))
+        self._settled(
+            self._ledger.on_incarnation_alive(message.vm, message.incarnation)
+        )
 
     @mailbox.handles(OwnerGone)
     def _owner_gone(self, message: OwnerGone) -> None:
-        self._settled(self._ledger.gone(message.vm, message.incarnation))
+        self._settled(
+            self._ledger.on_incarnation_gone(message.vm, message.incarnation)
+        )
 
     @mailbox.handles(LedgerMoved)
     def _ledger_moved(self, message: LedgerMoved) -> None:
-        self._ledger.handed_over(message.owner, message.heir)
+        self._ledger.on_ledger_transferred(message.owner, message.heir)
 
     @mailbox.handles(Freeze)
     def _freeze(self, message: Freeze) -> None:
@@ -270,33 +278,33 @@
     @mailbox.handles(Export)
     def _export(self, message: Export) -> ledger_state.LedgerState:
         heir = message.heir
-        return self._ledger.hand_over(heir.vm, heir.incarnation)
+        return self._ledger.export_to(heir.vm, heir.incarnation)
 
     @mailbox.handles(HeirAnswered)
     def _heir_answered(self, message: HeirAnswered) -> None:
-        self._ledger.succession.receipt(message.receipt)
+        self._ledger.transfer.apply_receipt(message.receipt)
 
     @mailbox.handles(LateOutcomes)
     def _late_outcomes(
         self, message: LateOutcomes
-    ) -> list[ledger_state.Settled]:
-        return self._ledger.succession.outcomes()
+    ) -> list[ledger_state.SettledCall]:
+        return self._ledger.transfer.pending_outcomes()
 
     @mailbox.handles(OutcomesReceived)
     def _outcomes_received(self, message: OutcomesReceived) -> None:
-        self._ledger.succession.received(message.settled)
+        self._ledger.transfer.acknowledge_outcomes(message.settled)
 
     @mailbox.handles(AdoptLedger)
-    def _adopt(self, message: AdoptLedger) -> ledger_state.Receipt:
+    def _adopt(self, message: AdoptLedger) -> ledger_state.LedgerReceipt:
         return self._ledger.adopt(message.state)
 
     @mailbox.handles(Settle)
     def _settle(self, message: Settle) -> None:
-        self._settled(self._ledger.settle(message.settled))
+        self._settled(self._ledger.settle_remote_calls(message.settled))
 
     @mailbox.handles(Count)
     def _count(self, message: Count) -> tuple[int, int]:
-        return len(self._ledger), self._ledger.in_flight
+        return len(self._ledger), self._ledger.in_flight_count
 
     @mailbox.handles(claim_calls.BucketRead)
     def _bucket_read(self, message: claim_calls.BucketRead) -> None:
@@ -319,10 +327,10 @@
             begin.first,
             begin.forwarded,
         )
-        if isinstance(decision, messages.Claim):
+        if isinstance(decision, ledger_messages.ClaimKey):
             self._claiming[decision.token] = asked
             self._carry_out(self._claims.claim(decision))
-        elif isinstance(decision, messages.Pending):
+        elif isinstance(decision, ledger_messages.WaitForRun):
             self._pending.setdefault(decision.token, []).append(asked)
         else:
             asked.future.set_result(decision)
@@ -350,11 +358,11 @@
         self._calls.write(action)
 
     @_carry_out_one.register
-    def _told(self, action: claims.Tell) -> None:
+    def _told(self, action: claims.DeliverResult) -> None:
         token = action.result.token
-        decision = self._ledger.claimed(action.result)
+        decision = self._ledger.on_claim_result(action.result)
         asked = self._claiming.pop(token, None)
         if asked is not None:
             asked.future.set_result(decision)
-        if not isinstance(decision, messages.Run):
+        if not isinstance(decision, ledger_messages.RunCall):
             self._settled([token])
--- a/src/apricotlever/daemon/buyer.py
+++ b/src/apricotlever/daemon/buyer.py
@@ -16,7 +16,7 @@
 from .. import logs
 from .. import mailbox
 from ..catalogue import model as catalogues
-from ..contracts import arrivals
+from ..contracts import demand_meter
 from ..data_centres import capacity
 from ..data_centres import loads
 from ..data_centres import model
@@ -168,18 +168,22 @@
             (demand.entry, demand.limit): demand.demand
             for demand in report.demands
         }
-        if not any(limit == arrivals.ARRIVALS for _, limit in found):
+        if not any(
+            limit == demand_meter.ARRIVAL_RATE_FIELD for _, limit in found
+        ):
             # A report on the fleet's limits, which is none of its business.
             return
         now = self._clock.now()
         self._demand[report.vm] = {
             pool: _Heard(
                 rate,
-                found.get((pool, arrivals.SERVICE), DEFAULT_SERVICE_S),
+                found.get(
+                    (pool, demand_meter.SERVICE_TIME_FIELD), DEFAULT_SERVICE_S
+                ),
                 now,
             )
             for (pool, limit), rate in found.items()
-            if limit == arrivals.ARRIVALS
+            if limit == demand_meter.ARRIVAL_RATE_FIELD
         }
 
     @mailbox.handles(_Bought)
--- a/src/apricotlever/daemon/calls.py
+++ b/src/apricotlever/daemon/calls.py
@@ -76,7 +76,7 @@
     @handlers.answers("Judge")
     def _judge(message: pb.TrialQuestion) -> typing.Any:
         if message.over:
-            report = quarantine.TrialOver(
+            report = quarantine.TrialEnded(
                 message.fingerprint, message.request_id
             )
             over = rooms.desk.ask(messages.TrialOver(report))
--- a/src/apricotlever/daemon/claim_calls.py
+++ b/src/apricotlever/daemon/claim_calls.py
@@ -94,7 +94,7 @@
 
 
 def after_read(
-    held: claims.Claims, message: BucketRead
+    held: claims.ClaimBatcher, message: BucketRead
 ) -> list[claims.Action]:
     """What the claims do after a read.
 
@@ -105,14 +105,14 @@
     outcome = message.outcome
     if isinstance(outcome, result.Success):
         stored = outcome.unwrap()
-        return held.read(name, stored.version, stored.value)
+        return held.on_read(name, stored.version, stored.value)
     if isinstance(outcome.failure(), platform.NotFound):
-        return held.missing(name)
-    return held.failed(name)
+        return held.on_missing(name)
+    return held.on_failure(name)
 
 
 def after_write(
-    held: claims.Claims, message: BucketWritten
+    held: claims.ClaimBatcher, message: BucketWritten
 ) -> list[claims.Action]:
     """What the claims do after a write.
 
@@ -122,11 +122,11 @@
     name = message.name
     outcome = message.outcome
     if isinstance(outcome, result.Success):
-        return held.written(name, outcome.unwrap().version)
+        return held.on_written(name, outcome.unwrap().version)
     match outcome.failure():
         case platform.Conflict():
-            return held.conflict(name)
+            return held.on_conflict(name)
         case platform.Ambiguous():
-            return held.ambiguous(name)
+            return held.on_ambiguous_write(name)
         case _:
-            return held.failed(name)
+            return held.on_failure(name)
--- a/src/apricotlever/daemon/departing.py
+++ b/src/apricotlever/daemon/departing.py
@@ -8,10 +8,10 @@
 from .. import logs
 from .. import mailbox
 from ..links import peer_pb2 as pb
-from ..requests import departure
-from ..requests import handover
-from ..requests import messages as keyed
-from ..vms import view as views
+from ..requests import handover_parts
+from ..requests import handover_sender
+from ..requests import ledger_messages as keyed
+from ..vms import fleet_view as views
 
 from . import archive
 from . import book
@@ -48,7 +48,7 @@
 
     __slots__ = ("owner",)
 
-    def __init__(self, owner: keyed.Owner) -> None:
+    def __init__(self, owner: keyed.VmIncarnation) -> None:
         self.owner = owner
 
 
@@ -71,9 +71,9 @@
         self._context = context
         self._presence = presence
         config = context.config
-        self._departure = departure.Departure(
+        self._departure = handover_sender.HandoverSender(
             clock,
-            keyed.Owner(config.vm, context.incarnation),
+            keyed.VmIncarnation(config.vm, context.incarnation),
             config.data_centre,
             deadline,
         )
@@ -85,7 +85,7 @@
         self._context.book.ask(book.Freeze()).result()
         asked = self._context.archive.ask(archive.Snapshot())
         everything = asked.result()
-        found = self._departure.begin(
+        found = self._departure.start(
             self._peers(),
             everything.running,
             everything.ended,
@@ -99,40 +99,42 @@
         if message.accepted is None:
             return
         if message.accepted:
-            found = self._departure.receipt(message.sequence)
+            found = self._departure.on_receipt(message.sequence)
         else:
-            found = self._departure.refused(message.sequence)
+            found = self._departure.on_refusal(message.sequence)
         self._carry_out(found)
 
     @mailbox.handles(OwnerGone)
     def _owner_gone(self, message: OwnerGone) -> None:
-        self._carry_out(self._departure.peer_gone(message.owner))
+        self._carry_out(self._departure.on_peer_gone(message.owner))
 
     def tick(self) -> None:
         """Send again what has no receipt, and outcomes that came late."""
         if self._finished is None:
             return
         late = self._context.book.ask(book.LateOutcomes()).result()
-        found = self._departure.outcomes(late, self._in_flight())
+        found = self._departure.send_outcomes(late, self._in_flight())
         self._carry_out(found)
         self._carry_out(self._departure.tick())
 
     def _in_flight(self) -> int:
         return int(self._context.book.ask(book.Count()).result()[1])
 
-    def _peers(self) -> list[departure.Peer]:
+    def _peers(self) -> list[handover_sender.Peer]:
         view = self._presence.view
         if view is None:
             return []
         return [
-            departure.Peer(
-                keyed.Owner(member.vm, member.incarnation),
+            handover_sender.Peer(
+                keyed.VmIncarnation(member.vm, member.incarnation),
                 member.data_centre,
             )
             for member in _others(view, self._context.config.vm)
         ]
 
-    def _carry_out(self, found: typing.Iterable[departure.Action]) -> None:
+    def _carry_out(
+        self, found: typing.Iterable[handover_sender.Action]
+    ) -> None:
         for action in found:
             self._carry_out_one(action)
 
@@ -141,13 +143,13 @@
         raise TypeError(type(action))
 
     @_carry_out_one.register
-    def _send(self, action: departure.Send) -> None:
+    def _send(self, action: handover_sender.SendPart) -> None:
         part = action.part
         call = fleet_messages.CallPeer(
-            part.heir.vm,
-            part.heir.incarnation,
+            part.successor.vm,
+            part.successor.incarnation,
             "Handover",
-            pb.HandoverPart(part=handover.encode(part)),
+            pb.HandoverPart(part=handover_parts.encode(part)),
             PART_CALL_S,
         )
 
@@ -159,7 +161,7 @@
         self._context.fleet.ask(call).add_done_callback(ended)
 
     @_carry_out_one.register
-    def _tell_moved(self, action: departure.TellMoved) -> None:
+    def _tell_moved(self, action: handover_sender.RedirectCallers) -> None:
         address = self._presence.address_of(action.vm)
         logs.event(
             "handover_sent", heir=action.vm, requests=len(action.request_ids)
@@ -169,34 +171,38 @@
         )
 
     @_carry_out_one.register
-    def _export(self, action: departure.ExportLedger) -> None:
-        asked = self._context.book.ask(book.Export(action.heir))
-        self._carry_out(self._departure.exported(asked.result()))
+    def _export(self, action: handover_sender.ExportLedger) -> None:
+        asked = self._context.book.ask(book.Export(action.successor))
+        self._carry_out(self._departure.on_exported(asked.result()))
 
     @_carry_out_one.register
-    def _ledger_received(self, action: departure.LedgerReceived) -> None:
+    def _ledger_received(self, action: handover_sender.DeliverReceipt) -> None:
         receipt = action.receipt
         self._context.book.tell(book.HeirAnswered(receipt))
         if receipt.accepted:
-            moved = rumours.of_ledger_moved(receipt.sender, receipt.heir)
+            moved = rumours.of_ledger_moved(receipt.sender, receipt.successor)
             self._context.fleet.tell(fleet_messages.Announce(moved))
 
     @_carry_out_one.register
-    def _outcomes_received(self, action: departure.OutcomesReceived) -> None:
+    def _outcomes_received(
+        self, action: handover_sender.AcknowledgeOutcomes
+    ) -> None:
         self._context.book.tell(book.OutcomesReceived(action.settled))
 
     @_carry_out_one.register
-    def _done(self, action: departure.Finished) -> None:
+    def _done(self, action: handover_sender.HandoverFinished) -> None:
         if not action.complete:
-            logs.event("handover_failed", parts=self._departure.unreceived)
+            logs.event(
+                "handover_failed", parts=self._departure.unacknowledged_count
+            )
         if self._finished is not None and not self._finished.done():
             self._finished.set_result(action.complete)
 
 
-def owner(vm: str, incarnation: int) -> keyed.Owner:
+def owner(vm: str, incarnation: int) -> keyed.VmIncarnation:
     """An incarnation as the handover names it."""
-    return keyed.Owner(vm, incarnation)
+    return keyed.VmIncarnation(vm, incarnation)
 
 
-def _others(view: views.View, vm: str) -> list[pb.Member]:
+def _others(view: views.FleetView, vm: str) -> list[pb.Member]:
     return [member for member in view.serving() if member.vm != vm]
--- a/src/apricotlever/daemon/desk.py
+++ b/src/apricotlever/daemon/desk.py
@@ -14,9 +14,9 @@
 from .. import metrics as metrics_
 from .. import refusals
 from ..contracts import admission
-from ..contracts import arrivals
-from ..contracts import retries
+from ..contracts import demand_meter
 from ..contracts import retry_budget
+from ..contracts import retry_policy
 from ..links import peer_pb2 as pb
 from ..requests import recovery
 from ..runners import crashes
@@ -59,10 +59,10 @@
         self._vm = vm
         self._metrics = metrics
         self._announce = announce
-        self._admission = admission.Admission(clock, rng, vm)
+        self._admission = admission.AdmissionController(clock, rng, vm)
         self._router = routing.Router(clock, rng, vm, data_centre)
         self._budget = retry_budget.RetryBudget()
-        self._arrivals = arrivals.Arrivals(clock, vm)
+        self._arrivals = demand_meter.DemandMeter(clock, vm)
         self._pools: dict[str, str] = {}
         self._waiting: dict[str, futures.Future[typing.Any]] = {}
         self._placements = placements.Placements(clock, self._router, vm)
@@ -74,7 +74,7 @@
     def _configure(self, message: messages.CatalogueInForce) -> None:
         catalogue = message.catalogue
         self._admission.configure(catalogue)
-        self._budget.keep_only(frozenset(catalogue.entries))
+        self._budget.retain_entries(frozenset(catalogue.entries))
         self._pools = {
             name: entry.pool for name, entry in catalogue.entries.items()
         }
@@ -82,7 +82,9 @@
     @mailbox.handles(messages.Admit)
     def _admit(self, message: messages.Admit) -> mailbox.Deferred:
         self._waiting[message.ticket.request_id] = self.defer()
-        self._arrivals.arrived(self._pools.get(message.ticket.entry, ""))
+        self._arrivals.record_arrival(
+            self._pools.get(message.ticket.entry, "")
+        )
         self._settle(self._admission.offer(message.ticket))
         return mailbox.DEFERRED
 
@@ -110,13 +112,13 @@
     @mailbox.handles(messages.AttemptEnded)
     def _attempt_ended(
         self, message: messages.AttemptEnded
-    ) -> crashes.CrashSeen | None:
+    ) -> crashes.CrashObservation | None:
         runner = self._placements.runner_of(message.request_id)
         report = None
         if runner is not None and message.crashed:
             report = self._suspects.crashed(runner)
         self._placements.left(message.request_id)
-        self._router.finished(
+        self._router.request_finished(
             message.request_id, message.outcome, message.tokens
         )
         return report
@@ -124,11 +126,11 @@
     @mailbox.handles(messages.RequestEnded)
     def _request_ended(
         self, message: messages.RequestEnded
-    ) -> crashes.Survived | None:
+    ) -> crashes.RequestCompleted | None:
         dispatch = self._placements.dispatch_of(message.request_id)
         self._placements.left(message.request_id)
-        self._arrivals.ended(message.request_id)
-        self._router.finished(
+        self._arrivals.record_end(message.request_id)
+        self._router.request_finished(
             message.request_id, message.outcome, message.tokens
         )
         verdicts = self._admission.finished(
@@ -138,11 +140,13 @@
         done = message.outcome is runners.Outcome.DONE
         if dispatch is None or not done:
             return None
-        self._budget.succeeded(dispatch.query.entry)
+        self._budget.record_success(dispatch.query.entry)
         return self._suspects.survived(dispatch.fingerprint)
 
     @mailbox.handles(messages.StreamBroke)
-    def _broke(self, message: messages.StreamBroke) -> recovery.Decision:
+    def _broke(
+        self, message: messages.StreamBroke
+    ) -> recovery.RecoveryDecision:
         flight = message.flight
         runner = flight.runner
         assert runner is not None
@@ -154,7 +158,7 @@
             message.failures,
             message.same_runner,
         )
-        return recovery.plan(situation)
+        return recovery.decide(situation)
 
     @mailbox.handles(messages.MoveEnded)
     def _move_ended(self, message: messages.MoveEnded) -> None:
@@ -163,14 +167,14 @@
     @mailbox.handles(messages.MayRetry)
     def _may_retry(
         self, message: messages.MayRetry
-    ) -> retries.Retry | retries.NoRetry:
+    ) -> retry_policy.Retry | retry_policy.NoRetry:
         takers = frozenset(
             runner.name
             for runner in self._router.runners
             if runner.pool == message.pool
             and not self._router.is_leaving(runner.name)
         )
-        failure = retries.Failure(
+        failure = retry_policy.FailedAttempt(
             message.entry,
             message.may_have_run,
             message.idempotent,
@@ -185,8 +189,8 @@
             # connection never brought it: neither retry adds any.
             spare = retry_budget.RetryBudget()
             most = placements.MOST_ATTEMPTS_AFTER_DEATHS
-            return retries.decide(failure, spare, most)
-        return retries.decide(failure, self._budget)
+            return retry_policy.decide_retry(failure, spare, most)
+        return retry_policy.decide_retry(failure, self._budget)
 
     @mailbox.handles(messages.RunnersListed)
     def _listed(self, message: messages.RunnersListed) -> None:
@@ -203,10 +207,10 @@
     def _leaving(self, message: messages.RunnerLeaving) -> bool:
         name = message.runner
         if self._router.runner(name) is None or self._router.is_leaving(name):
-            self._router.leaving(name)
+            self._router.mark_leaving(name)
             return False
         self._placements.taken_in(name, message.left_s)
-        self._router.leaving(name, self._clock.now() + message.left_s)
+        self._router.mark_leaving(name, self._clock.now() + message.left_s)
         self._size_pools()
         left_s = round(message.left_s, 3)
         logs.event("runner_leaving", runner=name, left_s=left_s)
@@ -216,7 +220,7 @@
     def _gone(self, message: messages.RunnerGone) -> None:
         if self._router.runner(message.runner) is not None:
             logs.event("runner_gone", runner=message.runner)
-        self._router.gone(message.runner)
+        self._router.remove_runner(message.runner)
         self._placements.gone(message.runner)
         self._size_pools()
 
@@ -231,7 +235,7 @@
         self._router.observe_load(message.runner, message.report)
         if message.own:
             # What others read may be older than the runner's death.
-            self._router.succeeded(message.runner)
+            self._router.record_success(message.runner)
 
     @mailbox.handles(messages.CacheSeen)
     def _cache_seen(self, message: messages.CacheSeen) -> None:
@@ -239,10 +243,10 @@
 
     @mailbox.handles(messages.ProbeFailed)
     def _probe_failed(self, message: messages.ProbeFailed) -> None:
-        self._router.failed(message.runner)
+        self._router.record_failure(message.runner)
 
     @mailbox.handles(messages.Judge)
-    def _judge(self, message: messages.Judge) -> quarantine.Decision:
+    def _judge(self, message: messages.Judge) -> quarantine.TrialDecision:
         return self._suspects.judge(message.question)
 
     @mailbox.handles(messages.TrialOver)
@@ -256,7 +260,7 @@
     @mailbox.handles(messages.DeathSeen)
     def _death_seen(
         self, message: messages.DeathSeen
-    ) -> crashes.CrashSeen | None:
+    ) -> crashes.CrashObservation | None:
         """A runner died; report it though none of ours ran there.
 
         The deaths of idle runners show that a data centre is being lost,
@@ -268,12 +272,12 @@
     @mailbox.handles(messages.CrashesKnown)
     def _crashes_known(
         self, message: messages.CrashesKnown
-    ) -> list[crashes.CrashSeen]:
+    ) -> list[crashes.CrashObservation]:
         return self._suspects.reports()
 
     @mailbox.handles(messages.MemberLeft)
     def _member_left(self, message: messages.MemberLeft) -> None:
-        self._admission.shares.left(message.vm)
+        self._admission.shares.remove_member(message.vm)
 
     @mailbox.handles(messages.MembersSeen)
     def _members_seen(self, message: messages.MembersSeen) -> None:
@@ -301,7 +305,7 @@
         report = self._admission.take_report()
         if report is not None:
             self._announce(rumours.of_demand(report))
-        arrived = self._arrivals.report()
+        arrived = self._arrivals.take_report()
         if arrived is not None:
             self._announce(rumours.of_arrivals(arrived))
 
@@ -309,7 +313,7 @@
         """Refuse what still waits."""
         for request_id in list(self._waiting):
             refused = admission.Refused(
-                request_id, admission.Reason.OVERLOAD, 1.0
+                request_id, admission.RefusalReason.OVERLOAD, 1.0
             )
             self._settle([refused])
 
@@ -352,8 +356,10 @@
         self, message: messages.Dispatch, runner: runners.Runner
     ) -> None:
         self._placements.place(message, runner)
-        self._arrivals.started(message.request_id, runner.pool)
-        self._router.started(message.request_id, runner.name, message.query)
+        self._arrivals.record_start(message.request_id, runner.pool)
+        self._router.request_started(
+            message.request_id, runner.name, message.query
+        )
 
     def _size_pools(self) -> None:
         by_pool: dict[str, list[runners.Runner]] = {}
@@ -384,5 +390,5 @@
                 "requests": line.requests,
                 "cost": round(line.amount, 6),
             }
-            for line in self._admission.spending.lines
+            for line in self._admission.spend_meter.totals
         ]
--- a/src/apricotlever/daemon/duties.py
+++ b/src/apricotlever/daemon/duties.py
@@ -20,9 +20,9 @@
 from ..links import platform
 from ..runners import model as runners
 from ..vms import duties
+from ..vms import fleet_view as views
 from ..vms import lease_objects
 from ..vms import orders
-from ..vms import view as views
 
 from . import buyer
 from . import messages
@@ -38,7 +38,7 @@
 
     __slots__ = ("view",)
 
-    def __init__(self, view: views.View) -> None:
+    def __init__(self, view: views.FleetView) -> None:
         self.view = view
 
 
@@ -91,7 +91,7 @@
         self._catalogue = catalogues.EMPTY
         self._runners: dict[str, runners.Runner] = {}
         self._orders: dict[str, orders.Orders] = {}
-        self._view: views.View | None = None
+        self._view: views.FleetView | None = None
         self._held: set[str] = set()
 
     def may_order(self, duty: str, order_s: float) -> int | None:
@@ -118,16 +118,16 @@
             ]
         )
         if self._view is not None:
-            self._duties.look(self._view)
+            self._duties.update_view(self._view)
 
     @mailbox.handles(ViewSeen)
     def _view_seen(self, message: ViewSeen) -> None:
         self._view = message.view
-        self._duties.look(message.view)
+        self._duties.update_view(message.view)
 
     @mailbox.handles(Leave)
     def _leave(self, message: Leave) -> None:
-        self._duties.leave()
+        self._duties.release_all()
         self._start_lease_calls()
 
     @mailbox.handles(messages.RunnersListed)
@@ -165,7 +165,7 @@
                 runner=message.runner,
                 fencing=message.fenced,
             )
-            self._duties.fenced_off(message.duty, message.fenced)
+            self._duties.fencing_rejected(message.duty, message.fenced)
         if known is None:
             return
         if message.sent:
@@ -181,7 +181,7 @@
         if message.target is None:
             known.not_sent(message.runner)
         else:
-            known.found(message.runner, message.target)
+            known.target_read(message.runner, message.target)
 
     @mailbox.handles(messages.StatusWanted)
     def _status(self, message: messages.StatusWanted) -> dict[str, object]:
@@ -236,14 +236,18 @@
             self._orders[duty] = known
         members = [r for r in self._runners.values() if r.pool == pool]
         target = self._target(pool)
-        fresh = {runner.name for runner in members} - set(known.wanted)
+        fresh = {runner.name for runner in members} - set(
+            known.targeted_upstreams
+        )
         for runner in members:
-            known.want(runner.name, target)
+            known.set_target(runner.name, target)
         for name in fresh:
             # Most have the target already, and to ask costs no load.
             known.sent(name)
-        for name in set(known.wanted) - {runner.name for runner in members}:
-            known.forget(name)
+        for name in set(known.targeted_upstreams) - {
+            runner.name for runner in members
+        }:
+            known.drop_target(name)
         for action in known.tick():
             runner = self._runners[action.upstream]
             self._start_order(duty, runner, action)
--- a/src/apricotlever/daemon/fleet.py
+++ b/src/apricotlever/daemon/fleet.py
@@ -19,10 +19,10 @@
 from ..runners import crashes
 from ..runners import quarantine
 from ..vms import actions
+from ..vms import fleet_view as views
 from ..vms import membership
 from ..vms import rendezvous
 from ..vms import timing
-from ..vms import view as views
 
 from . import fleet_messages
 from . import listeners
@@ -53,7 +53,7 @@
 
     __slots__ = ("pool", "question")
 
-    def __init__(self, pool: str, question: quarantine.MayRun) -> None:
+    def __init__(self, pool: str, question: quarantine.TrialRequest) -> None:
         self.pool = pool
         self.question = question
 
@@ -63,7 +63,7 @@
 
     __slots__ = ("pool", "report")
 
-    def __init__(self, pool: str, report: quarantine.TrialOver) -> None:
+    def __init__(self, pool: str, report: quarantine.TrialEnded) -> None:
         self.pool = pool
         self.report = report
 
@@ -167,21 +167,23 @@
 
     @mailbox.handles(fleet_messages.Hints)
     def _hinted(self, message: fleet_messages.Hints) -> None:
-        self._membership.hint(message.hints)
+        self._membership.set_hints(message.hints)
 
     @mailbox.handles(fleet_messages.ViewWanted)
-    def _view_wanted(self, message: fleet_messages.ViewWanted) -> views.View:
+    def _view_wanted(
+        self, message: fleet_messages.ViewWanted
+    ) -> views.FleetView:
         return self._membership.view
 
     @mailbox.handles(fleet_messages.Leave)
     def _leave(self, message: fleet_messages.Leave) -> None:
-        self._carry_out(self._membership.leave())
+        self._carry_out(self._membership.announce_leave())
 
     @mailbox.handles(fleet_messages.Depart)
     def _depart(self, message: fleet_messages.Depart) -> "mailbox.Deferred":
         sends = [
             action
-            for action in self._membership.depart()
+            for action in self._membership.announce_exit()
             if isinstance(action, actions.Send)
         ]
         calls = [self._send(action) for action in sends]
@@ -266,7 +268,7 @@
     def _judge_of(self, pool: str) -> pb.Member | None:
         """The VM that judges a pool; None when it is this one."""
         view = self._membership.view
-        names = view.names()
+        names = view.serving_names()
         vm = rendezvous.pick(f"judge/{pool}", names) if names else None
         if vm is None or vm == self._config.vm:
             return None
@@ -275,7 +277,7 @@
     def _carry_out(self, found: list[actions.Action]) -> None:
         for action in found:
             self._carry_out_one(action)
-        if any(isinstance(action, actions.Changed) for action in found):
+        if any(isinstance(action, actions.MemberChanged) for action in found):
             self._listener.on_view(self._membership.view)
 
     @functools.singledispatchmethod
@@ -297,7 +299,7 @@
         return future
 
     @_carry_out_one.register
-    def _changed(self, action: actions.Changed) -> None:
+    def _changed(self, action: actions.MemberChanged) -> None:
         after = action.after
         before = action.before
         if after.state == pb.VM_DEAD:
@@ -318,11 +320,11 @@
         self._listener.on_incarnation_ended(action.vm, action.incarnation)
 
     @_carry_out_one.register
-    def _delivered(self, action: actions.Delivered) -> None:
+    def _delivered(self, action: actions.RumourDelivered) -> None:
         self._listener.on_rumour(action.rumour, action.via)
 
     @_carry_out_one.register
-    def _paused(self, action: actions.Paused) -> None:
+    def _paused(self, action: actions.PauseDetected) -> None:
         logs.event("paused", seconds=round(action.seconds, 3))
         self._listener.on_paused(action.seconds)
 
@@ -331,7 +333,7 @@
         self._listener.on_superseded()
 
     @_carry_out_one.register
-    def _heard(self, action: actions.CatalogueHeard) -> None:
+    def _heard(self, action: actions.CatalogueAdvertised) -> None:
         self._listener.on_catalogue_heard(
             action.version, action.digest, action.via
         )
--- a/src/apricotlever/daemon/flights.py
+++ b/src/apricotlever/daemon/flights.py
@@ -81,7 +81,7 @@
         self.first_token_at: float | None = None
         self._interrupt: typing.Callable[[], None] | None = None
         self._lock = threading.Lock()
-        self._decision: recovery.Decision | None = None
+        self._decision: recovery.RecoveryDecision | None = None
         self._moved_to = ""
         self._cancelled = False
 
@@ -120,7 +120,7 @@
             self.entry.name,
             self.entry.pool,
             self.entry.model,
-            prefix.blocks_of(self.entry.model, request.prompt),
+            prefix.block_hashes(self.entry.model, request.prompt),
             request.prompt_tokens + self.resume_from,
             request.max_tokens - self.resume_from,
             self.service_class.priority,
@@ -146,7 +146,7 @@
             if self._moved_to or self._cancelled or self._decision:
                 interrupt()
 
-    def decide(self, runner: str, decision: recovery.Decision) -> bool:
+    def decide(self, runner: str, decision: recovery.RecoveryDecision) -> bool:
         """The runner will be taken; wake the owner to leave it.
 
         :param runner: name of the runner; another one in use means that
@@ -162,7 +162,7 @@
             self._wake()
             return True
 
-    def take_decision(self) -> recovery.Decision | None:
+    def take_decision(self) -> recovery.RecoveryDecision | None:
         """What to do after a wake, once; None when nothing was decided."""
         with self._lock:
             decision, self._decision = self._decision, None
--- a/src/apricotlever/daemon/heir.py
+++ b/src/apricotlever/daemon/heir.py
@@ -8,8 +8,8 @@
 from ..links import openai
 from ..links import peer_pb2 as pb
 from ..requests import errors as request_errors
-from ..requests import intake
-from ..requests import messages as keyed
+from ..requests import handover_receiver
+from ..requests import ledger_messages as keyed
 from ..requests import records
 from ..runners import quarantine
 
@@ -45,8 +45,8 @@
     def __init__(self, clock: clocks.Clock, context: contexts.Context) -> None:
         super().__init__("heir", clock)
         self._context = context
-        me = keyed.Owner(context.config.vm, context.incarnation)
-        self._intake = intake.Intake(me)
+        me = keyed.VmIncarnation(context.config.vm, context.incarnation)
+        self._intake = handover_receiver.HandoverReceiver(me)
         self._threads = futures.ThreadPoolExecutor(ADOPTED_THREADS, "adopted")
 
     @mailbox.handles(Take)
@@ -56,13 +56,13 @@
         except request_errors.HandoverInvalid as error:
             return _refused(error.message)
         match taken:
-            case intake.WrongHeir():
+            case handover_receiver.WrongSuccessor():
                 return _refused("meant for another incarnation")
-            case intake.AdoptRecords():
+            case handover_receiver.AdoptRecords():
                 self._adopt(taken.sender.vm, taken.records)
-            case intake.AdoptLedger():
+            case handover_receiver.AdoptLedger():
                 return self._adopt_ledger(taken)
-            case intake.AdoptOutcomes():
+            case handover_receiver.AdoptOutcomes():
                 self._context.book.tell(book.Settle(taken.settled))
         return pb.HandoverReceipt(accepted=True)
 
@@ -70,7 +70,9 @@
         """End the threads when their streams have ended."""
         self._threads.shutdown(wait=False)
 
-    def _adopt_ledger(self, taken: intake.AdoptLedger) -> pb.HandoverReceipt:
+    def _adopt_ledger(
+        self, taken: handover_receiver.AdoptLedger
+    ) -> pb.HandoverReceipt:
         adopt = book.AdoptLedger(taken.state)
         receipt = self._context.book.ask(adopt).result()
         if not receipt.accepted:
@@ -80,7 +82,9 @@
         self._context.fleet.tell(fleet_messages.Announce(moved))
         return pb.HandoverReceipt(accepted=True)
 
-    def _adopt(self, sender: str, adopted: list[records.Record]) -> None:
+    def _adopt(
+        self, sender: str, adopted: list[records.RequestRecord]
+    ) -> None:
         """Go on with the running requests before the receipt is given.
 
         The caller is told to come here only after the receipt, so it finds
@@ -92,7 +96,7 @@
             self._go_on(record)
         logs.event("handover_taken", sender=sender, requests=len(running))
 
-    def _go_on(self, record: records.Record) -> None:
+    def _go_on(self, record: records.RequestRecord) -> None:
         flight = self._flight(record)
         if flight is None:
             outcome = archive.outcome_failed("unknown", "not_found")
@@ -105,7 +109,7 @@
         pump = pumps.Pump(self._context, flight, runner)
         self._threads.submit(relay.pump_adopted, self._context, pump)
 
-    def _flight(self, record: records.Record) -> flights.Flight | None:
+    def _flight(self, record: records.RequestRecord) -> flights.Flight | None:
         context = self._context
         catalogue = context.catalogue
         entry = catalogue.entries.get(record.entry)
--- a/src/apricotlever/daemon/keeper.py
+++ b/src/apricotlever/daemon/keeper.py
@@ -16,10 +16,10 @@
 from ..catalogue import model as catalogues
 from ..links import platform
 from ..links import upstreams
-from ..runners import keeping
+from ..runners import assignment
 from ..runners import model as runners
+from ..vms import fleet_view as views
 from ..vms import membership
-from ..vms import view as views
 
 from . import fleet_messages
 from . import messages
@@ -56,9 +56,11 @@
         self.serving = serving
 
 
-def shown(view: views.View) -> Shown:
+def shown(view: views.FleetView) -> Shown:
     """What a keeper needs to know of a view."""
-    return Shown({name: view.names(name) for name in view.data_centres})
+    return Shown(
+        {name: view.serving_names(name) for name in view.data_centres}
+    )
 
 
 class Listener(typing.Protocol):
@@ -178,7 +180,9 @@
         self._prices: dict[tuple[str, str, str], float] = {}
         self._vms: tuple[platform.Vm, ...] = ()
         self._runners: dict[str, runners.Runner] = {}
-        self._keeping = keeping.Keeping(config.vm, config.data_centre)
+        self._keeping = assignment.RunnerAssignment(
+            config.vm, config.data_centre
+        )
         self._due: dict[str, float] = {}
         self._list_at = 0.0
         self._prices_at = 0.0
@@ -193,7 +197,7 @@
 
     @property
     def _watches_notices(self) -> bool:
-        return self._keeping.rank_here("notices") < NOTICE_WATCHERS
+        return self._keeping.local_rank("notices") < NOTICE_WATCHERS
 
     @property
     def _notices_due(self) -> bool:
@@ -254,7 +258,7 @@
         if message.load is not None:
             self._dead.discard(name)
         known = self._runners.get(name)
-        tell = known is not None and self._keeping.rank(known) == 0
+        tell = known is not None and self._keeping.load_reader_rank(known) == 0
         self._listener.on_load(name, message.load, tell)
         if message.events is None or not message.events.events:
             return
@@ -300,7 +304,7 @@
         }
         if self._runners[runner].pool not in pools:
             return False
-        return self._keeping.rank(self._runners[runner]) < KEEPERS
+        return self._keeping.load_reader_rank(self._runners[runner]) < KEEPERS
 
     def _publish(self) -> None:
         """Tell the desk which runners the catalogue's pools have."""
@@ -320,7 +324,7 @@
         # would take most of a core.
         self._kept = frozenset(filter(self._keeps, self._runners))
         self._listener.on_platform(self._vms, self._prices)
-        self._listener.on_runners(self._keeping.choose(listed), listed)
+        self._listener.on_runners(self._keeping.select_runners(listed), listed)
         for vm in self._vms:
             if vm.role == "runner" and vm.state == "leaving":
                 self._listener.on_listed_leaving(vm.vm, LISTED_LEAVING_S)
--- a/src/apricotlever/daemon/keyed_answers.py
+++ b/src/apricotlever/daemon/keyed_answers.py
@@ -2,7 +2,7 @@
 
 from .. import refusals
 from ..links import peer_pb2 as pb
-from ..requests import messages as keyed
+from ..requests import ledger_messages as keyed
 
 _EXECUTED_IN = {
     pb.EXECUTED_UNKNOWN: refusals.Executed.UNKNOWN,
--- a/src/apricotlever/daemon/listeners.py
+++ b/src/apricotlever/daemon/listeners.py
@@ -5,13 +5,13 @@
 
 from ..links import peer_pb2 as pb
 from ..runners import quarantine
-from ..vms import view as views
+from ..vms import fleet_view as views
 
 
 class Listener(typing.Protocol):
     """What the daemon does when the fleet changes; must return at once."""
 
-    def on_view(self, view: views.View) -> None:
+    def on_view(self, view: views.FleetView) -> None:
         """The members changed."""
 
     def on_rumour(self, rumour: pb.Rumour, via: str) -> None:
@@ -33,9 +33,9 @@
         """A newer process runs under this VM's name."""
 
     def judge(
-        self, question: quarantine.MayRun
-    ) -> "futures.Future[quarantine.Decision]":
+        self, question: quarantine.TrialRequest
+    ) -> "futures.Future[quarantine.TrialDecision]":
         """Decide on a suspect as the judge of its pool."""
 
-    def trial_over(self, report: quarantine.TrialOver) -> None:
+    def trial_over(self, report: quarantine.TrialEnded) -> None:
         """A trial that this VM handed out is over."""
--- a/src/apricotlever/daemon/lookups.py
+++ b/src/apricotlever/daemon/lookups.py
@@ -52,7 +52,7 @@
         found = self._context.answer_of(asked)
         if found is None:
             return self._unknown(call, catalogue, customer, request_id, last)
-        if isinstance(found.resumed, records.Moved):
+        if isinstance(found.resumed, records.ResumeMoved):
             return relay.redirect(request_id, found.resumed.vm)
         wants_stream = relay.STREAM_TYPE in call.header("Accept")
         if last is not None or wants_stream:
@@ -99,7 +99,7 @@
     if found.flight is not None:
         events = relay.follow(found.flight, start, call.gone)
         return callers.Reply(200, headers, events)
-    if record.state is records.State.RUNNING:
+    if record.state is records.RequestState.RUNNING:
         raise refusals.Refusal(
             refusals.LEAVING,
             "the request is being taken over; ask again",
@@ -127,7 +127,7 @@
     return int(text)
 
 
-def _last_event(record: records.Record) -> bytes:
+def _last_event(record: records.RequestRecord) -> bytes:
     outcome = record.outcome
     if outcome is None or outcome.error is None:
         return openai.DONE_EVENT
--- a/src/apricotlever/daemon/messages.py
+++ b/src/apricotlever/daemon/messages.py
@@ -90,7 +90,7 @@
 
     __slots__ = ("pool", "question")
 
-    def __init__(self, pool: str, question: quarantine.MayRun) -> None:
+    def __init__(self, pool: str, question: quarantine.TrialRequest) -> None:
         self.pool = pool
         self.question = question
 
@@ -100,7 +100,7 @@
 
     __slots__ = ("question",)
 
-    def __init__(self, question: quarantine.MayRun) -> None:
+    def __init__(self, question: quarantine.TrialRequest) -> None:
         self.question = question
 
 
@@ -109,7 +109,7 @@
 
     __slots__ = ("report",)
 
-    def __init__(self, report: quarantine.TrialOver) -> None:
+    def __init__(self, report: quarantine.TrialEnded) -> None:
         self.report = report
 
 
@@ -261,7 +261,7 @@
     def __init__(
         self,
         flight: flights.Flight,
-        cause: recovery.Cause,
+        cause: recovery.RecoveryCause,
         failures: int,
         same_runner: int,
         excluded: frozenset[str],
--- a/src/apricotlever/daemon/node.py
+++ b/src/apricotlever/daemon/node.py
@@ -16,7 +16,7 @@
 from ..links import peers
 from ..links import platform
 from ..links import stream_loop
-from ..vms import view as views
+from ..vms import fleet_view as views
 
 from . import archive
 from . import book
@@ -264,7 +264,7 @@
             incarnation=self._incarnation,
         )
 
-    def _first_view(self, future: "futures.Future[views.View]") -> None:
+    def _first_view(self, future: "futures.Future[views.FleetView]") -> None:
         if future.exception() is None:
             self._switchboard.on_view(future.result())
 
--- a/src/apricotlever/daemon/placements.py
+++ b/src/apricotlever/daemon/placements.py
@@ -5,7 +5,7 @@
 
 from .. import clock as clocks
 from ..requests import evacuation
-from ..requests import export_times
+from ..requests import export_time_estimator
 from ..requests import recovery
 from ..runners import crashes
 from ..runners import model as runners
@@ -62,7 +62,7 @@
         self._placed: dict[str, _Placed] = {}
         self._reported: dict[str, float] = {}
         self._taken_at: dict[str, float] = {}
-        self._export_times = export_times.ExportTimes()
+        self._export_times = export_time_estimator.ExportTimeEstimator()
 
     def __len__(self) -> int:
         return len(self._placed)
@@ -101,16 +101,18 @@
     def moved(self, tokens: int, seconds: float | None) -> None:
         """A stream's state was moved, or not, if it took None."""
         if seconds is None:
-            self._export_times.failed()
+            self._export_times.observe_timeout()
         else:
             self._export_times.observe(tokens, seconds)
 
-    def crashed(self, runner: runners.Runner) -> crashes.CrashSeen | None:
+    def crashed(
+        self, runner: runners.Runner
+    ) -> crashes.CrashObservation | None:
         """Put a runner's death on record, once for all its requests."""
         now = self._clock.now()
         told_at = self._reported.get(runner.name, float("-inf"))
         charges = tuple(
-            crashes.Charge(
+            crashes.SuspectRequest(
                 placed.dispatch.fingerprint,
                 placed.dispatch.request_id,
                 placed.dispatch.attempt,
@@ -120,11 +122,11 @@
             if placed.runner.name == runner.name
         )
         noticed = self._router.is_leaving(runner.name)
-        self._router.crashed(runner.name)
-        report = crashes.CrashSeen(
+        self._router.runner_crashed(runner.name)
+        report = crashes.CrashObservation(
             self._vm, runner.name, runner.data_centre, 0.0, noticed, charges
         )
-        if now - told_at < crashes.SAME_DEATH_S:
+        if now - told_at < crashes.SAME_CRASH_WINDOW_S:
             return None
         self._reported[runner.name] = now
         return report
@@ -152,14 +154,19 @@
             if pool not in candidates:
                 candidates[pool] = self.candidates(flight, frozenset())
             situation = self.situation(
-                flight, each.runner, recovery.Cause.NOTICE, candidates[pool]
+                flight,
+                each.runner,
+                recovery.RecoveryCause.NOTICE,
+                candidates[pool],
             )
             situation.moving_to = each.moving_to
             situations.append(situation)
-        for move in evacuation.plan(situations):
+        for move in evacuation.plan_evacuation(situations):
             self._move(self._placed[move.request_id], move.decision)
 
-    def _move(self, placed: _Placed, decision: recovery.Decision) -> None:
+    def _move(
+        self, placed: _Placed, decision: recovery.RecoveryDecision
+    ) -> None:
         if not isinstance(decision, (recovery.ExportTo, recovery.Replay)):
             return
         flight = placed.dispatch.flight
@@ -171,16 +178,16 @@
         self,
         flight: flights.Flight,
         runner: runners.Runner,
-        cause: recovery.Cause,
+        cause: recovery.RecoveryCause,
         candidates: list[recovery.Candidate],
         failures: int = 0,
         same_runner: int = 0,
-    ) -> recovery.Situation:
+    ) -> recovery.AffectedStream:
         sent = flight.transcript.tokens()
         tokens = flight.request.prompt_tokens + len(sent)
         left = flight.request.max_tokens - len(sent)
         taken_at = self._taken_at.get(runner.name, float("inf"))
-        return recovery.Situation(
+        return recovery.AffectedStream(
             flight.request_id,
             cause,
             runner.name,
--- a/src/apricotlever/daemon/placing.py
+++ b/src/apricotlever/daemon/placing.py
@@ -78,17 +78,17 @@
                 refusal.kind, refusal.message, refusal.retry_after_s
             ) from refusal
 
-    def _obey(self, verdict: quarantine.Decision) -> tuple[str, bool]:
+    def _obey(self, verdict: quarantine.TrialDecision) -> tuple[str, bool]:
         """What a judge's verdict means for the next question to the desk."""
-        if isinstance(verdict, quarantine.RefuseRun):
+        if isinstance(verdict, quarantine.RejectRequest):
             raise self._refusal(
                 refusals.QUARANTINED,
                 "requests like this one crashed the runners they ran on",
                 verdict.retry_after_s,
             )
-        if isinstance(verdict, quarantine.RunAt):
+        if isinstance(verdict, quarantine.RunAsTrial):
             return verdict.runner, True
-        if isinstance(verdict, quarantine.RunFreely):
+        if isinstance(verdict, quarantine.RunNormally):
             return "", True
         if self._deadline - self._context.clock.now() < verdict.retry_after_s:
             raise self._refusal(
--- a/src/apricotlever/daemon/presence.py
+++ b/src/apricotlever/daemon/presence.py
@@ -5,7 +5,7 @@
 
 from .. import settings
 from ..links import peer_pb2 as pb
-from ..vms import view as views
+from ..vms import fleet_view as views
 
 Row = dict[str, typing.Any]
 
@@ -32,13 +32,13 @@
     def __init__(self, config: settings.Settings, rng: random.Random) -> None:
         self._config = config
         self._rng = rng
-        self._view: views.View | None = None
+        self._view: views.FleetView | None = None
         self._leaving = False
         self._takes_new_work = True
         self._address = str(config.callers)
 
     @property
-    def view(self) -> views.View | None:
+    def view(self) -> views.FleetView | None:
         """The members as last seen; None before the first answer."""
         return self._view
 
@@ -52,7 +52,7 @@
         """Whether requests that arrive here are still taken."""
         return self._takes_new_work
 
-    def seen(self, view: views.View) -> None:
+    def seen(self, view: views.FleetView) -> None:
         """Take over a new view."""
         self._view = view
 
@@ -90,7 +90,7 @@
 
     def entries(self) -> list[Row]:
         """The entry VMs that take new work, nearest to this one first."""
-        serving = self._view.entries() if self._view else []
+        serving = self._view.members_for_callers() if self._view else []
         others = [
             _row(member) for member in serving if member.vm != self._config.vm
         ]
--- a/src/apricotlever/daemon/pump.py
+++ b/src/apricotlever/daemon/pump.py
@@ -14,7 +14,7 @@
 from ..links import openai
 from ..links import upstreams
 from ..requests import recovery
-from ..requests import stream
+from ..requests import stream_cursor
 from ..runners import model as runners
 
 from . import context as contexts
@@ -61,15 +61,17 @@
         self._context = context
         self._flight = flight
         self._sources = sources.Sources(context, flight)
-        self._cursor = stream.StreamCursor(flight.attempt, flight.resume_from)
+        self._cursor = stream_cursor.StreamCursor(
+            flight.attempt, flight.resume_from
+        )
         self._failures = 0
         self._same_runner = 0
         self._broken_from = -1
         self._tried: frozenset[str] = frozenset()
-        self._step: recovery.Decision | None = None
+        self._step: recovery.RecoveryDecision | None = None
         if runner is not None:
             flight.runner = runner
-            self._step = recovery.ResumeSame(runner.name, flight.resume_from)
+            self._step = recovery.Reconnect(runner.name, flight.resume_from)
         self._gaps = context.histograms.handle(
             histograms.BETWEEN_TOKENS,
             flight.customer,
@@ -147,7 +149,7 @@
         """Open the next attempt and take its first events."""
         self._unread = b""
         exchange = self._sources.open(self._step, self._tried)
-        self._cursor.begin(self._flight.attempt)
+        self._cursor.start_attempt(self._flight.attempt)
         self._exchange = exchange
         fresh = b""
         while not fresh and not self._whole:
@@ -224,9 +226,9 @@
             return
         index = int(event[len(_ID) : event.index(b"\n")])
         verdict = self._cursor.offer(self._flight.attempt, index)
-        if verdict == stream.GAP:
+        if verdict == stream_cursor.GAP:
             raise upstreams.Broken("a token is missing", sent=True)
-        if verdict == stream.ACCEPTED:
+        if verdict == stream_cursor.ACCEPTED:
             self._keep(event + openai.EVENT_END)
 
     def _accept(self, event: bytes) -> None:
@@ -279,7 +281,9 @@
         pace_s = self._flight.service_class.between_tokens_s
         return max(LEAST_PATIENCE_S, GAP_PATIENCE * pace_s)
 
-    def _after(self, error: upstreams.UpstreamError) -> recovery.Decision:
+    def _after(
+        self, error: upstreams.UpstreamError
+    ) -> recovery.RecoveryDecision:
         """Decide how to go on after an attempt ended early."""
         flight = self._flight
         if flight.moved_to:
@@ -301,20 +305,22 @@
             ) from error
         return decision
 
-    def _recover(self, error: upstreams.UpstreamError) -> recovery.Decision:
+    def _recover(
+        self, error: upstreams.UpstreamError
+    ) -> recovery.RecoveryDecision:
         flight = self._flight
         died = self._sources.ended(error)
-        cause = recovery.Cause.LOST
+        cause = recovery.RecoveryCause.LOST
         if isinstance(error, (upstreams.Broken, upstreams.Silent)):
-            cause = recovery.Cause.BROKEN
+            cause = recovery.RecoveryCause.BROKEN
         # A stream that went on after it was resumed shows that its runner
         # is well: a connection that goes silent again is a new event.
-        resumed = isinstance(self._step, recovery.ResumeSame)
+        resumed = isinstance(self._step, recovery.Reconnect)
         stuck = resumed and flight.resume_from == self._broken_from
         self._same_runner = self._same_runner + 1 if stuck else 0
         self._broken_from = flight.resume_from
         self._failures += 1
-        if cause is recovery.Cause.LOST and flight.runner is not None:
+        if cause is recovery.RecoveryCause.LOST and flight.runner is not None:
             self._tried |= {flight.runner.name}
         logs.event(
             "request_retried",
@@ -326,7 +332,7 @@
         self._context.metrics.count("requests.retried")
         if flight.runner is None:
             return self._sources.retry(error, self._tried, self._failures)
-        if cause is recovery.Cause.LOST and not died:
+        if cause is recovery.RecoveryCause.LOST and not died:
             self._sources.check_budget(error, self._tried, self._failures)
         broke = messages.StreamBroke(
             flight, cause, self._failures, self._same_runner, self._tried
--- a/src/apricotlever/daemon/rumours.py
+++ b/src/apricotlever/daemon/rumours.py
@@ -2,7 +2,7 @@
 
 from ..contracts import fleet_shares
 from ..links import peer_pb2 as pb
-from ..requests import messages as keyed
+from ..requests import ledger_messages as keyed
 from ..runners import crashes
 from ..runners import model as runners
 
@@ -104,7 +104,9 @@
     )
 
 
-def of_ledger_moved(owner: keyed.Owner, heir: keyed.Owner) -> pb.Rumour:
+def of_ledger_moved(
+    owner: keyed.VmIncarnation, heir: keyed.VmIncarnation
+) -> pb.Rumour:
     """Where the keys of a VM that left are kept now."""
     return pb.Rumour(
         scope=pb.SCOPE_FLEET,
@@ -149,7 +151,7 @@
 
     :param vm: this VM's name.
     """
-    if isinstance(report, crashes.Survived):
+    if isinstance(report, crashes.RequestCompleted):
         return pb.CrashReport(
             vm=vm, survived=report.fingerprint, age_s=report.age_s
         )
@@ -166,7 +168,7 @@
                 attempt=charge.attempt,
                 on_trial=charge.on_trial,
             )
-            for charge in report.charges
+            for charge in report.suspects
         ],
     )
 
@@ -178,15 +180,15 @@
     """
     age_s = message.age_s + way_s
     if message.survived:
-        return crashes.Survived(message.survived, age_s)
-    return crashes.CrashSeen(
+        return crashes.RequestCompleted(message.survived, age_s)
+    return crashes.CrashObservation(
         message.vm,
         message.runner,
         message.data_centre,
         age_s,
         message.noticed,
         tuple(
-            crashes.Charge(
+            crashes.SuspectRequest(
                 charge.fingerprint,
                 charge.request_id,
                 charge.attempt,
--- a/src/apricotlever/daemon/service_attempts.py
+++ b/src/apricotlever/daemon/service_attempts.py
@@ -4,7 +4,7 @@
 from .. import logs
 from .. import refusals
 from ..links import upstreams
-from ..requests import messages as keyed
+from ..requests import ledger_messages as keyed
 from ..runners import model as runners
 
 from . import attempt_reports
--- a/src/apricotlever/daemon/service_calls.py
+++ b/src/apricotlever/daemon/service_calls.py
@@ -7,7 +7,7 @@
 from .. import refusals
 from ..links import peer_pb2 as pb
 from ..links import peers
-from ..requests import messages as keyed
+from ..requests import ledger_messages as keyed
 from ..runners import model as runners
 
 from . import book
@@ -21,15 +21,15 @@
 FORWARD_GRACE_S = 3.0
 
 _REASONS = {
-    keyed.Reason.MALFORMED: refusals.BAD_REQUEST,
-    keyed.Reason.NOT_YOURS: refusals.CONFLICT,
-    keyed.Reason.CONFLICT: refusals.CONFLICT,
-    keyed.Reason.EXPIRED: refusals.EXPIRED,
-    keyed.Reason.MOVING: refusals.LEAVING,
-    keyed.Reason.LEAVING: refusals.LEAVING,
-    keyed.Reason.FULL: refusals.SHED,
-    keyed.Reason.STORE_DOWN: refusals.CLAIMS_DOWN,
-    keyed.Reason.CLAIMS_FULL: refusals.CLAIMS_DOWN,
+    keyed.KeyRefusalReason.MALFORMED: refusals.BAD_REQUEST,
+    keyed.KeyRefusalReason.NOT_YOURS: refusals.CONFLICT,
+    keyed.KeyRefusalReason.CONFLICT: refusals.CONFLICT,
+    keyed.KeyRefusalReason.EXPIRED: refusals.EXPIRED,
+    keyed.KeyRefusalReason.MOVING: refusals.LEAVING,
+    keyed.KeyRefusalReason.LEAVING: refusals.LEAVING,
+    keyed.KeyRefusalReason.FULL: refusals.SHED,
+    keyed.KeyRefusalReason.STORE_DOWN: refusals.CLAIMS_DOWN,
+    keyed.KeyRefusalReason.CLAIMS_FULL: refusals.CLAIMS_DOWN,
 }
 
 
@@ -79,11 +79,11 @@
                 1.0,
                 request.request_id,
             ) from error
-        if isinstance(decision, keyed.Replay):
+        if isinstance(decision, keyed.ReplayAnswer):
             return decision.answer
-        if isinstance(decision, keyed.Forward):
+        if isinstance(decision, keyed.ForwardCall):
             return self._forward(request, key, decision)
-        if isinstance(decision, keyed.Refuse):
+        if isinstance(decision, keyed.RefuseCall):
             raise _refused(request, decision)
         attempts = service_attempts.Attempts(self._context, request)
         once = functools.partial(attempts.once, decision.token)
@@ -93,7 +93,7 @@
         self,
         request: service_request.ServiceRequest,
         key: str,
-        forward: keyed.Forward,
+        forward: keyed.ForwardCall,
     ) -> keyed.Answer:
         """Let the owner of the key run the call.
 
@@ -150,7 +150,7 @@
 
 
 def _refused(
-    request: service_request.ServiceRequest, decision: keyed.Refuse
+    request: service_request.ServiceRequest, decision: keyed.RefuseCall
 ) -> refusals.Refusal:
     kind = _REASONS.get(decision.reason, refusals.OUTCOME_UNKNOWN)
     return refusals.Refusal(
--- a/src/apricotlever/daemon/service_gateway.py
+++ b/src/apricotlever/daemon/service_gateway.py
@@ -7,7 +7,7 @@
 from ..contracts import admission
 from ..links import callers
 from ..requests import errors as request_errors
-from ..requests import messages as keyed
+from ..requests import ledger_messages as keyed
 
 from . import access
 from . import admitting
--- a/src/apricotlever/daemon/sources.py
+++ b/src/apricotlever/daemon/sources.py
@@ -4,7 +4,7 @@
 
 from .. import logs
 from .. import refusals
-from ..contracts import retries
+from ..contracts import retry_policy
 from ..links import upstreams
 from ..requests import recovery
 from ..runners import model as runners
@@ -56,7 +56,7 @@
         )
 
     def open(
-        self, step: recovery.Decision | None, tried: frozenset[str]
+        self, step: recovery.RecoveryDecision | None, tried: frozenset[str]
     ) -> upstreams.Exchange:
         """Make the next attempt.
 
@@ -68,7 +68,7 @@
         """
         if isinstance(step, recovery.ExportTo):
             return self._moved_to(step.runner)
-        if isinstance(step, recovery.ResumeSame):
+        if isinstance(step, recovery.Reconnect):
             return self._resumed()
         if isinstance(step, recovery.Replay):
             logs.event(
@@ -81,7 +81,9 @@
             return self._started(step.runner, tried)
         return self._started("", tried)
 
-    def decided(self, broke: messages.StreamBroke) -> recovery.Decision:
+    def decided(
+        self, broke: messages.StreamBroke
+    ) -> recovery.RecoveryDecision:
         """Ask the desk how to go on, waiting while no runner is free.
 
         :param broke: the stream's situation.
@@ -105,7 +107,7 @@
         error: upstreams.UpstreamError,
         tried: frozenset[str],
         attempts: int,
-    ) -> retries.Retry:
+    ) -> retry_policy.Retry:
         """Ask for another attempt that a living runner made necessary.
 
         :raises Refusal: when there is none.
@@ -129,7 +131,7 @@
         error: upstreams.UpstreamError,
         tried: frozenset[str],
         attempts: int,
-    ) -> recovery.Decision:
+    ) -> recovery.RecoveryDecision:
         """Go on when no runner was in use yet."""
         self.check_budget(error, tried, attempts)
         return recovery.Replay("", self._flight.transcript.tokens())
--- a/src/apricotlever/daemon/store.py
+++ b/src/apricotlever/daemon/store.py
@@ -20,8 +20,8 @@
 from ..contracts import call_budget
 from ..links import platform
 
-Rank = call_budget.Rank
-Kind = call_budget.Kind
+Rank = call_budget.CallPriority
+Kind = call_budget.CallKind
 Run = typing.Callable[[platform.ObjectApi], typing.Any]
 
 THREADS = 8
@@ -141,7 +141,7 @@
     @mailbox.handles(StoreCall)
     def _call(self, message: StoreCall) -> mailbox.Deferred:
         future = self.defer()
-        if self._budget.allow(message.rank, message.kind):
+        if self._budget.try_acquire(message.rank, message.kind):
             self._run(message, future)
             return mailbox.DEFERRED
         self._metrics.count("platform.held_back", of=message.rank.name.lower())
@@ -152,7 +152,7 @@
 
     @mailbox.handles(FleetSize)
     def _resized(self, message: FleetSize) -> None:
-        self._budget.configure(max(1, message.vms))
+        self._budget.set_fleet_size(max(1, message.vms))
 
     @mailbox.handles(_Seen)
     def _seen(self, message: _Seen) -> None:
@@ -161,7 +161,7 @@
         if isinstance(outcome, result.Failure):
             error = outcome.failure()
         if isinstance(error, platform.Throttled):
-            self._budget.throttled(message.kind, error.retry_after_s)
+            self._budget.record_throttling(message.kind, error.retry_after_s)
         down = isinstance(error, (platform.Unavailable, platform.Ambiguous))
         if error is not None and error.kind in _WORTH_LOGGING:
             self._metrics.count("platform.failed", of=error.kind)
@@ -179,7 +179,7 @@
             item = heapq.heappop(held)
             waiting = item[2]
             call = waiting.call
-            if self._budget.allow(call.rank, call.kind):
+            if self._budget.try_acquire(call.rank, call.kind):
                 self._run(call, waiting.future)
             elif now >= waiting.until:
                 wait_s = self._budget.wait_s(call.rank, call.kind)
--- a/src/apricotlever/daemon/suspects.py
+++ b/src/apricotlever/daemon/suspects.py
@@ -47,7 +47,7 @@
     @property
     def deaths(self) -> int:
         """Deaths of runners on record."""
-        return len(self._quarantine.log.deaths)
+        return len(self._quarantine.log.crashes)
 
     def check(
         self, dispatch: messages.Dispatch
@@ -58,8 +58,8 @@
             run anywhere.
         :raises Refusal: when it is quarantined.
         """
-        standing = self._quarantine.standing(dispatch.fingerprint)
-        if standing.state is quarantine.State.QUARANTINED:
+        standing = self._quarantine.status(dispatch.fingerprint)
+        if standing.state is quarantine.FingerprintState.QUARANTINED:
             self._metrics.count("requests.quarantined")
             logs.event(
                 "request_quarantined",
@@ -72,22 +72,26 @@
                 "requests like this one crashed the runners they ran on",
                 retry_after_s=standing.retry_after_s,
             )
-        suspect = standing.state is quarantine.State.SUSPECT
+        suspect = standing.state is quarantine.FingerprintState.SUSPECT
         return self._trial(dispatch) if suspect else None
 
-    def judge(self, question: quarantine.MayRun) -> quarantine.Decision:
+    def judge(
+        self, question: quarantine.TrialRequest
+    ) -> quarantine.TrialDecision:
         """Decide on a suspect, as the judge of its pool."""
-        return self._quarantine.judge(question)
+        return self._quarantine.decide(question)
 
-    def trial_over(self, report: quarantine.TrialOver) -> None:
+    def trial_over(self, report: quarantine.TrialEnded) -> None:
         """A trial that this VM handed out has ended."""
-        self._quarantine.trial_over(report)
+        self._quarantine.end_trial(report)
 
     def heard(self, report: crashes.Report) -> None:
         """A peer reports a death or a survival."""
         self._quarantine.receive(report)
 
-    def crashed(self, runner: runners.Runner) -> crashes.CrashSeen | None:
+    def crashed(
+        self, runner: runners.Runner
+    ) -> crashes.CrashObservation | None:
         """A runner died.
 
         :returns: a report to spread, or None when it is on record already.
@@ -97,19 +101,19 @@
             self._quarantine.receive(report)
         return report
 
-    def survived(self, fingerprint: str) -> crashes.Survived | None:
+    def survived(self, fingerprint: str) -> crashes.RequestCompleted | None:
         """A request was answered in full.
 
         :returns: a report to spread, if it was suspected.
         """
-        standing = self._quarantine.standing(fingerprint)
-        if standing.state is quarantine.State.CLEAR:
+        standing = self._quarantine.status(fingerprint)
+        if standing.state is quarantine.FingerprintState.CLEAR:
             return None
-        report = crashes.Survived(fingerprint, 0.0)
+        report = crashes.RequestCompleted(fingerprint, 0.0)
         self._quarantine.receive(report)
         return report
 
-    def reports(self) -> list[crashes.CrashSeen]:
+    def reports(self) -> list[crashes.CrashObservation]:
         """All deaths on record, for a VM that has just started."""
         return self._quarantine.log.reports(self._vm)
 
@@ -126,10 +130,12 @@
     def _trial(self, dispatch: messages.Dispatch) -> messages.TrialWanted:
         routes = self._router.ranked(dispatch.query, TRIAL_PLACES)
         places = tuple(
-            quarantine.Place(route.runner.name, route.runner.data_centre)
+            quarantine.TrialCandidate(
+                route.runner.name, route.runner.data_centre
+            )
             for route in routes
         )
-        question = quarantine.MayRun(
+        question = quarantine.TrialRequest(
             dispatch.fingerprint, dispatch.request_id, places
         )
         return messages.TrialWanted(dispatch.query.pool, question)
--- a/src/apricotlever/daemon/switchboard.py
+++ b/src/apricotlever/daemon/switchboard.py
@@ -9,10 +9,10 @@
 from .. import settings
 from ..links import peer_pb2 as pb
 from ..links import platform
-from ..requests import messages as keyed
+from ..requests import ledger_messages as keyed
 from ..runners import model as runners
 from ..runners import quarantine
-from ..vms import view as views
+from ..vms import fleet_view as views
 
 from . import book
 from . import buyer
@@ -105,7 +105,7 @@
         """Take over the task that hands this VM's work over."""
         self._departing = task
 
-    def on_view(self, view: views.View) -> None:
+    def on_view(self, view: views.FleetView) -> None:
         """Pass the members on to the tasks that go by them."""
         self._presence.seen(view)
         self._large = bool(view.summaries)
@@ -134,8 +134,8 @@
                 self._tasks.desk.tell(messages.CrashHeard(report))
             case "ledger_moved":
                 told = rumour.ledger_moved
-                owner = keyed.Owner(told.vm, told.incarnation)
-                heir = keyed.Owner(told.heir, told.heir_incarnation)
+                owner = keyed.VmIncarnation(told.vm, told.incarnation)
+                heir = keyed.VmIncarnation(told.heir, told.heir_incarnation)
                 self._tasks.book.tell(book.LedgerMoved(owner, heir))
             case "catalogue":
                 self._tasks.watcher.tell(watcher.Rumoured(rumour, via))
@@ -172,12 +172,12 @@
         self._stop(0.0)
 
     def judge(
-        self, question: quarantine.MayRun
-    ) -> "futures.Future[quarantine.Decision]":
+        self, question: quarantine.TrialRequest
+    ) -> "futures.Future[quarantine.TrialDecision]":
         """Decide on a suspect as the judge of its pool."""
         return self._tasks.desk.ask(messages.Judge(question))
 
-    def trial_over(self, report: quarantine.TrialOver) -> None:
+    def trial_over(self, report: quarantine.TrialEnded) -> None:
         """A trial that this VM handed out is over."""
         self._tasks.desk.tell(messages.TrialOver(report))
 
--- a/src/apricotlever/daemon/trials.py
+++ b/src/apricotlever/daemon/trials.py
@@ -9,31 +9,31 @@
 JUDGE_RETRY_S = 0.3
 
 
-def question_message(question: quarantine.MayRun) -> pb.TrialQuestion:
+def question_message(question: quarantine.TrialRequest) -> pb.TrialQuestion:
     """A question about a suspect as a message."""
     return pb.TrialQuestion(
         fingerprint=question.fingerprint,
         request_id=question.request_id,
         places=[
             pb.TrialPlace(runner=place.runner, data_centre=place.data_centre)
-            for place in question.places
+            for place in question.candidates
         ],
     )
 
 
-def question_of(message: pb.TrialQuestion) -> quarantine.MayRun:
+def question_of(message: pb.TrialQuestion) -> quarantine.TrialRequest:
     """The question in a message."""
-    return quarantine.MayRun(
+    return quarantine.TrialRequest(
         message.fingerprint,
         message.request_id,
         tuple(
-            quarantine.Place(place.runner, place.data_centre)
+            quarantine.TrialCandidate(place.runner, place.data_centre)
             for place in message.places
         ),
     )
 
 
-def over_message(report: quarantine.TrialOver) -> pb.TrialQuestion:
+def over_message(report: quarantine.TrialEnded) -> pb.TrialQuestion:
     """The end of a trial as a message."""
     return pb.TrialQuestion(
         fingerprint=report.fingerprint,
@@ -42,19 +42,19 @@
     )
 
 
-def verdict_message(verdict: quarantine.Decision) -> pb.TrialAnswer:
+def verdict_message(verdict: quarantine.TrialDecision) -> pb.TrialAnswer:
     """A judge's decision as a message."""
     match verdict:
-        case quarantine.RunAt():
+        case quarantine.RunAsTrial():
             return pb.TrialAnswer(
                 verdict=pb.TrialAnswer.TRIAL_AT, runner=verdict.runner
             )
-        case quarantine.Hold():
+        case quarantine.RetryLater():
             return pb.TrialAnswer(
                 verdict=pb.TrialAnswer.TRIAL_HOLD,
                 retry_after_s=verdict.retry_after_s,
             )
-        case quarantine.RefuseRun():
+        case quarantine.RejectRequest():
             return pb.TrialAnswer(
                 verdict=pb.TrialAnswer.TRIAL_REFUSED,
                 retry_after_s=verdict.retry_after_s,
@@ -71,14 +71,14 @@
     each think they judge would let it crash one runner each.
     """
     if call.exception() is not None:
-        future.set_result(quarantine.Hold(JUDGE_RETRY_S))
+        future.set_result(quarantine.RetryLater(JUDGE_RETRY_S))
         return
     answer = call.result()
     verdicts = {
-        pb.TrialAnswer.TRIAL_FREE: quarantine.RunFreely(),
-        pb.TrialAnswer.TRIAL_AT: quarantine.RunAt(answer.runner),
-        pb.TrialAnswer.TRIAL_HOLD: quarantine.Hold(answer.retry_after_s),
-        pb.TrialAnswer.TRIAL_REFUSED: quarantine.RefuseRun(
+        pb.TrialAnswer.TRIAL_FREE: quarantine.RunNormally(),
+        pb.TrialAnswer.TRIAL_AT: quarantine.RunAsTrial(answer.runner),
+        pb.TrialAnswer.TRIAL_HOLD: quarantine.RetryLater(answer.retry_after_s),
+        pb.TrialAnswer.TRIAL_REFUSED: quarantine.RejectRequest(
             answer.retry_after_s
         ),
     }
--- a/src/apricotlever/daemon/verdicts.py
+++ b/src/apricotlever/daemon/verdicts.py
@@ -5,10 +5,10 @@
 
 _LIMITS = frozenset(
     (
-        admission.Reason.CONCURRENCY,
-        admission.Reason.RATE,
-        admission.Reason.TOKENS,
-        admission.Reason.SPEND,
+        admission.RefusalReason.CONCURRENCY,
+        admission.RefusalReason.RATE,
+        admission.RefusalReason.TOKENS,
+        admission.RefusalReason.SPEND,
     )
 )
 
@@ -20,7 +20,7 @@
     """
     limited = verdict.reason in _LIMITS
     kind = refusals.RATE_LIMITED if limited else refusals.SHED
-    if verdict.reason is admission.Reason.UNKNOWN_ENTRY:
+    if verdict.reason is admission.RefusalReason.UNKNOWN_ENTRY:
         kind = refusals.NOT_FOUND
     return refusals.Refusal(
         kind,
--- a/src/apricotlever/daemon/watcher.py
+++ b/src/apricotlever/daemon/watcher.py
@@ -18,9 +18,9 @@
 from ..catalogue import edit
 from ..links import peer_pb2 as pb
 from ..links import platform
-from ..vms import spread
-from ..vms import spread_actions
-from ..vms import view as views
+from ..vms import catalogue_replicator
+from ..vms import fleet_view as views
+from ..vms import replication_actions
 
 from . import fleet_messages
 from . import messages
@@ -43,7 +43,7 @@
 
     __slots__ = ("view",)
 
-    def __init__(self, view: views.View) -> None:
+    def __init__(self, view: views.FleetView) -> None:
         self.view = view
 
 
@@ -114,7 +114,7 @@
         self._in_force = in_force
         self._parser = catalogues.Parser()
         self._parsed = catalogues.EMPTY
-        self._spread = spread.ConfigurationSpread(
+        self._spread = catalogue_replicator.CatalogueReplicator(
             clock, rng, config.vm, config.data_centre, self._check
         )
         self._calling = False
@@ -124,22 +124,24 @@
 
     @mailbox.handles(ViewSeen)
     def _view_seen(self, message: ViewSeen) -> None:
-        self._carry_out(self._spread.look(message.view))
+        self._carry_out(self._spread.update_view(message.view))
 
     @mailbox.handles(Heard)
     def _heard(self, message: Heard) -> None:
-        found = self._spread.heard(
+        found = self._spread.peer_has_version(
             message.version, message.digest, message.via
         )
         self._carry_out(found)
 
     @mailbox.handles(Rumoured)
     def _rumoured(self, message: Rumoured) -> None:
-        self._carry_out(self._spread.rumoured(message.rumour, message.via))
+        self._carry_out(
+            self._spread.receive_rumour(message.rumour, message.via)
+        )
 
     @mailbox.handles(Serve)
     def _serve(self, message: Serve) -> pb.CatalogueDocument:
-        return self._spread.serve(message.request)
+        return self._spread.answer_fetch(message.request)
 
     @mailbox.handles(_Fetched)
     def _fetched(self, message: _Fetched) -> None:
@@ -147,7 +149,7 @@
         if message.answer is None:
             self._spread.fetch_failed(message.vm)
         else:
-            found = self._spread.answered(message.vm, message.answer)
+            found = self._spread.receive_answer(message.vm, message.answer)
             self._carry_out(found)
         if self._starting and not self._asked_peers:
             self._readings.within(0.0)
@@ -168,7 +170,7 @@
         """Take over what a read gave."""
         went_back = self._readings.read(version)
         if went_back or version >= self._spread.in_force.version:
-            self._carry_out(self._spread.stored(version, value))
+            self._carry_out(self._spread.receive_stored(version, value))
         self._watch(version)
 
     @mailbox.handles(readings.Watched)
@@ -190,7 +192,9 @@
         older = event.version < self._spread.in_force.version
         if event.name == edit.CURRENT_NAME and not older:
             self._readings.seen(event.version)
-            self._carry_out(self._spread.stored(event.version, event.value))
+            self._carry_out(
+                self._spread.receive_stored(event.version, event.value)
+            )
 
     @mailbox.handles(messages.StatusWanted)
     def _status(self, message: messages.StatusWanted) -> dict[str, object]:
@@ -218,25 +222,27 @@
         return None
 
     def _carry_out(
-        self, found: typing.Iterable[spread_actions.SpreadAction]
+        self, found: typing.Iterable[replication_actions.ReplicationAction]
     ) -> None:
         for action in found:
             self._carry_out_one(action)
 
-    def _carry_out_one(self, action: spread_actions.SpreadAction) -> None:
+    def _carry_out_one(
+        self, action: replication_actions.ReplicationAction
+    ) -> None:
         match action:
-            case spread_actions.Watch():
+            case replication_actions.StartWatching():
                 wait_s = PEERS_FIRST_S if self._starting else 0.0
                 self._readings.within(wait_s)
-            case spread_actions.StopWatching():
+            case replication_actions.StopWatching():
                 self._readings.stop()
-            case spread_actions.FetchFrom():
+            case replication_actions.FetchFromPeer():
                 self._fetch(action)
-            case spread_actions.Apply():
+            case replication_actions.ApplyCatalogue():
                 self._apply(action)
-            case spread_actions.Announce():
+            case replication_actions.AnnounceRumour():
                 self._others.tell(fleet_messages.Announce(action.rumour))
-            case spread_actions.Fault():
+            case replication_actions.Fault():
                 logs.event(
                     "catalogue_refused",
                     version=action.version,
@@ -245,7 +251,7 @@
                     error=action.detail,
                 )
 
-    def _apply(self, action: spread_actions.Apply) -> None:
+    def _apply(self, action: replication_actions.ApplyCatalogue) -> None:
         self._others.tell(
             fleet_messages.CatalogueKnown(action.version, action.digest)
         )
@@ -256,9 +262,13 @@
             digest=f"{action.digest:016x}",
         )
 
-    def _fetch(self, action: spread_actions.FetchFrom) -> None:
+    def _fetch(self, action: replication_actions.FetchFromPeer) -> None:
         call = fleet_messages.CallPeer(
-            action.vm, 0, "Fetch", action.message, spread.FETCH_TIMEOUT_S
+            action.vm,
+            0,
+            "Fetch",
+            action.message,
+            catalogue_replicator.FETCH_TIMEOUT_S,
         )
 
         self._asked_peers += 1
--- a/src/apricotlever/links/openai.py
+++ b/src/apricotlever/links/openai.py
@@ -47,7 +47,7 @@
     @property
     def prompt_tokens(self) -> int:
         """How many tokens the prompt is taken to have."""
-        return prefix.tokens_of(self.prompt)
+        return prefix.count_tokens(self.prompt)
 
     def body_for(
         self, model: str, resume_tokens: typing.Sequence[str]
--- a/src/apricotlever/requests/runs.py
+++ b/src/apricotlever/requests/active_runs.py
@@ -8,12 +8,12 @@
 import itertools
 
 from .. import clock as clocks
-from . import entries
-from . import messages
-from . import owners
-from . import succession
+from . import known_incarnations
+from . import ledger_entries
+from . import ledger_messages
+from . import ledger_transfer
 
-_State = entries.RunState
+_State = ledger_entries.RunState
 
 
 class ActiveRuns:
@@ -35,27 +35,27 @@
     def __init__(
         self,
         clock: clocks.Clock,
-        limits: entries.LedgerLimits,
-        table: entries.EntryTable,
-        transfer: succession.Succession,
+        limits: ledger_entries.LedgerLimits,
+        table: ledger_entries.EntryTable,
+        transfer: ledger_transfer.LedgerTransfer,
     ) -> None:
         self._clock = clock
         self._limits = limits
         self._table = table
         self._transfer = transfer
-        self._active: dict[int, entries.Entry] = {}
+        self._active: dict[int, ledger_entries.Entry] = {}
         self._tokens = itertools.count(1)
         self._released: list[int] = []
 
     def __len__(self) -> int:
         return len(self._active)
 
-    def activate(self, entry: entries.Entry) -> None:
+    def activate(self, entry: ledger_entries.Entry) -> None:
         """Track a run of the entry under a new token."""
         entry.token = next(self._tokens)
         self._active[entry.token] = entry
 
-    def find_claiming(self, token: int) -> entries.Entry | None:
+    def find_claiming(self, token: int) -> ledger_entries.Entry | None:
         """Return the entry whose claim is in progress, or None."""
         entry = self._active.get(token)
         if entry is None or entry.state is not _State.CLAIMING:
@@ -74,7 +74,9 @@
         entry.updated_at = self._clock.now()
         return True
 
-    def record_answer(self, token: int, answer: messages.Answer) -> bool:
+    def record_answer(
+        self, token: int, answer: ledger_messages.Answer
+    ) -> bool:
         """Record the complete answer of a call that was sent."""
         entry = self._local_entry(token)
         if entry is None or entry.state is not _State.SENDING:
@@ -100,9 +102,9 @@
 
     def settle(
         self,
-        entry: entries.Entry,
-        state: entries.RunState,
-        answer: messages.Answer | None = None,
+        entry: ledger_entries.Entry,
+        state: ledger_entries.RunState,
+        answer: ledger_messages.Answer | None = None,
     ) -> None:
         """End a run and invalidate its token."""
         self._active.pop(entry.token, None)
@@ -112,12 +114,12 @@
             self._table.keep_answer(entry, answer, self._clock.now())
         self._transfer.record_outcome(entry)
 
-    def discard(self, entry: entries.Entry) -> None:
+    def discard(self, entry: ledger_entries.Entry) -> None:
         """Remove an entry that this ledger doesn't own."""
         self._active.pop(entry.token, None)
         self._table.remove(entry)
 
-    def release(self, entry: entries.Entry) -> None:
+    def release(self, entry: ledger_entries.Entry) -> None:
         """Discard an entry; :meth:`expire_overdue` returns its token."""
         self._released.append(entry.token)
         self.discard(entry)
@@ -149,7 +151,7 @@
         return released + [entry.token for entry in overdue]
 
     def settle_orphaned(
-        self, incarnations: owners.KnownIncarnations
+        self, incarnations: known_incarnations.KnownIncarnations
     ) -> list[int]:
         """End runs whose VM is gone without having reported an outcome.
 
@@ -164,15 +166,15 @@
             self.settle(entry, _State.UNKNOWN)
         return [entry.token for entry in orphans]
 
-    def _local_entry(self, token: int) -> entries.Entry | None:
+    def _local_entry(self, token: int) -> ledger_entries.Entry | None:
         entry = self._active.get(token)
         return None if entry is None or entry.running_on else entry
 
-    def _give_up(self, entry: entries.Entry) -> None:
+    def _give_up(self, entry: ledger_entries.Entry) -> None:
         sending = entry.state is _State.SENDING
         self.settle(entry, _State.UNKNOWN if sending else _State.NOT_RUN)
 
-    def _is_overdue(self, entry: entries.Entry) -> bool:
+    def _is_overdue(self, entry: ledger_entries.Entry) -> bool:
         sending = entry.state is _State.SENDING
         limit = (
             self._limits.run_timeout_s
--- a/src/apricotlever/requests/claims.py
+++ b/src/apricotlever/requests/claims.py
@@ -15,7 +15,7 @@
 import xxhash
 
 from .. import clock as clocks
-from . import messages
+from . import ledger_messages
 from ..vms import rendezvous
 
 DEFAULT_BUCKET_COUNT = 256
@@ -42,7 +42,11 @@
     __slots__ = ("digest", "owner", "nonce", "claimed_at")
 
     def __init__(
-        self, digest: str, owner: messages.Owner, nonce: str, claimed_at: float
+        self,
+        digest: str,
+        owner: ledger_messages.VmIncarnation,
+        nonce: str,
+        claimed_at: float,
     ) -> None:
         self.digest = digest
         self.owner = owner
@@ -90,16 +94,16 @@
         self.expected_version = expected_version
 
 
-class Tell:
+class DeliverResult:
     """Action: deliver the result of a claim to the ledger."""
 
     __slots__ = ("result",)
 
-    def __init__(self, result: messages.ClaimResult) -> None:
+    def __init__(self, result: ledger_messages.ClaimResult) -> None:
         self.result = result
 
 
-Action: typing.TypeAlias = ReadBucket | WriteBucket | Tell
+Action: typing.TypeAlias = ReadBucket | WriteBucket | DeliverResult
 
 
 class _PendingClaim:
@@ -110,7 +114,9 @@
 
     __slots__ = ("claim", "name", "expires_at", "maybe_written")
 
-    def __init__(self, claim: messages.Claim, expires_at: float) -> None:
+    def __init__(
+        self, claim: ledger_messages.ClaimKey, expires_at: float
+    ) -> None:
         self.claim = claim
         self.name = claim_id(claim.customer, claim.key)
         self.expires_at = expires_at
@@ -141,7 +147,7 @@
         self.writing: list[_PendingClaim] = []
 
 
-class Claims:
+class ClaimBatcher:
     """Batches the claims of one VM into conditional writes.
 
     :param buckets: number of buckets; it must be the same on every VM and
@@ -170,31 +176,35 @@
         self._buckets: dict[str, _Bucket] = {}
         self._backoff_until = float("-inf")
 
-    def claim(self, claim: messages.Claim) -> list[Action]:
+    def claim(self, claim: ledger_messages.ClaimKey) -> list[Action]:
         """Start claiming a key."""
         waiting = _PendingClaim(claim, self._clock.now() + CLAIM_TIMEOUT_S)
         if self._clock.now() < self._backoff_until:
-            return [_not_claimed(waiting, messages.Reason.STORE_DOWN)]
+            return [
+                _not_claimed(
+                    waiting, ledger_messages.KeyRefusalReason.STORE_DOWN
+                )
+            ]
         bucket = self._bucket(waiting.name)
         bucket.waiting.append(waiting)
         return [] if bucket.operation_pending else self._advance(bucket)
 
-    def written(self, name: str, version: int) -> list[Action]:
+    def on_written(self, name: str, version: int) -> list[Action]:
         """Handle a write that the store accepted."""
         bucket = self._buckets[name]
         claimed, bucket.writing = bucket.writing, []
         rows = {**(bucket.rows or {}), **self._claims_by_id(claimed)}
         bucket.rows, bucket.version = rows, version
         results: list[Action] = [
-            Tell(_result(each, rows[each.name])) for each in claimed
+            DeliverResult(_result(each, rows[each.name])) for each in claimed
         ]
         return results + self._advance(bucket)
 
-    def conflict(self, name: str) -> list[Action]:
+    def on_conflict(self, name: str) -> list[Action]:
         """Handle a write that the store rejected: read the bucket again."""
         return self._read_again(self._buckets[name])
 
-    def ambiguous(self, name: str) -> list[Action]:
+    def on_ambiguous_write(self, name: str) -> list[Action]:
         """Handle a write without an answer: read the bucket back.
 
         A delayed write can't take effect after a newer write of this VM,
@@ -205,7 +215,7 @@
             each.maybe_written = True
         return self._read_again(bucket)
 
-    def read(
+    def on_read(
         self, name: str, version: int, value: dict[str, typing.Any]
     ) -> list[Action]:
         """Handle the content of a bucket."""
@@ -215,17 +225,17 @@
         except (AttributeError, TypeError, ValueError):
             # The object has unexpected content. Guessing its meaning could
             # run a call twice, so its keys are refused until it is repaired.
-            return self.failed(name)
+            return self.on_failure(name)
         bucket.version = version
         return self._advance(bucket)
 
-    def missing(self, name: str) -> list[Action]:
+    def on_missing(self, name: str) -> list[Action]:
         """Handle a bucket that doesn't exist yet."""
         bucket = self._buckets[name]
         bucket.version, bucket.rows = None, {}
         return self._advance(bucket)
 
-    def failed(self, name: str) -> list[Action]:
+    def on_failure(self, name: str) -> list[Action]:
         """Handle a failed operation that certainly wrote nothing.
 
         All claims waiting for the bucket fail, and new claims are refused
@@ -237,7 +247,8 @@
         bucket.writing, bucket.waiting = [], []
         bucket.rows, bucket.operation_pending = None, False
         return [
-            _not_claimed(each, messages.Reason.STORE_DOWN) for each in refused
+            _not_claimed(each, ledger_messages.KeyRefusalReason.STORE_DOWN)
+            for each in refused
         ]
 
     def _bucket(self, claim_name: str) -> _Bucket:
@@ -270,7 +281,7 @@
         rows = bucket.rows
         waiting, bucket.waiting = bucket.waiting, []
         results: list[Action] = [
-            Tell(_result(each, rows[each.name]))
+            DeliverResult(_result(each, rows[each.name]))
             for each in waiting
             if each.name in rows
         ]
@@ -279,7 +290,7 @@
         timed_out = [each for each in unclaimed if each.expires_at < now]
         in_time = [each for each in unclaimed if each.expires_at >= now]
         results += [
-            _not_claimed(each, messages.Reason.STORE_DOWN)
+            _not_claimed(each, ledger_messages.KeyRefusalReason.STORE_DOWN)
             for each in timed_out
         ]
         return results + self._write(bucket, in_time)
@@ -290,7 +301,7 @@
         bucket.rows = self._without_expired(bucket.rows or {})
         fitting = self._claims_that_fit(bucket.rows, in_time)
         results: list[Action] = [
-            _not_claimed(each, messages.Reason.CLAIMS_FULL)
+            _not_claimed(each, ledger_messages.KeyRefusalReason.CLAIMS_FULL)
             for each in in_time[len(fitting) :]
         ]
         bucket.writing = fitting
@@ -349,7 +360,7 @@
     return f"claims/{number:04x}"
 
 
-def home(
+def home_vm(
     customer: str,
     key: str,
     vms: typing.Iterable[str],
@@ -372,18 +383,22 @@
     return sum(row.size_bytes for row in rows.values())
 
 
-def _result(waiting: _PendingClaim, row: StoredClaim) -> messages.ClaimResult:
+def _result(
+    waiting: _PendingClaim, row: StoredClaim
+) -> ledger_messages.ClaimResult:
     claim = waiting.claim
     if row.digest != claim.digest:
-        return messages.ClaimConflict(claim.token)
+        return ledger_messages.ClaimConflict(claim.token)
     if row.nonce == claim.nonce:
-        return messages.Won(claim.token)
-    return messages.ClaimHeld(claim.token, row.owner)
+        return ledger_messages.ClaimWon(claim.token)
+    return ledger_messages.ClaimHeld(claim.token, row.owner)
 
 
-def _not_claimed(waiting: _PendingClaim, reason: messages.Reason) -> Tell:
-    return Tell(
-        messages.ClaimFailed(
+def _not_claimed(
+    waiting: _PendingClaim, reason: ledger_messages.KeyRefusalReason
+) -> DeliverResult:
+    return DeliverResult(
+        ledger_messages.ClaimFailed(
             waiting.claim.token, reason, waiting.maybe_written
         )
     )
@@ -407,7 +422,10 @@
 def _parse(value: dict[str, typing.Any]) -> dict[str, StoredClaim]:
     return {
         name: StoredClaim(
-            digest, messages.Owner(vm, incarnation), nonce, claimed_at
+            digest,
+            ledger_messages.VmIncarnation(vm, incarnation),
+            nonce,
+            claimed_at,
         )
         for name, (digest, vm, incarnation, nonce, claimed_at) in value.get(
             "claims", {}
--- a/src/apricotlever/requests/evacuation.py
+++ b/src/apricotlever/requests/evacuation.py
@@ -6,25 +6,27 @@
 
 from . import recovery
 
-LANES_PER_RUNNER = 4
+EXPORTS_PER_RUNNER = 4
 REPLAY_LEAD_S = 0.5
 OPTIMISTIC_EXPORT_SHARE = 0.6
 
 
-class Move:
+class StreamMove:
     """The decision about one of the streams."""
 
     __slots__ = ("request_id", "decision")
 
-    def __init__(self, request_id: str, decision: recovery.Decision) -> None:
+    def __init__(
+        self, request_id: str, decision: recovery.RecoveryDecision
+    ) -> None:
         self.request_id = request_id
         self.decision = decision
 
 
-def plan(
-    situations: typing.Iterable[recovery.Situation],
-    exports_per_runner: int = LANES_PER_RUNNER,
-) -> list[Move]:
+def plan_evacuation(
+    situations: typing.Iterable[recovery.AffectedStream],
+    exports_per_runner: int = EXPORTS_PER_RUNNER,
+) -> list[StreamMove]:
     """Decide about all streams on leaving runners; repeat while any wait.
 
     Streams are ordered by the number of tokens that a replay would compute
@@ -42,14 +44,16 @@
     if _slots_short(ordered):
         ordered.sort(key=lambda each: each.priority, reverse=True)
     capacity = _Capacity(ordered, exports_per_runner)
-    return [Move(each.request_id, capacity.decide(each)) for each in ordered]
+    return [
+        StreamMove(each.request_id, capacity.decide(each)) for each in ordered
+    ]
 
 
-def _recompute_cost(situation: recovery.Situation) -> tuple[int, str]:
-    return (situation.redo_tokens, situation.request_id)
+def _recompute_cost(situation: recovery.AffectedStream) -> tuple[int, str]:
+    return (situation.recomputed_tokens, situation.request_id)
 
 
-def _slots_short(situations: list[recovery.Situation]) -> bool:
+def _slots_short(situations: list[recovery.AffectedStream]) -> bool:
     free = {
         candidate.runner: max(0, candidate.free_slots)
         for situation in situations
@@ -59,7 +63,7 @@
 
 
 def _may_export_in_time(
-    situation: recovery.Situation, delay_s: float = 0
+    situation: recovery.AffectedStream, delay_s: float = 0
 ) -> bool:
     # The estimate of the export time is pessimistic. An interrupted export
     # costs the same as a replay, so an export that may succeed is tried.
@@ -73,7 +77,7 @@
     __slots__ = ("_free_slots", "_free_exports")
 
     def __init__(
-        self, ordered: list[recovery.Situation], exports_per_runner: int
+        self, ordered: list[recovery.AffectedStream], exports_per_runner: int
     ) -> None:
         known = itertools.chain.from_iterable(
             situation.candidates for situation in ordered
@@ -89,12 +93,14 @@
             for situation in ordered
         }
 
-    def decide(self, situation: recovery.Situation) -> recovery.Decision:
+    def decide(
+        self, situation: recovery.AffectedStream
+    ) -> recovery.RecoveryDecision:
         """Decide about the next stream, in the order of precedence."""
         if situation.deadline_s <= 0 or situation.moving_to:
-            return recovery.plan(situation)
+            return recovery.decide(situation)
         if recovery.ends_in_time(situation):
-            return recovery.CarryOn()
+            return recovery.KeepRunning()
         target = recovery.pick_target(self._current_candidates(situation))
         if target is None:
             return recovery.Wait(
@@ -105,11 +111,11 @@
         if situation.notice_s > REPLAY_LEAD_S:
             return recovery.Wait(recovery.RETRY_INTERVAL_S)
         self._free_slots[target.runner] -= 1
-        return recovery.Replay(target.runner, situation.sent)
+        return recovery.Replay(target.runner, situation.sent_tokens)
 
     def _export(
-        self, situation: recovery.Situation, target: recovery.Candidate
-    ) -> recovery.Decision:
+        self, situation: recovery.AffectedStream, target: recovery.Candidate
+    ) -> recovery.RecoveryDecision:
         runner = situation.runner
         full = target.free_slots <= 0
         can_wait = recovery.export_fits(
@@ -122,14 +128,14 @@
         return recovery.ExportTo(target.runner)
 
     def _current_candidates(
-        self, situation: recovery.Situation
+        self, situation: recovery.AffectedStream
     ) -> list[recovery.Candidate]:
         return [
             recovery.Candidate(
                 candidate.runner,
                 candidate.data_centre,
                 self._free_slots[candidate.runner],
-                candidate.doomed,
+                candidate.being_reclaimed,
             )
             for candidate in situation.candidates
         ]
--- a/src/apricotlever/requests/export_times.py
+++ b/src/apricotlever/requests/export_time_estimator.py
@@ -7,7 +7,7 @@
 DEVIATIONS = 2.0
 
 
-class ExportTimes:
+class ExportTimeEstimator:
     """Pessimistic estimate of move times, learned from past moves.
 
     Each measured time is divided by the time that a linear model predicts for
@@ -44,7 +44,7 @@
         self._ratio += RATIO_GAIN * error
         self._deviation += DEVIATION_GAIN * (abs(error) - self._deviation)
 
-    def failed(self) -> None:
+    def observe_timeout(self) -> None:
         """Raise the estimate after a move that timed out."""
         self._deviation += self._ratio
 
--- a/src/apricotlever/requests/handover.py
+++ b/src/apricotlever/requests/handover_parts.py
@@ -12,8 +12,8 @@
 import typing
 
 from . import errors
+from . import ledger_messages
 from . import ledger_state
-from . import messages
 from . import records
 
 PART_BYTES = 256_000
@@ -41,7 +41,7 @@
 
     __slots__ = (
         "sender",
-        "heir",
+        "successor",
         "kind",
         "sequence",
         "index",
@@ -51,8 +51,8 @@
 
     def __init__(
         self,
-        sender: messages.Owner,
-        successor: messages.Owner,
+        sender: ledger_messages.VmIncarnation,
+        successor: ledger_messages.VmIncarnation,
         kind: PartKind,
         sequence: int,
         index: int,
@@ -60,7 +60,7 @@
         payload: bytes,
     ) -> None:
         self.sender = sender
-        self.heir = successor
+        self.successor = successor
         self.kind = kind
         self.sequence = sequence
         self.index = index
@@ -73,8 +73,8 @@
     head = [
         part.sender.vm,
         part.sender.incarnation,
-        part.heir.vm,
-        part.heir.incarnation,
+        part.successor.vm,
+        part.successor.incarnation,
         part.kind.value,
         part.sequence,
         part.index,
@@ -95,8 +95,10 @@
         )
         sequence, index, count = map(int, numbers)
         return Part(
-            messages.Owner(str(vm), int(incarnation)),
-            messages.Owner(str(successor), int(successor_incarnation)),
+            ledger_messages.VmIncarnation(str(vm), int(incarnation)),
+            ledger_messages.VmIncarnation(
+                str(successor), int(successor_incarnation)
+            ),
             PartKind(kind),
             sequence,
             index,
@@ -119,8 +121,8 @@
 
 
 def group_records(
-    rows: typing.Sequence[records.Record], part_bytes: int = PART_BYTES
-) -> list[list[records.Record]]:
+    rows: typing.Sequence[records.RequestRecord], part_bytes: int = PART_BYTES
+) -> list[list[records.RequestRecord]]:
     """Group records so that the encoding of each group fills about one part.
 
     A record that is larger than a part gets a group of its own.
@@ -136,7 +138,7 @@
     return [[record for record, _ in pairs] for _, pairs in grouped]
 
 
-def encode_records(rows: typing.Iterable[records.Record]) -> bytes:
+def encode_records(rows: typing.Iterable[records.RequestRecord]) -> bytes:
     """Encode records as compact JSON."""
     document = [
         [
@@ -158,7 +160,7 @@
     return json.dumps(document, separators=(",", ":")).encode()
 
 
-def decode_records(data: bytes) -> list[records.Record]:
+def decode_records(data: bytes) -> list[records.RequestRecord]:
     """Decode the output of :func:`encode_records`.
 
     :raises HandoverInvalid: if the data is not a list of records.
@@ -172,7 +174,7 @@
 
 
 def _encode_outcome(
-    outcome: records.Outcome | None,
+    outcome: records.RequestOutcome | None,
 ) -> list[typing.Any] | None:
     if outcome is None:
         return None
@@ -180,25 +182,27 @@
     return [outcome.executed.value, outcome.error, answer]
 
 
-def _decode_outcome(row: typing.Any) -> records.Outcome | None:
+def _decode_outcome(row: typing.Any) -> records.RequestOutcome | None:
     if row is None:
         return None
     executed, error, answer = row
-    return records.Outcome(
-        messages.Executed(executed), error, ledger_state.decode_answer(answer)
+    return records.RequestOutcome(
+        ledger_messages.Executed(executed),
+        error,
+        ledger_state.decode_answer(answer),
     )
 
 
-def _decode_record(row: typing.Any) -> records.Record:
+def _decode_record(row: typing.Any) -> records.RequestRecord:
     request_id, customer, entry, path, body, chat, *rest = row
     tokens, attempt, runner, state, outcome, moved_to = rest
-    record = records.Record(
+    record = records.RequestRecord(
         request_id, customer, entry, path, base64.b64decode(body), chat, 0.0
     )
     record.tokens = list(tokens)
     record.attempt = attempt
     record.runner = runner
-    record.state = records.State(state)
+    record.state = records.RequestState(state)
     record.outcome = _decode_outcome(outcome)
     record.moved_to = moved_to
     return record
--- a/src/apricotlever/requests/intake.py
+++ b/src/apricotlever/requests/handover_receiver.py
@@ -3,9 +3,9 @@
 import typing
 
 from . import errors
-from . import handover
+from . import handover_parts
+from . import ledger_messages
 from . import ledger_state
-from . import messages
 from . import records
 
 ASSEMBLED_BYTES_MAX = 64_000_000
@@ -17,7 +17,9 @@
     __slots__ = ("sender", "records")
 
     def __init__(
-        self, sender: messages.Owner, adopted: list[records.Record]
+        self,
+        sender: ledger_messages.VmIncarnation,
+        adopted: list[records.RequestRecord],
     ) -> None:
         self.sender = sender
         self.records = adopted
@@ -37,7 +39,7 @@
 
     __slots__ = ("settled",)
 
-    def __init__(self, settled: list[ledger_state.Settled]) -> None:
+    def __init__(self, settled: list[ledger_state.SettledCall]) -> None:
         self.settled = settled
 
 
@@ -47,7 +49,7 @@
     __slots__ = ()
 
 
-class WrongHeir:
+class WrongSuccessor:
     """Action: refuse a part that is addressed to another incarnation.
 
     The sender must not mistake the refusal for an answer of the successor
@@ -58,11 +60,11 @@
 
 
 ReceiveResult: typing.TypeAlias = (
-    AdoptRecords | AdoptLedger | AdoptOutcomes | PartStored | WrongHeir
+    AdoptRecords | AdoptLedger | AdoptOutcomes | PartStored | WrongSuccessor
 )
 
 
-class Intake:
+class HandoverReceiver:
     """Assembles parts, which may arrive repeatedly and in any order.
 
     :param me: the incarnation of this VM, which takes over.
@@ -70,9 +72,11 @@
 
     __slots__ = ("_me", "_ledgers")
 
-    def __init__(self, me: messages.Owner) -> None:
+    def __init__(self, me: ledger_messages.VmIncarnation) -> None:
         self._me = me
-        self._ledgers: dict[messages.Owner, dict[int, bytes]] = {}
+        self._ledgers: dict[
+            ledger_messages.VmIncarnation, dict[int, bytes]
+        ] = {}
 
     def receive(self, data: bytes) -> ReceiveResult:
         """Process one encoded part.
@@ -81,25 +85,25 @@
         :raises HandoverInvalid: if the part can't be decoded, or the parts of
             the ledger exceed :data:`ASSEMBLED_BYTES_MAX`.
         """
-        part = handover.decode(data)
-        if part.heir != self._me:
-            return WrongHeir()
-        if part.kind is handover.PartKind.RECORDS:
-            rows = handover.decode_records(part.payload)
+        part = handover_parts.decode(data)
+        if part.successor != self._me:
+            return WrongSuccessor()
+        if part.kind is handover_parts.PartKind.RECORDS:
+            rows = handover_parts.decode_records(part.payload)
             return AdoptRecords(part.sender, rows)
-        if part.kind is handover.PartKind.OUTCOMES:
+        if part.kind is handover_parts.PartKind.OUTCOMES:
             return AdoptOutcomes(ledger_state.decode_settled(part.payload))
         return self._store_ledger_part(part)
 
-    def forget(self, sender: messages.Owner) -> None:
+    def discard_parts(self, sender: ledger_messages.VmIncarnation) -> None:
         """Drop the parts of a sender that has finished or is gone."""
         self._ledgers.pop(sender, None)
 
-    def _store_ledger_part(self, part: handover.Part) -> ReceiveResult:
+    def _store_ledger_part(self, part: handover_parts.Part) -> ReceiveResult:
         pieces = self._ledgers.setdefault(part.sender, {})
         pieces[part.index] = part.payload
         if sum(map(len, pieces.values())) > ASSEMBLED_BYTES_MAX:
-            self.forget(part.sender)
+            self.discard_parts(part.sender)
             raise errors.HandoverInvalid("the ledger exceeds the size limit")
         if len(pieces) < part.count:
             return PartStored()
--- a/src/apricotlever/requests/departure.py
+++ b/src/apricotlever/requests/handover_sender.py
@@ -11,9 +11,9 @@
 import typing
 
 from .. import clock as clocks
-from . import handover
+from . import handover_parts
+from . import ledger_messages
 from . import ledger_state
-from . import messages
 from . import records
 from ..vms import rendezvous
 
@@ -30,21 +30,23 @@
 
     __slots__ = ("owner", "data_centre")
 
-    def __init__(self, owner: messages.Owner, data_centre: str) -> None:
+    def __init__(
+        self, owner: ledger_messages.VmIncarnation, data_centre: str
+    ) -> None:
         self.owner = owner
         self.data_centre = data_centre
 
 
-class Send:
+class SendPart:
     """Action: send a part; report to :meth:`HandoverSender.on_receipt`."""
 
     __slots__ = ("part",)
 
-    def __init__(self, part: handover.Part) -> None:
+    def __init__(self, part: handover_parts.Part) -> None:
         self.part = part
 
 
-class TellMoved:
+class RedirectCallers:
     """Action: redirect the callers of these requests to another VM."""
 
     __slots__ = ("request_ids", "vm")
@@ -60,31 +62,31 @@
     The exported state goes to :meth:`HandoverSender.on_exported`.
     """
 
-    __slots__ = ("heir",)
+    __slots__ = ("successor",)
 
-    def __init__(self, successor: messages.Owner) -> None:
-        self.heir = successor
+    def __init__(self, successor: ledger_messages.VmIncarnation) -> None:
+        self.successor = successor
 
 
-class LedgerReceived:
+class DeliverReceipt:
     """Action: give the successor's receipt to the ledger's transfer."""
 
     __slots__ = ("receipt",)
 
-    def __init__(self, receipt: ledger_state.Receipt) -> None:
+    def __init__(self, receipt: ledger_state.LedgerReceipt) -> None:
         self.receipt = receipt
 
 
-class OutcomesReceived:
+class AcknowledgeOutcomes:
     """Action: tell the ledger's transfer that these outcomes arrived."""
 
     __slots__ = ("settled",)
 
-    def __init__(self, settled: list[ledger_state.Settled]) -> None:
+    def __init__(self, settled: list[ledger_state.SettledCall]) -> None:
         self.settled = settled
 
 
-class Finished:
+class HandoverFinished:
     """Action: the handover has ended.
 
     :param complete: False if no peer was available or the deadline passed.
@@ -97,12 +99,12 @@
 
 
 Action: typing.TypeAlias = (
-    Send
-    | TellMoved
+    SendPart
+    | RedirectCallers
     | ExportLedger
-    | LedgerReceived
-    | OutcomesReceived
-    | Finished
+    | DeliverReceipt
+    | AcknowledgeOutcomes
+    | HandoverFinished
 )
 
 
@@ -113,9 +115,9 @@
 
     def __init__(
         self,
-        part: handover.Part,
-        part_records: list[records.Record],
-        settled: list[ledger_state.Settled],
+        part: handover_parts.Part,
+        part_records: list[records.RequestRecord],
+        settled: list[ledger_state.SettledCall],
     ) -> None:
         self.part = part
         self.records = part_records
@@ -123,7 +125,7 @@
         self.sent_at: float | None = None
 
 
-class Departure:
+class HandoverSender:
     """The handover of one VM, from the first part to the last receipt.
 
     :param me: the incarnation of the leaving VM.
@@ -151,7 +153,7 @@
     def __init__(
         self,
         clock: clocks.Clock,
-        me: messages.Owner,
+        me: ledger_messages.VmIncarnation,
         data_centre: str,
         deadline: float,
     ) -> None:
@@ -159,31 +161,31 @@
         self._me = me
         self._data_centre = data_centre
         self._deadline = deadline
-        self._peers: dict[messages.Owner, Peer] = {}
-        self._ended_records: list[records.Record] = []
+        self._peers: dict[ledger_messages.VmIncarnation, Peer] = {}
+        self._ended_records: list[records.RequestRecord] = []
         self._queue: dict[int, _UnacknowledgedPart] = {}
         self._sequence = itertools.count()
         self._ledger_unsent = True
         self._exporting = False
         self._calls_in_flight = 0
-        self._successor: messages.Owner | None = None
+        self._successor: ledger_messages.VmIncarnation | None = None
         self._finished = False
 
     @property
-    def successor(self) -> messages.Owner | None:
+    def successor(self) -> ledger_messages.VmIncarnation | None:
         """The incarnation chosen to receive the ledger, or None."""
         return self._successor
 
     @property
-    def unreceived(self) -> int:
+    def unacknowledged_count(self) -> int:
         """Number of parts without a receipt."""
         return len(self._queue)
 
-    def begin(
+    def start(
         self,
         peers: list[Peer],
-        running: list[records.Record],
-        ended: list[records.Record],
+        running: list[records.RequestRecord],
+        ended: list[records.RequestRecord],
         in_flight: int = 0,
     ) -> list[Action]:
         """Start the handover.
@@ -199,16 +201,19 @@
         self._queue_records(running)
         return self._advance()
 
-    def exported(self, state: ledger_state.LedgerState) -> list[Action]:
+    def on_exported(self, state: ledger_state.LedgerState) -> list[Action]:
         """Queue the ledger exported for :class:`ExportLedger`."""
         self._exporting = False
-        if state.heir != self._successor or state.heir not in self._peers:
+        if (
+            state.successor != self._successor
+            or state.successor not in self._peers
+        ):
             return self._advance()
-        pieces = handover.split_payload(ledger_state.encode(state))
+        pieces = handover_parts.split_payload(ledger_state.encode(state))
         for index, piece in enumerate(pieces):
             self._enqueue(
-                state.heir,
-                handover.PartKind.LEDGER,
+                state.successor,
+                handover_parts.PartKind.LEDGER,
                 piece,
                 index=index,
                 count=len(pieces),
@@ -217,8 +222,8 @@
         self._queue_records(ended)
         return self._advance()
 
-    def outcomes(
-        self, settled: list[ledger_state.Settled], in_flight: int
+    def send_outcomes(
+        self, settled: list[ledger_state.SettledCall], in_flight: int
     ) -> list[Action]:
         """Queue the outcomes of calls that ended after the export.
 
@@ -230,34 +235,38 @@
         sending = any(each.settled for each in self._queue.values())
         if self._successor is not None and settled and not sending:
             payload = ledger_state.encode_settled(settled)
-            kind = handover.PartKind.OUTCOMES
+            kind = handover_parts.PartKind.OUTCOMES
             self._enqueue(self._successor, kind, payload, settled=settled)
         return self._advance()
 
-    def receipt(self, sequence: int) -> list[Action]:
+    def on_receipt(self, sequence: int) -> list[Action]:
         """Handle the receipt of a part by its peer."""
         outgoing = self._queue.pop(sequence, None)
         if outgoing is None:
             return []
         return self._actions_after_receipt(outgoing) + self._advance()
 
-    def refused(self, sequence: int) -> list[Action]:
+    def on_refusal(self, sequence: int) -> list[Action]:
         """Handle a part that the addressed incarnation itself refused."""
         outgoing = self._queue.get(sequence)
         if outgoing is None:
             return []
-        successor = outgoing.part.heir
-        refusal = ledger_state.Receipt(self._me, successor, accepted=False)
-        actions: list[Action] = [LedgerReceived(refusal)]
-        return actions + self.peer_gone(successor)
+        successor = outgoing.part.successor
+        refusal = ledger_state.LedgerReceipt(
+            self._me, successor, accepted=False
+        )
+        actions: list[Action] = [DeliverReceipt(refusal)]
+        return actions + self.on_peer_gone(successor)
 
-    def peer_gone(self, owner: messages.Owner) -> list[Action]:
+    def on_peer_gone(
+        self, owner: ledger_messages.VmIncarnation
+    ) -> list[Action]:
         """Send the parts of a peer that is gone to other peers."""
         self._peers.pop(owner, None)
         lost = [
             outgoing
             for outgoing in self._queue.values()
-            if outgoing.part.heir == owner
+            if outgoing.part.successor == owner
         ]
         for outgoing in lost:
             del self._queue[outgoing.part.sequence]
@@ -280,7 +289,7 @@
             return self._finish(complete=False)
         return self._advance()
 
-    def _queue_records(self, rows: list[records.Record]) -> None:
+    def _queue_records(self, rows: list[records.RequestRecord]) -> None:
         assignments = [
             (self._pick_successor(row.request_id), row) for row in rows
         ]
@@ -288,31 +297,36 @@
             assigned = [
                 row for successor, row in assignments if successor == owner
             ]
-            for part_records in handover.group_records(assigned):
-                payload = handover.encode_records(part_records)
+            for part_records in handover_parts.group_records(assigned):
+                payload = handover_parts.encode_records(part_records)
                 self._enqueue(
-                    owner, handover.PartKind.RECORDS, payload, part_records
+                    owner,
+                    handover_parts.PartKind.RECORDS,
+                    payload,
+                    part_records,
                 )
 
     def _enqueue(
         self,
-        successor: messages.Owner,
-        kind: handover.PartKind,
+        successor: ledger_messages.VmIncarnation,
+        kind: handover_parts.PartKind,
         payload: bytes,
-        part_records: list[records.Record] | None = None,
-        settled: list[ledger_state.Settled] | None = None,
+        part_records: list[records.RequestRecord] | None = None,
+        settled: list[ledger_state.SettledCall] | None = None,
         index: int = 0,
         count: int = 1,
     ) -> None:
         sequence = next(self._sequence)
-        part = handover.Part(
+        part = handover_parts.Part(
             self._me, successor, kind, sequence, index, count, payload
         )
         self._queue[sequence] = _UnacknowledgedPart(
             part, part_records or [], settled or []
         )
 
-    def _pick_successor(self, key: str) -> messages.Owner | None:
+    def _pick_successor(
+        self, key: str
+    ) -> ledger_messages.VmIncarnation | None:
         remote_peers = [
             peer
             for peer in self._peers.values()
@@ -327,21 +341,23 @@
         self, outgoing: _UnacknowledgedPart
     ) -> list[Action]:
         part = outgoing.part
-        if part.kind is handover.PartKind.LEDGER:
+        if part.kind is handover_parts.PartKind.LEDGER:
             missing = any(
-                each.part.kind is handover.PartKind.LEDGER
+                each.part.kind is handover_parts.PartKind.LEDGER
                 for each in self._queue.values()
             )
-            receipt = ledger_state.Receipt(self._me, part.heir, True)
-            return [] if missing else [LedgerReceived(receipt)]
-        if part.kind is handover.PartKind.OUTCOMES:
-            return [OutcomesReceived(outgoing.settled)]
+            receipt = ledger_state.LedgerReceipt(
+                self._me, part.successor, True
+            )
+            return [] if missing else [DeliverReceipt(receipt)]
+        if part.kind is handover_parts.PartKind.OUTCOMES:
+            return [AcknowledgeOutcomes(outgoing.settled)]
         running = tuple(
             record.request_id
             for record in outgoing.records
-            if record.state is records.State.RUNNING
+            if record.state is records.RequestState.RUNNING
         )
-        return [TellMoved(running, part.heir.vm)] if running else []
+        return [RedirectCallers(running, part.successor.vm)] if running else []
 
     def _advance(self) -> list[Action]:
         if self._finished:
@@ -372,7 +388,7 @@
         ]
         for outgoing in due:
             outgoing.sent_at = now
-        return [Send(outgoing.part) for outgoing in due]
+        return [SendPart(outgoing.part) for outgoing in due]
 
     def _export(self) -> list[Action]:
         self._ledger_unsent = False
@@ -384,4 +400,4 @@
 
     def _finish(self, complete: bool) -> list[Action]:
         done, self._finished = self._finished, True
-        return [] if done else [Finished(complete)]
+        return [] if done else [HandoverFinished(complete)]
