--- a/src/apricotlever/requests/inheritance.py
+++ b/src/apricotlever/requests/key_issuers.py
@@ -1,12 +1,12 @@
 """The VM incarnations whose minted keys a ledger decides on."""
 
 from .. import clock as clocks
-from . import entries
+from . import active_runs
+from . import known_incarnations
+from . import ledger_entries
+from . import ledger_messages
 from . import ledger_state
-from . import messages
-from . import owners
-from . import runs
-from . import succession
+from . import ledger_transfer
 
 
 class KeyIssuers:
@@ -31,11 +31,11 @@
     def __init__(
         self,
         clock: clocks.Clock,
-        limits: entries.LedgerLimits,
-        table: entries.EntryTable,
-        active_runs: runs.ActiveRuns,
-        incarnations: owners.KnownIncarnations,
-        own_issuer: entries.KeyIssuer,
+        limits: ledger_entries.LedgerLimits,
+        table: ledger_entries.EntryTable,
+        active_runs: active_runs.ActiveRuns,
+        incarnations: known_incarnations.KnownIncarnations,
+        own_issuer: ledger_entries.KeyIssuer,
     ) -> None:
         self._clock = clock
         self._limits = limits
@@ -44,17 +44,19 @@
         self._incarnations = incarnations
         self._me = own_issuer.owner
         self._issuers = {own_issuer.owner: own_issuer}
-        self._adopted: dict[messages.Owner, float] = {}
+        self._adopted: dict[ledger_messages.VmIncarnation, float] = {}
 
-    def __contains__(self, owner: messages.Owner) -> bool:
+    def __contains__(self, owner: ledger_messages.VmIncarnation) -> bool:
         return owner in self._issuers
 
-    def find(self, owner: messages.Owner) -> entries.KeyIssuer | None:
+    def find(
+        self, owner: ledger_messages.VmIncarnation
+    ) -> ledger_entries.KeyIssuer | None:
         """Return the issuer, or None if another ledger decides on its keys."""
         return self._issuers.get(owner)
 
     def export(
-        self, successor: messages.Owner, may_run: bool
+        self, successor: ledger_messages.VmIncarnation, may_run: bool
     ) -> ledger_state.LedgerState:
         """Export the ledger to a successor.
 
@@ -62,11 +64,11 @@
         """
         now = self._clock.now()
         issuers = [
-            succession.export_issuer(issuer, may_run, now)
+            ledger_transfer.export_issuer(issuer, may_run, now)
             for issuer in self._issuers.values()
         ]
         rows = [
-            succession.export_entry(entry, self._me, now)
+            ledger_transfer.export_entry(entry, self._me, now)
             for entry in self._table.all()
         ]
         return ledger_state.LedgerState(
@@ -75,18 +77,18 @@
 
     def adopt(
         self, state: ledger_state.LedgerState, frozen: bool
-    ) -> ledger_state.Receipt:
+    ) -> ledger_state.LedgerReceipt:
         """Adopt a ledger; a repeated copy changes nothing.
 
         :param frozen: whether this ledger is itself being handed over.
         """
         known = state.sender in self._adopted
-        accepted = known or (state.heir == self._me and not frozen)
+        accepted = known or (state.successor == self._me and not frozen)
         if accepted and not known:
             self._adopt(state)
-        return ledger_state.Receipt(state.sender, self._me, accepted)
+        return ledger_state.LedgerReceipt(state.sender, self._me, accepted)
 
-    def settle(self, settled: list[ledger_state.Settled]) -> list[int]:
+    def settle(self, settled: list[ledger_state.SettledCall]) -> list[int]:
         """Record the outcomes of calls that a leaving VM had in flight.
 
         :returns: the tokens of the runs that ended.
@@ -123,7 +125,7 @@
         now = self._clock.now()
         self._adopted[state.sender] = now
         taken = {
-            item.owner: succession.import_issuer(item, now)
+            item.owner: ledger_transfer.import_issuer(item, now)
             for item in state.issuers
             if item.owner not in self._issuers
         }
@@ -136,16 +138,16 @@
     def _adopt_entry(
         self,
         item: ledger_state.EntryState,
-        issuer: entries.KeyIssuer | None,
+        issuer: ledger_entries.KeyIssuer | None,
         may_run: bool,
     ) -> None:
         local = self._table.get(item.customer, item.key)
-        if not succession.replaces_local(item, local):
+        if not ledger_transfer.replaces_local(item, local):
             return
         if local is not None:
             self._runs.release(local)
         now = self._clock.now()
-        entry = succession.import_entry(item, issuer, may_run, now)
+        entry = ledger_transfer.import_entry(item, issuer, may_run, now)
         if not self._table.add(entry):
             self._table.forget(entry)
             return
@@ -154,4 +156,4 @@
         if item.answer is not None:
             self._table.keep_answer(entry, item.answer, now)
         if entry.running_on and self._incarnations.is_gone(entry.running_on):
-            self._runs.settle(entry, entries.RunState.UNKNOWN)
+            self._runs.settle(entry, ledger_entries.RunState.UNKNOWN)
--- a/src/apricotlever/requests/owners.py
+++ b/src/apricotlever/requests/known_incarnations.py
@@ -5,7 +5,7 @@
 """
 
 from .. import clock as clocks
-from . import messages
+from . import ledger_messages
 
 RETRY_AFTER_S = 1.0
 
@@ -23,33 +23,38 @@
         self._clock = clock
         self._retention_s = retention_s
         self._latest: dict[str, int] = {}
-        self._gone: dict[messages.Owner, float] = {}
+        self._gone: dict[ledger_messages.VmIncarnation, float] = {}
         self._successors: dict[
-            messages.Owner, tuple[messages.Owner, float]
+            ledger_messages.VmIncarnation,
+            tuple[ledger_messages.VmIncarnation, float],
         ] = {}
 
     def record_alive(self, vm: str, incarnation: int) -> None:
         """Record a live incarnation; all older ones of the VM are gone."""
         known = self._latest.get(vm, incarnation)
         self._latest[vm] = max(known, incarnation)
-        self._gone.pop(messages.Owner(vm, incarnation), None)
+        self._gone.pop(ledger_messages.VmIncarnation(vm, incarnation), None)
 
-    def record_gone(self, owner: messages.Owner) -> None:
+    def record_gone(self, owner: ledger_messages.VmIncarnation) -> None:
         """Record that an incarnation has left or crashed."""
         self._gone[owner] = self._clock.now()
 
     def record_transfer(
-        self, owner: messages.Owner, successor: messages.Owner
+        self,
+        owner: ledger_messages.VmIncarnation,
+        successor: ledger_messages.VmIncarnation,
     ) -> None:
         """Record which successor adopted the ledger of an incarnation."""
         self._successors[owner] = (successor, self._clock.now())
 
-    def is_gone(self, owner: messages.Owner) -> bool:
+    def is_gone(self, owner: ledger_messages.VmIncarnation) -> bool:
         """Return whether an incarnation has left, crashed or restarted."""
         latest = self._latest.get(owner.vm, owner.incarnation)
         return owner in self._gone or owner.incarnation < latest
 
-    def successor(self, owner: messages.Owner) -> messages.Owner | None:
+    def successor(
+        self, owner: ledger_messages.VmIncarnation
+    ) -> ledger_messages.VmIncarnation | None:
         """Return the last successor in the chain of handovers, or None."""
         seen = {owner}
         last = None
@@ -61,8 +66,11 @@
         return last
 
     def route(
-        self, owner: messages.Owner, me: messages.Owner, forwarded: bool
-    ) -> messages.Forward | messages.Refuse:
+        self,
+        owner: ledger_messages.VmIncarnation,
+        me: ledger_messages.VmIncarnation,
+        forwarded: bool,
+    ) -> ledger_messages.ForwardCall | ledger_messages.RefuseCall:
         """Decide where to send a call whose key belongs to another VM.
 
         :param owner: the incarnation that owns the key.
@@ -72,13 +80,14 @@
         successor = self.successor(owner)
         target = successor or owner
         if self.is_gone(target):
-            return messages.Refuse(
-                messages.Reason.OWNER_GONE, messages.Executed.UNKNOWN
+            return ledger_messages.RefuseCall(
+                ledger_messages.KeyRefusalReason.OWNER_GONE,
+                ledger_messages.Executed.UNKNOWN,
             )
         if target == me or (forwarded and successor is None):
             # Forwarding the call again could loop between VMs forever.
             return refuse_while_moving()
-        return messages.Forward(target.vm, target.incarnation)
+        return ledger_messages.ForwardCall(target.vm, target.incarnation)
 
     def expire(self) -> None:
         """Drop facts about incarnations whose keys have all expired."""
@@ -93,8 +102,10 @@
         }
 
 
-def refuse_while_moving() -> messages.Refuse:
+def refuse_while_moving() -> ledger_messages.RefuseCall:
     """Return the refusal for a key whose ledger is being handed over."""
-    return messages.Refuse(
-        messages.Reason.MOVING, messages.Executed.UNKNOWN, RETRY_AFTER_S
+    return ledger_messages.RefuseCall(
+        ledger_messages.KeyRefusalReason.MOVING,
+        ledger_messages.Executed.UNKNOWN,
+        RETRY_AFTER_S,
     )
--- a/src/apricotlever/requests/ledger.py
+++ b/src/apricotlever/requests/ledger.py
@@ -16,21 +16,21 @@
 import typing
 
 from .. import clock as clocks
-from . import entries
+from . import active_runs
 from . import errors
-from . import inheritance
-from . import keys
+from . import key_issuers
+from . import known_incarnations
+from . import ledger_entries
+from . import ledger_messages
 from . import ledger_state
-from . import messages
-from . import owners
-from . import runs
-from . import succession
+from . import ledger_transfer
+from . import minted_keys
 
 CLAIM_NONCE_BITS = 64
 
-_NO = messages.Executed.NO
-_UNKNOWN = messages.Executed.UNKNOWN
-_State = entries.RunState
+_NO = ledger_messages.Executed.NO
+_UNKNOWN = ledger_messages.Executed.UNKNOWN
+_State = ledger_entries.RunState
 
 
 class Ledger:
@@ -63,26 +63,26 @@
         rng: random.Random,
         vm: str,
         incarnation: int,
-        limits: entries.LedgerLimits | None = None,
+        limits: ledger_entries.LedgerLimits | None = None,
     ) -> None:
         self._clock = clock
         self._rng = rng
-        self._me = messages.Owner(vm, incarnation)
-        self._limits = limits or entries.LedgerLimits()
-        self._table = entries.EntryTable(self._limits)
-        self._incarnations = owners.KnownIncarnations(
+        self._me = ledger_messages.VmIncarnation(vm, incarnation)
+        self._limits = limits or ledger_entries.LedgerLimits()
+        self._table = ledger_entries.EntryTable(self._limits)
+        self._incarnations = known_incarnations.KnownIncarnations(
             clock, self._limits.caller_key_life_s
         )
         self._incarnations.record_alive(vm, incarnation)
-        self._own_issuer = entries.KeyIssuer(
-            self._me, keys.new_secret(rng), clock.now()
+        self._own_issuer = ledger_entries.KeyIssuer(
+            self._me, minted_keys.new_secret(rng), clock.now()
         )
         self._frozen = False
-        self._transfer = succession.Succession(self._me)
-        self._runs = runs.ActiveRuns(
+        self._transfer = ledger_transfer.LedgerTransfer(self._me)
+        self._runs = active_runs.ActiveRuns(
             clock, self._limits, self._table, self._transfer
         )
-        self._issuers = inheritance.KeyIssuers(
+        self._issuers = key_issuers.KeyIssuers(
             clock,
             self._limits,
             self._table,
@@ -92,7 +92,7 @@
         )
 
     @property
-    def me(self) -> messages.Owner:
+    def me(self) -> ledger_messages.VmIncarnation:
         """The VM incarnation that this ledger belongs to."""
         return self._me
 
@@ -102,12 +102,12 @@
         return self._frozen
 
     @property
-    def succession(self) -> succession.Succession:
+    def transfer(self) -> ledger_transfer.LedgerTransfer:
         """State of the transfer of this ledger to its successor."""
         return self._transfer
 
     @property
-    def in_flight(self) -> int:
+    def in_flight_count(self) -> int:
         """Number of keys with a run in flight."""
         return len(self._runs)
 
@@ -124,7 +124,7 @@
         if self._frozen:
             raise errors.LedgerFrozen(self._me.vm)
         minted_s = int(self._clock.now() - self._own_issuer.started)
-        return keys.mint(
+        return minted_keys.mint(
             self._me.vm,
             self._me.incarnation,
             minted_s,
@@ -140,7 +140,7 @@
         digest: str,
         first_send: bool = False,
         forwarded: bool = False,
-    ) -> messages.Decision:
+    ) -> ledger_messages.KeyDecision:
         """Decide how to handle a keyed call.
 
         :param digest: digest of the call's method, path and body.
@@ -153,13 +153,15 @@
         entry = self._table.get(customer, key)
         if entry is not None:
             return self._decide_known(entry, digest, first_send)
-        if keys.is_minted(key):
+        if minted_keys.is_minted(key):
             return self._decide_unseen_minted(key, customer, digest, forwarded)
         if forwarded:
             # The store names this ledger as the holder of the claim, but the
             # ledger has dropped the entry. The call may have run before.
-            return _refuse(messages.Reason.FORGOTTEN, _UNKNOWN)
-        entry = entries.Entry(
+            return _refuse(
+                ledger_messages.KeyRefusalReason.FORGOTTEN, _UNKNOWN
+            )
+        entry = ledger_entries.Entry(
             customer,
             key,
             digest,
@@ -171,7 +173,7 @@
         )
         return self._reserve(entry, first_send)
 
-    def sent(self, token: int) -> bool:
+    def start_sending(self, token: int) -> bool:
         """Mark a call as being sent, just before its first byte.
 
         :returns: False if the call must not be sent; the worker then calls
@@ -179,21 +181,23 @@
         """
         return self._runs.start_sending(token)
 
-    def finished(self, token: int, answer: messages.Answer) -> bool:
+    def record_answer(
+        self, token: int, answer: ledger_messages.Answer
+    ) -> bool:
         """Record the complete answer of a call that was sent.
 
         :returns: False if the token is no longer valid.
         """
         return self._runs.record_answer(token, answer)
 
-    def not_sent(self, token: int) -> bool:
+    def record_not_sent(self, token: int) -> bool:
         """Record that no byte of the call reached the upstream.
 
         :returns: False if the token is no longer valid.
         """
         return self._runs.record_not_sent(token)
 
-    def lost(self, token: int) -> bool:
+    def record_lost_answer(self, token: int) -> bool:
         """Record that the call may have run but no answer will arrive.
 
         :returns: False if the token is no longer valid.
@@ -201,7 +205,9 @@
         return self._runs.record_lost_answer(token)
 
     @functools.singledispatchmethod
-    def claimed(self, result: typing.Any) -> messages.Decision:
+    def on_claim_result(
+        self, result: typing.Any
+    ) -> ledger_messages.KeyDecision:
         """Continue a call after the attempt to claim its key.
 
         :param result: one of :data:`ledger_messages.ClaimResult`.
@@ -209,46 +215,52 @@
         """
         raise TypeError(type(result))
 
-    @claimed.register
-    def _continue_won(self, result: messages.Won) -> messages.Decision:
+    @on_claim_result.register
+    def _continue_won(
+        self, result: ledger_messages.ClaimWon
+    ) -> ledger_messages.KeyDecision:
         entry = self._runs.find_claiming(result.token)
         if entry is None:
-            return owners.refuse_while_moving()
+            return known_incarnations.refuse_while_moving()
         entry.claim_held = True
         entry.state = _State.CLAIMED
-        return messages.Run(entry.token)
+        return ledger_messages.RunCall(entry.token)
 
-    @claimed.register
-    def _continue_held(self, result: messages.ClaimHeld) -> messages.Decision:
+    @on_claim_result.register
+    def _continue_held(
+        self, result: ledger_messages.ClaimHeld
+    ) -> ledger_messages.KeyDecision:
         entry = self._runs.find_claiming(result.token)
         if entry is None:
-            return owners.refuse_while_moving()
+            return known_incarnations.refuse_while_moving()
         self._runs.discard(entry)
         if result.owner in self._issuers:
             # This ledger claimed the key before and has dropped the entry
             # since, so the call may have run.
-            return _refuse(messages.Reason.FORGOTTEN, _UNKNOWN)
+            return _refuse(
+                ledger_messages.KeyRefusalReason.FORGOTTEN, _UNKNOWN
+            )
         return self._incarnations.route(
             result.owner, self._me, forwarded=False
         )
 
-    @claimed.register
+    @on_claim_result.register
     def _refuse_conflicting(
-        self, result: messages.ClaimConflict
-    ) -> messages.Decision:
+        self, result: ledger_messages.ClaimConflict
+    ) -> ledger_messages.KeyDecision:
         entry = self._runs.find_claiming(result.token)
         if entry is None:
-            return owners.refuse_while_moving()
+            return known_incarnations.refuse_while_moving()
         self._runs.discard(entry)
-        return _refuse(messages.Reason.CONFLICT, _NO)
+        return _refuse(ledger_messages.KeyRefusalReason.CONFLICT, _NO)
 
-    @claimed.register
+    @on_claim_result.register
     def _refuse_unclaimed(
-        self, result: messages.ClaimFailed
-    ) -> messages.Decision:
+        self, result: ledger_messages.ClaimFailed
+    ) -> ledger_messages.KeyDecision:
         entry = self._runs.find_claiming(result.token)
         if entry is None:
-            return owners.refuse_while_moving()
+            return known_incarnations.refuse_while_moving()
         # Without the store, an earlier send of this key through another VM
         # can't be ruled out unless the caller guarantees a first send.
         executed = _NO if entry.first_send else _UNKNOWN
@@ -257,7 +269,9 @@
             self._runs.settle(entry, _State.NOT_RUN)
         else:
             self._runs.discard(entry)
-        return _refuse(result.reason, executed, owners.RETRY_AFTER_S)
+        return _refuse(
+            result.reason, executed, known_incarnations.RETRY_AFTER_S
+        )
 
     def tick(self) -> list[int]:
         """Expire old entries, facts about other VMs and overdue runs.
@@ -269,7 +283,7 @@
         self._issuers.expire()
         return self._runs.expire_overdue()
 
-    def alive(self, vm: str, incarnation: int) -> list[int]:
+    def on_incarnation_alive(self, vm: str, incarnation: int) -> list[int]:
         """Record a live incarnation of a VM; its older ones are gone.
 
         :returns: tokens of the runs that ended because of this.
@@ -277,16 +291,20 @@
         self._incarnations.record_alive(vm, incarnation)
         return self._runs.settle_orphaned(self._incarnations)
 
-    def gone(self, vm: str, incarnation: int) -> list[int]:
+    def on_incarnation_gone(self, vm: str, incarnation: int) -> list[int]:
         """Record that an incarnation has left or crashed.
 
         :returns: tokens of the runs that ended because of this.
         """
-        self._incarnations.record_gone(messages.Owner(vm, incarnation))
+        self._incarnations.record_gone(
+            ledger_messages.VmIncarnation(vm, incarnation)
+        )
         return self._runs.settle_orphaned(self._incarnations)
 
-    def handed_over(
-        self, owner: messages.Owner, successor: messages.Owner
+    def on_ledger_transferred(
+        self,
+        owner: ledger_messages.VmIncarnation,
+        successor: ledger_messages.VmIncarnation,
     ) -> None:
         """Record which incarnation adopted the ledger of another one."""
         self._incarnations.record_transfer(owner, successor)
@@ -295,7 +313,7 @@
         """Start no new runs; runs in flight continue."""
         self._frozen = True
 
-    def hand_over(self, vm: str, incarnation: int) -> ledger_state.LedgerState:
+    def export_to(self, vm: str, incarnation: int) -> ledger_state.LedgerState:
         """Freeze the ledger and export it to a successor; repeatable.
 
         Only the first successor may ever run the keys, because it may hold
@@ -305,18 +323,22 @@
         :param vm: the name of the successor.
         :param incarnation: the incarnation of the successor.
         """
-        successor = messages.Owner(vm, incarnation)
+        successor = ledger_messages.VmIncarnation(vm, incarnation)
         self.freeze()
         self._runs.release_unsent()
         return self._issuers.export(
             successor, self._transfer.record_export(successor)
         )
 
-    def adopt(self, state: ledger_state.LedgerState) -> ledger_state.Receipt:
+    def adopt(
+        self, state: ledger_state.LedgerState
+    ) -> ledger_state.LedgerReceipt:
         """Adopt the whole ledger of a leaving VM; idempotent."""
         return self._issuers.adopt(state, self._frozen)
 
-    def settle(self, settled: list[ledger_state.Settled]) -> list[int]:
+    def settle_remote_calls(
+        self, settled: list[ledger_state.SettledCall]
+    ) -> list[int]:
         """Record the outcomes of calls that a leaving VM had in flight.
 
         :returns: tokens of the runs that ended because of this.
@@ -325,19 +347,21 @@
 
     def _decide_unseen_minted(
         self, key: str, customer: str, digest: str, forwarded: bool
-    ) -> messages.Decision:
-        parsed = keys.parse(key)
+    ) -> ledger_messages.KeyDecision:
+        parsed = minted_keys.parse(key)
         if parsed is None:
-            return _refuse(messages.Reason.MALFORMED, _NO)
-        owner = messages.Owner(parsed.vm, parsed.incarnation)
+            return _refuse(ledger_messages.KeyRefusalReason.MALFORMED, _NO)
+        owner = ledger_messages.VmIncarnation(parsed.vm, parsed.incarnation)
         issuer = self._issuers.find(owner)
         if issuer is None:
             return self._incarnations.route(owner, self._me, forwarded)
-        if not keys.verify(parsed, customer, issuer.secret):
-            return _refuse(messages.Reason.NOT_YOURS, _NO)
+        if not minted_keys.verify(parsed, customer, issuer.secret):
+            return _refuse(ledger_messages.KeyRefusalReason.NOT_YOURS, _NO)
         if parsed.minted_s <= issuer.forgotten_until_s or not issuer.may_run:
-            return _refuse(messages.Reason.FORGOTTEN, _UNKNOWN)
-        entry = entries.Entry(
+            return _refuse(
+                ledger_messages.KeyRefusalReason.FORGOTTEN, _UNKNOWN
+            )
+        entry = ledger_entries.Entry(
             customer,
             key,
             digest,
@@ -349,48 +373,50 @@
         return self._reserve(entry)
 
     def _decide_known(
-        self, entry: entries.Entry, digest: str, first_send: bool
-    ) -> messages.Decision:
+        self, entry: ledger_entries.Entry, digest: str, first_send: bool
+    ) -> ledger_messages.KeyDecision:
         if entry.state is _State.CLAIMING:
-            return messages.Pending(entry.token)
+            return ledger_messages.WaitForRun(entry.token)
         if entry.digest != digest:
             # While it is unknown who holds the claim, another VM may be
             # running this very call under the key.
             executed = _UNKNOWN if entry.may_claim_again else _NO
-            return _refuse(messages.Reason.CONFLICT, executed)
+            return _refuse(ledger_messages.KeyRefusalReason.CONFLICT, executed)
         if entry.in_flight:
-            return messages.Pending(entry.token)
+            return ledger_messages.WaitForRun(entry.token)
         if entry.answer is not None:
-            return messages.Replay(entry.answer)
+            return ledger_messages.ReplayAnswer(entry.answer)
         if entry.state is _State.ANSWERED:
-            reason = messages.Reason.ANSWER_GONE
-            return _refuse(reason, messages.Executed.YES)
+            reason = ledger_messages.KeyRefusalReason.ANSWER_GONE
+            return _refuse(reason, ledger_messages.Executed.YES)
         if entry.state is _State.UNKNOWN:
-            return _refuse(messages.Reason.LOST, _UNKNOWN)
+            return _refuse(ledger_messages.KeyRefusalReason.LOST, _UNKNOWN)
         return self._reserve(entry, first_send)
 
     def _reserve(
-        self, entry: entries.Entry, first_send: bool = False
-    ) -> messages.Decision:
+        self, entry: ledger_entries.Entry, first_send: bool = False
+    ) -> ledger_messages.KeyDecision:
         owned = entry.claim_held or entry.issuer is not None
         if self._frozen:
             return self._forward_to_successor(owned or first_send)
         if entry.issuer is not None and self._is_expired(entry):
-            return _refuse(messages.Reason.EXPIRED, _NO)
+            return _refuse(ledger_messages.KeyRefusalReason.EXPIRED, _NO)
         known = self._table.get(entry.customer, entry.key) is entry
         if not known and not self._table.add(entry):
             executed = _NO if owned or first_send else _UNKNOWN
             return _refuse(
-                messages.Reason.FULL, executed, owners.RETRY_AFTER_S
+                ledger_messages.KeyRefusalReason.FULL,
+                executed,
+                known_incarnations.RETRY_AFTER_S,
             )
         entry.first_send = first_send
         entry.updated_at = self._clock.now()
         self._runs.activate(entry)
         if owned:
             entry.state = _State.CLAIMED
-            return messages.Run(entry.token)
+            return ledger_messages.RunCall(entry.token)
         entry.state = _State.CLAIMING
-        return messages.Claim(
+        return ledger_messages.ClaimKey(
             entry.token,
             entry.customer,
             entry.key,
@@ -399,27 +425,29 @@
             self._me,
         )
 
-    def _forward_to_successor(self, never_run: bool) -> messages.Decision:
-        successor = self._transfer.heir
+    def _forward_to_successor(
+        self, never_run: bool
+    ) -> ledger_messages.KeyDecision:
+        successor = self._transfer.successor
         if successor is None:
             executed = _NO if never_run else _UNKNOWN
-            reason = messages.Reason.LEAVING
-            return _refuse(reason, executed, owners.RETRY_AFTER_S)
+            reason = ledger_messages.KeyRefusalReason.LEAVING
+            return _refuse(reason, executed, known_incarnations.RETRY_AFTER_S)
         if self._incarnations.is_gone(successor):
             return self._incarnations.route(
                 successor, self._me, forwarded=True
             )
-        return messages.Forward(successor.vm, successor.incarnation)
+        return ledger_messages.ForwardCall(successor.vm, successor.incarnation)
 
-    def _is_expired(self, entry: entries.Entry) -> bool:
+    def _is_expired(self, entry: ledger_entries.Entry) -> bool:
         assert entry.issuer is not None
         minted_at = entry.issuer.started + entry.minted_s
         return self._clock.now() - minted_at > self._limits.minted_key_life_s
 
 
 def _refuse(
-    reason: messages.Reason,
-    executed: messages.Executed,
+    reason: ledger_messages.KeyRefusalReason,
+    executed: ledger_messages.Executed,
     retry_after_s: float | None = None,
-) -> messages.Refuse:
-    return messages.Refuse(reason, executed, retry_after_s)
+) -> ledger_messages.RefuseCall:
+    return ledger_messages.RefuseCall(reason, executed, retry_after_s)
--- a/src/apricotlever/requests/entries.py
+++ b/src/apricotlever/requests/ledger_entries.py
@@ -10,7 +10,7 @@
 import heapq
 import itertools
 
-from . import messages
+from . import ledger_messages
 
 
 class RunState(enum.StrEnum):
@@ -104,7 +104,7 @@
 
     def __init__(
         self,
-        owner: messages.Owner,
+        owner: ledger_messages.VmIncarnation,
         secret: bytes,
         started: float,
         forgotten_until_s: int = -1,
@@ -180,8 +180,8 @@
         self.maybe_claimed = maybe_claimed
         self.first_send = False
         self.token = 0
-        self.answer: messages.Answer | None = None
-        self.running_on: messages.Owner | None = None
+        self.answer: ledger_messages.Answer | None = None
+        self.running_on: ledger_messages.VmIncarnation | None = None
 
     @property
     def in_flight(self) -> bool:
@@ -267,7 +267,7 @@
         self.remove(entry)
 
     def keep_answer(
-        self, entry: Entry, answer: messages.Answer, now: float
+        self, entry: Entry, answer: ledger_messages.Answer, now: float
     ) -> None:
         """Keep an answer for replays, within the limits."""
         size = answer.size_bytes
--- a/src/apricotlever/requests/messages.py
+++ b/src/apricotlever/requests/ledger_messages.py
@@ -16,7 +16,7 @@
     UNKNOWN = "unknown"
 
 
-class Reason(enum.StrEnum):
+class KeyRefusalReason(enum.StrEnum):
     """The reason for refusing a keyed call."""
 
     MALFORMED = "key_malformed"
@@ -34,7 +34,7 @@
     CLAIMS_FULL = "claims_full"
 
 
-class Owner:
+class VmIncarnation:
     """One incarnation of an entry VM, such as the owner of a key.
 
     :param vm: the name of the VM.
@@ -50,7 +50,7 @@
 
     def __eq__(self, other: object) -> bool:
         return (
-            isinstance(other, Owner)
+            isinstance(other, VmIncarnation)
             and self.vm == other.vm
             and self.incarnation == other.incarnation
         )
@@ -85,7 +85,7 @@
         )
 
 
-class Run:
+class RunCall:
     """Decision: run the call and report its outcome under the token."""
 
     __slots__ = ("token",)
@@ -94,7 +94,7 @@
         self.token = token
 
 
-class Replay:
+class ReplayAnswer:
     """Decision: return the kept answer of the earlier run."""
 
     __slots__ = ("answer",)
@@ -103,7 +103,7 @@
         self.answer = answer
 
 
-class Pending:
+class WaitForRun:
     """Decision: a run of the key is in progress; retry when it ends.
 
     :param token: the token of that run.
@@ -115,7 +115,7 @@
         self.token = token
 
 
-class Forward:
+class ForwardCall:
     """Decision: forward the call to the only ledger that may handle it."""
 
     __slots__ = ("vm", "incarnation")
@@ -125,7 +125,7 @@
         self.incarnation = incarnation
 
 
-class Refuse:
+class RefuseCall:
     """Decision: refuse the call.
 
     :param executed: what is known about all calls made under this key.
@@ -137,7 +137,7 @@
 
     def __init__(
         self,
-        reason: Reason,
+        reason: KeyRefusalReason,
         executed: Executed,
         retry_after_s: float | None = None,
     ) -> None:
@@ -146,7 +146,7 @@
         self.retry_after_s = retry_after_s
 
 
-class Claim:
+class ClaimKey:
     """Decision: claim a key chosen by the caller, then report the result.
 
     :param token: identifies the run; the result carries the same token.
@@ -165,7 +165,7 @@
         key: str,
         digest: str,
         nonce: str,
-        owner: Owner,
+        owner: VmIncarnation,
     ) -> None:
         self.token = token
         self.customer = customer
@@ -175,7 +175,7 @@
         self.owner = owner
 
 
-class Won:
+class ClaimWon:
     """Result: the store holds this claim."""
 
     __slots__ = ("token",)
@@ -192,7 +192,7 @@
 
     __slots__ = ("token", "owner")
 
-    def __init__(self, token: int, owner: Owner) -> None:
+    def __init__(self, token: int, owner: VmIncarnation) -> None:
         self.token = token
         self.owner = owner
 
@@ -215,12 +215,16 @@
     __slots__ = ("token", "reason", "maybe_written")
 
     def __init__(
-        self, token: int, reason: Reason, maybe_written: bool
+        self, token: int, reason: KeyRefusalReason, maybe_written: bool
     ) -> None:
         self.token = token
         self.reason = reason
         self.maybe_written = maybe_written
 
 
-Decision: typing.TypeAlias = Run | Replay | Pending | Forward | Refuse | Claim
-ClaimResult: typing.TypeAlias = Won | ClaimHeld | ClaimConflict | ClaimFailed
+KeyDecision: typing.TypeAlias = (
+    RunCall | ReplayAnswer | WaitForRun | ForwardCall | RefuseCall | ClaimKey
+)
+ClaimResult: typing.TypeAlias = (
+    ClaimWon | ClaimHeld | ClaimConflict | ClaimFailed
+)
--- a/src/apricotlever/requests/ledger_state.py
+++ b/src/apricotlever/requests/ledger_state.py
@@ -4,9 +4,9 @@
 import json
 import typing
 
-from . import entries
 from . import errors
-from . import messages
+from . import ledger_entries
+from . import ledger_messages
 
 
 class KeyIssuerState:
@@ -32,7 +32,7 @@
 
     def __init__(
         self,
-        owner: messages.Owner,
+        owner: ledger_messages.VmIncarnation,
         secret: bytes,
         elapsed_s: float,
         forgotten_until_s: int,
@@ -78,15 +78,15 @@
         customer: str,
         key: str,
         digest: str,
-        state: entries.RunState,
+        state: ledger_entries.RunState,
         minted_s: int,
-        issuer: messages.Owner | None,
+        issuer: ledger_messages.VmIncarnation | None,
         age_s: float,
         nonce: str,
         claim_held: bool,
         maybe_claimed: bool,
-        running_on: messages.Owner | None,
-        answer: messages.Answer | None,
+        running_on: ledger_messages.VmIncarnation | None,
+        answer: ledger_messages.Answer | None,
     ) -> None:
         self.customer = customer
         self.key = key
@@ -110,24 +110,24 @@
     :param may_run: False if another successor may run the keys.
     """
 
-    __slots__ = ("sender", "heir", "may_run", "issuers", "entries")
+    __slots__ = ("sender", "successor", "may_run", "issuers", "entries")
 
     def __init__(
         self,
-        sender: messages.Owner,
-        successor: messages.Owner,
+        sender: ledger_messages.VmIncarnation,
+        successor: ledger_messages.VmIncarnation,
         may_run: bool,
         issuers: list[KeyIssuerState],
         entry_states: list[EntryState],
     ) -> None:
         self.sender = sender
-        self.heir = successor
+        self.successor = successor
         self.may_run = may_run
         self.issuers = issuers
         self.entries = entry_states
 
 
-class Receipt:
+class LedgerReceipt:
     """The successor's answer to a ledger that was sent to it.
 
     :param sender: the incarnation that exported the ledger.
@@ -136,17 +136,20 @@
         incarnation will never adopt it.
     """
 
-    __slots__ = ("sender", "heir", "accepted")
+    __slots__ = ("sender", "successor", "accepted")
 
     def __init__(
-        self, sender: messages.Owner, successor: messages.Owner, accepted: bool
+        self,
+        sender: ledger_messages.VmIncarnation,
+        successor: ledger_messages.VmIncarnation,
+        accepted: bool,
     ) -> None:
         self.sender = sender
-        self.heir = successor
+        self.successor = successor
         self.accepted = accepted
 
 
-class Settled:
+class SettledCall:
     """The outcome of a call that was in flight during the handover."""
 
     __slots__ = ("customer", "key", "state", "answer")
@@ -155,8 +158,8 @@
         self,
         customer: str,
         key: str,
-        state: entries.RunState,
-        answer: messages.Answer | None,
+        state: ledger_entries.RunState,
+        answer: ledger_messages.Answer | None,
     ) -> None:
         self.customer = customer
         self.key = key
@@ -168,7 +171,7 @@
     """Encode a ledger as compact JSON."""
     document = {
         "sender": _encode_owner(state.sender),
-        "heir": _encode_owner(state.heir),
+        "heir": _encode_owner(state.successor),
         "may_run": state.may_run,
         "origins": [
             [
@@ -222,7 +225,7 @@
         ) from error
 
 
-def encode_settled(settled: list[Settled]) -> bytes:
+def encode_settled(settled: list[SettledCall]) -> bytes:
     """Encode the outcomes of calls as compact JSON."""
     rows = [
         [item.customer, item.key, item.state.value, encode_answer(item.answer)]
@@ -231,15 +234,18 @@
     return json.dumps(rows, separators=(",", ":")).encode()
 
 
-def decode_settled(data: bytes) -> list[Settled]:
+def decode_settled(data: bytes) -> list[SettledCall]:
     """Decode the output of :func:`encode_settled`.
 
     :raises HandoverInvalid: if the data is not a list of outcomes.
     """
     try:
         return [
-            Settled(
-                customer, key, entries.RunState(state), decode_answer(answer)
+            SettledCall(
+                customer,
+                key,
+                ledger_entries.RunState(state),
+                decode_answer(answer),
             )
             for customer, key, state, answer in json.loads(data)
         ]
@@ -249,11 +255,15 @@
         ) from error
 
 
-def _encode_owner(owner: messages.Owner | None) -> list[typing.Any] | None:
+def _encode_owner(
+    owner: ledger_messages.VmIncarnation | None,
+) -> list[typing.Any] | None:
     return None if owner is None else [owner.vm, owner.incarnation]
 
 
-def encode_answer(answer: messages.Answer | None) -> list[typing.Any] | None:
+def encode_answer(
+    answer: ledger_messages.Answer | None,
+) -> list[typing.Any] | None:
     """Convert an answer to JSON values."""
     if answer is None:
         return None
@@ -264,18 +274,18 @@
     ]
 
 
-def _decode_owner(row: typing.Any) -> messages.Owner:
+def _decode_owner(row: typing.Any) -> ledger_messages.VmIncarnation:
     vm, incarnation = row
-    return messages.Owner(str(vm), int(incarnation))
+    return ledger_messages.VmIncarnation(str(vm), int(incarnation))
 
 
-def decode_answer(row: typing.Any) -> messages.Answer | None:
+def decode_answer(row: typing.Any) -> ledger_messages.Answer | None:
     """Convert the JSON values of :func:`encode_answer` to an answer."""
     if row is None:
         return None
     status, headers, body = row
     pairs = tuple((str(name), str(value)) for name, value in headers)
-    return messages.Answer(int(status), pairs, base64.b64decode(body))
+    return ledger_messages.Answer(int(status), pairs, base64.b64decode(body))
 
 
 def _decode_issuer(row: typing.Any) -> KeyIssuerState:
@@ -297,7 +307,7 @@
         customer,
         key,
         digest,
-        entries.RunState(state),
+        ledger_entries.RunState(state),
         minted_s,
         issuer and _decode_owner(issuer),
         age_s,
--- a/src/apricotlever/requests/succession.py
+++ b/src/apricotlever/requests/ledger_transfer.py
@@ -5,12 +5,12 @@
 that successor refuses the ledger.
 """
 
-from . import entries
+from . import ledger_entries
+from . import ledger_messages
 from . import ledger_state
-from . import messages
 
 
-class Succession:
+class LedgerTransfer:
     """The successor of a ledger, and the outcomes it has yet to receive.
 
     :param me: the incarnation whose ledger is transferred.
@@ -18,14 +18,16 @@
 
     __slots__ = ("_me", "_successor", "_confirmed", "_unacknowledged")
 
-    def __init__(self, me: messages.Owner) -> None:
+    def __init__(self, me: ledger_messages.VmIncarnation) -> None:
         self._me = me
-        self._successor: messages.Owner | None = None
+        self._successor: ledger_messages.VmIncarnation | None = None
         self._confirmed = False
-        self._unacknowledged: dict[tuple[str, str], ledger_state.Settled] = {}
+        self._unacknowledged: dict[
+            tuple[str, str], ledger_state.SettledCall
+        ] = {}
 
     @property
-    def heir(self) -> messages.Owner | None:
+    def successor(self) -> ledger_messages.VmIncarnation | None:
         """The incarnation that the ledger was first exported to, or None."""
         return self._successor
 
@@ -34,7 +36,7 @@
         """Whether the successor has confirmed that it holds the ledger."""
         return self._confirmed
 
-    def record_export(self, successor: messages.Owner) -> bool:
+    def record_export(self, successor: ledger_messages.VmIncarnation) -> bool:
         """Record an export of the ledger.
 
         :returns: whether this successor may run the keys.
@@ -43,9 +45,9 @@
             self._successor = successor
         return successor == self._successor
 
-    def receipt(self, receipt: ledger_state.Receipt) -> None:
+    def apply_receipt(self, receipt: ledger_state.LedgerReceipt) -> None:
         """Process a receipt; a refusal allows another successor."""
-        if receipt.sender != self._me or receipt.heir != self._successor:
+        if receipt.sender != self._me or receipt.successor != self._successor:
             return
         if receipt.accepted:
             self._confirmed = True
@@ -54,26 +56,28 @@
             # was sent to, so that VM never ran a key of it and never will.
             self._successor = None
 
-    def record_outcome(self, entry: entries.Entry) -> None:
+    def record_outcome(self, entry: ledger_entries.Entry) -> None:
         """Record an outcome, in case the call was exported in flight."""
         if self._successor is not None:
             name = (entry.customer, entry.key)
-            self._unacknowledged[name] = ledger_state.Settled(
+            self._unacknowledged[name] = ledger_state.SettledCall(
                 entry.customer, entry.key, entry.state, entry.answer
             )
 
-    def outcomes(self) -> list[ledger_state.Settled]:
+    def pending_outcomes(self) -> list[ledger_state.SettledCall]:
         """Return the outcomes to send; none before the successor's receipt."""
         return list(self._unacknowledged.values()) if self._confirmed else []
 
-    def received(self, sent: list[ledger_state.Settled]) -> None:
+    def acknowledge_outcomes(
+        self, sent: list[ledger_state.SettledCall]
+    ) -> None:
         """Remove outcomes that the successor has received."""
         for settled in sent:
             self._unacknowledged.pop((settled.customer, settled.key), None)
 
 
 def export_issuer(
-    issuer: entries.KeyIssuer, may_run: bool, now: float
+    issuer: ledger_entries.KeyIssuer, may_run: bool, now: float
 ) -> ledger_state.KeyIssuerState:
     """Convert an issuer to its exported form.
 
@@ -92,7 +96,7 @@
 
 
 def export_entry(
-    entry: entries.Entry, me: messages.Owner, now: float
+    entry: ledger_entries.Entry, me: ledger_messages.VmIncarnation, now: float
 ) -> ledger_state.EntryState:
     """Convert an entry to its exported form.
 
@@ -120,7 +124,7 @@
 
 def import_issuer(
     state: ledger_state.KeyIssuerState, now: float
-) -> entries.KeyIssuer:
+) -> ledger_entries.KeyIssuer:
     """Convert an exported issuer to times of this VM's clock.
 
     The time of the transfer is not counted, so the keys appear slightly
@@ -128,7 +132,7 @@
 
     :param now: monotonic time in seconds.
     """
-    return entries.KeyIssuer(
+    return ledger_entries.KeyIssuer(
         state.owner,
         state.secret,
         now - state.elapsed_s,
@@ -140,22 +144,26 @@
 
 def import_entry(
     state: ledger_state.EntryState,
-    issuer: entries.KeyIssuer | None,
+    issuer: ledger_entries.KeyIssuer | None,
     may_run: bool,
     now: float,
-) -> entries.Entry:
+) -> ledger_entries.Entry:
     """Convert an exported entry to times of this VM's clock.
 
     :param may_run: if False, a key that never ran becomes ``unknown``,
         because another successor may be running it.
     :param now: monotonic time in seconds.
     """
-    idle = state.state is entries.RunState.NOT_RUN
-    entry = entries.Entry(
+    idle = state.state is ledger_entries.RunState.NOT_RUN
+    entry = ledger_entries.Entry(
         state.customer,
         state.key,
         state.digest,
-        entries.RunState.UNKNOWN if idle and not may_run else state.state,
+        (
+            ledger_entries.RunState.UNKNOWN
+            if idle and not may_run
+            else state.state
+        ),
         state.minted_s,
         issuer,
         now - state.age_s,
@@ -168,7 +176,7 @@
 
 
 def replaces_local(
-    state: ledger_state.EntryState, local: entries.Entry | None
+    state: ledger_state.EntryState, local: ledger_entries.Entry | None
 ) -> bool:
     """Return whether an adopted entry replaces the ledger's own entry.
 
@@ -176,5 +184,7 @@
 
     :param local: the ledger's own entry of the same key, or None.
     """
-    decided = state.claim_held or state.state is not entries.RunState.NOT_RUN
+    decided = (
+        state.claim_held or state.state is not ledger_entries.RunState.NOT_RUN
+    )
     return local is None or (decided and local.may_claim_again)
--- a/src/apricotlever/requests/records.py
+++ b/src/apricotlever/requests/records.py
@@ -10,12 +10,12 @@
 import typing
 
 from .. import clock as clocks
-from . import messages
+from . import ledger_messages
 
 TOKEN_MEMORY_BYTES = 56
 
 
-class State(enum.StrEnum):
+class RequestState(enum.StrEnum):
     """The state of a request on this VM."""
 
     RUNNING = "running"
@@ -23,7 +23,7 @@
     MOVED = "moved"
 
 
-class Outcome:
+class RequestOutcome:
     """The outcome of an ended request.
 
     :param executed: whether the upstream ran the request.
@@ -35,9 +35,9 @@
 
     def __init__(
         self,
-        executed: messages.Executed,
+        executed: ledger_messages.Executed,
         error: str | None = None,
-        answer: messages.Answer | None = None,
+        answer: ledger_messages.Answer | None = None,
     ) -> None:
         self.executed = executed
         self.error = error
@@ -49,7 +49,7 @@
         return 0 if self.answer is None else self.answer.size_bytes
 
 
-class Record:
+class RequestRecord:
     """One request.
 
     The thread that relays the stream only appends to ``tokens`` and sets no
@@ -100,8 +100,8 @@
         self.tokens: list[str] = []
         self.attempt = 0
         self.runner = ""
-        self.state = State.RUNNING
-        self.outcome: Outcome | None = None
+        self.state = RequestState.RUNNING
+        self.outcome: RequestOutcome | None = None
         self.moved_to = ""
         self.updated_at = updated_at
 
@@ -112,7 +112,7 @@
         return len(self.body) + TOKEN_MEMORY_BYTES * len(self.tokens) + kept
 
 
-class NotFound:
+class ResumeNotFound:
     """Result: this customer has no such request.
 
     The result is the same whether or not another customer has the request.
@@ -132,7 +132,7 @@
     __slots__ = ("record", "first_index", "tokens")
 
     def __init__(
-        self, record: Record, first_index: int, tokens: tuple[str, ...]
+        self, record: RequestRecord, first_index: int, tokens: tuple[str, ...]
     ) -> None:
         self.record = record
         self.first_index = first_index
@@ -149,10 +149,10 @@
 
     def __init__(
         self,
-        record: Record,
+        record: RequestRecord,
         first_index: int,
         tokens: tuple[str, ...],
-        outcome: Outcome,
+        outcome: RequestOutcome,
     ) -> None:
         self.record = record
         self.first_index = first_index
@@ -160,7 +160,7 @@
         self.outcome = outcome
 
 
-class Moved:
+class ResumeMoved:
     """Result: the request was handed over to another entry VM."""
 
     __slots__ = ("vm",)
@@ -169,10 +169,12 @@
         self.vm = vm
 
 
-Resumed: typing.TypeAlias = NotFound | ResumeRunning | ResumeEnded | Moved
+ResumeResult: typing.TypeAlias = (
+    ResumeNotFound | ResumeRunning | ResumeEnded | ResumeMoved
+)
 
 
-class Records:
+class RequestRecords:
     """All request records of a VM, limited in number and memory.
 
     Running requests are never dropped; :meth:`open` refuses new ones instead.
@@ -208,20 +210,20 @@
         self._ended_max = ended
         self._ended_bytes_max = ended_bytes
         self._keep_s = keep_s
-        self._running: dict[str, Record] = {}
-        self._ended: collections.OrderedDict[str, tuple[Record, int]] = (
-            collections.OrderedDict()
-        )
+        self._running: dict[str, RequestRecord] = {}
+        self._ended: collections.OrderedDict[
+            str, tuple[RequestRecord, int]
+        ] = collections.OrderedDict()
         self._running_bytes = 0
         self._ended_bytes = 0
 
     @property
-    def running(self) -> list[Record]:
+    def running(self) -> list[RequestRecord]:
         """The running requests, oldest first."""
         return list(self._running.values())
 
     @property
-    def ended(self) -> list[Record]:
+    def ended(self) -> list[RequestRecord]:
         """The requests that ended or were handed over, oldest first."""
         return [record for record, _ in self._ended.values()]
 
@@ -238,18 +240,18 @@
         path: str,
         body: bytes,
         chat: bool,
-    ) -> Record | None:
+    ) -> RequestRecord | None:
         """Create the record of a new request.
 
         :returns: None if the bodies of the running requests would exceed
             their limit.
         """
-        record = Record(
+        record = RequestRecord(
             request_id, customer, entry, path, body, chat, self._clock.now()
         )
         return record if self._store_running(record) else None
 
-    def get(self, request_id: str) -> Record | None:
+    def get(self, request_id: str) -> RequestRecord | None:
         """Return a record of any customer, or None; for internal use only."""
         running = self._running.get(request_id)
         if running is not None:
@@ -257,7 +259,7 @@
         kept = self._ended.get(request_id)
         return kept and kept[0]
 
-    def attempt(self, request_id: str, runner: str) -> int:
+    def record_attempt(self, request_id: str, runner: str) -> int:
         """Record that the request was given to a runner.
 
         :returns: the number of the attempt, starting at 1.
@@ -268,24 +270,24 @@
         record.attempt += 1
         return record.attempt
 
-    def end(self, request_id: str, outcome: Outcome) -> None:
+    def end(self, request_id: str, outcome: RequestOutcome) -> None:
         """Record the outcome of a running request; a second one is ignored."""
         record = self._remove_running(request_id)
         if record is not None:
-            record.state = State.ENDED
+            record.state = RequestState.ENDED
             record.outcome = outcome
             self._store_ended(record)
 
-    def moved(self, request_id: str, vm: str) -> None:
+    def record_move(self, request_id: str, vm: str) -> None:
         """Record that another VM has confirmed taking over the request."""
         record = self._remove_running(request_id)
         if record is not None:
-            record.state = State.MOVED
+            record.state = RequestState.MOVED
             record.moved_to = vm
             record.body, record.tokens = b"", []
             self._store_ended(record)
 
-    def adopt(self, record: Record) -> bool:
+    def adopt(self, record: RequestRecord) -> bool:
         """Add the record of another VM; a known request is left unchanged.
 
         :returns: False if the bodies of the running requests would exceed
@@ -294,12 +296,12 @@
         if self.get(record.request_id) is not None:
             return True
         record.updated_at = self._clock.now()
-        if record.state is State.RUNNING:
+        if record.state is RequestState.RUNNING:
             return self._store_running(record)
         self._store_ended(record)
         return True
 
-    def on_runner(self, runner: str) -> list[Record]:
+    def on_runner(self, runner: str) -> list[RequestRecord]:
         """Return the running requests that were last given to a runner."""
         return [
             record
@@ -309,7 +311,7 @@
 
     def resume(
         self, request_id: str, customer: str, last_event_id: int | None
-    ) -> Resumed:
+    ) -> ResumeResult:
         """Find what a reconnecting caller has to be sent.
 
         :param last_event_id: index of the last token that the caller
@@ -317,9 +319,9 @@
         """
         record = self.get(request_id)
         if record is None or record.customer != customer:
-            return NotFound()
-        if record.state is State.MOVED:
-            return Moved(record.moved_to)
+            return ResumeNotFound()
+        if record.state is RequestState.MOVED:
+            return ResumeMoved(record.moved_to)
         first = 0 if last_event_id is None else max(0, last_event_id + 1)
         tokens = tuple(record.tokens[first:])
         if record.outcome is None:
@@ -335,7 +337,7 @@
                 break
             self._drop_oldest()
 
-    def _store_running(self, record: Record) -> bool:
+    def _store_running(self, record: RequestRecord) -> bool:
         size = len(record.body)
         if self._running_bytes + size > self._running_max:
             return False
@@ -343,13 +345,13 @@
         self._running_bytes += size
         return True
 
-    def _remove_running(self, request_id: str) -> Record | None:
+    def _remove_running(self, request_id: str) -> RequestRecord | None:
         record = self._running.pop(request_id, None)
         if record is not None:
             self._running_bytes -= len(record.body)
         return record
 
-    def _store_ended(self, record: Record) -> None:
+    def _store_ended(self, record: RequestRecord) -> None:
         record.updated_at = self._clock.now()
         size = record.size_bytes
         self._ended[record.request_id] = (record, size)
--- a/src/apricotlever/requests/recovery.py
+++ b/src/apricotlever/requests/recovery.py
@@ -8,7 +8,7 @@
 import enum
 import typing
 
-from . import messages
+from . import ledger_messages
 
 RETRY_INTERVAL_S = 0.2
 SAFETY_FACTOR = 1.25
@@ -16,7 +16,7 @@
 RECONNECTS_MAX = 1
 
 
-class Cause(enum.Enum):
+class RecoveryCause(enum.Enum):
     """Why a stream needs a decision."""
 
     #: The runner's VM will be reclaimed; the stream is still running.
@@ -35,22 +35,22 @@
     :param being_reclaimed: whether its data centre is being reclaimed.
     """
 
-    __slots__ = ("runner", "data_centre", "free_slots", "doomed")
+    __slots__ = ("runner", "data_centre", "free_slots", "being_reclaimed")
 
     def __init__(
         self,
         runner: str,
         data_centre: str,
         free_slots: int,
-        doomed: bool = False,
+        being_reclaimed: bool = False,
     ) -> None:
         self.runner = runner
         self.data_centre = data_centre
         self.free_slots = free_slots
-        self.doomed = doomed
+        self.being_reclaimed = being_reclaimed
 
 
-class Situation:
+class AffectedStream:
     """A stream whose runner leaves or fails. Times are in seconds.
 
     :param priority: priority of the stream's class; higher goes first.
@@ -76,14 +76,14 @@
         "runner",
         "priority",
         "prompt_tokens",
-        "sent",
-        "left_s",
+        "sent_tokens",
+        "remaining_s",
         "notice_s",
         "export_s",
         "deadline_s",
         "failures",
         "failures_max",
-        "same_runner",
+        "reconnects",
         "moving_to",
         "candidates",
     )
@@ -91,18 +91,18 @@
     def __init__(
         self,
         request_id: str,
-        cause: Cause,
+        cause: RecoveryCause,
         runner: str,
         priority: int,
         prompt_tokens: int,
-        sent: typing.Sequence[str],
-        left_s: float,
+        sent_tokens: typing.Sequence[str],
+        remaining_s: float,
         notice_s: float,
         export_s: float,
         deadline_s: float,
         failures: int = 0,
         failures_max: int = 3,
-        same_runner: int = 0,
+        reconnects: int = 0,
         moving_to: str = "",
         candidates: typing.Sequence[Candidate] = (),
     ) -> None:
@@ -111,21 +111,21 @@
         self.runner = runner
         self.priority = priority
         self.prompt_tokens = prompt_tokens
-        self.sent = sent
-        self.left_s = left_s
+        self.sent_tokens = sent_tokens
+        self.remaining_s = remaining_s
         self.notice_s = notice_s
         self.export_s = export_s
         self.deadline_s = deadline_s
         self.failures = failures
         self.failures_max = failures_max
-        self.same_runner = same_runner
+        self.reconnects = reconnects
         self.moving_to = moving_to
         self.candidates = candidates
 
     @property
-    def redo_tokens(self) -> int:
+    def recomputed_tokens(self) -> int:
         """Number of tokens that a replay would compute again."""
-        return self.prompt_tokens + len(self.sent)
+        return self.prompt_tokens + len(self.sent_tokens)
 
 
 class ExportTo:
@@ -149,7 +149,7 @@
         self.resume_tokens = resume_tokens
 
 
-class ResumeSame:
+class Reconnect:
     """Reconnect to the runner and continue reading the same stream.
 
     :param first_index: index of the first token to read.
@@ -162,7 +162,7 @@
         self.first_index = first_index
 
 
-class CarryOn:
+class KeepRunning:
     """Leave the stream alone: it ends in time or is being moved."""
 
     __slots__ = ()
@@ -190,35 +190,35 @@
     __slots__ = ("executed", "retry_after_s")
 
     def __init__(
-        self, executed: messages.Executed, retry_after_s: float
+        self, executed: ledger_messages.Executed, retry_after_s: float
     ) -> None:
         self.executed = executed
         self.retry_after_s = retry_after_s
 
 
-Decision: typing.TypeAlias = (
-    ExportTo | Replay | ResumeSame | CarryOn | Wait | GiveUp
+RecoveryDecision: typing.TypeAlias = (
+    ExportTo | Replay | Reconnect | KeepRunning | Wait | GiveUp
 )
 
 
-def plan(situation: Situation) -> Decision:
+def decide(situation: AffectedStream) -> RecoveryDecision:
     """Decide how to continue a single stream."""
     if situation.deadline_s <= 0:
         return _give_up(situation)
-    if situation.cause is Cause.NOTICE:
+    if situation.cause is RecoveryCause.NOTICE:
         return _decide_on_notice(situation)
     if situation.failures >= situation.failures_max:
         return _give_up(situation)
     if (
-        situation.cause is Cause.BROKEN
-        and situation.same_runner < RECONNECTS_MAX
+        situation.cause is RecoveryCause.BROKEN
+        and situation.reconnects < RECONNECTS_MAX
         and situation.notice_s > RETRY_INTERVAL_S
     ):
-        return ResumeSame(situation.runner, len(situation.sent))
+        return Reconnect(situation.runner, len(situation.sent_tokens))
     target = pick_target(situation.candidates)
     if target is None:
         return Wait(min(RETRY_INTERVAL_S, situation.deadline_s))
-    return Replay(target.runner, situation.sent)
+    return Replay(target.runner, situation.sent_tokens)
 
 
 def pick_target(candidates: typing.Sequence[Candidate]) -> Candidate | None:
@@ -234,7 +234,7 @@
         candidates,
         key=lambda candidate: (
             candidate.free_slots > 0,
-            not candidate.doomed,
+            not candidate.being_reclaimed,
             candidate.free_slots,
             candidate.runner,
         ),
@@ -242,12 +242,12 @@
     )
 
 
-def ends_in_time(situation: Situation) -> bool:
+def ends_in_time(situation: AffectedStream) -> bool:
     """Return whether the stream ends well before the reclaim."""
-    return situation.left_s * SAFETY_FACTOR < situation.notice_s
+    return situation.remaining_s * SAFETY_FACTOR < situation.notice_s
 
 
-def export_fits(situation: Situation, delay_s: float = 0.0) -> bool:
+def export_fits(situation: AffectedStream, delay_s: float = 0.0) -> bool:
     """Return whether an export ends well before reclaim and deadline.
 
     :param delay_s: seconds until the export can start.
@@ -256,20 +256,24 @@
     return needed < min(situation.notice_s, situation.deadline_s)
 
 
-def _decide_on_notice(situation: Situation) -> Decision:
+def _decide_on_notice(situation: AffectedStream) -> RecoveryDecision:
     # A notice can arrive twice. Moving a stream that is being moved already
     # would make two runners work on it.
     if situation.moving_to or ends_in_time(situation):
-        return CarryOn()
+        return KeepRunning()
     target = pick_target(situation.candidates)
     if target is None:
         return Wait(min(RETRY_INTERVAL_S, situation.deadline_s))
     if export_fits(situation):
         return ExportTo(target.runner)
-    return Replay(target.runner, situation.sent)
+    return Replay(target.runner, situation.sent_tokens)
 
 
-def _give_up(situation: Situation) -> GiveUp:
-    started = bool(situation.sent)
-    executed = messages.Executed.YES if started else messages.Executed.UNKNOWN
+def _give_up(situation: AffectedStream) -> GiveUp:
+    started = bool(situation.sent_tokens)
+    executed = (
+        ledger_messages.Executed.YES
+        if started
+        else ledger_messages.Executed.UNKNOWN
+    )
     return GiveUp(executed, RETRY_AFTER_S)
--- a/src/apricotlever/requests/stream.py
+++ b/src/apricotlever/requests/stream_cursor.py
@@ -62,7 +62,7 @@
         self._gaps += 1
         return GAP
 
-    def begin(self, attempt: int) -> int:
+    def start_attempt(self, attempt: int) -> int:
         """Accept only the tokens of a newer attempt from now on.
 
         :returns: the index of the first token that the attempt has to supply.
--- a/src/apricotlever/runners/keeping.py
+++ b/src/apricotlever/runners/assignment.py
@@ -13,7 +13,7 @@
 from . import subset
 
 
-class Keeping:
+class RunnerAssignment:
     """The runners that are assigned to one VM.
 
     :param vm: this VM's name.
@@ -42,7 +42,7 @@
         for pool_subset in self._subsets.values():
             pool_subset.set_vms(self._named_entry_vms())
 
-    def rank_here(self, key: str) -> int:
+    def local_rank(self, key: str) -> int:
         """This VM's rank among the entry VMs of its data centre, from 0.
 
         :param key: the task that the first few VMs perform.
@@ -51,7 +51,7 @@
         ranked = rendezvous.rank(key, {*here, self._vm})
         return ranked.index(self._vm)
 
-    def rank(self, runner: models.Runner) -> int:
+    def load_reader_rank(self, runner: models.Runner) -> int:
         """This VM's rank among the VMs that may read a runner's load.
 
         If the runner's data centre has entry VMs, only these may read the
@@ -65,7 +65,7 @@
         ranked = rendezvous.rank(f"keeper/{runner.name}", {*local, self._vm})
         return ranked.index(self._vm)
 
-    def choose(
+    def select_runners(
         self, listed: typing.Iterable[models.Runner]
     ) -> tuple[models.Runner, ...]:
         """The runners that this VM sends to; all runners of a small pool."""
--- a/src/apricotlever/runners/totals.py
+++ b/src/apricotlever/runners/call_totals.py
@@ -24,7 +24,7 @@
     return (failed, calls) if calls > MAX_NEW_PROCESS_CALLS else (0, 0)
 
 
-class Totals:
+class CallTotals:
     """Failed and total calls at each runner, summed over processes."""
 
     __slots__ = ("_last_counts", "_sums")
@@ -39,7 +39,7 @@
         """Failed and total calls by runner."""
         return self._sums
 
-    def heard(
+    def add_process_counts(
         self,
         process: str,
         counts: typing.Mapping[str, typing.Sequence[int]],
--- a/src/apricotlever/runners/candidates.py
+++ b/src/apricotlever/runners/candidates.py
@@ -3,10 +3,10 @@
 import random
 
 from .. import clock as clocks
-from . import health
+from . import circuit_breaker
+from . import latency_model as latency_model
 from . import load
 from . import model as models
-from . import pace as latency_model
 
 SECONDS_PER_HOUR = 3600.0
 #: How long the estimates for a runner are reused if nothing changes, in
@@ -66,7 +66,7 @@
         self.name = runner.name
         self.name_bytes = runner.name.encode()
         self.load = load.RunnerLoad(clock, runner.slots, peers)
-        self.circuit = health.CircuitBreaker(clock, rng, warm)
+        self.circuit = circuit_breaker.CircuitBreaker(clock, rng, warm)
         self.latency = latency
         self.leaving = False
         #: Prompt tokens of this VM's requests that await a first token.
--- a/src/apricotlever/runners/culprits.py
+++ b/src/apricotlever/runners/crash_blocklist.py
@@ -36,9 +36,9 @@
 CrashEntry = tuple[str, str, float, bool, list[str]]
 #: The crash part of a record: crashes, fingerprints of suspects that were
 #: answered, and the seconds left for each blocked fingerprint.
-Told = tuple[list[CrashEntry], list[str], dict[str, float]]
+CrashRecord = tuple[list[CrashEntry], list[str], dict[str, float]]
 #: Checks that a value received from a peer has that shape.
-is_told = shapes.is_row(
+is_crash_record = shapes.is_row(
     shapes.is_list(
         shapes.is_row(
             shapes.is_text,
@@ -79,12 +79,12 @@
 
     __slots__ = ("until", "report")
 
-    def __init__(self, until: float, report: crashes.CrashSeen) -> None:
+    def __init__(self, until: float, report: crashes.CrashObservation) -> None:
         self.until = until
         self.report = report
 
 
-class Culprits:
+class CrashBlocklist:
     """Crashes seen by this VM and its peers, and the calls they block.
 
     :param vm: this VM's name.
@@ -122,24 +122,26 @@
 
         While this is False, callers need not compute fingerprints.
         """
-        return bool(self._quarantine.log.deaths or self._blocked_until)
+        return bool(self._quarantine.log.crashes or self._blocked_until)
 
     def set_sizes(self, sizes: typing.Mapping[str, int]) -> None:
         """Set the number of runners in each data centre."""
         self._quarantine.set_sizes(sizes)
 
-    def broke(self, runner: str, fingerprint: str) -> None:
+    def connection_broken(self, runner: str, fingerprint: str) -> None:
         """Record that a call's connection broke before the answer ended."""
         now = self._clock.now()
         calls = self._broken_calls.setdefault(runner, [])
         calls.append(_BrokenCall(now, fingerprint))
         crash = self._recent_crashes.get(runner)
-        if crash is not None and now - crash.at < crashes.SAME_DEATH_S:
+        if crash is not None and now - crash.at < crashes.SAME_CRASH_WINDOW_S:
             # The connections of a crashed runner break one after the other,
             # so this call is added to the suspects of the same crash.
-            self.died(runner, crash.data_centre, crash.noticed)
+            self.runner_crashed(runner, crash.data_centre, crash.noticed)
 
-    def died(self, runner: str, data_centre: str, noticed: bool) -> int:
+    def runner_crashed(
+        self, runner: str, data_centre: str, noticed: bool
+    ) -> int:
         """Record that a runner refuses connections or is no longer listed.
 
         :param noticed: whether the runner had announced its end.
@@ -160,15 +162,17 @@
             # All suspects of the crash go into one report, however late
             # their connections broke.
             names |= {
-                suspect.fingerprint for suspect in pending.report.charges
+                suspect.fingerprint for suspect in pending.report.suspects
             }
-        report = crashes.CrashSeen(
+        report = crashes.CrashObservation(
             self._vm,
             runner,
             data_centre,
             now - recent_calls[-1].at,
             noticed,
-            tuple(crashes.Charge(name, "", 1) for name in sorted(names)),
+            tuple(
+                crashes.SuspectRequest(name, "", 1) for name in sorted(names)
+            ),
         )
         self._quarantine.receive(report)
         self._pending_reports[runner] = _PendingReport(
@@ -189,8 +193,8 @@
         """Seconds until a blocked call may be retried; None if it may run."""
         now = self._clock.now()
         until = self._blocked_until.get(fingerprint, now)
-        status = self._quarantine.standing(fingerprint)
-        if status.state is quarantine.State.QUARANTINED or (
+        status = self._quarantine.status(fingerprint)
+        if status.state is quarantine.FingerprintState.QUARANTINED or (
             # After two crashes the call waits until it is known whether
             # they have another explanation.
             status.retry_after_s
@@ -220,7 +224,7 @@
         self._recent_crashes = {
             runner: crash
             for runner, crash in self._recent_crashes.items()
-            if now - crash.at < crashes.SAME_DEATH_S
+            if now - crash.at < crashes.SAME_CRASH_WINDOW_S
         }
         self._broken_calls = {
             runner: kept
@@ -230,7 +234,7 @@
             )
         }
 
-    def told(self, whole: bool) -> Told | None:
+    def next_record(self, whole: bool) -> CrashRecord | None:
         """Build the crash part of the next record.
 
         :param whole: whether to include blocked calls, from which a VM that
@@ -248,7 +252,7 @@
                 pending.report.noticed,
                 [
                     c.fingerprint
-                    for c in pending.report.charges[:MAX_SUSPECTS_PER_CRASH]
+                    for c in pending.report.suspects[:MAX_SUSPECTS_PER_CRASH]
                 ],
             )
             for pending in list(self._pending_reports.values())[
@@ -260,13 +264,15 @@
             return None
         return crash_entries, list(self._cleared_at), blocked
 
-    def heard(self, vm: str, record: Told) -> None:
+    def merge_record(self, vm: str, record: CrashRecord) -> None:
         """Merge a peer's record; merging a duplicate has no effect."""
         crash_entries, completed, blocked = record
         for runner, data_centre, age_s, noticed, names in crash_entries:
-            suspects = tuple(crashes.Charge(name, "", 1) for name in names)
+            suspects = tuple(
+                crashes.SuspectRequest(name, "", 1) for name in names
+            )
             self._quarantine.receive(
-                crashes.CrashSeen(
+                crashes.CrashObservation(
                     vm, runner, data_centre, age_s, noticed, suspects
                 )
             )
@@ -281,7 +287,7 @@
     def _blocked_for_record(self) -> dict[str, float]:
         crash_counts = collections.Counter(
             name
-            for crash in self._quarantine.log.deaths
+            for crash in self._quarantine.log.crashes
             for name in crash.suspects
         )
         quarantined = {
@@ -290,16 +296,16 @@
             # Most fingerprints are involved in one crash only. Evaluating
             # the status of a fingerprint scans every crash in the log.
             if count >= crashes.CRASHES_TO_QUARANTINE
-            and self._quarantine.standing(name).state
-            is quarantine.State.QUARANTINED
+            and self._quarantine.status(name).state
+            is quarantine.FingerprintState.QUARANTINED
             and (wait_s := self.retry_after_s(name)) is not None
         }
         return dict(list(quarantined.items())[:MAX_BLOCKED_PER_RECORD])
 
     def _is_suspect(self, fingerprint: str) -> bool:
-        status = self._quarantine.standing(fingerprint)
-        return status.state is not quarantine.State.CLEAR
+        status = self._quarantine.status(fingerprint)
+        return status.state is not quarantine.FingerprintState.CLEAR
 
     def _clear(self, fingerprint: str) -> None:
-        self._quarantine.receive(crashes.Survived(fingerprint, 0.0))
+        self._quarantine.receive(crashes.RequestCompleted(fingerprint, 0.0))
         self._blocked_until.pop(fingerprint, None)
--- a/src/apricotlever/runners/crashes.py
+++ b/src/apricotlever/runners/crashes.py
@@ -11,7 +11,7 @@
 from .. import clock as clocks
 
 #: Reports about one runner within this time describe the same crash.
-SAME_DEATH_S = 3.0
+SAME_CRASH_WINDOW_S = 3.0
 #: Crashes within this time of each other may have a common cause.
 CORRELATION_WINDOW_S = 10.0
 #: A crash is explained by a common cause when at least this many other
@@ -29,7 +29,7 @@
 MAX_SUSPECTS = 1024
 
 
-class Charge:
+class SuspectRequest:
     """A request that was in flight at a runner when the runner crashed.
 
     :param on_trial: whether the judge had sent the suspect there as a trial.
@@ -50,13 +50,13 @@
         self.on_trial = on_trial
 
 
-class CrashSeen:
+class CrashObservation:
     """The report of an entry VM that observed a runner crash.
 
     :param age_s: seconds since the crash; an age needs no clock
         synchronisation between VMs.
     :param noticed: whether a termination notice had announced the end.
-    :param charges: the VM's own requests in flight there. A crash without
+    :param suspects: the VM's own requests in flight there. A crash without
         any is reported too, as it may show that another crash had a common
         cause with it.
     """
@@ -67,7 +67,7 @@
         "data_centre",
         "age_s",
         "noticed",
-        "charges",
+        "suspects",
     )
 
     def __init__(
@@ -77,17 +77,17 @@
         data_centre: str,
         age_s: float,
         noticed: bool,
-        charges: tuple[Charge, ...],
+        suspects: tuple[SuspectRequest, ...],
     ) -> None:
         self.vm = vm
         self.runner = runner
         self.data_centre = data_centre
         self.age_s = age_s
         self.noticed = noticed
-        self.charges = charges
+        self.suspects = suspects
 
 
-class Survived:
+class RequestCompleted:
     """Reports that a request with this fingerprint was answered in full."""
 
     __slots__ = ("fingerprint", "age_s")
@@ -142,7 +142,7 @@
         self._completed_at: dict[str, float] = {}
 
     @property
-    def deaths(self) -> tuple[RunnerCrash, ...]:
+    def crashes(self) -> tuple[RunnerCrash, ...]:
         """The crashes that are still kept."""
         return tuple(self._crashes)
 
@@ -154,7 +154,7 @@
         """
         self._runner_counts = dict(sizes)
 
-    def add(self, report: CrashSeen) -> None:
+    def add(self, report: CrashObservation) -> None:
         """Merge a report; merging a duplicate has no effect."""
         at = self._clock.now() - report.age_s
         if report.age_s > QUARANTINE_S:
@@ -164,12 +164,12 @@
             crash = RunnerCrash(report.runner, report.data_centre, at)
             self._crashes.append(crash)
         crash.noticed = crash.noticed or report.noticed
-        for suspect in report.charges[:MAX_SUSPECTS]:
+        for suspect in report.suspects[:MAX_SUSPECTS]:
             self._add_suspect(crash, suspect)
         if len(self._crashes) > MAX_CRASHES:
             self._remove_crash(self._crashes[0])
 
-    def request_completed(self, report: Survived) -> None:
+    def request_completed(self, report: RequestCompleted) -> None:
         """Clear a request of all crashes before its complete answer."""
         fingerprint = report.fingerprint
         if fingerprint not in self._by_fingerprint:
@@ -216,21 +216,21 @@
             crash for crash in unexplained if crash.at >= now - SUSPICION_S
         ]
 
-    def reports(self, vm: str) -> list[CrashSeen]:
+    def reports(self, vm: str) -> list[CrashObservation]:
         """The whole log as reports, for a VM that has just started.
 
         :param vm: the name of the reporting VM.
         """
         now = self._clock.now()
         return [
-            CrashSeen(
+            CrashObservation(
                 vm,
                 crash.runner,
                 crash.data_centre,
                 now - crash.at,
                 crash.noticed,
                 tuple(
-                    Charge(name, "", 0, on_trial)
+                    SuspectRequest(name, "", 0, on_trial)
                     for name, on_trial in crash.suspects.items()
                     if crash.at > self._completed_at.get(name, float("-inf"))
                 ),
@@ -272,11 +272,14 @@
         matching = (
             crash
             for crash in self._crashes
-            if crash.runner == runner and abs(crash.at - at) <= SAME_DEATH_S
+            if crash.runner == runner
+            and abs(crash.at - at) <= SAME_CRASH_WINDOW_S
         )
         return next(matching, None)
 
-    def _add_suspect(self, crash: RunnerCrash, suspect: Charge) -> None:
+    def _add_suspect(
+        self, crash: RunnerCrash, suspect: SuspectRequest
+    ) -> None:
         fingerprint = suspect.fingerprint
         if fingerprint not in crash.suspects:
             implicated = self._by_fingerprint.setdefault(fingerprint, [])
@@ -294,4 +297,4 @@
                 self._completed_at.pop(fingerprint, None)
 
 
-Report = typing.Union[CrashSeen, Survived]
+Report = typing.Union[CrashObservation, RequestCompleted]
--- a/src/apricotlever/runners/urgency.py
+++ b/src/apricotlever/runners/engine_priority.py
@@ -15,7 +15,7 @@
 SHORT_PROMPT_TOKENS = 2000
 
 
-def place(
+def queue_level(
     customer_priority: int | None, route_priority: int, prompt_tokens: int
 ) -> int:
     """The priority level of a call; level 0 is served first.
--- a/src/apricotlever/runners/model.py
+++ b/src/apricotlever/runners/model.py
@@ -68,7 +68,7 @@
     :param priority: 0 to 9; higher priorities are served first.
     :param excluded: runners that must not be chosen.
     :param shared_blocks: number of leading blocks that other requests share.
-    :param copies: whether a runner may copy cached blocks from another one.
+    :param can_copy: whether a runner may copy cached blocks from another one.
     :param wanted_first_token_s: the target of the service class for the time
         to the first token, in seconds.
     """
@@ -84,7 +84,7 @@
         "excluded",
         "wanted_first_token_s",
         "shared_blocks",
-        "copies",
+        "can_copy",
     )
 
     def __init__(
@@ -99,7 +99,7 @@
         excluded: frozenset[str] = frozenset(),
         wanted_first_token_s: float = 1.0,
         shared_blocks: int = 0,
-        copies: bool = False,
+        can_copy: bool = False,
     ) -> None:
         self.entry = entry
         self.pool = pool
@@ -111,7 +111,7 @@
         self.excluded = excluded
         self.wanted_first_token_s = wanted_first_token_s
         self.shared_blocks = shared_blocks
-        self.copies = copies
+        self.can_copy = can_copy
 
 
 class Route:
--- a/src/apricotlever/runners/outliers.py
+++ b/src/apricotlever/runners/outlier_detector.py
@@ -15,7 +15,7 @@
 
 from .. import clock as clocks
 
-from . import totals
+from . import call_totals
 
 #: The time over which calls are counted, in seconds.
 WINDOW_S = 4.0
@@ -45,7 +45,7 @@
 #: after they were received.
 AGGREGATE_TTL_S = 2.0
 
-Counts = totals.Counts
+Counts = call_totals.Counts
 
 
 class _CallWindow:
@@ -61,7 +61,7 @@
         """Add a sample of a process's totals."""
         samples = self.samples.setdefault(process, collections.deque())
         if not samples:
-            samples.append((now, *totals.baseline_counts(failed, calls)))
+            samples.append((now, *call_totals.baseline_counts(failed, calls)))
         if calls < samples[-1][2]:
             # The process has restarted and counts from 0.
             samples.clear()
@@ -132,7 +132,7 @@
         return {name: getattr(self, name) for name in self.__slots__}
 
 
-class Outliers:
+class OutlierDetector:
     """Detects outliers from the call counts of all VMs.
 
     :param process: the name of this VM's process.
@@ -157,25 +157,25 @@
         self._aggregate_until = float("-inf")
 
     @property
-    def own(self) -> Counts:
+    def own_counts(self) -> Counts:
         """This VM's failed and total calls since its start, by runner."""
         return self._own
 
     @property
-    def left_out(self) -> frozenset[str]:
+    def ejected(self) -> frozenset[str]:
         """Ejected runners, which get no calls while others can take them."""
         now = self._clock.now()
         return frozenset(
             r for r, ejected in self._ejections.items() if now < ejected.until
         )
 
-    def ended(self, runner: str, failed: bool) -> None:
+    def call_ended(self, runner: str, failed: bool) -> None:
         """Count a call of this VM that has ended."""
         before = self._own.get(runner, (0, 0))
         self._own[runner] = (before[0] + failed, before[1] + 1)
         self._record(self._process, runner, self._own[runner])
 
-    def heard(
+    def add_peer_counts(
         self,
         process: str,
         counts: typing.Mapping[str, typing.Any],
@@ -192,7 +192,7 @@
         for runner, reported in counts.items():
             self._record(process, runner, tuple(reported))
 
-    def judge(
+    def detect(
         self, services: typing.Iterable[typing.Sequence[str]]
     ) -> list[Ejection]:
         """Eject runners that fail more than the others of their service.
@@ -245,7 +245,7 @@
         previous = self._ejections.get(runner)
         if previous is not None and now < previous.until:
             return 0.0
-        ejected = sum(r in self.left_out for r in runners)
+        ejected = sum(r in self.ejected for r in runners)
         if ejected + 1 > max(1.0, MAX_EJECTED_SHARE * len(runners)):
             return 0.0
         duration_s = INITIAL_EJECTION_S
--- a/src/apricotlever/runners/policies.py
+++ b/src/apricotlever/runners/policies.py
@@ -72,7 +72,7 @@
     return register
 
 
-def names() -> tuple[str, ...]:
+def policy_names() -> tuple[str, ...]:
     """The names of the registered policies in alphabetical order."""
     return tuple(sorted(_FACTORIES))
 
--- a/src/apricotlever/runners/prefix.py
+++ b/src/apricotlever/runners/prefix.py
@@ -37,7 +37,7 @@
     )
 
 
-def blocks_of(model: str, text: str) -> tuple[int, ...]:
+def block_hashes(model: str, text: str) -> tuple[int, ...]:
     """The hash chain of the full blocks of a prompt.
 
     :param model: the seed of the chain, so that models do not share hashes.
@@ -53,7 +53,7 @@
     return tuple(chain)
 
 
-def blocks_of_parts(
+def part_block_hashes(
     parts: typing.Iterable[tuple[str, int]],
     before: tuple[int, ...] = (),
 ) -> tuple[int, ...]:
@@ -72,7 +72,7 @@
     return tuple(chain)
 
 
-def tokens_of(text: str) -> int:
+def count_tokens(text: str) -> int:
     """The estimated number of prompt tokens of a text."""
     return -(-len(text.encode()) // BYTES_PER_TOKEN)
 
@@ -162,7 +162,7 @@
             claims.capacity = min(blocks, self._blocks_per_runner)
             self._shrink(claims)
 
-    def routed(self, runner: str, blocks: tuple[int, ...]) -> None:
+    def claim(self, runner: str, blocks: tuple[int, ...]) -> None:
         """Claim the blocks of a prompt that was sent to a runner."""
         claims = self._claims.get(runner)
         if claims is not None:
--- a/src/apricotlever/runners/quarantine.py
+++ b/src/apricotlever/runners/quarantine.py
@@ -33,7 +33,7 @@
 IGNORED_FIELDS = frozenset({"stream", "stream_options", "user", "metadata"})
 
 
-class State(enum.Enum):
+class FingerprintState(enum.Enum):
     """Whether a fingerprint is suspected of causing crashes."""
 
     CLEAR = "clear"
@@ -51,12 +51,14 @@
 
     __slots__ = ("state", "retry_after_s")
 
-    def __init__(self, state: State, retry_after_s: float = 0.0) -> None:
+    def __init__(
+        self, state: FingerprintState, retry_after_s: float = 0.0
+    ) -> None:
         self.state = state
         self.retry_after_s = retry_after_s
 
 
-class Place:
+class TrialCandidate:
     """A runner that could run a trial."""
 
     __slots__ = ("runner", "data_centre")
@@ -66,26 +68,26 @@
         self.data_centre = data_centre
 
 
-class MayRun:
+class TrialRequest:
     """Asks the judge for permission to run a suspect.
 
-    :param places: the runners that the asking VM would use, the best first.
+    :param candidates: the runners that the asking VM would use, best first.
     """
 
-    __slots__ = ("fingerprint", "request_id", "places")
+    __slots__ = ("fingerprint", "request_id", "candidates")
 
     def __init__(
         self,
         fingerprint: str,
         request_id: str,
-        places: tuple[Place, ...],
+        candidates: tuple[TrialCandidate, ...],
     ) -> None:
         self.fingerprint = fingerprint
         self.request_id = request_id
-        self.places = places
+        self.candidates = candidates
 
 
-class TrialOver:
+class TrialEnded:
     """Tells the judge that a trial no longer occupies its runner.
 
     It is sent when the request has ended, whatever the outcome.
@@ -98,13 +100,13 @@
         self.request_id = request_id
 
 
-class RunFreely:
+class RunNormally:
     """The judge's answer when the fingerprint is no longer suspect."""
 
     __slots__ = ()
 
 
-class RunAt:
+class RunAsTrial:
     """The judge's answer that grants a trial at one runner."""
 
     __slots__ = ("runner",)
@@ -113,7 +115,7 @@
         self.runner = runner
 
 
-class Hold:
+class RetryLater:
     """The judge's answer when no trial can be granted yet.
 
     :param retry_after_s: seconds after which to ask again.
@@ -125,7 +127,7 @@
         self.retry_after_s = retry_after_s
 
 
-class RefuseRun:
+class RejectRequest:
     """The judge's answer when the fingerprint is quarantined.
 
     :param retry_after_s: seconds until the quarantine ends.
@@ -138,7 +140,9 @@
 
 
 #: The judge's answer to a request for a trial.
-Decision = typing.Union[RunFreely, RunAt, Hold, RefuseRun]
+TrialDecision = typing.Union[
+    RunNormally, RunAsTrial, RetryLater, RejectRequest
+]
 
 
 class _Trial:
@@ -178,50 +182,53 @@
 
     def receive(self, report: crashes.Report) -> None:
         """Merge a report from this VM or a peer."""
-        if isinstance(report, crashes.CrashSeen):
+        if isinstance(report, crashes.CrashObservation):
             self._log.add(report)
         else:
             self._log.request_completed(report)
 
-    def standing(self, fingerprint: str) -> FingerprintStatus:
+    def status(self, fingerprint: str) -> FingerprintStatus:
         """The current state of a fingerprint, as known to this VM."""
         implicating = self._log.crashes_implicating(fingerprint)
         if not implicating:
-            return FingerprintStatus(State.CLEAR)
+            return FingerprintStatus(FingerprintState.CLEAR)
         age_s = self._clock.now() - max(crash.at for crash in implicating)
         if len(implicating) < crashes.CRASHES_TO_QUARANTINE:
-            return FingerprintStatus(State.SUSPECT)
+            return FingerprintStatus(FingerprintState.SUSPECT)
         if age_s < CRASH_SETTLE_S:
-            return FingerprintStatus(State.SUSPECT, CRASH_SETTLE_S - age_s)
+            return FingerprintStatus(
+                FingerprintState.SUSPECT, CRASH_SETTLE_S - age_s
+            )
         return FingerprintStatus(
-            State.QUARANTINED, max(1.0, crashes.QUARANTINE_S - age_s)
+            FingerprintState.QUARANTINED,
+            max(1.0, crashes.QUARANTINE_S - age_s),
         )
 
-    def judge(self, request: MayRun) -> Decision:
+    def decide(self, request: TrialRequest) -> TrialDecision:
         """Decide as the judge of a pool whether a suspect may run."""
-        status = self.standing(request.fingerprint)
-        if status.state is State.QUARANTINED:
-            return RefuseRun(status.retry_after_s)
-        if status.state is State.CLEAR:
-            return RunFreely()
+        status = self.status(request.fingerprint)
+        if status.state is FingerprintState.QUARANTINED:
+            return RejectRequest(status.retry_after_s)
+        if status.state is FingerprintState.CLEAR:
+            return RunNormally()
         if status.retry_after_s:
-            return Hold(status.retry_after_s)
+            return RetryLater(status.retry_after_s)
         since_s = self._seconds_since_crash(request.fingerprint)
         if since_s < CRASH_PROPAGATION_S:
-            return Hold(CRASH_PROPAGATION_S - since_s)
+            return RetryLater(CRASH_PROPAGATION_S - since_s)
         self._expire_trials()
         running = self._trials.get(request.fingerprint)
         if running is not None and running.request_id != request.request_id:
-            return Hold(TRIAL_RETRY_S)
+            return RetryLater(TRIAL_RETRY_S)
         candidate = self._free_runner(request)
         if candidate is None:
-            return Hold(TRIAL_RETRY_S)
+            return RetryLater(TRIAL_RETRY_S)
         self._trials[request.fingerprint] = _Trial(
             request.request_id, candidate, self._clock.now() + TRIAL_TIMEOUT_S
         )
-        return RunAt(candidate)
+        return RunAsTrial(candidate)
 
-    def trial_over(self, report: TrialOver) -> None:
+    def end_trial(self, report: TrialEnded) -> None:
         """Free the runner of a trial; late and duplicate reports are safe."""
         trial = self._trials.get(report.fingerprint)
         if trial is not None and trial.request_id == report.request_id:
@@ -237,7 +244,7 @@
         implicating = self._log.crashes_implicating(fingerprint)
         return self._clock.now() - max(crash.at for crash in implicating)
 
-    def _free_runner(self, request: MayRun) -> str | None:
+    def _free_runner(self, request: TrialRequest) -> str | None:
         """The best runner without a trial, in a data centre without crashes.
 
         More runners may crash in a data centre where one has just crashed,
@@ -256,7 +263,7 @@
         recently_crashed = self._log.recent_crash_data_centres(CRASH_SETTLE_S)
         free = [
             candidate
-            for candidate in request.places
+            for candidate in request.candidates
             if candidate.runner not in busy_runners
             and candidate.data_centre not in recently_crashed
         ]
--- a/src/apricotlever/runners/routing.py
+++ b/src/apricotlever/runners/routing.py
@@ -6,9 +6,9 @@
 from .. import clock as clocks
 from . import candidates as candidates_
 from . import in_flight
+from . import latency_model as latency_model
 from . import load
 from . import model as models
-from . import pace as latency_model
 from . import policies
 from . import prefix
 
@@ -137,7 +137,7 @@
         """Apply a runner's cache events."""
         self._index.observe(name, answer)
 
-    def leaving(self, name: str, deadline: float | None = None) -> None:
+    def mark_leaving(self, name: str, deadline: float | None = None) -> None:
         """Stop sending new requests to a runner.
 
         :param deadline: the time at which the runner will end, by this VM's
@@ -150,27 +150,27 @@
         candidate.leaving = True
         self._group_by_pool()
 
-    def gone(self, name: str) -> None:
+    def remove_runner(self, name: str) -> None:
         """Remove a runner that has ended."""
         self._suppress_runner(name)
         self._remove(name)
         self._group_by_pool()
 
-    def succeeded(self, name: str) -> None:
+    def record_success(self, name: str) -> None:
         """Record a successful poll of the runner's load by this VM."""
         candidate = self._candidates.get(name)
         if candidate is not None:
             candidate.circuit.succeeded()
             candidate.invalidate()
 
-    def failed(self, name: str) -> None:
+    def record_failure(self, name: str) -> None:
         """Record a failed probe of the runner or connection to it."""
         candidate = self._candidates.get(name)
         if candidate is not None:
             candidate.circuit.failed()
             candidate.invalidate()
 
-    def crashed(self, name: str) -> None:
+    def runner_crashed(self, name: str) -> None:
         """Record the end of a runner's process, which empties its cache."""
         self._index.clear_runner(name)
         candidate = self._candidates.get(name)
@@ -247,7 +247,7 @@
             candidate.others_pending = tokens.get(name, 0)
             candidate.invalidate()
 
-    def started(
+    def request_started(
         self, request_id: str, runner: str, query: models.Query
     ) -> int:
         """Record that a request was sent to a runner.
@@ -260,7 +260,7 @@
             return query.prompt_tokens
         expected_cached = self._index.expected(query.blocks).get(runner, 0.0)
         home = self._home_runner(query, self._by_pool.get(query.pool, []))
-        if candidate is home or query.copies:
+        if candidate is home or query.can_copy:
             expected_cached = max(expected_cached, query.shared_blocks)
         cached = expected_cached * prefix.TOKENS_PER_BLOCK
         candidate.estimate(
@@ -271,14 +271,14 @@
         )
         uncached = max(0, query.prompt_tokens - int(cached))
         self._in_flight.started(request_id, candidate, uncached)
-        self._index.routed(runner, query.blocks)
+        self._index.claim(runner, query.blocks)
         return uncached
 
     def first_token(self, request_id: str) -> None:
         """Record the arrival of the first token or byte of an answer."""
         self._in_flight.first_token(request_id)
 
-    def finished(
+    def request_finished(
         self, request_id: str, outcome: models.Outcome, tokens: int = 0
     ) -> None:
         """Record the end of a request in its runner's circuit and latency.
@@ -364,7 +364,7 @@
         """Blocks in a runner's cache; a block to be copied counts in part."""
         if candidate.is_home:
             return max(known, query.shared_blocks)
-        if query.copies:
+        if query.can_copy:
             return max(known, COPIED_BLOCK_VALUE * query.shared_blocks)
         return known
 
--- a/src/apricotlever/runners/silence.py
+++ b/src/apricotlever/runners/silence_detector.py
@@ -33,7 +33,7 @@
         self.waiting_since = float("-inf")
 
 
-class Silence:
+class SilenceDetector:
     """Tracks when one VM last received bytes from each runner."""
 
     __slots__ = ("_clock", "_activity", "_reported_silent")
@@ -44,7 +44,7 @@
         self._reported_silent: frozenset[str] = frozenset()
 
     @property
-    def observed(self) -> list[str]:
+    def silent_here(self) -> list[str]:
         """Runners that are silent by this VM's own observation."""
         now = self._clock.now()
         return [
@@ -55,7 +55,7 @@
         ]
 
     @property
-    def believed(self) -> frozenset[str]:
+    def silent(self) -> frozenset[str]:
         """Silent runners, which get no calls while others can take them."""
         now = self._clock.now()
         reported = {
@@ -63,28 +63,28 @@
             for runner in self._reported_silent
             if now - self._last_bytes_at(runner) > RECENT_BYTES_S
         }
-        return frozenset(reported.union(self.observed))
+        return frozenset(reported.union(self.silent_here))
 
-    def sent(self, runner: str) -> None:
+    def call_sent(self, runner: str) -> None:
         """Count a call that was sent to a runner."""
         activity = self._activity.setdefault(runner, _RunnerActivity())
         if not activity.calls:
             activity.waiting_since = self._clock.now()
         activity.calls += 1
 
-    def heard(self, runner: str) -> None:
+    def bytes_received(self, runner: str) -> None:
         """Record that bytes of an answer arrived from a runner."""
         activity = self._activity.get(runner)
         if activity is not None:
             activity.last_bytes_at = activity.waiting_since = self._clock.now()
 
-    def ended(self, runner: str) -> None:
+    def call_ended(self, runner: str) -> None:
         """Count a call that has ended, whatever its outcome."""
         activity = self._activity.get(runner)
         if activity is not None and activity.calls:
             activity.calls -= 1
 
-    def told(self, counts: typing.Mapping[str, int]) -> None:
+    def set_peer_counts(self, counts: typing.Mapping[str, int]) -> None:
         """Set how many other VMs report each runner as silent."""
         self._reported_silent = frozenset(
             runner
--- a/src/apricotlever/serving/crash_watch.py
+++ b/src/apricotlever/serving/crash_watch.py
@@ -5,7 +5,7 @@
 
 from .. import clock as clocks
 from .. import logs
-from ..runners import culprits
+from ..runners import crash_blocklist
 from ..runners import quarantine
 
 from . import channels
@@ -35,7 +35,7 @@
 
     def __init__(self, clock: clocks.Clock, vm: str) -> None:
         self._clock = clock
-        self._culprits = culprits.Culprits(clock, vm)
+        self._culprits = crash_blocklist.CrashBlocklist(clock, vm)
         #: When a runner was last looked at.
         self._checked: dict[str, float] = {}
         #: Runners as they were listed last.
@@ -57,7 +57,7 @@
 
     def lost(self, runner: runners.Runner) -> None:
         """A runner takes no connection, or is not listed any more."""
-        charged = self._culprits.died(
+        charged = self._culprits.runner_crashed(
             runner.runner_id, runner.data_centre, runner.leaving
         )
         if charged:
@@ -76,7 +76,9 @@
         customer: routes.Customer | None,
     ) -> None:
         """A runner's side ended a call's connection before its answer."""
-        self._culprits.broke(runner.runner_id, fingerprint(call, customer))
+        self._culprits.connection_broken(
+            runner.runner_id, fingerprint(call, customer)
+        )
 
     async def refuses(self, runner: runners.Runner, pool: pools.Pool) -> bool:
         """Whether a runner that broke an answer off takes no connection.
@@ -119,17 +121,17 @@
         """Forget what is too old to matter."""
         self._culprits.tick()
 
-    def told(self, whole: bool) -> culprits.Told | None:
+    def told(self, whole: bool) -> crash_blocklist.CrashRecord | None:
         """What the next record tells of crashes.
 
         :param whole: whether it tells what may be a second old, too.
         """
-        return self._culprits.told(whole)
+        return self._culprits.next_record(whole)
 
-    def heard(self, vm: str, told: culprits.Told | None) -> None:
+    def heard(self, vm: str, told: crash_blocklist.CrashRecord | None) -> None:
         """Take in what a peer's record tells of crashes."""
         if told is not None:
-            self._culprits.heard(vm, told)
+            self._culprits.merge_record(vm, told)
 
 
 def fingerprint(
--- a/src/apricotlever/serving/datagrams.py
+++ b/src/apricotlever/serving/datagrams.py
@@ -8,8 +8,8 @@
 
 from .. import logs
 from ..vms import aggregates
-from ..vms import digests
-from ..vms import fleet_news
+from ..vms import record_exchange
+from ..vms import vm_records
 
 #: Between two looks at what has come, in seconds. Were each record read as
 #: it comes, the process would be woken for each, in a large fleet more than
@@ -28,7 +28,7 @@
 MOST_BAD_LOGGED = 20
 
 
-_Reader = typing.Callable[[typing.Any], fleet_news.Message]
+_Reader = typing.Callable[[typing.Any], record_exchange.Message]
 #: Kinds of messages beside records, the first field of each.
 AGGREGATE = 1
 TALLY = 2
@@ -39,7 +39,7 @@
 _KINDS = {aggregates.Aggregate: AGGREGATE, aggregates.Tally: TALLY}
 
 
-def pack(message: fleet_news.Message) -> bytes:
+def pack(message: record_exchange.Message) -> bytes:
     """A message as it is sent; a record has no kind before its fields."""
     fields: list[typing.Any] = message.to_record()
     kind = _KINDS.get(type(message))
@@ -48,7 +48,7 @@
     return zlib.compress(msgpack.packb(fields), COMPRESSION)
 
 
-def unpack(data: bytes) -> fleet_news.Message:
+def unpack(data: bytes) -> record_exchange.Message:
     """The reverse of :func:`pack`.
 
     :raises zlib.error: when it is no compressed message.
@@ -65,13 +65,13 @@
         if reader is None:
             raise ValueError("no such kind of message")
         return reader(fields)
-    return digests.Digest.from_record(fields)
+    return vm_records.VmRecord.from_record(fields)
 
 
 class Inbox(typing.Protocol):
     """Takes what peers say."""
 
-    def message(self, message: fleet_news.Message) -> None:
+    def message(self, message: record_exchange.Message) -> None:
         """A message of another VM came."""
 
 
@@ -114,7 +114,7 @@
             pass
 
     def send(
-        self, message: fleet_news.Message, receivers: typing.Sequence[str]
+        self, message: record_exchange.Message, receivers: typing.Sequence[str]
     ) -> None:
         """Send a message to many."""
         if self._socket is None or not receivers:
--- a/src/apricotlever/serving/duties.py
+++ b/src/apricotlever/serving/duties.py
@@ -5,10 +5,10 @@
 
 from .. import clock as clocks
 from .. import logs
-from ..vms import digests
 from ..vms import lease_objects
 from ..vms import leases
 from ..vms import rendezvous
+from ..vms import vm_records
 
 from . import channels
 from . import dialects
@@ -36,7 +36,9 @@
 GAVE_UP_PART = 2.0
 
 
-def candidates(name: str, peers: typing.Sequence[digests.Digest]) -> list[str]:
+def candidates(
+    name: str, peers: typing.Sequence[vm_records.VmRecord]
+) -> list[str]:
     """Other VMs that hold a lease, or contend for it once it is free.
 
     :param name: of the lease.
@@ -118,7 +120,7 @@
     @property
     def renewed(self) -> tuple[int, int] | None:
         """The lease's version and number while this VM holds it."""
-        return self._lease.renewed
+        return self._lease.last_renewal
 
     @property
     def gave_up(self) -> int:
@@ -127,7 +129,7 @@
         return self._gave_up if recent else 0
 
     def look(
-        self, peers: typing.Sequence[digests.Digest], members: int
+        self, peers: typing.Sequence[vm_records.VmRecord], members: int
     ) -> None:
         """Decide whether to contend, by who is alive.
 
@@ -139,10 +141,12 @@
         self._others_follow = any(p.follows for p in peers)
         for peer in peers:
             if peer.gave_up:
-                self._lease.given_up(peer.gave_up)
-            self._lease.process_seen(peer.vm, peer.incarnation)
+                self._lease.record_surrender(peer.gave_up)
+            self._lease.observe_process(peer.vm, peer.incarnation)
             if peer.lease:
-                self._lease.told(*peer.lease, peer.vm, peer.incarnation)
+                self._lease.observe_renewal(
+                    *peer.lease, peer.vm, peer.incarnation
+                )
         alive = frozenset(
             p.vm for p in peers if p.ready and not p.leaving and not p.gave_up
         )
@@ -162,7 +166,7 @@
 
     def fenced_off(self, fencing: int) -> None:
         """The platform has seen a higher number than the one just used."""
-        self._lease.fenced_off(fencing + 1)
+        self._lease.fencing_rejected(fencing + 1)
 
     async def step(self) -> None:
         """Make the call to the store that is due, if one is."""
@@ -215,7 +219,7 @@
 
     def _give_up(self) -> None:
         now = self._clock.now()
-        self._gave_up = self._lease.give_up()
+        self._gave_up = self._lease.surrender()
         self._gave_up_until = now + GAVE_UP_PART * self._duration_s
         logs.event("lease_handed_over", duty=self._name, fencing=self._gave_up)
 
--- a/src/apricotlever/serving/duty_roster.py
+++ b/src/apricotlever/serving/duty_roster.py
@@ -6,7 +6,7 @@
 from .. import clock as clocks
 from ..contracts import usage_windows
 from ..roll_outs import controller as roll_outs_controller
-from ..vms import digests
+from ..vms import vm_records
 
 from . import dialects
 from . import directory as directories
@@ -157,7 +157,7 @@
             self._usage.heard_reported(window)
 
     def look(
-        self, peers: typing.Sequence[digests.Digest], members: int
+        self, peers: typing.Sequence[vm_records.VmRecord], members: int
     ) -> None:
         """Decide whether to contend for the lease."""
         self._keeper.look(peers, members)
--- a/src/apricotlever/serving/exchange.py
+++ b/src/apricotlever/serving/exchange.py
@@ -4,7 +4,7 @@
 import typing
 
 from .. import logs
-from ..runners import urgency
+from ..runners import engine_priority
 
 from . import attempt as attempts
 from . import channels
@@ -132,7 +132,7 @@
 
         :raises NotServed: when no runner's answer could be passed on.
         """
-        self._relay.budget.request(self._service)
+        self._relay.budget.record_request(self._service)
         try:
             async with asyncio.timeout_at(self._deadline):
                 await self._attempts()
@@ -207,7 +207,7 @@
         channel: channels.Channel,
         runner: runners.Runner,
     ) -> attempts.Outcome:
-        if self.sends and not self._relay.budget.take(self._service):
+        if self.sends and not self._relay.budget.try_acquire(self._service):
             self._relay.upstreams.pool(runner).discard(channel)
             raise self._no_answer("retry_budget")
         self.sends += 1
@@ -258,7 +258,7 @@
         if prompt is None:
             return None
         customer = self._customer
-        return urgency.place(
+        return engine_priority.queue_level(
             customer.priority if customer is not None else None,
             self._route.priority,
             prompt.tokens_in,
@@ -282,7 +282,7 @@
         return (
             self._route.repeatable
             and self.sends < self._route.max_attempts
-            and self._relay.budget.left(self._service) >= 1.0
+            and self._relay.budget.remaining(self._service) >= 1.0
         )
 
     def _wants_better(self, outcome: attempts.Outcome) -> bool:
@@ -361,4 +361,4 @@
             self.first_s = self._loop.time() - self._call.received_at
         if not self._counted and self._customer is not None:
             self._counted = True
-            self._relay.usage.began(self._customer.name)
+            self._relay.usage.record_call(self._customer.name)
--- a/src/apricotlever/serving/fleet_link.py
+++ b/src/apricotlever/serving/fleet_link.py
@@ -7,13 +7,13 @@
 from .. import clock as clocks
 from .. import logs
 from ..vms import aggregates
-from ..vms import collector
-from ..vms import digests
-from ..vms import fleet_news
-from ..vms import followers
-from ..vms import leads
+from ..vms import catch_up
+from ..vms import follower_selection
 from ..vms import peer_loads
 from ..vms import peer_table
+from ..vms import record_aggregation
+from ..vms import record_exchange
+from ..vms import vm_records
 
 from . import datagrams
 from . import directory as directories
@@ -53,10 +53,10 @@
 
     def record(
         self, number: int, known: list[str], whole: bool, aggregator: str
-    ) -> digests.Digest:
+    ) -> vm_records.VmRecord:
         """This VM's next record, as :class:`fleet_news.Source` has it."""
 
-    def take(self, digest: digests.Digest) -> None:
+    def take(self, digest: vm_records.VmRecord) -> None:
         """A peer's record came."""
 
     def take_used(self, process: str, used: dict[str, float]) -> None:
@@ -126,27 +126,29 @@
         self._table = peer_table.PeerTable(
             clock, rng, config.vm, str(config.peers), config.seeds
         )
-        self._news = fleet_news.FleetNews(
+        self._news = record_exchange.RecordExchange(
             clock, rng, config.vm, config.data_centre, self._table, local
         )
         self._datagrams = datagrams.Datagrams(self)
         self._client = peers.PeerClient()
-        self._leads = leads.Leads(clock)
+        self._leads = catch_up.CatchUpTimers(clock)
         self._fetching: set[str] = set()
         self._alive: set[str] = set()
-        self._followers = followers.Followers(clock, config.vm)
+        self._followers = follower_selection.FollowerSelection(
+            clock, config.vm
+        )
         self._following_since: float | None = None
         self._told_at = float("-inf")
         #: Whether a record is about to be sent for news.
         self._news_due = False
 
     @property
-    def alive(self) -> list[digests.Digest]:
+    def alive(self) -> list[vm_records.VmRecord]:
         """Records of the VMs that were heard just now."""
         return self._table.alive()
 
     @property
-    def members(self) -> list[digests.Digest]:
+    def members(self) -> list[vm_records.VmRecord]:
         """Records of the VMs that may be alive, heard or not."""
         return self._table.members()
 
@@ -177,7 +179,7 @@
     @property
     def between_s(self) -> float:
         """Mean seconds between two signs of life of one VM."""
-        return self._table.between_s
+        return self._table.mean_sign_of_life_interval_s
 
     @property
     def loads(self) -> peer_loads.PeerLoads:
@@ -193,8 +195,8 @@
         """Open the socket; from now on records are read and sent."""
         self._datagrams.listen(address.host, address.port)
         self._tasks.every(datagrams.READ_S, self._read)
-        self._tasks.every(digests.INTERVAL_S, self._look)
-        self._tasks.every(collector.FLUSH_S, self._flush)
+        self._tasks.every(vm_records.RECORD_INTERVAL_S, self._look)
+        self._tasks.every(record_aggregation.AGGREGATE_INTERVAL_S, self._flush)
         self._tasks.every(TALLY_S, self._tally)
 
     def close(self) -> None:
@@ -212,12 +214,12 @@
     def stood_still(self) -> None:
         """Nobody was heard while the process stood still."""
         self._datagrams.drop()
-        self._table.silence()
+        self._table.mark_all_silent()
 
     def tell(self) -> None:
         """Send this VM's record now."""
         self._told_at = self._clock.now()
-        self._send(self._news.news())
+        self._send(self._news.publish_change())
         if self._news.is_aggregator:
             self._send(self._flushed())
 
@@ -240,28 +242,28 @@
         for vm in sorted(self._alive - names):
             logs.event("member_dead", member=vm, alive=len(names) + 1)
         self._alive = names
-        if self._news.sources is not None:
+        if self._news.directory_sources is not None:
             # Records that change nothing come rarely in a large fleet.
             for digest in alive:
                 self._note_behind(digest)
-        self._followers.look(alive)
+        self._followers.update(alive)
         if not self._followers.follows:
             self._following_since = None
         elif self._following_since is None:
             self._following_since = self._clock.now()
 
-    def message(self, message: fleet_news.Message) -> None:
+    def message(self, message: record_exchange.Message) -> None:
         """A message of another VM came."""
-        if isinstance(message, digests.Digest):
+        if isinstance(message, vm_records.VmRecord):
             self._heard(message)
-            self._send(self._news.record(message))
+            self._send(self._news.receive_record(message))
         elif isinstance(message, aggregates.Aggregate):
             self._heard_aggregate(message)
         else:
             self._local.take_counts(message.counts)
 
-    def _heard(self, digest: digests.Digest, age_s: float = 0.0) -> None:
-        former = self._table.heard(digest, age_s)
+    def _heard(self, digest: vm_records.VmRecord, age_s: float = 0.0) -> None:
+        former = self._table.receive_record(digest, age_s)
         if former is not None:
             logs.event("member_restarted", member=digest.vm)
         self._local.take(digest)
@@ -274,31 +276,33 @@
                 self._heard(entry, aggregate.ages.get(entry.vm, 0.0))
                 self._local.take_used(entry.process, used)
         for vm, age_s in aggregate.ages.items():
-            self._table.heard_of(vm, age_s)
+            self._table.note_heard(vm, age_s)
         self._local.present(self._table.processes(aggregate.ages))
         for process, used in aggregate.used.items():
             self._local.take_used(process, used)
-        self._send(self._news.aggregate(aggregate))
-        if self._news.uses(aggregate):
+        self._send(self._news.receive_aggregate(aggregate))
+        if self._news.takes_loads_from(aggregate):
             self._local.observe(self._news.loads)
 
-    def _send(self, outgoing: typing.Iterable[fleet_news.Outgoing]) -> None:
+    def _send(
+        self, outgoing: typing.Iterable[record_exchange.OutgoingMessage]
+    ) -> None:
         for each in outgoing:
             self._datagrams.send(each.message, each.receivers)
 
-    def _flushed(self) -> list[fleet_news.Outgoing]:
+    def _flushed(self) -> list[record_exchange.OutgoingMessage]:
         runners = {r.runner_id for r in self._directory.runners}
-        return self._news.flush(runners)
+        return self._news.publish_aggregates(runners)
 
     def _tell_news(self) -> None:
         self._news_due = False
         self._told_at = self._clock.now()
-        self._send(self._news.news())
+        self._send(self._news.publish_change())
 
     async def _look(self) -> None:
         self._told_at = self._clock.now()
         before = self._news.aggregator
-        self._send(self._news.look())
+        self._send(self._news.tick())
         if self._news.aggregator != before:
             logs.event(
                 "aggregator_changed",
@@ -316,15 +320,15 @@
             self._local.observe(self._news.loads)
 
     async def _tally(self) -> None:
-        self._send(self._news.tally(self._local.duty_holders()))
+        self._send(self._news.publish_tally(self._local.duty_holders()))
 
     async def _read(self) -> None:
         self._datagrams.read()
 
-    def _note_behind(self, digest: digests.Digest) -> None:
+    def _note_behind(self, digest: vm_records.VmRecord) -> None:
         """Fetch from a peer what the store does not bring in time."""
         lead_s = PEER_LEAD_S if self.follows else 0.0
-        sources = self._news.sources
+        sources = self._news.directory_sources
         compared = sources is None or digest.vm in sources
         if not compared:
             lead_s = AGGREGATOR_LEAD_S
@@ -346,9 +350,13 @@
         )
 
     def _fetch_if(
-        self, behind: bool, what: str, digest: digests.Digest, lead_s: float
+        self,
+        behind: bool,
+        what: str,
+        digest: vm_records.VmRecord,
+        lead_s: float,
     ) -> None:
-        due = self._leads.due(what, digest.vm, behind, lead_s)
+        due = self._leads.should_ask(what, digest.vm, behind, lead_s)
         if due and what not in self._fetching:
             self._fetching.add(what)
             self._tasks.spawn(self._fetch(what, digest.peer_address))
--- a/src/apricotlever/serving/limits.py
+++ b/src/apricotlever/serving/limits.py
@@ -3,7 +3,7 @@
 import typing
 
 from .. import clock as clocks
-from ..contracts import fleet_rate
+from ..contracts import fleet_rate_limit
 from ..contracts import limit_keepers
 
 from . import limit_calls
@@ -68,17 +68,20 @@
         self._calls: limit_calls.LimitCalls | None = None
         self._spare = spare
         self._overshoot = overshoot
-        self._presence = fleet_rate.Presence(clock)
+        self._presence = fleet_rate_limit.MemberLiveness(clock)
         #: The totals that each process told last.
         self._heard: dict[str, typing.Mapping[str, float]] = {}
-        self._rates: dict[str, fleet_rate.FleetRate] = {}
+        self._rates: dict[str, fleet_rate_limit.FleetRateLimit] = {}
         #: Levels that came before their customers' limits did.
         self._told: dict[str, float] = {}
 
     @property
     def used(self) -> dict[str, float]:
         """What this VM let in, by customer."""
-        return {name: _short(rate.used) for name, rate in self._rates.items()}
+        return {
+            name: _short(rate.admitted_units)
+            for name, rate in self._rates.items()
+        }
 
     @property
     def levels(self) -> dict[str, float]:
@@ -92,14 +95,16 @@
     @property
     def parts(self) -> dict[str, float]:
         """The part of each limit that this VM may count on."""
-        return {name: rate.part for name, rate in self._rates.items()}
+        return {
+            name: rate.usable_fraction for name, rate in self._rates.items()
+        }
 
     def learn(self, levels: typing.Mapping[str, float]) -> None:
         """Take over what is left of each limit, if it is not known yet."""
         self._told.update(levels)
         for name, level in levels.items():
             if name in self._rates:
-                self._rates[name].learn(level)
+                self._rates[name].initialize_level(level)
 
     def configure(self, configuration: routes.Configuration) -> None:
         """Take over the limits of a version."""
@@ -108,7 +113,7 @@
             if rate is not None:
                 rate.set_limit(customer.rate, customer.burst)
                 continue
-            rate = fleet_rate.FleetRate(
+            rate = fleet_rate_limit.FleetRateLimit(
                 self._clock,
                 customer.rate,
                 customer.burst,
@@ -121,7 +126,7 @@
             # It has heard no total yet, however old the others' are.
             self._heard.clear()
             if name in self._told:
-                rate.learn(self._told[name])
+                rate.initialize_level(self._told[name])
 
     def set_members(
         self, processes: frozenset[str], between_s: float = 0.0
@@ -134,11 +139,11 @@
         self._presence.set_members(processes, between_s)
         for process in gone:
             self._heard.pop(process, None)
-        silent = self._presence.silent
+        silent = self._presence.silent_count
         for rate in self._rates.values():
             rate.tick(silent)
             for process in gone:
-                rate.forget(process)
+                rate.remove_member(process)
 
     def heard(self, process: str, used: typing.Mapping[str, float]) -> None:
         """Take in what another VM let in."""
@@ -147,13 +152,13 @@
         self._heard[process] = used
         for name, total in used.items():
             if before.get(name) != total and name in self._rates:
-                self._rates[name].heard(process, total)
+                self._rates[name].receive_total(process, total)
 
     def told_on(self, process: str, used: typing.Mapping[str, float]) -> None:
         """Take in what another VM let in as a third one tells it."""
         for name, total in used.items():
             if name in self._rates:
-                self._rates[name].told_on(process, total)
+                self._rates[name].receive_relayed_total(process, total)
 
     def present(self, processes: typing.Iterable[str]) -> None:
         """Other VMs' processes were heard, by whomever."""
@@ -169,12 +174,12 @@
     ) -> None:
         """Take over which other VMs may be keepers, and where they are."""
         self._addresses = dict(others)
-        self._keepers.set_vms(others)
+        self._keepers.set_other_vms(others)
 
     async def let_in(self, customer: str, units: float) -> Permit:
         """Let a call in if the customer's limit allows it."""
         rate = self._rates[customer]
-        if self._calls is None or not rate.limited:
+        if self._calls is None or not rate.is_limited:
             return Permit(customer, units, rate.take(units))
         keeper = self._keepers.keeper(customer)
         address = self._addresses.get(keeper)
@@ -183,7 +188,7 @@
         try:
             kept_s = await self._calls.take(address, customer, units)
         except TimeoutError:
-            self._keepers.unanswered(keeper)
+            self._keepers.record_timeout(keeper)
             kept_s = None
         if kept_s is not None:
             return Permit(customer, units, kept_s, keeper)
@@ -199,7 +204,7 @@
         """
         address = self._addresses.get(self._keepers.keeper(customer))
         if address is not None and self._calls is not None:
-            used = self._rates[customer].used
+            used = self._rates[customer].admitted_units
             self._calls.counted(address, self._process, customer, used)
 
     def give_back(self, permit: Permit) -> None:
@@ -224,14 +229,14 @@
     def given_back(self, customer: str, units: float) -> None:
         """A call that this VM counted did not run."""
         if customer in self._rates:
-            self._rates[customer].give_back(units)
+            self._rates[customer].refund(units)
 
     def heard_total(self, process: str, customer: str, total: float) -> None:
         """Take in what another VM has counted of one customer."""
         if customer in self._rates:
-            self._rates[customer].heard_ahead(process, total)
+            self._rates[customer].receive_early_total(process, total)
 
-    def of(self, customer: routes.Customer) -> fleet_rate.FleetRate:
+    def of(self, customer: routes.Customer) -> fleet_rate_limit.FleetRateLimit:
         """The limit of a customer."""
         return self._rates[customer.name]
 
--- a/src/apricotlever/serving/metrics.py
+++ b/src/apricotlever/serving/metrics.py
@@ -36,7 +36,8 @@
                 runner: failed for runner, (failed, _) in calls.items()
             },
             ("retries_left", "service"): {
-                service: relay_.budget.left(service) for service in services
+                service: relay_.budget.remaining(service)
+                for service in services
             },
             ("limit_left", "customer"): limits_.levels,
             ("limit_part", "customer"): limits_.parts,
--- a/src/apricotlever/serving/node.py
+++ b/src/apricotlever/serving/node.py
@@ -12,8 +12,8 @@
 from ..contracts import usage_windows
 from ..roll_outs import controller as roll_outs_controller
 from ..roll_outs import model as roll_outs_model
-from ..vms import digests
 from ..vms import peer_loads
+from ..vms import vm_records
 
 from . import dialects
 from . import directory as directories
@@ -258,12 +258,12 @@
 
     def record(
         self, number: int, known: list[str], whole: bool, aggregator: str
-    ) -> digests.Digest:
+    ) -> vm_records.VmRecord:
         """This VM's next record for its peers."""
         config, calls = self._settings, self._upstreams
         # An aggregator passes counts on more rarely than records come.
         counts = whole or not aggregator
-        return digests.Digest(
+        return vm_records.VmRecord(
             config.vm,
             self._incarnation,
             number,
@@ -282,7 +282,11 @@
             # What may be a second old would make each record half as long
             # again.
             levels=self._limits.levels if whole else None,
-            usage=self._usage.own(self._duties.reported) if counts else None,
+            usage=(
+                self._usage.own_counts(self._duties.reported)
+                if counts
+                else None
+            ),
             work=calls.work if counts else None,
             silent=calls.silent,
             failures=calls.failures if whole else None,
@@ -297,11 +301,11 @@
             trials=self._roll_outs.own_samples,
         )
 
-    def take(self, digest: digests.Digest) -> None:
+    def take(self, digest: vm_records.VmRecord) -> None:
         """A record of another VM came."""
         self._limits.learn(digest.levels)
         self._limits.heard(digest.process, digest.used)
-        self._usage.heard(digest.process, digest.usage)
+        self._usage.merge_counts(digest.process, digest.usage)
         self._work.heard(digest.process, digest.work)
         self._duties.heard_reported(digest.reported)
         self._upstreams.crashes.heard(digest.vm, digest.crashes)
@@ -317,7 +321,7 @@
     ) -> None:
         """Usage and work of many processes came."""
         for process, (usage, work) in counts.items():
-            self._usage.heard(process, usage)
+            self._usage.merge_counts(process, usage)
             self._work.heard(process, work)
 
     def present(self, processes: typing.Iterable[str]) -> None:
@@ -331,7 +335,7 @@
     def observe(self, loads: peer_loads.PeerLoads) -> None:
         """Loads of the other VMs came."""
         self._upstreams.observe_peers(loads)
-        self._roll_outs.observe(loads.trials, loads.summed)
+        self._roll_outs.observe(loads.trials, loads.from_aggregate)
 
     def configuration_above(self, version: int) -> store.Json | None:
         """The configuration, None if it is not newer."""
--- a/src/apricotlever/serving/relay.py
+++ b/src/apricotlever/serving/relay.py
@@ -242,7 +242,7 @@
                 customer=customer.name,
                 units=units,
                 rate=customer.rate,
-                part=self._limits.of(customer).part,
+                part=self._limits.of(customer).usable_fraction,
                 keeper=permit.keeper or None,
             )
         return permit
--- a/src/apricotlever/serving/runner_duty.py
+++ b/src/apricotlever/serving/runner_duty.py
@@ -6,7 +6,7 @@
 from .. import logs
 from ..data_centres import demand
 from ..data_centres import fleet_size
-from ..vms import followers
+from ..vms import follower_selection
 
 from . import dialects
 from . import directory as directories
@@ -208,7 +208,9 @@
         self._clock = clock
         self._serves = serves
         # Those that follow the store begin a moment after their start.
-        settle_s = followers.STARTED_S + SETTLE_HEARTBEATS * heartbeat_s
+        settle_s = (
+            follower_selection.START_UP_S + SETTLE_HEARTBEATS * heartbeat_s
+        )
         self._settled_at = clock.now() + settle_s
         self._work = work
         self._directory = directory
--- a/src/apricotlever/serving/upstreams.py
+++ b/src/apricotlever/serving/upstreams.py
@@ -9,10 +9,10 @@
 from ..roll_outs import controller as roll_outs_controller
 from ..roll_outs import model as roll_outs_model
 from ..runners import model as models
-from ..runners import outliers
+from ..runners import outlier_detector
 from ..runners import prefix
 from ..runners import routing
-from ..runners import silence
+from ..runners import silence_detector
 from ..vms import peer_loads
 
 from . import crash_watch
@@ -72,7 +72,7 @@
             clock, rng, roll_outs_model.Bounds()
         )
         self._trials = trials.Trials(clock, self._roll_outs)
-        self._outliers = outliers.Outliers(clock, process)
+        self._outliers = outlier_detector.OutlierDetector(clock, process)
         self._crashes = crash_watch.CrashWatch(clock, vm)
         self._directory = directory
         self._router = routing.Router(
@@ -81,7 +81,7 @@
         self._pools = runner_pools.RunnerPools()
         self._configuration: routes.Configuration | None = None
         self._own: dict[str, int] = {}
-        self._silence = silence.Silence(clock)
+        self._silence = silence_detector.SilenceDetector(clock)
         self._others: dict[str, int] = {}
         self._work: dict[str, demand.WorkCounter] = {}
         #: Attempts without an answer yet: work counter, query, tokens to
@@ -108,12 +108,12 @@
     @property
     def silent(self) -> list[str]:
         """Runners that this VM finds silent."""
-        return self._silence.observed
+        return self._silence.silent_here
 
     @property
-    def failures(self) -> outliers.Counts:
+    def failures(self) -> outlier_detector.Counts:
         """This VM's failed and all calls, by runner."""
-        return self._outliers.own
+        return self._outliers.own_counts
 
     @property
     def pending(self) -> dict[str, int]:
@@ -168,9 +168,11 @@
 
     def observe_peers(self, loads: peer_loads.PeerLoads) -> None:
         """Take in what the other VMs do at each runner."""
-        self._silence.told(loads.silent)
+        self._silence.set_peer_counts(loads.silent)
         for source, counts in loads.failures.items():
-            self._outliers.heard(source, counts, loads.summed)
+            self._outliers.add_peer_counts(
+                source, counts, loads.from_aggregate
+            )
         self._judge()
         self._others = others = loads.in_flight
         self._router.observe_pending(loads.pending)
@@ -201,14 +203,14 @@
                 excluded=excluded,
                 wanted_first_token_s=route.objective_s,
             )
-        shared = prefix.blocks_of_parts(
+        shared = prefix.part_block_hashes(
             (part.part_id, part.tokens) for part in prompt.parts[:-1]
         )
         return models.Query(
             route.name,
             service,
             "",
-            prefix.blocks_of_parts(
+            prefix.part_block_hashes(
                 ((part.part_id, part.tokens) for part in prompt.parts[-1:]),
                 shared,
             ),
@@ -217,7 +219,7 @@
             excluded=excluded,
             wanted_first_token_s=route.objective_s,
             shared_blocks=len(shared),
-            copies=self._copies(service),
+            can_copy=self._copies(service),
         )
 
     def fetch_source(
@@ -227,7 +229,7 @@
 
         :returns: ``host:port``, None when it has to read all itself.
         """
-        if not query.copies:
+        if not query.can_copy:
             return None
         source = self._router.fetch_source(query, runner.runner_id)
         return source.address if source is not None else None
@@ -271,8 +273,8 @@
         """A call was sent to a runner."""
         name = runner.runner_id
         self._own[name] = self._own.get(name, 0) + 1
-        self._silence.sent(name)
-        tokens = self._router.started(attempt, name, query)
+        self._silence.call_sent(name)
+        tokens = self._router.request_started(attempt, name, query)
         counter = self._counter(runner.service)
         self._trials.sent(attempt, runner, query.entry, tokens, counter.speed)
         if query.prompt_tokens:
@@ -284,7 +286,7 @@
 
     def heard(self, runner: runners.Runner) -> None:
         """A byte of an answer came from a runner."""
-        self._silence.heard(runner.runner_id)
+        self._silence.bytes_received(runner.runner_id)
 
     def first_answer(self, attempt: str) -> None:
         """The first byte of an answer came."""
@@ -315,20 +317,20 @@
         self._reading.pop(attempt, None)
         self._trials.ended(attempt, outcome)
         name = runner.runner_id
-        self._silence.ended(name)
+        self._silence.call_ended(name)
         if outcome is not models.Outcome.CANCELLED or blamed:
             failed = outcome is models.Outcome.FAILED or blamed
-            self._outliers.ended(name, failed)
+            self._outliers.call_ended(name, failed)
         left = self._own.get(name, 1) - 1
         if left > 0:
             self._own[name] = left
         else:
             self._own.pop(name, None)
-        self._router.finished(attempt, outcome, tokens)
+        self._router.request_finished(attempt, outcome, tokens)
 
     def unreachable(self, runner: runners.Runner) -> None:
         """No connection to a runner opened."""
-        self._router.failed(runner.runner_id)
+        self._router.record_failure(runner.runner_id)
         self._crashes.lost(runner)
 
     async def check_crashed(self, runner: runners.Runner) -> None:
@@ -355,13 +357,13 @@
             pool = "" if runner.leaving else self._pool_of(runner)
             if pool:
                 by_service.setdefault(pool, []).append(runner.runner_id)
-        for found in self._outliers.judge(by_service.values()):
+        for found in self._outliers.detect(by_service.values()):
             logs.event("runner_outlier", **found.inputs)
 
     def _choose(self, query: models.Query) -> models.Route | models.NoRunner:
         """Choose a runner from a pool, preferring healthy ones."""
         excluded = query.excluded
-        avoided = self._silence.believed | self._outliers.left_out
+        avoided = self._silence.silent | self._outliers.ejected
         query.excluded = excluded | avoided
         choice = self._router.choose(query)
         query.excluded = excluded
--- a/src/apricotlever/serving/usage_duty.py
+++ b/src/apricotlever/serving/usage_duty.py
@@ -70,7 +70,7 @@
         self._dialect = dialect
         self._keeper = keeper
         self._levels = levels
-        self._fixed: dict[int, usage_windows.Counts] = {}
+        self._fixed: dict[int, usage_windows.CallCounts] = {}
         self._reported = 0
         self._recovered = False
         self._checkpoint_at = float("-inf")
@@ -113,7 +113,7 @@
         if found is not None:
             for window, table in notes.counts(found.spec).items():
                 for process, counts in table.items():
-                    self._windows.heard(process, {window: counts})
+                    self._windows.merge_counts(process, {window: counts})
         self._recovered = True
 
     async def _report_due(self) -> None:
@@ -121,7 +121,7 @@
         current = self._windows.window
         first = max(self._reported + 1, current - LOOK_BACK)
         for window in range(first, current):
-            if self._windows.end_of(window) + SETTLE_S <= wall:
+            if self._windows.window_end_s(window) + SETTLE_S <= wall:
                 await self._report(window)
 
     async def _report(self, window: int) -> None:
@@ -154,7 +154,7 @@
         if self._reported % KEPT_REPORTS == 0:
             await self._forget_old()
 
-    async def _fix(self, window: int) -> usage_windows.Counts | None:
+    async def _fix(self, window: int) -> usage_windows.CallCounts | None:
         """Agree on a window's counts by a conditional create.
 
         :returns: None when what was agreed on can't be read.
@@ -174,7 +174,7 @@
     async def _checkpoint(self) -> None:
         table: dict[str, typing.Any] = {
             str(window): processes
-            for window, processes in self._windows.tables().items()
+            for window, processes in self._windows.all_counts().items()
             if window > self._reported
         }
         spec = notes.compose(table, self._levels(), self._clock.wall())
--- a/src/apricotlever/vms/actions.py
+++ b/src/apricotlever/vms/actions.py
@@ -42,7 +42,7 @@
         self.message = message
 
 
-class Changed(Action):
+class MemberChanged(Action):
     """The record of a VM changed.
 
     A VM recorded as dead is not certain to be so: it may have been paused
@@ -72,7 +72,7 @@
         self.incarnation = incarnation
 
 
-class Delivered(Action):
+class RumourDelivered(Action):
     """A rumour arrived; each rumour is delivered once.
 
     :param rumour: its ``age_ms`` is the time since it was announced.
@@ -86,7 +86,7 @@
         self.via = via
 
 
-class Paused(Action):
+class PauseDetected(Action):
     """This process was paused; leases and timeouts may have expired.
 
     :param seconds: the gap in this process's activity that showed the pause.
@@ -98,7 +98,7 @@
         self.seconds = seconds
 
 
-class Refuted(Action):
+class SuspicionRefuted(Action):
     """Others suspected this VM or declared it dead; it has refuted that.
 
     :param suspected_by: the VM that raised the suspicion.
@@ -122,7 +122,7 @@
         self.incarnation = incarnation
 
 
-class CatalogueHeard(Action):
+class CatalogueAdvertised(Action):
     """A peer advertised a catalogue that this VM may have to fetch.
 
     Its version is greater than the one in force here, or the same version
--- a/src/apricotlever/vms/aggregates.py
+++ b/src/apricotlever/vms/aggregates.py
@@ -11,7 +11,7 @@
 from .. import shapes
 from ..roll_outs import samples
 
-from . import digests
+from . import vm_records
 
 #: Calls in flight and waiting prompt tokens at one runner.
 Load = tuple[int, int]
@@ -68,7 +68,7 @@
         number: int,
         peer_address: str,
         whole: bool,
-        entries: list[digests.Digest] | None = None,
+        entries: list[vm_records.VmRecord] | None = None,
         ages: dict[str, float] | None = None,
         used: dict[str, dict[str, float]] | None = None,
         loads: Loads | None = None,
@@ -110,7 +110,8 @@
         """
         fields = shapes.checked_record(_FIELDS, record)
         fields[_ENTRIES_AT] = [
-            digests.Digest.from_record(entry) for entry in fields[_ENTRIES_AT]
+            vm_records.VmRecord.from_record(entry)
+            for entry in fields[_ENTRIES_AT]
         ]
         return cls(*fields)
 
@@ -181,7 +182,7 @@
         "counts",
         shapes.is_map(
             shapes.is_text,
-            shapes.is_row(digests.is_usage, digests.is_work),
+            shapes.is_row(vm_records.is_usage, vm_records.is_work),
         ),
     ),
 )
--- a/src/apricotlever/vms/deltas.py
+++ b/src/apricotlever/vms/catalogue_deltas.py
@@ -14,7 +14,7 @@
 DELTAS_KEPT = 16
 
 
-def canonical(value: typing.Any) -> bytes:
+def canonical_json(value: typing.Any) -> bytes:
     """Encode as canonical JSON: equal values give equal bytes."""
     text = json.dumps(
         value, sort_keys=True, separators=(",", ":"), ensure_ascii=False
@@ -22,9 +22,9 @@
     return text.encode()
 
 
-def digest_of(document: Document) -> int:
+def compute_digest(document: Document) -> int:
     """The 64-bit hash by which two copies of a version are compared."""
-    return xxhash.xxh64_intdigest(canonical(document))
+    return xxhash.xxh64_intdigest(canonical_json(document))
 
 
 def compute_changes(old: Document, new: Document) -> list[pb.CatalogueChange]:
@@ -129,7 +129,9 @@
         for name in sorted(set(old) - set(new))
     ]
     return removed + [
-        pb.CatalogueChange(section=section, name=name, value=canonical(value))
+        pb.CatalogueChange(
+            section=section, name=name, value=canonical_json(value)
+        )
         for name, value in sorted(new.items())
         if name not in old or old[name] != value
     ]
--- a/src/apricotlever/vms/spread.py
+++ b/src/apricotlever/vms/catalogue_replicator.py
@@ -11,14 +11,14 @@
 import typing
 
 from .. import clock as clocks
-from . import deltas
+from . import catalogue_deltas
+from . import catalogue_versions
+from . import fleet_view as fleet_view
 from ..links import peer_pb2 as pb
 from . import rendezvous
-from . import spread_actions
-from . import versions
-from . import view as fleet_view
+from . import replication_actions
 
-Document = deltas.Document
+Document = catalogue_deltas.Document
 DocumentCheck = typing.Callable[[Document, int], str | None]
 
 WATCHERS_PER_DATA_CENTRE = 2
@@ -31,10 +31,10 @@
 
 STORE = "store"
 
-Actions = list[spread_actions.SpreadAction]
+Actions = list[replication_actions.ReplicationAction]
 
 
-class ConfigurationSpread:
+class CatalogueReplicator:
     """One VM's part in replicating the catalogue.
 
     :param vm: name of this VM.
@@ -73,8 +73,8 @@
         self._vm = vm
         self._data_centre = data_centre
         self._check = check
-        self._versions = versions.CatalogueVersions()
-        self._view: fleet_view.View | None = None
+        self._versions = catalogue_versions.CatalogueVersions()
+        self._view: fleet_view.FleetView | None = None
         self._watching = False
         self._wanted = 0
         self._wanted_until = float("-inf")
@@ -86,7 +86,7 @@
         self._reported: dict[tuple[type, int, str], float] = {}
 
     @property
-    def in_force(self) -> versions.CatalogueInForce:
+    def in_force(self) -> catalogue_versions.CatalogueInForce:
         """The catalogue in force; its version is 0 before the first one."""
         return self._versions.in_force
 
@@ -95,10 +95,10 @@
         """Whether this VM holds a watch on the store."""
         return self._watching
 
-    def look(self, view: fleet_view.View) -> Actions:
+    def update_view(self, view: fleet_view.FleetView) -> Actions:
         """Update the watchers and the peers to fetch from."""
         self._view = view
-        names = view.names(self._data_centre)
+        names = view.serving_names(self._data_centre)
         key = f"watch/{self._data_centre}"
         watching = (
             self._vm in rendezvous.rank(key, names)[:WATCHERS_PER_DATA_CENTRE]
@@ -108,9 +108,9 @@
         self._watching = watching
         return [
             (
-                spread_actions.Watch()
+                replication_actions.StartWatching()
                 if watching
-                else spread_actions.StopWatching()
+                else replication_actions.StopWatching()
             )
         ]
 
@@ -128,7 +128,7 @@
             return self._fetch(1)
         return []
 
-    def heard(self, version: int, digest: int, via: str) -> Actions:
+    def peer_has_version(self, version: int, digest: int, via: str) -> Actions:
         """Handle a peer's mention of the version in force there."""
         current = self._versions.in_force
         if version == current.version and digest != current.digest and version:
@@ -138,7 +138,7 @@
         self._set_wanted(version)
         return [] if self._fetching else self._fetch_from([via])
 
-    def rumoured(self, rumour: pb.Rumour, via: str) -> Actions:
+    def receive_rumour(self, rumour: pb.Rumour, via: str) -> Actions:
         """Handle a catalogue rumour, which may carry the change.
 
         :param via: the VM that passed it on, which may not have the version
@@ -154,9 +154,9 @@
         newer = self._is_newer(catalogue.version)
         if newer and delta.base_version and fits:
             return self._receive_document(delta, via)
-        return self.heard(catalogue.version, catalogue.digest, via)
+        return self.peer_has_version(catalogue.version, catalogue.digest, via)
 
-    def answered(self, vm: str, answer: pb.CatalogueDocument) -> Actions:
+    def receive_answer(self, vm: str, answer: pb.CatalogueDocument) -> Actions:
         """Handle a peer's answer to a fetch."""
         self._fetching.pop(vm, None)
         result = self._receive_document(answer, vm)
@@ -171,7 +171,9 @@
         self._fetching.pop(vm, None)
         self._retry_at = self._clock.now() + FETCH_RETRY_S
 
-    def stored(self, version: int, document: Document | None) -> Actions:
+    def receive_stored(
+        self, version: int, document: Document | None
+    ) -> Actions:
         """Handle the catalogue read from the store.
 
         :param version: version of the object; 0 when there is none.
@@ -182,7 +184,7 @@
             return (
                 self._report_store_behind(version) if current.version else []
             )
-        digest = deltas.digest_of(document)
+        digest = catalogue_deltas.compute_digest(document)
         if version == current.version:
             return (
                 []
@@ -191,7 +193,7 @@
             )
         return self._adopt(version, digest, document, STORE)
 
-    def serve(self, request: pb.FetchCatalogue) -> pb.CatalogueDocument:
+    def answer_fetch(self, request: pb.FetchCatalogue) -> pb.CatalogueDocument:
         """Answer a peer's fetch."""
         return self._versions.answer_fetch(request)
 
@@ -224,15 +226,15 @@
         except ValueError as error:
             detail = f"not readable: {error}"
             return self._report(
-                spread_actions.Invalid(received.version, via, detail)
+                replication_actions.Invalid(received.version, via, detail)
             )
         if document is None:
             return self._fetch_from([via])
-        if deltas.digest_of(document) != received.digest:
+        if catalogue_deltas.compute_digest(document) != received.digest:
             # The next fetch goes to a random peer.
             detail = "the document does not match its digest"
             return self._report(
-                spread_actions.Invalid(received.version, via, detail)
+                replication_actions.Invalid(received.version, via, detail)
             )
         return self._adopt(received.version, received.digest, document, via)
 
@@ -246,11 +248,15 @@
             # The version is remembered, or it would be fetched again and
             # again.
             self._rejected.add(version)
-            return self._report(spread_actions.Invalid(version, source, error))
+            return self._report(
+                replication_actions.Invalid(version, source, error)
+            )
         rumour = self._versions.adopt(version, digest, document)
-        result: Actions = [spread_actions.Apply(version, digest, document)]
+        result: Actions = [
+            replication_actions.ApplyCatalogue(version, digest, document)
+        ]
         if source == STORE or self._is_remote(source):
-            result.append(spread_actions.Announce(rumour))
+            result.append(replication_actions.AnnounceRumour(rumour))
         return result
 
     def _is_remote(self, vm: str) -> bool:
@@ -274,7 +280,7 @@
             if address:
                 self._fetching[vm] = until
                 result.append(
-                    spread_actions.FetchFrom(
+                    replication_actions.FetchFromPeer(
                         vm, address, self._fetch_request()
                     )
                 )
@@ -303,15 +309,17 @@
             f"the store holds version {version}, older than version "
             f"{self._versions.in_force.version} in force; that one stays"
         )
-        return self._report(spread_actions.StoreBehind(version, STORE, detail))
+        return self._report(
+            replication_actions.StoreBehind(version, STORE, detail)
+        )
 
     def _report_clash(self, version: int, source: str) -> Actions:
         detail = f"{source} has another document as version {version}"
         return self._report(
-            spread_actions.DigestClash(version, source, detail)
+            replication_actions.DigestClash(version, source, detail)
         )
 
-    def _report(self, fault: spread_actions.Fault) -> Actions:
+    def _report(self, fault: replication_actions.Fault) -> Actions:
         key = (type(fault), fault.version, fault.source)
         now = self._clock.now()
         if (
--- a/src/apricotlever/vms/versions.py
+++ b/src/apricotlever/vms/catalogue_versions.py
@@ -3,10 +3,10 @@
 import json
 import typing
 
-from . import deltas
+from . import catalogue_deltas
 from ..links import peer_pb2 as pb
 
-Document = deltas.Document
+Document = catalogue_deltas.Document
 
 RUMOUR_LIFETIME_MS = 30_000
 # A change up to this size is sent with the rumour; a larger one is fetched.
@@ -34,7 +34,7 @@
 
     def __init__(self) -> None:
         self._in_force = NO_CATALOGUE
-        self._deltas = deltas.DeltaHistory()
+        self._deltas = catalogue_deltas.DeltaHistory()
 
     @property
     def in_force(self) -> CatalogueInForce:
@@ -62,7 +62,7 @@
         if base == (current.version, current.digest) or not current.version:
             return answer
         changes = self._deltas.changes_since(*base)
-        whole = deltas.canonical(current.document)
+        whole = catalogue_deltas.canonical_json(current.document)
         if changes is not None and _size(changes) < len(whole):
             answer.base_version, answer.base_digest = base
             answer.changes.extend(changes)
@@ -88,17 +88,19 @@
             current.digest,
         ):
             return None
-        return deltas.apply_changes(current.document, received.changes)
+        return catalogue_deltas.apply_changes(
+            current.document, received.changes
+        )
 
     def _remember_delta(
         self, old: CatalogueInForce, document: Document
     ) -> list[pb.CatalogueChange] | None:
-        if not old.version or not deltas.can_express_change(
+        if not old.version or not catalogue_deltas.can_express_change(
             old.document, document
         ):
             self._deltas.clear()
             return None
-        changes = deltas.compute_changes(old.document, document)
+        changes = catalogue_deltas.compute_changes(old.document, document)
         self._deltas.add(old.version, old.digest, changes)
         return changes
 
--- a/src/apricotlever/vms/leads.py
+++ b/src/apricotlever/vms/catch_up.py
@@ -11,7 +11,7 @@
 Key = tuple[str, str]
 
 
-class Leads:
+class CatchUpTimers:
     """Measures for how long each peer has been ahead, by kind of data."""
 
     __slots__ = ("_clock", "_since")
@@ -20,7 +20,7 @@
         self._clock = clock
         self._since: dict[Key, float] = {}
 
-    def due(
+    def should_ask(
         self, kind: str, peer: str, is_ahead: bool, tolerated_s: float
     ) -> bool:
         """Record whether a peer is ahead of this VM.
--- a/src/apricotlever/vms/summaries.py
+++ b/src/apricotlever/vms/data_centre_summaries.py
@@ -12,7 +12,7 @@
 from ..links import peer_pb2 as pb
 from . import rendezvous
 from . import roster as rosters
-from . import rumours
+from . import rumour_buffer
 from . import timing as timings
 
 OWN_GATEWAYS_MAX = 16
@@ -38,7 +38,7 @@
         return copy
 
 
-class Summaries:
+class DataCentreSummaries:
     """Summaries of all data centres, and VMs by which each is reachable.
 
     :param data_centre: data centre of this VM.
@@ -86,13 +86,13 @@
         }
 
     @property
-    def others(self) -> list[str]:
+    def other_data_centres(self) -> list[str]:
         """Names of all other data centres seen so far."""
         names = set(self._known) | set(self._contacts)
         return sorted(names - {self._data_centre})
 
     @property
-    def kin(self) -> list[pb.Member]:
+    def own_gateways(self) -> list[pb.Member]:
         """Gateways that received summaries name for the own data centre.
 
         VMs of one data centre that do not know each other yet each issue a
@@ -192,7 +192,7 @@
         now = self._clock.now()
         picked = []
         for known in ordered:
-            room_bytes -= rumours.embedded_size_bytes(known.summary)
+            room_bytes -= rumour_buffer.embedded_size_bytes(known.summary)
             if room_bytes < 0:
                 break
             picked.append(known.copy(now))
@@ -201,7 +201,7 @@
     def next_data_centre(self) -> str | None:
         """The next data centre to contact, in shuffled rounds."""
         if not self._remaining_round:
-            self._remaining_round = self.others
+            self._remaining_round = self.other_data_centres
             self._rng.shuffle(self._remaining_round)
         return self._remaining_round.pop() if self._remaining_round else None
 
--- a/src/apricotlever/vms/outreach.py
+++ b/src/apricotlever/vms/dissemination.py
@@ -6,7 +6,7 @@
 
 from .. import clock as clocks
 from . import actions
-from . import knowledge
+from . import gossip_state
 from ..links import peer_pb2 as pb
 from . import timing as timings
 
@@ -43,23 +43,23 @@
         self,
         clock: clocks.Clock,
         rng: random.Random,
-        known: knowledge.Knowledge,
+        known: gossip_state.GossipState,
         timing: timings.MembershipTiming,
-        hints: typing.Iterable[knowledge.Hint],
+        hints: typing.Iterable[gossip_state.PeerHint],
     ) -> None:
         self._clock = clock
         self._rng = rng
         self._known = known
         self._timing = timing
         self._seeds = {hint.vm: hint for hint in hints}
-        self._hints: dict[str, knowledge.Hint] = {}
+        self._hints: dict[str, gossip_state.PeerHint] = {}
         now = clock.now()
         # Views differ most just after a start, so the first sync is early.
         self._sync_at = now + rng.uniform(0, timing.reconnect_interval_s)
         self._contact_at = now
         self._summaries_at = now
 
-    def set_hints(self, hints: typing.Iterable[knowledge.Hint]) -> None:
+    def set_hints(self, hints: typing.Iterable[gossip_state.PeerHint]) -> None:
         """Replace the hints from the platform's list."""
         self._hints = {hint.vm: hint for hint in hints}
 
@@ -87,7 +87,8 @@
         peers = self.random_peers(self._timing.push_fanout, set())
         recipients = peers + self._first_gateway_not_among(peers)
         result: Actions = [
-            send(peer, self._known.compose(peer)) for peer in recipients
+            send(peer, self._known.compose_message(peer))
+            for peer in recipients
         ]
         if self._known.is_gateway:
             result += self._send_to_data_centres(self._timing.gateway_fanout)
@@ -107,7 +108,9 @@
             return []
         gateways = self._known.gateways
         if gateways[0] == self._known.me.vm:
-            self._known.summaries.issue_if_due(self._known.here(), gateways)
+            self._known.summaries.issue_if_due(
+                self._known.local_members(), gateways
+            )
         return self._send_to_data_centres(1)
 
     def sync(self) -> Actions:
@@ -117,7 +120,7 @@
             return []
         self._sync_at = now + self._timing.sync_interval_s
         return [
-            send(peer, self._known.ask_sync(peer))
+            send(peer, self._known.sync_request(peer))
             for peer in self.random_peers(1, set())
         ]
 
@@ -135,7 +138,7 @@
         unseen = self._unseen()
         count = min(len(unseen), CONTACTS_WHEN_ALONE if alone else 1)
         return [
-            actions.Send(hint.vm, hint.address, self._known.ask_sync(None))
+            actions.Send(hint.vm, hint.address, self._known.sync_request(None))
             for hint in self._rng.sample(unseen, count)
         ]
 
@@ -163,25 +166,28 @@
         for gateway in gateways:
             if gateway is None:
                 continue
-            message = self._known.compose(gateway)
-            self._known.add_summaries(message)
+            message = self._known.compose_message(gateway)
+            self._known.attach_summaries(message)
             result.append(send(gateway, message))
         return result
 
-    def _unseen(self) -> list[knowledge.Hint]:
+    def _unseen(self) -> list[gossip_state.PeerHint]:
         """Hints of VMs that may run although the view lacks them."""
         known = self._known
         hints = itertools.chain(
             self._hints.values(),
             self._seeds.values(),
             map(
-                _hint, itertools.chain(known.roster.dead, known.summaries.kin)
+                _hint,
+                itertools.chain(
+                    known.roster.dead, known.summaries.own_gateways
+                ),
             ),
         )
         by_name = {hint.vm: hint for hint in hints}
         return [hint for hint in by_name.values() if self._is_unseen(hint)]
 
-    def _is_unseen(self, hint: knowledge.Hint) -> bool:
+    def _is_unseen(self, hint: gossip_state.PeerHint) -> bool:
         known = self._known
         if hint.vm == known.me.vm or hint.vm in known.roster.live:
             return False
@@ -190,5 +196,7 @@
         return hint.data_centre not in known.summaries.fresh
 
 
-def _hint(member: pb.Member) -> knowledge.Hint:
-    return knowledge.Hint(member.vm, member.peers_address, member.data_centre)
+def _hint(member: pb.Member) -> gossip_state.PeerHint:
+    return gossip_state.PeerHint(
+        member.vm, member.peers_address, member.data_centre
+    )
--- a/src/apricotlever/vms/duties.py
+++ b/src/apricotlever/vms/duties.py
@@ -11,10 +11,10 @@
 import typing
 
 from .. import clock as clocks
+from . import fleet_view as views
 from . import lease_objects
 from . import leases
 from . import rendezvous
-from . import view as views
 
 LEASE_PREFIX = "leases/"
 
@@ -40,7 +40,7 @@
         self.longest_order_s = longest_order_s
 
 
-def responsible_data_centre(duty: Duty, view: views.View) -> str:
+def responsible_data_centre(duty: Duty, view: views.FleetView) -> str:
     """The data centre whose VMs perform the duty, according to a view.
 
     This is the duty's own data centre. Rendezvous hashing chooses another
@@ -57,13 +57,13 @@
     return rendezvous.pick(duty.name, serving) or ""
 
 
-def responsible_vm(duty: Duty, view: views.View) -> str | None:
+def responsible_vm(duty: Duty, view: views.FleetView) -> str | None:
     """The VM that should perform the duty, according to a view.
 
     :returns: None when the view has no serving VM of the responsible data
         centre.
     """
-    names = view.names(responsible_data_centre(duty, view) or None)
+    names = view.serving_names(responsible_data_centre(duty, view) or None)
     return rendezvous.pick(duty.name, names)
 
 
@@ -115,7 +115,7 @@
             if name not in self._duties:
                 lease.want(False)
 
-    def look(self, view: views.View) -> None:
+    def update_view(self, view: views.FleetView) -> None:
         """Contend for the duties assigned to this VM; release all others.
 
         :param view: the view that determines the responsible VMs.
@@ -125,7 +125,7 @@
             if wanted or duty.name in self._leases:
                 self._lease_for(duty).want(wanted)
 
-    def leave(self) -> None:
+    def release_all(self) -> None:
         """Release the leases of all duties, because this VM stops."""
         self._duties = {}
         for lease in self._leases.values():
@@ -157,14 +157,14 @@
         lease = self._leases.get(name)
         return None if lease is None else lease.may_order(order_s)
 
-    def fenced_off(self, name: str, highest: int) -> None:
+    def fencing_rejected(self, name: str, highest: int) -> None:
         """Handle an upstream's refusal of an order by its fencing number.
 
         :param name: the duty's name.
         :param highest: the highest fencing number that the upstream saw.
         """
         if name in self._leases:
-            self._leases[name].fenced_off(highest)
+            self._leases[name].fencing_rejected(highest)
 
     def _lease_for(self, duty: Duty) -> leases.Lease:
         if duty.name not in self._leases:
--- a/src/apricotlever/vms/view.py
+++ b/src/apricotlever/vms/fleet_view.py
@@ -6,7 +6,7 @@
 from . import roster as rosters
 
 
-class View:
+class FleetView:
     """Members that are not dead, this VM included.
 
     In a small fleet these are all members. In a large fleet they are those of
@@ -58,11 +58,11 @@
             and data_centre in (None, member.data_centre)
         ]
 
-    def names(self, data_centre: str | None = None) -> list[str]:
+    def serving_names(self, data_centre: str | None = None) -> list[str]:
         """Names of the members that take new work."""
         return [member.vm for member in self.serving(data_centre)]
 
-    def entries(self) -> list[pb.Member]:
+    def members_for_callers(self) -> list[pb.Member]:
         """Members whose addresses are given to callers.
 
         These are all known members that take new work, and the gateways of the
--- a/src/apricotlever/vms/followers.py
+++ b/src/apricotlever/vms/follower_selection.py
@@ -10,8 +10,8 @@
 
 from .. import clock as clocks
 
-from . import digests
 from . import rendezvous
+from . import vm_records
 
 #: If one follower is refused by the store and another has just ended, one is
 #: left.
@@ -19,13 +19,13 @@
 RANK_KEY = "follow"
 #: Seconds after its start in which a process does not decide, as it knows few
 #: peers. Otherwise each VM of a fleet that starts at once would select itself.
-STARTED_S = 1.0
+START_UP_S = 1.0
 #: While no VM follows with success, the number of VMs that try doubles after
 #: each such time, in seconds: the first ones may be unable to reach the store.
 WIDENING_INTERVAL_S = 0.25
 
 
-class Followers:
+class FollowerSelection:
     """Decides whether one VM follows the store.
 
     :param vm: name of the VM.
@@ -54,13 +54,13 @@
         """Whether this VM has to follow the store."""
         return self._follows
 
-    def look(self, peers: typing.Iterable[digests.Digest]) -> None:
+    def update(self, peers: typing.Iterable[vm_records.VmRecord]) -> None:
         """Decide by the records of the live peers.
 
         :param peers: records of the other live VMs.
         """
         now = self._clock.now()
-        if now - self._started_at < STARTED_S:
+        if now - self._started_at < START_UP_S:
             return
         alive = [p for p in peers if not p.leaving]
         following = frozenset(p.vm for p in alive if p.follows)
--- a/src/apricotlever/vms/knowledge.py
+++ b/src/apricotlever/vms/gossip_state.py
@@ -4,12 +4,12 @@
 import typing
 
 from .. import clock as clocks
+from . import data_centre_summaries as data_centre_summaries
+from . import fleet_view as fleet_view
 from ..links import peer_pb2 as pb
 from . import roster as rosters
-from . import rumours as rumour_buffer
-from . import summaries as data_centre_summaries
+from . import rumour_buffer as rumour_buffer
 from . import timing as timings
-from . import view as fleet_view
 
 # A fleet counts as small again only well below the upper bound. This
 # hysteresis keeps a fleet of about that size from switching back and forth.
@@ -18,7 +18,7 @@
 SUMMARIES_PER_MESSAGE = 2
 
 
-class Hint:
+class PeerHint:
     """Name and address of a possible member, from settings or the platform.
 
     The platform's list lags behind the fleet. A hint only justifies sending a
@@ -36,7 +36,7 @@
         self.data_centre = data_centre
 
 
-class Knowledge:
+class GossipState:
     """Roster, rumours and data centre summaries held by one VM.
 
     :param me: this VM's own record.
@@ -46,7 +46,7 @@
         "me",
         "roster",
         "rumours",
-        "news",
+        "member_updates",
         "summaries",
         "catalogue",
         "_rng",
@@ -67,9 +67,9 @@
     ) -> None:
         self.me = me
         self.roster = rosters.Roster(clock, timing.tombstone_s)
-        self.rumours = rumour_buffer.Rumours(clock, me.vm, me.incarnation)
-        self.news = rumour_buffer.MemberUpdates()
-        self.summaries = data_centre_summaries.Summaries(
+        self.rumours = rumour_buffer.RumourBuffer(clock, me.vm, me.incarnation)
+        self.member_updates = rumour_buffer.MemberUpdates()
+        self.summaries = data_centre_summaries.DataCentreSummaries(
             clock, rng, timing, me.data_centre, me.region
         )
         self.catalogue: pb.CatalogueVersion | None = None
@@ -98,7 +98,7 @@
             self._gateways_at = at
             self._gateways = self.summaries.rank_gateways(
                 member
-                for member in self.here()
+                for member in self.local_members()
                 if member.state != pb.VM_DEAD and not member.leaving
             )
         return self._gateways
@@ -108,7 +108,7 @@
         """Whether this VM exchanges summaries with other data centres."""
         return self.me.vm in self.gateways
 
-    def here(self) -> list[pb.Member]:
+    def local_members(self) -> list[pb.Member]:
         """Live members of this data centre, this VM included."""
         mine = self.me.data_centre
         return [self.me] + [
@@ -117,23 +117,23 @@
             if member.data_centre == mine
         ]
 
-    def view(self) -> fleet_view.View:
+    def view(self) -> fleet_view.FleetView:
         """A snapshot of the members and summaries known now."""
         members = dict(self.roster.live)
         if self.me.state != pb.VM_DEAD:
             members[self.me.vm] = self.me
         summaries = self.summaries.fresh if self._large else {}
-        return fleet_view.View(self.me, members, summaries)
+        return fleet_view.FleetView(self.me, members, summaries)
 
-    def is_far(self, member: pb.Member) -> bool:
+    def is_remote(self, member: pb.Member) -> bool:
         """Whether a VM is in another data centre."""
         return member.data_centre != self.me.data_centre
 
-    def resize(self) -> None:
+    def update_fleet_size(self) -> None:
         """Return to a full view once the fleet has stayed small."""
         most = self._timing.full_view_max
         counted = self._count_members()
-        self.hear_size(counted)
+        self.observe_fleet_size(counted)
         quiet_s = self._clock.now() - self._last_large_at
         if (
             self._large
@@ -142,7 +142,7 @@
         ):
             self._large = False
 
-    def hear_size(self, members: int) -> None:
+    def observe_fleet_size(self, members: int) -> None:
         """Note a VM's member count; switch to summaries if it is large.
 
         All VMs have to switch together. A VM with a full view would probe
@@ -155,19 +155,19 @@
             self._large = True
             self._drop_remote_members()
 
-    def learn_summaries(
+    def merge_summaries(
         self, summaries: typing.Iterable[pb.DataCentreSummary]
     ) -> None:
         """Merge summaries, which may show that the fleet is large."""
         for summary in summaries:
             self.summaries.merge(summary)
         fresh = self.summaries.fresh.values() if summaries else ()
-        self.hear_size(sum(summary.members for summary in fresh))
+        self.observe_fleet_size(sum(summary.members for summary in fresh))
 
-    def compose(self, to: pb.Member) -> pb.GossipMessage:
+    def compose_message(self, to: pb.Member) -> pb.GossipMessage:
         """Compose a message with the updates that are new to a VM."""
         message = self._new_message()
-        remote = self.is_far(to)
+        remote = self.is_remote(to)
         room = self._timing.packet_bytes
         if not (remote and self._large):
             room -= self._add_members(message, to, room)
@@ -179,20 +179,20 @@
         message.rumours.extend(self.rumours.pick(room, size, to.vm, remote))
         return message
 
-    def receipt(self, to: pb.Member) -> pb.GossipMessage:
+    def minimal_reply(self, to: pb.Member) -> pb.GossipMessage:
         """Compose a message with only the records about the receiver."""
         message = self._new_message()
-        if not (self._large and self.is_far(to)):
+        if not (self._large and self.is_remote(to)):
             message.members.extend(self._records_about(to))
         return message
 
-    def add_summaries(self, message: pb.GossipMessage) -> None:
+    def attach_summaries(self, message: pb.GossipMessage) -> None:
         """Add the summaries that gateways exchange to a message."""
         message.summaries.extend(
             self.summaries.pick(self._timing.packet_bytes)
         )
 
-    def ask_sync(self, to: pb.Member | None) -> pb.GossipMessage:
+    def sync_request(self, to: pb.Member | None) -> pb.GossipMessage:
         """Compose a request for the full view of another VM.
 
         :param to: None when only an address is known. The own view is then
@@ -204,7 +204,7 @@
             self._fill_sync(message.sync, to)
         return message
 
-    def answer_sync(self, to: pb.Member) -> pb.GossipMessage:
+    def sync_reply(self, to: pb.Member) -> pb.GossipMessage:
         """Compose the reply to a sync request, with the own full view."""
         message = self._new_message()
         message.sync.question = False
@@ -224,7 +224,7 @@
         return 1 + len(self.roster.live) + remote
 
     def _fill_sync(self, sync: pb.Sync, to: pb.Member) -> None:
-        remote = self.is_far(to)
+        remote = self.is_remote(to)
         if not (remote and self._large):
             sync.members.extend(self.roster.all.values())
         if self._large:
@@ -237,7 +237,7 @@
         message.members.extend(self._records_about(to))
         size = len(self.roster.live) + 1
         message.members.extend(
-            self.news.pick(room, size, to.vm, self._record_of)
+            self.member_updates.pick(room, size, to.vm, self._record_of)
         )
         return sum(map(rumour_buffer.embedded_size_bytes, message.members))
 
@@ -253,11 +253,11 @@
 
     def _drop_remote_members(self) -> None:
         for member in list(self.roster.all.values()):
-            if self.is_far(member):
+            if self.is_remote(member):
                 self.summaries.note_contact(member)
                 self.roster.forget(member.vm)
 
 
 def _is_news_to(known: pb.Member, to: pb.Member) -> bool:
-    newer = rosters.standing(known) > rosters.standing(to)
+    newer = rosters.precedence(known) > rosters.precedence(to)
     return newer or known.state >= pb.VM_SUSPECT
--- a/src/apricotlever/vms/lease_objects.py
+++ b/src/apricotlever/vms/lease_objects.py
@@ -94,7 +94,7 @@
     }
 
 
-def is_lease(value: typing.Any) -> bool:
+def is_lease_value(value: typing.Any) -> bool:
     """Whether a JSON value has the fields and types of a lease."""
     return (
         isinstance(value, dict)
--- a/src/apricotlever/vms/leases.py
+++ b/src/apricotlever/vms/leases.py
@@ -140,7 +140,7 @@
         """
         self._wanted = wanted
 
-    def give_up(self) -> int:
+    def surrender(self) -> int:
         """Stop using the current fencing number for good.
 
         This is for a holder whose renewals fail while other VMs reach the
@@ -156,20 +156,20 @@
         self._highest_fencing = max(self._highest_fencing, surrendered + 1)
         return surrendered
 
-    def given_up(self, fencing: int) -> None:
+    def record_surrender(self, fencing: int) -> None:
         """Record that a fencing number's holder has surrendered it."""
         if fencing > self._surrendered:
             self._surrendered = fencing
             self._surrendered_at = self._clock.now()
 
     @property
-    def renewed(self) -> tuple[int, int] | None:
+    def last_renewal(self) -> tuple[int, int] | None:
         """The version and the fencing number while this VM holds the lease."""
         if not self.held or self._own_version is None:
             return None
         return self._own_version, self._fencing
 
-    def told(
+    def observe_renewal(
         self, version: int, fencing: int, holder: str, incarnation: int
     ) -> None:
         """Record a renewal that the holder announced.
@@ -193,7 +193,7 @@
         }
         self._observe(version, value)
 
-    def process_seen(self, vm: str, incarnation: int) -> None:
+    def observe_process(self, vm: str, incarnation: int) -> None:
         """Record the incarnation of the process that a VM runs.
 
         A newer process on the holder's VM shows that the holder has ended
@@ -209,9 +209,9 @@
         ):
             return
         if incarnation > observed.value["incarnation"]:
-            self.given_up(int(observed.value["fencing"]))
+            self.record_surrender(int(observed.value["fencing"]))
 
-    def fenced_off(self, highest: int) -> None:
+    def fencing_rejected(self, highest: int) -> None:
         """Handle an upstream that has seen a greater fencing number.
 
         Either another VM holds the lease by now, or the store lost the
@@ -242,7 +242,7 @@
     ) -> None:
         """Report the object that was read; both None when there is none."""
         self._pending = None
-        if value is not None and not lease_objects.is_lease(value):
+        if value is not None and not lease_objects.is_lease_value(value):
             # Overwriting an object that somebody edited by hand would restart
             # the fencing numbers. Nobody holds the lease until the object is
             # repaired.
@@ -315,7 +315,7 @@
     def _contend(
         self, now: float, observed: lease_objects.ObservedLease
     ) -> lease_objects.LeaseAction | None:
-        self.process_seen(self._holder, self._incarnation)
+        self.observe_process(self._holder, self._incarnation)
         available_at = self._available_at(observed)
         if now < available_at:
             return None
--- a/src/apricotlever/vms/membership.py
+++ b/src/apricotlever/vms/membership.py
@@ -13,18 +13,18 @@
 
 from .. import clock as clocks
 from . import actions
-from . import knowledge
-from . import learning
+from . import dissemination
+from . import fleet_view as views
+from . import gossip_state
 from ..links import peer_pb2 as pb
-from . import mediation
-from . import outreach
 from . import probing
-from . import rumours as rumour_books
+from . import relayed_probes
+from . import rumour_buffer as rumour_books
 from . import suspicion
 from . import timing as timings
-from . import view as views
+from . import update_merger
 
-Hint = knowledge.Hint
+Hint = gossip_state.PeerHint
 Actions = list[actions.Action]
 _Handler = typing.Callable[["Membership", pb.GossipMessage], Actions]
 
@@ -66,16 +66,16 @@
     ) -> None:
         self._clock = clock
         self._timing = timing or timings.MembershipTiming()
-        self._known = knowledge.Knowledge(clock, rng, me, self._timing)
+        self._known = gossip_state.GossipState(clock, rng, me, self._timing)
         self._health = suspicion.LocalHealth()
-        self._learner = learning.Learner(
+        self._learner = update_merger.UpdateMerger(
             clock, self._known, self._health, self._timing
         )
         self._prober = probing.Prober(clock, rng, self._timing, self._health)
-        self._disseminator = outreach.Disseminator(
+        self._disseminator = dissemination.Disseminator(
             clock, rng, self._known, self._timing, hints
         )
-        self._relayed_probes = mediation.RelayedProbes(
+        self._relayed_probes = relayed_probes.RelayedProbes(
             clock, RELAY_TIMEOUT_FRACTION * self._timing.probe_timeout_s
         )
         self._exited = False
@@ -98,11 +98,11 @@
         return self._known.is_gateway
 
     @property
-    def view(self) -> views.View:
+    def view(self) -> views.FleetView:
         """The current view of the fleet."""
         return self._known.view()
 
-    def hint(self, hints: typing.Iterable[Hint]) -> None:
+    def set_hints(self, hints: typing.Iterable[Hint]) -> None:
         """Replace the hints from the platform's list, which may be stale."""
         self._disseminator.set_hints(hints)
 
@@ -113,7 +113,7 @@
             rumours replace it, ``replaces_key``; other fields are filled in.
         :returns: the rumour as it is sent.
         """
-        stamped = self._known.rumours.stamp(rumour)
+        stamped = self._known.rumours.add_own(rumour)
         self._learner.push_due |= rumour_books.is_urgent(stamped)
         return stamped
 
@@ -128,13 +128,13 @@
         if self._exited:
             return []
         result = self._check_for_pause()
-        self._known.resize()
+        self._known.update_fleet_size()
         result += self._step_prober()
         result += [
             self._send_indirect_ack(late, alive=False)
             for late in self._relayed_probes.expired()
         ]
-        result += self._learner.bury()
+        result += self._learner.expire_suspicions()
         result += self._push_if_due()
         result += self._disseminator.send_summaries()
         result += self._disseminator.sync()
@@ -161,43 +161,45 @@
             return []
         return self._process(message)
 
-    def leave(self) -> Actions:
+    def announce_leave(self) -> Actions:
         """Announce that this VM takes no new work; probing continues."""
         if self.me.leaving:
             return []
-        self._learner.restate(leaving=True, state=pb.VM_LEAVING)
+        self._learner.raise_refutation(leaving=True, state=pb.VM_LEAVING)
         return self._push_if_due()
 
-    def depart(self) -> Actions:
+    def announce_exit(self) -> Actions:
         """Tell some peers that this process ends; must be the last call."""
-        self._learner.restate(state=pb.VM_DEAD, suspected_by=self.me.vm)
+        self._learner.raise_refutation(
+            state=pb.VM_DEAD, suspected_by=self.me.vm
+        )
         result = self._push_if_due()
         self._exited = True
         return result
 
     def _process(self, message: pb.GossipMessage) -> Actions:
         result = self._check_for_pause()
-        self._known.hear_size(message.fleet_members)
-        result += self._learner.hear(message)
+        self._known.observe_fleet_size(message.fleet_members)
+        result += self._learner.merge_message(message)
         handler = _handlers.get(message.WhichOneof("kind") or "")
         return result if handler is None else result + handler(self, message)
 
     def _default_reply(self, message: pb.GossipMessage) -> pb.GossipMessage:
         sender = message.sender
-        if not self._known.is_far(sender):
+        if not self._known.is_remote(sender):
             # A peer that pushes news usually got it from the same source as
             # this VM. The limited number of sends is kept for other peers.
-            return self._known.receipt(sender)
-        answer = self._known.compose(sender)
+            return self._known.minimal_reply(sender)
+        answer = self._known.compose_message(sender)
         if message.summaries:
-            self._known.add_summaries(answer)
+            self._known.attach_summaries(answer)
         return answer
 
     @_handler_for("probe")
     def _handle_probe(self, message: pb.GossipMessage) -> Actions:
         # A probe meant for another VM that used this address before is
         # answered, too: the ack's sender shows the prober the mismatch.
-        answer = self._known.compose(message.sender)
+        answer = self._known.compose_message(message.sender)
         answer.ack.sequence = message.probe.sequence
         return [actions.Reply(answer)]
 
@@ -232,15 +234,15 @@
     @_handler_for("sync")
     def _handle_sync(self, message: pb.GossipMessage) -> Actions:
         sync = message.sync
-        self._known.learn_summaries(sync.summaries)
+        self._known.merge_summaries(sync.summaries)
         vm = message.sender.vm
-        result = self._learner.learn_view(sync.members, vm)
+        result = self._learner.merge_full_view(sync.members, vm)
         if any(map(_is_join, result)):
             # When many VMs join at once, a single view lacks some of them.
             self._disseminator.sync_within(JOIN_RESYNC_S)
-        result += self._learner.learn_rumours(sync.rumours, vm)
+        result += self._learner.merge_rumours(sync.rumours, vm)
         if sync.question:
-            answer = self._known.answer_sync(message.sender)
+            answer = self._known.sync_reply(message.sender)
             result.append(actions.Reply(answer))
         return result
 
@@ -263,10 +265,10 @@
         return [self._send_probe(member, step.sequence)]
 
     def _send_probe(self, member: pb.Member, sequence: int) -> actions.Action:
-        message = self._known.compose(member)
+        message = self._known.compose_message(member)
         message.probe.sequence = sequence
         message.probe.target = member.vm
-        return outreach.send(member, message)
+        return dissemination.send(member, message)
 
     def _send_indirect_probes(
         self, sequence: int, target: pb.Member
@@ -276,20 +278,20 @@
         self._prober.indirect_probes_sent(len(others))
         result: Actions = []
         for other in others:
-            message = self._known.compose(other)
+            message = self._known.compose_message(other)
             message.indirect_probe.sequence = sequence
             message.indirect_probe.target.CopyFrom(target)
-            result.append(outreach.send(other, message))
+            result.append(dissemination.send(other, message))
         return result
 
     def _send_indirect_ack(
-        self, relayed: mediation.RelayedProbe, alive: bool
+        self, relayed: relayed_probes.RelayedProbe, alive: bool
     ) -> actions.Action:
-        message = self._known.compose(relayed.origin)
+        message = self._known.compose_message(relayed.origin)
         message.indirect_ack.sequence = relayed.sequence
         message.indirect_ack.target = relayed.target
         message.indirect_ack.alive = alive
-        return outreach.send(relayed.origin, message)
+        return dissemination.send(relayed.origin, message)
 
     def _push_if_due(self) -> Actions:
         if not self._learner.push_due:
@@ -310,15 +312,15 @@
         self._last_active_at = now
         if gap_s <= self._timing.pause_s:
             return []
-        self._learner.postpone(gap_s)
+        self._learner.extend_suspicions(gap_s)
         self._prober.cancel()
         self._relayed_probes.clear()
-        self._health.worse(PAUSE_HEALTH_PENALTY)
-        self._learner.restate()
+        self._health.degrade(PAUSE_HEALTH_PENALTY)
+        self._learner.raise_refutation()
         self._disseminator.sync_within(0.0)
         if gap_s > self._timing.tombstone_s / 2:
             self._discard_records()
-        return [actions.Paused(gap_s)]
+        return [actions.PauseDetected(gap_s)]
 
     def _discard_records(self) -> None:
         # The other VMs may have dropped the records of VMs that died during
@@ -328,15 +330,15 @@
         self._disseminator.add_seeds(records)
         for member in records:
             self._known.roster.forget(member.vm)
-        self._learner.drop_suspicions()
+        self._learner.clear_suspicions()
 
     def _purge_expired(self) -> None:
         now = self._clock.now()
         if now >= self._purge_at:
             self._purge_at = now + self._timing.probe_interval_s
             self._known.roster.purge()
-            self._known.rumours.purge()
+            self._known.rumours.drop_expired()
 
 
 def _is_join(action: actions.Action) -> bool:
-    return isinstance(action, actions.Changed) and action.before is None
+    return isinstance(action, actions.MemberChanged) and action.before is None
--- a/src/apricotlever/vms/orders.py
+++ b/src/apricotlever/vms/orders.py
@@ -93,11 +93,11 @@
         )
 
     @property
-    def wanted(self) -> list[str]:
+    def targeted_upstreams(self) -> list[str]:
         """Upstreams that have a target."""
         return sorted(self._targets)
 
-    def want(self, upstream: str, target: Target) -> None:
+    def set_target(self, upstream: str, target: Target) -> None:
         """Set the target of an upstream; an equal one changes nothing."""
         known = self._targets.get(upstream)
         if known is None or known.target != target:
@@ -106,7 +106,7 @@
                 target, self._number, self._clock.now()
             )
 
-    def forget(self, upstream: str) -> None:
+    def drop_target(self, upstream: str) -> None:
         """Drop an upstream's target: it is gone, or another VM directs it."""
         self._targets.pop(upstream, None)
 
@@ -130,7 +130,7 @@
             state.must_read = False
             state.due_at = self._clock.now() + RETRY_S
 
-    def found(self, upstream: str, target: Target) -> None:
+    def target_read(self, upstream: str, target: Target) -> None:
         """Report the target in force, as read from the upstream."""
         state = self._targets.get(upstream)
         if state is None:
--- a/src/apricotlever/vms/peer_loads.py
+++ b/src/apricotlever/vms/peer_loads.py
@@ -7,7 +7,7 @@
 from ..roll_outs import samples
 
 from . import aggregates
-from . import digests
+from . import vm_records
 
 #: Seconds for which the loads of each own record are kept, until an aggregate
 #: that includes the record has been received.
@@ -35,7 +35,7 @@
         "pending",
         "silent",
         "failures",
-        "summed",
+        "from_aggregate",
         "trials",
     )
 
@@ -45,18 +45,20 @@
         pending: Counts,
         silent: Counts,
         failures: dict[str, aggregates.Failures],
-        summed: bool = False,
+        from_aggregate: bool = False,
         trials: samples.Records | None = None,
     ) -> None:
         self.in_flight = in_flight
         self.pending = pending
         self.silent = silent
         self.failures = failures
-        self.summed = summed
+        self.from_aggregate = from_aggregate
         self.trials = trials or {}
 
 
-def loads_of_records(records: typing.Sequence[digests.Digest]) -> PeerLoads:
+def loads_of_records(
+    records: typing.Sequence[vm_records.VmRecord],
+) -> PeerLoads:
     """Sum the loads in the records of the other VMs."""
     return PeerLoads(
         sum_counts(record.in_flight for record in records),
@@ -114,7 +116,7 @@
         """Loads of the other VMs; None before the first aggregate."""
         return self._loads
 
-    def record_sent(self, record: digests.Digest) -> None:
+    def record_sent(self, record: vm_records.VmRecord) -> None:
         """Note the loads sent with a record of this VM."""
         now = self._clock.now()
         self._sent[record.number] = _SentLoads(
@@ -143,7 +145,7 @@
             pending,
             aggregate.silent,
             {aggregate.process: aggregate.failures},
-            summed=True,
+            from_aggregate=True,
             trials=aggregate.trials,
         )
 
--- a/src/apricotlever/vms/peer_table.py
+++ b/src/apricotlever/vms/peer_table.py
@@ -8,7 +8,7 @@
 
 from .. import clock as clocks
 
-from . import digests
+from . import vm_records
 
 #: Seconds of silence after which a VM is no longer given to callers: five
 #: records in a row are hardly lost by chance.
@@ -25,7 +25,7 @@
 #: VMs, and successive records reach all VMs in turn.
 FANOUT = 24
 #: Most peer addresses in one record, so that it fits into a datagram.
-MOST_KNOWN = 24
+MAX_KNOWN_ADDRESSES = 24
 
 
 class _Peer:
@@ -33,7 +33,7 @@
 
     __slots__ = ("digest", "heard_at")
 
-    def __init__(self, digest: digests.Digest, heard_at: float) -> None:
+    def __init__(self, digest: vm_records.VmRecord, heard_at: float) -> None:
         self.digest = digest
         self.heard_at = heard_at
 
@@ -87,11 +87,11 @@
         return self._address
 
     @property
-    def between_s(self) -> float:
+    def mean_sign_of_life_interval_s(self) -> float:
         """Mean seconds between two signs of life of one peer."""
         if self.is_aggregated:
             return MEAN_INTERVAL_AGGREGATED_S
-        return digests.INTERVAL_S * self._sends_per_arrival
+        return vm_records.RECORD_INTERVAL_S * self._sends_per_arrival
 
     @property
     def is_large(self) -> bool:
@@ -118,9 +118,9 @@
             if address != self._address:
                 self._hints.setdefault(address, now)
 
-    def heard(
-        self, digest: digests.Digest, age_s: float = 0.0
-    ) -> digests.Digest | None:
+    def receive_record(
+        self, digest: vm_records.VmRecord, age_s: float = 0.0
+    ) -> vm_records.VmRecord | None:
         """Merge a record.
 
         :param age_s: seconds since its VM sent it.
@@ -144,7 +144,7 @@
         self.hint(digest.known)
         return former
 
-    def heard_of(self, vm: str, age_s: float) -> None:
+    def note_heard(self, vm: str, age_s: float) -> None:
         """Note a sign of life of a VM that an aggregator reports.
 
         :param age_s: seconds since that sign of life.
@@ -220,16 +220,16 @@
     def known(self) -> list[str]:
         """Addresses of live members to include in a record."""
         addresses = [digest.peer_address for digest in self.alive()]
-        if len(addresses) <= MOST_KNOWN:
+        if len(addresses) <= MAX_KNOWN_ADDRESSES:
             return addresses
-        return self._rng.sample(addresses, MOST_KNOWN)
+        return self._rng.sample(addresses, MAX_KNOWN_ADDRESSES)
 
-    def alive(self) -> list[digests.Digest]:
+    def alive(self) -> list[vm_records.VmRecord]:
         """Records of the VMs that are alive."""
         since = self._clock.now() - self._alive_timeout_s()
         return [p.digest for p in self._peers.values() if p.heard_at > since]
 
-    def members(self) -> list[digests.Digest]:
+    def members(self) -> list[vm_records.VmRecord]:
         """Records of the VMs that may be alive, even if they are silent.
 
         A VM that announced its departure and then fell silent has ended.
@@ -243,7 +243,7 @@
             and not (peer.digest.leaving and now - peer.heard_at > alive_s)
         ]
 
-    def silence(self) -> None:
+    def mark_all_silent(self) -> None:
         """Treat all peers as silent, after a pause of this process."""
         long_ago = self._clock.now() - self._alive_timeout_s()
         for peer in self._peers.values():
--- a/src/apricotlever/vms/probing.py
+++ b/src/apricotlever/vms/probing.py
@@ -177,12 +177,12 @@
         if current is None or current.vm not in live:
             return []
         if current.acked:
-            self._health.better()
+            self._health.improve()
             return []
         # The VMs asked send a nack when the target did not answer. When they
         # are silent as well, this VM's own link has failed.
         silent = max(0, current.indirect_probes - current.nacks)
-        self._health.worse(min(1, silent))
+        self._health.degrade(min(1, silent))
         return [Suspect(current.vm, current.sequence)]
 
     def _start_probe(
--- a/src/apricotlever/vms/collector.py
+++ b/src/apricotlever/vms/record_aggregation.py
@@ -11,15 +11,15 @@
 
 from .. import clock as clocks
 from ..roll_outs import samples
-from ..runners import totals
+from ..runners import call_totals
 
 from . import aggregates
-from . import digests
-from . import fleet_entries
 from . import peer_loads
+from . import record_relay
+from . import vm_records
 
 #: Seconds between two aggregates.
-FLUSH_S = 0.1
+AGGREGATE_INTERVAL_S = 0.1
 #: One aggregate in this many is sent even without changes. It has the age of
 #: each VM's last sign of life.
 KEEPALIVE_EVERY = 3
@@ -38,7 +38,7 @@
 
     __slots__ = ("record", "heard_at", "usage", "work")
 
-    def __init__(self, record: digests.Digest, heard_at: float) -> None:
+    def __init__(self, record: vm_records.VmRecord, heard_at: float) -> None:
         self.record = record
         self.heard_at = heard_at
         self.usage = record.usage
@@ -121,10 +121,10 @@
         self._clock = clock
         self._vm = vm
         self._members: dict[str, _ReportingVm] = {}
-        self._relay = fleet_entries.RecordRelay(clock)
+        self._relay = record_relay.RecordRelay(clock)
         self._reports: dict[str, _AggregatorReport] = {}
-        self._failures = totals.Totals()
-        self._remote_failures = totals.Totals()
+        self._failures = call_totals.CallTotals()
+        self._remote_failures = call_totals.CallTotals()
         #: Last trial counts of each process that uses this VM as aggregator.
         self._trials: dict[str, samples.Records] = {}
         self._flushes = 0
@@ -133,12 +133,12 @@
         self._sent_to_served = _LastSent()
 
     @property
-    def relay(self) -> fleet_entries.RecordRelay:
+    def relay(self) -> record_relay.RecordRelay:
         """Records of all VMs of the fleet."""
         return self._relay
 
     @property
-    def served(self) -> list[digests.Digest]:
+    def served(self) -> list[vm_records.VmRecord]:
         """The last records of the VMs that use this one."""
         return [
             member.record
@@ -169,7 +169,7 @@
         """Send all directly received records again, for a new aggregator."""
         self._relay.resend(self._members)
 
-    def receive_record(self, record: digests.Digest) -> bool:
+    def receive_record(self, record: vm_records.VmRecord) -> bool:
         """Handle a record sent by the VM itself.
 
         :returns: whether the VM has just begun to use this aggregator.
@@ -184,7 +184,9 @@
             member.work = record.work or known.work
         self._members[record.vm] = member
         serves = self._serves(member)
-        self._failures.heard(record.process, record.failures, serves)
+        self._failures.add_process_counts(
+            record.process, record.failures, serves
+        )
         self._update_trials(record)
         self._relay.merge_record(record, now)
         return serves and not (known is not None and self._serves(known))
@@ -200,10 +202,12 @@
         ):
             return
         self._reports[aggregate.vm] = _AggregatorReport(aggregate, now)
-        self._remote_failures.heard(aggregate.process, aggregate.failures)
+        self._remote_failures.add_process_counts(
+            aggregate.process, aggregate.failures
+        )
         for record in aggregate.entries:
             age_s = aggregate.ages.get(
-                record.vm, fleet_entries.LIVENESS_TIMEOUT_S
+                record.vm, record_relay.LIVENESS_TIMEOUT_S
             )
             self._relay.merge_record(record, now - age_s)
         for vm, age_s in aggregate.ages.items():
@@ -212,7 +216,10 @@
             self._relay.merge_used(process, used)
 
     def build_aggregates(
-        self, own: digests.Digest, number: int, runners: typing.Container[str]
+        self,
+        own: vm_records.VmRecord,
+        number: int,
+        runners: typing.Container[str],
     ) -> tuple[aggregates.Aggregate | None, aggregates.Aggregate | None]:
         """Build the next aggregates.
 
@@ -230,7 +237,7 @@
         served = self.served
         keepalive = self._flushes % KEEPALIVE_EVERY == 0
         entries = self._relay.select_due(
-            KEEPALIVE_EVERY * FLUSH_S if keepalive else 0.0
+            KEEPALIVE_EVERY * AGGREGATE_INTERVAL_S if keepalive else 0.0
         )
         ages = self._relay.ages(None if keepalive else entries)
         used = self._relay.take_changed_used()
@@ -275,7 +282,7 @@
             self._sent_to_served.if_changed(whole, keepalive),
         )
 
-    def needs_catch_up(self, record: digests.Digest) -> bool:
+    def needs_catch_up(self, record: vm_records.VmRecord) -> bool:
         """Whether a served VM hears from fewer VMs than are known here.
 
         That VM has just started, or messages about some VMs were lost.
@@ -283,7 +290,7 @@
         return record.hears + 1 < self._relay.count_propagated()
 
     def ages_message(
-        self, own: digests.Digest, number: int
+        self, own: vm_records.VmRecord, number: int
     ) -> aggregates.Aggregate:
         """Build the answer to a newly served VM: ages of all live VMs."""
         return aggregates.Aggregate(
@@ -296,7 +303,7 @@
         )
 
     def full_state(
-        self, own: digests.Digest, number: int, data_centre: str
+        self, own: vm_records.VmRecord, number: int, data_centre: str
     ) -> list[aggregates.Aggregate]:
         """Build the aggregates for a VM that knows few others.
 
@@ -318,7 +325,7 @@
                 self._relay.ages(entries),
             )
             for entries in _batches(
-                records, fleet_entries.MAX_RECORDS_PER_MESSAGE
+                records, record_relay.MAX_RECORDS_PER_MESSAGE
             )
         ]
 
@@ -326,10 +333,10 @@
         return (
             member.record.aggregator == self._vm
             and self._clock.now() - member.heard_at
-            <= fleet_entries.LIVENESS_TIMEOUT_S
+            <= record_relay.LIVENESS_TIMEOUT_S
         )
 
-    def _update_trials(self, record: digests.Digest) -> None:
+    def _update_trials(self, record: vm_records.VmRecord) -> None:
         """Keep the counts of a process that uses this VM as aggregator.
 
         The last counts of a terminated process are kept; those of a process
@@ -385,13 +392,15 @@
 
 
 def _batches(
-    records: list[digests.Digest], size: int
-) -> typing.Iterator[list[digests.Digest]]:
+    records: list[vm_records.VmRecord], size: int
+) -> typing.Iterator[list[vm_records.VmRecord]]:
     rest = iter(records)
     return iter(lambda: list(itertools.islice(rest, size)), [])
 
 
-def _sum_loads(records: typing.Sequence[digests.Digest]) -> aggregates.Loads:
+def _sum_loads(
+    records: typing.Sequence[vm_records.VmRecord],
+) -> aggregates.Loads:
     in_flight = peer_loads.sum_counts(record.in_flight for record in records)
     pending = peer_loads.sum_counts(record.pending for record in records)
     return {
@@ -400,7 +409,9 @@
     }
 
 
-def _count_silent(records: typing.Sequence[digests.Digest]) -> dict[str, int]:
+def _count_silent(
+    records: typing.Sequence[vm_records.VmRecord],
+) -> dict[str, int]:
     return peer_loads.sum_counts(
         dict.fromkeys(record.silent, 1) for record in records
     )
