--- a/src/apricotlever/vms/fleet_news.py
+++ b/src/apricotlever/vms/record_exchange.py
@@ -13,11 +13,11 @@
 from .. import clock as clocks
 
 from . import aggregates
-from . import aggregators
-from . import collector
-from . import digests
+from . import aggregator_selection
 from . import peer_loads
 from . import peer_table
+from . import record_aggregation
+from . import vm_records
 
 #: Ticks of :data:`vm_records.RECORD_INTERVAL_S` between two records of a VM
 #: that has no change to report to its aggregator.
@@ -27,10 +27,10 @@
 #: Shortest time between two answers to the same VM, in seconds.
 ANSWER_INTERVAL_S = 1.0
 
-Message = digests.Digest | aggregates.Aggregate | aggregates.Tally
+Message = vm_records.VmRecord | aggregates.Aggregate | aggregates.Tally
 
 
-class Outgoing:
+class OutgoingMessage:
     """A message and the peer addresses to send it to."""
 
     __slots__ = ("message", "receivers")
@@ -40,12 +40,12 @@
         self.receivers = receivers
 
 
-class Source(typing.Protocol):
+class RecordSource(typing.Protocol):
     """Builds this VM's records."""
 
     def record(
         self, number: int, known: list[str], whole: bool, aggregator: str
-    ) -> digests.Digest:
+    ) -> vm_records.VmRecord:
         """Build this VM's next record.
 
         :param number: sequence number of the record.
@@ -56,7 +56,7 @@
         """
 
 
-class FleetNews:
+class RecordExchange:
     """One VM's part in the exchange of records.
 
     :param vm: name of this VM.
@@ -93,7 +93,7 @@
         vm: str,
         data_centre: str,
         table: peer_table.PeerTable,
-        source: Source,
+        source: RecordSource,
     ) -> None:
         self._clock = clock
         self._rng = rng
@@ -101,8 +101,8 @@
         self._data_centre = data_centre
         self._table = table
         self._source = source
-        self._selector = aggregators.AggregatorSelector(clock, vm)
-        self._aggregation = collector.RecordAggregator(clock, vm)
+        self._selector = aggregator_selection.AggregatorSelector(clock, vm)
+        self._aggregation = record_aggregation.RecordAggregator(clock, vm)
         self._loads = peer_loads.PeerLoadTracker(clock, vm)
         self._is_large = False
         self._number = 0
@@ -129,7 +129,7 @@
         return self._is_large and self._selector.is_aggregator
 
     @property
-    def sources(self) -> frozenset[str] | None:
+    def directory_sources(self) -> frozenset[str] | None:
         """VMs to compare the directory of runners with; None for all.
 
         If all VMs of a large fleet compared themselves with all others, some
@@ -143,7 +143,7 @@
             return frozenset([*self._aggregators, *followers])
         return frozenset({self._selector.current, self._selector.fallback})
 
-    def uses(self, aggregate: aggregates.Aggregate) -> bool:
+    def takes_loads_from(self, aggregate: aggregates.Aggregate) -> bool:
         """Whether this VM takes the loads of peers from an aggregate."""
         return aggregate.whole and aggregate.vm == self.aggregator
 
@@ -155,7 +155,7 @@
             return summed
         return peer_loads.loads_of_records(self._table.alive())
 
-    def look(self) -> list[Outgoing]:
+    def tick(self) -> list[OutgoingMessage]:
         """Build the messages that are due.
 
         The caller calls this once in :data:`vm_records.RECORD_INTERVAL_S`.
@@ -177,7 +177,7 @@
             else []
         )
 
-    def news(self) -> list[Outgoing]:
+    def publish_change(self) -> list[OutgoingMessage]:
         """Build the messages that report a change of this VM."""
         if not self.aggregator:
             return [self._record_for_all()]
@@ -185,9 +185,11 @@
             # This VM's next aggregate includes the change.
             return []
         receivers = self._addresses([self._selector.current])
-        return [Outgoing(self._next_record(False), receivers)]
+        return [OutgoingMessage(self._next_record(False), receivers)]
 
-    def flush(self, runners: typing.Container[str]) -> list[Outgoing]:
+    def publish_aggregates(
+        self, runners: typing.Container[str]
+    ) -> list[OutgoingMessage]:
         """Build the aggregates for other aggregators and for served VMs.
 
         The caller calls this once in
@@ -211,14 +213,18 @@
             others = sorted(
                 {*self._aggregators, *self._aggregation.recent_aggregators}
             )
-            outgoing.append(Outgoing(for_aggregators, self._addresses(others)))
+            outgoing.append(
+                OutgoingMessage(for_aggregators, self._addresses(others))
+            )
         if whole is not None:
-            outgoing.append(Outgoing(whole, self._addresses(served)))
+            outgoing.append(OutgoingMessage(whole, self._addresses(served)))
             if self._selector.current == self._vm:
                 self._loads.receive_aggregate(whole)
         return outgoing
 
-    def tally(self, wanted_by: typing.Iterable[str]) -> list[Outgoing]:
+    def publish_tally(
+        self, wanted_by: typing.Iterable[str]
+    ) -> list[OutgoingMessage]:
         """Build the tally of the served VMs for duty holders.
 
         :param wanted_by: names of the VMs that need the tally.
@@ -228,9 +234,11 @@
             return []
         tally = aggregates.Tally(self._vm, self._table.address, counts)
         others = [vm for vm in wanted_by if vm != self._vm]
-        return [Outgoing(tally, self._addresses(others))]
+        return [OutgoingMessage(tally, self._addresses(others))]
 
-    def record(self, record: digests.Digest) -> list[Outgoing]:
+    def receive_record(
+        self, record: vm_records.VmRecord
+    ) -> list[OutgoingMessage]:
         """Handle a peer's record, which the table already has."""
         if not self._is_large:
             return []
@@ -241,9 +249,13 @@
             return []
         # The VM does not know yet that the fleet is large, and no aggregator
         # would report to it.
-        return [Outgoing(self._next_record(True), [record.peer_address])]
+        return [
+            OutgoingMessage(self._next_record(True), [record.peer_address])
+        ]
 
-    def aggregate(self, aggregate: aggregates.Aggregate) -> list[Outgoing]:
+    def receive_aggregate(
+        self, aggregate: aggregates.Aggregate
+    ) -> list[OutgoingMessage]:
         """Handle an aggregate, whose entries the table already has."""
         if not aggregate.whole:
             self._aggregation.receive_aggregate(aggregate)
@@ -268,11 +280,15 @@
                 self._loads.receive_aggregate(aggregate)
         return []
 
-    def _record_for_all(self) -> Outgoing:
-        whole = self._number % digests.WHOLE_EVERY == 0
-        return Outgoing(self._next_record(whole), self._table.receivers())
+    def _record_for_all(self) -> OutgoingMessage:
+        whole = self._number % vm_records.FULL_RECORD_EVERY == 0
+        return OutgoingMessage(
+            self._next_record(whole), self._table.receivers()
+        )
 
-    def _records_for_aggregators(self, former: str = "") -> list[Outgoing]:
+    def _records_for_aggregators(
+        self, former: str = ""
+    ) -> list[OutgoingMessage]:
         """Build records for the aggregators and for one silent address.
 
         :param former: aggregator that this VM has just left; "" for none.
@@ -289,17 +305,21 @@
         outgoing = []
         if receiving_vms:
             receivers = self._addresses(sorted(receiving_vms))
-            outgoing.append(Outgoing(self._next_record(whole), receivers))
+            outgoing.append(
+                OutgoingMessage(self._next_record(whole), receivers)
+            )
         silent = self._table.silent_addresses()
         if silent:
             # A record without an aggregator is answered. By this exchange the
             # parts of a partitioned fleet find each other again.
             request = self._next_record(True)
             request.aggregator = ""
-            outgoing.append(Outgoing(request, [self._rng.choice(silent)]))
+            outgoing.append(
+                OutgoingMessage(request, [self._rng.choice(silent)])
+            )
         return outgoing
 
-    def _next_record(self, whole: bool) -> digests.Digest:
+    def _next_record(self, whole: bool) -> vm_records.VmRecord:
         self._number += 1
         record = self._source.record(
             self._number,
@@ -312,8 +332,8 @@
         return record
 
     def _answer_served(
-        self, record: digests.Digest, is_new: bool
-    ) -> list[Outgoing]:
+        self, record: vm_records.VmRecord, is_new: bool
+    ) -> list[OutgoingMessage]:
         """Answer a VM that uses this one, if it needs an answer."""
         if self._aggregation.needs_catch_up(record) and self._may_answer_now(
             record.vm
@@ -325,15 +345,15 @@
             return []
         own = self._next_record(False)
         answer = self._aggregation.ages_message(own, own.number)
-        return [Outgoing(answer, [record.peer_address])]
+        return [OutgoingMessage(answer, [record.peer_address])]
 
     def _full_state_for(
         self, receiver: str, data_centre: str
-    ) -> list[Outgoing]:
+    ) -> list[OutgoingMessage]:
         """Build the messages with the whole known state of the fleet."""
         own = self._next_record(False)
         parts = self._aggregation.full_state(own, own.number, data_centre)
-        return [Outgoing(part, [receiver]) for part in parts]
+        return [OutgoingMessage(part, [receiver]) for part in parts]
 
     def _addresses(self, vms: typing.Iterable[str]) -> list[str]:
         return self._table.addresses(vms)
@@ -361,7 +381,10 @@
         self._selector.set_candidates(by_data_centre[self._data_centre])
         selected = set(
             itertools.chain.from_iterable(
-                map(aggregators.select_aggregators, by_data_centre.values())
+                map(
+                    aggregator_selection.select_aggregators,
+                    by_data_centre.values(),
+                )
             )
         )
         before = set(self._aggregators)
--- a/src/apricotlever/vms/fleet_entries.py
+++ b/src/apricotlever/vms/record_relay.py
@@ -9,8 +9,8 @@
 
 from .. import clock as clocks
 
-from . import digests
 from . import peer_table
+from . import vm_records
 
 #: How many messages include a changed record.
 SENDS_PER_CHANGE = 2
@@ -37,7 +37,7 @@
 
     __slots__ = ("record", "first_at", "heard_at", "sends_left", "sent_at")
 
-    def __init__(self, record: digests.Digest, heard_at: float) -> None:
+    def __init__(self, record: vm_records.VmRecord, heard_at: float) -> None:
         self.record = record
         self.first_at = heard_at
         self.heard_at = heard_at
@@ -86,7 +86,7 @@
         until = self._clock.now() - PROPAGATION_S
         return sum(entry.first_at < until for entry in self._live.values())
 
-    def live_records(self, data_centre: str = "") -> list[digests.Digest]:
+    def live_records(self, data_centre: str = "") -> list[vm_records.VmRecord]:
         """Records of the live VMs, with their totals of admitted units.
 
         :param data_centre: data centre of the VMs; "" for all.
@@ -98,7 +98,7 @@
         ]
 
     def ages(
-        self, records: typing.Iterable[digests.Digest] | None = None
+        self, records: typing.Iterable[vm_records.VmRecord] | None = None
     ) -> dict[str, float]:
         """Seconds since the last sign of life of each live VM.
 
@@ -125,7 +125,9 @@
         if entry is not None:
             entry.heard_at = max(entry.heard_at, heard_at)
 
-    def merge_record(self, record: digests.Digest, heard_at: float) -> None:
+    def merge_record(
+        self, record: vm_records.VmRecord, heard_at: float
+    ) -> None:
         """Merge a VM's record, if it is later than the known one."""
         known = self._by_vm.get(record.vm)
         self.merge_used(record.process, record.used)
@@ -167,7 +169,9 @@
         used, self._used_changed = self._used_changed, {}
         return used
 
-    def select_due(self, since_last_turn_s: float) -> list[digests.Digest]:
+    def select_due(
+        self, since_last_turn_s: float
+    ) -> list[vm_records.VmRecord]:
         """Select changed records, and those due for a repeat.
 
         :param since_last_turn_s: seconds since records were last repeated in
@@ -221,7 +225,7 @@
             if entry.heard_at >= since
         }
 
-    def _with_used(self, record: digests.Digest) -> digests.Digest:
+    def _with_used(self, record: vm_records.VmRecord) -> vm_records.VmRecord:
         """Copy a record with all totals, as single updates may be lost."""
         copy = record.without_summed_fields()
         copy.used = self._used.get(record.process, {})
--- a/src/apricotlever/vms/spread_actions.py
+++ b/src/apricotlever/vms/replication_actions.py
@@ -1,16 +1,16 @@
 """Actions that the catalogue replicator asks its owner to take."""
 
-from . import deltas
+from . import catalogue_deltas
 from ..links import peer_pb2 as pb
 
 
-class SpreadAction:
+class ReplicationAction:
     """Base class of the actions."""
 
     __slots__ = ()
 
 
-class Watch(SpreadAction):
+class StartWatching(ReplicationAction):
     """Read the object from the store, then watch it.
 
     Each result is passed to ``receive_stored``.
@@ -19,13 +19,13 @@
     __slots__ = ()
 
 
-class StopWatching(SpreadAction):
+class StopWatching(ReplicationAction):
     """Stop watching the store."""
 
     __slots__ = ()
 
 
-class FetchFrom(SpreadAction):
+class FetchFromPeer(ReplicationAction):
     """Call Fetch at a peer.
 
     The result is passed to ``receive_answer`` or ``fetch_failed``.
@@ -41,7 +41,7 @@
         self.message = message
 
 
-class Apply(SpreadAction):
+class ApplyCatalogue(ReplicationAction):
     """Put a document in force.
 
     Its version and digest are also passed to ``Membership.set_catalogue``.
@@ -50,14 +50,14 @@
     __slots__ = ("version", "digest", "document")
 
     def __init__(
-        self, version: int, digest: int, document: deltas.Document
+        self, version: int, digest: int, document: catalogue_deltas.Document
     ) -> None:
         self.version = version
         self.digest = digest
         self.document = document
 
 
-class Announce(SpreadAction):
+class AnnounceRumour(ReplicationAction):
     """Pass a rumour to ``Membership.announce``."""
 
     __slots__ = ("rumour",)
@@ -66,7 +66,7 @@
         self.rumour = rumour
 
 
-class Fault(SpreadAction):
+class Fault(ReplicationAction):
     """A fault reported to operators; the catalogue in force is unchanged.
 
     :param version: version that was received.
--- a/src/apricotlever/vms/roster.py
+++ b/src/apricotlever/vms/roster.py
@@ -5,10 +5,10 @@
 from .. import clock as clocks
 from ..links import peer_pb2 as pb
 
-Standing = tuple[int, int, int]
+Precedence = tuple[int, int, int]
 
 
-def standing(member: pb.Member) -> Standing:
+def precedence(member: pb.Member) -> Precedence:
     """The precedence of a record; the greater one of a VM prevails."""
     return member.incarnation, member.refutation, member.state
 
@@ -18,7 +18,7 @@
     return member.state == pb.VM_ALIVE and not member.leaving
 
 
-def changed(member: pb.Member, **fields: typing.Any) -> pb.Member:
+def with_fields(member: pb.Member, **fields: typing.Any) -> pb.Member:
     """A copy with some fields replaced; records themselves never change."""
     copy = pb.Member()
     copy.CopyFrom(member)
@@ -27,7 +27,7 @@
     return copy
 
 
-class Merged:
+class MergeResult:
     """The outcome of a merge that changed a record.
 
     :param before: the previous record; None when the VM was not known.
@@ -41,7 +41,7 @@
         self.after = after
 
     @property
-    def replaced(self) -> bool:
+    def is_new_process(self) -> bool:
         """Whether the new record is of a newer process of the same VM."""
         return (
             self.before is not None
@@ -100,7 +100,7 @@
         """The record of a VM, alive or dead; None when it is unknown."""
         return self._records.get(vm)
 
-    def merge(self, member: pb.Member) -> Merged | None:
+    def merge(self, member: pb.Member) -> MergeResult | None:
         """Merge a received record.
 
         :returns: the change; None when the record adds nothing new.
@@ -108,13 +108,13 @@
         before = self._records.get(member.vm)
         if before is None:
             return self._store(None, member)
-        if standing(member) > standing(before):
+        if precedence(member) > precedence(before):
             return self._store(before, _preserve_leaving(before, member))
         if _learns_leaving(before, member):
             return self._store(before, _as_leaving(before))
         return None
 
-    def keep_accuser(self, member: pb.Member) -> None:
+    def update_accuser(self, member: pb.Member) -> None:
         """Store a record that differs from the known one in its accuser only.
 
         :param member: a record of the same precedence.
@@ -136,7 +136,9 @@
         for vm in [v for v, at in self._died_at.items() if at < oldest]:
             self.forget(vm)
 
-    def _store(self, before: pb.Member | None, after: pb.Member) -> Merged:
+    def _store(
+        self, before: pb.Member | None, after: pb.Member
+    ) -> MergeResult:
         self._change_count += 1
         self._records[after.vm] = after
         if after.state == pb.VM_DEAD:
@@ -145,7 +147,7 @@
         else:
             self._live[after.vm] = after
             self._died_at.pop(after.vm, None)
-        return Merged(before, after)
+        return MergeResult(before, after)
 
 
 def _preserve_leaving(before: pb.Member, member: pb.Member) -> pb.Member:
@@ -160,7 +162,7 @@
 def _as_leaving(member: pb.Member) -> pb.Member:
     alive = member.state == pb.VM_ALIVE
     state = pb.VM_LEAVING if alive else member.state
-    return changed(member, leaving=True, state=state)
+    return with_fields(member, leaving=True, state=state)
 
 
 def _learns_leaving(before: pb.Member, member: pb.Member) -> bool:
--- a/src/apricotlever/vms/rumours.py
+++ b/src/apricotlever/vms/rumour_buffer.py
@@ -91,7 +91,7 @@
         self.size = embedded_size_bytes(rumour)
 
 
-class Rumours:
+class RumourBuffer:
     """Rumours that one VM has received and passes on.
 
     :param vm: name of this VM.
@@ -122,7 +122,7 @@
         """Number of rumours in the buffer."""
         return len(self._buffered)
 
-    def stamp(self, rumour: pb.Rumour) -> pb.Rumour:
+    def add_own(self, rumour: pb.Rumour) -> pb.Rumour:
         """Add a rumour that originates at this VM.
 
         :param rumour: body, scope, ``lifetime_ms`` and ``replaces_key``.
@@ -203,7 +203,7 @@
             if buffered.urgent and (not remote or _has_fleet_scope(buffered))
         ]
 
-    def purge(self) -> None:
+    def drop_expired(self) -> None:
         """Drop expired rumours and identities."""
         now = self._clock.now()
         for identity in [
--- a/src/apricotlever/vms/suspicion.py
+++ b/src/apricotlever/vms/suspicion.py
@@ -39,7 +39,7 @@
         """When the suspect is declared dead, in seconds."""
         return self._started_at + self._timeout_s()
 
-    def accuse(self, vm: str) -> bool:
+    def add_accuser(self, vm: str) -> bool:
         """Count a VM that suspects the same VM.
 
         :param vm: the accuser: the VM that raised or confirms the suspicion.
@@ -75,16 +75,16 @@
         """The factor by which intervals and timeouts are lengthened."""
         return self._score + 1
 
-    def worse(self, by: int = 1) -> None:
+    def degrade(self, by: int = 1) -> None:
         """Record a sign that this VM is slow or badly connected."""
         self._score = min(MAX_HEALTH_SCORE, self._score + by)
 
-    def better(self) -> None:
+    def improve(self) -> None:
         """Record a sign that this VM is healthy."""
         self._score = max(0, self._score - 1)
 
 
-def bounds_s(
+def timeout_bounds_s(
     members: int, interval_s: float, factor: float, max_factor: float
 ) -> tuple[float, float]:
     """The shortest and the longest suspicion, in seconds.
--- a/src/apricotlever/vms/learning.py
+++ b/src/apricotlever/vms/update_merger.py
@@ -4,10 +4,10 @@
 
 from .. import clock as clocks
 from . import actions
-from . import knowledge
+from . import gossip_state
 from ..links import peer_pb2 as pb
 from . import roster as rosters
-from . import rumours as rumour_buffer
+from . import rumour_buffer as rumour_buffer
 from . import suspicion
 from . import timing as timings
 
@@ -19,7 +19,7 @@
 FULL_VIEW_SENDS = 2
 
 
-class Learner:
+class UpdateMerger:
     """Merges updates from peers and declares members suspect or dead.
 
     :param state: gossip state that the updates are merged into.
@@ -38,7 +38,7 @@
     def __init__(
         self,
         clock: clocks.Clock,
-        state: knowledge.Knowledge,
+        state: gossip_state.GossipState,
         health: suspicion.LocalHealth,
         timing: timings.MembershipTiming,
     ) -> None:
@@ -50,13 +50,13 @@
         self._timing = timing
         self._suspicions: dict[str, suspicion.Suspicion] = {}
 
-    def hear(self, message: pb.GossipMessage) -> Actions:
+    def merge_message(self, message: pb.GossipMessage) -> Actions:
         """Merge all that a message carries beside its ``kind`` field."""
         sender = message.sender
         result = self._merge_sender(sender)
         result += self.merge_members(message.members, sender.vm)
-        self._state.learn_summaries(message.summaries)
-        result += self.learn_rumours(message.rumours, sender.vm)
+        self._state.merge_summaries(message.summaries)
+        result += self.merge_rumours(message.rumours, sender.vm)
         return result + self._compare_catalogue(message.catalogue, sender.vm)
 
     def merge_members(
@@ -71,7 +71,7 @@
         seen = (
             member
             for member in members
-            if not (state.large and state.is_far(member))
+            if not (state.large and state.is_remote(member))
         )
         return [
             action
@@ -79,7 +79,7 @@
             for action in self._merge_member(member, via, sent)
         ]
 
-    def learn_view(
+    def merge_full_view(
         self, members: typing.Iterable[pb.Member], sender: str
     ) -> Actions:
         """Merge the full view of another VM.
@@ -96,20 +96,20 @@
         )
         return self.merge_members(downgraded, sender, limit - FULL_VIEW_SENDS)
 
-    def learn_rumours(
+    def merge_rumours(
         self, rumours: typing.Iterable[pb.Rumour], via: str
     ) -> Actions:
         """Merge rumours; each one is delivered once."""
         added = [r for r in rumours if self._state.rumours.receive(r, via)]
         self.push_due |= any(map(rumour_buffer.is_urgent, added))
-        return [actions.Delivered(rumour, via) for rumour in added]
+        return [actions.RumourDelivered(rumour, via) for rumour in added]
 
     def suspect(self, vm: str) -> Actions:
         """Declare a VM suspect, as it did not answer this one."""
         member = self._state.roster.live.get(vm)
         return [] if member is None else self._declare(member, pb.VM_SUSPECT)
 
-    def bury(self) -> Actions:
+    def expire_suspicions(self) -> Actions:
         """Declare the suspects dead that did not refute in time."""
         now = self._clock.now()
         live = self._state.roster.live
@@ -124,18 +124,20 @@
             for action in self._declare(member, pb.VM_DEAD)
         ]
 
-    def restate(self, **fields: typing.Any) -> None:
+    def raise_refutation(self, **fields: typing.Any) -> None:
         """Raise the own refutation, so that the own record takes precedence.
 
         :param fields: fields of the own record to replace.
         """
         me = self._state.me
         refutation = fields.pop("refutation", me.refutation) + 1
-        self._state.me = rosters.changed(me, refutation=refutation, **fields)
-        self._state.news.add(me.vm)
+        self._state.me = rosters.with_fields(
+            me, refutation=refutation, **fields
+        )
+        self._state.member_updates.add(me.vm)
         self.push_due = True
 
-    def postpone(self, seconds: float) -> None:
+    def extend_suspicions(self, seconds: float) -> None:
         """Extend all suspicions by a time in which this VM received nothing.
 
         :param seconds: the length of that time.
@@ -143,12 +145,12 @@
         for timer in self._suspicions.values():
             timer.postpone(seconds)
 
-    def drop_suspicions(self) -> None:
+    def clear_suspicions(self) -> None:
         """Drop all suspicions."""
         self._suspicions.clear()
 
     def _merge_sender(self, sender: pb.Member) -> Actions:
-        if self._state.large and self._state.is_far(sender):
+        if self._state.large and self._state.is_remote(sender):
             self._state.summaries.note_contact(sender)
             return []
         return self._merge_member(sender)
@@ -164,19 +166,19 @@
             return []
         if merged.before is None and member.state == pb.VM_DEAD:
             return []
-        self._state.news.add(member.vm, via, sent)
+        self._state.member_updates.add(member.vm, via, sent)
         return self._apply_change(merged)
 
-    def _apply_change(self, merged: rosters.Merged) -> Actions:
+    def _apply_change(self, merged: rosters.MergeResult) -> Actions:
         member = merged.after
         self._suspicions.pop(member.vm, None)
         if member.state == pb.VM_SUSPECT:
             self._start_suspicion(member)
-        self.push_due |= merged.replaced or member.state in (
+        self.push_due |= merged.is_new_process or member.state in (
             pb.VM_LEAVING,
             pb.VM_DEAD,
         )
-        result: Actions = [actions.Changed(merged.before, member)]
+        result: Actions = [actions.MemberChanged(merged.before, member)]
         return result + [
             actions.IncarnationEnded(member.vm, incarnation)
             for incarnation in _ended_incarnations(merged)
@@ -187,14 +189,14 @@
         if member.incarnation > me.incarnation:
             return [actions.Superseded(member.incarnation)]
         if member.incarnation < me.incarnation:
-            self._state.news.add(me.vm)
+            self._state.member_updates.add(me.vm)
             return []
         accused = member.state >= pb.VM_SUSPECT
         if not accused or member.refutation < me.refutation:
             return []
-        self.restate(refutation=member.refutation)
-        self._health.worse()
-        return [actions.Refuted(member.suspected_by)]
+        self.raise_refutation(refutation=member.refutation)
+        self._health.degrade()
+        return [actions.SuspicionRefuted(member.suspected_by)]
 
     def _compare_catalogue(
         self, received: pb.CatalogueVersion, via: str
@@ -207,12 +209,14 @@
         )
         if not received.version or not (is_newer or is_clash):
             return []
-        return [actions.CatalogueHeard(received.version, received.digest, via)]
+        return [
+            actions.CatalogueAdvertised(received.version, received.digest, via)
+        ]
 
     def _declare(self, member: pb.Member, state: pb.VmState) -> Actions:
         accuser = self._state.me.vm
         return self._merge_member(
-            rosters.changed(member, state=state, suspected_by=accuser)
+            rosters.with_fields(member, state=state, suspected_by=accuser)
         )
 
     def _downgrade_death(self, member: pb.Member, sender: str) -> pb.Member:
@@ -221,13 +225,13 @@
             return member
         if known is None or known.incarnation != member.incarnation:
             return member
-        return rosters.changed(
+        return rosters.with_fields(
             member, state=pb.VM_SUSPECT, suspected_by=sender
         )
 
     def _start_suspicion(self, member: pb.Member) -> None:
         live = len(self._state.roster.live)
-        shortest, longest = suspicion.bounds_s(
+        shortest, longest = suspicion.timeout_bounds_s(
             live + 1,
             self._timing.probe_interval_s,
             self._timing.suspicion_factor,
@@ -236,7 +240,7 @@
         timer = suspicion.Suspicion(
             self._clock.now(), shortest, longest, live - 2
         )
-        timer.accuse(member.suspected_by)
+        timer.add_accuser(member.suspected_by)
         self._suspicions[member.vm] = timer
 
     def _add_accuser(self, member: pb.Member) -> None:
@@ -245,21 +249,21 @@
         known = self._state.roster.get(member.vm)
         if timer is None or known is None:
             return
-        if rosters.standing(known) != rosters.standing(member):
+        if rosters.precedence(known) != rosters.precedence(member):
             return
-        if timer.accuse(member.suspected_by):
-            self._state.roster.keep_accuser(member)
-            self._state.news.add(member.vm)
+        if timer.add_accuser(member.suspected_by):
+            self._state.roster.update_accuser(member)
+            self._state.member_updates.add(member.vm)
 
 
 def _departed_voluntarily(member: pb.Member) -> bool:
     return member.state == pb.VM_DEAD and member.suspected_by == member.vm
 
 
-def _ended_incarnations(merged: rosters.Merged) -> list[int]:
+def _ended_incarnations(merged: rosters.MergeResult) -> list[int]:
     """Incarnations that have certainly ended with this change."""
     ended = []
-    if merged.before is not None and merged.replaced:
+    if merged.before is not None and merged.is_new_process:
         ended.append(merged.before.incarnation)
     if _departed_voluntarily(merged.after):
         ended.append(merged.after.incarnation)
--- a/src/apricotlever/vms/digests.py
+++ b/src/apricotlever/vms/vm_records.py
@@ -10,16 +10,16 @@
 from .. import shapes
 from ..roll_outs import model as roll_outs_model
 from ..roll_outs import samples
-from ..runners import culprits
+from ..runners import crash_blocklist
 
 #: Seconds between two records. Limits that are enforced by counters overshoot
 #: by what is admitted in this time.
-INTERVAL_S = 0.2
+RECORD_INTERVAL_S = 0.2
 #: One record in this many is a full one, starting with the first of a process.
-WHOLE_EVERY = 5
+FULL_RECORD_EVERY = 5
 
 
-class Digest:
+class VmRecord:
     """Status record of one VM.
 
     An empty field carries no information. ``levels``, ``failures`` and
@@ -123,7 +123,7 @@
         failures: dict[str, tuple[int, int]] | None = None,
         reported: int = 0,
         known: list[str] | None = None,
-        crashes: culprits.Told | None = None,
+        crashes: crash_blocklist.CrashRecord | None = None,
         gave_up: int = 0,
         lease: tuple[int, int] | None = None,
         limits_port: int = 0,
@@ -175,23 +175,23 @@
         """Identifier of the process, not only of its VM."""
         return f"{self.vm}#{self.incarnation}"
 
-    def supersedes(self, other: "Digest") -> bool:
+    def supersedes(self, other: "VmRecord") -> bool:
         """Whether this is a later record than another one of the same VM."""
         return (self.incarnation, self.number) > (
             other.incarnation,
             other.number,
         )
 
-    def without_summed_fields(self) -> "Digest":
+    def without_summed_fields(self) -> "VmRecord":
         """A copy without the fields that aggregates carry in other ways."""
-        copy = Digest(*self.to_record())
+        copy = VmRecord(*self.to_record())
         copy.in_flight, copy.pending, copy.failures = {}, {}, {}
         copy.levels, copy.usage, copy.work = {}, {}, {}
         copy.silent, copy.known, copy.aggregator = [], [], ""
         copy.used, copy.trials = {}, {}
         return copy
 
-    def differs_from(self, other: "Digest", versions: bool) -> bool:
+    def differs_from(self, other: "VmRecord", versions: bool) -> bool:
         """Whether the status fields differ from those of another record.
 
         Counters and sequence numbers, which each record changes, are not
@@ -212,7 +212,7 @@
         return [getattr(self, name) for name in self.__slots__]
 
     @classmethod
-    def from_record(cls, record: typing.Any) -> "Digest":
+    def from_record(cls, record: typing.Any) -> "VmRecord":
         """Decode the result of :meth:`to_record`.
 
         :raises shapes.Misshapen: when a field is missing or invalid.
@@ -270,7 +270,7 @@
     ),
     ("reported", shapes.is_whole),
     ("known", shapes.is_list(shapes.is_address)),
-    ("crashes", shapes.is_none_or(culprits.is_told)),
+    ("crashes", shapes.is_none_or(crash_blocklist.is_crash_record)),
     ("gave_up", shapes.is_whole),
     (
         "lease",
--- a/tests/contracts/naive.py
+++ b/tests/contracts/naive.py
@@ -103,11 +103,11 @@
 class AlwaysRetry:
     """A retry budget without a limit."""
 
-    def take(self, entry: str) -> bool:
+    def try_acquire(self, entry: str) -> bool:
         """Allow every retry."""
         return True
 
-    def succeeded(self, entry: str) -> None:
+    def record_success(self, entry: str) -> None:
         """Ignore the success."""
 
 
--- a/tests/contracts/naive_call_budget.py
+++ b/tests/contracts/naive_call_budget.py
@@ -25,7 +25,7 @@
         self._depth = depth
         self._allowed: list[float] = []
 
-    def allow(self, *_rank: typing.Any) -> bool:
+    def try_acquire(self, *_rank: typing.Any) -> bool:
         """Take one token, whatever the priority."""
         if self._tokens(self._clock.now()) < 1:
             return False
--- a/tests/contracts/naive_fleet_rate.py
+++ b/tests/contracts/naive_fleet_rate.py
@@ -1,6 +1,6 @@
 """The naive rival of a fleet-wide limit: fixed equal shares."""
 
-from apricotlever.contracts import rates
+from apricotlever.contracts import token_bucket
 
 
 class EqualParts:
@@ -14,7 +14,7 @@
 
     def __init__(self, clock, rate, burst, vms):
         self.buckets = [
-            rates.TokenBucket(clock, rate / vms, burst / vms)
+            token_bucket.TokenBucket(clock, rate / vms, burst / vms)
             for _ in range(vms)
         ]
 
--- a/tests/requests/at_most_once.py
+++ b/tests/requests/at_most_once.py
@@ -7,8 +7,8 @@
 from hypothesis import stateful
 from hypothesis import strategies
 
-from apricotlever.requests import entries
-from tests.requests import fleet
+from apricotlever.requests import ledger_entries
+from tests.requests import simulated_fleet
 
 VMS = ("a", "b", "c")
 PAIRS = tuple(itertools.permutations(VMS, 2))
@@ -37,7 +37,7 @@
 )
 PAUSES_S = (0.3, 70.0, 700.0, 4000.0)
 
-SMALL_LIMITS = entries.LedgerLimits(
+SMALL_LIMITS = ledger_entries.LedgerLimits(
     minted_key_life_s=3600.0,
     caller_key_life_s=7200.0,
     entries_max=4,
@@ -63,7 +63,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.fleet = fleet.SimulatedFleet(
+        self.fleet = simulated_fleet.SimulatedFleet(
             type(self).make_ledger, SMALL_LIMITS, VMS
         )
         self.keys = [
@@ -114,13 +114,15 @@
         if other_customer:
             customer = CUSTOMERS[1 - CUSTOMERS.index(customer)]
         first = first_send and (customer, key) not in self.fleet.known_keys
-        self.fleet.call(vm, fleet.Call(customer, key, digest, first))
+        self.fleet.call(vm, simulated_fleet.Call(customer, key, digest, first))
 
     @stateful.precondition(_has("calls"))
     @stateful.rule(vm=vms, number=numbers, settle=booleans)
     def resend(self, vm: str, number: int, settle: bool) -> None:
         call = self.fleet.calls[-1 - number % len(self.fleet.calls)]
-        self.fleet.call(vm, fleet.Call(call.customer, call.key, call.digest))
+        self.fleet.call(
+            vm, simulated_fleet.Call(call.customer, call.key, call.digest)
+        )
         if settle:
             self.store_answers_all()
 
@@ -129,7 +131,7 @@
     def resend_everywhere(self) -> None:
         call = self.fleet.calls[-1]
         for each in VMS:
-            again = fleet.Call(call.customer, call.key, call.digest)
+            again = simulated_fleet.Call(call.customer, call.key, call.digest)
             self.fleet.call(each, again)
 
     @stateful.precondition(_has("attempts"))
@@ -223,7 +225,7 @@
         elif subject is not None:
             # A false suspicion: the VM was only slow.
             process.ledger.gone(other, subject.ledger.me.incarnation)
-        for owner, successor in self.fleet.heirs.items():
+        for owner, successor in self.fleet.successors.items():
             process.ledger.handed_over(owner, successor)
 
     @stateful.rule(seconds=strategies.sampled_from(PAUSES_S))
--- a/tests/requests/naive_ledger.py
+++ b/tests/requests/naive_ledger.py
@@ -2,9 +2,9 @@
 
 import typing
 
-from apricotlever.requests import entries
 from apricotlever.requests import ledger
-from apricotlever.requests import messages
+from apricotlever.requests import ledger_entries
+from apricotlever.requests import ledger_messages
 
 
 class RetryingLedger(ledger.Ledger):
@@ -16,7 +16,7 @@
         entry = self._runs._local_entry(token)
         if entry is None:
             return False
-        self._runs.settle(entry, entries.RunState.NOT_RUN)
+        self._runs.settle(entry, ledger_entries.RunState.NOT_RUN)
         return True
 
 
@@ -27,12 +27,12 @@
 
     def _decide_unseen_minted(
         self, key: str, customer: str, digest: str, forwarded: bool
-    ) -> messages.Decision:
-        entry = entries.Entry(
+    ) -> ledger_messages.KeyDecision:
+        entry = ledger_entries.Entry(
             customer,
             key,
             digest,
-            entries.RunState.NOT_RUN,
+            ledger_entries.RunState.NOT_RUN,
             0,
             self._own_issuer,
             self._clock.now(),
@@ -45,7 +45,7 @@
 
     __slots__ = ()
 
-    def begin(self, *args: typing.Any) -> messages.Decision:
+    def begin(self, *args: typing.Any) -> ledger_messages.KeyDecision:
         if not self._transfer.confirmed:
             self._frozen = False
         return super().begin(*args)
--- a/tests/requests/fleet.py
+++ b/tests/requests/simulated_fleet.py
@@ -10,9 +10,9 @@
 
 from apricotlever import clock
 from apricotlever.requests import claims
-from apricotlever.requests import entries
+from apricotlever.requests import ledger_entries
+from apricotlever.requests import ledger_messages
 from apricotlever.requests import ledger_state
-from apricotlever.requests import messages
 
 HOPS_MAX = 3
 START_INCARNATION = 100
@@ -62,7 +62,9 @@
 class Process:
     """One incarnation of an entry VM."""
 
-    def __init__(self, ledger: typing.Any, claiming: claims.Claims) -> None:
+    def __init__(
+        self, ledger: typing.Any, claiming: claims.ClaimBatcher
+    ) -> None:
         self.ledger = ledger
         self.claims = claiming
         self.calls: dict[int, Call] = {}
@@ -73,7 +75,7 @@
 
     def __init__(
         self,
-        target: messages.Owner,
+        target: ledger_messages.VmIncarnation,
         deliver: typing.Callable[[Process], None],
     ) -> None:
         self.target = target
@@ -110,7 +112,7 @@
     def __init__(
         self,
         make_ledger: typing.Callable[..., typing.Any],
-        limits: entries.LedgerLimits,
+        limits: ledger_entries.LedgerLimits,
         vms: tuple[str, ...] = ("a", "b", "c"),
     ) -> None:
         self.make_ledger = make_ledger
@@ -123,13 +125,15 @@
         self.store_calls: list[tuple[Process, claims.Action]] = []
         self.late_writes: list[claims.WriteBucket] = []
         self.network: list[Message] = []
-        self.heirs: dict[messages.Owner, messages.Owner] = {}
+        self.successors: dict[
+            ledger_messages.VmIncarnation, ledger_messages.VmIncarnation
+        ] = {}
         self.runs: collections.Counter = collections.Counter()
         self.sent: set[tuple[str, str, str]] = set()
         self.answers: dict[tuple[str, str], bytes] = {}
         self.calls: list[Call] = []
         self.known_keys: set[tuple[str, str]] = set()
-        self.decisions: list[messages.Decision] = []
+        self.decisions: list[ledger_messages.KeyDecision] = []
         for vm in vms:
             self.start(vm)
 
@@ -142,7 +146,9 @@
             self.incarnations,
             self.limits,
         )
-        self.live[vm] = Process(ledger, claims.Claims(self.clock, buckets=1))
+        self.live[vm] = Process(
+            ledger, claims.ClaimBatcher(self.clock, buckets=1)
+        )
         return self.live[vm]
 
     def crash(self, vm: str) -> None:
@@ -160,28 +166,35 @@
         self._answer(process, call, decision)
 
     def _answer(
-        self, process: Process, call: Call, decision: messages.Decision
+        self,
+        process: Process,
+        call: Call,
+        decision: ledger_messages.KeyDecision,
     ) -> None:
         self.decisions.append(decision)
-        if isinstance(decision, messages.Run):
+        if isinstance(decision, ledger_messages.RunCall):
             self.attempts.append(Attempt(process, decision.token, call))
-        elif isinstance(decision, messages.Claim):
+        elif isinstance(decision, ledger_messages.ClaimKey):
             process.calls[decision.token] = call
             self._do(process, process.claims.claim(decision))
-        elif isinstance(decision, messages.Forward):
+        elif isinstance(decision, ledger_messages.ForwardCall):
             self._forward(decision, call)
-        elif isinstance(decision, messages.Replay):
+        elif isinstance(decision, ledger_messages.ReplayAnswer):
             self._check_answer(call, decision.answer.body)
-        elif isinstance(decision, messages.Refuse):
+        elif isinstance(decision, ledger_messages.RefuseCall):
             self._check_refusal(call, decision)
 
-    def _forward(self, decision: messages.Forward, call: Call) -> None:
+    def _forward(
+        self, decision: ledger_messages.ForwardCall, call: Call
+    ) -> None:
         if call.hops >= HOPS_MAX:
             return
         onward = Call(
             call.customer, call.key, call.digest, call.first, call.hops + 1
         )
-        owner = messages.Owner(decision.vm, decision.incarnation)
+        owner = ledger_messages.VmIncarnation(
+            decision.vm, decision.incarnation
+        )
         self.network.append(
             Message(owner, lambda _: self.call(owner.vm, onward, True))
         )
@@ -194,16 +207,18 @@
             expected_prefix
         ), "the answer belongs to another call"
 
-    def _check_refusal(self, call: Call, refusal: messages.Refuse) -> None:
+    def _check_refusal(
+        self, call: Call, refusal: ledger_messages.RefuseCall
+    ) -> None:
         if call.first and self._sent_again(call):
             # The caller guaranteed a first send and has sent the key again
             # since, so it ignores this answer.
             return
-        if refusal.executed is messages.Executed.NO:
+        if refusal.executed is ledger_messages.Executed.NO:
             assert (
                 call.call_name not in self.sent
             ), "refused as not executed, but it was sent"
-        if refusal.executed is messages.Executed.YES:
+        if refusal.executed is ledger_messages.Executed.YES:
             assert self.runs[
                 call.name
             ], "refused as executed, but it never ran"
@@ -214,7 +229,7 @@
 
     def _do(self, process: Process, actions: list[claims.Action]) -> None:
         for action in actions:
-            if not isinstance(action, claims.Tell):
+            if not isinstance(action, claims.DeliverResult):
                 self.store_calls.append((process, action))
                 continue
             call = process.calls.pop(action.result.token)
@@ -300,7 +315,7 @@
             ledger.not_sent(attempt.token)
         elif attempt.body is not None:
             self.attempts.pop(index)
-            answer = messages.Answer(200, (), attempt.body)
+            answer = ledger_messages.Answer(200, (), attempt.body)
             if ledger.finished(attempt.token, answer):
                 self._check_answer(attempt.call, attempt.body)
         else:
@@ -327,10 +342,12 @@
 
         self.network.append(Message(target, deliver))
 
-    def _receipt(self, source: Process, receipt: ledger_state.Receipt) -> None:
+    def _receipt(
+        self, source: Process, receipt: ledger_state.LedgerReceipt
+    ) -> None:
         source.ledger.succession.receipt(receipt)
         if source.ledger.succession.confirmed:
-            self.heirs[receipt.sender] = source.ledger.succession.heir
+            self.successors[receipt.sender] = source.ledger.succession.heir
 
     def send_outcomes(self, vm: str) -> None:
         source = self.live[vm]
--- a/tests/runners/crash_fleet.py
+++ b/tests/runners/crash_fleet.py
@@ -40,8 +40,8 @@
 
     def receive(self, report: crashes.Report) -> None:
         """Count each crash against all requests in flight at the runner."""
-        if isinstance(report, crashes.CrashSeen):
-            for charge in report.charges:
+        if isinstance(report, crashes.CrashObservation):
+            for charge in report.suspects:
                 runners = self.crashed_runners.setdefault(
                     charge.fingerprint, set()
                 )
@@ -49,7 +49,7 @@
 
     def standing(self, fingerprint: str) -> quarantine.FingerprintStatus:
         """Quarantined from two crashes, clear before."""
-        states = quarantine.State
+        states = quarantine.FingerprintState
         if len(self.crashed_runners.get(fingerprint, ())) >= 2:
             return quarantine.FingerprintStatus(states.QUARANTINED, 60.0)
         return quarantine.FingerprintStatus(states.CLEAR)
@@ -120,7 +120,7 @@
             request.vm = self.rng.randrange(len(self.rules))
         vm = request.vm
         status = self.rules[vm].standing(request.name)
-        if status.state is quarantine.State.QUARANTINED:
+        if status.state is quarantine.FingerprintState.QUARANTINED:
             request.refused += 1
             self.after(5.0, lambda: self.send(request))
             return
@@ -148,7 +148,7 @@
         watcher = self.rng.randrange(len(self.rules))
         for vm in {watcher, *(vm for vm, _ in lost)}:
             charges = tuple(
-                crashes.Charge(r.name, r.name, r.attempt, r.on_trial)
+                crashes.SuspectRequest(r.name, r.name, r.attempt, r.on_trial)
                 for owner, r in lost
                 if owner == vm
             )
@@ -170,18 +170,18 @@
         self.rng.shuffle(names)
         if not names:
             return None
-        if status.state is quarantine.State.CLEAR:
+        if status.state is quarantine.FingerprintState.CLEAR:
             return names[0]
         judge = self.rules[0]
         assert isinstance(judge, quarantine.Quarantine)
-        places = tuple(quarantine.Place(n, self.up[n]) for n in names)
+        places = tuple(quarantine.TrialCandidate(n, self.up[n]) for n in names)
         answer = judge.judge(
-            quarantine.MayRun(request.name, request.name, places)
+            quarantine.TrialRequest(request.name, request.name, places)
         )
-        if isinstance(answer, quarantine.RunAt):
+        if isinstance(answer, quarantine.RunAsTrial):
             request.on_trial = True
             return answer.runner
-        if isinstance(answer, quarantine.RunFreely):
+        if isinstance(answer, quarantine.RunNormally):
             return names[0]
         return None
 
@@ -204,14 +204,14 @@
         request.done = True
         self._end_trial(request)
         for rule in self.rules:
-            report = crashes.Survived(request.name, 0.0)
+            report = crashes.RequestCompleted(request.name, 0.0)
             self._deliver(rule, report, self.clock.now())
 
     def _end_trial(self, request: Request) -> None:
         request.on_trial = False
         if isinstance(self.rules[0], quarantine.Quarantine):
             self.rules[0].trial_over(
-                quarantine.TrialOver(request.name, request.name)
+                quarantine.TrialEnded(request.name, request.name)
             )
 
     def _report_crash(
@@ -219,13 +219,13 @@
         vm: int,
         runner: str,
         data_centre: str,
-        charges: tuple[crashes.Charge, ...],
+        charges: tuple[crashes.SuspectRequest, ...],
     ) -> None:
         died_at = self.clock.now()
         noticed = runner in self.noticed
 
-        def seen(age_s: float) -> crashes.CrashSeen:
-            return crashes.CrashSeen(
+        def seen(age_s: float) -> crashes.CrashObservation:
+            return crashes.CrashObservation(
                 f"vm{vm}", runner, data_centre, age_s, noticed, charges
             )
 
--- a/tests/runners/naive.py
+++ b/tests/runners/naive.py
@@ -6,8 +6,8 @@
 import typing
 
 from apricotlever.runners import candidates
+from apricotlever.runners import latency_model as paces
 from apricotlever.runners import model as models
-from apricotlever.runners import pace as paces
 from apricotlever.runners import policies
 from apricotlever.runners import prefix
 
--- a/tests/steps/adapter_entries.py
+++ b/tests/steps/adapter_entries.py
@@ -27,9 +27,9 @@
 from apricotlever.serving import store
 from apricotlever.serving import store_watch
 from apricotlever.serving import tasks
-from apricotlever.vms import digests
 from apricotlever.vms import lease_objects
 from apricotlever.vms import peer_table
+from apricotlever.vms import vm_records
 from tests.steps import adapter as adapter_steps
 
 SETTINGS = hypothesis.settings(
@@ -416,7 +416,7 @@
     _refusals(context, read, ANY_JSON)
 
 
-RECORD = digests.Digest(
+RECORD = vm_records.VmRecord(
     "vm-2",
     5,
     7,
@@ -479,7 +479,7 @@
         table = peer_table.PeerTable(
             clock, random.Random(1), "vm-1", "a:1", ()
         )
-        table.heard(digest)
+        table.receive_record(digest)
         table.known()
         assert sum(digest.in_flight.values()) >= 0
         assert sum(digest.pending.values()) >= 0
@@ -525,12 +525,12 @@
     ).map(lambda drawn: {**LEASE, drawn[0]: drawn[1]})
 
     def read(value):
-        if not lease_objects.is_lease(value):
+        if not lease_objects.is_lease_value(value):
             return
         assert value["holder"] == str(value["holder"])
         assert 0 <= int(value["fencing"]) == value["fencing"]
         assert 0 <= value["duration_s"] < float("inf")
 
-    assert lease_objects.is_lease(LEASE)
+    assert lease_objects.is_lease_value(LEASE)
     _refusals(context, read, drawn)
     _refusals(context, read, ANY_JSON)
--- a/tests/steps/contracts_admission.py
+++ b/tests/steps/contracts_admission.py
@@ -29,7 +29,9 @@
 
     def __init__(self, slots, limits=None, vm="vm0", members=("vm0",)):
         self.clock = clocks.ManualClock()
-        self.admission = admission.Admission(self.clock, random.Random(1), vm)
+        self.admission = admission.AdmissionController(
+            self.clock, random.Random(1), vm
+        )
         self.admission.configure(naive.catalogue(limits))
         self.admission.set_members(members)
         self.admission.set_pool("pool", slots, 0.0)
--- a/tests/steps/contracts_call_budget.py
+++ b/tests/steps/contracts_call_budget.py
@@ -19,7 +19,8 @@
 
 STEPS = strategies.lists(
     strategies.tuples(
-        strategies.integers(0, 30), strategies.sampled_from(call_budget.Rank)
+        strategies.integers(0, 30),
+        strategies.sampled_from(call_budget.CallPriority),
     ),
     max_size=60,
 )
@@ -32,12 +33,12 @@
 
 def _budget(manual_clock, writes_per_s, fleet_size=1):
     budget = call_budget.CallBudget(manual_clock, READS_PER_S, writes_per_s)
-    budget.configure(fleet_size)
+    budget.set_fleet_size(fleet_size)
     return budget
 
 
 def _depth(rate):
-    return max(len(call_budget.Rank), rate * call_budget.BURST_S)
+    return max(len(call_budget.CallPriority), rate * call_budget.BURST_S)
 
 
 @then("the call budget's claims equal those of the naive bucket")
@@ -52,8 +53,10 @@
         )
         for ticks, _ in steps:
             manual_clock.advance(ticks * TICK_S)
-            expected = naive.allow()
-            assert budget.allow(call_budget.Rank.CLAIM) == expected
+            expected = naive.try_acquire()
+            assert (
+                budget.try_acquire(call_budget.CallPriority.CLAIM) == expected
+            )
 
     check()
 
@@ -68,7 +71,7 @@
         spent = []
         for ticks, rank in steps:
             now = manual_clock.advance(ticks * TICK_S)
-            if budget.allow(rank):
+            if budget.try_acquire(rank):
                 spent.append(now)
         for i, j in itertools.combinations(range(len(spent)), 2):
             span_s = spent[j] - spent[i]
@@ -86,9 +89,9 @@
         budget = _budget(manual_clock, rate)
         for ticks, rank in steps:
             manual_clock.advance(ticks * TICK_S)
-            waits = [budget.wait_s(each) for each in call_budget.Rank]
+            waits = [budget.wait_s(each) for each in call_budget.CallPriority]
             assert waits == sorted(waits)
-            assert budget.allow(rank) == (waits[rank] == 0)
+            assert budget.try_acquire(rank) == (waits[rank] == 0)
 
     check()
 
@@ -101,13 +104,13 @@
         if kind == "ranked"
         else naive_call_budget.NaiveCallBudget(manual_clock, 4.0, _depth(4.0))
     )
-    while context.call_budget.allow(call_budget.Rank.STATUS):
+    while context.call_budget.try_acquire(call_budget.CallPriority.STATUS):
         pass
 
 
 @then("a claim on the call budget is {verdict}")
 def _claim(context, verdict):
-    allowed = context.call_budget.allow(call_budget.Rank.CLAIM)
+    allowed = context.call_budget.try_acquire(call_budget.CallPriority.CLAIM)
     assert allowed == (verdict == "allowed")
 
 
@@ -119,20 +122,20 @@
 
 @when("the call budget's fleet grows to {size:d}")
 def _grows(context, size):
-    context.call_budget.configure(size)
+    context.call_budget.set_fleet_size(size)
 
 
 @when("the call budget's fleet shrinks to {size:d} for {seconds:d} seconds")
 def _shrinks(context, size, seconds):
-    context.call_budget.configure(size)
+    context.call_budget.set_fleet_size(size)
     context.budget_clock.advance(seconds)
-    context.call_budget.configure(size)
+    context.call_budget.set_fleet_size(size)
 
 
 @when("the object API throttles a write for {seconds:d} seconds")
 def _throttled(context, seconds):
-    kind = call_budget.Kind.WRITE
-    context.call_budget.throttled(kind, float(seconds))
+    kind = call_budget.CallKind.WRITE
+    context.call_budget.record_throttling(kind, float(seconds))
 
 
 @then("the call budget allows {count:d} claims per second")
@@ -158,7 +161,7 @@
 def _claims_within(context, seconds):
     context.budget_clock.advance(seconds)
     allowed = (
-        context.call_budget.allow(call_budget.Rank.CLAIM)
+        context.call_budget.try_acquire(call_budget.CallPriority.CLAIM)
         for _ in range(ENOUGH_CALLS)
     )
     return len(list(itertools.takewhile(bool, allowed)))
--- a/tests/steps/contracts_concurrency.py
+++ b/tests/steps/contracts_concurrency.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies
 
 from apricotlever import clock as clocks
-from apricotlever.contracts import concurrency
+from apricotlever.contracts import concurrency_limit
 from tests.contracts import naive
 
 SETTINGS = hypothesis.settings(
@@ -29,7 +29,7 @@
     @hypothesis.given(strategies.lists(step, max_size=60))
     def check(steps):
         clock = clocks.ManualClock()
-        limit = concurrency.ConcurrencyLimit(clock, 2, 40, 10)
+        limit = concurrency_limit.ConcurrencyLimit(clock, 2, 40, 10)
         for first_token_s, used, ceiling, resize in steps:
             clock.advance(STEP_S)
             limit.record_in_flight(used)
@@ -37,7 +37,7 @@
                 limit.record_first_token(clock.now(), first_token_s, 1.0)
             if resize:
                 limit.set_bounds(2, ceiling)
-            clock.advance(concurrency.MIN_WINDOW_S)
+            clock.advance(concurrency_limit.MIN_WINDOW_S)
             limit.update()
             assert limit.floor <= limit.limit <= limit.ceiling
 
@@ -81,7 +81,7 @@
 def _runners(context, count):
     context.clock = clocks.ManualClock()
     context.runners = _Runners(count)
-    context.limit = concurrency.ConcurrencyLimit(context.clock, 1, 64, 8)
+    context.limit = concurrency_limit.ConcurrencyLimit(context.clock, 1, 64, 8)
 
 
 @given(
@@ -94,7 +94,7 @@
 
 @given("an adaptive limit of {limit:d} with a ceiling of {ceiling:d}")
 def _limit_at_ceiling(context, limit, ceiling):
-    context.limit = concurrency.ConcurrencyLimit(
+    context.limit = concurrency_limit.ConcurrencyLimit(
         clocks.ManualClock(), 1, ceiling, limit
     )
 
@@ -114,7 +114,9 @@
     " for {seconds:d} seconds"
 )
 def _run_low_load(context, limit, most, seconds):
-    context.limit = concurrency.ConcurrencyLimit(context.clock, 1, 64, limit)
+    context.limit = concurrency_limit.ConcurrencyLimit(
+        context.clock, 1, 64, limit
+    )
     _run_load(context, context.limit, seconds, most)
 
 
--- a/tests/steps/contracts_fleet_rate.py
+++ b/tests/steps/contracts_fleet_rate.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies
 
 from apricotlever import clock as clocks
-from apricotlever.contracts import fleet_rate
-from apricotlever.contracts import rates
+from apricotlever.contracts import fleet_rate_limit
+from apricotlever.contracts import token_bucket
 from tests.contracts import naive_fleet_rate
 
 INTERVAL_S = 0.2
@@ -28,7 +28,7 @@
         self.burst = burst
         self.names = [f"vm-{n}" for n in range(vms)]
         self.rates = {
-            name: fleet_rate.FleetRate(
+            name: fleet_rate_limit.FleetRateLimit(
                 self.clock, rate, burst, overshoot_units, overshoot=overshoot
             )
             for name in self.names
@@ -46,7 +46,9 @@
             for name in side:
                 for other in side:
                     if other != name:
-                        self.rates[other].heard(name, self.rates[name].used)
+                        self.rates[other].receive_total(
+                            name, self.rates[name].admitted_units
+                        )
         for limit in self.rates.values():
             limit.tick()
 
@@ -101,7 +103,7 @@
 @when("VM 1 admits {units:d} units and is refunded {back:d}")
 def _refund(context, units, back):
     assert not context.fleet.rates["vm-0"].take(units)
-    context.fleet.rates["vm-0"].give_back(back)
+    context.fleet.rates["vm-0"].refund(back)
 
 
 @when(
@@ -131,7 +133,7 @@
         if not interval:
             fleet.set_all_members()
         fleet.exchange_totals()
-    context.used = sum(limit.used for limit in fleet.rates.values())
+    context.used = sum(limit.admitted_units for limit in fleet.rates.values())
 
 
 @then("together they admit at most {times:f} times the limit of that time")
@@ -143,9 +145,9 @@
 @then("together they admit at most what the limit and one interval allow")
 def _within_partition_bound(context):
     fleet = context.fleet
-    used = sum(limit.used for limit in fleet.rates.values())
+    used = sum(limit.admitted_units for limit in fleet.rates.values())
     # Until the silence is noticed, each side uses the whole limit.
-    unseen_s = fleet_rate.SILENCE_TIMEOUT_S + 2 * INTERVAL_S
+    unseen_s = fleet_rate_limit.SILENCE_TIMEOUT_S + 2 * INTERVAL_S
     allowed = fleet.rate * (context.seconds + unseen_s) + fleet.burst
     allowed += (len(fleet.names) - 1) * fleet.rate * INTERVAL_S + fleet.burst
     assert used <= allowed, (used, allowed)
@@ -158,7 +160,7 @@
 
 @then("VM 1 has admitted at least {units:d} units")
 def _has_admitted(context, units):
-    assert context.fleet.rates["vm-0"].used >= units
+    assert context.fleet.rates["vm-0"].admitted_units >= units
 
 
 @then("shared counting keeps the limit and refuses less than equal shares")
@@ -193,25 +195,27 @@
 @when("a VM starts and is told a level of {first:d}, then one of {second:d}")
 def _told_level_twice(context, first, second):
     fleet = context.fleet
-    context.new = fleet_rate.FleetRate(fleet.clock, fleet.rate, fleet.burst)
+    context.new = fleet_rate_limit.FleetRateLimit(
+        fleet.clock, fleet.rate, fleet.burst
+    )
     for name in fleet.names:
-        context.new.heard(name, 1000.0)
+        context.new.receive_total(name, 1000.0)
     context.new.set_members(fleet.names)
-    context.new.learn(first)
-    context.new.learn(second)
+    context.new.initialize_level(first)
+    context.new.initialize_level(second)
 
 
 def _settled_vm(context):
     """Return a VM that knows all others and has a full bucket."""
     fleet = context.fleet
-    new = fleet_rate.FleetRate(fleet.clock, fleet.rate, fleet.burst)
+    new = fleet_rate_limit.FleetRateLimit(fleet.clock, fleet.rate, fleet.burst)
     for _ in range(50):
         for name in fleet.names[1:]:
-            new.present(name)
+            new.record_contact(name)
         new.set_members(fleet.names[1:])
         fleet.clock.advance(0.1)
     for name in fleet.names[1:]:
-        new.present(name)
+        new.record_contact(name)
     new.tick()
     return new
 
@@ -219,7 +223,7 @@
 @when("a VM started 5 seconds ago receives a first total of {units:d} units")
 def _first_total(context, units):
     context.new = _settled_vm(context)
-    context.new.heard(context.fleet.names[1], float(units))
+    context.new.receive_total(context.fleet.names[1], float(units))
 
 
 @when(
@@ -229,7 +233,7 @@
 def _relayed_totals(context, first, stale, last):
     context.new = _settled_vm(context)
     for total in (first, stale, last):
-        context.new.told_on(context.fleet.names[1], float(total))
+        context.new.receive_relayed_total(context.fleet.names[1], float(total))
 
 
 @when(
@@ -238,11 +242,13 @@
 )
 def _start_alone(context, left):
     fleet = context.fleet
-    context.new = fleet_rate.FleetRate(fleet.clock, fleet.rate, fleet.burst)
+    context.new = fleet_rate_limit.FleetRateLimit(
+        fleet.clock, fleet.rate, fleet.burst
+    )
     context.new.tick()
-    context.new.learn(left)
+    context.new.initialize_level(left)
     for name in fleet.names[1:]:
-        context.new.present(name)
+        context.new.record_contact(name)
     context.new.set_members(fleet.names)
 
 
@@ -263,7 +269,7 @@
     fleet = Fleet(len(old.names), old.rate, old.burst)
     for limit in fleet.rates.values():
         limit.set_members([])
-        limit.learn(level)
+        limit.initialize_level(level)
     for interval in range(5):
         for name in fleet.names:
             fleet.take_until_refused(name)
@@ -271,7 +277,7 @@
         if not interval:
             fleet.set_all_members()
         fleet.exchange_totals()
-    context.used = sum(limit.used for limit in fleet.rates.values())
+    context.used = sum(limit.admitted_units for limit in fleet.rates.values())
 
 
 @then(
@@ -311,12 +317,12 @@
 @when("all of them are flooded for {seconds:d} seconds")
 def _flooded(context, seconds):
     fleet = context.fleet
-    before = sum(limit.used for limit in fleet.rates.values())
+    before = sum(limit.admitted_units for limit in fleet.rates.values())
     for _ in range(round(seconds / INTERVAL_S)):
         for name in fleet.names:
             fleet.take_until_refused(name)
         fleet.advance()
-    used = sum(limit.used for limit in fleet.rates.values())
+    used = sum(limit.admitted_units for limit in fleet.rates.values())
     context.used, context.seconds = used - before, seconds
 
 
@@ -328,7 +334,7 @@
     fleet = context.fleet
     allowed = fleet.rate * context.seconds + fleet.burst
     # Within one interval, each VM may use the level that it saw.
-    unheard = fleet_rate.TICK_SHARE_FACTOR * (
+    unheard = fleet_rate_limit.TICK_SHARE_FACTOR * (
         fleet.burst + 0.25 * overshoot_units
     )
     assert context.used <= allowed + 0.25 * overshoot_units + unheard, (
@@ -348,7 +354,7 @@
     """Return the number of calls that one bucket admits and VMs refuse."""
     rng = random.Random(7)
     fleet = Fleet(7, 100.0, 200.0, overshoot_units, overshoot)
-    one = rates.TokenBucket(fleet.clock, 100.0, 200.0)
+    one = token_bucket.TokenBucket(fleet.clock, 100.0, 200.0)
     fleet.set_all_members()
     for _ in range(25):
         fleet.advance()
--- a/tests/steps/contracts_limit_keepers.py
+++ b/tests/steps/contracts_limit_keepers.py
@@ -93,7 +93,7 @@
 
 def _set_vms(context, names):
     for name in names:
-        context.vms[name].set_vms(n for n in names if n != name)
+        context.vms[name].set_other_vms(n for n in names if n != name)
 
 
 def _keepers(context, names):
@@ -138,7 +138,7 @@
     context.customer = context.customers[0]
     context.silent = context.vms["vm-0"].keeper(context.customer)
     assert context.silent != "vm-0"
-    context.vms["vm-0"].unanswered(context.silent)
+    context.vms["vm-0"].record_timeout(context.silent)
 
 
 @then(
@@ -148,5 +148,5 @@
     asker = context.vms["vm-0"]
     assert asker.keeper(context.customer) != context.silent
     context.clock.advance(seconds)
-    asker.set_vms(n for n in context.names if n != "vm-0")
+    asker.set_other_vms(n for n in context.names if n != "vm-0")
     assert asker.keeper(context.customer) == context.silent
--- a/tests/steps/contracts_rates.py
+++ b/tests/steps/contracts_rates.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies
 
 from apricotlever import clock as clocks
-from apricotlever.contracts import rates
+from apricotlever.contracts import token_bucket
 from tests.contracts import naive
 
 SETTINGS = hypothesis.settings(
@@ -27,7 +27,7 @@
     @hypothesis.given(RATES, RATES, asks)
     def check(rate, burst, steps):
         clock = clocks.ManualClock()
-        bucket = rates.TokenBucket(clock, rate, burst)
+        bucket = token_bucket.TokenBucket(clock, rate, burst)
         taken = []
         for pause_s, units in steps:
             clock.advance(pause_s)
@@ -48,7 +48,7 @@
     )
     def check(rate, burst, used, units):
         clock = clocks.ManualClock(0.0)
-        bucket = rates.TokenBucket(clock, rate, burst)
+        bucket = token_bucket.TokenBucket(clock, rate, burst)
         bucket.charge(used)
         wait_s = bucket.wait_s(units)
         if wait_s > 0.01:
@@ -63,7 +63,9 @@
 
 @given("a token bucket of {rate:d} a second and a burst of {burst:d}")
 def _bucket(context, rate, burst):
-    context.bucket = rates.TokenBucket(clocks.ManualClock(), rate, burst)
+    context.bucket = token_bucket.TokenBucket(
+        clocks.ManualClock(), rate, burst
+    )
 
 
 @when("{taken:d} units are taken and {charged:d} more are charged")
--- a/tests/steps/contracts_retries.py
+++ b/tests/steps/contracts_retries.py
@@ -5,8 +5,8 @@
 import hypothesis
 from hypothesis import strategies
 
-from apricotlever.contracts import retries
 from apricotlever.contracts import retry_budget
+from apricotlever.contracts import retry_policy
 
 SETTINGS = hypothesis.settings(
     derandomize=True, deadline=None, database=None, max_examples=300
@@ -25,7 +25,7 @@
         "tried": frozenset({"a"}),
         "takers": frozenset({"a", "b"}),
     }
-    return retries.Failure(**{**values, **changes})
+    return retry_policy.FailedAttempt(**{**values, **changes})
 
 
 @then("each retry decision agrees with the rules one by one")
@@ -63,13 +63,13 @@
         )
         allowed = (
             (idempotent or not has_run)
-            and (attempts < retries.MOST_ATTEMPTS or is_announced)
+            and (attempts < retry_policy.MAX_ATTEMPTS or is_announced)
             and left_s > 1.0
             and bool(takers)
             and (is_announced or not spent)
         )
-        decision = retries.decide(failure, budget)
-        assert isinstance(decision, retries.Retry) == allowed
+        decision = retry_policy.decide_retry(failure, budget)
+        assert isinstance(decision, retry_policy.Retry) == allowed
         if not allowed:
             return
         possible = takers - decision.excluded
@@ -105,13 +105,13 @@
 
 @then('the failed attempt is not sent again because "{reason}"')
 def _not_retried(context, reason):
-    decision = retries.decide(context.failure, context.budget)
+    decision = retry_policy.decide_retry(context.failure, context.budget)
     assert decision.reason.value == reason
 
 
 @then("the failed attempt is sent again")
 def _retried(context):
-    decision = retries.decide(context.failure, context.budget)
+    decision = retry_policy.decide_retry(context.failure, context.budget)
     assert decision.excluded == {"a"}
 
 
--- a/tests/steps/contracts_retry_allowance.py
+++ b/tests/steps/contracts_retry_allowance.py
@@ -36,13 +36,13 @@
 @when("VM 1 sends {count:d} requests")
 def _sends(context, count):
     for _ in range(count):
-        context.vms[0].request("service")
+        context.vms[0].record_request("service")
 
 
 @then("VM 1 may retry {count:d} times and not more")
 def _may_retry(context, count):
-    assert all(context.vms[0].take("service") for _ in range(count))
-    assert not context.vms[0].take("service")
+    assert all(context.vms[0].try_acquire("service") for _ in range(count))
+    assert not context.vms[0].try_acquire("service")
 
 
 @then("in no window the VMs together retry more than is allowed")
@@ -65,10 +65,10 @@
             clock.advance(pause_s)
             now = clock.now()
             if is_retry:
-                if vms[vm].take("service"):
+                if vms[vm].try_acquire("service"):
                     retries.append(now)
             else:
-                vms[vm].request("service")
+                vms[vm].record_request("service")
                 requests.append(now)
         for end in retries:
             sent = sum(end - WINDOW_S < at <= end for at in retries)
--- a/tests/steps/contracts_retry_budget.py
+++ b/tests/steps/contracts_retry_budget.py
@@ -24,9 +24,9 @@
         retries = 0
         for succeeded in outcomes:
             if succeeded:
-                budget.succeeded("a")
+                budget.record_success("a")
             else:
-                retries += budget.take("a")
+                retries += budget.try_acquire("a")
         assert retries <= successes / 10 + retry_budget.MAX_TOKENS
 
     check()
@@ -35,14 +35,14 @@
 @given('a retry budget that entry "{entry}" has used up')
 def _used_up(context, entry):
     context.budget = retry_budget.RetryBudget()
-    while context.budget.take(entry):
+    while context.budget.try_acquire(entry):
         pass
     assert context.budget.remaining(entry) < 1.0
 
 
 @then('entry "{entry}" may still retry')
 def _may_retry(context, entry):
-    assert context.budget.take(entry)
+    assert context.budget.try_acquire(entry)
 
 
 @given(
@@ -65,10 +65,10 @@
         for tried, count in enumerate(attempts):
             failed = round(count * failing)
             for _ in range(count - failed):
-                budget.succeeded("a")
+                budget.record_success("a")
             if tried < RETRIES:
                 retries_by_attempt[tried + 1] = sum(
-                    budget.take("a") for _ in range(failed)
+                    budget.try_acquire("a") for _ in range(failed)
                 )
     return total
 
--- a/tests/steps/contracts_shares.py
+++ b/tests/steps/contracts_shares.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies
 
 from apricotlever import clock as clocks
-from apricotlever.contracts import shares
+from apricotlever.contracts import limit_share
 from tests.contracts import naive
 
 SETTINGS = hypothesis.settings(
@@ -22,7 +22,9 @@
 def _fleet(count, limit, clock=None):
     clock = clock or clocks.ManualClock()
     names = [f"vm{n}" for n in range(count)]
-    fleet = [shares.LimitShare(clock, name, limit, "entry") for name in names]
+    fleet = [
+        limit_share.LimitShare(clock, name, limit, "entry") for name in names
+    ]
     for share in fleet:
         share.set_members(names)
     return clock, names, fleet
@@ -131,14 +133,14 @@
     max_size=25,
 )
 DELAYS = strategies.lists(
-    strategies.floats(0.0, shares.PROPAGATION_S - STEP_S),
+    strategies.floats(0.0, limit_share.PROPAGATION_S - STEP_S),
     min_size=4,
     max_size=4,
 )
 
 
 def _limit_share(clock, name):
-    share = shares.LimitShare(clock, name, 100.0)
+    share = limit_share.LimitShare(clock, name, 100.0)
     share.set_members([f"vm{n}" for n in range(4)])
     return share
 
--- a/tests/steps/contracts_spend.py
+++ b/tests/steps/contracts_spend.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies
 
 from apricotlever import clock as clocks
-from apricotlever.contracts import spend
+from apricotlever.contracts import spend_meter
 
 SETTINGS = hypothesis.settings(
     derandomize=True, deadline=None, database=None, max_examples=100
@@ -27,12 +27,12 @@
     @SETTINGS
     @hypothesis.given(strategies.lists(cost, max_size=40))
     def check(costs):
-        meter = spend.SpendMeter(clocks.ManualClock())
+        meter = spend_meter.SpendMeter(clocks.ManualClock())
         sums = collections.defaultdict(float)
         for customer, entry, amount in costs:
             meter.record(customer, entry, amount)
             sums[customer, entry] += amount
-        assert {(x.customer, x.entry): x.amount for x in meter.lines} == sums
+        assert {(x.customer, x.entry): x.amount for x in meter.totals} == sums
 
     check()
 
@@ -40,9 +40,9 @@
 @given("an entry that may spend {amount:d} per hour")
 def _spend_limit(context, amount):
     context.clock = clocks.ManualClock()
-    context.meter = spend.SpendMeter(context.clock)
+    context.meter = spend_meter.SpendMeter(context.clock)
     context.meter.set_limit("e", float(amount))
-    context.per_s = amount / spend.SECONDS_PER_HOUR
+    context.per_s = amount / spend_meter.SECONDS_PER_HOUR
 
 
 @when("it spends {amount:f} whenever it may for {minutes:d} minutes")
@@ -57,8 +57,8 @@
 
 @then("it has spent at most 36 per hour, a burst and one request")
 def _within_limit(context):
-    (line,) = context.meter.lines
-    allowed = context.per_s * (context.seconds + spend.BURST_S)
+    (line,) = context.meter.totals
+    allowed = context.per_s * (context.seconds + spend_meter.BURST_S)
     assert line.amount <= allowed + context.amount
     assert line.amount >= context.per_s * context.seconds * 0.95
 
@@ -68,4 +68,4 @@
     " {cost:f} in an hour"
 )
 def _cost(context, price, slots, cost):
-    assert spend.request_cost(price, slots, 3600.0) == cost
+    assert spend_meter.request_cost(price, slots, 3600.0) == cost
--- a/tests/steps/contracts_usage.py
+++ b/tests/steps/contracts_usage.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies
 
 from apricotlever import clock as clocks
-from apricotlever.contracts import usage
+from apricotlever.contracts import pool_usage
 
 SETTINGS = hypothesis.settings(
     derandomize=True, deadline=None, database=None, max_examples=150
@@ -29,7 +29,7 @@
     @hypothesis.given(strategies.lists(step, min_size=1, max_size=30))
     def check(steps):
         clock = clocks.ManualClock(0.0)
-        measured = usage.PoolUsage(clock)
+        measured = pool_usage.PoolUsage(clock)
         measured.set_weights(WEIGHTS)
         log = []
         for customer, tokens, pause in steps:
@@ -39,16 +39,23 @@
             measured.tick()
             log.append((clock.now(), customer, tokens))
         now = clock.now()
-        active = {c for at, c, _ in log if at >= now - usage.DECAY_S}
+        active = {c for at, c, _ in log if at >= now - pool_usage.DECAY_S}
         used = dict.fromkeys(WEIGHTS, 0.0)
         for at, customer, tokens in log:
-            used[customer] += tokens * math.exp((at - now) / usage.DECAY_S)
+            used[customer] += tokens * math.exp(
+                (at - now) / pool_usage.DECAY_S
+            )
         weights = sum(WEIGHTS[c] for c in active)
         for customer in active:
             share = WEIGHTS[customer] / weights * sum(used.values())
             # Closer values may differ, because the sums have another order.
-            if abs(used[customer] - usage.FULL_SHARE_FRACTION * share) > 1e-6:
-                is_used = used[customer] > usage.FULL_SHARE_FRACTION * share
+            if (
+                abs(used[customer] - pool_usage.FULL_SHARE_FRACTION * share)
+                > 1e-6
+            ):
+                is_used = (
+                    used[customer] > pool_usage.FULL_SHARE_FRACTION * share
+                )
                 expected = is_used and len(active) > 1
                 assert measured.has_used_share(customer) == expected
 
@@ -66,7 +73,7 @@
 @given('a pool that customer "{name}" alone has used for {seconds:d} seconds')
 def _alone(context, name, seconds):
     context.clock = clocks.ManualClock()
-    context.usage = usage.PoolUsage(context.clock)
+    context.usage = pool_usage.PoolUsage(context.clock)
     _use(context, name, seconds)
 
 
--- a/tests/steps/contracts_usage_windows.py
+++ b/tests/steps/contracts_usage_windows.py
@@ -22,27 +22,29 @@
 def _exchange_counts(context, count):
     for vm in (context.one, context.other):
         for _ in range(count):
-            vm.began("customer")
-    context.one.heard("other#1", context.other.own())
-    context.other.heard("one#1", context.one.own())
+            vm.record_call("customer")
+    context.one.merge_counts("other#1", context.other.own_counts())
+    context.other.merge_counts("one#1", context.one.own_counts())
 
 
 @when("one sends {first:d}, then {second:d}, then {third:d} again")
 def _send_repeatedly(context, first, second, third):
     for count in (first, second, third):
-        context.other.heard("one#1", {context.window: {"customer": count}})
+        context.other.merge_counts(
+            "one#1", {context.window: {"customer": count}}
+        )
 
 
 @when("one sends {first:d} as its first process and {second:d} as its second")
 def _send_two_processes(context, first, second):
-    context.other.heard("one#1", {context.window: {"customer": first}})
-    context.other.heard("one#2", {context.window: {"customer": second}})
+    context.other.merge_counts("one#1", {context.window: {"customer": first}})
+    context.other.merge_counts("one#2", {context.window: {"customer": second}})
 
 
 @when("one counts a call in each of {count:d} windows")
 def _count_windows(context, count):
     for _ in range(count):
-        context.one.began("customer")
+        context.one.record_call("customer")
         context.clock.advance(5.0)
 
 
@@ -59,10 +61,10 @@
 
 @then("it keeps {count:d} of them")
 def _kept_windows(context, count):
-    assert len(context.one.own()) == count
+    assert len(context.one.own_counts()) == count
 
 
 @then("it sends the {count:d} windows after the fourth")
 def _unreported_windows(context, count):
-    fourth = sorted(context.one.own())[3]
-    assert len(context.one.own(fourth)) == count
+    fourth = sorted(context.one.own_counts())[3]
+    assert len(context.one.own_counts(fourth)) == count
--- a/tests/steps/requests_claims.py
+++ b/tests/steps/requests_claims.py
@@ -10,8 +10,8 @@
 
 from apricotlever import clock
 from apricotlever.requests import claims
-from apricotlever.requests import messages
-from tests.requests import fleet
+from apricotlever.requests import ledger_messages
+from tests.requests import simulated_fleet
 
 BUCKET = "claims/0000"
 FAULTS = ("", "applied", "lost", "late")
@@ -25,8 +25,8 @@
 
     def __init__(self, vms):
         self.clock = clock.ManualClock()
-        self.store = fleet.Store()
-        self.batchers = {vm: claims.Claims(self.clock, 1) for vm in vms}
+        self.store = simulated_fleet.Store()
+        self.batchers = {vm: claims.ClaimBatcher(self.clock, 1) for vm in vms}
         self.calls = []
         self.late = []
         self.results = {}
@@ -35,13 +35,17 @@
     def claim(self, vm, key, digest="d"):
         token = len(self.tokens) + 1
         self.tokens[token] = (vm, key)
-        owner = messages.Owner(vm, 1)
+        owner = ledger_messages.VmIncarnation(vm, 1)
         nonce = f"{token:016x}"
-        claim = messages.Claim(token, "notary", key, digest, nonce, owner)
+        claim = ledger_messages.ClaimKey(
+            token, "notary", key, digest, nonce, owner
+        )
         self._do(vm, self.batchers[vm].claim(claim))
 
     def _do(self, vm, actions):
-        results = [each for each in actions if isinstance(each, claims.Tell)]
+        results = [
+            each for each in actions if isinstance(each, claims.DeliverResult)
+        ]
         for each in results:
             assert each.result.token not in self.results
             self.results[each.result.token] = each.result
@@ -138,7 +142,9 @@
 @then("{count:d} claims succeed with {writes:d} writes")
 def _succeeded(context, count, writes):
     results = context.claiming.results.values()
-    won = [each for each in results if isinstance(each, messages.Won)]
+    won = [
+        each for each in results if isinstance(each, ledger_messages.ClaimWon)
+    ]
     found = (len(won), context.claiming.store.writes)
     assert found == (count, writes), found
 
@@ -146,13 +152,16 @@
 @then('the claim of "{key}" fails, but may have been written')
 def _maybe_written(context, key):
     result = context.claiming.result_of(key)
-    assert isinstance(result, messages.ClaimFailed) and result.maybe_written
+    assert (
+        isinstance(result, ledger_messages.ClaimFailed)
+        and result.maybe_written
+    )
 
 
 @then('the claim of "{key}" is refused without a call to the store')
 def _refused_at_once(context, key):
     result = context.claiming.result_of(key)
-    assert isinstance(result, messages.ClaimFailed)
+    assert isinstance(result, ledger_messages.ClaimFailed)
     assert not result.maybe_written and not context.claiming.calls
 
 
@@ -197,14 +206,14 @@
     won = collections.Counter(
         simulation.tokens[token][1]
         for token, result in simulation.results.items()
-        if isinstance(result, messages.Won)
+        if isinstance(result, ledger_messages.ClaimWon)
     )
     assert all(count == 1 for count in won.values()), won
 
 
 def _home_vms(vms, count):
     return [
-        claims.home("notary", f"k{number}", vms) for number in range(count)
+        claims.home_vm("notary", f"k{number}", vms) for number in range(count)
     ]
 
 
--- a/tests/steps/requests_departure.py
+++ b/tests/steps/requests_departure.py
@@ -9,15 +9,15 @@
 from hypothesis import strategies
 
 from apricotlever import clock
-from apricotlever.requests import departure
-from apricotlever.requests import handover
-from apricotlever.requests import intake
+from apricotlever.requests import handover_parts
+from apricotlever.requests import handover_receiver
+from apricotlever.requests import handover_sender
 from apricotlever.requests import ledger
+from apricotlever.requests import ledger_messages
 from apricotlever.requests import ledger_state
-from apricotlever.requests import messages
 from apricotlever.requests import records
 
-ME = messages.Owner("a", 1)
+ME = ledger_messages.VmIncarnation("a", 1)
 DELIVERIES = (
     "taken",
     "taken",
@@ -30,7 +30,7 @@
 
 
 def _records(count):
-    store = records.Records(clock.ManualClock())
+    store = records.RequestRecords(clock.ManualClock())
     return [
         store.open(f"a.1.{number:x}", "notary", "drafts", "/", b"body", False)
         for number in range(count)
@@ -47,15 +47,15 @@
         self.clock = clock.ManualClock()
         self.ledger = ledger.Ledger(self.clock, random.Random(1), "a", 1)
         self.key = self.ledger.mint("notary")
-        self.leaving = departure.Departure(
+        self.leaving = handover_sender.HandoverSender(
             self.clock, ME, "sala-a", self.clock.now() + 60
         )
         self.running = _records(count)
         self.redirect_at_once = redirect_at_once
         self.receivers, self.adopted, self.ledgers = {}, {}, {}
         for number, vm in enumerate("bcd"):
-            owner = messages.Owner(vm, 1)
-            self.receivers[owner] = intake.Intake(owner)
+            owner = ledger_messages.VmIncarnation(vm, 1)
+            self.receivers[owner] = handover_receiver.HandoverReceiver(owner)
             self.adopted[owner] = set()
             self.ledgers[owner] = ledger.Ledger(
                 self.clock, random.Random(number), vm, 1
@@ -64,12 +64,12 @@
 
     def peers(self):
         return [
-            departure.Peer(owner, f"sala-{owner.vm}")
+            handover_sender.Peer(owner, f"sala-{owner.vm}")
             for owner in self.receivers
         ]
 
     def run(self, deliveries):
-        self.do(self.leaving.begin(self.peers(), self.running, []))
+        self.do(self.leaving.start(self.peers(), self.running, []))
         deliveries = iter(deliveries)
         for _ in range(STEPS_MAX):
             if self.finished is not None:
@@ -77,29 +77,29 @@
             if self.parts:
                 self.deliver(self.parts.pop(0), next(deliveries, "taken"))
             else:
-                self.clock.advance(departure.RESEND_INTERVAL_S)
+                self.clock.advance(handover_sender.RESEND_INTERVAL_S)
                 self.do(self.leaving.tick())
 
     def do(self, actions):
         for action in actions:
-            if isinstance(action, departure.Send):
+            if isinstance(action, handover_sender.SendPart):
                 self.parts.append(action.part)
                 if self.redirect_at_once:
-                    rows = handover.decode_records(action.part.payload)
+                    rows = handover_parts.decode_records(action.part.payload)
                     self.redirect(
                         [row.request_id for row in rows], action.part
                     )
-            elif isinstance(action, departure.TellMoved):
+            elif isinstance(action, handover_sender.RedirectCallers):
                 for request_id in action.request_ids:
                     self.redirected[request_id] = action.vm
                     self.check_adopted(request_id)
-            elif isinstance(action, departure.ExportLedger):
+            elif isinstance(action, handover_sender.ExportLedger):
                 owner = action.heir
-                state = self.ledger.hand_over(owner.vm, owner.incarnation)
-                self.do(self.leaving.exported(state))
-            elif isinstance(action, departure.LedgerReceived):
-                self.ledger.succession.receipt(action.receipt)
-            elif isinstance(action, departure.Finished):
+                state = self.ledger.export_to(owner.vm, owner.incarnation)
+                self.do(self.leaving.on_exported(state))
+            elif isinstance(action, handover_sender.DeliverReceipt):
+                self.ledger.transfer.apply_receipt(action.receipt)
+            elif isinstance(action, handover_sender.HandoverFinished):
                 self.finished = action.complete
 
     def redirect(self, request_ids, part):
@@ -108,7 +108,7 @@
             self.check_adopted(request_id)
 
     def check_adopted(self, request_id):
-        owner = messages.Owner(self.redirected[request_id], 1)
+        owner = ledger_messages.VmIncarnation(self.redirected[request_id], 1)
         assert (
             request_id in self.adopted[owner]
         ), "redirected before the peer has the request"
@@ -118,17 +118,19 @@
             self.receivers.pop(part.heir, None)
         receiver = self.receivers.get(part.heir)
         if receiver is None:
-            self.do(self.leaving.peer_gone(part.heir))
+            self.do(self.leaving.on_peer_gone(part.heir))
         elif delivery != "part lost":
-            self.adopt(part.heir, receiver.receive(handover.encode(part)))
+            self.adopt(
+                part.heir, receiver.receive(handover_parts.encode(part))
+            )
             if delivery != "receipt lost":
-                self.do(self.leaving.receipt(part.sequence))
+                self.do(self.leaving.on_receipt(part.sequence))
 
     def adopt(self, owner, taken):
-        if isinstance(taken, intake.AdoptRecords):
+        if isinstance(taken, handover_receiver.AdoptRecords):
             names = {row.request_id for row in taken.records}
             self.adopted[owner] |= names
-        elif isinstance(taken, intake.AdoptLedger):
+        elif isinstance(taken, handover_receiver.AdoptLedger):
             self.ledgers[owner].adopt(taken.state)
 
 
@@ -165,7 +167,8 @@
             owner
             for owner, each in simulation.ledgers.items()
             if isinstance(
-                each.begin(simulation.key, "notary", "d"), messages.Run
+                each.begin(simulation.key, "notary", "d"),
+                ledger_messages.RunCall,
             )
         ]
         assert len(runnable_on) <= 1, runnable_on
@@ -185,7 +188,7 @@
 @given('a handover from "{data_centre}" with {count:d} running requests')
 def _handover(context, data_centre, count):
     manual = clock.ManualClock()
-    context.handover = departure.Departure(
+    context.handover = handover_sender.HandoverSender(
         manual, ME, data_centre, manual.now() + 60
     )
     context.running = _records(count)
@@ -195,7 +198,7 @@
 @given('peers "{b}" in "{in_b}", "{c}" in "{in_c}" and "{d}" in "{in_d}"')
 def _peers(context, b, in_b, c, in_c, d, in_d):
     context.peers = [
-        departure.Peer(messages.Owner(vm, 1), data_centre)
+        handover_sender.Peer(ledger_messages.VmIncarnation(vm, 1), data_centre)
         for vm, data_centre in ((b, in_b), (c, in_c), (d, in_d))
     ]
 
@@ -212,7 +215,7 @@
     successors = {
         action.part.heir.vm
         for action in context.actions
-        if isinstance(action, departure.Send)
+        if isinstance(action, handover_sender.SendPart)
     }
     assert successors == {one, other}, successors
 
@@ -232,20 +235,22 @@
         texts, strategies.binary(max_size=9), strategies.lists(texts)
     )
     def check(text, body, tokens):
-        record = records.Record(text, text, text, text, body, True, 0.0)
+        record = records.RequestRecord(text, text, text, text, body, True, 0.0)
         record.tokens = tokens
-        answer = messages.Answer(200, ((text, text),), body)
-        record.outcome = records.Outcome(messages.Executed.YES, None, answer)
-        data = handover.encode_records([record])
-        (back,) = handover.decode_records(data)
+        answer = ledger_messages.Answer(200, ((text, text),), body)
+        record.outcome = records.RequestOutcome(
+            ledger_messages.Executed.YES, None, answer
+        )
+        data = handover_parts.encode_records([record])
+        (back,) = handover_parts.decode_records(data)
         assert back.body == body and back.tokens == tokens
         assert back.outcome.answer.body == body
-        assert handover.encode_records([back]) == data
+        assert handover_parts.encode_records([back]) == data
         source = ledger.Ledger(clock.ManualClock(), random.Random(1), "a", 1)
         run = source.begin(source.mint(text), text, text)
-        source.sent(run.token)
-        source.finished(run.token, answer)
-        state = ledger_state.encode(source.hand_over("b", 2))
+        source.start_sending(run.token)
+        source.record_answer(run.token, answer)
+        state = ledger_state.encode(source.export_to("b", 2))
         again = ledger_state.encode(ledger_state.decode(state))
         assert again == state
 
--- a/tests/steps/requests_keys.py
+++ b/tests/steps/requests_keys.py
@@ -6,7 +6,7 @@
 import hypothesis
 from hypothesis import strategies
 
-from apricotlever.requests import keys
+from apricotlever.requests import minted_keys
 
 texts = strategies.text(min_size=1, max_size=12)
 
@@ -17,19 +17,21 @@
     @hypothesis.given(texts, texts, strategies.integers(0, 10**6), texts)
     def check(vm, customer, minted_s, other_customer):
         rng = random.Random(minted_s)
-        secret = keys.new_secret(rng)
-        key = keys.mint(vm, 7, minted_s, customer, secret, rng)
-        parsed = keys.parse(key)
+        secret = minted_keys.new_secret(rng)
+        key = minted_keys.mint(vm, 7, minted_s, customer, secret, rng)
+        parsed = minted_keys.parse(key)
         assert (parsed.vm, parsed.incarnation) == (vm, 7)
         assert parsed.minted_s == minted_s
-        assert keys.verify(parsed, customer, secret)
+        assert minted_keys.verify(parsed, customer, secret)
         same = other_customer == customer
-        assert keys.verify(parsed, other_customer, secret) == same
-        assert not keys.verify(parsed, customer, keys.new_secret(rng))
+        assert minted_keys.verify(parsed, other_customer, secret) == same
+        assert not minted_keys.verify(
+            parsed, customer, minted_keys.new_secret(rng)
+        )
         for name in ("vm", "nonce", "mac"):
-            forged = keys.parse(key)
+            forged = minted_keys.parse(key)
             setattr(forged, name, getattr(forged, name) + "0")
-            assert not keys.verify(forged, customer, secret)
+            assert not minted_keys.verify(forged, customer, secret)
 
     check()
 
@@ -37,4 +39,4 @@
 @then("these texts are not minted keys")
 def _malformed_keys(context):
     texts = [row["text"] for row in context.table]
-    assert [keys.parse(text) for text in texts] == [None] * len(texts)
+    assert [minted_keys.parse(text) for text in texts] == [None] * len(texts)
--- a/tests/steps/requests_ledger.py
+++ b/tests/steps/requests_ledger.py
@@ -5,11 +5,11 @@
 from behave import when
 
 from apricotlever.requests import ledger
+from apricotlever.requests import ledger_messages
 from apricotlever.requests import ledger_state
-from apricotlever.requests import messages
 from tests.requests import at_most_once
-from tests.requests import fleet
 from tests.requests import naive_ledger
+from tests.requests import simulated_fleet
 
 CUSTOMER = "notary"
 EXAMPLES = 1500
@@ -41,7 +41,7 @@
 
 @given('a simulated fleet with a key minted by VM "{vm}"')
 def _minted(context, vm):
-    context.fleet = fleet.SimulatedFleet(
+    context.fleet = simulated_fleet.SimulatedFleet(
         ledger.Ledger, at_most_once.SMALL_LIMITS
     )
     context.key = context.fleet.live[vm].ledger.mint(CUSTOMER)
@@ -49,7 +49,7 @@
 
 @given("a simulated fleet with a key chosen by the caller")
 def _made_up(context):
-    context.fleet = fleet.SimulatedFleet(
+    context.fleet = simulated_fleet.SimulatedFleet(
         ledger.Ledger, at_most_once.SMALL_LIMITS
     )
     context.key = "order-1"
@@ -61,7 +61,7 @@
 
 
 def _send(context, vm, digest="register", first=False):
-    call = fleet.Call(CUSTOMER, context.key, digest, first)
+    call = simulated_fleet.Call(CUSTOMER, context.key, digest, first)
     context.fleet.call(vm, call)
 
 
@@ -94,7 +94,9 @@
 
 @when('another customer sends the key to VM "{vm}"')
 def _stranger(context, vm):
-    context.fleet.call(vm, fleet.Call("lounge", context.key, "register"))
+    context.fleet.call(
+        vm, simulated_fleet.Call("lounge", context.key, "register")
+    )
 
 
 @when('VM "{vm}" hands its ledger to VM "{successor}" and the receipt is lost')
@@ -124,7 +126,7 @@
     source = context.fleet.live[vm].ledger
     refuser = context.fleet.live[successor].ledger.me
     source.succession.receipt(
-        ledger_state.Receipt(source.me, refuser, accepted=False)
+        ledger_state.LedgerReceipt(source.me, refuser, accepted=False)
     )
 
 
@@ -144,7 +146,7 @@
     for _ in range(count):
         context.fleet.clock.advance(1)
         key = context.fleet.live[vm].ledger.mint(CUSTOMER)
-        context.fleet.call(vm, fleet.Call(CUSTOMER, key, "register"))
+        context.fleet.call(vm, simulated_fleet.Call(CUSTOMER, key, "register"))
         _sent_upstream(context)
         _answered(context)
 
@@ -164,13 +166,13 @@
 
 @then('the ledger forwards the call to VM "{vm}"')
 def _forwarded(context, vm):
-    assert isinstance(_last(context), messages.Forward)
+    assert isinstance(_last(context), ledger_messages.ForwardCall)
     assert _last(context).vm == vm
 
 
 @then("the ledger answers that a run is in progress")
 def _pending(context):
-    assert isinstance(_last(context), messages.Pending)
+    assert isinstance(_last(context), ledger_messages.WaitForRun)
 
 
 @then('{count:d} run is reserved, on VM "{vm}"')
@@ -182,6 +184,6 @@
 @then('the ledger refuses with "{reason}", executed "{executed}"')
 def _refused(context, reason, executed):
     refusal = _last(context)
-    assert isinstance(refusal, messages.Refuse), refusal
+    assert isinstance(refusal, ledger_messages.RefuseCall), refusal
     found = (refusal.reason, refusal.executed)
     assert found == (reason, executed), found
--- a/tests/steps/requests_records.py
+++ b/tests/steps/requests_records.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies
 
 from apricotlever import clock
-from apricotlever.requests import messages
+from apricotlever.requests import ledger_messages
 from apricotlever.requests import records
 
 NAME = "vm.1.a"
@@ -24,14 +24,16 @@
 @given('a record of customer "{customer}" with {count:d} tokens')
 def _record(context, customer, count):
     context.record_clock = clock.ManualClock()
-    context.records = records.Records(context.record_clock)
+    context.records = records.RequestRecords(context.record_clock)
     record = _open(context.records, NAME, customer)
     record.tokens.extend(f"t{number}" for number in range(count))
 
 
 @when("the record ends")
 def _end(context):
-    context.records.end(NAME, records.Outcome(messages.Executed.YES))
+    context.records.end(
+        NAME, records.RequestOutcome(ledger_messages.Executed.YES)
+    )
 
 
 @when('the record is moved to VM "{vm}"')
@@ -48,7 +50,7 @@
 @then('customer "{customer}" finds no such record')
 def _nothing(context, customer):
     found = context.records.resume(NAME, customer, None)
-    assert isinstance(found, records.NotFound)
+    assert isinstance(found, records.ResumeNotFound)
 
 
 @then(
@@ -82,7 +84,7 @@
 @then('customer "{customer}" is redirected to VM "{vm}"')
 def _moved(context, customer, vm):
     found = context.records.resume(NAME, customer, None)
-    assert isinstance(found, records.Moved) and found.vm == vm
+    assert isinstance(found, records.ResumeMoved) and found.vm == vm
 
 
 class _ReferenceRecords:
@@ -111,10 +113,10 @@
 
 
 KINDS = {
-    records.NotFound: "none",
+    records.ResumeNotFound: "none",
     records.ResumeRunning: "running",
     records.ResumeEnded: "ended",
-    records.Moved: "moved",
+    records.ResumeMoved: "moved",
 }
 
 
@@ -131,9 +133,11 @@
     @hypothesis.settings(derandomize=True, deadline=None, database=None)
     @hypothesis.given(steps)
     def check(sequence):
-        store = records.Records(clock.ManualClock(), RUNNING_BYTES, ENDED_MAX)
+        store = records.RequestRecords(
+            clock.ManualClock(), RUNNING_BYTES, ENDED_MAX
+        )
         plain = _ReferenceRecords()
-        outcome = records.Outcome(messages.Executed.YES)
+        outcome = records.RequestOutcome(ledger_messages.Executed.YES)
         for kind, number in sequence:
             name = f"r{number}"
             if kind == "open" and plain.state(name) == "none":
@@ -143,7 +147,7 @@
                 store.end(name, outcome)
                 plain.close(name, "ended")
             elif kind == "moved":
-                store.moved(name, "b")
+                store.record_move(name, "b")
                 plain.close(name, "moved")
             names = [f"r{each}" for each in range(10)]
             found = [KINDS[type(store.resume(n, "notary", 0))] for n in names]
--- a/tests/steps/requests_recovery.py
+++ b/tests/steps/requests_recovery.py
@@ -13,7 +13,9 @@
 
 def _candidates(count):
     return [
-        recovery.Candidate(f"r{number}", "sala-a", 2, doomed=number == 0)
+        recovery.Candidate(
+            f"r{number}", "sala-a", 2, being_reclaimed=number == 0
+        )
         for number in range(count)
     ]
 
@@ -21,7 +23,7 @@
 def _situation(**changes):
     fields = {
         "request_id": "x",
-        "cause": recovery.Cause.NOTICE,
+        "cause": recovery.RecoveryCause.NOTICE,
         "runner": "old",
         "priority": 1,
         "prompt_tokens": 100,
@@ -31,7 +33,7 @@
         "export_s": 1.0,
         "deadline_s": 100.0,
     }
-    return recovery.Situation(**{**fields, **changes})
+    return recovery.AffectedStream(**{**fields, **changes})
 
 
 @given(
@@ -40,7 +42,7 @@
 def _stream(context, notice, cause, count):
     context.situation = _situation(
         notice_s=notice,
-        cause=recovery.Cause(cause),
+        cause=recovery.RecoveryCause(cause),
         candidates=_candidates(count),
     )
 
@@ -58,14 +60,14 @@
 
 @then('the recovery decision is "{decision}"')
 def _decision(context, decision):
-    found = recovery.plan(context.situation)
+    found = recovery.decide(context.situation)
     assert type(found).__name__ == decision, type(found)
 
 
 seconds = strategies.floats(0, 200)
 situations = strategies.builds(
     _situation,
-    cause=strategies.sampled_from(recovery.Cause),
+    cause=strategies.sampled_from(recovery.RecoveryCause),
     left_s=seconds,
     notice_s=seconds,
     export_s=seconds,
@@ -84,10 +86,10 @@
     )
     @hypothesis.given(situations)
     def check(situation):
-        noticed = situation.cause is recovery.Cause.NOTICE
+        noticed = situation.cause is recovery.RecoveryCause.NOTICE
         tries_left = situation.failures < situation.failures_max
         lasts = situation.deadline_s > 0 and (noticed or tries_left)
-        given_up = isinstance(recovery.plan(situation), recovery.GiveUp)
+        given_up = isinstance(recovery.decide(situation), recovery.GiveUp)
         assert given_up != lasts
 
     check()
@@ -120,7 +122,7 @@
 
 
 def _moves(context):
-    return evacuation.plan(context.leaving_streams)
+    return evacuation.plan_evacuation(context.leaving_streams)
 
 
 def _targets_of(moves):
--- a/tests/steps/requests_stream.py
+++ b/tests/steps/requests_stream.py
@@ -6,7 +6,7 @@
 import hypothesis
 from hypothesis import strategies
 
-from apricotlever.requests import stream
+from apricotlever.requests import stream_cursor
 
 offers = strategies.lists(
     strategies.tuples(
@@ -23,11 +23,11 @@
 
     :param judge: decides whether a token is sent.
     """
-    cursor = stream.StreamCursor()
+    cursor = stream_cursor.StreamCursor()
     sent = []
     for begins, attempt, offset in sequence:
         if begins and attempt > cursor.attempt:
-            cursor.begin(attempt)
+            cursor.start_attempt(attempt)
         index = max(0, cursor.next_index + offset)
         if judge(cursor, attempt, index):
             sent.append((attempt, index))
@@ -41,8 +41,10 @@
     def check(sequence):
         def judge(cursor, attempt, index):
             verdict = cursor.offer(attempt, index)
-            assert verdict != stream.ACCEPTED or attempt == cursor.attempt
-            return verdict == stream.ACCEPTED
+            assert (
+                verdict != stream_cursor.ACCEPTED or attempt == cursor.attempt
+            )
+            return verdict == stream_cursor.ACCEPTED
 
         sent = [index for _, index in _relay(judge, sequence)]
         assert sent == list(range(len(sent)))
@@ -63,7 +65,7 @@
 
 @given("a stream cursor at token {index:d} of attempt {attempt:d}")
 def _cursor(context, index, attempt):
-    context.cursor = stream.StreamCursor(attempt, index)
+    context.cursor = stream_cursor.StreamCursor(attempt, index)
 
 
 @when("attempt {attempt:d} starts at the cursor")
@@ -78,6 +80,6 @@
 
 @then("the cursor reports a {verdict} and still waits for token {index:d}")
 def _verdict(context, verdict, index):
-    known = {"gap": stream.GAP, "stale token": stream.STALE}
+    known = {"gap": stream_cursor.GAP, "stale token": stream_cursor.STALE}
     assert context.verdict == known[verdict]
     assert context.cursor.next_index == index
--- a/tests/steps/runners_culprits.py
+++ b/tests/steps/runners_culprits.py
@@ -7,7 +7,7 @@
 from behave import when
 
 from apricotlever import clock as clocks
-from apricotlever.runners import culprits
+from apricotlever.runners import crash_blocklist
 
 VMS = 4
 RUNNERS = 20
@@ -52,7 +52,9 @@
 class Fleet:
     """Entry VMs that exchange crash records, of which one in three is lost."""
 
-    def __init__(self, seed, exchange=True, make=culprits.Culprits):
+    def __init__(
+        self, seed, exchange=True, make=crash_blocklist.CrashBlocklist
+    ):
         self.clock = clocks.ManualClock()
         self.rng = random.Random(seed)
         self.exchange = exchange
@@ -133,7 +135,7 @@
 
 
 def _make_vm(context, name):
-    made = culprits.Culprits(context.clock, name)
+    made = crash_blocklist.CrashBlocklist(context.clock, name)
     made.set_sizes({DATA_CENTRE: 4})
     return made
 
@@ -185,10 +187,10 @@
 @when('the call "{name}" is answered at another entry VM')
 def _answered_elsewhere(context, name):
     other = _make_vm(context, "vm-2")
-    other.heard("vm-1", context.vm.told(False))
+    other.merge_record("vm-1", context.vm.told(False))
     context.clock.advance(0.1)
     other.answered(name)
-    context.vm.heard("vm-2", other.told(False))
+    context.vm.heard("vm-2", other.next_record(False))
 
 
 @when("{seconds:d} seconds pass and another entry VM starts")
@@ -208,7 +210,7 @@
             vm.tick()
             record = vm.told(True)
             if record is not None:
-                peer.heard("peer", record)
+                peer.merge_record("peer", record)
 
 
 @then('the call "{name}" is blocked there for at most {most:d} seconds')
--- a/tests/steps/runners_health.py
+++ b/tests/steps/runners_health.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies
 
 from apricotlever import clock as clocks
-from apricotlever.runners import health
+from apricotlever.runners import circuit_breaker
 
 SETTINGS = hypothesis.settings(
     derandomize=True, deadline=None, database=None, max_examples=200
@@ -19,7 +19,7 @@
 @given("a runner's circuit")
 def _circuit(context):
     context.clock = clocks.ManualClock()
-    context.health = health.CircuitBreaker(
+    context.health = circuit_breaker.CircuitBreaker(
         context.clock, random.Random(1), warm=True
     )
 
@@ -60,8 +60,8 @@
 @then("the runner is in slow start again")
 def _slow_start(context):
     now = context.clock.now()
-    assert context.health.slot_share(now) == health.SLOW_START_SHARE
-    assert context.health.slot_share(now + health.SLOW_START_S) == 1.0
+    assert context.health.slot_share(now) == circuit_breaker.SLOW_START_SHARE
+    assert context.health.slot_share(now + circuit_breaker.SLOW_START_S) == 1.0
 
 
 @then("each failed probe keeps the circuit open longer, up to 38 seconds")
@@ -93,9 +93,11 @@
             _requests_end(context, "S" if succeeded else "F")
             in_a_row = 0 if succeeded else in_a_row + 1
             opened = not succeeded and (
-                opened or in_a_row >= health.FAILURES_TO_OPEN
+                opened or in_a_row >= circuit_breaker.FAILURES_TO_OPEN
+            )
+            closed = (
+                context.health.state is circuit_breaker.CircuitState.CLOSED
             )
-            closed = context.health.state is health.CircuitState.CLOSED
             assert closed == (not opened)
 
     check()
--- a/tests/steps/runners_outliers.py
+++ b/tests/steps/runners_outliers.py
@@ -8,7 +8,7 @@
 from behave import when
 
 from apricotlever import clock as clocks
-from apricotlever.runners import outliers
+from apricotlever.runners import outlier_detector
 
 STEP_S = 0.2
 CALLS_PER_STEP = 3
@@ -22,7 +22,8 @@
         self.rng = random.Random(seed)
         self.runners = [f"runner-{n + 1}" for n in range(runners)]
         self.vms = [
-            outliers.Outliers(self.clock, f"vm-{n}") for n in range(vms)
+            outlier_detector.OutlierDetector(self.clock, f"vm-{n}")
+            for n in range(vms)
         ]
         self.calls = dict.fromkeys(self.runners, 0)
         self.max_ejected = 0
@@ -38,8 +39,8 @@
                     self._call(vm, failure_shares)
             self._exchange_counts()
             for vm in self.vms:
-                vm.judge([self.runners])
-                self.max_ejected = max(self.max_ejected, len(vm.left_out))
+                vm.detect([self.runners])
+                self.max_ejected = max(self.max_ejected, len(vm.ejected))
 
     def run_calls(self, seconds, per_s, failure_shares):
         """Simulate calls at a total rate, spread randomly over the VMs."""
@@ -49,20 +50,22 @@
                 self._call(self.rng.choice(self.vms), failure_shares)
             self._exchange_counts()
             for vm in self.vms:
-                for _ in vm.judge([self.runners]):
+                for _ in vm.detect([self.runners]):
                     self.ejected_at.append((step + 1) * STEP_S)
 
     def _exchange_counts(self):
         for number, vm in enumerate(self.vms):
             for other in self.vms:
                 if other is not vm:
-                    other.heard(f"vm-{number}", vm.own)
+                    other.add_peer_counts(f"vm-{number}", vm.own_counts)
 
     def _call(self, vm, failure_shares):
-        available = [r for r in self.runners if r not in vm.left_out]
+        available = [r for r in self.runners if r not in vm.ejected]
         runner = self.rng.choice(available)
         self.calls[runner] += 1
-        vm.ended(runner, self.rng.random() < failure_shares.get(runner, 0.0))
+        vm.call_ended(
+            runner, self.rng.random() < failure_shares.get(runner, 0.0)
+        )
 
 
 @given("{vms:d} VMs and a service with {runners:d} runners")
--- a/tests/steps/runners_prefix.py
+++ b/tests/steps/runners_prefix.py
@@ -36,8 +36,8 @@
     def check(data, change):
         text = data.decode("latin-1")
         other = text[:change] + "#" + text[change + 1 :]
-        ours = prefix.blocks_of("m", text)
-        theirs = prefix.blocks_of("m", other)
+        ours = prefix.block_hashes("m", text)
+        theirs = prefix.block_hashes("m", other)
         same = min(len(ours), len(theirs))
         for depth in range(same):
             end = (depth + 1) * prefix.BLOCK_BYTES
@@ -47,8 +47,8 @@
 
     check()
     long_text = "x" * 2 * prefix.BLOCK_BYTES
-    first = prefix.blocks_of("m", long_text)
-    assert not set(first) & set(prefix.blocks_of("n", long_text))
+    first = prefix.block_hashes("m", long_text)
+    assert not set(first) & set(prefix.block_hashes("n", long_text))
 
 
 @then("prefix claims equal those of plain sets after any complete events")
@@ -63,7 +63,7 @@
         numbers = dict.fromkeys(RUNNERS, 0)
         for kind, runner, blocks in steps:
             if kind == "route":
-                index.routed(runner, blocks)
+                index.claim(runner, blocks)
                 plain.add(runner, blocks)
                 continue
             event = models.CacheEvent(numbers[runner], kind == "store", blocks)
--- a/tests/steps/runners_quarantine.py
+++ b/tests/steps/runners_quarantine.py
@@ -18,7 +18,7 @@
     derandomize=True, deadline=None, database=None, max_examples=60
 )
 BODY = b'{"prompt": "draft", "model": "m", "stream": true}'
-STATES = quarantine.State
+STATES = quarantine.FingerprintState
 SEEDS = strategies.integers(0, 10_000)
 
 
@@ -60,9 +60,9 @@
 
 def _crash(runner, names, at=0.0, noticed=False, trials=(), dc="a"):
     charges = tuple(
-        crashes.Charge(name, name, 1, name in trials) for name in names
+        crashes.SuspectRequest(name, name, 1, name in trials) for name in names
     )
-    return crashes.CrashSeen("vm", runner, dc, at, noticed, charges)
+    return crashes.CrashObservation("vm", runner, dc, at, noticed, charges)
 
 
 @then("any order and duplication of crash reports gives the same status")
@@ -86,7 +86,7 @@
             rule = quarantine.Quarantine(clocks.ManualClock())
             for each in order:
                 rule.receive(each)
-            states.append([rule.standing(name).state for name in "xyz"])
+            states.append([rule.status(name).state for name in "xyz"])
         assert states[0] == states[1]
 
     check()
@@ -210,7 +210,7 @@
     rule = quarantine.Quarantine(clocks.ManualClock())
     rule.receive(_crash("r1", "x", noticed=True))
     rule.receive(_crash("r2", "x", noticed=True))
-    assert rule.standing("x").state is STATES.CLEAR
+    assert rule.status("x").state is STATES.CLEAR
 
 
 @given('a request of customer "{customer}" that crashed two runners')
@@ -251,7 +251,7 @@
 
 @then("the judge holds it")
 def _judge_holds(context):
-    assert isinstance(_ask(context, "x", "copy"), quarantine.Hold)
+    assert isinstance(_ask(context, "x", "copy"), quarantine.RetryLater)
 
 
 @when("the report of a second crash arrives {seconds:f} s later")
@@ -263,7 +263,7 @@
 @then("it is quarantined after the settling time of the crashes")
 def _quarantined_later(context):
     context.clock.advance(quarantine.CRASH_SETTLE_S)
-    assert isinstance(_ask(context, "x", "copy"), quarantine.RefuseRun)
+    assert isinstance(_ask(context, "x", "copy"), quarantine.RejectRequest)
 
 
 def _suspects(context, names):
@@ -271,14 +271,14 @@
     context.rule = quarantine.Quarantine(context.clock)
     context.rule.receive(_crash("r1", names))
     context.places = (
-        quarantine.Place("r2", "a"),
-        quarantine.Place("r3", "b"),
-        quarantine.Place("r4", "b"),
+        quarantine.TrialCandidate("r2", "a"),
+        quarantine.TrialCandidate("r3", "b"),
+        quarantine.TrialCandidate("r4", "b"),
     )
 
 
 def _ask(context, name, request_id):
-    request = quarantine.MayRun(name, request_id, context.places)
+    request = quarantine.TrialRequest(name, request_id, context.places)
     return context.rule.judge(request)
 
 
@@ -290,7 +290,7 @@
 
 @then("the judge holds a second attempt of the same request")
 def _holds_second_attempt(context):
-    assert isinstance(_ask(context, "x", "other"), quarantine.Hold)
+    assert isinstance(_ask(context, "x", "other"), quarantine.RetryLater)
 
 
 @then("the judge prefers a data centre other than that of the crash")
@@ -301,13 +301,13 @@
 @when("one of the trials ends with an answer")
 def _trial_answered(context):
     context.clock.advance(2.0)
-    context.rule.trial_over(quarantine.TrialOver("x", "x"))
-    context.rule.receive(crashes.Survived("x", 0.0))
+    context.rule.trial_over(quarantine.TrialEnded("x", "x"))
+    context.rule.receive(crashes.RequestCompleted("x", 0.0))
 
 
 @then("the suspect that was answered runs without a trial")
 def _runs_without_trial(context):
-    assert isinstance(_ask(context, "x", "other"), quarantine.RunFreely)
+    assert isinstance(_ask(context, "x", "other"), quarantine.RunNormally)
     assert context.rule.trials == 1
 
 
@@ -319,7 +319,7 @@
 
 @then("the judge grants a trial to another attempt of it")
 def _new_trial(context):
-    assert isinstance(_ask(context, "x", "other"), quarantine.RunAt)
+    assert isinstance(_ask(context, "x", "other"), quarantine.RunAsTrial)
 
 
 @given("a crash log with reports of {n:d} crashes with 10 requests each")
--- a/tests/steps/runners_routing.py
+++ b/tests/steps/runners_routing.py
@@ -77,7 +77,7 @@
         for runner_, (_, _, own, cached) in zip(runners, described):
             for number in range(own):
                 name = f"{runner_.name}/{number}"
-                router.started(name, runner_.name, _query(tokens=0))
+                router.request_started(name, runner_.name, _query(tokens=0))
             event = models.CacheEvent(0, True, blocks[:cached])
             router.observe_cache(runner_.name, models.CacheEvents((event,), 0))
             figures[runner_.name] = naive.Estimate(runner_, query, own, cached)
@@ -104,12 +104,12 @@
         at = {}
         for kind, request, runner in steps:
             if kind == "start":
-                router.started(str(request), f"r{runner}", _query())
+                router.request_started(str(request), f"r{runner}", _query())
                 at[request] = f"r{runner}"
             elif kind == "first":
                 router.first_token(str(request))
             else:
-                router.finished(str(request), kind, 10)
+                router.request_finished(str(request), kind, 10)
                 at.pop(request, None)
         counts = collections.Counter(at.values())
         for number in range(3):
--- a/tests/steps/runners_silence.py
+++ b/tests/steps/runners_silence.py
@@ -6,7 +6,7 @@
 from behave import when
 
 from apricotlever import clock as clocks
-from apricotlever.runners import silence
+from apricotlever.runners import silence_detector
 
 RUNNER = "runner"
 
@@ -14,7 +14,7 @@
 @given("a runner with {calls:d} calls")
 def _runner(context, calls):
     context.clock = clocks.ManualClock()
-    context.silence = silence.Silence(context.clock)
+    context.silence = silence_detector.SilenceDetector(context.clock)
     context.calls = calls
     for _ in range(calls):
         context.silence.sent(RUNNER)
--- a/tests/steps/runners_urgency.py
+++ b/tests/steps/runners_urgency.py
@@ -8,7 +8,7 @@
 from behave import then
 from behave import when
 
-from apricotlever.runners import urgency
+from apricotlever.runners import engine_priority
 
 #: Prompt tokens per second that a runner reads, by the users' data sheets.
 READ_PER_S = 41400.0
@@ -20,7 +20,9 @@
 
 def _by_route(customer, route, tokens):
     """Naive baseline: the level without regard to prompt length."""
-    return urgency.place(customer, route, urgency.SHORT_PROMPT_TOKENS)
+    return engine_priority.queue_level(
+        customer, route, engine_priority.SHORT_PROMPT_TOKENS
+    )
 
 
 def _waits(rule, short, long, seconds, busy):
@@ -69,7 +71,7 @@
 )
 def _level(context, tokens, customer, route, level):
     priority = None if customer == "none" else int(customer)
-    found = urgency.place(priority, route, tokens)
+    found = engine_priority.queue_level(priority, route, tokens)
     assert found == level, found
 
 
@@ -79,7 +81,7 @@
 )
 def _engine_reads(context, short, long, seconds, busy):
     load = (float(short), float(long), seconds, busy)
-    context.ours = _waits(urgency.place, *load)
+    context.ours = _waits(engine_priority.queue_level, *load)
     context.naive = _waits(_by_route, *load)
 
 
--- a/tests/steps/serving_datagrams.py
+++ b/tests/steps/serving_datagrams.py
@@ -20,7 +20,7 @@
 from apricotlever.serving import fleet_link
 from apricotlever.serving import settings
 from apricotlever.serving import tasks
-from apricotlever.vms import digests
+from apricotlever.vms import vm_records
 
 HOST = "127.0.0.1"
 ARRIVED_S = 10.0
@@ -52,7 +52,7 @@
 
 
 def _record(number=1, host=HOST):
-    return digests.Digest(f"vm-{number}", 1, 1, f"{host}:9", "", "dc")
+    return vm_records.VmRecord(f"vm-{number}", 1, 1, f"{host}:9", "", "dc")
 
 
 def _send(context, data):
--- a/tests/steps/serving_duties.py
+++ b/tests/steps/serving_duties.py
@@ -15,8 +15,8 @@
 from apricotlever.serving import settings
 from apricotlever.serving import store
 from apricotlever.serving import usage_duty
-from apricotlever.vms import digests
 from apricotlever.vms import rendezvous
+from apricotlever.vms import vm_records
 from tests.serving import memory_store
 
 STEP_S = 0.1
@@ -66,7 +66,7 @@
     @property
     def digest(self):
         """Its record."""
-        return digests.Digest(
+        return vm_records.VmRecord(
             self.name,
             self.incarnation,
             1,
@@ -179,7 +179,7 @@
 
 
 def _digest(vm, incarnation, lease=None):
-    return digests.Digest(
+    return vm_records.VmRecord(
         vm,
         incarnation,
         1,
@@ -430,7 +430,7 @@
     context.windows = usage_windows.UsageWindows(context.clock, "vm#1", 5.0)
     context.window = context.windows.window
     for _ in range(count):
-        context.windows.began("customer")
+        context.windows.record_call("customer")
     context.store = memory_store.MemoryStore()
     context.cloud = memory_store.MemoryCloud()
     context.duty = usage_duty.UsageDuty(
--- a/tests/steps/serving_limit_calls.py
+++ b/tests/steps/serving_limit_calls.py
@@ -72,7 +72,7 @@
 def _keeper_of(names):
     """Who keeps the customer's limit."""
     found = limits.limit_keepers.LimitKeepers(clocks.ManualClock(), names[0])
-    found.set_vms(names[1:])
+    found.set_other_vms(names[1:])
     return found.keeper("clerks")
 
 
--- a/tests/steps/vms_digests.py
+++ b/tests/steps/vms_digests.py
@@ -8,8 +8,8 @@
 from behave import when
 
 from apricotlever import clock as clocks
-from apricotlever.vms import digests
 from apricotlever.vms import peer_table
+from apricotlever.vms import vm_records
 
 
 class Vm:
@@ -29,7 +29,7 @@
     def next_record(self):
         """Build the next record of this VM."""
         self.number += 1
-        return digests.Digest(
+        return vm_records.VmRecord(
             self.name,
             self.incarnation,
             self.number,
@@ -58,17 +58,17 @@
 
     def run(self, seconds):
         """Let all VMs exchange records for a time."""
-        for _ in range(round(seconds / digests.INTERVAL_S)):
+        for _ in range(round(seconds / vm_records.RECORD_INTERVAL_S)):
             for vm in self.vms:
                 if vm.silent:
                     continue
                 record = vm.next_record().to_record()
                 for address in vm.table.receivers():
                     self._note_record(address, vm)
-                    self.by_address[address].table.heard(
-                        digests.Digest.from_record(record)
+                    self.by_address[address].table.receive_record(
+                        vm_records.VmRecord.from_record(record)
                     )
-            self.clock.advance(digests.INTERVAL_S)
+            self.clock.advance(vm_records.RECORD_INTERVAL_S)
 
     def _note_record(self, address, sender):
         pair = (address, sender.name)
--- a/tests/steps/vms_duties.py
+++ b/tests/steps/vms_duties.py
@@ -7,9 +7,9 @@
 from apricotlever import clock as clocks
 from apricotlever.links import peer_pb2 as pb
 from apricotlever.vms import duties
+from apricotlever.vms import fleet_view as views
 from apricotlever.vms import lease_objects
 from apricotlever.vms import roster
-from apricotlever.vms import view as views
 from bench import fleets
 
 NAMES = [f"capacity/d{i}" for i in range(3)]
@@ -19,7 +19,7 @@
 
 
 def _view_of(vm, members):
-    return views.View(members[vm], members, {})
+    return views.FleetView(members[vm], members, {})
 
 
 @behave.given("a duty view of {count:d} VMs in {places:d} data centres")
@@ -71,7 +71,7 @@
 def responsible_vm_leaves(context, name):
     """The view shows that it announced its leave."""
     (context.holder,) = _responsible_vms(context, _duty(name))
-    context.members[context.holder] = roster.changed(
+    context.members[context.holder] = roster.with_fields(
         context.members[context.holder], leaving=True, state=pb.VM_LEAVING
     )
 
@@ -115,7 +115,7 @@
     for _ in range(seconds * 10):
         clock.advance(0.1)
         for vm, vm_duties in context.duties_by_vm.items():
-            vm_duties.look(_view_of(vm, context.members))
+            vm_duties.update_view(_view_of(vm, context.members))
             for action in vm_duties.tick():
                 context.store.perform(vm_duties.lease(action.name), action)
 
--- a/tests/steps/vms_followers.py
+++ b/tests/steps/vms_followers.py
@@ -6,8 +6,8 @@
 from behave import when
 
 from apricotlever import clock as clocks
-from apricotlever.vms import digests
-from apricotlever.vms import followers
+from apricotlever.vms import follower_selection
+from apricotlever.vms import vm_records
 
 STEP_S = 0.1
 
@@ -17,7 +17,7 @@
 
     def __init__(self, clock, number):
         self.name = f"vm-{number}"
-        self.followers = followers.Followers(clock, self.name)
+        self.followers = follower_selection.FollowerSelection(clock, self.name)
         self.is_answered = True
         #: Whether its calls to the store succeed, as its record reports.
         self.follows_store = False
@@ -25,7 +25,7 @@
     @property
     def record(self):
         """The record that it sends to the other VMs."""
-        return digests.Digest(
+        return vm_records.VmRecord(
             self.name, 1, 1, "a:1", "", "dc", follows=self.follows_store
         )
 
--- a/tests/steps/vms_leads.py
+++ b/tests/steps/vms_leads.py
@@ -5,7 +5,7 @@
 from behave import when
 
 from apricotlever import clock as clocks
-from apricotlever.vms import leads
+from apricotlever.vms import catch_up
 
 STEP_S = 0.1
 
@@ -13,7 +13,7 @@
 @given("a VM that tolerates peers being ahead for {seconds:g} seconds")
 def _vm(context, seconds):
     context.clock = clocks.ManualClock()
-    context.leads = leads.Leads(context.clock)
+    context.leads = catch_up.CatchUpTimers(context.clock)
     context.tolerated_s = seconds
     context.asked = []
 
--- a/tests/steps/vms_membership.py
+++ b/tests/steps/vms_membership.py
@@ -6,16 +6,18 @@
 from apricotlever.vms import actions
 from apricotlever.vms import membership
 from bench import virtual
-from tests.vms import gossip_world
+from tests.vms import gossip_fleet
 from tests.vms import naive_membership
 
 SETTLE_S = 15.0
 
 
 @behave.given("a gossip fleet of {count:d} VMs in {places:d} data centres")
-def gossip_fleet(context, count, places):
+def start_gossip_fleet(context, count, places):
     """The VMs know one seed node."""
-    context.world = gossip_world.World(count, places, membership.Membership)
+    context.world = gossip_fleet.GossipFleet(
+        count, places, membership.Membership
+    )
 
 
 @behave.given(
@@ -33,7 +35,7 @@
 def heartbeat_fleet(context, count, places):
     """The VMs use the naive membership."""
     make = naive_membership.HeartbeatMembership
-    context.world = gossip_world.World(count, places, make)
+    context.world = gossip_fleet.GossipFleet(count, places, make)
     context.world.fleet.run(3.0)
     assert context.world.complete()
 
@@ -43,7 +45,7 @@
 )
 def large_fleet(context, count, places):
     """The fleet is above the size limit of a full view."""
-    context.world = gossip_world.World(
+    context.world = gossip_fleet.GossipFleet(
         count,
         places,
         membership.Membership,
@@ -114,7 +116,7 @@
     """It reported the pause once."""
     found = [
         action.seconds
-        for _, node, action in context.world.told[actions.Paused]
+        for _, node, action in context.world.told[actions.PauseDetected]
         if node.vm == vm
     ]
     assert len(found) == 1 and abs(found[0] - seconds) < 0.5, found
@@ -137,7 +139,7 @@
     world = context.world
     assert not [
         action
-        for at, _, action in world.told[actions.Changed]
+        for at, _, action in world.told[actions.MemberChanged]
         if action.after.state == pb.VM_SUSPECT and at >= world.since
     ]
 
--- a/tests/steps/vms_roster.py
+++ b/tests/steps/vms_roster.py
@@ -50,7 +50,7 @@
 
 
 def _essence(record):
-    return roster.standing(record)
+    return roster.precedence(record)
 
 
 @behave.then("any order of the same records gives the same roster")
@@ -65,7 +65,7 @@
         one, other = _merged(records), _merged(shuffled)
         assert one.incarnation == other.incarnation
         assert (one.state == pb.VM_DEAD) == (other.state == pb.VM_DEAD)
-        assert max(map(roster.standing, records)) <= roster.standing(one)
+        assert max(map(roster.precedence, records)) <= roster.precedence(one)
 
     check()
 
--- a/tests/steps/vms_rumours.py
+++ b/tests/steps/vms_rumours.py
@@ -9,7 +9,7 @@
 from apricotlever import clock as clocks
 from apricotlever.links import peer_pb2 as pb
 from apricotlever.vms import actions
-from apricotlever.vms import rumours
+from apricotlever.vms import rumour_buffer
 
 #: Upper bound of the bytes that a message has besides its updates.
 FRAME_BYTES = 400
@@ -54,7 +54,7 @@
     """Number of deliveries of such rumours, by VM."""
     return collections.Counter(
         node.vm
-        for _, node, action in world.told[actions.Delivered]
+        for _, node, action in world.told[actions.RumourDelivered]
         if action.rumour.WhichOneof("body") == body
     )
 
@@ -135,11 +135,11 @@
     @hypothesis.given(steps)
     def check(copies):
         clock = clocks.ManualClock()
-        source = rumours.Rumours(clock, "a", 1)
-        receiver = rumours.Rumours(clock, "b", 1)
+        source = rumour_buffer.RumourBuffer(clock, "a", 1)
+        receiver = rumour_buffer.RumourBuffer(clock, "b", 1)
         start = clock.now()
         made = [
-            source.stamp(
+            source.add_own(
                 pb.Rumour(
                     lifetime_ms=int(lifetime_s * 1000),
                     runner_gone=pb.RunnerGone(runner=f"r{i}"),
@@ -154,7 +154,7 @@
             copy.CopyFrom(made[number])
             copy.age_ms = int((clock.now() - start) * 1000)
             taken[number] += receiver.receive(copy, "a")
-            receiver.purge()
+            receiver.drop_expired()
             for passed_on in receiver.pick(10_000, 99, "c"):
                 age_s = clock.now() - start
                 assert abs(passed_on.age_ms / 1000 - age_s) < 0.01
--- a/tests/steps/vms_spread.py
+++ b/tests/steps/vms_spread.py
@@ -8,15 +8,15 @@
 
 from apricotlever import clock as clocks
 from apricotlever.links import peer_pb2 as pb
-from apricotlever.vms import deltas
+from apricotlever.vms import catalogue_deltas
+from apricotlever.vms import catalogue_replicator
+from apricotlever.vms import fleet_view as fleet_view
 from apricotlever.vms import membership
-from apricotlever.vms import spread
-from apricotlever.vms import spread_actions
-from apricotlever.vms import view as fleet_view
+from apricotlever.vms import replication_actions
 from bench import fleets
 from bench import spreading
 from bench import virtual
-from tests.vms import naive_spread
+from tests.vms import naive_replicator
 
 PROPERTY_SETTINGS = hypothesis.settings(
     derandomize=True, deadline=None, database=None, max_examples=150
@@ -44,18 +44,18 @@
     document = document or _document(version)
     return pb.CatalogueDocument(
         version=version,
-        digest=digest or deltas.digest_of(document),
-        whole=deltas.canonical(document),
+        digest=digest or catalogue_deltas.compute_digest(document),
+        whole=catalogue_deltas.canonical_json(document),
     )
 
 
 def _new_replicator(check=lambda document, version: None):
     clock = clocks.ManualClock()
-    replicator = spread.ConfigurationSpread(
+    replicator = catalogue_replicator.CatalogueReplicator(
         clock, random.Random(1), "me", "d0", check
     )
     members = {vm: virtual.member_of(vm, "d0") for vm in ("me", "p1", "p2")}
-    replicator.look(fleet_view.View(members["me"], members, {}))
+    replicator.update_view(fleet_view.FleetView(members["me"], members, {}))
     return clock, replicator
 
 
@@ -92,7 +92,7 @@
     @PROPERTY_SETTINGS
     @hypothesis.given(VERSIONS)
     def check(answers):
-        replicator = naive_spread.NaiveReplicator()
+        replicator = naive_replicator.NaiveReplicator()
         for version, _ in answers:
             replicator.receive(version, _document(version))
         assert replicator.version == max(version for version, _ in answers)
@@ -113,16 +113,16 @@
     def check(one, two, three):
         _, server = _new_replicator()
         _, client = _new_replicator()
-        client.stored(1, one)
+        client.receive_stored(1, one)
         for version, document in enumerate((one, two, three), start=1):
-            server.stored(version, document)
+            server.receive_stored(version, document)
         ours = client.in_force
-        answer = server.serve(
+        answer = server.answer_fetch(
             pb.FetchCatalogue(
                 have_version=ours.version, have_digest=ours.digest
             )
         )
-        client.answered("p1", answer)
+        client.receive_answer("p1", answer)
         assert client.in_force.version == 3
         assert client.in_force.digest == server.in_force.digest
 
@@ -193,7 +193,7 @@
         lambda document, version: "bad" if "bad" in document else None
     )
     context.result = context.replicator.stored(5, _document(5))
-    assert isinstance(context.result[0], spread_actions.Apply)
+    assert isinstance(context.result[0], replication_actions.ApplyCatalogue)
 
 
 @behave.when("the replicator's store returns version 3")
@@ -222,7 +222,9 @@
     bad = dict(_document(6), bad={})
     context.result = context.replicator.stored(6, bad)
     context.result += context.replicator.answered("p1", _whole(6, bad))
-    context.result += context.replicator.heard(6, deltas.digest_of(bad), "p1")
+    context.result += context.replicator.heard(
+        6, catalogue_deltas.compute_digest(bad), "p1"
+    )
     context.clock.advance(1.0)
     context.result += context.replicator.tick()
 
@@ -241,19 +243,19 @@
 
 @behave.then("version 5 stays in force and the older store is reported")
 def behind(context):
-    _stays_and_reports(context, spread_actions.StoreBehind)
+    _stays_and_reports(context, replication_actions.StoreBehind)
 
 
 @behave.then("version 5 stays in force and the clash is reported once")
 def clash(context):
     """The clash is not reported again at each mention."""
-    _stays_and_reports(context, spread_actions.DigestClash)
+    _stays_and_reports(context, replication_actions.DigestClash)
 
 
 @behave.then("version 5 stays in force and the invalid one is reported once")
 def bad(context):
     """The result has the report only, so nothing is fetched again."""
-    _stays_and_reports(context, spread_actions.Invalid)
+    _stays_and_reports(context, replication_actions.Invalid)
 
 
 @behave.then("a valid version 7 is put in force")
@@ -268,7 +270,7 @@
     """The replicator has not received versions 6 and 7."""
     rumour = pb.Rumour()
     rumour.catalogue.version = 8
-    rumour.catalogue.digest = deltas.digest_of(_document(8))
+    rumour.catalogue.digest = catalogue_deltas.compute_digest(_document(8))
     delta = rumour.catalogue.delta
     delta.version, delta.digest = 8, rumour.catalogue.digest
     delta.base_version, delta.base_digest = 7, 77
@@ -279,7 +281,10 @@
 def fetches(context):
     """The request names the version in force."""
     (fetch,) = context.result
-    assert isinstance(fetch, spread_actions.FetchFrom) and fetch.vm == "p2"
+    assert (
+        isinstance(fetch, replication_actions.FetchFromPeer)
+        and fetch.vm == "p2"
+    )
     assert fetch.message.have_version == 5
 
 
@@ -288,7 +293,7 @@
     """The retry comes after FETCH_RETRY_S."""
     context.replicator.fetch_failed("p2")
     assert not context.replicator.tick()
-    context.clock.advance(spread.FETCH_RETRY_S)
+    context.clock.advance(catalogue_replicator.FETCH_RETRY_S)
     (fetch,) = context.replicator.tick()
     context.replicator.answered(fetch.vm, _whole(8))
     assert context.replicator.in_force.version == 8
--- a/tests/vms/gossip_world.py
+++ b/tests/vms/gossip_fleet.py
@@ -10,13 +10,13 @@
 from bench import virtual
 
 
-class World:
+class GossipFleet:
     """A simulated fleet and the actions of its VMs, by type."""
 
     def __init__(self, count, data_centres, make, **timings):
         sizes = fleets.even_sizes(count, data_centres)
         self.fleet = virtual.Fleet(timing=timing.MembershipTiming(**timings))
-        self.told = collections.defaultdict(list)
+        self.actions_by_type = collections.defaultdict(list)
         self.fleet.watchers.append(self._record)
         members = fleets.members_of(sizes)
         hints = [membership.Hint(m.vm, m.peers_address) for m in members]
@@ -27,7 +27,7 @@
 
     def _record(self, node, action):
         now = self.fleet.clock.now()
-        self.told[type(action)].append((now, node, action))
+        self.actions_by_type[type(action)].append((now, node, action))
 
     def running(self):
         return [n for n in self.fleet.nodes.values() if n.running]
@@ -43,12 +43,12 @@
         """Deaths declared of running processes, as (declaring VM, victim)."""
         return [
             (node.vm, action.after.vm)
-            for at, node, action in self.told[actions.Changed]
+            for at, node, action in self.actions_by_type[actions.MemberChanged]
             if action.after.state == pb.VM_DEAD
             and at >= self.since
             and self.fleet.nodes[action.after.vm].running
         ]
 
-    def within(self, seconds, done):
+    def wait_until(self, seconds, done):
         took = self.fleet.run_until(done, seconds)
         assert took is not None, "the condition was not met in time"
--- a/tests/vms/naive_membership.py
+++ b/tests/vms/naive_membership.py
@@ -10,10 +10,10 @@
 from apricotlever import clock as clocks
 from apricotlever.links import peer_pb2 as pb
 from apricotlever.vms import actions
+from apricotlever.vms import fleet_view as views
 from apricotlever.vms import membership
 from apricotlever.vms import roster as rosters
 from apricotlever.vms import timing as timings
-from apricotlever.vms import view as views
 
 TIMEOUT_S = 3.0
 
@@ -38,10 +38,10 @@
         self._next_at = clock.now() + rng.uniform(0, self._interval_s)
 
     @property
-    def view(self) -> views.View:
+    def view(self) -> views.FleetView:
         """The VMs that sent a message within ``TIMEOUT_S``."""
         members = {**self._members, self.me.vm: self.me}
-        return views.View(self.me, members, {})
+        return views.FleetView(self.me, members, {})
 
     def tick(self) -> list[actions.Action]:
         """Send heartbeats and declare silent VMs dead."""
@@ -72,11 +72,11 @@
         before = self._members.get(sender.vm)
         self._members[sender.vm] = sender
         self._last_message_at[sender.vm] = self._clock.now()
-        return [] if before else [actions.Changed(None, sender)]
+        return [] if before else [actions.MemberChanged(None, sender)]
 
     def _declare_dead(self, vm: str) -> actions.Action:
         del self._last_message_at[vm]
         member = self._members.pop(vm)
-        return actions.Changed(
-            member, rosters.changed(member, state=pb.VM_DEAD)
+        return actions.MemberChanged(
+            member, rosters.with_fields(member, state=pb.VM_DEAD)
         )
