--- a/src/apricotlever/data_centres/__init__.py
+++ b/src/apricotlever/data_centres/__init__.py
@@ -1,1 +1,1 @@
-"""Data centres: prices, reclaim risk and planned capacity."""
+"""Capacity planning: how many runners to buy, of which kind, and where."""
--- a/src/apricotlever/data_centres/backoff.py
+++ b/src/apricotlever/data_centres/backoff.py
@@ -1,45 +1,53 @@
-"""Holds back after refused starts, place by place."""
+"""Delays further VM orders at a place after a refused one."""
 
 import random
 
 from .. import clock as clocks
 from . import model
 
-FIRST_S = 10.0
-FACTOR = 2.0
-LONGEST_S = 600.0
+INITIAL_DELAY_S = 10.0
+DELAY_FACTOR = 2.0
+MAX_DELAY_S = 600.0
 
 
 class StartBackoff:
-    """When a place that refused a start may be asked again.
+    """Determines when a place that refused a VM may be tried again.
 
-    The wait grows by a factor with each refusal in a row. A random share of
-    it keeps the entries that were refused together from asking together.
+    The delay grows exponentially with consecutive refusals. Its random jitter
+    keeps planners that were refused together from retrying together.
     """
 
-    __slots__ = ("_clock", "_rng", "_waits", "_until")
+    __slots__ = ("_clock", "_rng", "_delays_s", "_blocked_until")
 
     def __init__(self, clock: clocks.Clock, rng: random.Random) -> None:
         self._clock = clock
         self._rng = rng
-        self._waits: dict[model.Place, float] = {}
-        self._until: dict[model.Place, float] = {}
+        self._delays_s: dict[model.Place, float] = {}
+        self._blocked_until: dict[model.Place, float] = {}
 
-    def refused(self, place: model.Place) -> None:
-        """Note a refused start; refusals during a wait don't add up."""
+    def record_refusal(self, place: model.Place) -> None:
+        """Record a refusal; refusals during a delay don't extend it."""
         if not self.may_start(place):
             return
-        before = self._waits.get(place)
-        wait = FIRST_S if before is None else before * FACTOR
-        self._waits[place] = min(wait, LONGEST_S)
+        previous_s = self._delays_s.get(place)
+        delay_s = (
+            INITIAL_DELAY_S
+            if previous_s is None
+            else previous_s * DELAY_FACTOR
+        )
+        self._delays_s[place] = min(delay_s, MAX_DELAY_S)
         jitter = self._rng.uniform(0.5, 1.0)
-        self._until[place] = self._clock.now() + jitter * self._waits[place]
+        self._blocked_until[place] = (
+            self._clock.now() + jitter * self._delays_s[place]
+        )
 
-    def started(self, place: model.Place) -> None:
-        """Note a start that the cloud granted."""
-        self._waits.pop(place, None)
-        self._until.pop(place, None)
+    def record_grant(self, place: model.Place) -> None:
+        """Record a VM that the cloud granted."""
+        self._delays_s.pop(place, None)
+        self._blocked_until.pop(place, None)
 
     def may_start(self, place: model.Place) -> bool:
-        """Whether to ask the place for a VM now."""
-        return self._clock.now() >= self._until.get(place, float("-inf"))
+        """Whether a VM may be ordered at the place now."""
+        return self._clock.now() >= self._blocked_until.get(
+            place, float("-inf")
+        )
--- a/src/apricotlever/data_centres/capacity.py
+++ b/src/apricotlever/data_centres/capacity.py
@@ -1,7 +1,8 @@
-"""Plans the runners of one entry: how many, where, bought how.
+"""Plans the runners of one entry: their number, places and markets.
 
-The planner is pure. A duty holder feeds it demand, prices, the list of VMs
-and the cloud's answers, and carries out its orders.
+The planner performs no input or output. The holder of the capacity duty
+passes it the demand, prices, the list of VMs and the cloud's answers, and
+carries out its orders.
 """
 
 import collections
@@ -20,23 +21,31 @@
 from . import risk
 from . import sizing
 
+#: Time from the order of a runner until it serves, in seconds.
 START_S = 180.0
-DEFAULT_SURVIVE = 0.6
+DEFAULT_SURVIVING_SHARE = 0.6
 DEFAULT_HEADROOM = 1.15
-SHRINK_HOLD_S = 120.0
-STICKINESS = 0.15
-RECLAIM_HOURS = 0.2
-RELEASE_SHARE = 0.1
+#: Time for which a surplus must last before runners are released, in seconds.
+SCALE_DOWN_DELAY_S = 120.0
+#: Discount on the cost of runners that are held already.
+HELD_DISCOUNT = 0.15
+#: Cost of one reclaim, in hours of the runner's price.
+RECLAIM_COST_HOURS = 0.2
+#: Maximum share of the serving runners that is released at a time.
+MAX_RELEASE_SHARE = 0.1
 
 
 class Policy:
-    """What an entry's operators allow, and how careful to be.
+    """The limits set by an entry's operators, and the safety margins.
 
-    :param slots: requests that a runner runs side by side.
-    :param survive: the share of the present need that must remain after
+    :param machine: machine class of the runners.
+    :param min_runners: minimum number of runners.
+    :param max_runners: maximum number of runners.
+    :param slots_per_runner: requests that a runner processes concurrently.
+    :param surviving_share: share of the present need that must remain after
         the loss of any one data centre.
-    :param headroom: multiplies the rate that is planned for; it covers
-        swings that are faster than a start.
+    :param headroom: factor on the planned rate; covers changes of the rate
+        that are faster than the start of a runner.
     """
 
     __slots__ = ("machine", "least", "most", "slots", "survive", "headroom")
@@ -44,28 +53,30 @@
     def __init__(
         self,
         machine: str,
-        least: int,
-        most: int,
-        slots: int,
-        survive: float = DEFAULT_SURVIVE,
+        min_runners: int,
+        max_runners: int,
+        slots_per_runner: int,
+        surviving_share: float = DEFAULT_SURVIVING_SHARE,
         headroom: float = DEFAULT_HEADROOM,
     ) -> None:
         self.machine = machine
-        self.least = least
-        self.most = most
-        self.slots = slots
-        self.survive = survive
+        self.least = min_runners
+        self.most = max_runners
+        self.slots = slots_per_runner
+        self.survive = surviving_share
         self.headroom = headroom
 
 
 class CapacityPlanner:
-    """The runners of one entry.
+    """Plans the runners of one entry.
 
-    :param price_book: shared by the entries.
-    :param reclaim_risk: shared by the entries.
-    :param load_pacer: shared by the entries; whoever carries out LoadModel
-        tells it how the load ended.
-    :param start_s: from the order of a runner until it serves.
+    :param entry: name of the entry; becomes part of the order tokens.
+    :param price_book: shared by all entries.
+    :param reclaim_risk: shared by all entries.
+    :param load_limiter: shared by all entries. The code that carries out a
+        :class:`model.LoadModel` order reports the end of the load to it.
+    :param start_s: time from the order of a runner until it serves, in
+        seconds.
     """
 
     __slots__ = (
@@ -73,11 +84,11 @@
         "_policy",
         "_prices",
         "_risk",
-        "_loads",
+        "_load_limiter",
         "_backoff",
         "_forecast",
         "_purchases",
-        "_over_since",
+        "_surplus_since",
     )
 
     def __init__(
@@ -88,104 +99,114 @@
         policy: Policy,
         price_book: prices.PriceBook,
         reclaim_risk: risk.ReclaimRisk,
-        load_pacer: loads.LoadPacer,
+        load_limiter: loads.LoadPacer,
         start_s: float = START_S,
     ) -> None:
         self._clock = clock
         self._policy = policy
         self._prices = price_book
         self._risk = reclaim_risk
-        self._loads = load_pacer
+        self._load_limiter = load_limiter
         self._backoff = backoff.StartBackoff(clock, rng)
         self._forecast = forecast.DemandForecast(clock, start_s)
-        self._purchases = purchases.Purchases(clock, entry)
-        self._over_since: float | None = None
+        self._purchases = purchases.PendingPurchases(clock, entry)
+        self._surplus_since: float | None = None
 
     def configure(self, policy: Policy) -> None:
-        """Take over what the catalogue says now."""
+        """Replace the policy after a change of the catalogue."""
         self._policy = policy
 
     def tick(
         self, demand: model.Demand, holdings: typing.Sequence[model.Holding]
     ) -> list[model.Order]:
-        """Decide what to do now.
+        """Compute the orders that are due now.
 
-        :param holdings: the entry's runners, by the cloud's list and by
-            what was heard of notices since.
+        :param demand: the present demand on the entry.
+        :param holdings: the entry's runners, from the cloud's list and the
+            termination notices received since.
         """
         self._forecast.observe(demand.requests_per_s)
-        counted = [
+        staying = [
             holding
             for holding in holdings
             if holding.state is not model.State.LEAVING
         ]
-        held = self._held(holdings, counted)
-        ahead = self._policy.headroom * self._forecast.ahead()
-        needed = self._needed(demand, ahead)
-        present = self._needed(demand, self._forecast.highest())
+        held = self._count_by_place(holdings, staying)
+        predicted = self._policy.headroom * self._forecast.ahead()
+        needed = self._runners_needed(demand, predicted)
+        present = self._runners_needed(demand, self._forecast.peak_rate())
         surviving = math.ceil(self._policy.survive * present)
         plan = placement.choose(
             self._offers(held), needed, surviving, self._policy.most
         )
         return (
-            self._purchases.repeats()
-            + self._buys(plan, held)
-            + self._load_orders(counted)
-            + self._releases(plan, counted, max(needed, present), surviving)
+            self._purchases.take_overdue()
+            + self._buy_orders(plan, held)
+            + self._load_orders(staying)
+            + self._release_orders(
+                plan, staying, max(needed, present), surviving
+            )
         )
 
     def granted(self, token: str, vm: str) -> None:
-        """The cloud starts a VM for an order."""
-        place = self._purchases.granted(token, vm)
+        """Record that the cloud starts a VM for an order."""
+        place = self._purchases.record_grant(token, vm)
         if place is not None:
-            self._backoff.started(place)
+            self._backoff.record_grant(place)
 
     def refused(self, token: str) -> None:
-        """The cloud refuses an order; other places are tried meanwhile."""
-        place = self._purchases.refused(token)
+        """Record that the cloud refused an order.
+
+        The place of the order is not tried again until a delay has passed.
+        """
+        place = self._purchases.record_refusal(token)
         if place is not None:
-            self._backoff.refused(place)
+            self._backoff.record_refusal(place)
 
-    def cost(self, place: model.Place) -> float:
-        """What a runner costs an hour there, its reclaims counted in."""
+    def cost_per_hour(self, place: model.Place) -> float:
+        """The cost of a runner per hour, including its expected reclaims."""
         price = self._prices.per_hour(place)
         if price is None:
             return math.inf
-        return price * (1 + RECLAIM_HOURS * self._risk.per_hour(place))
+        return price * (
+            1 + RECLAIM_COST_HOURS * self._risk.reclaims_per_hour(place)
+        )
 
-    def _needed(self, demand: model.Demand, rate: float) -> int:
+    def _runners_needed(self, demand: model.Demand, rate: float) -> int:
         expected = model.Demand(rate, demand.service_s, demand.wait_s)
         runners = sizing.runners_needed(expected, self._policy.slots)
         return min(max(runners, self._policy.least), self._policy.most)
 
-    def _held(
+    def _count_by_place(
         self,
         holdings: typing.Sequence[model.Holding],
-        counted: list[model.Holding],
+        staying: list[model.Holding],
     ) -> collections.Counter[model.Place]:
         listed = frozenset(holding.vm for holding in holdings)
-        held = collections.Counter(holding.place for holding in counted)
-        held.update(self._purchases.unseen(listed))
+        held = collections.Counter(holding.place for holding in staying)
+        held.update(self._purchases.unlisted_places(listed))
         return held
 
     def _offers(
         self, held: collections.Counter[model.Place]
     ) -> list[placement.Offer]:
-        # What is held counts as cheaper: to move for a small saving would
-        # pay two runners and load the weights again.
+        # Runners that are held get a discount: a move for a small saving
+        # would pay for two runners at a time and load the weights again.
         kept = [
-            placement.Offer(place, (1 - STICKINESS) * self.cost(place), count)
+            placement.Offer(
+                place, (1 - HELD_DISCOUNT) * self.cost_per_hour(place), count
+            )
             for place, count in held.items()
-            if self.cost(place) < math.inf
+            if self.cost_per_hour(place) < math.inf
         ]
         offered = [
-            placement.Offer(place, self.cost(place))
+            placement.Offer(place, self.cost_per_hour(place))
             for place in self._prices.places(self._policy.machine)
             if self._backoff.may_start(place)
         ]
         return kept + offered
 
-    def _buys(
+    def _buy_orders(
         self,
         plan: placement.Plan,
         held: collections.Counter[model.Place],
@@ -196,58 +217,62 @@
             for place, count in sorted(plan.items())
             for _ in range(count - held[place])
         ]
-        return [self._purchases.order(place) for place in missing[:room]]
+        return [self._purchases.create(place) for place in missing[:room]]
 
-    def _load_orders(self, counted: list[model.Holding]) -> list[model.Order]:
+    def _load_orders(self, staying: list[model.Holding]) -> list[model.Order]:
         return [
             model.LoadModel(holding.vm)
-            for holding in counted
+            for holding in staying
             if holding.state is model.State.LIVE
             and not holding.loaded
-            and self._loads.start(holding.vm)
+            and self._load_limiter.try_start(holding.vm)
         ]
 
-    def _releases(
+    def _release_orders(
         self,
         plan: placement.Plan,
-        counted: list[model.Holding],
+        staying: list[model.Holding],
         needed: int,
         surviving: int,
     ) -> list[model.Order]:
         serving = [
             holding
-            for holding in counted
+            for holding in staying
             if holding.loaded and holding.state is model.State.LIVE
         ]
-        left = collections.Counter(holding.place for holding in serving)
+        remaining = collections.Counter(holding.place for holding in serving)
         spare = sorted(
             (
                 holding
                 for holding in serving
-                if left[holding.place] > plan.get(holding.place, 0)
+                if remaining[holding.place] > plan.get(holding.place, 0)
+            ),
+            key=lambda runner: (
+                -self.cost_per_hour(runner.place),
+                runner.busy,
+                runner.vm,
             ),
-            key=lambda each: (-self.cost(each.place), each.busy, each.vm),
         )
         if not spare:
-            self._over_since = None
-        if not spare or not self._held_back():
+            self._surplus_since = None
+        if not spare or not self._may_scale_down():
             return []
-        most = max(1, int(RELEASE_SHARE * len(serving)))
+        limit = max(1, int(MAX_RELEASE_SHARE * len(serving)))
         released: list[model.Order] = []
         for holding in spare:
             place = holding.place
-            after = left - collections.Counter([place])
+            after = remaining - collections.Counter([place])
             enough = after.total() >= max(needed, self._policy.least)
-            wanted = min(surviving, placement.survivors(left))
-            safe = placement.survivors(after) >= wanted
-            over = left[place] > plan.get(place, 0)
-            if enough and safe and over and len(released) < most:
+            wanted = min(surviving, placement.survivors(remaining))
+            survives = placement.survivors(after) >= wanted
+            surplus = remaining[place] > plan.get(place, 0)
+            if enough and survives and surplus and len(released) < limit:
                 released.append(model.Release(holding.vm))
-                left = after
+                remaining = after
         return released
 
-    def _held_back(self) -> bool:
+    def _may_scale_down(self) -> bool:
         now = self._clock.now()
-        if self._over_since is None:
-            self._over_since = now
-        return now - self._over_since >= SHRINK_HOLD_S
+        if self._surplus_since is None:
+            self._surplus_since = now
+        return now - self._surplus_since >= SCALE_DOWN_DELAY_S
--- a/src/apricotlever/data_centres/demand.py
+++ b/src/apricotlever/data_centres/demand.py
@@ -1,8 +1,9 @@
-"""How many runners the prompts of a service keep busy.
+"""Estimates how many runners the prompts of a service keep busy.
 
-Reading prompts is what makes model runners slow for everybody on them, and
-it depends on what their caches hold, so the measure is tokens that had to be
-read, against the speed at which single long prompts were seen to be read.
+Prefill, the computation over the prompt, slows down all calls on a runner and
+depends on the contents of its cache. The load is therefore measured in
+uncached prompt tokens per second, relative to the prefill speed observed for
+single long prompts.
 """
 
 import collections
@@ -11,190 +12,222 @@
 
 from .. import clock as clocks
 
-#: Over which the rate is taken, in seconds. Shorter, a burst of a second
-#: orders runners that come when it is over; longer, a rising wave is met
-#: late.
-RATE_S = 4.0
-#: Part of a runner's reading speed that may be used. Calls come in clumps:
-#: fuller runners answer late although they are idle at times.
-BUSY_PART = 1.0
-#: Prompts with fewer tokens to read tell more of the way than of reading.
-LEAST_SAMPLE_TOKENS = 800
-SAMPLES = 64
+#: Window over which the token rate is computed, in seconds. A shorter one
+#: orders runners for a burst of a second, which ends before they are ready;
+#: a longer one reacts late to a rising load.
+RATE_WINDOW_S = 4.0
+#: Fraction of a runner's prefill speed to use. Calls arrive in bursts, so
+#: busier runners answer late although they are idle at times.
+TARGET_PREFILL_UTILIZATION = 1.0
+#: Prompts with fewer uncached tokens measure the network latency rather than
+#: the prefill speed.
+MIN_SAMPLE_TOKENS = 800
+SPEED_SAMPLES = 64
 #: About two seconds of one VM's calls on a busy day.
-PRESSURE_SAMPLES = 24
-#: What is left of a kept speed with each prompt that tells of less: half of
-#: it after 700, some minutes of one VM's.
-KEPT_PART = 0.999
-#: Which of the speeds seen counts: waiting only makes them smaller.
+LATENCY_SAMPLES = 24
+#: Factor by which the retained peak speed falls with each prompt that shows a
+#: lower one. It halves after 700 prompts, some minutes of one VM's calls.
+PEAK_SPEED_DECAY = 0.999
+#: Quantile of the observed speeds that is used. It is high because waiting
+#: can only lower an observed speed.
 SPEED_QUANTILE = 0.9
-#: Part of a runner's places that may be taken on average.
-PLACES_PART = 0.2
-#: A VM that was not heard for so long does not count, in seconds. Until then
-#: it counts as before: when news is late, the work is still there.
-FORGET_S = 5.0
-#: How much of their objective first answers take, on average, when runners
-#: are as busy as they should be. Above it more runners are needed than the
-#: tokens tell: caches were lost, or a runner is slower than the others.
-EASY_PRESSURE = 0.6
-MOST_PRESSURE_FACTOR = 2.5
-#: A single answer counts at most so many times its objective.
-MOST_LATE = 3.0
-#: Less time of counting than this tells no rate.
-LEAST_SPAN_S = 1.0
+#: Fraction of a runner's slots to use on average.
+TARGET_SLOT_UTILIZATION = 0.2
+#: A VM without a report for this time, in seconds, does not count. Until then
+#: its last report counts, since a late report does not mean that the load has
+#: ended.
+REPORT_TIMEOUT_S = 5.0
+#: Mean latency ratio of runners at their target utilization. A higher ratio
+#: means that more runners are needed than the token rate indicates, because
+#: caches were lost or a runner is slower than the others.
+TARGET_LATENCY_RATIO = 0.6
+MAX_LATENCY_FACTOR = 2.5
+#: Upper limit of the latency ratio of a single call.
+MAX_LATENCY_RATIO = 3.0
+#: Minimum time over which the token rate is computed, in seconds.
+MIN_RATE_WINDOW_S = 1.0
 
 
 class WorkCounter:
-    """One VM's own work at the runners of one service."""
+    """Measures the prefill load that one VM sends to a service's runners."""
 
-    __slots__ = ("_kept", "_pressures", "_speeds", "_total")
+    __slots__ = ("_peak_speed", "_latency_ratios", "_speeds", "_total")
 
     def __init__(self) -> None:
         self._total = 0
-        #: Of the highest speed seen, less a little for each prompt since.
-        self._kept = 0.0
-        self._pressures: collections.deque[float] = collections.deque(
-            maxlen=PRESSURE_SAMPLES
+        #: Highest speed observed, reduced slightly by each later prompt.
+        self._peak_speed = 0.0
+        self._latency_ratios: collections.deque[float] = collections.deque(
+            maxlen=LATENCY_SAMPLES
         )
         self._speeds: collections.deque[float] = collections.deque(
-            maxlen=SAMPLES
+            maxlen=SPEED_SAMPLES
         )
 
     @property
     def total(self) -> int:
-        """Tokens that runners had to read since the start."""
+        """Uncached prompt tokens sent since the start."""
         return self._total
 
     @property
     def speed(self) -> float:
-        """Tokens per second that a runner reads; 0 while unknown.
+        """Prefill speed of a runner in tokens per second; 0 while unknown.
 
-        Prompts that waited show less than it. What was seen before counts
-        on for a while, or the need would run away when runners are full:
-        they seem slower, more are ordered, and all are paid.
+        Prompts that waited show a lower speed. The retained peak prevents
+        waiting on full runners from looking like slow prefill, which would
+        cause the order of more runners than needed, all of them paid.
         """
         if not self._speeds:
             return 0.0
         ranked = sorted(self._speeds)
-        seen = ranked[int(SPEED_QUANTILE * (len(ranked) - 1))]
-        return max(seen, self._kept)
+        observed = ranked[int(SPEED_QUANTILE * (len(ranked) - 1))]
+        return max(observed, self._peak_speed)
 
     @property
     def pressure(self) -> float:
-        """The part of their objective that first answers took."""
-        if not self._pressures:
+        """Mean time to the first answer, relative to its objective."""
+        if not self._latency_ratios:
             return 0.0
-        return sum(self._pressures) / len(self._pressures)
+        return sum(self._latency_ratios) / len(self._latency_ratios)
 
     def sent(self, tokens: int) -> None:
-        """A prompt was sent of which so many tokens are not cached."""
+        """Record a prompt that was sent.
+
+        :param tokens: its uncached tokens.
+        """
         self._total += tokens
 
     def read(
         self, tokens: int, took_s: float, objective_s: float = 0.0
     ) -> None:
-        """A prompt was read, after a time that includes its waiting."""
+        """Record the first answer to a prompt.
+
+        :param tokens: the uncached tokens of the prompt.
+        :param took_s: time since it was sent in seconds, including any wait.
+        :param objective_s: time objective in seconds; 0 for none.
+        """
         if objective_s > 0.0:
-            self._pressures.append(min(MOST_LATE, took_s / objective_s))
-        if tokens >= LEAST_SAMPLE_TOKENS and took_s > 0.0:
+            self._latency_ratios.append(
+                min(MAX_LATENCY_RATIO, took_s / objective_s)
+            )
+        if tokens >= MIN_SAMPLE_TOKENS and took_s > 0.0:
             self._speeds.append(tokens / took_s)
-            if len(self._speeds) == SAMPLES:
-                # Of fewer, some that were cached unseen would set it.
-                self._kept = KEPT_PART * self.speed
+            if len(self._speeds) == SPEED_SAMPLES:
+                # With fewer samples, a few prompts that were cached
+                # unexpectedly would determine the peak.
+                self._peak_speed = PEAK_SPEED_DECAY * self.speed
+
 
+class _ProcessReports:
+    """The reports of one process.
 
-class _Process:
-    __slots__ = ("points", "speed", "pressure")
+    ``totals`` holds pairs of a time in seconds and a token total.
+    """
+
+    __slots__ = ("totals", "speed", "latency_ratio")
 
     def __init__(self) -> None:
-        self.pressure = 0.0
-        self.points: collections.deque[tuple[float, int]] = collections.deque()
+        self.latency_ratio = 0.0
+        self.totals: collections.deque[tuple[float, int]] = collections.deque()
         self.speed = 0.0
 
 
 class Demand:
-    """The whole fleet's work at the runners of one service."""
+    """The prefill load of the whole fleet at the runners of one service."""
 
     __slots__ = ("_clock", "_processes", "_since")
 
     def __init__(self, clock: clocks.Clock) -> None:
         self._clock = clock
-        self._processes: dict[str, _Process] = {}
+        self._processes: dict[str, _ProcessReports] = {}
         self._since: float | None = None
 
     @property
     def known_for_s(self) -> float:
-        """How long there has been work."""
+        """Time since the first reported load, in seconds."""
         if self._since is None:
             return 0.0
         return self._clock.now() - self._since
 
     @property
     def rate(self) -> float:
-        """Tokens per second that runners have to read."""
+        """Uncached prompt tokens per second."""
         now = self._clock.now()
         return sum(
-            _rate_of(process.points)
+            _token_rate(process.totals)
             for process in self._processes.values()
-            if now - process.points[-1][0] < FORGET_S
+            if now - process.totals[-1][0] < REPORT_TIMEOUT_S
         )
 
     @property
     def speed(self) -> float:
-        """Tokens per second that one runner reads; 0 while unknown."""
+        """Prefill speed of a runner in tokens per second; 0 while unknown."""
         speeds = sorted(p.speed for p in self._processes.values() if p.speed)
         return speeds[len(speeds) // 2] if speeds else 0.0
 
     @property
     def pressure(self) -> float:
-        """The part of their objective that first answers take."""
+        """Mean time to the first answer, relative to its objective."""
         now = self._clock.now()
-        told = [
-            process.pressure
+        reported = [
+            process.latency_ratio
             for process in self._processes.values()
-            if process.pressure and now - process.points[-1][0] < FORGET_S
+            if process.latency_ratio
+            and now - process.totals[-1][0] < REPORT_TIMEOUT_S
         ]
-        return sum(told) / len(told) if told else 0.0
+        return sum(reported) / len(reported) if reported else 0.0
 
     def heard(
         self,
         process: str,
         total: int,
         speed: float,
-        pressure: float = 0.0,
+        latency_ratio: float = 0.0,
     ) -> None:
-        """Take in a VM's counter, this one's own too."""
+        """Merge the report of a VM, including this one.
+
+        :param process: identifies the process of the VM.
+        :param total: uncached prompt tokens since its start.
+        :param speed: prefill speed in tokens per second; 0 if unknown.
+        :param latency_ratio: mean latency ratio; 0 if unknown.
+        """
         now = self._clock.now()
-        known = self._processes.setdefault(process, _Process())
-        known.points.append((now, total))
+        known = self._processes.setdefault(process, _ProcessReports())
+        known.totals.append((now, total))
         known.speed = speed
-        known.pressure = pressure
+        known.latency_ratio = latency_ratio
         if total and self._since is None:
             self._since = now
 
     def keep_only(self, processes: typing.Container[str]) -> None:
-        """Forget processes that have ended."""
+        """Remove the reports of all other processes, which have ended."""
         for process in [p for p in self._processes if p not in processes]:
             del self._processes[process]
 
-    def runners(self, in_flight: int, places: int) -> float:
-        """Runners that the work needs.
+    def runners(self, in_flight: int, slots: int) -> float:
+        """The number of runners that the load requires.
 
         :param in_flight: calls at all runners together.
-        :param places: calls that one runner takes at once.
+        :param slots: calls that one runner processes at the same time.
         """
-        by_places = in_flight / max(1.0, PLACES_PART * places)
+        by_slots = in_flight / max(1.0, TARGET_SLOT_UTILIZATION * slots)
         speed = self.speed
-        by_reading = self.rate / (BUSY_PART * speed) if speed else 0.0
-        factor = self.pressure / EASY_PRESSURE
-        by_reading *= min(MOST_PRESSURE_FACTOR, max(1.0, factor))
-        return math.ceil(max(1.0, by_places, by_reading) - 1e-9)
-
-
-def _rate_of(points: collections.deque[tuple[float, int]]) -> float:
-    """Tokens per second up to the last point."""
-    until, total = points[-1]
-    while len(points) > 2 and points[1][0] <= until - RATE_S:
-        points.popleft()
-    since, before = points[0]
-    return (total - before) / max(LEAST_SPAN_S, until - since)
+        by_prefill = (
+            self.rate / (TARGET_PREFILL_UTILIZATION * speed) if speed else 0.0
+        )
+        factor = self.pressure / TARGET_LATENCY_RATIO
+        by_prefill *= min(MAX_LATENCY_FACTOR, max(1.0, factor))
+        return math.ceil(max(1.0, by_slots, by_prefill) - 1e-9)
+
+
+def _token_rate(totals: collections.deque[tuple[float, int]]) -> float:
+    """Tokens per second up to the last report.
+
+    :param totals: pairs of a time in seconds and a token total. Pairs older
+        than the window are removed.
+    """
+    until, total = totals[-1]
+    while len(totals) > 2 and totals[1][0] <= until - RATE_WINDOW_S:
+        totals.popleft()
+    since, before = totals[0]
+    return (total - before) / max(MIN_RATE_WINDOW_S, until - since)
--- a/src/apricotlever/data_centres/fleet_size.py
+++ b/src/apricotlever/data_centres/fleet_size.py
@@ -1,10 +1,11 @@
-"""How many runners of each kind to hold in each data centre.
-
-Reclaimable runners cost a part of on-demand ones, and all of a data centre
-may be taken at once, with none to be had for a while. So the fleet holds so
-many of them that the loss of one data centre's still leaves more than the load
-needs. On-demand ones come in when that may not be enough: from the notice of
-a reclaim on, until reclaimable ones are to be had again.
+"""Plans how many runners of each kind to hold in each data centre.
+
+Reclaimable runners cost a fraction of the on-demand price, but the cloud may
+reclaim all of one data centre at once and offer no others for a while. The
+planner therefore holds enough of them for the load even after the loss of one
+data centre's. It adds on-demand runners when the reclaimable ones may not
+suffice: from the notice of a reclaim until reclaimable runners are available
+again.
 """
 
 import collections
@@ -13,38 +14,39 @@
 
 from .. import clock as clocks
 
-#: The need counts as its highest in this time, in seconds. A runner given
-#: back takes its cache along, and the one that is missed a moment later
-#: boots for seconds.
-PEAK_S = 5.0
-#: The same for reclaimable ones. They cost a quarter, and the next burst is
-#: served by what is there.
-RECLAIMABLE_PEAK_S = 15.0
-#: Times what the load needs that one reclaim must leave of reclaimable ones,
-#: for the same reason.
-RECLAIMABLE_PART = 1.6
-#: Part of the on-demand runners that one data centre may hold, the cheapest
-#: first. No reclaim takes them, so they need no even spread; but a data centre
-#: that fails should leave half.
-ON_DEMAND_PLACE_PART = 0.5
-#: Times what the load needs that is held while reclaimable runners are scarce.
-#: Else there are two or three times as many as the load needs, and the few
-#: that are left then have no room for calls that come in clumps.
-SCARCE_PART = 1.5
-#: Reclaimable runners count as scarce from a refusal or a reclaim until an
-#: order of more is taken, but no longer than this after the last refusal.
-SCARCE_S = 15.0
-#: After reclaimable runners were refused or reclaimed, none are asked for
-#: again for so long. An order costs less than a hundredth of what an on-demand
-#: runner costs in that time.
-DRY_S = 1.5
-#: A runner that was ordered and has not come this long after its boot time
-#: is not counted on any more.
-LATE_S = 3.0
+#: The need is the maximum over this window, in seconds. A released runner
+#: loses its cache, and a replacement takes seconds to boot.
+PEAK_WINDOW_S = 5.0
+#: The window for reclaimable runners, in seconds. It is longer because they
+#: cost a quarter of the on-demand price and are ready for the next burst.
+RECLAIMABLE_PEAK_WINDOW_S = 15.0
+#: Reclaimable runners that must remain after one reclaim, as a multiple of the
+#: need. The reason is the same as for :data:`RECLAIMABLE_PEAK_WINDOW_S`.
+RECLAIMABLE_HEADROOM = 1.6
+#: Fraction of the on-demand runners that one data centre may hold; the
+#: cheapest data centre is filled first. Reclaims don't affect on-demand
+#: runners, so an even spread is not needed, but half of them should remain
+#: after the failure of a data centre.
+MAX_ON_DEMAND_FRACTION = 0.5
+#: Runners to hold while reclaimable ones are scarce, as a multiple of the
+#: need. Usually the fleet holds two or three times the need; with fewer
+#: runners there is no room for bursts of calls.
+SCARCITY_HEADROOM = 1.5
+#: Reclaimable runners are scarce from a refusal or a reclaim until the cloud
+#: accepts an order for more, but at most for this time after the last refusal,
+#: in seconds.
+SCARCITY_S = 15.0
+#: Delay before reclaimable runners are ordered again after a refusal or a
+#: reclaim, in seconds. An order costs less than a hundredth of the price of
+#: an on-demand runner for that time.
+REORDER_DELAY_S = 1.5
+#: An ordered runner that is missing for this time after its boot time, in
+#: seconds, no longer counts.
+BOOT_GRACE_S = 3.0
 
 
 class Holding:
-    """Runners of one data centre, by kind."""
+    """Numbers of runners in one data centre, by kind."""
 
     __slots__ = ("on_demand", "reclaimable")
 
@@ -64,107 +66,124 @@
 
 
 class Terms:
-    """What may be ordered, and what it costs.
-
-    :param least: runners of a data centre, both kinds together.
-    :param most: likewise.
-    :param boot_s: from the order until a runner serves.
-    :param reclaimable_price: part of the on-demand price; None when there
-        are no reclaimable ones.
-    :param prices: of an on-demand runner, by data centre.
+    """Limits on the number of runners, and their prices.
+
+    :param min_runners: minimum per data centre, both kinds together.
+    :param max_runners: maximum per data centre, both kinds together.
+    :param boot_s: time from an order until the runner serves, in seconds.
+    :param reclaimable_price_ratio: price relative to an on-demand runner;
+        None if reclaimable runners are not available.
+    :param on_demand_prices: price of an on-demand runner, by data centre.
     """
 
     __slots__ = ("least", "most", "boot_s", "reclaimable_price", "prices")
 
     def __init__(
         self,
-        least: int,
-        most: int,
+        min_runners: int,
+        max_runners: int,
         boot_s: float,
-        reclaimable_price: float | None,
-        prices: typing.Mapping[str, float],
+        reclaimable_price_ratio: float | None,
+        on_demand_prices: typing.Mapping[str, float],
     ) -> None:
-        self.least = least
-        self.most = most
+        self.least = min_runners
+        self.most = max_runners
         self.boot_s = boot_s
-        self.reclaimable_price = reclaimable_price
-        self.prices = prices
+        self.reclaimable_price = reclaimable_price_ratio
+        self.prices = on_demand_prices
 
 
-class _Need:
-    """What counted as needed at one time.
+class _NeedSample:
+    """The number of runners needed at one time.
 
-    :param measured: runners that the work kept busy.
-    :param trusted: runners that count as needed until the work is known; 0
-        once it is.
+    :param at: time of the sample, in seconds.
+    :param measured: runners that the load kept busy.
+    :param assumed: runners assumed to be needed until the load is known; 0
+        afterwards.
     """
 
-    __slots__ = ("at", "measured", "trusted")
+    __slots__ = ("at", "measured", "assumed")
 
-    def __init__(self, at: float, measured: float, trusted: float) -> None:
+    def __init__(self, at: float, measured: float, assumed: float) -> None:
         self.at = at
         self.measured = measured
-        self.trusted = trusted
+        self.assumed = assumed
 
 
 class FleetSize:
-    """Plans the holdings of one service."""
+    """Plans the runners of one service."""
 
-    __slots__ = ("_clock", "_coming", "_had", "_needs", "_refused_at")
+    __slots__ = (
+        "_clock",
+        "_accepted_orders",
+        "_last_reclaimable",
+        "_need_samples",
+        "_refused_at",
+    )
 
     def __init__(self, clock: clocks.Clock) -> None:
         self._clock = clock
-        #: The last refusal or reclaim, until an order of more was taken.
+        #: Time of the last refusal or reclaim; reset by an accepted order for
+        #: more reclaimable runners.
         self._refused_at = float("-inf")
-        self._had: dict[str, int] = {}
-        #: Orders that were taken, by data centre and whether reclaimable:
-        #: how many, and until when they are counted on unseen.
-        self._coming: dict[tuple[str, bool], tuple[int, float]] = {}
-        self._needs: collections.deque[_Need] = collections.deque()
+        self._last_reclaimable: dict[str, int] = {}
+        #: Number of runners in the last accepted order, and the time until
+        #: which they count without being seen. The key is the data centre and
+        #: whether the runners are reclaimable.
+        self._accepted_orders: dict[tuple[str, bool], tuple[int, float]] = {}
+        self._need_samples: collections.deque[_NeedSample] = (
+            collections.deque()
+        )
 
     @property
     def dry(self) -> bool:
-        """Whether reclaimable runners need not be asked for just now."""
-        return self._clock.now() < self._refused_at + DRY_S
+        """Whether orders for reclaimable runners are delayed at present."""
+        return self._clock.now() < self._refused_at + REORDER_DELAY_S
 
     @property
     def _scarce(self) -> bool:
-        return self._clock.now() < self._refused_at + SCARCE_S
+        return self._clock.now() < self._refused_at + SCARCITY_S
 
-    def refused(self, place: str) -> None:
-        """Reclaimable runners were not to be had in a data centre."""
+    def refused(self, data_centre: str) -> None:
+        """Record that reclaimable runners are unavailable in a data centre."""
         self._refused_at = self._clock.now()
-        self._coming.pop((place, True), None)
+        self._accepted_orders.pop((data_centre, True), None)
 
     def taken(
-        self, place: str, reclaimable: bool, count: int, boot_s: float
+        self, data_centre: str, reclaimable: bool, count: int, boot_s: float
     ) -> None:
-        """An order for a number of runners was taken."""
-        if reclaimable and count > self._had.get(place, 0):
+        """Record an accepted order.
+
+        :param count: runners of this kind that the data centre will hold.
+        :param boot_s: time until the runners serve, in seconds.
+        """
+        if reclaimable and count > self._last_reclaimable.get(data_centre, 0):
             self._refused_at = float("-inf")
-        until = self._clock.now() + boot_s + LATE_S
-        self._coming[place, reclaimable] = (count, until)
+        until = self._clock.now() + boot_s + BOOT_GRACE_S
+        self._accepted_orders[data_centre, reclaimable] = (count, until)
 
     def observe(
         self,
         held: typing.Mapping[str, Holding],
         needed: float,
-        trusted: float = 0.0,
+        assumed: float = 0.0,
     ) -> None:
-        """Note what the load needs and what serves, to plan by it later.
+        """Record the need and the serving runners for later plans.
 
-        Every VM does, not only the one that orders: one that took the duty
-        over knew no need but the current one and of no refusal, and gave two
-        of the last three reclaimable runners back while none were to be had.
+        Every VM records them, not only the lease holder. Otherwise a new
+        lease holder would know only the current need and no refusals, and
+        would release reclaimable runners while none are available, such as
+        two of the last three.
 
+        :param held: runners that serve, by data centre.
         :param needed: runners that the load keeps busy.
-        :param trusted: runners that count as needed until the load is known.
+        :param assumed: runners assumed to be needed until the load is known.
         """
         now = self._clock.now()
-        self._needs.append(_Need(now, needed, trusted))
-        while self._needs[0].at < now - RECLAIMABLE_PEAK_S:
-            self._needs.popleft()
-        self._notice_reclaims(held)
+        self._need_samples.append(_NeedSample(now, needed, assumed))
+        while self._need_samples[0].at < now - RECLAIMABLE_PEAK_WINDOW_S:
+            self._need_samples.popleft()
+        self._detect_reclaims(held)
 
     def plan(
         self,
@@ -172,196 +191,231 @@
         held: typing.Mapping[str, Holding],
         needed: float,
         idle: bool = False,
-        trusted: float = 0.0,
+        assumed: float = 0.0,
     ) -> dict[str, Holding]:
-        """The runners to hold from now on.
+        """Compute the runners to hold from now on.
 
-        :param held: runners that serve and are not leaving.
-        :param needed: runners that the load keeps busy to the wanted part.
+        :param held: runners that serve and are not leaving, by data centre.
+        :param needed: runners that the load keeps busy at the target
+            utilization.
         :param idle: whether there has been no work at all so far.
-        :param trusted: runners that count as needed until the load is known.
-            They don't outlast that among the on-demand ones: while
-            reclaimable ones are scarce, they would be multiplied by that.
+        :param assumed: runners assumed to be needed until the load is known.
+            The assumption does not enter the recent peak of on-demand
+            runners, since the scarcity headroom would multiply it.
+        :returns: the planned runners, by data centre.
         """
-        places = sorted(terms.prices, key=lambda name: terms.prices[name])
-        self.observe(held, needed, trusted)
-        needed = max(trusted, self._peak(PEAK_S))
-        have = {
-            place: Holding(
-                self._count(place, False, held),
-                self._count(place, True, held),
+        by_price = sorted(terms.prices, key=lambda name: terms.prices[name])
+        self.observe(held, needed, assumed)
+        needed = max(assumed, self._peak(PEAK_WINDOW_S))
+        expected = {
+            data_centre: Holding(
+                self._expected_count(data_centre, False, held),
+                self._expected_count(data_centre, True, held),
             )
-            for place in places
+            for data_centre in by_price
         }
-        reclaimable = self._reclaimable(terms, places, held)
-        wanted = self._on_demand(held, have, needed, idle)
-        serving = have if idle else held
-        floors = _floors(terms, reclaimable, serving)
-        on_demand = _on_demand_by_place(terms, have, wanted, floors)
-        return _beside(terms, on_demand, reclaimable)
-
-    def _on_demand(
+        reclaimable = self._reclaimable_by_data_centre(terms, by_price, held)
+        wanted = self._on_demand_total(held, expected, needed, idle)
+        serving = expected if idle else held
+        minimums = _min_on_demand(terms, reclaimable, serving)
+        on_demand = _on_demand_by_data_centre(
+            terms, expected, wanted, minimums
+        )
+        return _combine(terms, on_demand, reclaimable)
+
+    def _on_demand_total(
         self,
         held: typing.Mapping[str, Holding],
-        have: typing.Mapping[str, Holding],
+        expected: typing.Mapping[str, Holding],
         needed: float,
         idle: bool,
     ) -> int:
-        """On-demand runners to hold in all data centres together.
+        """The on-demand runners to hold in all data centres together.
 
-        Reclaimable ones on their way spare the order of others, which would
-        come no sooner; but only those that serve let others go, and none does
-        while they are scarce: what took one data centre's takes the next
-        one's, and when all go within seconds those that were let go are
-        missed. Before the first work nobody waits for them.
+        Booting reclaimable runners make further on-demand orders unnecessary,
+        as those would not be ready sooner. Only reclaimable runners that
+        serve allow the release of on-demand ones, and none does during
+        scarcity: the cause of one reclaim tends to reclaim the next data
+        centre's runners within seconds, when released runners would be
+        missing. Before the first work, on-demand runners are released without
+        waiting for reclaimable ones to serve.
 
         :param held: runners that serve.
-        :param have: those on their way instead, where some are.
+        :param expected: the same, with runners of accepted orders instead
+            where there are any.
         """
         if self._scarce:
-            needed *= SCARCE_PART
-        more = max(0, math.ceil(needed - _safe(have) - 1e-9))
+            needed *= SCARCITY_HEADROOM
+        minimum = max(
+            0, math.ceil(needed - _surviving_reclaimable(expected) - 1e-9)
+        )
         if idle:
-            return more
-        sure = 0 if self._scarce else _safe(held)
-        keep = max(more, math.ceil(needed - sure - 1e-9))
-        now = sum(holding.on_demand for holding in have.values())
-        return max(more, min(keep, now))
+            return minimum
+        reliable = 0 if self._scarce else _surviving_reclaimable(held)
+        keep = max(minimum, math.ceil(needed - reliable - 1e-9))
+        current = sum(holding.on_demand for holding in expected.values())
+        return max(minimum, min(keep, current))
 
-    def _recent(self, within_s: float) -> list[_Need]:
-        since = self._clock.now() - within_s
-        return [need for need in self._needs if need.at >= since]
+    def _recent_needs(self, window_s: float) -> list[_NeedSample]:
+        since = self._clock.now() - window_s
+        return [need for need in self._need_samples if need.at >= since]
 
-    def _peak(self, within_s: float) -> float:
-        return max(need.measured for need in self._recent(within_s))
+    def _peak(self, window_s: float) -> float:
+        return max(need.measured for need in self._recent_needs(window_s))
 
-    def _count(
+    def _expected_count(
         self,
-        place: str,
+        data_centre: str,
         reclaimable: bool,
         held: typing.Mapping[str, Holding],
     ) -> int:
-        """Runners of one kind in a data centre.
+        """The expected runners of one kind in a data centre.
 
-        Those ordered just now count instead of those that are seen: others
-        ordered in the place of some that boot would come no sooner, and
-        those that are still going are of no use.
+        A recently accepted order takes precedence over the observed count:
+        replacements for booting runners would not be ready sooner, and
+        runners that are still shutting down are of no use.
         """
-        ordered = self._coming.get((place, reclaimable))
+        ordered = self._accepted_orders.get((data_centre, reclaimable))
         if ordered is not None and self._clock.now() < ordered[1]:
             return ordered[0]
-        holding = held.get(place, Holding())
+        holding = held.get(data_centre, Holding())
         return holding.reclaimable if reclaimable else holding.on_demand
 
-    def _notice_reclaims(self, held: typing.Mapping[str, Holding]) -> None:
-        now = {place: holding.reclaimable for place, holding in held.items()}
-        for place, count in self._had.items():
-            if count and not now.get(place):
-                self.refused(place)
-        self._had = now
+    def _detect_reclaims(self, held: typing.Mapping[str, Holding]) -> None:
+        current = {
+            data_centre: holding.reclaimable
+            for data_centre, holding in held.items()
+        }
+        for data_centre, count in self._last_reclaimable.items():
+            if count and not current.get(data_centre):
+                self.refused(data_centre)
+        self._last_reclaimable = current
 
-    def _reclaimable(
+    def _reclaimable_by_data_centre(
         self,
         terms: Terms,
-        places: list[str],
+        data_centres: list[str],
         held: typing.Mapping[str, Holding],
     ) -> dict[str, int]:
-        """Reclaimable runners to hold in each data centre."""
+        """The reclaimable runners to hold in each data centre."""
         if terms.reclaimable_price is None:
-            return dict.fromkeys(places, 0)
-        there = {place: self._count(place, True, held) for place in places}
+            return dict.fromkeys(data_centres, 0)
+        expected = {
+            data_centre: self._expected_count(data_centre, True, held)
+            for data_centre in data_centres
+        }
         if self.dry:
-            return there
+            return expected
         wanted = max(
-            max(RECLAIMABLE_PART * need.measured, need.trusted)
-            for need in self._recent(RECLAIMABLE_PEAK_S)
+            max(RECLAIMABLE_HEADROOM * need.measured, need.assumed)
+            for need in self._recent_needs(RECLAIMABLE_PEAK_WINDOW_S)
         )
-        each = math.ceil(wanted / max(1, len(places) - 1) - 1e-9)
+        each = math.ceil(wanted / max(1, len(data_centres) - 1) - 1e-9)
         if self._scarce:
-            # What is given back now is not to be had again.
-            return {place: max(each, there[place]) for place in places}
-        return dict.fromkeys(places, each)
+            # Runners released during scarcity could not be replaced.
+            return {
+                data_centre: max(each, expected[data_centre])
+                for data_centre in data_centres
+            }
+        return dict.fromkeys(data_centres, each)
 
 
-def _safe(holdings: typing.Mapping[str, Holding]) -> int:
-    """Reclaimable runners that one reclaim leaves at work."""
+def _surviving_reclaimable(holdings: typing.Mapping[str, Holding]) -> int:
+    """The reclaimable runners that remain after the largest reclaim."""
     counts = [holding.reclaimable for holding in holdings.values()]
     return sum(counts) - max(counts, default=0)
 
 
-def _floors(
+def _min_on_demand(
     terms: Terms,
     reclaimable: typing.Mapping[str, int],
     serving: typing.Mapping[str, Holding],
 ) -> dict[str, int]:
-    """On-demand runners that each data centre holds at least.
+    """The minimum number of on-demand runners in each data centre.
 
-    A reclaimable runner that is only wanted doesn't make up the least: it may
-    be refused. Where it did, an on-demand runner was let go with each try and
-    started anew after it, 30 times in a minute.
+    A planned reclaimable runner does not count towards a data centre's
+    minimum, because its order may be refused. Counting it would stop an
+    on-demand runner before each refused order and start another one after it,
+    30 times a minute.
     """
-    floors = {}
-    for place, wanted in reclaimable.items():
-        there = serving.get(place, Holding()).reclaimable
-        missing = terms.least - min(wanted, there)
+    minimums = {}
+    for data_centre, wanted in reclaimable.items():
+        current = serving.get(data_centre, Holding()).reclaimable
+        missing = terms.least - min(wanted, current)
         if missing + wanted > terms.most:
-            # No room for both: the wanted ones take the place at once.
+            # The maximum has no room for both kinds, so the planned
+            # reclaimable runners replace on-demand ones at once.
             missing = terms.least - wanted
-        floors[place] = max(0, missing)
-    return floors
+        minimums[data_centre] = max(0, missing)
+    return minimums
 
 
-def _on_demand_by_place(
+def _on_demand_by_data_centre(
     terms: Terms,
-    have: typing.Mapping[str, Holding],
+    expected: typing.Mapping[str, Holding],
     wanted: int,
-    floors: typing.Mapping[str, int],
+    minimums: typing.Mapping[str, int],
 ) -> dict[str, int]:
-    """Place on-demand runners within the bounds.
-
-    Those that are there stay: a runner started elsewhere for a lower price
-    is paid twice while it boots, and begins with an empty cache. New ones
-    come to the cheapest data centre that has not its part of them, and the
-    dearest lets them go first. Were one data centre full of them, no
-    reclaimable ones would fit in when they are to be had again; and to make
-    room for some before they serve would leave the load without either.
-
-    :param have: runners, those on their way included. On-demand ones never
-        take the place of reclaimable ones that are there.
+    """Distribute on-demand runners over the data centres within the limits.
+
+    Existing runners are not moved for a lower price: a replacement is paid in
+    addition while it boots, and its cache starts empty. New runners go to the
+    cheapest data centre below its fraction, and the most expensive data
+    centre releases first. Without the fraction, on-demand runners could fill
+    a data centre, leaving no room for reclaimable ones when these become
+    available; to make room for them before they serve would leave the load
+    without either.
+
+    :param expected: runners, including those of accepted orders. On-demand
+        runners never displace the reclaimable ones among them.
+    :param wanted: on-demand runners in all data centres together.
+    :param minimums: on-demand runners that each data centre must hold.
     """
-    most = {
-        place: max(0, terms.most - holding.reclaimable)
-        for place, holding in have.items()
+    limits = {
+        data_centre: max(0, terms.most - holding.reclaimable)
+        for data_centre, holding in expected.items()
     }
     on_demand = {
-        place: min(most[place], max(floors[place], holding.on_demand))
-        for place, holding in have.items()
+        data_centre: min(
+            limits[data_centre],
+            max(minimums[data_centre], holding.on_demand),
+        )
+        for data_centre, holding in expected.items()
     }
-    part = math.ceil(ON_DEMAND_PLACE_PART * wanted)
+    part = math.ceil(MAX_ON_DEMAND_FRACTION * wanted)
     price = terms.prices
     while sum(on_demand.values()) < wanted:
-        room = [p for p in on_demand if on_demand[p] < most[p]]
+        room = [name for name in on_demand if on_demand[name] < limits[name]]
         if not room:
             break
-        place = min(room, key=lambda p: (on_demand[p] >= part, price[p]))
-        on_demand[place] += 1
+        data_centre = min(
+            room, key=lambda name: (on_demand[name] >= part, price[name])
+        )
+        on_demand[data_centre] += 1
     while sum(on_demand.values()) > wanted:
-        spare = [p for p in on_demand if on_demand[p] > floors[p]]
+        spare = [
+            name for name in on_demand if on_demand[name] > minimums[name]
+        ]
         if not spare:
             break
-        place = max(spare, key=lambda p: (on_demand[p] > part, price[p]))
-        on_demand[place] -= 1
+        data_centre = max(
+            spare, key=lambda name: (on_demand[name] > part, price[name])
+        )
+        on_demand[data_centre] -= 1
     return on_demand
 
 
-def _beside(
+def _combine(
     terms: Terms,
     on_demand: typing.Mapping[str, int],
     reclaimable: typing.Mapping[str, int],
 ) -> dict[str, Holding]:
-    """What fits beside the on-demand runners."""
+    """Add the reclaimable runners for which the limits leave room.
+
+    On-demand runners fill up a data centre that is below its minimum.
+    """
     plan = {}
-    for place, count in on_demand.items():
-        beside = min(reclaimable[place], terms.most - count)
-        plan[place] = Holding(max(count, terms.least - beside), beside)
+    for data_centre, count in on_demand.items():
+        fitting = min(reclaimable[data_centre], terms.most - count)
+        plan[data_centre] = Holding(max(count, terms.least - fitting), fitting)
     return plan
--- a/src/apricotlever/data_centres/forecast.py
+++ b/src/apricotlever/data_centres/forecast.py
@@ -1,20 +1,22 @@
-"""Looks ahead by as long as it takes to start a runner."""
+"""Predicts the request rate for the time when an ordered runner is ready."""
 
 import collections
 
 from .. import clock as clocks
 
-WINDOW_S = 600.0
+#: Window of the trend and of the peak rate, in seconds.
+TREND_WINDOW_S = 600.0
+#: Time constant of the smoothing, in seconds.
 SMOOTHING_S = 60.0
 
 
 class DemandForecast:
-    """Smooths a rate and follows its trend.
+    """Smooths the request rate and extrapolates its trend.
 
-    :param lead_s: how far to look ahead.
+    :param lead_s: prediction horizon, in seconds.
     """
 
-    __slots__ = ("_clock", "_lead_s", "_samples", "_smooth", "_at")
+    __slots__ = ("_clock", "_lead_s", "_samples", "_smoothed", "_observed_at")
 
     def __init__(self, clock: clocks.Clock, lead_s: float) -> None:
         self._clock = clock
@@ -22,45 +24,47 @@
         self._samples: collections.deque[tuple[float, float]] = (
             collections.deque()
         )
-        self._smooth: float | None = None
-        self._at = clock.now()
+        self._smoothed: float | None = None
+        self._observed_at = clock.now()
 
     @property
-    def smooth(self) -> float:
-        """The rate now, without its fastest swings."""
-        return self._smooth or 0.0
+    def smoothed(self) -> float:
+        """The smoothed rate, in requests per second."""
+        return self._smoothed or 0.0
 
     def observe(self, rate: float) -> None:
-        """Note the rate since the last observation."""
+        """Record the mean rate since the last observation."""
         now = self._clock.now()
-        if self._smooth is None:
-            self._smooth = rate
-        gain = min(1.0, (now - self._at) / SMOOTHING_S)
-        self._smooth += gain * (rate - self._smooth)
-        self._at = now
-        self._samples.append((now, self._smooth))
-        while self._samples[0][0] < now - WINDOW_S:
+        if self._smoothed is None:
+            self._smoothed = rate
+        gain = min(1.0, (now - self._observed_at) / SMOOTHING_S)
+        self._smoothed += gain * (rate - self._smoothed)
+        self._observed_at = now
+        self._samples.append((now, self._smoothed))
+        while self._samples[0][0] < now - TREND_WINDOW_S:
             self._samples.popleft()
 
     def ahead(self) -> float:
-        """The rate to expect when a runner ordered now is ready.
+        """The expected rate when a runner ordered now is ready.
 
-        A falling trend is not followed, so it is never below the present.
+        A falling trend is ignored, so that the result is never below the
+        present smoothed rate.
         """
-        return self.smooth + max(0.0, self._slope()) * self._lead_s
+        return self.smoothed + max(0.0, self._slope()) * self._lead_s
 
-    def highest(self) -> float:
-        """The highest rate of the last minutes."""
+    def peak_rate(self) -> float:
+        """The highest smoothed rate of the window."""
         return max((rate for _, rate in self._samples), default=0.0)
 
     def _slope(self) -> float:
+        """The slope of the linear regression over the window."""
         count = len(self._samples)
         if count < 2:
             return 0.0
         mean_at = sum(at for at, _ in self._samples) / count
         mean_rate = sum(rate for _, rate in self._samples) / count
-        spread = sum((at - mean_at) ** 2 for at, _ in self._samples)
-        shared = sum(
+        variance = sum((at - mean_at) ** 2 for at, _ in self._samples)
+        covariance = sum(
             (at - mean_at) * (rate - mean_rate) for at, rate in self._samples
         )
-        return shared / spread if spread > 0 else 0.0
+        return covariance / variance if variance > 0 else 0.0
--- a/src/apricotlever/data_centres/loads.py
+++ b/src/apricotlever/data_centres/loads.py
@@ -1,61 +1,70 @@
-"""Paces model loads to what the weight store allows."""
+"""Limits concurrent model loads to what the weight store allows."""
 
 from .. import clock as clocks
 
-START_LOADS = 4.0
-MOST_LOADS = 256.0
-LONGEST_LOAD_S = 300.0
+INITIAL_CONCURRENCY = 4.0
+MAX_CONCURRENCY = 256.0
+#: Time after which an unreported load counts as ended, in seconds.
+LOAD_TIMEOUT_S = 300.0
 
 
 class LoadPacer:
-    """How many runners may load weights at the same time.
+    """Limits the number of runners that load weights at the same time.
 
-    The store refuses loads beyond a rate that it doesn't tell. So the number
-    grows by one for each round of loads that went well, and halves on a
-    refusal; until the time that the store named, nothing is asked.
+    The store refuses loads beyond an unpublished rate. The limit is therefore
+    adapted by additive increase and multiplicative decrease: it grows by one
+    per round of successful loads and halves on a refusal. No load starts
+    before the retry time given by the store.
     """
 
-    __slots__ = ("_clock", "_allowed", "_running", "_until")
+    __slots__ = ("_clock", "_limit", "_running", "_paused_until")
 
     def __init__(self, clock: clocks.Clock) -> None:
         self._clock = clock
-        self._allowed = START_LOADS
+        self._limit = INITIAL_CONCURRENCY
         self._running: dict[str, float] = {}
-        self._until = float("-inf")
+        self._paused_until = float("-inf")
 
     @property
     def running(self) -> int:
-        """Loads under way."""
+        """Number of running loads."""
         return len(self._running)
 
     @property
-    def allowed(self) -> int:
-        """Loads that may be under way at the same time."""
-        return int(self._allowed)
+    def limit(self) -> int:
+        """Maximum number of concurrent loads."""
+        return int(self._limit)
 
-    def start(self, vm: str) -> bool:
-        """Take a turn for a runner, if one is free and it has none."""
+    def try_start(self, vm: str) -> bool:
+        """Reserve a load for a runner.
+
+        :returns: whether the load may start; False before the retry time of
+            a refusal, at the limit, or while the runner is loading already.
+        """
         now = self._clock.now()
-        # A runner that is reclaimed while it loads never reports the end;
-        # its turn would be lost for good.
+        # A runner that is reclaimed while it loads never reports the end. The
+        # timeout prevents a permanent loss of its share of the limit.
         self._running = {
             name: until for name, until in self._running.items() if until > now
         }
-        taken = vm in self._running or len(self._running) >= self.allowed
-        if now < self._until or taken:
+        unavailable = vm in self._running or len(self._running) >= self.limit
+        if now < self._paused_until or unavailable:
             return False
-        self._running[vm] = now + LONGEST_LOAD_S
+        self._running[vm] = now + LOAD_TIMEOUT_S
         return True
 
     def done(self, vm: str) -> None:
-        """Note that a runner has its model, or is gone."""
+        """Record that a runner has loaded its model, or is gone."""
         if self._running.pop(vm, None) is not None:
-            grown = self._allowed + 1 / self._allowed
-            self._allowed = min(MOST_LOADS, grown)
+            increased = self._limit + 1 / self._limit
+            self._limit = min(MAX_CONCURRENCY, increased)
 
     def refused(self, vm: str, retry_after_s: float) -> None:
-        """Note that the store refused a load that had a turn."""
+        """Record that the store refused a load.
+
+        :param retry_after_s: delay requested by the store, in seconds.
+        """
         self._running.pop(vm, None)
-        if self._clock.now() >= self._until:
-            self._allowed = max(1.0, self._allowed / 2)
-        self._until = self._clock.now() + retry_after_s
+        if self._clock.now() >= self._paused_until:
+            self._limit = max(1.0, self._limit / 2)
+        self._paused_until = self._clock.now() + retry_after_s
--- a/src/apricotlever/data_centres/model.py
+++ b/src/apricotlever/data_centres/model.py
@@ -1,18 +1,18 @@
-"""Where runners can be bought, what is held, and the orders of a planner."""
+"""Places to buy runners at, runners that are held, and planner orders."""
 
 import enum
 import typing
 
 
 class Market(enum.StrEnum):
-    """How a VM is bought, in the words of the cloud API."""
+    """How a VM is bought; the values are those of the cloud API."""
 
     RECLAIMABLE = "reclaimable"
     ON_DEMAND = "on_demand"
 
 
 class Place:
-    """One machine class in one market of one data centre."""
+    """A machine class in one market of one data centre."""
 
     __slots__ = ("data_centre", "machine", "market", "_key", "_hash")
 
@@ -37,20 +37,20 @@
 
 
 class State(enum.StrEnum):
-    """How far a runner is on its way."""
+    """Lifecycle state of a runner."""
 
-    #: Ordered or starting; it can't be counted on before it is live.
+    #: Ordered or starting; it can't serve yet.
     STARTING = "starting"
     LIVE = "live"
-    #: Noticed for reclaim or drained; it counts no more.
+    #: Drained, or announced for reclaim; it no longer counts as held.
     LEAVING = "leaving"
 
 
 class Holding:
-    """One runner that the fleet pays for.
+    """A runner that the fleet pays for.
 
-    :param loaded: whether it has the entry's model in memory.
-    :param busy: requests that it is running.
+    :param loaded: whether the entry's model is in its memory.
+    :param busy: number of requests that it is processing.
     """
 
     __slots__ = ("vm", "place", "state", "loaded", "busy")
@@ -71,11 +71,12 @@
 
 
 class Demand:
-    """What an entry's customers ask for.
+    """The demand of customers on an entry.
 
-    :param requests_per_s: arrivals, smoothed by the caller or not.
-    :param service_s: a slot is busy this long for one request.
-    :param wait_s: the wait for a slot that the latency target leaves.
+    :param requests_per_s: arrival rate, with or without smoothing.
+    :param service_s: time for which one request occupies a slot, in seconds.
+    :param wait_s: maximum wait for a slot within the latency target, in
+        seconds.
     """
 
     __slots__ = ("requests_per_s", "service_s", "wait_s")
@@ -89,7 +90,11 @@
 
 
 class Buy:
-    """Buy a VM. The cloud treats the same token as the same order."""
+    """Buy a VM.
+
+    :param token: idempotency token; the cloud treats orders with the same
+        token as one order.
+    """
 
     __slots__ = ("token", "place")
 
@@ -99,7 +104,7 @@
 
 
 class Release:
-    """Drain a runner, then give its VM back."""
+    """Drain a runner, then return its VM to the cloud."""
 
     __slots__ = ("vm",)
 
@@ -108,7 +113,7 @@
 
 
 class LoadModel:
-    """Order a runner to load the entry's model."""
+    """Load the entry's model on a runner."""
 
     __slots__ = ("vm",)
 
--- a/src/apricotlever/data_centres/placement.py
+++ b/src/apricotlever/data_centres/placement.py
@@ -1,4 +1,4 @@
-"""Where to hold the runners that an entry needs, at the least cost."""
+"""Chooses the cheapest places for the runners of an entry."""
 
 import typing
 
@@ -6,10 +6,11 @@
 
 
 class Offer:
-    """A place and what a runner there costs, its risk counted in.
+    """A place and the cost of a runner there.
 
-    :param most: no more than this many at this cost, or None. A place may
-        have several offers.
+    :param cost: cost per hour, including that of expected reclaims.
+    :param most: maximum number of runners at this cost; None for no limit. A
+        place may have several offers.
     """
 
     __slots__ = ("place", "cost", "most")
@@ -30,30 +31,38 @@
 ) -> Plan:
     """Choose how many runners to hold at each place.
 
-    Among all plans with at least ``needed`` runners, of which ``surviving``
-    remain whichever data centre is lost, the cheapest; if there is none with
-    at most ``most`` runners, the one that comes nearest.
-
-    For a given total, no data centre may hold more than what exceeds
-    ``surviving``; so the cheapest places are filled up to that, and the
-    totals are tried one by one.
+    For a given total, no data centre may hold more runners than the excess
+    over ``surviving``. The algorithm fills the cheapest places up to that
+    limit, for each possible total in turn.
+
+    :param needed: minimum number of runners.
+    :param surviving: number of runners that must remain after the loss of any
+        one data centre.
+    :param most: maximum number of runners.
+    :returns: the cheapest such plan. If there is none, a plan of ``needed``
+        runners, limited by ``most`` and by the offers, that is spread as
+        evenly as the offers allow.
     """
     if not offers or needed <= 0:
         return {}
     needed = min(needed, most)
     largest = min(most, max(needed, 2 * surviving))
-    fills = [
-        fill
+    candidates = [
+        candidate
         for total in range(needed, largest + 1)
-        if (fill := _fill(offers, total, total - surviving)) is not None
+        if (candidate := _fill_cheapest(offers, total, total - surviving))
+        is not None
     ]
-    if fills:
-        return min(fills, key=lambda fill: fill.cost).plan
-    return _nearest(offers, needed)
+    if candidates:
+        return min(candidates, key=lambda candidate: candidate.cost).plan
+    return _most_even(offers, needed)
 
 
 def survivors(plan: Plan) -> int:
-    """The runners that remain when the largest data centre is lost."""
+    """The number of runners that remain after the loss of any data centre.
+
+    The data centre with the most runners determines it.
+    """
     total = sum(plan.values())
     return total - max(_by_data_centre(plan).values(), default=0)
 
@@ -65,7 +74,7 @@
     return counts
 
 
-class _Fill:
+class _CostedPlan:
     """A plan with its cost."""
 
     __slots__ = ("plan", "cost")
@@ -79,32 +88,32 @@
         self.cost += offer.cost * count
 
 
-def _fill(
+def _fill_cheapest(
     offers: typing.Sequence[Offer], total: int, per_data_centre: int
-) -> _Fill | None:
-    left = total
+) -> _CostedPlan | None:
+    remaining = total
     room = {offer.place.data_centre: per_data_centre for offer in offers}
-    fill = _Fill()
+    candidate = _CostedPlan()
     for offer in sorted(offers, key=lambda each: (each.cost, each.place)):
-        centre = offer.place.data_centre
-        bound = room[centre] if offer.most is None else offer.most
-        count = min(left, room[centre], bound)
+        data_centre = offer.place.data_centre
+        available = room[data_centre] if offer.most is None else offer.most
+        count = min(remaining, room[data_centre], available)
         if count > 0:
-            fill.add(offer, count)
-            room[centre] -= count
-            left -= count
-    return fill if left == 0 else None
+            candidate.add(offer, count)
+            room[data_centre] -= count
+            remaining -= count
+    return candidate if remaining == 0 else None
 
 
-def _nearest(offers: typing.Sequence[Offer], needed: int) -> Plan:
-    # Too few places for the spread that is wanted, as when starts are
-    # refused: come as near to an even spread as the offers allow.
+def _most_even(offers: typing.Sequence[Offer], needed: int) -> Plan:
+    # The offers don't allow the required spread, for example after refused
+    # starts. The plan is as even as they allow.
     for per_data_centre in range(1, needed + 1):
-        fill = _fill(offers, needed, per_data_centre)
-        if fill is not None:
-            return fill.plan
-    rest = _Fill()
+        candidate = _fill_cheapest(offers, needed, per_data_centre)
+        if candidate is not None:
+            return candidate.plan
+    everything = _CostedPlan()
     for offer in offers:
         if offer.most:
-            rest.add(offer, offer.most)
-    return rest.plan
+            everything.add(offer, offer.most)
+    return everything.plan
--- a/src/apricotlever/data_centres/prices.py
+++ b/src/apricotlever/data_centres/prices.py
@@ -1,4 +1,4 @@
-"""What VMs cost, as last heard."""
+"""The latest known VM prices."""
 
 import typing
 
@@ -6,7 +6,7 @@
 
 
 class PriceBook:
-    """Prices per hour by place; a place without a price isn't offered."""
+    """Prices per hour by place; a place without a price is not offered."""
 
     __slots__ = ("_prices",)
 
@@ -14,15 +14,15 @@
         self._prices: dict[model.Place, float] = {}
 
     def update(self, prices: typing.Mapping[model.Place, float]) -> None:
-        """Take the whole list; places that are missing are withdrawn."""
+        """Replace all prices; a missing place is no longer offered."""
         self._prices = dict(prices)
 
     def per_hour(self, place: model.Place) -> float | None:
-        """The price of a place, or None if it isn't offered."""
+        """The price of a place per hour; None if it is not offered."""
         return self._prices.get(place)
 
     def places(self, machine: str) -> list[model.Place]:
-        """The places that offer a machine class, in a fixed order."""
+        """The places that offer a machine class, sorted."""
         return sorted(
             place for place in self._prices if place.machine == machine
         )
--- a/src/apricotlever/data_centres/purchases.py
+++ b/src/apricotlever/data_centres/purchases.py
@@ -1,89 +1,98 @@
-"""Orders to buy that the list of VMs doesn't show yet."""
+"""Tracks purchase orders whose VMs the cloud doesn't list yet."""
 
 from .. import clock as clocks
 from . import model
 
-WINDOW_S = 60.0
-REPEAT_S = 5.0
-LISTED_WITHIN_S = 180.0
+#: Period of the wall clock within which tokens are numbered, in seconds.
+TOKEN_WINDOW_S = 60.0
+#: Time without an answer after which an order is sent again, in seconds.
+RETRY_S = 5.0
+#: Time after which an order whose VM is not listed is dropped, in seconds.
+LISTING_TIMEOUT_S = 180.0
 
 
-class _Purchase:
-    """One order: asked, or granted with the VM's name."""
+class _PendingPurchase:
+    """An order; its VM is empty until the cloud grants it."""
 
-    __slots__ = ("order", "asked_at", "since", "vm")
+    __slots__ = ("order", "sent_at", "created_at", "vm")
 
     def __init__(self, order: model.Buy, now: float) -> None:
         self.order = order
-        self.asked_at = now
-        self.since = now
+        self.sent_at = now
+        self.created_at = now
         self.vm = ""
 
 
-class Purchases:
-    """Orders under way of one entry.
+class PendingPurchases:
+    """The pending purchase orders of one entry.
 
     The answer to an order can be lost after the cloud has carried it out, so
-    an order is repeated under its token. Tokens are numbered within a minute
-    of the wall clock, so a new planner that takes over within the minute
-    asks under the same ones.
+    an order is retried with the same idempotency token. Tokens are numbered
+    within each minute of the wall clock, so that a planner that takes over
+    within the minute uses the same tokens.
     """
 
-    __slots__ = ("_clock", "_entry", "_open", "_window", "_numbers")
+    __slots__ = ("_clock", "_entry", "_pending", "_window", "_next_numbers")
 
     def __init__(self, clock: clocks.Clock, entry: str) -> None:
         self._clock = clock
         self._entry = entry
-        self._open: dict[str, _Purchase] = {}
+        self._pending: dict[str, _PendingPurchase] = {}
         self._window = 0
-        self._numbers: dict[model.Place, int] = {}
+        self._next_numbers: dict[model.Place, int] = {}
 
-    def unseen(self, listed: frozenset[str]) -> list[model.Place]:
-        """The places of orders that may still bring a VM.
+    def unlisted_places(self, listed: frozenset[str]) -> list[model.Place]:
+        """The places of orders whose VMs may still appear.
 
-        :param listed: the names of the VMs that the cloud shows.
+        :param listed: names of the VMs that the cloud lists.
         """
-        oldest = self._clock.now() - LISTED_WITHIN_S
-        self._open = {
+        earliest = self._clock.now() - LISTING_TIMEOUT_S
+        self._pending = {
             token: purchase
-            for token, purchase in self._open.items()
-            if purchase.vm not in listed and purchase.since >= oldest
+            for token, purchase in self._pending.items()
+            if purchase.vm not in listed and purchase.created_at >= earliest
         }
-        return [purchase.order.place for purchase in self._open.values()]
+        return [purchase.order.place for purchase in self._pending.values()]
 
-    def order(self, place: model.Place) -> model.Buy:
-        """Make a new order."""
-        window = int(self._clock.wall() // WINDOW_S)
+    def create(self, place: model.Place) -> model.Buy:
+        """Create an order."""
+        window = int(self._clock.wall() // TOKEN_WINDOW_S)
         if window != self._window:
-            self._window, self._numbers = window, {}
-        number = self._numbers.get(place, 0)
-        self._numbers[place] = number + 1
+            self._window, self._next_numbers = window, {}
+        number = self._next_numbers.get(place, 0)
+        self._next_numbers[place] = number + 1
         token = f"{self._entry}/{place}/{window}/{number}"
         buy = model.Buy(token, place)
-        self._open[token] = _Purchase(buy, self._clock.now())
+        self._pending[token] = _PendingPurchase(buy, self._clock.now())
         return buy
 
-    def repeats(self) -> list[model.Order]:
-        """Orders whose answer is overdue, to be asked again."""
+    def take_overdue(self) -> list[model.Order]:
+        """The orders to send again, as their answers are overdue."""
         now = self._clock.now()
         overdue = [
             purchase
-            for purchase in self._open.values()
-            if not purchase.vm and now - purchase.asked_at >= REPEAT_S
+            for purchase in self._pending.values()
+            if not purchase.vm and now - purchase.sent_at >= RETRY_S
         ]
         for purchase in overdue:
-            purchase.asked_at = now
+            purchase.sent_at = now
         return [purchase.order for purchase in overdue]
 
-    def granted(self, token: str, vm: str) -> model.Place | None:
-        """The cloud starts a VM."""
-        purchase = self._open.get(token)
+    def record_grant(self, token: str, vm: str) -> model.Place | None:
+        """Record that the cloud starts a VM.
+
+        :returns: the place of the order; None if the order is not pending.
+        """
+        purchase = self._pending.get(token)
         if purchase is None:
             return None
         purchase.vm = vm
         return purchase.order.place
 
-    def refused(self, token: str) -> model.Place | None:
-        """The cloud has no such VM to give."""
-        purchase = self._open.pop(token, None)
+    def record_refusal(self, token: str) -> model.Place | None:
+        """Record that the cloud has no capacity for an order.
+
+        :returns: the place of the order; None if the order is not pending.
+        """
+        purchase = self._pending.pop(token, None)
         return None if purchase is None else purchase.order.place
--- a/src/apricotlever/data_centres/risk.py
+++ b/src/apricotlever/data_centres/risk.py
@@ -1,16 +1,17 @@
-"""Learns how often reclaimable VMs are taken back, and what that costs."""
+"""Estimates how often the cloud reclaims VMs."""
 
 from .. import clock as clocks
 from . import model
 
+#: The prior is equivalent to this many reclaims in this many VM hours.
 PRIOR_RECLAIMS = 0.5
 PRIOR_VM_HOURS = 10.0
 HALF_LIFE_S = 6 * 3600.0
 HOUR_S = 3600.0
 
 
-class _Rate:
-    """Reclaims and VM hours, both fading with time."""
+class _DecayingCounts:
+    """Counts of reclaims and VM hours with exponential decay."""
 
     __slots__ = ("reclaims", "vm_hours", "at")
 
@@ -19,44 +20,44 @@
         self.vm_hours = 0.0
         self.at = at
 
-    def fade(self, now: float) -> None:
-        kept = 0.5 ** ((now - self.at) / HALF_LIFE_S)
-        self.reclaims *= kept
-        self.vm_hours *= kept
+    def decay(self, now: float) -> None:
+        factor = 0.5 ** ((now - self.at) / HALF_LIFE_S)
+        self.reclaims *= factor
+        self.vm_hours *= factor
         self.at = now
 
 
 class ReclaimRisk:
-    """Reclaims per VM hour by place.
+    """Estimates the reclaims per VM hour, by place.
 
-    A place starts from a prior that a few hours of its own outweigh, and old
-    hours count less and less, for reclaims come in waves.
+    The estimate starts from a prior that a few VM hours of observation
+    outweigh. Older observations decay, as reclaims come in waves.
     """
 
-    __slots__ = ("_clock", "_rates")
+    __slots__ = ("_clock", "_counts")
 
     def __init__(self, clock: clocks.Clock) -> None:
         self._clock = clock
-        self._rates: dict[model.Place, _Rate] = {}
+        self._counts: dict[model.Place, _DecayingCounts] = {}
 
     def held(self, place: model.Place, vms: int, seconds: float) -> None:
-        """Note that so many VMs were held for a time."""
-        self._rate(place).vm_hours += vms * seconds / HOUR_S
+        """Record that a number of VMs were held for a time in seconds."""
+        self._counts_of(place).vm_hours += vms * seconds / HOUR_S
 
     def reclaimed(self, place: model.Place, vms: int = 1) -> None:
-        """Note that the cloud took VMs back."""
-        self._rate(place).reclaims += vms
+        """Record VMs that the cloud reclaimed."""
+        self._counts_of(place).reclaims += vms
 
-    def per_hour(self, place: model.Place) -> float:
-        """Reclaims to expect for one VM in an hour."""
+    def reclaims_per_hour(self, place: model.Place) -> float:
+        """The expected number of reclaims per hour of one VM."""
         if place.market is model.Market.ON_DEMAND:
             return 0.0
-        rate = self._rate(place)
-        reclaims = PRIOR_RECLAIMS + rate.reclaims
-        return reclaims / (PRIOR_VM_HOURS + rate.vm_hours)
+        counts = self._counts_of(place)
+        reclaims = PRIOR_RECLAIMS + counts.reclaims
+        return reclaims / (PRIOR_VM_HOURS + counts.vm_hours)
 
-    def _rate(self, place: model.Place) -> _Rate:
+    def _counts_of(self, place: model.Place) -> _DecayingCounts:
         now = self._clock.now()
-        rate = self._rates.setdefault(place, _Rate(now))
-        rate.fade(now)
-        return rate
+        counts = self._counts.setdefault(place, _DecayingCounts(now))
+        counts.decay(now)
+        return counts
--- a/src/apricotlever/data_centres/sizing.py
+++ b/src/apricotlever/data_centres/sizing.py
@@ -1,39 +1,43 @@
-"""How many slots keep the wait within the latency target."""
+"""Computes the number of slots that keep waits within the latency target."""
 
 import functools
 import math
 
 from . import model
 
+#: Default share of requests that may wait longer than allowed.
 LATE_SHARE = 0.05
-EXACT_MAX = 2000
+#: Maximum load, in busy slots, for which the exact formula is used.
+MAX_EXACT_LOAD = 2000
 
 
 def runners_needed(
     demand: model.Demand, slots_per_runner: int, late_share: float = LATE_SHARE
 ) -> int:
-    """Runners that start all but a few requests in time.
+    """The number of runners that start enough requests in time.
 
-    :param late_share: requests that may wait longer than ``wait_s``.
+    :param late_share: share of requests that may wait longer than ``wait_s``.
     """
     slots = slots_needed(demand, late_share)
     return math.ceil(slots / slots_per_runner)
 
 
 def slots_needed(demand: model.Demand, late_share: float = LATE_SHARE) -> int:
-    """The least number of slots at which the share of late starts is met.
+    """The minimum number of slots that meets the share of late starts.
 
-    Taken from the Erlang C formula. For large loads, where it is slow to
-    compute, the square-root staffing rule gives the same within a few.
+    Uses the Erlang C formula. For large loads, for which the formula is slow
+    to compute, the square-root staffing rule differs by only a few slots.
+
+    :param late_share: share of requests that may wait longer than ``wait_s``.
     """
     load = demand.requests_per_s * demand.service_s
     if load <= 0:
         return 0
-    least = math.floor(load) + 1
-    if load > EXACT_MAX:
+    minimum = math.floor(load) + 1
+    if load > MAX_EXACT_LOAD:
         return math.ceil(load + 2 * math.sqrt(load))
-    most = least + math.ceil(4 * math.sqrt(load)) + 8
-    low, high = least, most
+    maximum = minimum + math.ceil(4 * math.sqrt(load)) + 8
+    low, high = minimum, maximum
     while low < high:
         middle = (low + high) // 2
         if late_start_share(demand, middle) <= late_share:
--- a/tests/steps/data_centres_demand.py
+++ b/tests/steps/data_centres_demand.py
@@ -61,7 +61,7 @@
 @then("about 1 runner's reading is used for each {tokens:d} tokens a second")
 def _needed(context, tokens):
     rate = context.rate * len(context.totals)
-    used = demand.BUSY_PART * context.speed
+    used = demand.TARGET_PREFILL_UTILIZATION * context.speed
     expected = -(-rate // used)
     assert context.demand.runners(0, 96) == max(1, expected)
     assert used > 0 and tokens
@@ -95,7 +95,7 @@
 def _idle(context, speed):
     context.counter = demand.WorkCounter()
     context.speed = speed
-    _read(context, demand.SAMPLES, speed)
+    _read(context, demand.SPEED_SAMPLES, speed)
 
 
 @given("{count:d} prompts that seemed to be read at {speed:d} tokens a second")
