--- a/tests/data_centres/fleet_size.feature
+++ b/tests/data_centres/fleet_size.feature
@@ -1,26 +1,26 @@
-Feature: How many runners of each kind to hold
-
-  Scenario: Reclaimable runners alone, while they are to be had
-    Given terms of 1 to 6 runners in 3 data centres
-    When 6 runners are needed and all orders are met at once
-    Then 0 on demand and 15 reclaimable ones are held
-
-  # Symptom: a fleet with two or three times the runners that it needs pays
-  # more for the few on-demand ones among them than for all the others.
-  # Cause: a part of the need held on demand also when a reclaim leaves enough.
-  Scenario: From the notice of a reclaim on, on-demand runners come in
-    Given terms of 1 to 6 runners in 3 data centres
-    When 6 runners are needed and all orders are met at once
-    And a data centre is reclaimed while 6 are needed
-    Then 4 on demand are held in the end
-
-  # Symptom: calls wait for seconds after a reclaim.
-  # Events: all reclaimable runners of a data centre are taken at once.
-  # Cause: runners counted that one notice can take away.
-  Scenario Outline: One reclaim leaves what is needed
-    Given terms of 1 to 12 runners in 3 data centres
-    When <needed> runners are needed and all orders are met at once
-    Then without any one data centre's reclaimable runners <needed> are left
+Feature: Number of runners of each kind to hold
+
+  Scenario: Only reclaimable runners are held while they are available
+    Given limits of 1 to 6 runners in each of 3 data centres
+    When 6 runners are required and all orders succeed immediately
+    Then 0 on-demand and 15 reclaimable runners are held
+
+  # Guards against paying more for a few on-demand runners than for all others.
+  # The fleet has two or three times the runners that it needs, yet it holds part
+  # of the need on demand although one reclaim would leave enough.
+  Scenario: On-demand runners are added from the notice of a reclaim
+    Given limits of 1 to 6 runners in each of 3 data centres
+    When 6 runners are required and all orders succeed immediately
+    And a data centre is reclaimed while 6 runners are required
+    Then 4 on-demand runners are held at the end
+
+  # Guards against calls that wait for seconds after a reclaim. The cloud takes
+  # all reclaimable runners of a data centre at once, while the plan counts on
+  # them.
+  Scenario Outline: One reclaim leaves the required runners
+    Given limits of 1 to 12 runners in each of 3 data centres
+    When <needed> runners are required and all orders succeed immediately
+    Then at least <needed> runners remain without any one data centre's reclaimable runners
 
     Examples:
       | needed |
@@ -28,110 +28,101 @@
       | 6      |
       | 13     |
 
-  # Symptom: 3 runners serve where 12 are needed.
-  # Events: reclaimable runners are asked for again after a reclaim; the
-  # on-demand ones are given back in the same moment; the order is refused.
-  # Cause: an order taken for a runner.
-  Scenario: On-demand runners stay until reclaimable ones are on their way
-    Given terms of 1 to 6 runners in 3 data centres
-    And 9 on-demand runners are held and none reclaimable
-    When 9 runners are needed and reclaimable ones are refused
-    Then at least 9 on demand are held all the while
-
-  # Symptom: 3 runners serve for 4 seconds where 9 are needed.
-  # Events: reclaimable runners are ordered and the order is taken; on-demand
-  # ones are given back in the next step, while the others boot.
-  # Cause: runners on their way counted as those that serve.
+  # Guards against 3 serving runners where 12 are required. After a reclaim, the
+  # plan orders reclaimable runners again and releases on-demand ones at the same
+  # time, and the cloud refuses the order.
+  Scenario: On-demand runners stay until reclaimable ones are ordered successfully
+    Given limits of 1 to 6 runners in each of 3 data centres
+    And 9 on-demand runners and no reclaimable ones are held
+    When 9 runners are required and orders for reclaimable ones are refused
+    Then at least 9 on-demand runners are held at all times
+
+  # Guards against 3 serving runners for 4 seconds where 9 are required. The cloud
+  # accepts an order for reclaimable runners, and the next plan counts them as
+  # serving and releases on-demand ones while they boot.
   Scenario: On-demand runners stay until reclaimable ones serve
-    Given terms of 1 to 6 runners in 3 data centres
-    And 9 on-demand runners are held and none reclaimable
-    When 9 runners are needed and reclaimable ones boot for 4 seconds
-    Then at least 9 runners serve all the while
-    And 0 on demand are held in the end
-
-  # Symptom: as above, in a deployment with few runners a data centre.
-  # Events: the need rises over what fits; on-demand runners are ordered up to
-  # the bound, and the reclaimable ones beside them are ordered away.
-  # Cause: the bound of both kinds filled by one.
-  Scenario: On-demand runners don't take the place of reclaimable ones
-    Given terms of 1 to 3 runners in 3 data centres
-    And 1 on-demand and 2 reclaimable runners are held in each
-    When 15 runners are needed
+    Given limits of 1 to 6 runners in each of 3 data centres
+    And 9 on-demand runners and no reclaimable ones are held
+    When 9 runners are required and reclaimable ones boot for 4 seconds
+    Then at least 9 runners serve at all times
+    And 0 on-demand runners are held at the end
+
+  # Guards against the same shortage with few runners per data centre. The need
+  # exceeds the limits; on-demand runners are ordered up to the maximum, which
+  # displaces the reclaimable runners of the same data centre.
+  Scenario: On-demand runners do not displace reclaimable ones
+    Given limits of 1 to 3 runners in each of 3 data centres
+    And 1 on-demand and 2 reclaimable runners are held in each data centre
+    When 15 runners are required
     Then the plan holds 2 reclaimable runners in each data centre
 
-  Scenario: A need that falls for a moment gives no runner back
-    Given terms of 1 to 6 runners in 3 data centres
-    And 9 on-demand runners are held and none reclaimable
-    When 9 runners are needed, then 3 for 1 second
+  Scenario: A brief fall of the need releases no runner
+    Given limits of 1 to 6 runners in each of 3 data centres
+    And 9 on-demand runners and no reclaimable ones are held
+    When 9 runners are required, then 3 for 1 second
     Then the plan holds 14 on-demand runners
 
-  Scenario: The plan keeps within the bounds of each data centre
-    Then no plan is ever outside of the bounds
-
-  # Symptom: calls are late for ten seconds after a lull.
-  # Events: the load falls for some seconds, two thirds of the runners are
-  # given back, and their caches with them; then the load is back.
-  # Cause: cheap runners given back as fast as dear ones.
-  Scenario: Reclaimable runners outlast a lull
-    Given terms of 1 to 6 runners in 3 data centres
-    And 1 on-demand and 2 reclaimable runners are held in each
-    When 6 runners are needed, then 2 for 12 seconds
+  Scenario: The plan keeps the limits of each data centre
+    Then no plan violates the limits
+
+  # Guards against calls that are late for ten seconds after a lull. The load
+  # falls for some seconds, two thirds of the runners are released together with
+  # their caches, as cheap runners are released as fast as expensive ones.
+  Scenario: Reclaimable runners are kept during a lull
+    Given limits of 1 to 6 runners in each of 3 data centres
+    And 1 on-demand and 2 reclaimable runners are held in each data centre
+    When 6 runners are required, then 2 for 12 seconds
     Then the plan holds 5 reclaimable runners in each data centre
 
-  # Symptom: an on-demand runner is let go and started anew every second.
-  # Events: a data centre has to hold one runner; reclaimable ones are wanted
-  # there and refused, again and again.
-  # Cause: a runner that is only wanted makes up the least that must be there.
-  Scenario: A wanted runner does not make up the least of a data centre
-    Given terms of 1 to 6 runners in 3 data centres
-    And 1 on-demand and 2 reclaimable runners are held in each
-    When a data centre is reclaimed and others are refused for 20 seconds
-    Then it holds an on-demand runner all the while
-
-  # Symptom: two of the last three reclaimable runners are given back while
-  # none are to be had, and half of the calls are late for ten seconds.
-  # Events: reclaims; then the VM that orders stands still, and another one
-  # takes the duty over in a lull.
-  # Cause: the new one knows no need but the current one, and of no reclaim.
-  Scenario: What is scarce is not given back by a new holder of the duty
-    Given terms of 1 to 6 runners in 3 data centres
-    When 6 runners are needed and all orders are met at once
+  # Guards against stopping and starting an on-demand runner every second. A data
+  # centre has to hold one runner; orders for reclaimable ones are refused
+  # repeatedly, but each planned one counts towards the minimum.
+  Scenario: A planned runner does not count towards the minimum of a data centre
+    Given limits of 1 to 6 runners in each of 3 data centres
+    And 1 on-demand and 2 reclaimable runners are held in each data centre
+    When a data centre is reclaimed and further orders are refused for 20 seconds
+    Then it holds an on-demand runner at all times
+
+  # Guards against the release of two of the last three reclaimable runners, which
+  # makes half of the calls late for ten seconds. After reclaims, the lease moves
+  # in a lull to a VM that knows neither the earlier need nor the reclaims.
+  Scenario: A new lease holder keeps scarce runners
+    Given limits of 1 to 6 runners in each of 3 data centres
+    When 6 runners are required and all orders succeed immediately
     And a data centre is reclaimed and another VM takes over in a lull
-    Then no reclaimable runner is given back for 10 seconds
-
-  # Symptom: two runners are left for a need of four, 9 s after the first call.
-  # Events: a data centre is reclaimed 3 s after it, before the load is known;
-  # another one is 6 s later.
-  # Cause: the runners that are left held to be enough, and no others ordered.
-  Scenario: A reclaim before the load is known is prepared for like any other
-    Given terms of 1 to 12 runners in 3 data centres
-    And 1 on-demand and 2 reclaimable runners are held in each
-    When all VMs start anew amid work and trust the 9 runners that are there
-    And a data centre's reclaimable ones go meanwhile
-    Then without any one data centre's reclaimable runners 13 are left
-
-  # Symptom: calls are late for the ten seconds after each reclaim.
-  # Events: reclaimable runners go and are not to be had again for a while; as
-  # many on-demand ones as the load needs take their place.
-  # Cause: what the load needs leaves no room for calls that come in clumps.
-  Scenario: While reclaimable runners are scarce half as many more are held
-    Given terms of 1 to 6 runners in 3 data centres
-    When 9 runners are needed and reclaimable ones are refused
-    Then 14 on demand are held in the end
-    When 9 runners are needed and all orders are met at once
-    Then 0 on demand are held in the end
-
-  Scenario: What is to be had again may be given back
-    Given terms of 1 to 6 runners in 3 data centres
-    When 6 runners are needed and all orders are met at once
-    And a data centre is reclaimed and others are refused for 20 seconds
-    And 2 runners are needed and all orders are met at once
-    Then 0 on demand and 6 reclaimable ones are held
-
-  Scenario Outline: On-demand runners go where they are cheap, half of them
-    Given terms of 1 to 6 runners in 3 data centres
-    And <held> on-demand runners are held and none reclaimable
-    When <needed> runners are needed and reclaimable ones are refused
+    Then no reclaimable runner is released for 10 seconds
+
+  # Guards against two runners for a need of four, 9 s after the first call. One
+  # data centre is reclaimed after 3 s, before the load is known, and another one
+  # 6 s later; no runners replace the first, as the remaining ones seem enough.
+  Scenario: A reclaim before the load is known is handled like any other
+    Given limits of 1 to 12 runners in each of 3 data centres
+    And 1 on-demand and 2 reclaimable runners are held in each data centre
+    When all VMs restart under load and assume that the present 9 runners are required
+    And the reclaimable runners of a data centre are reclaimed meanwhile
+    Then at least 13 runners remain without any one data centre's reclaimable runners
+
+  # Guards against calls that are late for ten seconds after each reclaim. While
+  # reclaimable runners are unavailable, as many on-demand runners as the load
+  # needs replace them, which leaves no room for bursts of calls.
+  Scenario: Half as many runners more are held while reclaimable ones are scarce
+    Given limits of 1 to 6 runners in each of 3 data centres
+    When 9 runners are required and orders for reclaimable ones are refused
+    Then 14 on-demand runners are held at the end
+    When 9 runners are required and all orders succeed immediately
+    Then 0 on-demand runners are held at the end
+
+  Scenario: Runners may be released once they are available again
+    Given limits of 1 to 6 runners in each of 3 data centres
+    When 6 runners are required and all orders succeed immediately
+    And a data centre is reclaimed and further orders are refused for 20 seconds
+    And 2 runners are required and all orders succeed immediately
+    Then 0 on-demand and 6 reclaimable runners are held
+
+  Scenario Outline: The cheapest data centre holds up to half of the on-demand runners
+    Given limits of 1 to 6 runners in each of 3 data centres
+    And <held> on-demand runners and no reclaimable ones are held
+    When <needed> runners are required and orders for reclaimable ones are refused
     Then <a>, <c> and <b> on-demand runners are held, the cheapest first
 
     Examples:
@@ -142,33 +133,28 @@
       | 0    | 7      | 6 | 4 | 1 |
       | 0    | 14     | 6 | 6 | 6 |
 
-  # Symptom: a deployment pays nine on-demand runners for ten seconds before
-  # its first call.
-  # Events: it starts with nine; the plan orders reclaimable ones in the place
-  # of five and holds the five until those serve.
-  # Cause: runners that nobody uses yet are kept like those at work.
-  Scenario: Before the first work on-demand runners wait for nobody
-    Given terms of 1 to 6 runners in 3 data centres
-    And 9 on-demand runners are held and none reclaimable
-    When 9 runners are needed without any work, and others boot
-    Then 3 on demand are held after the second step
-
-  Scenario: Before the first work they stay while no others come
-    Given terms of 1 to 6 runners in 3 data centres
-    And 9 on-demand runners are held and none reclaimable
-    When 9 runners are needed without any work, and others are refused
-    Then at least 9 on demand are held all the while
-
-  # Symptom: two runners are left on a calm day for four seconds, first tokens
-  # come after two.
-  # Events: reclaimable runners of one data centre are taken and no more are to
-  # be had; on-demand ones are given back, as eight reclaimable ones still
-  # serve; those are taken within the next two seconds.
-  # Cause: scarce runners counted on as if reclaims came one at a time.
-  Scenario: On-demand runners are not given back for reclaimable ones while these are scarce
-    Given terms of 1 to 12 runners in 3 data centres
+  # Guards against paying for nine on-demand runners for ten seconds before the
+  # first call. The plan replaces five of the initial nine by reclaimable ones,
+  # but keeps the five until those serve, although no calls use them yet.
+  Scenario: On-demand runners are released at once before the first work
+    Given limits of 1 to 6 runners in each of 3 data centres
+    And 9 on-demand runners and no reclaimable ones are held
+    When 9 runners are required before any work, and reclaimable ones boot
+    Then 3 on-demand runners are held after the second step
+
+  Scenario: On-demand runners stay before the first work while others are unavailable
+    Given limits of 1 to 6 runners in each of 3 data centres
+    And 9 on-demand runners and no reclaimable ones are held
+    When 9 runners are required before any work, and reclaimable ones are refused
+    Then at least 9 on-demand runners are held at all times
+
+  # Guards against two runners for four seconds on a calm day, with first tokens
+  # after two seconds. One data centre is reclaimed; on-demand runners are
+  # released as eight reclaimable ones serve, which go within two seconds, too.
+  Scenario: On-demand runners are not released for scarce reclaimable ones
+    Given limits of 1 to 12 runners in each of 3 data centres
     And 4 reclaimable runners are held in each data centre
-    When 7 runners are needed, the last data centre's are reclaimed, and then 3 are needed
-    Then 5 on demand are held in the end
-    When 3 runners are needed and reclaimable ones are to be had again
-    Then at most 3 on demand are held in the end
+    When 7 runners are required, the last data centre is reclaimed, and then 3 are required
+    Then 5 on-demand runners are held at the end
+    When 3 runners are required and reclaimable ones are available again
+    Then at most 3 on-demand runners are held at the end
--- a/tests/steps/data_centres_capacity.py
+++ b/tests/steps/data_centres_capacity.py
@@ -15,35 +15,43 @@
 from apricotlever.data_centres import risk
 from apricotlever.data_centres import sizing
 
-CENTRES = ("sala-a", "sala-b", "sala-c")
+DATA_CENTRES = ("sala-a", "sala-b", "sala-c")
 SLOTS = 16
 TICK_S = 5.0
 LOAD_TICKS = 6
 
 
 class _Cloud:
-    """Starts VMs at once; a test makes it lose, refuse or lag."""
+    """Simulates a cloud that starts VMs immediately.
+
+    A test can make it lose answers, refuse starts or delay the list of
+    VMs.
+    """
 
     def __init__(self, planner_of, least):
         self.clock = clock.ManualClock(60_000.0)
-        self.book = prices.PriceBook()
-        self.pacer = loads.LoadPacer(self.clock)
+        self.price_book = prices.PriceBook()
+        self.load_limiter = loads.LoadPacer(self.clock)
         self.places = [
-            model.Place(centre, "large", market)
-            for centre in CENTRES
+            model.Place(data_centre, "large", market)
+            for data_centre in DATA_CENTRES
             for market in model.Market
         ]
-        self.swing(0.0)
+        self.fluctuate(0.0)
         policy = capacity.Policy("large", least, 60, SLOTS)
         self.planner = planner_of(self, policy)
-        self.vms, self.tokens, self.asked = {}, {}, []
-        self.refusing, self.lose, self.lag_s = set(), False, 0.0
-        self.refused, self.released = 0, []
-        self.loaded, self.loading, self.loads_max = True, {}, None
+        self.vms, self.vm_by_token, self.sent_tokens = {}, {}, []
+        self.refusing_data_centres, self.loses_answers, self.list_delay_s = (
+            set(),
+            False,
+            0.0,
+        )
+        self.refused_starts, self.released = 0, []
+        self.starts_loaded, self.loading, self.max_loads = True, {}, None
         self.load_refusals = 0
 
-    def swing(self, share):
-        self.book.update(
+    def fluctuate(self, share):
+        self.price_book.update(
             {
                 place: (3.0 if place.market == "on_demand" else 1.0)
                 * (1 + 0.01 * number)
@@ -52,20 +60,20 @@
             }
         )
 
-    def run(self, rate, seconds, swing=0.0):
+    def run(self, rate, seconds, fluctuation=0.0):
         for number in range(int(seconds / TICK_S)):
-            self.swing(swing * (-1) ** number)
+            self.fluctuate(fluctuation * (-1) ** number)
             demand = model.Demand(rate, 4.0, 0.8)
             for order in self.planner.tick(demand, self.listed()):
-                self.obey(order)
+                self.carry_out(order)
             self.end_loads()
             self.clock.advance(TICK_S)
 
     def listed(self):
-        latest = self.clock.now() - self.lag_s
+        latest = self.clock.now() - self.list_delay_s
         return [holding for holding, at in self.vms.values() if at <= latest]
 
-    def obey(self, order):
+    def carry_out(self, order):
         if isinstance(order, model.Buy):
             self.buy(order)
         elif isinstance(order, model.LoadModel):
@@ -74,35 +82,37 @@
             self.released.append(self.vms.pop(order.vm)[0])
 
     def buy(self, order):
-        self.asked.append(order.token)
-        if order.place.data_centre in self.refusing:
-            self.refused += 1
+        self.sent_tokens.append(order.token)
+        if order.place.data_centre in self.refusing_data_centres:
+            self.refused_starts += 1
             self.planner.refused(order.token)
             return
-        if order.token not in self.tokens:
-            vm = f"vm-{len(self.tokens)}"
-            self.tokens[order.token] = vm
+        if order.token not in self.vm_by_token:
+            vm = f"vm-{len(self.vm_by_token)}"
+            self.vm_by_token[order.token] = vm
             self.vms[vm] = (
-                model.Holding(vm, order.place, model.State.LIVE, self.loaded),
+                model.Holding(
+                    vm, order.place, model.State.LIVE, self.starts_loaded
+                ),
                 self.clock.now(),
             )
-        if not self.lose:
-            self.planner.granted(order.token, self.tokens[order.token])
+        if not self.loses_answers:
+            self.planner.granted(order.token, self.vm_by_token[order.token])
 
     def load(self, order):
-        if len(self.loading) >= self.loads_max:
+        if len(self.loading) >= self.max_loads:
             self.load_refusals += 1
-            self.pacer.refused(order.vm, TICK_S)
+            self.load_limiter.refused(order.vm, TICK_S)
             return
         self.loading[order.vm] = LOAD_TICKS
 
     def end_loads(self):
-        left = {vm: ticks - 1 for vm, ticks in self.loading.items()}
-        for vm in [vm for vm, ticks in left.items() if not ticks]:
-            del left[vm]
+        remaining = {vm: ticks - 1 for vm, ticks in self.loading.items()}
+        for vm in [vm for vm, ticks in remaining.items() if not ticks]:
+            del remaining[vm]
             self.vms[vm][0].loaded = True
-            self.pacer.done(vm)
-        self.loading = left
+            self.load_limiter.done(vm)
+        self.loading = remaining
 
     def plan(self):
         held = {}
@@ -119,41 +129,44 @@
             random.Random(1),
             "drafts",
             policy,
-            cloud.book,
+            cloud.price_book,
             risk.ReclaimRisk(cloud.clock),
-            cloud.pacer,
+            cloud.load_limiter,
         )
 
     context.cloud = _Cloud(planner_of, least)
 
 
-@given("the cloud's answers get lost")
-def _lose(context):
-    context.cloud.lose = True
-    context.cloud.lag_s = 1000.0
+@given("the cloud's answers are lost")
+def _answers_lost(context):
+    context.cloud.loses_answers = True
+    context.cloud.list_delay_s = 1000.0
 
 
 @given('the cloud refuses starts in "{data_centre}"')
-def _refuse(context, data_centre):
-    context.cloud.refusing.add(data_centre)
+def _starts_refused(context, data_centre):
+    context.cloud.refusing_data_centres.add(data_centre)
 
 
-@given("the list of VMs lags by {seconds:d} s")
-def _lag(context, seconds):
-    context.cloud.lag_s = seconds
+@given("the list of VMs is delayed by {seconds:d} s")
+def _list_delayed(context, seconds):
+    context.cloud.list_delay_s = seconds
 
 
-@given("runners come without their model and {count:d} loads are allowed")
-def _unloaded(context, count):
-    context.cloud.loaded = False
-    context.cloud.loads_max = count
+@given(
+    "runners start without a model and the store allows {count:d} loads at a "
+    "time"
+)
+def _without_models(context, count):
+    context.cloud.starts_loaded = False
+    context.cloud.max_loads = count
 
 
 @given(
     '{count:d} "{market}" and {other:d} "{market2}" runners in each '
     "data centre"
 )
-def _held(context, count, market, other, market2):
+def _given_runners(context, count, market, other, market2):
     cloud = context.cloud
     wanted = {market: count, market2: other}
     for place in cloud.places:
@@ -163,30 +176,30 @@
             cloud.vms[vm] = (holding, 0.0)
 
 
-@when("{rate:d} requests/s come for {seconds:d} s")
-def _come(context, rate, seconds):
+@when("{rate:d} requests/s arrive for {seconds:d} s")
+def _requests_arrive(context, rate, seconds):
     context.cloud.run(rate, seconds)
 
 
 @when(
-    "prices swing by {percent:d} percent while {rate:d} requests/s come "
+    "prices fluctuate by {percent:d} percent while {rate:d} requests/s arrive "
     "for {seconds:d} s"
 )
-def _swing(context, percent, rate, seconds):
+def _prices_fluctuate(context, percent, rate, seconds):
     context.cloud.run(rate, seconds, percent / 200)
 
 
-@when('the cloud takes back "{data_centre}" and refuses starts there')
-def _wave(context, data_centre):
+@when('the cloud reclaims "{data_centre}" and refuses starts there')
+def _data_centre_reclaimed(context, data_centre):
     cloud = context.cloud
-    cloud.refusing.add(data_centre)
+    cloud.refusing_data_centres.add(data_centre)
     for holding, _ in cloud.vms.values():
         if holding.place.data_centre == data_centre:
             holding.state = model.State.LEAVING
 
 
-@then("the runners held are enough for {rate:d} requests/s")
-def _enough(context, rate):
+@then("the held runners suffice for {rate:d} requests/s")
+def _runners_suffice(context, rate):
     demand = model.Demand(rate, 4.0, 0.8)
     live = [
         holding
@@ -197,57 +210,64 @@
     assert len(live) >= needed, (len(live), needed)
 
 
-@then("the loss of any data centre leaves at least {count:d} runners")
-def _survives(context, count):
-    left = placement.survivors(context.cloud.plan())
-    assert left >= count, left
+@then("at least {count:d} runners remain after the loss of any data centre")
+def _runners_remain(context, count):
+    remaining = placement.survivors(context.cloud.plan())
+    assert remaining >= count, remaining
 
 
-@then("every order was repeated under its own token")
-def _repeated(context):
-    asked = context.cloud.asked
-    assert asked and all(asked.count(token) > 1 for token in asked)
+@then("every order was repeated with its own token")
+def _orders_repeated(context):
+    sent_tokens = context.cloud.sent_tokens
+    assert sent_tokens and all(
+        sent_tokens.count(token) > 1 for token in sent_tokens
+    )
 
 
-@then("the cloud started as many VMs as there are tokens")
-def _started(context):
+@then("the cloud started one VM per token")
+def _vms_started(context):
     cloud = context.cloud
-    assert len(cloud.vms) == len(set(cloud.asked)) <= 7, len(cloud.vms)
+    assert len(cloud.vms) == len(set(cloud.sent_tokens)) <= 7, len(cloud.vms)
 
 
-@then("the cloud refused less than {count:d} starts")
-def _few(context, count):
-    assert 0 < context.cloud.refused < count, context.cloud.refused
+@then("the cloud refused fewer than {count:d} starts")
+def _few_starts_refused(context, count):
+    assert (
+        0 < context.cloud.refused_starts < count
+    ), context.cloud.refused_starts
 
 
 @then("no runner was released")
-def _kept(context):
+def _none_released(context):
     assert not context.cloud.released
 
 
-@then("{count:d} runners are held, of which {left:d} survive")
-def _count(context, count, left):
+@then(
+    "{count:d} runners are held, {remaining:d} of which survive the loss of a "
+    "data centre"
+)
+def _held_and_surviving(context, count, remaining):
     cloud = context.cloud
     found = (len(cloud.vms), placement.survivors(cloud.plan()))
-    assert found == (count, left), found
+    assert found == (count, remaining), found
 
 
-@then("the runners held are not more than {count:d}")
-def _at_most(context, count):
+@then("at most {count:d} runners are held")
+def _at_most_held(context, count):
     assert len(context.cloud.vms) <= count, len(context.cloud.vms)
 
 
-@then('the first {count:d} runners released are "{market}"')
-def _dearest(context, count, market):
+@then('the first {count:d} released runners are "{market}"')
+def _first_released(context, count, market):
     found = [holding.place.market for holding in context.cloud.released]
     assert found[:count] == [market] * count, found
 
 
 @then(
-    "every runner has its model and the store refused less than "
+    "every runner has its model and the store refused fewer than "
     "{count:d} loads"
 )
-def _paced(context, count):
+def _models_loaded(context, count):
     cloud = context.cloud
     held = [holding for holding, _ in cloud.vms.values()]
     assert len(held) > 15 and all(holding.loaded for holding in held)
