--- a/src/apricotlever/roll_outs/controller.py
+++ b/src/apricotlever/roll_outs/controller.py
@@ -1,9 +1,9 @@
 """Controls the roll-outs of all services on one entry VM.
 
 Each VM receives the orders from the store or from other VMs, follows the same
-schedule, and evaluates the fleet-wide counts, so that any VM can stop traffic
-to a bad version without waiting for another. Only the holder of the fleet's
-duties writes the result.
+schedule, and evaluates the fleet-wide counts. Any VM can therefore stop
+traffic to a bad version without waiting for another VM. Only the lease holder
+writes the result to the store.
 """
 
 import random
@@ -40,7 +40,7 @@
 
 
 class Result:
-    """The state to write for an order."""
+    """The state to write to the store for an order."""
 
     __slots__ = ("order", "state")
 
@@ -56,7 +56,7 @@
     """
 
     __slots__ = (
-        "_bounds",
+        "_limits",
         "_by_service",
         "_clock",
         "_rejected_versions",
@@ -64,13 +64,14 @@
     )
 
     def __init__(
-        self, clock: clocks.Clock, rng: random.Random, bounds: model.Bounds
+        self, clock: clocks.Clock, rng: random.Random, limits: model.Bounds
     ) -> None:
         self._clock = clock
         self._rng = rng
-        self._bounds = bounds
+        self._limits = limits
         self._by_service: dict[str, progress.RollOut] = {}
-        #: Versions of superseded orders that were not completed, by service.
+        #: Target versions of superseded orders that were not completed, by
+        #: service.
         self._rejected_versions: dict[str, set[str]] = {}
 
     @property
@@ -88,7 +89,7 @@
         }
 
     def order(self, service: str) -> model.Order | None:
-        """The newest order for a service."""
+        """The newest order for a service; None without any."""
         roll_out = self._by_service.get(service)
         return roll_out.order if roll_out else None
 
@@ -112,7 +113,7 @@
             self._start(merged)
             return True
         before, roll_out.order = roll_out.order, merged
-        roll_out.schedule = schedule.Schedule(merged.duration_s, self._bounds)
+        roll_out.schedule = schedule.Schedule(merged.duration_s, self._limits)
         if merged.state is not before.state:
             self._state_changed(roll_out)
         return True
@@ -141,11 +142,11 @@
             new: set[str] = set()
             old: set[str] = set()
             for runner in by_service.get(service, ()):
-                same = runner.version == roll_out.order.version
-                (new if same else old).add(runner.runner_id)
+                is_new = runner.version == roll_out.order.version
+                (new if is_new else old).add(runner.runner_id)
             roll_out.old_runners = frozenset(old)
             roll_out.new_runners = frozenset(new)
-            roll_out.choose_canaries()
+            roll_out.select_canaries()
 
     def arm(self, runner: Runner) -> model.Arm:
         """The role of a runner in the roll-out of its service."""
@@ -169,30 +170,31 @@
         is_canary = runner.runner_id in roll_out.canaries
         return model.Arm.CANARY if is_canary else model.Arm.STANDBY
 
-    def draw(self, service: str, route: str, repeated: bool = False) -> bool:
+    def draw(self, service: str, route: str, is_retry: bool = False) -> bool:
         """Decide at random whether a call goes to the new version.
 
-        :param route: of the call.
-        :param repeated: whether the call is a retry. It then goes
-            to the old version, which is proven.
+        :param route: route of the call.
+        :param is_retry: whether the call is a retry. A retry goes to the old
+            version, which is proven, until the takeover.
         """
         roll_out = self._by_service.get(service)
         if roll_out is None or roll_out.order.state is not model.State.RUNNING:
             return False
         if not roll_out.old_runners:
-            # Without old runners the alternative is to reject all calls.
+            # Without old runners, the alternative is to reject all calls.
             return bool(roll_out.new_runners)
         share = roll_out.schedule.share(
             self._elapsed_s(roll_out), roll_out.progress, route
         )
-        if repeated:
+        if is_retry:
             return share >= 1.0
         return self._rng.random() < share
 
     def sent(self, runner: Runner, route: str) -> samples.Sample | None:
         """Count a call that is sent to a runner.
 
-        :returns: the sample for its outcome; None without a running roll-out.
+        :returns: the sample in which to record the outcome; None without a
+            running roll-out.
         """
         roll_out = self._by_service.get(runner.service)
         if roll_out is None or roll_out.order.state is not model.State.RUNNING:
@@ -209,17 +211,19 @@
         sample.calls += 1
         return sample
 
-    def observe(self, told: samples.Records, summed: bool) -> None:
+    def observe(self, records: samples.Records, includes_own: bool) -> None:
         """Update the fleet-wide counts.
 
-        :param told: records received from the other VMs.
-        :param summed: whether they include those of this VM.
+        :param records: sums of the counts received from the other VMs.
+        :param includes_own: whether the sums include the counts of this VM.
         """
         running = {each.order.service: each for each in self._running()}
         if not running:
             return
         totals = (
-            told if summed else samples.sum_records([told, self.own_samples])
+            records
+            if includes_own
+            else samples.sum_records([records, self.own_samples])
         )
         for each in running.values():
             each.fleet_counts = {}
@@ -240,11 +244,11 @@
         """
         changed = False
         for roll_out in self._running():
-            roll_out.expect_drain()
+            roll_out.update_drain_time()
             changed = self._advance(roll_out) or changed
             if roll_out.order.state is not model.State.RUNNING:
                 continue
-            found = roll_out.judge(self._clock.now())
+            found = roll_out.evaluate(self._clock.now())
             if found is not None:
                 changed = True
                 self._fail(roll_out, found)
@@ -261,10 +265,10 @@
         if phase is roll_out.phase:
             before = roll_out.canaries
             if slot != roll_out.slot:
-                roll_out.choose_canaries()
+                roll_out.select_canaries()
             return roll_out.canaries != before
         if roll_out.phase is schedule.Phase.CANARY:
-            found = roll_out.judge_final()
+            found = roll_out.evaluate_final()
             if found is not None:
                 self._fail(roll_out, found)
                 return True
@@ -275,9 +279,10 @@
     def results(
         self, in_flight: typing.Callable[[frozenset[str]], int]
     ) -> list[Result]:
-        """States that the holder of the duty has to write.
+        """The states that the lease holder has to write.
 
-        :param in_flight: counts the calls of all VMs at the given runners.
+        :param in_flight: returns the calls in flight of all VMs at the given
+            runners.
         """
         found = []
         for roll_out in self._by_service.values():
@@ -296,7 +301,8 @@
             return None
         if order.state is model.State.FAILED:
             return model.State.ROLLED_BACK
-        # The phase of the last evaluation; the clock may be past it already.
+        # This is the phase of the last evaluation. The clock may have reached
+        # a later phase, which has not been evaluated yet.
         phase = roll_out.phase
         if phase is schedule.Phase.CANARY:
             return model.State.RUNNING
@@ -319,7 +325,7 @@
         return max(0.0, self._clock.wall() - roll_out.order.started_at)
 
     def _start(self, order: model.Order) -> None:
-        roll_out = progress.RollOut(order, self._bounds)
+        roll_out = progress.RollOut(order, self._limits)
         self._rejected_versions.get(order.service, set()).discard(
             order.version
         )
@@ -355,7 +361,7 @@
     ) -> None:
         order = roll_out.order
         roll_out.order = order.with_state(model.State.FAILED)
-        progress_ = roll_out.progress
+        numbers = roll_out.progress
         logs.event(
             "roll_out_failed",
             service=order.service,
@@ -365,20 +371,20 @@
             new=found.new,
             old=found.old,
             judged=found.calls,
-            tried=progress_.new_calls,
-            calls=progress_.calls,
+            tried=numbers.new_calls,
+            calls=numbers.calls,
             elapsed_s=self._elapsed_s(roll_out),
         )
 
     def _log_phase(self, roll_out: progress.RollOut) -> None:
-        progress_ = roll_out.progress
+        numbers = roll_out.progress
         logs.event(
             "roll_out_phase",
             service=roll_out.order.service,
             version=roll_out.order.version,
             phase=roll_out.phase.value,
-            old_runners=progress_.old_runners,
-            new_runners=progress_.new_runners,
-            tried=progress_.new_calls,
-            calls=progress_.calls,
+            old_runners=numbers.old_runners,
+            new_runners=numbers.new_runners,
+            tried=numbers.new_calls,
+            calls=numbers.calls,
         )
--- a/src/apricotlever/roll_outs/model.py
+++ b/src/apricotlever/roll_outs/model.py
@@ -11,7 +11,7 @@
 
     #: A share of the calls goes to the new version.
     RUNNING = 0
-    #: The new version is bad; the result is not in the store yet.
+    #: The new version is bad; the store does not have the result yet.
     FAILED = 1
     #: All calls go to the new version; the old runners have stopped.
     COMPLETED = 2
@@ -22,16 +22,18 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether no result has to be written any more."""
+        """Whether the result needs no further write to the store."""
         return self >= State.COMPLETED
 
 
 class Bounds:
-    """Limits on the exposure to a bad version.
+    """Limits on the exposure of a service to a bad version.
 
-    :param exposure_share: share of its service's calls that it may receive.
-    :param exposure_slack: calls that it may receive in addition.
-    :param rollback_s: time limit for the rollback after its 50th bad answer.
+    :param exposure_share: share of the service's calls that a bad version may
+        receive.
+    :param exposure_slack: number of calls that it may receive in addition.
+    :param rollback_s: time limit for the rollback after the 50th bad answer of
+        that version, in seconds.
     """
 
     __slots__ = ("exposure_share", "exposure_slack", "rollback_s")
@@ -51,8 +53,9 @@
     """An order to move a service to another version.
 
     :param revision: the latest known revision of the order in the store.
-    :param started_at: when the first VM received it, in seconds since 1970.
-    :param duration_s: time limit, counted from the start.
+    :param started_at: time at which the first VM received the order, in
+        seconds since 1970.
+    :param duration_s: time limit in seconds, counted from the start.
     """
 
     __slots__ = (
@@ -81,7 +84,11 @@
         self.state = state
 
     def merge(self, other: "Order") -> "Order":
-        """Merge two orders for the same service."""
+        """Merge with another order for the same service.
+
+        The result of several merges does not depend on their sequence, so
+        that all VMs reach the same order.
+        """
         if other.version != self.version:
             return other if other.revision > self.revision else self
         only_one_is_final = self.state.is_final != other.state.is_final
@@ -113,15 +120,15 @@
         return self.to_record() == other.to_record()
 
     def to_record(self) -> list[typing.Any]:
-        """The field values, in order, for another entry VM."""
+        """Serialize the order for another entry VM."""
         fields = [getattr(self, name) for name in self.__slots__]
         return [*fields[:-1], int(self.state)]
 
     @classmethod
     def from_record(cls, record: typing.Any) -> "Order":
-        """The reverse of :meth:`to_record`.
+        """Deserialize a record of :meth:`to_record`.
 
-        :raises shapes.Misshapen: when it is no such record.
+        :raises shapes.Misshapen: if the record is malformed.
         """
         fields = shapes.checked_record(_FIELDS, record)
         fields[-1] = State(fields[-1])
@@ -143,7 +150,7 @@
 
 
 def is_order(value: typing.Any) -> bool:
-    """Whether a value is a record of an order."""
+    """Whether a value is a valid record of an order."""
     try:
         Order.from_record(value)
     except shapes.Misshapen:
--- a/src/apricotlever/roll_outs/progress.py
+++ b/src/apricotlever/roll_outs/progress.py
@@ -1,4 +1,4 @@
-"""State of one roll-out on a VM: its order, runners and counts."""
+"""The state of one roll-out on a VM: its order, runners and counts."""
 
 import collections
 import math
@@ -10,8 +10,9 @@
 from . import schedule
 from . import verdict
 
-#: Recent time windows that are evaluated besides the totals, in seconds: the
-#: totals alone delay the detection of a fault that starts late.
+#: Recent time windows that are evaluated in addition to the totals, in
+#: seconds. The totals alone would delay the detection of a fault that starts
+#: late.
 WINDOWS_S = (1.5, 4.0)
 #: Minimum time between two snapshots of the counts, in seconds.
 SNAPSHOT_INTERVAL_S = 0.4
@@ -24,8 +25,10 @@
 class RollOut:
     """An order and its progress.
 
-    :param retired: runners of the old version at the time of completion;
-        they have stopped.
+    The attribute ``retired`` holds the old runners at the time of completion,
+    which have stopped.
+
+    :param limits: limits on the exposure to a bad version.
     """
 
     __slots__ = (
@@ -42,9 +45,9 @@
         "_history",
     )
 
-    def __init__(self, order: model.Order, bounds: model.Bounds) -> None:
+    def __init__(self, order: model.Order, limits: model.Bounds) -> None:
         self.order = order
-        self.schedule = schedule.Schedule(order.duration_s, bounds)
+        self.schedule = schedule.Schedule(order.duration_s, limits)
         self.old_runners: frozenset[str] = frozenset()
         self.new_runners: frozenset[str] = frozenset()
         self.canaries: frozenset[str] = frozenset()
@@ -60,7 +63,7 @@
 
     @property
     def progress(self) -> schedule.Progress:
-        """The fleet-wide number of calls and runners."""
+        """The fleet-wide numbers of calls and runners."""
         by_route: dict[str, int] = {}
         for key, sample in self.fleet_counts.items():
             by_route[key.route] = by_route.get(key.route, 0) + sample.calls
@@ -71,8 +74,8 @@
             len(self.new_runners),
         )
 
-    def choose_canaries(self) -> None:
-        """Select the new runners that take calls in the current slot."""
+    def select_canaries(self) -> None:
+        """Select the new runners that take calls in the current time slot."""
         count = self.schedule.canaries(
             len(self.old_runners), len(self.new_runners)
         )
@@ -81,8 +84,8 @@
             ranked = [ranked[self.slot % len(ranked)]]
         self.canaries = frozenset(ranked[:count])
 
-    def expect_drain(self) -> None:
-        """Derive the drain time of old runners from call durations."""
+    def update_drain_time(self) -> None:
+        """Estimate the drain time of the old runners from call durations."""
         longest = max(
             (
                 sample.last_byte.mean
@@ -92,37 +95,41 @@
             default=None,
         )
         if longest is not None:
-            self.schedule.expect_drain(DRAIN_FACTOR * math.exp(longest))
+            self.schedule.set_drain_time(DRAIN_FACTOR * math.exp(longest))
 
-    def judge(self, now: float) -> verdict.Finding | None:
+    def evaluate(self, now: float) -> verdict.Finding | None:
         """Evaluate the new version by the totals and the recent windows.
 
-        :param now: in seconds, of a monotonic clock.
+        :param now: time of a monotonic clock, in seconds.
+        :returns: the first finding; None if there is none.
         """
-        parts = [self.fleet_counts, *(self._recent(now, s) for s in WINDOWS_S)]
-        self._snapshot(now)
-        return next(filter(None, map(_judge_counts, parts)), None)
-
-    def judge_final(self) -> verdict.Finding | None:
+        all_counts = [
+            self.fleet_counts,
+            *(self._recent_counts(now, s) for s in WINDOWS_S),
+        ]
+        self._take_snapshot(now)
+        return next(filter(None, map(_evaluate_counts, all_counts)), None)
+
+    def evaluate_final(self) -> verdict.Finding | None:
         """Evaluate the new version for the last time before the takeover."""
-        return _judge_counts(self.fleet_counts, verdict.FINAL_CHECK)
+        return _evaluate_counts(self.fleet_counts, verdict.FINAL_CHECK)
 
-    def _recent(self, now: float, window_s: float) -> Counts:
+    def _recent_counts(self, now: float, window_s: float) -> Counts:
         """The counts of a recent time window."""
         before: Counts = {}
-        for at, counts in self._history:
-            if now - at < window_s:
+        for taken_at, counts in self._history:
+            if now - taken_at < window_s:
                 break
             before = counts
         if not before:
             return {}
-        none = samples.Sample()
+        empty = samples.Sample()
         return {
-            key: sample.since(before.get(key, none))
+            key: sample.since(before.get(key, empty))
             for key, sample in self.fleet_counts.items()
         }
 
-    def _snapshot(self, now: float) -> None:
+    def _take_snapshot(self, now: float) -> None:
         history = self._history
         if not history or now - history[-1][0] >= SNAPSHOT_INTERVAL_S:
             history.append((now, self.fleet_counts))
@@ -130,7 +137,7 @@
             history.popleft()
 
 
-def _judge_counts(
+def _evaluate_counts(
     counts: Counts, thresholds: verdict.Thresholds = verdict.REPEATED_CHECK
 ) -> verdict.Finding | None:
     old = {key.route: s for key, s in counts.items() if not key.runner}
--- a/src/apricotlever/roll_outs/samples.py
+++ b/src/apricotlever/roll_outs/samples.py
@@ -1,7 +1,7 @@
 """Counts of calls at the old and the new version, by runner and route.
 
-All figures are monotonic sums, so those of many VMs can be added in any order
-and grouping.
+All values are monotonic sums, so the values of many VMs can be added in any
+order and grouping.
 """
 
 import math
@@ -12,14 +12,15 @@
 #: Runner name that stands for all runners of the old version.
 OLD_VERSION = ""
 #: Lower bound of recorded times, in seconds; keeps the logarithm finite.
-LEAST_TIME_S = 0.001
+MIN_TIME_S = 0.001
 
 
 class Key(typing.NamedTuple):
     """Identifies a sample.
 
     :param version: target version of the roll-out.
-    :param runner: of that version; :data:`OLD_VERSION` for all of the old one.
+    :param runner: runner of that version; :data:`OLD_VERSION` for all runners
+        of the old version.
     """
 
     service: str
@@ -34,9 +35,9 @@
 
     @classmethod
     def from_text(cls, text: str) -> "Key":
-        """The reverse of :attr:`text`.
+        """Parse a key from :attr:`text`.
 
-        :raises ValueError: when it is no such text.
+        :raises ValueError: if the text is malformed.
         """
         service, version, runner, route = text.split("\n")
         return cls(service, version, runner, route)
@@ -55,8 +56,8 @@
         self.squares = squares
 
     def add(self, took_s: float) -> None:
-        """Add a time."""
-        logarithm = math.log(max(LEAST_TIME_S, took_s))
+        """Add a time in seconds."""
+        logarithm = math.log(max(MIN_TIME_S, took_s))
         self.count += 1
         self.total += logarithm
         self.squares += logarithm * logarithm
@@ -70,7 +71,7 @@
         )
 
     def since(self, before: "TimeSums") -> "TimeSums":
-        """The difference to earlier sums; empty if the count has decreased."""
+        """The difference from earlier sums; empty if the count decreased."""
         if before.count > self.count:
             return TimeSums()
         return TimeSums(
@@ -81,7 +82,7 @@
 
     @property
     def mean(self) -> float:
-        """Mean of the logarithms; 0 without any."""
+        """Mean of the logarithms; 0 if there are none."""
         return self.total / self.count if self.count else 0.0
 
     @property
@@ -130,9 +131,10 @@
         )
 
     def since(self, before: "Sample") -> "Sample":
-        """The difference to an earlier sample of the same key.
+        """The difference from an earlier sample of the same key.
 
-        Empty if the counts have decreased, as those of a VM were lost.
+        The result is empty if the counts have decreased, because the counts
+        of a VM were lost.
         """
         if before.calls > self.calls or before.ended > self.ended:
             return Sample()
@@ -145,15 +147,15 @@
         )
 
     def to_record(self) -> list[float]:
-        """The field values, in order, for another entry VM."""
+        """Serialize the sample for another entry VM."""
         return [
             self.calls,
             self.ended,
             self.failed,
             *(
-                figure
+                value
                 for times in (self.first_byte, self.last_byte)
-                for figure in (
+                for value in (
                     times.count,
                     round(times.total, 3),
                     round(times.squares, 3),
@@ -163,7 +165,7 @@
 
     @classmethod
     def from_record(cls, record: typing.Sequence[typing.Any]) -> "Sample":
-        """The reverse of :meth:`to_record`; expects a validated record."""
+        """Deserialize a validated record of :meth:`to_record`."""
         calls, ended, failed, *times = record
         return cls(
             calls, ended, failed, TimeSums(*times[:3]), TimeSums(*times[3:])
@@ -201,7 +203,7 @@
 
 def sum_samples(samples: typing.Iterable[Sample]) -> Sample:
     """Add up samples."""
-    found = Sample()
+    total = Sample()
     for sample in samples:
-        found = found.plus(sample)
-    return found
+        total = total.plus(sample)
+    return total
--- a/src/apricotlever/roll_outs/schedule.py
+++ b/src/apricotlever/roll_outs/schedule.py
@@ -1,11 +1,11 @@
 """Computes the traffic share of a new version and the time of its takeover.
 
-At first only a few new runners, the canaries, take calls. Each gets as many as
-an old runner, since some faults occur only under load; if that would exceed
-the exposure limit, canaries take calls for only part of each second. The
-takeover is as late as the time limit allows, so that a fault detected before
-it stays within the limit. After it the old runners stop, and no rollback is
-possible.
+At first only a few new runners, the canaries, take calls. Each canary gets as
+many calls as an old runner, since some faults occur only under load. If that
+would exceed the exposure limit, canaries take calls for only part of each
+second. The takeover is as late as the time limit allows, so that a fault
+detected before the takeover stays within the exposure limit. After the
+takeover the old runners stop, and no rollback is possible.
 """
 
 import enum
@@ -13,40 +13,40 @@
 
 from . import model
 
-#: Part of the exposure share that the canary phase may use. The rest is
+#: Fraction of the exposure share that the canary phase may use. The rest is
 #: headroom for calls sent before a fault is detected.
-CANARY_BUDGET_PART = 0.8
-#: Part of the exposure slack that the canary phase may use.
-CANARY_SLACK_PART = 0.5
-#: Upper limit of the share of a route before the takeover.
-MOST_SHARE = 0.75
-#: Part of the canary calls that is spread evenly over the routes; the rest
-#: follows their traffic. Keeps detection on rare routes fast enough.
-EQUAL_ROUTES_PART = 0.5
-#: Canaries per old runner, as a multiple of the exposure share; compensates
-#: for the start-up time of the new runners.
+CANARY_BUDGET_FRACTION = 0.8
+#: Fraction of the exposure slack that the canary phase may use.
+CANARY_SLACK_FRACTION = 0.5
+#: Upper limit of a route's share for the new version before the takeover.
+MAX_SHARE = 0.75
+#: Fraction of the canary calls that is spread evenly over the routes; the rest
+#: follows their traffic. Even calls detect faults on rare routes fast enough.
+EQUAL_ROUTES_FRACTION = 0.5
+#: Canaries per old runner, as a multiple of the exposure share. The excess
+#: compensates for the start-up time of the new runners.
 CANARY_FACTOR = 1.5
-#: With fewer old runners there is only one canary at a time.
-ONE_CANARY_BELOW = 6
+#: Minimum number of old runners for two or more canaries at a time.
+MIN_OLD_RUNNERS_FOR_TWO = 6
 #: Length of a slot, in seconds. Canaries take calls for part of each slot; a
 #: single canary is replaced by the next runner after it.
 SLOT_S = 1.0
 #: Minimum number of new runners per old runner for the takeover.
-LEAST_RUNNER_RATIO = 0.7
-#: Time between the result and the time limit: a part of the duration, but at
-#: least the given number of seconds.
-REPORT_PART = 0.05
-LEAST_REPORT_S = 0.6
-#: Upper limit of the drain time before the result: the greater of a part of
-#: the duration and the given number of seconds.
-MOST_DRAIN_PART = 0.08
-MOST_DRAIN_S = 1.0
+MIN_RUNNER_RATIO = 0.7
+#: Time between the result and the time limit: a fraction of the duration, but
+#: at least the given number of seconds.
+REPORT_FRACTION = 0.05
+MIN_REPORT_S = 0.6
+#: Upper limit of the drain time before the result: the greater of a fraction
+#: of the duration and the given number of seconds.
+MAX_DRAIN_FRACTION = 0.08
+MAX_DRAIN_S = 1.0
 #: Lower limit of the drain time, in seconds.
-LEAST_DRAIN_S = 0.3
+MIN_DRAIN_S = 0.3
 #: Minimum number of calls at the new version for the takeover.
-LEAST_CALLS = 20
+MIN_CALLS = 20
 #: Minimum time over which the call rate is computed, in seconds.
-LEAST_RATE_WINDOW_S = 1.0
+MIN_RATE_WINDOW_S = 1.0
 
 
 class Phase(enum.Enum):
@@ -91,8 +91,8 @@
     def may_take_over(self) -> bool:
         """Whether the new version has enough calls and runners."""
         return (
-            self.new_calls >= LEAST_CALLS
-            and self.new_runners >= LEAST_RUNNER_RATIO * self.old_runners
+            self.new_calls >= MIN_CALLS
+            and self.new_runners >= MIN_RUNNER_RATIO * self.old_runners
         )
 
 
@@ -102,33 +102,36 @@
     :param duration_s: time limit, counted from the start.
     """
 
-    __slots__ = ("_bounds", "_duration_s", "_drain_s")
+    __slots__ = ("_limits", "_duration_s", "_drain_s")
 
-    def __init__(self, duration_s: float, bounds: model.Bounds) -> None:
+    def __init__(self, duration_s: float, limits: model.Bounds) -> None:
         self._duration_s = duration_s
-        self._bounds = bounds
-        self._drain_s = self._most_drain_s
+        self._limits = limits
+        self._drain_s = self._max_drain_s
 
     @property
     def due_s(self) -> float:
-        """When the result is due, in seconds from the start."""
-        before = max(LEAST_REPORT_S, REPORT_PART * self._duration_s)
-        return max(0.0, self._duration_s - before)
+        """Time at which the result is due, in seconds from the start."""
+        report_s = max(MIN_REPORT_S, REPORT_FRACTION * self._duration_s)
+        return max(0.0, self._duration_s - report_s)
 
     @property
     def take_over_s(self) -> float:
-        """When all calls move to the new version, from the start."""
+        """Time of the takeover, in seconds from the start."""
         return max(0.0, self.due_s - self._drain_s)
 
-    def expect_drain(self, drain_s: float) -> None:
-        """Set the expected drain time of the old runners, within limits."""
-        most = self._most_drain_s
-        self._drain_s = min(most, max(LEAST_DRAIN_S, drain_s))
+    def set_drain_time(self, drain_s: float) -> None:
+        """Set the expected drain time of the old runners in seconds.
+
+        The value is clamped to the limits of the drain time.
+        """
+        limit = self._max_drain_s
+        self._drain_s = min(limit, max(MIN_DRAIN_S, drain_s))
 
     def phase(self, elapsed_s: float) -> Phase:
         """The phase at a time.
 
-        :param elapsed_s: seconds from the start of the roll-out.
+        :param elapsed_s: time since the start of the roll-out, in seconds.
         """
         if elapsed_s >= self.due_s:
             return Phase.DUE
@@ -139,54 +142,63 @@
     def share(
         self, elapsed_s: float, progress: Progress, route: str = ""
     ) -> float:
-        """The share of a route's calls that goes to the new version.
+        """The share of a route's calls that goes to the new version now.
 
+        :param elapsed_s: time since the start of the roll-out, in seconds.
+        :param progress: present numbers of calls and runners.
         :param route: "" for all routes together.
         """
         if not progress.new_runners:
             return 0.0
         if self.phase(elapsed_s) is not Phase.CANARY:
             return 1.0 if progress.may_take_over else 0.0
-        budgeted = self._budgeted_share(elapsed_s, progress)
+        budget_share = self._budgeted_share(elapsed_s, progress)
         count = self.canaries(progress.old_runners, progress.new_runners)
-        loaded = count / max(1, progress.old_runners)
-        on_part = min(1.0, budgeted / loaded)
-        if elapsed_s % SLOT_S >= on_part * SLOT_S:
+        regular_share = count / max(1, progress.old_runners)
+        active_fraction = min(1.0, budget_share / regular_share)
+        if elapsed_s % SLOT_S >= active_fraction * SLOT_S:
             return 0.0
-        share = max(budgeted, loaded) * _route_weight(progress, route)
-        return min(MOST_SHARE, share)
+        share = max(budget_share, regular_share) * _route_weight(
+            progress, route
+        )
+        return min(MAX_SHARE, share)
 
     def canaries(self, old_runners: int, new_runners: int) -> int:
-        """The number of canaries."""
-        part = CANARY_FACTOR * self._bounds.exposure_share
-        least = 1 if old_runners < ONE_CANARY_BELOW else 2
-        return min(new_runners, max(least, round(part * old_runners)))
+        """The number of new runners that take calls at a time."""
+        canary_ratio = CANARY_FACTOR * self._limits.exposure_share
+        minimum = 1 if old_runners < MIN_OLD_RUNNERS_FOR_TWO else 2
+        return min(
+            new_runners, max(minimum, round(canary_ratio * old_runners))
+        )
 
     def slot(self, elapsed_s: float) -> int:
         """The number of the current slot."""
         return int(elapsed_s // SLOT_S)
 
     @property
-    def _most_drain_s(self) -> float:
-        return max(MOST_DRAIN_S, MOST_DRAIN_PART * self._duration_s)
+    def _max_drain_s(self) -> float:
+        return max(MAX_DRAIN_S, MAX_DRAIN_FRACTION * self._duration_s)
 
     def _budgeted_share(self, elapsed_s: float, progress: Progress) -> float:
-        """The remaining canary calls as a share of the expected calls."""
+        """The remaining canary budget as a share of the expected calls."""
         calls, new_calls = progress.calls, progress.new_calls
         if not calls:
             return 0.0
-        bounds = self._bounds
-        per_s = calls / max(elapsed_s, LEAST_RATE_WINDOW_S)
-        to_come = per_s * (self.take_over_s - elapsed_s)
+        limits = self._limits
+        calls_per_s = calls / max(elapsed_s, MIN_RATE_WINDOW_S)
+        expected_calls = calls_per_s * (self.take_over_s - elapsed_s)
         planned = (
-            CANARY_BUDGET_PART * bounds.exposure_share * (calls + to_come)
+            CANARY_BUDGET_FRACTION
+            * limits.exposure_share
+            * (calls + expected_calls)
         )
-        planned += CANARY_SLACK_PART * bounds.exposure_slack
-        # Limits the budget by actual calls, as the forecast may be too high.
-        most = bounds.exposure_share * calls + bounds.exposure_slack
-        if new_calls >= min(planned, most):
+        planned += CANARY_SLACK_FRACTION * limits.exposure_slack
+        # Limits the budget by the calls so far, since the expected calls may
+        # be too many.
+        limit = limits.exposure_share * calls + limits.exposure_slack
+        if new_calls >= min(planned, limit):
             return 0.0
-        return (planned - new_calls) / max(1.0, to_come)
+        return (planned - new_calls) / max(1.0, expected_calls)
 
 
 def _route_weight(progress: Progress, route: str) -> float:
@@ -195,4 +207,4 @@
     if not calls:
         return 1.0
     equal = progress.calls / (calls * len(progress.by_route))
-    return EQUAL_ROUTES_PART * equal + 1.0 - EQUAL_ROUTES_PART
+    return EQUAL_ROUTES_FRACTION * equal + 1.0 - EQUAL_ROUTES_FRACTION
--- a/src/apricotlever/roll_outs/verdict.py
+++ b/src/apricotlever/roll_outs/verdict.py
@@ -1,8 +1,8 @@
 """Decides whether a new version is worse than the old one.
 
-Both are compared over the same period, since a burst, an outage or a slow
-store affects both. A fault of a single runner is ignored, as it is not
-evidence against its version.
+Both versions are compared over the same period, since a burst, an outage or a
+slow store affects both. A fault of a single runner is ignored, as it is not
+evidence against the runner's version.
 """
 
 import math
@@ -10,26 +10,27 @@
 
 from . import samples
 
-#: Tolerated difference of failure rates.
+#: Tolerated excess of the new version's failure rate.
 FAILURE_MARGIN = 0.03
-#: Tolerated ratio of response times.
+#: Tolerated ratio of the new version's response times to the old one's.
 SLOW_FACTOR = 1.6
-#: Minimum number of times of each version for a comparison.
-LEAST_TIMES = 8
+#: Minimum number of response times of each version for a comparison.
+MIN_TIMES = 8
 #: Lower bound of the variance of the logarithms of times: a small sample may
 #: underestimate it.
-LEAST_VARIANCE = 0.04
-#: Part of the thresholds that the other runners must reach without the worst
-#: one, so that a single faulty runner does not fail its version.
-LEAVE_ONE_OUT_PART = 0.3
+MIN_VARIANCE = 0.04
+#: Fraction of the thresholds that the runners without the worst one must
+#: reach, so that a single faulty runner does not fail its version.
+LEAVE_ONE_OUT_FRACTION = 0.3
 
 
 class Thresholds:
     """Evidence required to consider a version bad.
 
-    :param failures: log-likelihood ratio of different failure rates against a
-        common one.
-    :param times: excess of response times, in standard errors.
+    :param failures: log-likelihood ratio of different failure rates to a
+        common failure rate.
+    :param times: excess of the mean logarithm of response times, in standard
+        errors.
     """
 
     __slots__ = ("failures", "times")
@@ -39,9 +40,10 @@
         self.times = times
 
 
-#: For repeated checks; higher, as each check may raise a false alarm.
+#: Thresholds of repeated checks; higher, as each check may raise a false
+#: alarm.
 REPEATED_CHECK = Thresholds(8.0, 4.5)
-#: For the single check before the takeover.
+#: Thresholds of the single check before the takeover.
 FINAL_CHECK = Thresholds(4.5, 3.2)
 
 
@@ -90,8 +92,10 @@
         samples.sum_samples(by_route[route][number] for route in routes)
         for number in range(len(runners))
     ]
-    found = _compare("", _mix_adjusted(by_route, old), all_routes, thresholds)
-    return found or next(
+    finding = _compare(
+        "", _adjust_route_mix(by_route, old), all_routes, thresholds
+    )
+    return finding or next(
         filter(
             None,
             (
@@ -108,11 +112,11 @@
     )
 
 
-def _mix_adjusted(
+def _adjust_route_mix(
     by_route: typing.Mapping[str, list[samples.Sample]],
     old: typing.Mapping[str, samples.Sample],
 ) -> samples.Sample:
-    """The old version's failures, reweighted to the new one's route mix.
+    """The old version's failures, weighted by the new version's route mix.
 
     Routes have different failure rates and canary shares; without the
     adjustment the route mix alone could make the new version look worse.
@@ -121,14 +125,16 @@
         route: samples.sum_samples(parts).ended
         for route, parts in by_route.items()
     }
-    expected = sum(
+    expected_failures = sum(
         count * old[route].failed / old[route].ended
         for route, count in ended.items()
         if route in old and old[route].ended
     )
-    found = samples.sum_samples(old.values())
-    mean = expected / max(1, sum(ended.values()))
-    return samples.Sample(found.calls, found.ended, round(mean * found.ended))
+    totals = samples.sum_samples(old.values())
+    mean_rate = expected_failures / max(1, sum(ended.values()))
+    return samples.Sample(
+        totals.calls, totals.ended, round(mean_rate * totals.ended)
+    )
 
 
 def _compare(
@@ -137,17 +143,21 @@
     by_runner: list[samples.Sample],
     thresholds: Thresholds,
 ) -> Finding | None:
-    whole = samples.sum_samples(by_runner)
-    reduced = Thresholds(
-        LEAVE_ONE_OUT_PART * thresholds.failures,
-        LEAVE_ONE_OUT_PART * thresholds.times,
+    total = samples.sum_samples(by_runner)
+    reduced_thresholds = Thresholds(
+        LEAVE_ONE_OUT_FRACTION * thresholds.failures,
+        LEAVE_ONE_OUT_FRACTION * thresholds.times,
     )
-    parts = [(whole, thresholds)]
-    parts += [(part, reduced) for part in _leave_one_out(by_runner)]
-    if all(_fails_more(old, part, least.failures) for part, least in parts):
-        new_rate = whole.failed / whole.ended
+    parts = [(total, thresholds)]
+    parts += [
+        (sample, reduced_thresholds) for sample in _leave_one_out(by_runner)
+    ]
+    if all(
+        _fails_more(old, sample, limit.failures) for sample, limit in parts
+    ):
+        new_rate = total.failed / total.ended
         old_rate = old.failed / old.ended if old.ended else 0.0
-        return Finding("failures", route, new_rate, old_rate, whole.ended)
+        return Finding("failures", route, new_rate, old_rate, total.ended)
     if not route:
         # Response times of different routes are not comparable.
         return None
@@ -155,12 +165,12 @@
         "first_answers",
         route,
         old.first_byte,
-        [(part.first_byte, least) for part, least in parts],
+        [(sample.first_byte, limit) for sample, limit in parts],
     ) or _slow_finding(
         "whole_answers",
         route,
         old.last_byte,
-        [(part.last_byte, least) for part, least in parts],
+        [(sample.last_byte, limit) for sample, limit in parts],
     )
 
 
@@ -170,17 +180,19 @@
     old: samples.TimeSums,
     parts: list[tuple[samples.TimeSums, Thresholds]],
 ) -> Finding | None:
-    if not all(_is_slower(old, part, least.times) for part, least in parts):
+    if not all(
+        _is_slower(old, sample, limit.times) for sample, limit in parts
+    ):
         return None
-    whole = parts[0][0]
-    factor = math.exp(whole.mean - old.mean)
-    return Finding(reason, route, factor, 1.0, whole.count)
+    total = parts[0][0]
+    factor = math.exp(total.mean - old.mean)
+    return Finding(reason, route, factor, 1.0, total.count)
 
 
 def _leave_one_out(by_runner: list[samples.Sample]) -> list[samples.Sample]:
-    """Sums that leave out the runner with the most failures or time."""
-    used = [sample for sample in by_runner if sample.ended]
-    if len(used) < 2:
+    """Sums over all runners but the one with the most failures or time."""
+    active = [sample for sample in by_runner if sample.ended]
+    if len(active) < 2:
         return []
     measures: tuple[typing.Callable[[samples.Sample], float], ...] = (
         lambda sample: sample.failed,
@@ -189,14 +201,16 @@
     )
     return [
         samples.sum_samples(
-            sample for sample in used if sample is not max(used, key=measure)
+            sample
+            for sample in active
+            if sample is not max(active, key=measure)
         )
         for measure in measures
     ]
 
 
 def _fails_more(
-    old: samples.Sample, new: samples.Sample, least: float
+    old: samples.Sample, new: samples.Sample, min_evidence: float
 ) -> bool:
     if not new.failed:
         return False
@@ -208,24 +222,24 @@
     common = (new.failed + old_failed) / (new.ended + old_ended)
     evidence = new.ended * _divergence(new_rate, common)
     evidence += old_ended * _divergence(old_rate, common)
-    return evidence >= least
+    return evidence >= min_evidence
 
 
 def _divergence(rate: float, other: float) -> float:
     """Kullback-Leibler divergence of two failure rates."""
     return sum(
-        one * math.log(one / two)
-        for one, two in ((rate, other), (1.0 - rate, 1.0 - other))
-        if one > 0.0
+        p * math.log(p / q)
+        for p, q in ((rate, other), (1.0 - rate, 1.0 - other))
+        if p > 0.0
     )
 
 
 def _is_slower(
-    old: samples.TimeSums, new: samples.TimeSums, errors: float
+    old: samples.TimeSums, new: samples.TimeSums, min_errors: float
 ) -> bool:
-    if min(old.count, new.count) < LEAST_TIMES:
+    if min(old.count, new.count) < MIN_TIMES:
         return False
-    variance = max(LEAST_VARIANCE, new.variance) / new.count
-    variance += max(LEAST_VARIANCE, old.variance) / old.count
-    excess = new.mean - old.mean - math.log(SLOW_FACTOR)
-    return excess >= errors * math.sqrt(variance)
+    variance = max(MIN_VARIANCE, new.variance) / new.count
+    variance += max(MIN_VARIANCE, old.variance) / old.count
+    log_excess = new.mean - old.mean - math.log(SLOW_FACTOR)
+    return log_excess >= min_errors * math.sqrt(variance)
--- a/tests/data_centres/__init__.py
+++ b/tests/data_centres/__init__.py
@@ -1,1 +1,1 @@
-"""Helpers of the tests of data centres."""
+"""Helpers for the tests of data centres."""
--- a/tests/data_centres/naive.py
+++ b/tests/data_centres/naive.py
@@ -1,4 +1,4 @@
-"""Slow answers to check the quick ones with."""
+"""Slow reference implementations for the tests of data centres."""
 
 import itertools
 import math
@@ -10,7 +10,7 @@
 def cheapest(
     offers: list[placement.Offer], needed: int, surviving: int, most: int
 ) -> float | None:
-    """The cost of the best plan, by trying every plan."""
+    """The cost of the best plan, by exhaustive search; None without any."""
     ranges = [
         range((most if offer.most is None else offer.most) + 1)
         for offer in offers
@@ -29,12 +29,12 @@
 
 
 def cost_of(offers: list[placement.Offer], plan: placement.Plan) -> float:
-    """What a plan costs."""
+    """The cost of a plan."""
     return sum(offer.cost * plan.get(offer.place, 0) for offer in offers)
 
 
 def late_share(demand: model.Demand, slots: int) -> float:
-    """The Erlang C formula as it stands in books."""
+    """The share of late requests by the textbook Erlang C formula."""
     load = demand.requests_per_s * demand.service_s
     if slots <= load:
         return 1.0
--- a/tests/data_centres/sizing.feature
+++ b/tests/data_centres/sizing.feature
@@ -1,7 +1,7 @@
-Feature: How many slots the latency target needs
+Feature: Number of slots that the latency target requires
 
-  Scenario: The number is the least that meets the share of late starts
-    Then the slots agree with the formula tried one number at a time
+  Scenario: The number is the minimum that meets the share of late starts
+    Then the number of slots equals the result of a linear search
 
-  Scenario: The rule for large loads is near the exact number
+  Scenario: The rule for large loads is close to the exact number
     Then at a load of 1990 slots both rules agree within 2 percent
--- a/tests/roll_outs/__init__.py
+++ b/tests/roll_outs/__init__.py
@@ -1,1 +1,1 @@
-"""Helpers of the tests of roll-outs."""
+"""Helpers for the tests of roll-outs."""
--- a/tests/steps/data_centres_placement.py
+++ b/tests/steps/data_centres_placement.py
@@ -9,13 +9,15 @@
 from apricotlever.data_centres import placement
 from tests.data_centres import naive
 
-CENTRES = ("sala-a", "sala-b", "sala-c")
+DATA_CENTRES = ("sala-a", "sala-b", "sala-c")
 MOST = 6
 
 
 def _place(number):
-    market = list(model.Market)[number // len(CENTRES)]
-    return model.Place(CENTRES[number % len(CENTRES)], "large", market)
+    market = list(model.Market)[number // len(DATA_CENTRES)]
+    return model.Place(
+        DATA_CENTRES[number % len(DATA_CENTRES)], "large", market
+    )
 
 
 def _offer(number, cost, most):
@@ -36,7 +38,7 @@
 
 
 @then("the placement costs as little as the best of all plans")
-def _best(context):
+def _costs_least(context):
     @hypothesis.settings(
         derandomize=True, deadline=None, database=None, max_examples=250
     )
@@ -58,8 +60,8 @@
     check()
 
 
-@then("the cheapest place alone leaves nothing where the placement does")
-def _alone(context):
+@then("only the placement leaves runners after the loss of the cheapest place")
+def _cheapest_place_alone(context):
     offers = [_offer(number, number + 1.0, None) for number in range(3)]
     assert placement.survivors({offers[0].place: 6}) == 0
     plan = placement.choose(offers, 6, 4, 20)
@@ -67,18 +69,18 @@
 
 
 @given('offers of {a:d} in "{in_a}" and {b:d} in "{in_b}"')
-def _offers(context, a, in_a, b, in_b):
+def _offers_in_two_data_centres(context, a, in_a, b, in_b):
     market = model.Market.RECLAIMABLE
     context.offers = [
-        placement.Offer(model.Place(centre, "large", market), 1.0, most)
-        for centre, most in ((in_a, a), (in_b, b))
+        placement.Offer(model.Place(data_centre, "large", market), 1.0, most)
+        for data_centre, most in ((in_a, a), (in_b, b))
     ]
 
 
 @then(
     "a placement of {needed:d} with {surviving:d} surviving holds {a} and {b}"
 )
-def _holds(context, needed, surviving, a, b):
+def _placement_holds(context, needed, surviving, a, b):
     plan = placement.choose(context.offers, needed, surviving, 20)
     counts = [plan.get(offer.place, 0) for offer in context.offers]
     assert counts == [int(a), int(b)], counts
--- a/tests/steps/data_centres_sizing.py
+++ b/tests/steps/data_centres_sizing.py
@@ -11,8 +11,8 @@
 from tests.data_centres import naive
 
 
-@then("the slots agree with the formula tried one number at a time")
-def _least(context):
+@then("the number of slots equals the result of a linear search")
+def _equals_linear_search(context):
     @hypothesis.settings(derandomize=True, deadline=None, database=None)
     @hypothesis.given(
         strategies.floats(0.1, 10),
@@ -33,7 +33,10 @@
 @then(
     "at a load of {load:d} slots both rules agree within {percent:d} percent"
 )
-def _near(context, load, percent):
+def _rules_agree(context, load, percent):
     exact = sizing.slots_needed(model.Demand(load, 1.0, 0.0))
-    rough = load + 2 * math.sqrt(load)
-    assert abs(exact - rough) <= exact * percent / 100, (exact, rough)
+    approximate = load + 2 * math.sqrt(load)
+    assert abs(exact - approximate) <= exact * percent / 100, (
+        exact,
+        approximate,
+    )
--- a/tests/steps/roll_outs_controller.py
+++ b/tests/steps/roll_outs_controller.py
@@ -19,7 +19,7 @@
 NEW = "v2"
 ROUTE = "route"
 TICK_S = 0.1
-CALLS_A_TICK = 20
+CALLS_PER_TICK = 20
 
 
 class Runner:
@@ -45,29 +45,32 @@
             SERVICE, NEW, 5, self.clock.wall(), duration_s
         )
         self.controller.heard(self.order)
-        self.old = [Runner(f"a{n}", "v1") for n in range(old)]
-        self.new = []
-        self.left = 0
-        self.controller.set_runners(self.old)
+        self.old_runners = [Runner(f"a{n}", "v1") for n in range(old)]
+        self.new_runners = []
+        self.in_flight = 0
+        self.controller.set_runners(self.old_runners)
 
     @property
     def elapsed_s(self):
         """Seconds since the order."""
         return self.clock.now() - self.order.started_at
 
-    def come(self, count, version=NEW):
-        """List new runners."""
-        self.new = [Runner(f"b{n}", version) for n in range(count)]
-        self.controller.set_runners([*self.old, *self.new])
+    def add_runners(self, count, version=NEW):
+        """Add new runners to the list."""
+        self.new_runners = [Runner(f"b{n}", version) for n in range(count)]
+        self.controller.set_runners([*self.old_runners, *self.new_runners])
 
-    def call(self, repeated=False):
-        """Send a call; returns its runner."""
+    def call(self, is_retry=False):
+        """Send a call.
+
+        :returns: the runner that it is sent to.
+        """
         arm = model.Arm.SERVING
-        if self.controller.draw(SERVICE, ROUTE, repeated):
+        if self.controller.draw(SERVICE, ROUTE, is_retry):
             arm = model.Arm.CANARY
         runners = [
             runner
-            for runner in [*self.old, *self.new]
+            for runner in [*self.old_runners, *self.new_runners]
             if self.controller.arm(runner) is arm
         ]
         runner = self.rng.choice(runners)
@@ -85,16 +88,19 @@
         self.controller.tick()
 
     def run(self, until_s):
-        """Send calls until a time; returns their runners."""
+        """Send calls until a time in seconds.
+
+        :returns: the runners that they are sent to.
+        """
         called = []
         while self.elapsed_s < until_s - TICK_S / 2:
             self.tick()
-            called += [self.call() for _ in range(CALLS_A_TICK)]
+            called += [self.call() for _ in range(CALLS_PER_TICK)]
         return called
 
     def result(self):
-        """The state that is due."""
-        results = self.controller.results(lambda names: self.left)
+        """The state that is due; None if there is none."""
+        results = self.controller.results(lambda names: self.in_flight)
         return results[0].state if results else None
 
 
@@ -102,137 +108,141 @@
     "a roll-out of {duration:d} seconds for a service of {old:d} old runners"
 )
 def step_order(context, duration, old):
-    """Start with a new order."""
+    """Create a VM that has received a new order."""
     context.vm = Vm(float(duration), old)
 
 
-@step("{count:d} new runners come after {after:d} seconds")
-def step_come(context, count, after):
-    """Advance the clock, and list new runners."""
+@step("{count:d} new runners appear after {after:d} seconds")
+def step_new_runners(context, count, after):
+    """Advance the clock, and add new runners to the list."""
     context.vm.run(after)
-    context.vm.come(count)
+    context.vm.add_runners(count)
 
 
 @then(
-    "between {since:d} and {until:d} seconds {least:d} to {most:d} in 100"
+    "from {since:d} to {until:d} seconds {least:d} to {most:d} percent of the"
     " calls go to {count:d} new runners"
 )
-def step_part(context, since, until, least, most, count):
+def step_share(context, since, until, least, most, count):
     """Send calls until the given time."""
     called = context.vm.run(until)
     new = [runner for runner in called if runner.version == NEW]
-    part = 100.0 * len(new) / len(called)
-    assert least <= part <= most, part
+    percent = 100.0 * len(new) / len(called)
+    assert least <= percent <= most, percent
     assert len({runner.runner_id for runner in new}) <= count
 
 
-@then("in the end all calls go to {count:d} new runners")
-def step_all(context, count):
+@then("after the takeover all calls go to {count:d} new runners")
+def step_taken_over(context, count):
     """Send calls until after the takeover."""
     vm = context.vm
     vm.run(18.8)
     called = vm.run(19.0)
     assert all(runner.version == NEW for runner in called)
-    canaries = [r for r in vm.new if vm.controller.arm(r) is model.Arm.CANARY]
+    canaries = [
+        r for r in vm.new_runners if vm.controller.arm(r) is model.Arm.CANARY
+    ]
     assert len(canaries) == count
 
 
-@when("another VM tells of {calls:d} calls to them, half of which failed")
-def step_failures(context, calls):
+@when("another VM reports {calls:d} calls to them, half of which failed")
+def step_reported_failures(context, calls):
     """Receive the counts of another VM."""
     vm = context.vm
     vm.run(3)
-    told = {
+    records = {
         samples.Key(SERVICE, NEW, runner.runner_id, ROUTE).text: (
             samples.Sample(calls // 10, calls // 10, calls // 20).to_record()
         )
-        for runner in vm.new
+        for runner in vm.new_runners
     }
-    vm.controller.observe(told, False)
+    vm.controller.observe(records, False)
     assert vm.controller.tick()
 
 
-@when("another VM tells that the version is {state}")
-def step_told_state(context, state):
+@when("another VM reports that the version is {state}")
+def step_reported_state(context, state):
     """Receive the order of another VM."""
     order = context.vm.order.with_state(model.State[state])
     assert context.vm.controller.heard(order)
 
 
 @when("the roll-out is {state}")
-def step_turned(context, state):
+def step_final_state(context, state):
     """Receive the final state."""
-    step_told_state(context, state)
+    step_reported_state(context, state)
 
 
 @then("no call goes to a new runner")
-def step_none_new(context):
+def step_no_call_to_new(context):
     """Send many calls."""
     called = [context.vm.call() for _ in range(200)]
     assert all(runner.version != NEW for runner in called)
 
 
-@then("no repeated call goes to a new runner")
-def step_no_repeat(context):
+@then("no retry goes to a new runner")
+def step_no_retry_to_new(context):
     """Send many retries."""
     context.vm.run(3)
-    called = [context.vm.call(repeated=True) for _ in range(200)]
+    called = [context.vm.call(is_retry=True) for _ in range(200)]
     assert all(runner.version != NEW for runner in called)
 
 
 @then("the result {state} is due")
-def step_due(context, state):
+def step_result_due(context, state):
     """Check the state that is due."""
     assert context.vm.result() is model.State[state], context.vm.result()
 
 
 @then("no result of a roll-out is due")
-def step_none_due(context):
+def step_no_result_due(context):
     """Check the state that is due."""
     assert context.vm.result() is None
 
 
 @when("{seconds:f} seconds pass without a failure")
-def step_pass(context, seconds):
+def step_calls_succeed(context, seconds):
     """Send calls until the given time."""
     context.vm.run(seconds)
 
 
-@when("{count} is left at old runners")
-@when("{count} are left at old runners")
-def step_left(context, count):
-    """Set the calls in flight at old runners."""
+@when("{count} is in flight at old runners")
+@when("{count} are in flight at old runners")
+def step_calls_in_flight(context, count):
+    """Set the number of calls in flight, such as "2 calls" or "no call"."""
     number = count.split()[0]
-    context.vm.left = 0 if number == "no" else int(number)
+    context.vm.in_flight = 0 if number == "no" else int(number)
 
 
 @then("all old runners are {old} and all new ones {new}")
-def step_arms(context, old, new):
+def step_roles(context, old, new):
     """Check the roles of all runners."""
     vm = context.vm
-    assert {vm.controller.arm(r) for r in vm.old} == {model.Arm[old]}
-    assert {vm.controller.arm(r) for r in vm.new} == {model.Arm[new]}
+    assert {vm.controller.arm(r) for r in vm.old_runners} == {model.Arm[old]}
+    assert {vm.controller.arm(r) for r in vm.new_runners} == {model.Arm[new]}
 
 
-@when("a roll-out follows to version {version}")
-def step_second(context, version):
+@when("a second roll-out to version {version} starts")
+def step_second_order(context, version):
     """Receive a second order."""
     vm = context.vm
     second = model.Order(SERVICE, version, 9, vm.clock.wall(), 20.0)
     assert vm.controller.heard(second)
-    vm.controller.set_runners([*vm.old, *vm.new])
+    vm.controller.set_runners([*vm.old_runners, *vm.new_runners])
 
 
 @then("all runners of version {version} are {arm}")
-def step_version_arm(context, version, arm):
+def step_version_role(context, version, arm):
     """Check the roles of a version's runners."""
     vm = context.vm
-    found = {vm.controller.arm(r) for r in vm.new if r.version == version}
+    found = {
+        vm.controller.arm(r) for r in vm.new_runners if r.version == version
+    }
     assert found == {model.Arm[arm]}, found
 
 
-@then("late news of the first order changes nothing")
-def step_late_news(context):
+@then("a late update of the first order changes nothing")
+def step_late_update(context):
     """Receive the first order again."""
     assert not context.vm.controller.heard(context.vm.order)
 
@@ -241,8 +251,8 @@
 def step_repeated_order(context):
     """Receive the order with a higher revision and no status."""
     vm = context.vm
-    repeated = model.Order(SERVICE, NEW, 9, vm.clock.wall(), 20.0)
-    assert vm.controller.heard(repeated)
+    second = model.Order(SERVICE, NEW, 9, vm.clock.wall(), 20.0)
+    assert vm.controller.heard(second)
 
 
 @then("a late result of the finished order changes nothing")
@@ -252,75 +262,75 @@
     assert not context.vm.controller.heard(finished)
 
 
-@when("the operators take the order back")
+@when("the operators withdraw the order")
 def step_withdrawn(context):
     """Withdraw the order."""
     assert context.vm.controller.withdrawn(SERVICE, 9)
 
 
-@when("another VM tells that it began {ago:f} seconds ago")
-def step_began(context, ago):
+@when("another VM reports that the roll-out started {ago_s:f} seconds ago")
+def step_reported_start(context, ago_s):
     """Receive an earlier start time."""
     vm = context.vm
     order = vm.order.with_state(model.State.RUNNING)
-    order.started_at = vm.clock.wall() - ago
+    order.started_at = vm.clock.wall() - ago_s
     assert vm.controller.heard(order)
-    context.began_ago_s = ago
+    context.started_ago_s = ago_s
 
 
 @then("{seconds:f} seconds of the roll-out have passed")
-def step_passed(context, seconds):
+def step_elapsed(context, seconds):
     """Advance the clock, and compare the elapsed time."""
     vm = context.vm
-    vm.clock.advance(seconds - context.began_ago_s)
-    began = vm.controller.order(SERVICE).started_at
-    assert abs(vm.clock.wall() - began - seconds) < 1e-6
+    vm.clock.advance(seconds - context.started_ago_s)
+    started_at = vm.controller.order(SERVICE).started_at
+    assert abs(vm.clock.wall() - started_at - seconds) < 1e-6
 
 
-@then("news of an order may be heard in any sequence")
-def step_any_order(context):
+@then("updates of an order can be merged in any sequence")
+def step_any_sequence(context):
     """Merge the same updates in all sequences."""
-    news = [
+    updates = [
         model.Order(SERVICE, "v2", 5, 100.0, 20.0),
         model.Order(SERVICE, "v2", 5, 99.0, 20.0, model.State.FAILED),
         model.Order(SERVICE, "v2", 7, 101.0, 20.0, model.State.ROLLED_BACK),
         model.Order(SERVICE, "v3", 9, 130.0, 30.0),
         model.Order(SERVICE, "v3", 11, 130.5, 30.0, model.State.COMPLETED),
     ]
-    ends = {
-        tuple(functools.reduce(model.Order.merge, way).to_record())
-        for way in itertools.permutations(news)
+    results = {
+        tuple(functools.reduce(model.Order.merge, sequence).to_record())
+        for sequence in itertools.permutations(updates)
     }
-    assert len(ends) == 1, ends
+    assert len(results) == 1, results
 
 
 @when(
     "{count:d} roll-outs of a version with {fault} are simulated at {load}"
     " load"
 )
-def step_play(context, count, fault, load):
-    """Simulate them on a fleet of 70 VMs."""
+def step_simulate(context, count, fault, load):
+    """Simulate the roll-outs on a fleet of 70 VMs."""
     context.fault = roll_outs.FAULTS[fault]
-    context.played = [
+    context.outcomes = [
         roll_outs.simulate(roll_outs.Case("compared", fault, load, 70, seed))
         for seed in range(1, count + 1)
     ]
 
 
-@then("at least {right:d} end as they should")
-def step_right(context, right):
+@then("at least {correct:d} have the expected result")
+def step_expected_results(context, correct):
     """Count the expected results."""
     wanted = (
         model.State.ROLLED_BACK if context.fault.bad else model.State.COMPLETED
     )
-    found = [outcome.state for outcome in context.played]
-    assert found.count(wanted) >= right, found
+    found = [outcome.state for outcome in context.outcomes]
+    assert found.count(wanted) >= correct, found
 
 
-@then("none of a bad version that was found has had more calls than it may")
+@then("no bad version that was detected received more calls than allowed")
 def step_exposure(context):
-    """Compare calls with the limit."""
-    for outcome in context.played if context.fault.bad else ():
+    """Compare the calls at bad versions with the limit."""
+    for outcome in context.outcomes if context.fault.bad else ():
         if outcome.state is model.State.ROLLED_BACK:
             assert outcome.exposed <= outcome.allowed, outcome.exposed
             assert not outcome.late_calls
--- a/tests/steps/roll_outs_verdict.py
+++ b/tests/steps/roll_outs_verdict.py
@@ -29,7 +29,9 @@
     return sample
 
 
-@given("{calls:d} calls at the old version, {failed:d} in 100 failing")
+@given(
+    "{calls:d} calls at the old version, {failed:d} percent of them failing"
+)
 def step_old_failing(context, calls, failed):
     """Set the samples of the old version."""
     context.old = {
@@ -56,11 +58,11 @@
 
 
 @when(
-    "the new version fails {failed:d} of {calls:d} calls, alike at"
+    "the new version fails {failed:d} of {calls:d} calls, evenly at"
     " {runners:d} runners"
 )
 def step_new_alike(context, failed, calls, runners):
-    """Spread calls and failures over the runners."""
+    """Spread calls and failures evenly over the runners."""
     for number in range(runners):
         context.new[f"r{number}", "usual"] = _sample(
             calls // runners, failed // runners
@@ -72,7 +74,7 @@
     " {runners:d} runners"
 )
 def step_new_one(context, failed, calls, runners):
-    """Spread the calls; all failures are at one runner."""
+    """Spread the calls evenly; all failures are at one runner."""
     for number in range(runners):
         context.new[f"r{number}", "usual"] = _sample(
             calls // runners, 0 if number else failed
@@ -93,7 +95,7 @@
         context.new[runner, "usual"] = _sample(calls // 2, 0, took, seed)
 
 
-@then("on route {route} it is bad for its {reason}")
+@then("on route {route} it is bad because of its {reason}")
 def step_bad_on_route(context, reason, route):
     """Check the finding."""
     found = verdict.judge(context.old, context.new)
@@ -101,7 +103,7 @@
     assert (found.reason, found.route) == (REASONS[reason], route)
 
 
-@then("it is bad for its {reason}")
+@then("it is bad because of its {reason}")
 def step_bad(context, reason):
     """Check the finding."""
     found = verdict.judge(context.old, context.new)
@@ -116,7 +118,7 @@
     assert last is None, (last.reason, last.new, last.old)
 
 
-@then("sums of samples don't depend on their order or grouping")
+@then("sums of samples don't depend on order or grouping")
 def step_sums(context):
     """Add the same records in several ways."""
     rng = random.Random(5)
