--- a/src/apricotlever/data_centres/demand.py
+++ b/src/apricotlever/data_centres/demand.py
@@ -124,12 +124,12 @@
     ``totals`` holds pairs of a time in seconds and a token total.
     """
 
-    __slots__ = ("totals", "speed", "latency_ratio")
+    __slots__ = ("totals", "prefill_speed", "latency_ratio")
 
     def __init__(self) -> None:
         self.latency_ratio = 0.0
         self.totals: collections.deque[tuple[float, int]] = collections.deque()
-        self.speed = 0.0
+        self.prefill_speed = 0.0
 
 
 class Demand:
@@ -162,7 +162,11 @@
     @property
     def speed(self) -> float:
         """Prefill speed of a runner in tokens per second; 0 while unknown."""
-        speeds = sorted(p.speed for p in self._processes.values() if p.speed)
+        speeds = sorted(
+            process.prefill_speed
+            for process in self._processes.values()
+            if process.prefill_speed
+        )
         return speeds[len(speeds) // 2] if speeds else 0.0
 
     @property
@@ -194,7 +198,7 @@
         now = self._clock.now()
         known = self._processes.setdefault(process, _ProcessReports())
         known.totals.append((now, total))
-        known.speed = speed
+        known.prefill_speed = speed
         known.latency_ratio = latency_ratio
         if total and self._since is None:
             self._since = now
