--- a/tests/steps/data_centres_capacity.py
+++ b/tests/steps/data_centres_capacity.py
@@ -114,7 +114,7 @@
             self.load_limiter.done(vm)
         self.loading = remaining
 
-    def plan(self):
+    def count_by_place(self):
         held = {}
         for holding, _ in self.vms.values():
             held[holding.place] = held.get(holding.place, 0) + 1
@@ -212,7 +212,7 @@
 
 @then("at least {count:d} runners remain after the loss of any data centre")
 def _runners_remain(context, count):
-    remaining = placement.survivors(context.cloud.plan())
+    remaining = placement.survivors(context.cloud.count_by_place())
     assert remaining >= count, remaining
 
 
@@ -248,7 +248,7 @@
 )
 def _held_and_surviving(context, count, remaining):
     cloud = context.cloud
-    found = (len(cloud.vms), placement.survivors(cloud.plan()))
+    found = (len(cloud.vms), placement.survivors(cloud.count_by_place()))
     assert found == (count, remaining), found
 
 
