--- a/src/apricotlever/__init__.py
+++ b/src/apricotlever/__init__.py
@@ -1,7 +1,7 @@
 """A serving system for language models and plain services.
 
-The public names for those who build on the package: the settings and the
-catalogue with their errors, the clocks, the mailbox of a task and refusals.
+The module exports the public API: settings and catalogue with their errors,
+clocks, the base class of tasks and refusals.
 """
 
 import importlib
@@ -9,8 +9,9 @@
 
 __version__ = "0.1.0"
 
-# Loaded when first used: the checker of JSON schemas behind some of them is
-# large, and a process that needs none of them would pay for it.
+# The modules are imported on first use: some of them import a large JSON
+# schema validator, which would cost memory and start-up time in a process
+# that does not need it.
 _PUBLIC = {
     "ApricotleverError": (".errors", "ApricotleverError"),
     "Catalogue": (".catalogue", "Catalogue"),
--- a/src/apricotlever/addresses.py
+++ b/src/apricotlever/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses at which something listens."""
+"""Network addresses of listeners: an IP address and a port."""
 
 import ipaddress
 
@@ -6,10 +6,10 @@
 
 
 class Address:
-    """Where something listens.
+    """The network address of a listener.
 
-    :param host: an IP number, without brackets.
-    :param port: a TCP or UDP port; 0 for any free one.
+    :param host: an IP address; an IPv6 address is given without brackets.
+    :param port: a TCP or UDP port; 0 lets the system choose a free one.
     """
 
     __slots__ = ("host", "port")
@@ -20,15 +20,16 @@
 
     @classmethod
     def from_text(cls, text: str) -> "Address":
-        """Read ``host:port``; an IPv6 number stands in brackets.
+        """Parse ``host:port``, with an IPv6 address in brackets.
 
-        :raises ValueError: if the text is not an address.
+        :raises ValueError: if the host is not an IP address or the port is
+            not a number from 0 to ``PORT_MAX``.
         """
         host, _, port = text.rpartition(":")
         bare = host.removeprefix("[").removesuffix("]")
         ipaddress.ip_address(bare)
         if not 0 <= int(port) <= PORT_MAX:
-            raise ValueError(f"port {port} is over {PORT_MAX}")
+            raise ValueError(f"port {port} is not from 0 to {PORT_MAX}")
         return cls(bare, int(port))
 
     def __str__(self) -> str:
--- a/src/apricotlever/catalogue/schema.py
+++ b/src/apricotlever/catalogue/schema.py
@@ -1,4 +1,4 @@
-"""Checks of a catalogue document: its shape, then its references."""
+"""Validation of catalogue documents: JSON schema, then references."""
 
 import collections
 import collections.abc
@@ -18,7 +18,7 @@
 
 
 class CatalogueInvalid(documents.DocumentInvalid):
-    """A catalogue document was refused; what was in force stays so."""
+    """A catalogue document is invalid; the version in force stays."""
 
     def __init__(
         self, faults: collections.abc.Sequence[documents.Fault]
@@ -27,19 +27,20 @@
 
 
 def check(document: Json) -> None:
-    """Refuse a document that can't be put in force.
+    """Validate a document completely.
 
     :param document: parsed JSON.
-    :raises CatalogueInvalid: names every field that is wrong.
+    :raises CatalogueInvalid: if fields are invalid; names the fields.
     """
     check_shape(document)
     check_references(document)
 
 
 def check_shape(document: Json) -> None:
-    """Refuse a document that breaks the JSON schema.
+    """Validate a document against the JSON schema.
 
-    :raises CatalogueInvalid: names every field that is wrong.
+    :param document: parsed JSON.
+    :raises CatalogueInvalid: if fields violate the schema; names the fields.
     """
     faults = documents.faults_of(document, _SCHEMA)
     if faults:
@@ -47,21 +48,22 @@
 
 
 def check_references(document: Json) -> None:
-    """Refuse a document of the right shape whose parts don't fit together.
+    """Check the rules of a document that the JSON schema can't express.
 
-    :raises CatalogueInvalid: names every field that is wrong.
+    :param document: parsed JSON that conforms to the schema.
+    :raises CatalogueInvalid: if fields are invalid; names the fields.
     """
     found = (check_one(document) for check_one in _checks)
     chained = itertools.chain.from_iterable(found)
-    faults = list(itertools.islice(chained, documents.FAULTS_SHOWN_MAX))
+    faults = list(itertools.islice(chained, documents.MAX_REPORTED_FAULTS))
     if faults:
         raise CatalogueInvalid(faults)
 
 
 def reference_check(function: Check) -> Check:
-    """Register a check that a JSON schema can't express.
+    """Register a check of a rule that a JSON schema can't express.
 
-    It runs only on documents whose shape is right.
+    The check runs only on documents that conform to the schema.
     """
     _checks.append(function)
     return function
@@ -71,9 +73,9 @@
 def _classes_exist(
     document: Json,
 ) -> collections.abc.Iterator[documents.Fault]:
-    wanted = "a name under classes"
+    expected = "a name under classes"
     return (
-        documents.Fault(f"entries.{name}.class", entry["class"], wanted)
+        documents.Fault(f"entries.{name}.class", entry["class"], expected)
         for name, entry in document["entries"].items()
         if entry["class"] not in document["classes"]
     )
@@ -83,9 +85,9 @@
 def _customers_exist(
     document: Json,
 ) -> collections.abc.Iterator[documents.Fault]:
-    wanted = "a name under customers"
+    expected = "a name under customers"
     return (
-        documents.Fault(f"entries.{name}.customers.{i}", customer, wanted)
+        documents.Fault(f"entries.{name}.customers.{i}", customer, expected)
         for name, entry in document["entries"].items()
         for i, customer in enumerate(entry.get("customers", ()))
         if customer not in document["customers"]
@@ -93,20 +95,20 @@
 
 
 @reference_check
-def _keys_differ(
+def _keys_are_unique(
     document: Json,
 ) -> collections.abc.Iterator[documents.Fault]:
-    """Refuse one key for two customers.
+    """Find customers that share a key.
 
-    Each could read the other's requests and answers, and whichever came
-    last would be billed for both.
+    Each of them could read the requests and answers of the other, and the
+    last one in the document would be billed for both.
     """
     customers = document["customers"].items()
     hashes = collections.Counter(value["key_sha256"] for _, value in customers)
-    wanted = "a key that no other customer has"
+    expected = "a key that no other customer has"
     return (
         documents.Fault(
-            f"customers.{name}.key_sha256", value["key_sha256"], wanted
+            f"customers.{name}.key_sha256", value["key_sha256"], expected
         )
         for name, value in customers
         if hashes[value["key_sha256"]] > 1
@@ -135,7 +137,7 @@
     entries = document["entries"].items()
     missing = (
         documents.Fault(
-            f"entries.{name}.{field}", None, "a value, kind is model"
+            f"entries.{name}.{field}", None, "a value, the kind is model"
         )
         for name, entry in entries
         for field in ("model", "version")
@@ -145,16 +147,16 @@
         documents.Fault(
             f"entries.{name}.{field}",
             entry[field],
-            f"no such field, kind is {entry['kind']}",
+            f"no such field, the kind is {entry['kind']}",
         )
         for name, entry in entries
-        for field in _FIELDS_OF_THE_OTHER_KIND[entry["kind"]]
+        for field in _DISALLOWED_FIELDS[entry["kind"]]
         if field in entry
     )
     return itertools.chain(missing, misplaced)
 
 
-_FIELDS_OF_THE_OTHER_KIND = {
+_DISALLOWED_FIELDS = {
     model.KIND_MODEL: ("non_idempotent",),
     model.KIND_SERVICE: ("model", "version"),
 }
--- a/src/apricotlever/clock.py
+++ b/src/apricotlever/clock.py
@@ -1,7 +1,7 @@
-"""Sources of time, passed in wherever a decision depends on it.
+"""Clocks, passed as arguments to all code that depends on time.
 
-No decision reads the system's clock itself, so a test or a benchmark can
-drive thousands of instances on a clock of its own.
+No such code reads the system's clock directly, so a test or a benchmark can
+run thousands of instances on a simulated clock.
 """
 
 import time
@@ -9,22 +9,22 @@
 
 
 class Clock(typing.Protocol):
-    """What a decision needs to know about time."""
+    """The interface of a clock."""
 
     def now(self) -> float:
-        """Monotonic time in seconds; the origin is arbitrary."""
+        """Monotonic time in seconds since an arbitrary origin."""
 
     def wall(self) -> float:
-        """Seconds since the Unix epoch; it may jump either way."""
+        """Seconds since the Unix epoch; may jump forwards or backwards."""
 
 
 class SystemClock:
-    """The clock of the running machine."""
+    """The clock of the operating system."""
 
     __slots__ = ()
 
     def now(self) -> float:
-        """Monotonic time in seconds, counted while suspended too."""
+        """Monotonic time in seconds, including time spent suspended."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def wall(self) -> float:
@@ -33,9 +33,9 @@
 
 
 class ManualClock:
-    """A clock that moves only when told to.
+    """A simulated clock that moves only by :meth:`advance`.
 
-    :param start: the first reading in seconds.
+    :param start: the initial reading in seconds.
     """
 
     __slots__ = ("_now",)
@@ -52,10 +52,10 @@
         return self._now
 
     def advance(self, seconds: float) -> float:
-        """Move forward.
+        """Move the clock forward.
 
-        :param seconds: how far, not negative.
-        :returns: the new reading.
+        :param seconds: the time to add, not negative.
+        :returns: the new reading in seconds.
         """
         self._now += seconds
         return self._now
--- a/src/apricotlever/documents.py
+++ b/src/apricotlever/documents.py
@@ -1,8 +1,8 @@
-"""Strict reading and checking of JSON documents that people write.
+"""Strict parsing and validation of JSON documents that people write.
 
 Settings and catalogues come from editors, scripts and the platform. A
-document is either taken whole or refused with the field, its value and what
-is wanted there; nothing is guessed or rounded.
+document is either accepted whole or rejected with the field, its value and
+the value expected there; nothing is guessed or rounded.
 """
 
 import collections
@@ -17,39 +17,39 @@
 from . import errors
 
 Json = typing.Any
-Phrase = typing.Callable[[Json], str]
+RuleDescriber = typing.Callable[[Json], str]
 
-FAULTS_SHOWN_MAX = 20
-VALUE_SHOWN_CHARACTERS = 80
+MAX_REPORTED_FAULTS = 20
+MAX_VALUE_CHARACTERS = 80
 
-_phrases: dict[str, Phrase] = {}
+_rule_describers: dict[str, RuleDescriber] = {}
 
 
 class Fault:
-    """One thing wrong with a document.
+    """One validation error in a document.
 
     :param field: dotted path of the field, empty for the whole document.
-    :param value: what stands there.
-    :param wanted: what should stand there, as a noun phrase.
+    :param value: the value found there.
+    :param expected: the value expected there, as a noun phrase.
     """
 
-    __slots__ = ("field", "value", "wanted")
+    __slots__ = ("field", "value", "expected")
 
-    def __init__(self, field: str, value: Json, wanted: str) -> None:
+    def __init__(self, field: str, value: Json, expected: str) -> None:
         self.field = field
         self.value = value
-        self.wanted = wanted
+        self.expected = expected
 
     def __str__(self) -> str:
-        place = self.field or "the document"
-        return f"{place}: got {shown(self.value)}, want {self.wanted}"
+        location = self.field or "the document"
+        return f"{location}: got {shown(self.value)}, want {self.expected}"
 
 
 class DocumentInvalid(errors.ApricotleverError):
-    """A document was refused.
+    """A document was rejected.
 
-    :param kind: what the document is, for the message.
-    :param faults: at least one fault.
+    :param kind: the kind of document, for the message.
+    :param faults: the validation errors, at least one.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
 
     @property
     def faults(self) -> tuple[Fault, ...]:
-        """Everything found wrong, at most ``FAULTS_SHOWN_MAX``."""
+        """The validation errors, at most ``MAX_REPORTED_FAULTS``."""
         return self._faults
 
     @property
@@ -75,174 +75,189 @@
         return self._faults[0].value
 
     @property
-    def wanted(self) -> str:
-        """What the first faulty field should hold."""
-        return self._faults[0].wanted
+    def expected(self) -> str:
+        """The value expected in the first faulty field, as a noun phrase."""
+        return self._faults[0].expected
 
 
 class NotJson(errors.ApricotleverError):
-    """The text is not the JSON that apricotlever reads."""
+    """The text is not JSON that :func:`loads` accepts."""
 
 
 def shown(value: Json) -> str:
-    """A value as compact JSON, cut to a readable length."""
+    """Format a value as JSON, cut to ``MAX_VALUE_CHARACTERS``."""
     text = json.dumps(value, default=str)
-    if len(text) <= VALUE_SHOWN_CHARACTERS:
+    if len(text) <= MAX_VALUE_CHARACTERS:
         return text
-    return text[:VALUE_SHOWN_CHARACTERS] + "..."
+    return text[:MAX_VALUE_CHARACTERS] + "..."
 
 
 def loads(text: str | bytes) -> Json:
     """Parse JSON strictly.
 
-    Python's parser keeps the last of two equal keys and takes NaN. Either
-    would put something in force that the author did not mean: an entry
-    pasted twice, or a limit that no number exceeds.
+    Python's parser keeps the last of two equal keys and accepts NaN. Either
+    would apply something that the author did not mean: an entry pasted
+    twice, or a limit that no number exceeds.
 
-    :param text: the document, UTF-8 when given as bytes.
-    :raises NotJson: if the text is not JSON, repeats a key or holds NaN.
+    :param text: the document; bytes are decoded as UTF-8.
+    :returns: the parsed document.
+    :raises NotJson: if the text is not JSON, repeats a key in an object or
+        holds NaN or an infinity.
     """
     try:
         return json.loads(
             text,
-            object_pairs_hook=_object_without_repeats,
-            parse_constant=_refuse_constant,
+            object_pairs_hook=_object_with_unique_keys,
+            parse_constant=_reject_constant,
         )
     except (ValueError, RecursionError) as error:
         raise NotJson(f"not valid JSON: {error}") from error
 
 
 def encoded(document: Json) -> bytes:
-    """Compact JSON in UTF-8."""
+    """Encode a document as compact JSON in UTF-8.
+
+    :raises ValueError: if the document holds NaN or an infinity.
+    """
     text = json.dumps(document, separators=(",", ":"), allow_nan=False)
     return text.encode("utf-8")
 
 
 def schema_of(package: str, name: str) -> dict[str, Json]:
-    """Load a JSON schema that is shipped inside a package."""
+    """Load a JSON schema that is shipped inside a package.
+
+    :param package: the dotted name of the package.
+    :param name: the file name of the schema.
+    """
     text = importlib.resources.files(package).joinpath(name).read_text()
     return typing.cast("dict[str, Json]", json.loads(text))
 
 
 def faults_of(document: Json, schema: dict[str, Json]) -> list[Fault]:
-    """What a document's shape breaks in a schema, the first fields first.
+    """Validate a document against a JSON schema.
 
     :param document: parsed JSON.
     :param schema: a JSON schema, draft 2020-12.
-    :returns: at most ``FAULTS_SHOWN_MAX`` faults; empty when it fits.
+    :returns: at most ``MAX_REPORTED_FAULTS`` distinct faults, sorted by the
+        path of the field; empty when the document is valid.
     """
     validator = jsonschema.Draft202012Validator(schema)
-    errors_found = sorted(validator.iter_errors(document), key=_path_of)
-    found = itertools.chain.from_iterable(map(_faults_from, errors_found))
+    errors_found = sorted(validator.iter_errors(document), key=_field_path)
+    found = itertools.chain.from_iterable(map(_faults_of_error, errors_found))
     distinct = {str(fault): fault for fault in found}
-    return list(distinct.values())[:FAULTS_SHOWN_MAX]
+    return list(distinct.values())[:MAX_REPORTED_FAULTS]
+
 
+def describes(keyword: str) -> typing.Callable[[RuleDescriber], RuleDescriber]:
+    """Register a function that describes the rule of a schema keyword.
 
-def phrase(keyword: str) -> typing.Callable[[Phrase], Phrase]:
-    """Register how a schema keyword is put into words.
+    The function takes the keyword's value in the schema and returns the
+    value that is expected in a document, as a noun phrase.
 
     :param keyword: a keyword of JSON schema, such as ``minimum``.
     """
 
-    def register(function: Phrase) -> Phrase:
-        _phrases[keyword] = function
+    def register(function: RuleDescriber) -> RuleDescriber:
+        _rule_describers[keyword] = function
         return function
 
     return register
 
 
-@phrase("type")
-def _wanted_type(wanted: Json) -> str:
-    kinds = wanted if isinstance(wanted, list) else [wanted]
-    return "a value of type " + " or ".join(kinds)
+@describes("type")
+def _describe_type(rule: Json) -> str:
+    types = rule if isinstance(rule, list) else [rule]
+    return "a value of type " + " or ".join(types)
 
 
-@phrase("enum")
-def _wanted_enum(wanted: Json) -> str:
-    return "one of " + ", ".join(shown(value) for value in wanted)
+@describes("enum")
+def _describe_enum(rule: Json) -> str:
+    return "one of " + ", ".join(shown(value) for value in rule)
 
 
-@phrase("minimum")
-def _wanted_minimum(wanted: Json) -> str:
-    return f"at least {wanted}"
+@describes("minimum")
+def _describe_minimum(rule: Json) -> str:
+    return f"at least {rule}"
 
 
-@phrase("exclusiveMinimum")
-def _wanted_exclusive_minimum(wanted: Json) -> str:
-    return f"more than {wanted}"
+@describes("exclusiveMinimum")
+def _describe_exclusive_minimum(rule: Json) -> str:
+    return f"more than {rule}"
 
 
-@phrase("maximum")
-def _wanted_maximum(wanted: Json) -> str:
-    return f"at most {wanted}"
+@describes("maximum")
+def _describe_maximum(rule: Json) -> str:
+    return f"at most {rule}"
 
 
-@phrase("pattern")
-def _wanted_pattern(wanted: Json) -> str:
-    return f"text that matches {wanted}"
+@describes("pattern")
+def _describe_pattern(rule: Json) -> str:
+    return f"text that matches {rule}"
 
 
-@phrase("minLength")
-def _wanted_length(wanted: Json) -> str:
-    return f"at least {wanted} characters"
+@describes("minLength")
+def _describe_min_length(rule: Json) -> str:
+    return f"at least {rule} characters"
 
 
-@phrase("maxLength")
-def _wanted_shortness(wanted: Json) -> str:
-    return f"at most {wanted} characters"
+@describes("maxLength")
+def _describe_max_length(rule: Json) -> str:
+    return f"at most {rule} characters"
 
 
-@phrase("maxItems")
-def _wanted_few(wanted: Json) -> str:
-    return f"at most {wanted} items"
+@describes("maxItems")
+def _describe_max_items(rule: Json) -> str:
+    return f"at most {rule} items"
 
 
-@phrase("uniqueItems")
-def _wanted_unique(_wanted: Json) -> str:
-    return "no item twice"
+@describes("uniqueItems")
+def _describe_unique_items(_rule: Json) -> str:
+    return "a list without duplicate items"
 
 
-def _path_of(error: jsonschema.ValidationError) -> str:
+def _field_path(error: jsonschema.ValidationError) -> str:
     return ".".join(str(part) for part in error.absolute_path)
 
 
-def _faults_from(error: jsonschema.ValidationError) -> list[Fault]:
-    path = _path_of(error)
+def _faults_of_error(error: jsonschema.ValidationError) -> list[Fault]:
+    path = _field_path(error)
     keyword = str(error.validator)
     rule: Json = error.validator_value
     value: Json = error.instance
     if keyword == "required":
         return [
-            Fault(_join(path, name), None, "a value, it is required")
+            Fault(
+                _join_path(path, name), None, "a value, the field is required"
+            )
             for name in rule
             if name not in value
         ]
     if keyword == "additionalProperties":
         schema: Json = error.schema
         known = schema["properties"]
-        wanted = "only the fields " + ", ".join(known)
+        expected = "only the fields " + ", ".join(known)
         return [
-            Fault(_join(path, name), value[name], wanted)
+            Fault(_join_path(path, name), value[name], expected)
             for name in value
             if name not in known
         ]
-    words = _phrases.get(keyword)
-    return [Fault(path, value, words(rule) if words else error.message)]
+    describe = _rule_describers.get(keyword)
+    return [Fault(path, value, describe(rule) if describe else error.message)]
 
 
-def _join(path: str, name: str) -> str:
+def _join_path(path: str, name: str) -> str:
     return f"{path}.{name}" if path else name
 
 
-def _object_without_repeats(
+def _object_with_unique_keys(
     pairs: list[tuple[str, Json]],
 ) -> dict[str, Json]:
     counts = collections.Counter(name for name, _ in pairs)
     repeated = [name for name, count in counts.items() if count > 1]
     if repeated:
-        raise ValueError(f"the key {shown(repeated[0])} stands twice")
+        raise ValueError(f"duplicate key {shown(repeated[0])}")
     return dict(pairs)
 
 
-def _refuse_constant(name: str) -> Json:
+def _reject_constant(name: str) -> Json:
     raise ValueError(f"{name} is not a JSON number")
--- a/src/apricotlever/errors.py
+++ b/src/apricotlever/errors.py
@@ -1,8 +1,8 @@
-"""The root of every error that apricotlever raises.
+"""The base class of all errors that apricotlever raises.
 
-Each layer derives its own errors from :class:`ApricotleverError` and turns
-the errors of the layer below into them, so that a caller never has to know
-which library a layer is built on.
+Each layer derives its own errors from :class:`ApricotleverError` and
+translates the errors of the layer below into them, so that a caller does not
+depend on the libraries that a layer uses.
 """
 
 EXIT_FAILURE = 1
@@ -10,9 +10,10 @@
 
 
 class ApricotleverError(Exception):
-    """An error that carries its own message and process exit code.
+    """An error with a message for operators and a process exit code.
 
-    :param message: one sentence in plain English, fit to show an operator.
+    :param message: one sentence in plain English that can be shown to an
+        operator.
     """
 
     exit_code = EXIT_FAILURE
@@ -23,7 +24,7 @@
 
     @property
     def message(self) -> str:
-        """The sentence to show, without a traceback."""
+        """The message for operators, without a traceback."""
         return self._message
 
     def __str__(self) -> str:
--- a/src/apricotlever/histograms.py
+++ b/src/apricotlever/histograms.py
@@ -1,8 +1,8 @@
 """Latency histograms for each measure, customer and service class.
 
-Values are held in microseconds, to two significant digits, from 1 us to
-1 h. Histograms of several VMs merge without loss, which averages and
-percentiles don't.
+Values are recorded in microseconds, to two significant digits, from 1 us to
+1 h. Unlike averages and percentiles, the histograms of several VMs can be
+merged without loss.
 """
 
 import collections.abc
@@ -21,10 +21,11 @@
 LOWEST_US = 1
 HIGHEST_US = 3_600_000_000
 SIGNIFICANT_DIGITS = 2
-#: Two significant decimal digits need seven bits; one more for rounding.
-KEPT_BITS = 8
+#: Significant bits that :func:`rounded_down_us` keeps. Two significant
+#: decimal digits need seven bits; the eighth allows for rounding.
+PRECISION_BITS = 8
 HISTOGRAMS_MAX = 1000
-OTHER = "other"
+OVERFLOW_NAME = "other"
 
 _US_PER_S = 1_000_000
 
@@ -33,15 +34,18 @@
 
 
 class HistogramInvalid(errors.ApricotleverError):
-    """What another VM sent is not a histogram."""
+    """An encoded histogram is malformed."""
 
 
 class Distribution:
-    """How the values of one key are distributed.
+    """The histogram of one measure, customer and service class.
+
+    Its methods may be called from several threads.
 
     :param measure: one of ``MEASURES``.
-    :param customer: a customer's name, or ``OTHER``.
-    :param service_class: a class's name, or ``OTHER``.
+    :param customer: the name of a customer, or ``OVERFLOW_NAME``.
+    :param service_class: the name of a service class, or
+        ``OVERFLOW_NAME``.
     """
 
     __slots__ = ("_measure", "_customer", "_class", "_lock", "_histogram")
@@ -62,22 +66,22 @@
 
     @property
     def customer(self) -> str:
-        """A customer's name, or ``OTHER``."""
+        """The name of a customer, or ``OVERFLOW_NAME``."""
         return self._customer
 
     @property
     def service_class(self) -> str:
-        """A class's name, or ``OTHER``."""
+        """The name of a service class, or ``OVERFLOW_NAME``."""
         return self._class
 
     @property
     def count(self) -> int:
-        """How many values were recorded."""
+        """The number of values recorded."""
         return int(self._histogram.get_total_count())
 
     @property
     def encoded(self) -> Encoded:
-        """The JSON form, which :func:`merge` reads."""
+        """The JSON form, the input of :func:`merge`."""
         with self._lock:
             text = self._histogram.encode().decode("ascii")
         return {
@@ -88,20 +92,22 @@
         }
 
     def record_us(self, microseconds: int) -> None:
-        """Count a value; outside the range it counts as the nearest end.
+        """Record a value, clamped to the range of the histogram.
 
-        Recording adds to a bucket and to a total in two steps. Without the
-        lock, threads would lose counts and leave the two in disagreement,
-        and percentiles would be wrong from then on.
+        Recording increments a bucket and a total in two steps. Without the
+        lock, concurrent threads would lose counts and leave the total
+        different from the sum of the buckets, and all later percentiles
+        would be wrong.
         """
         value = min(max(microseconds, LOWEST_US), HIGHEST_US)
         with self._lock:
             self._histogram.record_value(value)
 
     def record_counts(self, counts: collections.abc.Mapping[int, int]) -> None:
-        """Count many values at once.
+        """Record many values at once, clamped like a single one.
 
-        :param counts: how often each value came, by microseconds.
+        :param counts: the number of occurrences of each value, keyed by the
+            value in microseconds.
         """
         with self._lock:
             for value, count in counts.items():
@@ -109,7 +115,7 @@
                 self._histogram.record_value(bounded, count)
 
     def percentile(self, percent: float) -> float:
-        """The value in seconds whose rank is nearest to a percentage."""
+        """The value in seconds at a percentile from 0 to 100."""
         with self._lock:
             value = self._histogram.get_value_at_percentile(percent)
         return float(value) / _US_PER_S
@@ -117,20 +123,22 @@
     def counts_below(
         self, bounds_s: collections.abc.Sequence[float]
     ) -> list[int]:
-        """How many values lie between each bound and the one before it.
+        """Count the values between each bound and the previous one.
 
-        :param bounds_s: rising upper bounds in seconds.
-        :returns: as many counts as bounds, and one of the values above.
+        :param bounds_s: inclusive upper bounds in seconds, ascending.
+        :returns: one count for each bound, then the count of the values
+            above the last bound.
         """
         counts = [0] * (len(bounds_s) + 1)
-        for value_s, count in self._recorded():
+        for value_s, count in self._recorded_counts():
             above = (i for i, bound in enumerate(bounds_s) if value_s <= bound)
             counts[next(above, -1)] += count
         return counts
 
-    def add_encoded(self, text: str) -> None:
-        """Add another VM's histogram of the same key.
+    def merge_encoded(self, text: str) -> None:
+        """Merge another VM's histogram of the same key into this one.
 
+        :param text: the ``histogram`` field of its JSON form.
         :raises HistogramInvalid: if the text is not a histogram.
         """
         try:
@@ -138,11 +146,12 @@
             with self._lock:
                 self._histogram.add(other)
         except Exception as error:
-            # The decoder raises whatever its buffers and zlib raise.
+            # The decoder lets the errors of its buffers and of zlib through.
             raise HistogramInvalid(f"not a histogram: {error}") from error
 
-    def _recorded(self) -> list[tuple[float, int]]:
-        # The iterator yields one object again and again, changed each time.
+    def _recorded_counts(self) -> list[tuple[float, int]]:
+        # The iterator yields the same object each time, with other values, so
+        # the values are copied within the loop.
         with self._lock:
             return [
                 (
@@ -156,8 +165,11 @@
 class Histograms:
     """All histograms of one VM.
 
-    At most ``HISTOGRAMS_MAX`` keys have one of their own; the customers
-    and classes after them share ``OTHER``, so memory stays bounded.
+    At most ``maximum`` keys have a histogram of their own. For any further
+    key, customer and class are replaced by ``OVERFLOW_NAME``, so memory
+    stays bounded.
+
+    :param maximum: the number of keys with a histogram of their own.
     """
 
     __slots__ = ("_lock", "_by_key", "_max")
@@ -170,10 +182,13 @@
     def handle(
         self, measure: str, customer: str, service_class: str
     ) -> Distribution:
-        """Fetch a key's histogram once, to record many values into it."""
+        """The histogram of a key, created if there is none.
+
+        A caller that records many values keeps it and saves the look-ups.
+        """
         key = (measure, customer, service_class)
         found = self._by_key.get(key)
-        return found or self._made(key)
+        return found or self._get_or_create(key)
 
     def record(
         self,
@@ -182,35 +197,40 @@
         service_class: str,
         seconds: float,
     ) -> None:
-        """Count one value."""
+        """Record one value in the histogram of a key."""
         handle = self.handle(measure, customer, service_class)
         handle.record_us(int(seconds * _US_PER_S))
 
     def record_gap_us(self, handle: Distribution, microseconds: int) -> None:
-        """Count one value by a handle; made for the time between tokens."""
+        """Record one time between two tokens in a histogram.
+
+        :param handle: what :meth:`distribution` returned.
+        """
         handle.record_us(microseconds)
 
     def distributions(self) -> list[Distribution]:
-        """Every histogram that holds a value."""
+        """Every histogram that holds at least one value."""
         return [found for found in list(self._by_key.values()) if found.count]
 
     def encoded(self) -> list[Encoded]:
-        """Every histogram in its JSON form."""
+        """The JSON forms of all histograms that hold a value."""
         return [found.encoded for found in self.distributions()]
 
-    def _made(self, key: Key) -> Distribution:
+    def _get_or_create(self, key: Key) -> Distribution:
         with self._lock:
             if key not in self._by_key and len(self._by_key) >= self._max:
-                key = (key[0], OTHER, OTHER)
+                key = (key[0], OVERFLOW_NAME, OVERFLOW_NAME)
             return self._by_key.setdefault(key, Distribution(*key))
 
 
 def rounded_us(microseconds: int) -> int:
-    """A value with the precision that histograms keep, at little cost.
+    """Round a value down to the precision of the histograms.
+
+    This is a cheap way to group values before they are recorded.
 
-    :param microseconds: not negative.
+    :param microseconds: a value that is not negative.
     """
-    shift = max(0, microseconds.bit_length() - KEPT_BITS)
+    shift = max(0, microseconds.bit_length() - PRECISION_BITS)
     return (microseconds >> shift) << shift
 
 
@@ -219,14 +239,15 @@
 ) -> dict[Key, Distribution]:
     """Merge the histograms of several VMs.
 
-    :param encoded: the JSON forms from all of them, in any order.
-    :returns: one distribution for each key, sorted by key.
-    :raises HistogramInvalid: if one is not a histogram.
+    :param encoded: the JSON forms of the histograms of all VMs, in any
+        order.
+    :returns: one merged histogram for each key, sorted by key.
+    :raises HistogramInvalid: if one of the JSON forms is malformed.
     """
     merged: dict[Key, Distribution] = {}
     for item in encoded:
         key = _key_of(item)
-        merged.setdefault(key, Distribution(*key)).add_encoded(
+        merged.setdefault(key, Distribution(*key)).merge_encoded(
             item["histogram"]
         )
     return dict(sorted(merged.items()))
--- a/src/apricotlever/log_lines.py
+++ b/src/apricotlever/log_lines.py
@@ -1,17 +1,20 @@
-"""Reads log lines back."""
+"""Parser for the log lines that :mod:`apricotlever.logs` writes."""
 
 import json
 import re
 import typing
 
-_PAIR = re.compile(r'([a-z_]+)=("(?:[^"\\]|\\.)*"|\S*)')
+_KEY_VALUE = re.compile(r'([a-z_]+)=("(?:[^"\\]|\\.)*"|\S*)')
 
 
 class LogLine:
-    """One event as it was logged.
+    """One logged event.
 
-    :param time: as logged, in UTC; sorts as text.
-    :param fields: all but time, level, event and vm, in their order.
+    :param time: the time in UTC as logged; sorts chronologically as text.
+    :param level: the level in capitals, or an empty string.
+    :param event: the name of the event.
+    :param vm: the name of the VM that logged it, or an empty string.
+    :param fields: the other fields, in the order of the line.
     """
 
     __slots__ = ("time", "level", "event", "vm", "fields")
@@ -32,14 +35,17 @@
 
 
 def parse(text: str) -> LogLine | None:
-    """Read one line; what stands before its time is skipped.
+    """Parse one line, skipping any text before its ``time=`` field.
 
-    :returns: None for a line that is no event.
+    :returns: the event, or None if the line holds none.
     """
     start = text.find("time=")
     if start < 0:
         return None
-    fields = {key: _plain(value) for key, value in _PAIR.findall(text[start:])}
+    fields = {
+        key: _unquoted(value)
+        for key, value in _KEY_VALUE.findall(text[start:])
+    }
     if "event" not in fields:
         return None
     return LogLine(
@@ -52,12 +58,15 @@
 
 
 def parse_all(lines: typing.Iterable[str]) -> list[LogLine]:
-    """Read many lines, of one VM or of several, into time order."""
+    """Parse the lines of one or several VMs.
+
+    :returns: the events, sorted by time; lines without one are skipped.
+    """
     found = [line for text in lines if (line := parse(text)) is not None]
     return sorted(found, key=lambda line: line.time)
 
 
-def _plain(value: str) -> str:
+def _unquoted(value: str) -> str:
     if not value.startswith('"'):
         return value
     try:
--- a/src/apricotlever/logs.py
+++ b/src/apricotlever/logs.py
@@ -1,7 +1,8 @@
-"""Logs: one line of key=value pairs for each event, on standard error.
+"""Structured logging: one line of key=value pairs for each event.
 
-Every event is registered here with its level and one line of meaning; the
-operators' page lists the same names, and a test compares the two.
+Every event is registered in ``EVENTS`` with its level and a one-line
+description. The operators' page lists the same events, and a test compares
+the two.
 """
 
 import datetime
@@ -10,28 +11,39 @@
 import sys
 import typing
 
-_PLAIN = re.compile(r"[!#-<>-\[\]-~]+")
-_TIME = "%Y-%m-%dT%H:%M:%S.%f"
+_UNQUOTED = re.compile(r"[!#-<>-\[\]-~]+")
+_TIME_FORMAT = "%Y-%m-%dT%H:%M:%S.%f"
 
-# The same order as in logbook, which is loaded only where it is used: with
-# what it loads itself it would be a fifth of a small VM's process.
+# The values equal logbook's levels. The module logbook is imported only in
+# setup(): with its own imports it would make up a fifth of a small VM's
+# process.
 DEBUG = 10
 INFO = 11
 WARNING = 13
 ERROR = 14
 
-_NAMES = {DEBUG: "DEBUG", INFO: "INFO", WARNING: "WARNING", ERROR: "ERROR"}
-_LEVELS = {"debug": DEBUG, "info": INFO, "warning": WARNING, "error": ERROR}
+_LEVEL_NAMES = {
+    DEBUG: "DEBUG",
+    INFO: "INFO",
+    WARNING: "WARNING",
+    ERROR: "ERROR",
+}
+_LEVELS_BY_NAME = {
+    "debug": DEBUG,
+    "info": INFO,
+    "warning": WARNING,
+    "error": ERROR,
+}
 
-#: Takes an event's name and its whole line.
+#: Called with the name of an event and the complete log line.
 Writer = typing.Callable[[str, str], None]
 
 
 class Event:
-    """What is known about an event before it happens.
+    """The definition of a type of event.
 
     :param level: one of the levels of this module.
-    :param meaning: one line for operators.
+    :param meaning: a one-line description for operators.
     """
 
     __slots__ = ("level", "meaning")
@@ -189,18 +201,21 @@
 }
 
 _writers: list[Writer] = []
-_constant: dict[str, str] = {}
-_least = [INFO]
+_common_fields: dict[str, str] = {}
+_min_level = [INFO]
 
 
 def setup(
     vm: str, level: str = "info", stream: typing.TextIO | None = None
 ) -> None:
-    """Send this process's events to a stream; replaces an earlier set-up.
+    """Write the events of this process to a stream.
 
-    :param vm: stands on each line.
-    :param level: ``debug``, ``info``, ``warning`` or ``error``.
-    :param stream: standard error when None.
+    An earlier set-up is replaced.
+
+    :param vm: the name of this VM, added to each line.
+    :param level: the minimum level: ``debug``, ``info``, ``warning`` or
+        ``error``.
+    :param stream: the output stream; standard error when None.
     """
     import logbook
 
@@ -219,43 +234,49 @@
 
 
 def setup_writer(vm: str, write: Writer, level: str = "info") -> None:
-    """Hand this process's events to a function instead of a stream.
+    """Pass the events of this process to a function instead of a stream.
+
+    An earlier set-up is replaced.
 
-    :param write: called with each event's name and line; must not block.
+    :param vm: the name of this VM, added to each line.
+    :param write: called with the name and the line of each event; must not
+        block.
+    :param level: the minimum level, as in :func:`setup`.
     """
     teardown()
     _writers.append(write)
-    _least[0] = _LEVELS[level]
-    _constant["vm"] = vm
+    _min_level[0] = _LEVELS_BY_NAME[level]
+    _common_fields["vm"] = vm
 
 
 def teardown() -> None:
-    """Undo :func:`setup`."""
+    """Undo :func:`setup` or :func:`setup_writer`."""
     _writers.clear()
-    _constant.clear()
+    _common_fields.clear()
 
 
 def event(name: str, **fields: typing.Any) -> None:
     """Log an event.
 
-    Nothing is written before :func:`setup`. Bearer keys, prompts and
-    answers don't belong into fields.
+    Nothing is written before :func:`setup`. Fields must not contain bearer
+    keys, prompts or answers.
 
-    :param name: a name in ``EVENTS``.
-    :param fields: what else stands on the line, in this order.
+    :param name: a name in ``EVENTS``; any other name is logged as an error.
+    :param fields: further fields of the line, in this order; fields that
+        are None are left out.
     """
     known = EVENTS.get(name)
     level = known.level if known else ERROR
-    if not _writers or level < _least[0]:
+    if not _writers or level < _min_level[0]:
         return
-    now = datetime.datetime.now(datetime.UTC).strftime(_TIME)
-    text = line(event=name, **_constant, **fields)
+    now = datetime.datetime.now(datetime.UTC).strftime(_TIME_FORMAT)
+    text = line(event=name, **_common_fields, **fields)
     for write in _writers:
-        write(name, f"time={now}Z level={_NAMES[level]} {text}")
+        write(name, f"time={now}Z level={_LEVEL_NAMES[level]} {text}")
 
 
 def line(**fields: typing.Any) -> str:
-    """Fields as ``key=value`` pairs; None is left out."""
+    """Format fields as ``key=value`` pairs, without those that are None."""
     return " ".join(
         f"{key}={quoted(value)}"
         for key, value in fields.items()
@@ -264,10 +285,10 @@
 
 
 def quoted(value: typing.Any) -> str:
-    """A value as one word, or as a JSON string when it is not one.
+    """Format a value as a bare word, or else as a JSON string.
 
-    An unquoted line break or space would let a caller's text forge further
-    events or fields.
+    If line breaks and spaces were not quoted, text from a caller could forge
+    further events or fields.
     """
     text = f"{value:.6g}" if isinstance(value, float) else str(value)
-    return text if _PLAIN.fullmatch(text) else json.dumps(text)
+    return text if _UNQUOTED.fullmatch(text) else json.dumps(text)
--- a/src/apricotlever/mailbox.py
+++ b/src/apricotlever/mailbox.py
@@ -1,8 +1,9 @@
-"""Tasks that own their state and talk by typed messages.
+"""Tasks: actors that own their state and communicate by typed messages.
 
-A task runs on one thread of a :class:`concurrent.futures` executor. Others
-reach it only by :meth:`Task.ask` and :meth:`Task.tell`; a handler is a
-method marked with :func:`handles`, and its return value settles the future.
+A task runs on one thread of a :mod:`concurrent.futures` executor. Other
+threads reach it only through :meth:`Task.ask` and :meth:`Task.tell`. Methods
+marked with :func:`handles` handle the messages, and the return value of a
+handler becomes the result of the future that :meth:`Task.ask` returned.
 """
 
 from concurrent import futures
@@ -19,14 +20,14 @@
 
 
 class TaskStopped(errors.ApricotleverError):
-    """The task ended before it handled the message."""
+    """The task stopped before it handled the message."""
 
     def __init__(self, name: str) -> None:
         super().__init__(f"task {name} has stopped")
 
 
 class Deferred:
-    """Returned by a handler that will settle the future itself, later."""
+    """Returned by a handler that completes the future itself, later."""
 
     __slots__ = ()
 
@@ -37,7 +38,8 @@
 def handles(message_type: type) -> typing.Callable[[Handler], Handler]:
     """Mark a method of a task as the handler of one type of message.
 
-    :param message_type: the class whose instances the method takes.
+    :param message_type: the exact class of the messages; instances of its
+        subclasses need a handler of their own.
     """
 
     def mark(method: Handler) -> Handler:
@@ -48,7 +50,7 @@
 
 
 class _Envelope:
-    """A message with the future that its handler settles."""
+    """A message with the future for its handler's result, if any."""
 
     __slots__ = ("message", "future")
 
@@ -60,13 +62,13 @@
 
 
 class Task:
-    """A thread's worth of state behind a mailbox.
+    """An actor: state that only one thread accesses, with a message queue.
 
     Subclasses mark handlers with :func:`handles` and may override
-    :meth:`started`, :meth:`tick` and :meth:`stopped`.
+    :meth:`started`, :meth:`tick`, :meth:`stopped` and :meth:`failed`.
 
-    :param name: used for the thread and in logs.
-    :param clock: decides when the next tick is due.
+    :param name: the name of the task in logs and error messages.
+    :param clock: the clock that determines when the next tick is due.
     :param tick_s: seconds between two calls of :meth:`tick`.
     """
 
@@ -100,7 +102,11 @@
         return self._name
 
     def ask(self, message: typing.Any) -> "futures.Future[typing.Any]":
-        """Post a message and get a future for the handler's answer."""
+        """Queue a message.
+
+        :returns: a future for the result of the handler. It fails with the
+            error that the handler raises, or with :class:`TaskStopped`.
+        """
         future: futures.Future[typing.Any] = futures.Future()
         if self._stopping:
             future.set_exception(TaskStopped(self._name))
@@ -109,15 +115,15 @@
         return future
 
     def tell(self, message: typing.Any) -> None:
-        """Post a message whose answer nobody waits for."""
+        """Queue a message without waiting for its result."""
         self._inbox.put(_Envelope(message, None))
 
     def stop(self) -> None:
-        """Ask the task to end after the messages posted so far."""
+        """Stop the task after the messages that are already queued."""
         self._inbox.put(None)
 
     def run(self) -> None:
-        """Handle messages and ticks until stopped; runs on the executor."""
+        """Handle messages and ticks until stopped, on the calling thread."""
         self.started()
         next_tick = self._clock.now() + self._tick_s
         while True:
@@ -131,32 +137,34 @@
             if envelope.message is not None:
                 self._handle(envelope)
             if self._clock.now() >= next_tick:
-                self._guarded_tick()
+                self._run_tick()
                 next_tick = self._clock.now() + self._tick_s
         self._stopping = True
-        self._refuse_the_rest()
+        self._fail_pending()
         self.stopped()
 
     def started(self) -> None:
         """Hook: runs on the task's thread before the first message."""
 
     def tick(self) -> None:
-        """Hook: runs about every ``tick_s`` seconds."""
+        """Hook: runs about every ``tick_s`` seconds, between messages."""
 
     def stopped(self) -> None:
         """Hook: runs on the task's thread after the last message."""
 
     def failed(self, error: Exception) -> None:
-        """Log what no handler foresaw.
+        """Hook: handles an unexpected error; by default, logs it.
 
-        :param error: what a tick, or a message that nobody waits for, raised.
+        :param error: the error raised by a tick, or by the handler of a
+            message sent with :meth:`tell`.
         """
         logs.event("task_failed", task=self.name, error=repr(error))
 
     def defer(self) -> "futures.Future[typing.Any]":
-        """Within a handler that returns DEFERRED: the future to settle.
+        """The future to complete, for a handler that returns ``DEFERRED``.
 
-        A message sent by :meth:`tell` gets a future that nobody reads.
+        To be called within the handler. For a message sent with
+        :meth:`tell`, the result of the future is ignored.
         """
         return self._current or futures.Future()
 
@@ -176,13 +184,13 @@
         if envelope.future is not None and answer is not DEFERRED:
             envelope.future.set_result(answer)
 
-    def _guarded_tick(self) -> None:
+    def _run_tick(self) -> None:
         try:
             self.tick()
         except Exception as error:
             self.failed(error)
 
-    def _refuse_the_rest(self) -> None:
+    def _fail_pending(self) -> None:
         while not self._inbox.empty():
             envelope = self._inbox.get()
             if envelope is not None and envelope.future is not None:
--- a/src/apricotlever/metrics.py
+++ b/src/apricotlever/metrics.py
@@ -1,7 +1,7 @@
-"""Metrics, sent to a statsd server when the settings name one.
+"""Metrics, sent to a statsd server if the settings name one.
 
-Every metric is registered here with one line of meaning; the operators'
-page lists the same names, and a test compares the two.
+Every metric is registered in ``METRICS`` with a one-line description. The
+operators' page lists the same metrics, and a test compares the two.
 """
 
 import re
@@ -11,7 +11,7 @@
 from . import settings
 
 PREFIX = "apricotlever"
-_NOT_IN_A_PART = re.compile(r"[^A-Za-z0-9_-]")
+_INVALID_CHARACTERS = re.compile(r"[^A-Za-z0-9_-]")
 
 METRICS: dict[str, str] = {
     "requests.admitted": "Requests admitted, by customer.",
@@ -46,10 +46,13 @@
 
 
 class Metrics:
-    """Sends counts, gauges and times over UDP; never fails, never waits.
+    """Client of a statsd server.
 
-    :param address: a statsd server, None to send nothing.
-    :param prefix: stands before each name.
+    Counters, gauges and timings are sent over UDP, without blocking and
+    without raising errors.
+
+    :param address: the address of the statsd server; None to send nothing.
+    :param prefix: the first part of all metric names.
     """
 
     __slots__ = ("_client",)
@@ -57,25 +60,33 @@
     def __init__(
         self, address: settings.Address | None, prefix: str = PREFIX
     ) -> None:
-        self._client = _client(address, prefix) if address else None
+        self._client = _create_client(address, prefix) if address else None
 
     def count(self, name: str, n: int = 1, of: str = "") -> None:
         """Add to a counter.
 
         :param name: a name in ``METRICS``.
-        :param n: how much.
-        :param of: what the counter is split by, such as a customer.
+        :param n: the number to add.
+        :param of: a label to split the metric by, such as the name of a
+            customer; becomes the last part of the metric's name. Empty for
+            a metric that is not split.
         """
         if self._client:
             self._client.incr(_full_name(name, of), n)
 
     def gauge(self, name: str, value: float, of: str = "") -> None:
-        """Set a gauge; see :meth:`count` for the parameters."""
+        """Set a gauge; see :meth:`count` for the other parameters.
+
+        :param value: the new value of the gauge.
+        """
         if self._client:
             self._client.gauge(_full_name(name, of), value)
 
     def timing(self, name: str, seconds: float, of: str = "") -> None:
-        """Send a time; see :meth:`count` for the other parameters."""
+        """Send a duration; see :meth:`count` for the other parameters.
+
+        :param seconds: the duration, sent in milliseconds.
+        """
         if self._client:
             self._client.timing(_full_name(name, of), seconds * 1000.0)
 
@@ -85,11 +96,13 @@
             self._client.close()
 
 
-def _client(address: settings.Address, prefix: str) -> statsd.StatsClient:
+def _create_client(
+    address: settings.Address, prefix: str
+) -> statsd.StatsClient:
     return statsd.StatsClient(
         address.host, address.port, prefix=prefix, ipv6=":" in address.host
     )
 
 
 def _full_name(name: str, of: str) -> str:
-    return f"{name}.{_NOT_IN_A_PART.sub('_', of)}" if of else name
+    return f"{name}.{_INVALID_CHARACTERS.sub('_', of)}" if of else name
--- a/src/apricotlever/refusals.py
+++ b/src/apricotlever/refusals.py
@@ -1,7 +1,8 @@
-"""Refusals: the errors that a caller can meet, each with a stable type.
+"""Refusals: the errors returned to callers, each with a stable type.
 
-Every refusal says whether an upstream saw the request. ``no`` is a promise:
-the caller may send the request again anywhere without a second run.
+Every refusal states whether an upstream ran the request. ``no`` is a
+guarantee: the caller may send the request again anywhere, and it will not
+run twice.
 """
 
 import enum
@@ -24,8 +25,8 @@
     """One type of refusal.
 
     :param name: the stable ``type`` in the JSON body.
-    :param status: HTTP status code.
-    :param meaning: one line for the operators' page.
+    :param status: the HTTP status code.
+    :param meaning: a one-line description; the operators' page shows it.
     """
 
     __slots__ = ("name", "status", "meaning")
@@ -39,43 +40,65 @@
 _KINDS: dict[str, Kind] = {}
 
 
-def _kind(name: str, status: int, meaning: str) -> Kind:
+def _register_kind(name: str, status: int, meaning: str) -> Kind:
     kind = Kind(name, status, meaning)
     _KINDS[name] = kind
     return kind
 
 
-BAD_REQUEST = _kind("bad_request", 400, "the request is malformed")
-BAD_JSON = _kind("bad_json", 400, "the body is not the JSON expected")
-UNAUTHENTICATED = _kind("unauthenticated", 401, "the bearer key is unknown")
-FORBIDDEN = _kind("forbidden", 403, "the customer may not use the entry")
-NOT_FOUND = _kind("not_found", 404, "no such path, entry or request")
-METHOD = _kind("method_not_allowed", 405, "the path takes other methods")
-SLOW_SENDER = _kind("request_timeout", 408, "the request arrived too slowly")
-CONFLICT = _kind("key_conflict", 409, "the key belongs to another request")
-EXPIRED = _kind("key_expired", 410, "the key is too old to be run")
-BODY_TOO_LARGE = _kind("body_too_large", 413, "the body exceeds the limit")
-HEADERS_TOO_LARGE = _kind(
+BAD_REQUEST = _register_kind("bad_request", 400, "the request is malformed")
+BAD_JSON = _register_kind("bad_json", 400, "the body is not the JSON expected")
+UNAUTHENTICATED = _register_kind(
+    "unauthenticated", 401, "the bearer key is unknown"
+)
+FORBIDDEN = _register_kind(
+    "forbidden", 403, "the customer may not use the entry"
+)
+NOT_FOUND = _register_kind("not_found", 404, "no such path, entry or request")
+METHOD = _register_kind(
+    "method_not_allowed", 405, "the path takes other methods"
+)
+SLOW_SENDER = _register_kind(
+    "request_timeout", 408, "the request arrived too slowly"
+)
+CONFLICT = _register_kind(
+    "key_conflict", 409, "the key belongs to another request"
+)
+EXPIRED = _register_kind("key_expired", 410, "the key is too old to be run")
+BODY_TOO_LARGE = _register_kind(
+    "body_too_large", 413, "the body exceeds the limit"
+)
+HEADERS_TOO_LARGE = _register_kind(
     "headers_too_large", 431, "the headers exceed the limit"
 )
-RATE_LIMITED = _kind("rate_limited", 429, "a limit of the entry was reached")
-SHED = _kind("overloaded", 503, "the class is shed while overloaded")
-LEAVING = _kind("leaving", 503, "this entry VM takes no new work")
-NO_RUNNER = _kind("no_runner", 503, "no runner can take the request now")
-CLAIMS_DOWN = _kind(
+RATE_LIMITED = _register_kind(
+    "rate_limited", 429, "a limit of the entry was reached"
+)
+SHED = _register_kind("overloaded", 503, "the class is shed while overloaded")
+LEAVING = _register_kind("leaving", 503, "this entry VM takes no new work")
+NO_RUNNER = _register_kind(
+    "no_runner", 503, "no runner can take the request now"
+)
+CLAIMS_DOWN = _register_kind(
     "claims_unavailable", 503, "the store that records claims is down"
 )
-QUARANTINED = _kind(
+QUARANTINED = _register_kind(
     "quarantined", 503, "like requests crashed runners; it is not run"
 )
-NOT_READY = _kind("not_ready", 503, "no catalogue is in force yet")
-NOT_IMPLEMENTED = _kind("not_implemented", 501, "the transfer is unsupported")
-GAVE_UP = _kind("gave_up", 504, "every attempt failed within the deadline")
-UPSTREAM_FAILED = _kind("upstream_failed", 502, "the upstream's answer broke")
-OUTCOME_UNKNOWN = _kind(
+NOT_READY = _register_kind("not_ready", 503, "no catalogue is in force yet")
+NOT_IMPLEMENTED = _register_kind(
+    "not_implemented", 501, "the transfer is unsupported"
+)
+GAVE_UP = _register_kind(
+    "gave_up", 504, "every attempt failed within the deadline"
+)
+UPSTREAM_FAILED = _register_kind(
+    "upstream_failed", 502, "the upstream's answer broke"
+)
+OUTCOME_UNKNOWN = _register_kind(
     "outcome_unknown", 502, "a non-idempotent request may have run"
 )
-INTERNAL = _kind("internal", 500, "a fault in this daemon")
+INTERNAL = _register_kind("internal", 500, "a fault in this daemon")
 
 
 def kinds() -> typing.Mapping[str, Kind]:
@@ -84,13 +107,13 @@
 
 
 class Refusal(errors.ApricotleverError):
-    """A request that gets no upstream's answer.
+    """An error returned to a caller in place of an upstream's answer.
 
     :param kind: the type of refusal.
-    :param message: one sentence for the caller, without internals.
+    :param message: one sentence for the caller, without internal details.
     :param executed: whether an upstream ran the request.
-    :param retry_after_s: when to come back, in seconds, or None.
-    :param request_id: the request's ID where one was minted.
+    :param retry_after_s: the delay before a retry in seconds, or None.
+    :param request_id: the ID of the request; empty if none was assigned.
     """
 
     def __init__(
@@ -119,18 +142,18 @@
 
     @property
     def retry_after_s(self) -> float | None:
-        """When to come back, in seconds."""
+        """The delay before a retry in seconds, or None."""
         return self._retry_after_s
 
     @property
     def request_id(self) -> str:
-        """The request's ID, or an empty string."""
+        """The ID of the request, or an empty string."""
         return self._request_id
 
     def for_request(self, request_id: str) -> "Refusal":
-        """The same refusal, naming the request.
+        """A copy of this refusal with the ID of a request.
 
-        :param request_id: the ID that the entry VM minted.
+        :param request_id: the ID that the entry VM assigned.
         """
         return Refusal(
             self._kind,
@@ -141,7 +164,7 @@
         )
 
     def body(self) -> bytes:
-        """The JSON body, encoded."""
+        """The body of the HTTP response, encoded as JSON."""
         error: dict[str, object] = {
             "type": self._kind.name,
             "message": self._message,
@@ -154,7 +177,7 @@
         return json.dumps({"error": error}).encode()
 
     def headers(self) -> list[tuple[str, str]]:
-        """The HTTP headers that go with the body."""
+        """The headers of the HTTP response."""
         named = [
             ("Content-Type", "application/json"),
             ("Apricotlever-Executed", self._executed.value),
--- a/src/apricotlever/settings.py
+++ b/src/apricotlever/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one entry VM, read from a JSON file."""
+"""The settings of an entry VM, read from a JSON file and validated."""
 
 import collections.abc
 import pathlib
@@ -22,7 +22,7 @@
 
 
 class SettingsInvalid(documents.DocumentInvalid):
-    """The settings were refused; the process must not start with them."""
+    """The settings are invalid; the process must not start with them."""
 
     def __init__(
         self, faults: collections.abc.Sequence[documents.Fault]
@@ -31,10 +31,10 @@
 
 
 class Seed:
-    """An entry VM to contact first.
+    """An entry VM that this VM contacts to join the fleet.
 
-    :param vm: its name.
-    :param address: where it listens for peers.
+    :param vm: the name of the VM.
+    :param address: its address for other entry VMs.
     """
 
     __slots__ = ("vm", "address")
@@ -45,7 +45,7 @@
 
 
 class PlatformUrls:
-    """Where the platform's services are.
+    """The URLs of the platform's services.
 
     :param objects: URL of the object API.
     :param cloud: URL of the cloud API.
@@ -63,17 +63,20 @@
 class Settings:
     """All settings of one entry VM.
 
-    :param vm: this VM's name.
-    :param data_centre: where it runs.
+    :param vm: the name of this VM.
+    :param data_centre: the data centre in which this VM runs.
+    :param callers: the listening address for callers.
+    :param peers: the listening address for other entry VMs.
+    :param platform: the URLs of the platform's services.
     :param region: the region of the data centre.
-    :param callers: address for callers.
-    :param peers: address for other entry VMs.
-    :param platform: where the platform is.
-    :param seeds: entry VMs to contact first.
-    :param statsd: where metrics go, None for nowhere.
-    :param operator_key_sha256: of the key that operators' pages want; None
-        opens them to all who reach the port.
+    :param seeds: entry VMs to contact to join the fleet.
+    :param statsd: the statsd server for metrics; None to send no metrics.
     :param log_level: ``debug``, ``info``, ``warning`` or ``error``.
+    :param operator_key_sha256: the hex SHA-256 of the key that operators'
+        pages require; None opens the pages to everyone who can reach the
+        port.
+    :param timing: intervals and timeouts; the defaults when None.
+    :param sizes: sizes and rates; the defaults when None.
     """
 
     __slots__ = (
@@ -121,10 +124,11 @@
 
 
 def load(path: str | pathlib.Path) -> Settings:
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
-    :param path: a JSON file.
-    :raises SettingsInvalid: names every field that is wrong.
+    :param path: the path of a JSON file.
+    :raises SettingsInvalid: if the file can't be read, is not JSON or has
+        invalid fields; names the fields.
     """
     try:
         document = documents.loads(pathlib.Path(path).read_bytes())
@@ -135,10 +139,10 @@
 
 
 def parse(document: Json) -> Settings:
-    """Check parsed JSON and turn it into settings.
+    """Validate parsed JSON and convert it to settings.
 
     :param document: parsed JSON.
-    :raises SettingsInvalid: names every field that is wrong.
+    :raises SettingsInvalid: if fields are invalid; names the fields.
     """
     faults = documents.faults_of(document, _SCHEMA)
     faults = faults or _address_faults(document)
@@ -152,7 +156,7 @@
         callers=Address.from_text(document["callers"]),
         peers=Address.from_text(document["peers"]),
         platform=PlatformUrls(**document["platform"]),
-        seeds=tuple(map(_seed, document.get("seeds", ()))),
+        seeds=tuple(map(_parse_seed, document.get("seeds", ()))),
         statsd=Address.from_text(statsd) if statsd else None,
         log_level=document.get("log_level", DEFAULT_LOG_LEVEL),
         operator_key_sha256=document.get("operator_key_sha256"),
@@ -161,7 +165,7 @@
     )
 
 
-def _seed(value: Json) -> Seed:
+def _parse_seed(value: Json) -> Seed:
     return Seed(value["vm"], Address.from_text(value["address"]))
 
 
@@ -172,7 +176,7 @@
         for i, seed in enumerate(document.get("seeds", ()))
     }
     return [
-        documents.Fault(field, text, "an IP number and a port up to 65535")
+        documents.Fault(field, text, "an IP address and a port up to 65535")
         for field, text in named.items()
         if text is not None and not _is_address(text)
     ]
--- a/src/apricotlever/shapes.py
+++ b/src/apricotlever/shapes.py
@@ -1,8 +1,8 @@
-"""Checks of values that came over a wire, before anything relies on them.
+"""Validation of values that come from a store or over the network.
 
-What is read from a store or a peer may be of any type: another program wrote
-it, or it was spoiled on the way. A value that is taken on trust fails far from
-where it came in, and takes what it meets there with it.
+Such a value may have any type: another program may have written it, or it
+may have been corrupted. An invalid value that is not rejected where it
+arrives causes an error in unrelated code later, which fails with it.
 """
 
 import math
@@ -10,72 +10,72 @@
 
 Check = typing.Callable[[typing.Any], bool]
 
-#: No count, revision or time in milliseconds comes near it; larger whole
-#: numbers are no longer exact as floats.
+#: Larger integers have no exact representation as floats. No count, revision
+#: or time in milliseconds comes close to it.
 MOST_WHOLE = 2**53
 MOST_PORT = 65535
 
 
 class Misshapen(ValueError):
-    """A value is missing, of another type or out of range.
+    """A value is missing, has the wrong type or is out of range.
 
-    :param name: of the field.
-    :param value: what stood there.
+    :param name: the name of the field.
+    :param value: the value found there.
     """
 
     def __init__(self, name: str, value: typing.Any) -> None:
-        # Anything may stand there, at any length; a log line may not.
+        # The value may be of any length, so it is cut to fit into a log line.
         super().__init__(f"{name} is {type(value).__name__} {value!r:.40}")
         self.name = name
 
 
 def is_text(value: typing.Any) -> bool:
-    """A string that is not empty."""
+    """Whether a value is a string that is not empty."""
     return isinstance(value, str) and bool(value)
 
 
 def is_any_text(value: typing.Any) -> bool:
-    """A string."""
+    """Whether a value is a string, possibly empty."""
     return isinstance(value, str)
 
 
 def is_flag(value: typing.Any) -> bool:
-    """True or false."""
+    """Whether a value is a Boolean."""
     return isinstance(value, bool)
 
 
 def is_whole(value: typing.Any) -> bool:
-    """A whole number from 0 on."""
+    """Whether a value is an integer from 0 to ``MAX_SAFE_INTEGER``."""
     return type(value) is int and 0 <= value <= MOST_WHOLE
 
 
 def is_number(value: typing.Any) -> bool:
-    """A finite number from 0 on."""
+    """Whether a value is a finite number from 0 upwards."""
     if type(value) is float:
         return math.isfinite(value) and value >= 0.0
     return is_whole(value)
 
 
 def is_finite(value: typing.Any) -> bool:
-    """A finite number, negative ones included."""
+    """Whether a value is a finite number, possibly negative."""
     if type(value) is float:
         return math.isfinite(value)
     return type(value) is int and abs(value) <= MOST_WHOLE
 
 
 def is_address(value: typing.Any) -> bool:
-    """``host:port`` with a port that exists."""
+    """Whether a value is ``host:port`` with a port from 1 to 65535."""
     if not isinstance(value, str):
         return False
     host, _, port = value.rpartition(":")
-    # A digit of another script would pass ``isdigit``.
+    # str.isdigit() also accepts the digits of other scripts.
     if not host or not (port.isascii() and port.isdigit()) or len(port) > 5:
         return False
     return str(int(port)) == port and 0 < int(port) <= MOST_PORT
 
 
 def is_map(of_key: Check, of_value: Check) -> Check:
-    """A map whose keys and values pass checks."""
+    """A check for a dictionary whose keys and values pass the checks."""
 
     def check(value: typing.Any) -> bool:
         return isinstance(value, dict) and all(
@@ -86,7 +86,7 @@
 
 
 def is_list(of_item: Check) -> Check:
-    """A list, or a tuple, whose items pass a check."""
+    """A check for a list or tuple whose items all pass a check."""
 
     def check(value: typing.Any) -> bool:
         return isinstance(value, (list, tuple)) and all(map(of_item, value))
@@ -95,7 +95,7 @@
 
 
 def is_row(*of_items: Check) -> Check:
-    """A list, or a tuple, of so many items that pass a check each."""
+    """A check for a list or tuple of fixed length, with a check per item."""
 
     def check(value: typing.Any) -> bool:
         return (
@@ -108,17 +108,20 @@
 
 
 def is_none_or(of_value: Check) -> Check:
-    """None, or a value that passes a check."""
+    """A check for None or a value that passes a check."""
     return lambda value: value is None or of_value(value)
 
 
 def checked_record(
     checks: typing.Sequence[tuple[str, Check]], record: typing.Any
 ) -> list[typing.Any]:
-    """A record whose fields pass their checks, in order.
+    """Validate the fields of a record.
 
-    :param checks: names and checks of the fields.
-    :raises Misshapen: when it is none.
+    :param checks: the name and the check of each field, in order.
+    :param record: a list or tuple with one value for each field.
+    :returns: the values of the fields as a list.
+    :raises Misshapen: if the record has another type or length, or a field
+        does not pass its check.
     """
     if not isinstance(record, (list, tuple)) or len(record) != len(checks):
         raise Misshapen("a record", record)
--- a/src/apricotlever/timing.py
+++ b/src/apricotlever/timing.py
@@ -1,25 +1,31 @@
-"""Times and sizes that settings may change, with their defaults.
+"""Configurable times and sizes, with their defaults.
 
-The same defaults stand in the settings' schema; a test compares them.
+The JSON schema of the settings contains the same defaults; a test compares
+them.
 """
 
 
 class Timing:
-    """How long things last; all in seconds.
+    """Configurable intervals and timeouts, all in seconds.
 
-    :param probe_interval_s: between two probes of peers.
-    :param probe_timeout_s: until a probe is tried through other peers.
-    :param sync_interval_s: between two exchanges of the whole view.
-    :param peer_timeout_s: for a call to another entry VM.
-    :param connect_timeout_s: for opening a connection.
-    :param platform_timeout_s: for a call to the platform, no watch.
-    :param watch_s: how long a watch waits for an event.
-    :param lease_s: how long a duty's lease lasts.
-    :param order_timeout_s: the longest that an order to a runner may take.
-    :param load_poll_s: between two readings of a runner's load.
-    :param entries_ttl_s: how long callers may keep the list of entry VMs.
-    :param stop_s: the longest that a graceful shutdown waits.
-    :param connection_age_s: the oldest connection that is used again.
+    :param probe_interval_s: the interval between two probes of peers.
+    :param probe_timeout_s: the time without an answer after which a peer is
+        probed indirectly, through other peers.
+    :param sync_interval_s: the interval between two exchanges of the whole
+        membership view with a peer.
+    :param peer_timeout_s: the timeout of a call to another entry VM.
+    :param connect_timeout_s: the timeout for opening a connection.
+    :param platform_timeout_s: the timeout of a call to the platform, other
+        than a watch.
+    :param watch_s: the time for which a watch waits for an event.
+    :param lease_s: the duration of the lease of a duty.
+    :param order_timeout_s: the timeout of an order to a runner.
+    :param load_poll_s: the interval between two readings of the load of a
+        runner.
+    :param entries_ttl_s: the time for which callers may cache the list of
+        entry VMs.
+    :param stop_s: the maximum duration of a graceful shutdown.
+    :param connection_age_s: the maximum age of a connection that is reused.
     """
 
     __slots__ = (
@@ -70,16 +76,23 @@
 
 
 class Sizes:
-    """How much is taken, kept and asked for.
+    """Configurable sizes, retention and rates.
 
-    :param caller_threads: requests and streams served at once.
-    :param body_bytes_max: the largest request body.
-    :param header_bytes_max: the largest request head.
-    :param answer_bytes_max: the largest answer that is read whole.
-    :param keep_outcomes_s: how long an ended request's outcome is kept.
-    :param keep_outcomes_bytes_max: memory for ended requests' outcomes.
-    :param store_reads_per_s: the object API's rate for the whole fleet.
-    :param store_writes_per_s: the object API's rate for the whole fleet.
+    :param caller_threads: the maximum number of requests and streams served
+        concurrently.
+    :param body_bytes_max: the maximum size of a request body in bytes.
+    :param header_bytes_max: the maximum size of a request's headers in
+        bytes.
+    :param answer_bytes_max: the maximum size in bytes of an answer that is
+        buffered whole.
+    :param keep_outcomes_s: the time in seconds for which the outcome of an
+        ended request is kept.
+    :param keep_outcomes_bytes_max: the maximum memory in bytes for the
+        outcomes of ended requests.
+    :param store_reads_per_s: the maximum rate of reads from the object API
+        by the whole fleet.
+    :param store_writes_per_s: the maximum rate of writes to the object API
+        by the whole fleet.
     """
 
     __slots__ = (
--- a/tests/catalogue/examples.py
+++ b/tests/catalogue/examples.py
@@ -1,4 +1,4 @@
-"""The example catalogues, as documents."""
+"""The example catalogues as JSON documents."""
 
 import json
 import pathlib
@@ -10,19 +10,24 @@
 
 
 def document(path: pathlib.Path = PROCURADOR) -> typing.Any:
-    """Read an example."""
+    """Read an example catalogue.
+
+    :param path: the file, relative to the root of the repository.
+    """
     return json.loads(path.read_text())
 
 
 def changed(original: typing.Any, field: str, value: typing.Any) -> typing.Any:
-    """A copy of a document with one field set.
+    """Copy a document and set one of its fields.
 
-    :param field: names joined by dots.
+    :param original: the document to copy.
+    :param field: the dotted path of the field.
+    :param value: the new value of the field.
     """
     copy = json.loads(json.dumps(original))
     *parents, last = field.split(".")
-    place = copy
+    parent = copy
     for name in parents:
-        place = place[name]
-    place[last] = value
+        parent = parent[name]
+    parent[last] = value
     return copy
--- a/tests/catalogue/schema.feature
+++ b/tests/catalogue/schema.feature
@@ -1,4 +1,4 @@
-Feature: Checks of a catalogue document
+Feature: Validation of catalogue documents
 
   Scenario Outline: The examples are valid
     Then the catalogue file <file> has <entries> entries and <customers> customers
@@ -9,12 +9,12 @@
       | examples/consorzio.json   | 3       | 5         |
       | examples/catalogue.json   | 6       | 10        |
 
-  Scenario Outline: A bad catalogue is refused by name
+  Scenario Outline: An invalid catalogue is rejected with the name of the field
     When the example catalogue is changed so that <field> is <value>
-    Then the catalogue is refused at <field> wanting "<wanted>"
+    Then the catalogue is rejected at <field>, expecting "<expected>"
 
     Examples:
-      | field                                   | value           | wanted             |
+      | field                                   | value           | expected           |
       | entries.mandate-check.class             | "fast"          | under classes      |
       | entries.mandate-check.kind              | "modle"         | "model", "service" |
       | entries.mandate-check.capacity          | null            | type object        |
@@ -32,14 +32,14 @@
       | entries.Bad Name                        | {}              | required           |
 
   Scenario: Two customers can't share a key
-    Symptom: one customer reads another's answers.
-    Events: an operator copies a customer and forgets the key.
-    Cause: a bearer key then names whichever customer comes last.
+    Guards against a customer who reads another's answers: an operator
+    copies a customer without changing the key, and the key then identifies
+    the last customer that has it.
     When the example catalogue gives two customers one key
-    Then the catalogue is refused at customers.belem.key_sha256 wanting "no other customer"
+    Then the catalogue is rejected at customers.belem.key_sha256, expecting "no other customer"
 
-  Scenario: Leaving out what is required names all of it
-    When the example catalogue's entry mandate-check is emptied
+  Scenario: All missing required fields are named
+    When the example catalogue's entry mandate-check is replaced by an empty object
     Then the catalogue's faults name owner, kind, class, upstreams, capacity
 
   Scenario: The operators' page shows each field of the catalogue
--- a/tests/histograms.feature
+++ b/tests/histograms.feature
@@ -1,18 +1,18 @@
 Feature: Latency histograms
 
-  Scenario: Merged histograms tell what sorted lists of values tell
-    Then merged histograms agree with sorting all values of the fleet
+  Scenario: Percentiles of merged histograms agree with those of all values
+    Then percentiles of merged histograms agree with sorting all values of the fleet
 
-  Scenario: Merging percentiles instead is wrong
-    Symptom: the fleet's 95th percentile looks fine while callers wait.
-    Events: one VM answers many requests fast, another few and slowly.
-    Cause: an average of percentiles ignores how many values each holds.
+  Scenario: The average of the percentiles of VMs is wrong
+    Guards against a wrong 95th percentile of the fleet: an average of
+    percentiles ignores the number of values behind each. Here one VM answers
+    many requests fast, and another answers few and slowly.
     Given a VM with 990 histogram values of 0.1 s and one with 10 of 9 s
-    Then the averaged percentile is wrong and the merged one is right
+    Then the averaged percentile is wrong and the merged percentile is right
 
-  Scenario: Memory is bounded however many customers there are
+  Scenario: Memory is bounded for any number of customers
     When histograms for at most 2 keys get values from 5 customers
-    Then no histogram value is lost and the rest is counted as "other"
+    Then no histogram value is lost and further customers are counted as "other"
 
-  Scenario: A peer's damaged histogram is refused by a named error
-    Then the text "HISTFAAA" is refused as a histogram
+  Scenario: A malformed histogram is rejected with a specific error
+    Then the text "HISTFAAA" is rejected as a histogram
--- a/tests/logs.feature
+++ b/tests/logs.feature
@@ -1,6 +1,6 @@
 Feature: Logs and metrics
 
-  Scenario: An event is one line that a caller's text can't forge
+  Scenario: Text from a caller can't forge log lines or fields
     When the event "request_refused" is logged with a line break in a field
     Then the log holds one line that ends with
       """
--- a/tests/steps/catalogue_schema.py
+++ b/tests/steps/catalogue_schema.py
@@ -13,7 +13,7 @@
 from tests.support import pages
 
 
-def _refused(context, document):
+def _parse_invalid(context, document):
     try:
         catalogue.parse(document, 1)
     except catalogue.CatalogueInvalid as error:
@@ -34,7 +34,9 @@
 @when("the example catalogue is changed so that {field} is {value}")
 def _changed(context, field, value):
     document = examples.document()
-    _refused(context, examples.changed(document, field, json.loads(value)))
+    _parse_invalid(
+        context, examples.changed(document, field, json.loads(value))
+    )
 
 
 @when("the example catalogue gives two customers one key")
@@ -42,28 +44,28 @@
     document = examples.document()
     customers = document["customers"]
     customers["belem"]["key_sha256"] = customers["alfama"]["key_sha256"]
-    _refused(context, document)
+    _parse_invalid(context, document)
 
 
-@when("the example catalogue's entry {name} is emptied")
+@when("the example catalogue's entry {name} is replaced by an empty object")
 def _emptied(context, name):
     document = examples.document()
-    _refused(context, examples.changed(document, f"entries.{name}", {}))
+    _parse_invalid(context, examples.changed(document, f"entries.{name}", {}))
 
 
-@then('the catalogue is refused at {field} wanting "{wanted}"')
-def _at(context, field, wanted):
+@then('the catalogue is rejected at {field}, expecting "{expected}"')
+def _rejected_at(context, field, expected):
     found = [
         fault
         for fault in context.catalogue_error.faults
-        if fault.field.startswith(field) and wanted in fault.wanted
+        if fault.field.startswith(field) and expected in fault.expected
     ]
     assert found, context.catalogue_error.message
     assert field in context.catalogue_error.message
 
 
 @then("the catalogue's faults name {fields}")
-def _names(context, fields):
+def _fault_fields(context, fields):
     found = {
         fault.field.rpartition(".")[2]
         for fault in context.catalogue_error.faults
--- a/tests/steps/histograms.py
+++ b/tests/steps/histograms.py
@@ -33,7 +33,10 @@
     return histograms.merge(encoded)[KEY]
 
 
-@then("merged histograms agree with sorting all values of the fleet")
+@then(
+    "percentiles of merged histograms agree with sorting all values "
+    "of the fleet"
+)
 def _agrees(context):
     @hypothesis.settings(
         derandomize=True, deadline=None, database=None, max_examples=100
@@ -65,7 +68,7 @@
     ]
 
 
-@then("the averaged percentile is wrong and the merged one is right")
+@then("the averaged percentile is wrong and the merged percentile is right")
 def _average(context):
     vms = context.histogram_vms
     each = [vm.handle(*KEY).percentile(95) for vm in vms]
@@ -81,18 +84,21 @@
         context.histograms.record(histograms.WHOLE, f"c{i}", "class", 1.0)
 
 
-@then('no histogram value is lost and the rest is counted as "{name}"')
-def _other(context, name):
+@then(
+    "no histogram value is lost "
+    'and further customers are counted as "{name}"'
+)
+def _overflow(context, name):
     counts = {d.customer: d.count for d in context.histograms.distributions()}
     assert counts == {"c0": 1, "c1": 1, name: 3}
 
 
-@then('the text "{text}" is refused as a histogram')
-def _damaged(context, text):
+@then('the text "{text}" is rejected as a histogram')
+def _malformed(context, text):
     item = {"measure": "m", "customer": "c", "class": "c", "histogram": text}
     try:
         histograms.merge([item])
     except histograms.HistogramInvalid as error:
         assert "not a histogram" in error.message
         return
-    raise AssertionError("a damaged histogram was taken")
+    raise AssertionError("a malformed histogram was accepted")
--- a/tests/steps/logs.py
+++ b/tests/steps/logs.py
@@ -21,7 +21,7 @@
 WAIT_S = 10.0
 
 
-def _called(pattern):
+def _names_in_calls(pattern):
     texts = (path.read_text() for path in sorted(PACKAGE.rglob("*.py")))
     return {name for text in texts for name in pattern.findall(text)}
 
@@ -49,7 +49,7 @@
 
 @then("each event logged in the package is registered")
 def _events_registered(context):
-    unknown = _called(EVENT_CALL) - set(logs.EVENTS)
+    unknown = _names_in_calls(EVENT_CALL) - set(logs.EVENTS)
     assert not unknown, unknown
 
 
@@ -82,7 +82,7 @@
 
 @then("each metric sent in the package is registered")
 def _metrics_registered(context):
-    unknown = _called(METRIC_CALL) - set(metrics.METRICS)
+    unknown = _names_in_calls(METRIC_CALL) - set(metrics.METRICS)
     assert not unknown, unknown
 
 
--- a/tests/steps/settings.py
+++ b/tests/steps/settings.py
@@ -14,7 +14,7 @@
 EXAMPLE = "examples/settings.json"
 
 
-def _refused(context, read):
+def _read_invalid(context, read):
     try:
         read()
     except settings.SettingsInvalid as error:
@@ -30,11 +30,11 @@
 def _with_field(context, field, value):
     document = json.loads(pathlib.Path(EXAMPLE).read_text())
     *parents, last = field.split(".")
-    place = document
+    parent = document
     for name in parents:
-        place = place[name]
-    place[last] = json.loads(value)
-    _refused(context, lambda: settings.parse(document))
+        parent = parent[name]
+    parent[last] = json.loads(value)
+    _read_invalid(context, lambda: settings.parse(document))
 
 
 @when("settings are read from the text {text}")
@@ -42,10 +42,10 @@
     with tempfile.NamedTemporaryFile("w") as file:
         file.write(text)
         file.flush()
-        _refused(context, lambda: settings.load(file.name))
+        _read_invalid(context, lambda: settings.load(file.name))
 
 
-@then('the settings name the VM "{vm}" with callers at "{address}"')
+@then('the settings have the VM "{vm}" and the caller address "{address}"')
 def _named(context, vm, address):
     assert context.settings.vm == vm
     assert str(context.settings.callers) == address
@@ -62,16 +62,16 @@
         assert actual == defaults, (actual, defaults)
 
 
-@then('the settings are refused at {field} wanting "{wanted}"')
-def _refused_at(context, field, wanted):
+@then('the settings are rejected at {field}, expecting "{expected}"')
+def _rejected_at(context, field, expected):
     error = context.settings_error
     assert error.field.startswith(field), error.field
-    assert wanted in error.wanted, error.wanted
+    assert expected in error.expected, error.expected
     assert field in error.message
 
 
-@then('the settings are refused with "{reason}"')
-def _refused_with(context, reason):
+@then('the settings are rejected with "{reason}"')
+def _rejected_with(context, reason):
     assert reason in context.settings_error.message
 
 
