--- a/src/apricotlever/catalogue/__init__.py
+++ b/src/apricotlever/catalogue/__init__.py
@@ -1,4 +1,7 @@
-"""The catalogue: entries, classes, customers, limits and their versions."""
+"""The catalogue: entries, service classes, customers and limits.
+
+Operators edit it as a JSON document; every edit makes a new version.
+"""
 
 from . import model
 from . import parsing
--- a/src/apricotlever/catalogue/calls.py
+++ b/src/apricotlever/catalogue/calls.py
@@ -1,4 +1,4 @@
-"""Calls of a plain service, told apart by method and path."""
+"""Patterns that select calls of a plain service by method and path."""
 
 import posixpath
 import urllib.parse
@@ -7,10 +7,10 @@
 
 
 class Call:
-    """Calls of a plain service, by method and prefix of the path.
+    """A pattern for calls of a plain service.
 
-    :param method: an HTTP method, or ``*`` for all.
-    :param path_prefix: starts with a slash.
+    :param method: an HTTP method, or ``*`` for all methods.
+    :param path_prefix: the prefix of the path; starts with a slash.
     """
 
     __slots__ = ("method", "path_prefix")
@@ -21,7 +21,7 @@
 
     @classmethod
     def from_text(cls, text: str) -> "Call":
-        """Read ``METHOD /prefix``."""
+        """Parse ``METHOD /prefix``."""
         method, path_prefix = text.split(" ", 1)
         return cls(method, path_prefix)
 
@@ -29,23 +29,26 @@
         return f"{self.method} {self.path_prefix}"
 
     def matches(self, method: str, path: str) -> bool:
-        """Whether a request is one of these calls.
+        """Whether a request matches the pattern.
 
-        :param method: the request's method, in any case.
-        :param path: the request's path, with or without a query.
+        :param method: the method of the request, in upper or lower case.
+        :param path: the path of the request, with or without a query.
         """
         if self.method not in (ANY_METHOD, method.upper()):
             return False
-        return _plain_path(path).startswith(_plain_path(self.path_prefix))
+        return _normalized_path(path).startswith(
+            _normalized_path(self.path_prefix)
+        )
 
 
-def _plain_path(path: str) -> str:
-    """A path in one spelling.
+def _normalized_path(path: str) -> str:
+    """Normalize a path, so that equivalent paths compare equal.
 
     Upstreams treat ``/x/../entries``, ``//entries``, ``/%65ntries`` and
-    often ``/Entries`` as ``/entries``. A call spelled that way would be
-    taken for an idempotent one and sent twice after a failure, which shows
-    as a doubled registration.
+    often ``/Entries`` as ``/entries``. Without normalization, a
+    non-idempotent call with such a path would count as idempotent and would
+    be sent again after a failure, which could create a duplicate
+    registration, for example.
     """
     bare = path.split("?", 1)[0].split("#", 1)[0]
     decoded = urllib.parse.unquote(bare).casefold()
--- a/src/apricotlever/catalogue/difference.py
+++ b/src/apricotlever/catalogue/difference.py
@@ -1,4 +1,4 @@
-"""What differs between two catalogue documents, field by field."""
+"""Differences between two catalogue documents, field by field."""
 
 import collections.abc
 import itertools
@@ -18,10 +18,10 @@
 class Change:
     """One field that differs.
 
-    :param field: dotted path.
+    :param field: the dotted path of the field.
     :param kind: ``ADDED``, ``REMOVED`` or ``CHANGED``.
-    :param before: None when added.
-    :param after: None when removed.
+    :param before: the old value; None if the field was added.
+    :param after: the new value; None if the field was removed.
     """
 
     __slots__ = ("field", "kind", "before", "after")
@@ -41,34 +41,39 @@
 
 
 def changes(before: Json, after: Json) -> tuple[Change, ...]:
-    """Every field that differs, in the order of the paths.
+    """List every field that differs.
 
     :param before: a catalogue document, or part of one.
-    :param after: the same part of another.
+    :param after: the same part of another catalogue document.
+    :returns: the changes, with the fields of each object in alphabetical
+        order.
     """
-    return tuple(_changes("", before, after))
+    return tuple(_value_changes("", before, after))
 
 
-def touched(before: Json, after: Json) -> frozenset[tuple[str, str]]:
-    """Which customers, classes and entries differ.
+def changed_items(before: Json, after: Json) -> frozenset[tuple[str, str]]:
+    """List the customers, classes and entries that differ.
 
+    :param before: a catalogue document.
+    :param after: another catalogue document.
     :returns: pairs of section and name.
     """
     return frozenset(
         (section, name)
         for section in SECTIONS
         for name in {**before.get(section, {}), **after.get(section, {})}
-        if not _same(
-            _named(before, section, name), _named(after, section, name)
+        if not _is_same_json(
+            _find_item(before, section, name), _find_item(after, section, name)
         )
     )
 
 
-def _same(before: Json, after: Json) -> bool:
+def _is_same_json(before: Json, after: Json) -> bool:
     """Whether two values are the same JSON.
 
-    Python holds ``True`` equal to ``1``. A weight of ``true`` would be
-    taken for the valid ``1`` that stood there before, and not be checked.
+    In Python ``True == 1``. With that comparison alone, a weight changed
+    from ``1`` to ``true`` would count as unchanged and would not be
+    validated.
     """
     if before != after:
         return False
@@ -77,14 +82,14 @@
     )
 
 
-def _named(document: Json, section: str, name: str) -> Json:
+def _find_item(document: Json, section: str, name: str) -> Json:
     return document.get(section, {}).get(name, ABSENT)
 
 
-def _changes(
+def _value_changes(
     path: str, before: Json, after: Json
 ) -> collections.abc.Iterator[Change]:
-    if _same(before, after):
+    if _is_same_json(before, after):
         return iter(())
     if not (isinstance(before, dict) and isinstance(after, dict)):
         return iter((Change(path, CHANGED, before, after),))
@@ -104,4 +109,4 @@
         return iter((Change(path, ADDED, None, after[field]),))
     if field not in after:
         return iter((Change(path, REMOVED, before[field], None),))
-    return _changes(path, before[field], after[field])
+    return _value_changes(path, before[field], after[field])
--- a/src/apricotlever/catalogue/edit.py
+++ b/src/apricotlever/catalogue/edit.py
@@ -1,9 +1,9 @@
-"""Edits of the catalogue: what is stored beside the document, and merges.
+"""Edits of the catalogue: their metadata in the stored object, and merging.
 
-The stored object holds the catalogue's document and, under ``edit``, which
-edit wrote it and which versions came before it. So the one conditional
-write that puts a version in force also extends the history's index, and an
-edit whose answer was lost can be recognised later.
+The stored object contains the catalogue document and, under the key
+``edit``, the edit that wrote it and the history of earlier versions. A
+single conditional write thus both puts a version in force and extends the
+history, and an edit whose response was lost can be recognized later.
 """
 
 import typing
@@ -16,8 +16,8 @@
 FIELD = "edit"
 CURRENT_NAME = "catalogue/current"
 HISTORY_PREFIX = "catalogue/history/"
-HISTORY_KEPT = 50
-EXPIRED_KEPT = 3
+MAX_HISTORY_LENGTH = 50
+MAX_EXPIRED_VERSIONS = 3
 
 _STAMP_FIELDS: dict[str, Json] = {
     "version": {"type": "integer"},
@@ -39,12 +39,13 @@
 
 
 class Stamp:
-    """Who wrote a version, and when.
+    """The author, time and ID of the edit that wrote a version.
 
-    :param version: the object's version; 0 while it is being written.
-    :param edit_id: unique to the edit.
-    :param by: the operator, as the client was told.
-    :param at: wall clock in seconds, for people only.
+    :param version: the version of the stored object; 0 before it is
+        written.
+    :param edit_id: the unique ID of the edit.
+    :param by: the operator, as named to the client.
+    :param at: the time in seconds since the Unix epoch; informational only.
     """
 
     __slots__ = ("version", "edit_id", "by", "at")
@@ -57,7 +58,7 @@
 
     @classmethod
     def from_document(cls, value: Json) -> "Stamp":
-        """Read a stamp; what is missing stays empty."""
+        """Read a stamp from JSON; missing fields become 0 or empty."""
         return cls(
             int(value.get("version", 0)),
             str(value.get("id", "")),
@@ -77,16 +78,16 @@
 
 
 class Version:
-    """One version of the catalogue as it stands in the store.
+    """One version of the catalogue in the store.
 
-    :param version: the object's version; 0 when there is none.
-    :param value: the object's value.
+    :param version: the version of the stored object; 0 if there is none.
+    :param value: the value of the stored object.
     """
 
     __slots__ = ("version", "value", "stamp", "history", "expired")
 
     def __init__(self, version: int, value: Json) -> None:
-        record = _record_of(value)
+        record = _edit_record(value)
         self.version = version
         self.value = value
         self.stamp = Stamp.from_document({**record, "version": version})
@@ -97,26 +98,26 @@
 
     @property
     def document(self) -> dict[str, Json]:
-        """The catalogue's document, without its edit."""
+        """The catalogue document, without the metadata of the edit."""
         return without_edit(self.value)
 
     def shows(self, edit_id: str) -> bool:
-        """Whether an edit is in force here, or was before later edits."""
+        """Whether an edit wrote this version or one in its history."""
         stamps = (self.stamp, *self.history)
         return any(stamp.edit_id == edit_id for stamp in stamps)
 
 
-def _record_of(value: Json) -> dict[str, Json]:
-    """What stands under ``edit``, or nothing if it has another form.
+def _edit_record(value: Json) -> dict[str, Json]:
+    """The edit metadata of a stored object; empty if missing or invalid.
 
-    Another tool may have written the object. Its document counts all the
-    same; only the history starts anew.
+    Another tool may have written the object. Its document is used all the
+    same; only the history starts again.
     """
     record = value.get(FIELD) if isinstance(value, dict) else None
-    is_ours = isinstance(record, dict) and not documents.faults_of(
+    is_valid = isinstance(record, dict) and not documents.faults_of(
         record, _SCHEMA
     )
-    return record if is_ours and record else {}
+    return record if is_valid and record else {}
 
 
 NONE = Version(0, {"customers": {}, "classes": {}, "entries": {}})
@@ -125,53 +126,56 @@
 def stored_value(
     document: Json, replaced: Version, stamp: Stamp
 ) -> dict[str, Json]:
-    """What to store to put a document in force.
+    """The object to store in order to put a document in force.
 
     :param document: a catalogue document.
-    :param replaced: the version in force, or ``NONE``.
-    :param stamp: the new edit's.
+    :param replaced: the version in force, or ``NO_VERSION``.
+    :param stamp: the stamp of the new edit.
+    :returns: the document with the metadata of the edit: its stamp, the
+        stamps of the ``MAX_HISTORY_LENGTH`` versions before it, and the last
+        ``MAX_EXPIRED_VERSIONS`` versions dropped from that history.
     """
     history = (replaced.stamp, *replaced.history) if replaced.version else ()
-    dropped = tuple(old.version for old in history[HISTORY_KEPT:])
-    expired = (dropped + replaced.expired)[:EXPIRED_KEPT]
+    dropped = tuple(old.version for old in history[MAX_HISTORY_LENGTH:])
+    expired = (dropped + replaced.expired)[:MAX_EXPIRED_VERSIONS]
     record = {
         "id": stamp.edit_id,
         "by": stamp.by,
         "at": stamp.at,
-        "history": [old.document for old in history[:HISTORY_KEPT]],
+        "history": [old.document for old in history[:MAX_HISTORY_LENGTH]],
         "expired": list(expired),
     }
     return {**without_edit(document), FIELD: record}
 
 
 def without_edit(value: Json) -> dict[str, Json]:
-    """A document without what stands under ``edit``."""
+    """Remove the edit metadata; an empty document if it is no object."""
     if not isinstance(value, dict):
         return {}
     return {name: part for name, part in value.items() if name != FIELD}
 
 
 def history_name(version: int) -> str:
-    """The name of the object that keeps a replaced version."""
+    """The name of the stored object with a replaced version."""
     return f"{HISTORY_PREFIX}{version}"
 
 
 def expected_version(document: Json) -> int | None:
-    """The version that a shown document was made from; None if unknown."""
+    """The version on which an edited document is based, None if unknown."""
     record = document.get(FIELD) if isinstance(document, dict) else None
     version = record.get("version") if isinstance(record, dict) else None
     return version if isinstance(version, int) else None
 
 
 def shown(version: Version) -> dict[str, Json]:
-    """A document to edit, marked with the version that it is made from."""
+    """The document to edit, marked with the version it is based on."""
     return {**version.document, FIELD: {"version": version.version}}
 
 
 def merged(document: Json, overlay: Json) -> dict[str, Json]:
-    """Replace what an overlay names and leave everything else.
+    """Add or replace the items of an overlay and keep all others.
 
-    :param document: a whole catalogue document.
+    :param document: a complete catalogue document.
     :param overlay: some customers, classes and entries.
     """
     parts = without_edit(overlay)
@@ -183,7 +187,7 @@
 
 
 def without_entry(document: Json, name: str) -> dict[str, Json]:
-    """Remove an entry; the same document if there is none."""
+    """Remove an entry, if the document has it."""
     entries = {
         other: entry
         for other, entry in document["entries"].items()
@@ -193,6 +197,11 @@
 
 
 def collide(base: Json, mine: Json, theirs: Json) -> bool:
-    """Whether two edits of one base changed the same thing."""
-    my_parts = difference.touched(base, mine)
-    return bool(my_parts & difference.touched(base, theirs))
+    """Whether two edits conflict: both change the same item.
+
+    :param base: the catalogue document that both edits started from.
+    :param mine: the document after one edit.
+    :param theirs: the document after the other edit.
+    """
+    my_items = difference.changed_items(base, mine)
+    return bool(my_items & difference.changed_items(base, theirs))
--- a/src/apricotlever/catalogue/model.py
+++ b/src/apricotlever/catalogue/model.py
@@ -1,7 +1,7 @@
-"""The catalogue as typed values: what operators put in force.
+"""The typed model of the catalogue.
 
-All classes here are values: set once, never changed, safe to share between
-threads.
+Instances of all classes here are never modified after construction, so
+threads can share them.
 """
 
 import collections.abc
@@ -19,12 +19,13 @@
 
 
 class Limits:
-    """What an entry may consume over the whole fleet; None is no limit.
+    """The limits of an entry over the whole fleet; None means no limit.
 
-    :param concurrent: requests in flight at once.
-    :param requests_per_s: requests admitted per second.
-    :param tokens_per_s: prompt and answer tokens per second.
-    :param spend_per_hour: in the currency of the cloud API's prices.
+    :param concurrent: the maximum number of requests in flight.
+    :param requests_per_s: the maximum rate of admitted requests.
+    :param tokens_per_s: the maximum rate of prompt and answer tokens.
+    :param spend_per_hour: the maximum cost per hour, in the currency of the
+        cloud API's prices.
     """
 
     __slots__ = (
@@ -48,12 +49,13 @@
 
 
 class Capacity:
-    """How many runners of which machine class may serve an entry.
+    """The number and the machine class of the runners of an entry.
 
-    :param min_runners: kept even without demand.
-    :param max_runners: never exceeded.
-    :param slots_per_runner: requests that one runner serves at once.
-    :param machine: machine class in the words of the cloud API.
+    :param min_runners: the number of runners kept even without demand.
+    :param max_runners: the maximum number of runners.
+    :param slots_per_runner: the number of requests that one runner serves
+        concurrently.
+    :param machine: the machine class, as the cloud API names it.
     """
 
     __slots__ = ("min_runners", "max_runners", "slots_per_runner", "machine")
@@ -72,15 +74,17 @@
 
 
 class ServiceClass:
-    """How long work may wait and when it may be shed.
-
-    :param first_token_s: target for the first token, or a whole answer of
-        a plain service.
-    :param between_tokens_s: target between two tokens.
-    :param deadline_s: when the whole answer is worthless.
-    :param queue_s: the longest wait for admission.
-    :param shed_order: 0 to 9; a higher one is shed first.
-    :param priority: 0 to 9; a higher one goes first at the engines.
+    """Latency targets, timeouts and priorities of a class of requests.
+
+    :param name: the name of the class.
+    :param first_token_s: the target latency in seconds of the first token,
+        or of the whole answer of a plain service.
+    :param between_tokens_s: the target time in seconds between two tokens.
+    :param deadline_s: the time in seconds after which the answer is of no
+        use to the caller.
+    :param queue_s: the maximum time in seconds to wait for admission.
+    :param shed_order: 0 to 9; classes with higher values are shed first.
+    :param priority: 0 to 9; engines serve higher values first.
     """
 
     __slots__ = (
@@ -113,11 +117,13 @@
 
 
 class Customer:
-    """Who calls.
+    """A customer that calls entries with a bearer key.
 
-    :param name: the customer's name.
-    :param key_sha256: hex SHA-256 of the bearer key, which is not stored.
-    :param weight: share under contention, relative to other customers.
+    :param name: the name of the customer.
+    :param key_sha256: the hex SHA-256 of the bearer key; the key itself is
+        not stored.
+    :param weight: the share of capacity under contention, relative to the
+        weights of other customers.
     """
 
     __slots__ = ("name", "key_sha256", "weight")
@@ -131,17 +137,21 @@
 
 
 class Entry:
-    """A service that callers may use.
+    """A model or a plain service that callers may use.
 
-    :param name: what callers put into ``model`` or the path.
-    :param owner: who answers for it.
+    :param name: the name that callers give in the ``model`` field or in the
+        path of a request.
+    :param owner: the name of those responsible for the entry.
     :param kind: ``KIND_MODEL`` or ``KIND_SERVICE``.
-    :param class_name: the service class of its requests.
-    :param model: the model that the engines load, empty for a service.
-    :param model_version: the model's version, empty for a service.
-    :param pool: the pool of runners that serve it.
-    :param non_idempotent: calls that run at most once.
-    :param customers: who may call, None for all.
+    :param class_name: the name of the service class of its requests.
+    :param model: the model that the engines load; empty for a service.
+    :param model_version: the version of the model; empty for a service.
+    :param pool: the name of the pool of runners that serve the entry.
+    :param non_idempotent: patterns of the calls that run at most once.
+    :param customers: the names of the customers that may call the entry;
+        None allows all customers.
+    :param limits: the limits over the whole fleet.
+    :param capacity: the number and the machine class of its runners.
     """
 
     __slots__ = (
@@ -188,9 +198,11 @@
         """Whether a call of this entry must run at most once.
 
         :param method: the HTTP method.
-        :param path: the path after the entry's name.
+        :param path: the path after the name of the entry.
         """
-        return any(call.matches(method, path) for call in self.non_idempotent)
+        return any(
+            pattern.matches(method, path) for pattern in self.non_idempotent
+        )
 
     def allows(self, customer: str) -> bool:
         """Whether a customer may call this entry."""
@@ -198,12 +210,12 @@
 
 
 class Catalogue:
-    """Everything that one version of the catalogue puts in force.
+    """One version of the catalogue.
 
-    :param version: the version of the object that holds it; 0 is none.
-    :param entries: by name.
-    :param classes: by name.
-    :param customers: by name.
+    :param version: the version of the stored object; 0 if there is none.
+    :param entries: the entries by name.
+    :param classes: the service classes by name.
+    :param customers: the customers by name.
     """
 
     __slots__ = ("version", "entries", "classes", "customers", "_by_key")
@@ -229,13 +241,13 @@
         return writing.document(self.customers, self.classes, self.entries)
 
     def customer_of(self, bearer_key: str) -> Customer | None:
-        """Who owns a bearer key.
+        """The customer to whom a bearer key belongs.
 
-        Only the hash is looked up: the time of the look-up depends on a
-        digest that the caller can't steer, so it tells nothing about how
-        much of a guessed key is right.
+        The key is looked up by its hash. The caller can't control the hash,
+        so the time of the look-up reveals nothing about how much of a
+        guessed key is correct.
 
-        :param bearer_key: the key as the caller sent it.
+        :param bearer_key: the key that the caller sent.
         :returns: the customer, or None for an unknown key.
         """
         digest = hash_of_key(bearer_key)
@@ -251,7 +263,7 @@
 
 
 def hash_of_key(bearer_key: str) -> str:
-    """The hex SHA-256 under which the catalogue knows a bearer key."""
+    """The hex SHA-256 of a bearer key, as the catalogue stores it."""
     return hashlib.sha256(bearer_key.encode("utf-8", "replace")).hexdigest()
 
 
--- a/src/apricotlever/catalogue/parsing.py
+++ b/src/apricotlever/catalogue/parsing.py
@@ -1,4 +1,4 @@
-"""From a checked catalogue document to its typed values."""
+"""Parsing of catalogue documents into the typed model."""
 
 import collections.abc
 import typing
@@ -8,15 +8,16 @@
 from . import schema
 
 Json = typing.Any
-Touched = frozenset[tuple[str, str]]
+ChangedItems = frozenset[tuple[str, str]]
 T = typing.TypeVar("T")
 
 
 class Parser:
-    """Parses one version after the other, at the cost of what changed.
+    """An incremental parser of successive versions of the catalogue.
 
-    Checking a document against its schema takes far longer than comparing
-    it with the one before, and most edits change one entry of many.
+    It validates and parses only the items that changed. Validating a
+    document against its schema takes far longer than comparing it with the
+    previous one, and most edits change one entry of many.
     """
 
     __slots__ = ("_document", "_catalogue")
@@ -26,55 +27,68 @@
         self._catalogue = model.EMPTY
 
     def parse(self, document: Json, version: int) -> model.Catalogue:
-        """Check a document and turn it into a catalogue.
+        """Validate a document and convert it to a catalogue.
 
-        After an error the next document is compared with the last valid
-        one. A document must not be changed after it was given.
+        After an error, the next document is compared with the last valid
+        one. The parser keeps a reference to the document, which the caller
+        must not modify afterwards.
 
         :param document: parsed JSON.
-        :param version: the version of the object that holds it.
-        :raises CatalogueInvalid: names every field that is wrong.
+        :param version: the version of the stored object.
+        :raises CatalogueInvalid: if fields are invalid; names the fields.
         """
-        touched = self._touched(document)
-        schema.check_shape(_part(document, touched))
+        changed = self._changed_items(document)
+        schema.check_shape(_changed_part(document, changed))
         schema.check_references(document)
         before = self._catalogue
         parsed = model.Catalogue(
             version,
-            _values(document, "entries", touched, _entry, before.entries),
-            _values(document, "classes", touched, _class, before.classes),
-            _values(
-                document, "customers", touched, _customer, before.customers
+            _parse_section(
+                document, "entries", changed, _parse_entry, before.entries
+            ),
+            _parse_section(
+                document, "classes", changed, _parse_class, before.classes
+            ),
+            _parse_section(
+                document,
+                "customers",
+                changed,
+                _parse_customer,
+                before.customers,
             ),
         )
         self._document, self._catalogue = document, parsed
         return parsed
 
-    def _touched(self, document: Json) -> Touched | None:
-        """What differs from the last document; None if it has no form."""
+    def _changed_items(self, document: Json) -> ChangedItems | None:
+        """The items that differ from the last valid document.
+
+        :returns: pairs of section and name, or None if the document is not
+            an object or has an invalid section.
+        """
         if not isinstance(document, dict):
             return None
         sections = (document.get(name) for name in difference.SECTIONS)
         if not all(isinstance(section, dict) for section in sections):
             return None
-        return difference.touched(self._document, document)
+        return difference.changed_items(self._document, document)
 
 
 def parse(document: Json, version: int) -> model.Catalogue:
-    """Check a document and turn it into a catalogue.
+    """Validate a document and convert it to a catalogue.
 
     :param document: parsed JSON.
-    :param version: the version of the object that holds it.
-    :raises CatalogueInvalid: names every field that is wrong.
+    :param version: the version of the stored object.
+    :raises CatalogueInvalid: if fields are invalid; names the fields.
     """
     return Parser().parse(document, version)
 
 
 def filled_in(document: Json) -> Json:
-    """A document with its defaults filled in; unchanged if it is invalid.
+    """Fill in the defaults of a document; an invalid one stays as it is.
 
-    Two documents are compared in this form, so that leaving out a default
-    is no difference.
+    Two documents are compared in this form, so that an omitted default does
+    not count as a difference.
     """
     try:
         return parse(document, 0).document
@@ -82,42 +96,50 @@
         return document
 
 
-def _part(document: Json, touched: Touched | None) -> Json:
-    """A document with only the touched names in its sections."""
-    if touched is None:
+def _changed_part(document: Json, changed: ChangedItems | None) -> Json:
+    """Reduce the sections of a document to the changed items."""
+    if changed is None:
         return document
     sections = {
         section: {
             name: value
             for name, value in document[section].items()
-            if (section, name) in touched
+            if (section, name) in changed
         }
         for section in difference.SECTIONS
     }
     return {**document, **sections}
 
 
-def _values(
+def _parse_section(
     document: Json,
     section: str,
-    touched: Touched | None,
-    make: typing.Callable[[str, Json], T],
+    changed: ChangedItems | None,
+    parse_item: typing.Callable[[str, Json], T],
     before: collections.abc.Mapping[str, T],
 ) -> dict[str, T]:
-    """The typed values of a section; the untouched ones are kept."""
-    changed = touched or frozenset()
+    """Parse the changed items of a section and reuse all others.
+
+    :param parse_item: parses one item, given its name and value.
+    :param before: the items of the same section of the last catalogue.
+    """
+    items = changed or frozenset()
     return {
-        name: make(name, value) if (section, name) in changed else before[name]
+        name: (
+            parse_item(name, value)
+            if (section, name) in items
+            else before[name]
+        )
         for name, value in document[section].items()
     }
 
 
-def _customer(name: str, value: Json) -> model.Customer:
+def _parse_customer(name: str, value: Json) -> model.Customer:
     weight = float(value.get("weight", 1.0))
     return model.Customer(name, value["key_sha256"], weight)
 
 
-def _class(name: str, value: Json) -> model.ServiceClass:
+def _parse_class(name: str, value: Json) -> model.ServiceClass:
     return model.ServiceClass(
         name,
         float(value["first_token_s"]),
@@ -129,8 +151,8 @@
     )
 
 
-def _entry(name: str, value: Json) -> model.Entry:
-    calls = value.get("non_idempotent", ())
+def _parse_entry(name: str, value: Json) -> model.Entry:
+    patterns = value.get("non_idempotent", ())
     customers = value.get("customers")
     return model.Entry(
         name,
@@ -140,27 +162,27 @@
         value.get("model", ""),
         value.get("version", ""),
         value["upstreams"]["pool"],
-        tuple(model.Call.from_text(text) for text in calls),
+        tuple(model.Call.from_text(text) for text in patterns),
         None if customers is None else frozenset(customers),
-        _limits(value.get("limits", {})),
-        _capacity(value["capacity"]),
+        _parse_limits(value.get("limits", {})),
+        _parse_capacity(value["capacity"]),
     )
 
 
-def _limits(value: Json) -> model.Limits:
+def _parse_limits(value: Json) -> model.Limits:
     return model.Limits(
-        _whole(value.get("concurrent")),
+        _optional_int(value.get("concurrent")),
         value.get("requests_per_s"),
         value.get("tokens_per_s"),
         value.get("spend_per_hour"),
     )
 
 
-def _whole(value: Json) -> int | None:
+def _optional_int(value: Json) -> int | None:
     return None if value is None else int(value)
 
 
-def _capacity(value: Json) -> model.Capacity:
+def _parse_capacity(value: Json) -> model.Capacity:
     return model.Capacity(
         int(value["min_runners"]),
         int(value["max_runners"]),
--- a/src/apricotlever/catalogue/writing.py
+++ b/src/apricotlever/catalogue/writing.py
@@ -1,4 +1,4 @@
-"""From the catalogue's typed values back to its JSON document."""
+"""Serialization of the typed model of the catalogue to JSON."""
 
 import collections.abc
 import typing
@@ -10,9 +10,14 @@
 T = typing.TypeVar("T")
 
 KIND_MODEL = "model"
-LIMITS = ("concurrent", "requests_per_s", "tokens_per_s", "spend_per_hour")
-CAPACITY = ("min_runners", "max_runners", "slots_per_runner", "machine")
-CLASS = (
+LIMIT_FIELDS = (
+    "concurrent",
+    "requests_per_s",
+    "tokens_per_s",
+    "spend_per_hour",
+)
+CAPACITY_FIELDS = ("min_runners", "max_runners", "slots_per_runner", "machine")
+CLASS_FIELDS = (
     "first_token_s",
     "between_tokens_s",
     "deadline_s",
@@ -20,7 +25,7 @@
     "shed_order",
     "priority",
 )
-CUSTOMER = ("key_sha256", "weight")
+CUSTOMER_FIELDS = ("key_sha256", "weight")
 
 
 def document(
@@ -28,42 +33,46 @@
     classes: "collections.abc.Mapping[str, model.ServiceClass]",
     entries: "collections.abc.Mapping[str, model.Entry]",
 ) -> dict[str, Json]:
-    """The JSON document of a catalogue, each section sorted by name."""
+    """Convert a catalogue to JSON, with each section sorted by name."""
     return {
-        "customers": _sorted(customers, lambda c: _fields(c, CUSTOMER)),
-        "classes": _sorted(classes, lambda c: _fields(c, CLASS)),
-        "entries": _sorted(entries, _entry),
+        "customers": _sorted_documents(
+            customers, lambda c: _set_fields(c, CUSTOMER_FIELDS)
+        ),
+        "classes": _sorted_documents(
+            classes, lambda c: _set_fields(c, CLASS_FIELDS)
+        ),
+        "entries": _sorted_documents(entries, _entry_document),
     }
 
 
-def _sorted(
+def _sorted_documents(
     items: collections.abc.Mapping[str, T],
     document_of: typing.Callable[[T], dict[str, Json]],
 ) -> dict[str, Json]:
     return {name: document_of(items[name]) for name in sorted(items)}
 
 
-def _fields(value: object, names: tuple[str, ...]) -> dict[str, Json]:
-    """The fields of a value that are set."""
+def _set_fields(value: object, names: tuple[str, ...]) -> dict[str, Json]:
+    """The named fields of an object that are not None."""
     found = {name: getattr(value, name) for name in names}
     return {name: field for name, field in found.items() if field is not None}
 
 
-def _entry(entry: "model.Entry") -> dict[str, Json]:
+def _entry_document(entry: "model.Entry") -> dict[str, Json]:
     written: dict[str, Json] = {
         "owner": entry.owner,
         "kind": entry.kind,
         "class": entry.class_name,
         "upstreams": {"pool": entry.pool},
-        "limits": _fields(entry.limits, LIMITS),
-        "capacity": _fields(entry.capacity, CAPACITY),
+        "limits": _set_fields(entry.limits, LIMIT_FIELDS),
+        "capacity": _set_fields(entry.capacity, CAPACITY_FIELDS),
     }
     if entry.kind == KIND_MODEL:
         written["model"] = entry.model
         written["version"] = entry.model_version
     if entry.non_idempotent:
         written["non_idempotent"] = [
-            str(call) for call in entry.non_idempotent
+            str(pattern) for pattern in entry.non_idempotent
         ]
     if entry.customers is not None:
         written["customers"] = sorted(entry.customers)
--- a/tests/catalogue/difference.feature
+++ b/tests/catalogue/difference.feature
@@ -1,4 +1,4 @@
 Feature: The difference between two catalogues
 
-  Scenario: Changing every named field turns one document into the other
+  Scenario: Applying all changes to one document gives the other
     Then applying a catalogue difference gives the other document
--- a/tests/catalogue/edit.feature
+++ b/tests/catalogue/edit.feature
@@ -1,10 +1,10 @@
 Feature: Edits of the catalogue
 
-  Scenario: A merge keeps what the overlay does not name
+  Scenario: A merge keeps the items that the overlay does not contain
     When a catalogue edit merges the Consorzio's example into Procurador's
     Then the edited catalogue equals the example of both
 
-  Scenario Outline: Edits collide only where they change the same thing
+  Scenario Outline: Edits collide only if they change the same item
     Then the catalogue edits <mine> and <theirs> <verdict>
 
     Examples:
@@ -13,12 +13,12 @@
       | entries.registo-app     | entries.registo-app      | collide       |
       | classes.register        | entries.registo-app      | don't collide |
 
-  Scenario: The history is bounded, and an edit stays known while it is kept
+  Scenario: The history is bounded, and the edits in it are recognized
     When a catalogue is edited 60 times
     Then its history holds the 50 versions before the last
-    And the catalogue edit 10 is still shown and the edit 9 is not
-    And the catalogue versions 9, 8 and 7 are named as expired
+    And the catalogue edit 10 is still recognized and the edit 9 is not
+    And the catalogue versions 9, 8 and 7 are listed as expired
 
-  Scenario: What another tool wrote under "edit" does no harm
+  Scenario: Invalid edit metadata from another tool is ignored
     Given a catalogue object whose edit is {"history": "none", "id": 5}
     Then the catalogue version has its document and no history
--- a/tests/catalogue/model.feature
+++ b/tests/catalogue/model.feature
@@ -1,9 +1,9 @@
-Feature: The catalogue's values
+Feature: The model of the catalogue
 
-  Scenario Outline: Another spelling of a path is the same call
-    Symptom: a registration is doubled.
-    Events: a caller spells the path its own way, an attempt fails.
-    Cause: the call was taken for an idempotent one and sent again.
+  Scenario Outline: Equivalent paths match the same call pattern
+    Guards against a duplicate registration: a call with an unusual spelling
+    of its path counted as idempotent and was sent again after a failed
+    attempt.
     Then the catalogue's registo-app call <method> <path> is <kind>
 
     Examples:
@@ -18,14 +18,14 @@
       | GET    | /registrations          | idempotent     |
       | POST   | /status                 | idempotent     |
 
-  Scenario: A bearer key names its customer
+  Scenario: A bearer key identifies its customer
     Then the catalogue key "demo-belem" belongs to "belem"
     And the catalogue key "demo-belem " belongs to nobody
     And the catalogue key "" belongs to nobody
 
-  Scenario: An entry is open to the customers it names, or to all
+  Scenario: An entry allows the customers that it lists, or all customers
     Then the catalogue entry "itinerary" allows "sala-etna" and not "kiosks"
     And the catalogue entry "access-core" allows "sala-etna" and "kiosks"
 
-  Scenario: A parsed document gives the same document back
-    Then writing out the example catalogues changes nothing
+  Scenario: Parsing and serializing a document gives the same document
+    Then parsing and serializing the example catalogues changes nothing
--- a/tests/catalogue/parsing.feature
+++ b/tests/catalogue/parsing.feature
@@ -1,4 +1,4 @@
-Feature: Parsing one version of the catalogue after the other
+Feature: Incremental parsing of the versions of the catalogue
 
-  Scenario: What a parser keeps from the version before changes no result
-    Then parsing catalogues in turn equals parsing each of them anew
+  Scenario: Items reused from the previous version don't change the result
+    Then parsing catalogues incrementally equals parsing each from scratch
--- a/tests/steps/catalogue_edit.py
+++ b/tests/steps/catalogue_edit.py
@@ -20,7 +20,7 @@
 
 
 @then("the edited catalogue equals the example of both")
-def _both(context):
+def _equals_both(context):
     expected = examples.document(examples.BOTH)
     parse = catalogue.parse
     assert parse(context.edited, 1).document == parse(expected, 1).document
@@ -37,7 +37,7 @@
 
 
 @when("a catalogue is edited {times:d} times")
-def _edited(context, times):
+def _edit_times(context, times):
     version = edit.NONE
     for number in range(1, times + 1):
         stamp = edit.Stamp(0, f"edit-{number}", "operator", 0.0)
@@ -55,20 +55,21 @@
 
 
 @then(
-    "the catalogue edit {shown:d} is still shown and the edit {gone:d} is not"
+    "the catalogue edit {kept:d} is still recognized "
+    "and the edit {dropped:d} is not"
 )
-def _shown(context, shown, gone):
-    assert context.catalogue_version.shows(f"edit-{shown}")
-    assert not context.catalogue_version.shows(f"edit-{gone}")
+def _recognized(context, kept, dropped):
+    assert context.catalogue_version.shows(f"edit-{kept}")
+    assert not context.catalogue_version.shows(f"edit-{dropped}")
 
 
-@then("the catalogue versions {a:d}, {b:d} and {c:d} are named as expired")
+@then("the catalogue versions {a:d}, {b:d} and {c:d} are listed as expired")
 def _expired(context, a, b, c):
     assert context.catalogue_version.expired == (a, b, c)
 
 
 @given("a catalogue object whose edit is {record}")
-def _foreign(context, record):
+def _invalid_edit(context, record):
     value = {**examples.document(), "edit": json.loads(record)}
     context.catalogue_version = edit.Version(7, value)
 
--- a/tests/steps/catalogue_model.py
+++ b/tests/steps/catalogue_model.py
@@ -23,13 +23,13 @@
 
 
 @then('the catalogue key "{key}" belongs to nobody')
-def _nobody(context, key):
+def _unknown_key(context, key):
     assert _parsed().customer_of(key) is None
 
 
 @then('the catalogue key "" belongs to nobody')
 def _empty_key(context):
-    _nobody(context, "")
+    _unknown_key(context, "")
 
 
 @then('the catalogue entry "{name}" allows "{one}" and not "{other}"')
@@ -44,7 +44,7 @@
     assert entry.allows(one) and entry.allows(other)
 
 
-@then("writing out the example catalogues changes nothing")
+@then("parsing and serializing the example catalogues changes nothing")
 def _round_trip(context):
     paths = (examples.PROCURADOR, examples.CONSORZIO, examples.BOTH)
     for path in paths:
--- a/tests/steps/catalogue_parsing.py
+++ b/tests/steps/catalogue_parsing.py
@@ -35,7 +35,7 @@
         return error.field
 
 
-@then("parsing catalogues in turn equals parsing each of them anew")
+@then("parsing catalogues incrementally equals parsing each from scratch")
 def _check(context):
     @hypothesis.settings(derandomize=True, deadline=None, database=None)
     @hypothesis.given(strategies.lists(EDITS, max_size=6))
