--- a/tests/comments.feature
+++ b/tests/comments.feature
@@ -1,10 +1,10 @@
-Feature: Comments tell what a line is for, and no story of its tuning
+Feature: Comments explain the code and report no measurements
 
-  Scenario: No comment of the product tells of measurements
-    Then no comment or docstring has a figure that was measured
+  Scenario: No comment in the product reports a measurement
+    Then no comment or docstring reports a measurement
 
-  Scenario Outline: What tells of a measurement is found
-    Then "<comment>" is found to tell of a measurement
+  Scenario Outline: Comments that report a measurement are detected
+    Then "<comment>" is detected as a report of a measurement
 
     Examples:
       | comment                                             |
@@ -15,8 +15,8 @@
       | with what it loads it takes 5 MB                    |
       | at equal seeds it gained nothing                    |
 
-  Scenario Outline: What explains a line is left alone
-    Then "<comment>" is found to tell of none
+  Scenario Outline: Comments that explain the code are accepted
+    Then "<comment>" is not detected as a report of a measurement
 
     Examples:
       | comment                                             |
--- a/tests/steps/comments.py
+++ b/tests/steps/comments.py
@@ -10,8 +10,8 @@
 ROOT = pathlib.Path(__file__).parents[2]
 FOLDERS = ("src/apricotlever", "platform")
 GENERATED = ("_pb2.py", "_grpc.py")
-#: What only a story of measuring says.
-STORY = re.compile(
+#: Phrases that occur only in reports of measurements.
+MEASUREMENT_REPORT = re.compile(
     r"\bplayed days?\b|\bat equal seeds\b|\bfull scores?\b"
     r"|\bworth (was |only |is )?0\.\d|\bmodelled day\b"
     r"|\bVMs (they )?(took|take)\b"
@@ -21,8 +21,13 @@
 )
 
 
-def _texts(path):
-    """Comments, those in a row as one, and docstrings; each with its line."""
+def _comments_and_docstrings(path):
+    """Find the comments and docstrings of a file.
+
+    Comments on consecutive lines are joined into one.
+
+    :returns: an iterator of pairs of line number and text.
+    """
     row = []
     tokens = tokenize.generate_tokens(io.StringIO(path.read_text()).readline)
     for token in tokens:
@@ -41,24 +46,24 @@
     return row[0].start[0], " ".join(t.string.lstrip("#: ") for t in row)
 
 
-@then("no comment or docstring has a figure that was measured")
-def _no_figure(context):
+@then("no comment or docstring reports a measurement")
+def _no_report(context):
     found = [
         f"{path.relative_to(ROOT)}:{line}"
         for folder in FOLDERS
         for path in sorted((ROOT / folder).rglob("*.py"))
         if not path.name.endswith(GENERATED)
-        for line, text in _texts(path)
-        if STORY.search(text)
+        for line, text in _comments_and_docstrings(path)
+        if MEASUREMENT_REPORT.search(text)
     ]
     assert not found, found
 
 
-@then('"{comment}" is found to tell of a measurement')
-def _told(context, comment):
-    assert STORY.search(comment)
+@then('"{comment}" is detected as a report of a measurement')
+def _detected(context, comment):
+    assert MEASUREMENT_REPORT.search(comment)
 
 
-@then('"{comment}" is found to tell of none')
-def _none(context, comment):
-    assert not STORY.search(comment)
+@then('"{comment}" is not detected as a report of a measurement')
+def _not_detected(context, comment):
+    assert not MEASUREMENT_REPORT.search(comment)
