--- a/src/apricotlever/histograms.py
+++ b/src/apricotlever/histograms.py
@@ -242,7 +242,8 @@
     :param encoded: the JSON forms of the histograms of all VMs, in any
         order.
     :returns: one merged histogram for each key, sorted by key.
-    :raises HistogramInvalid: if one of the JSON forms is malformed.
+    :raises HistogramInvalid: if a measure, customer or class is missing, or
+        a histogram can't be decoded.
     """
     merged: dict[Key, Distribution] = {}
     for item in encoded:
