--- a/src/apricotlever/links/__init__.py
+++ b/src/apricotlever/links/__init__.py
@@ -1,1 +1,1 @@
-"""Links to callers, peers, upstreams and the platform."""
+"""Network links to callers, peers, upstreams and the platform."""
--- a/src/apricotlever/links/_http.py
+++ b/src/apricotlever/links/_http.py
@@ -1,8 +1,7 @@
-"""HTTP exchanges with one server, over a connection owned by each thread.
+"""HTTP client for one server, with one connection for each thread.
 
-What matters to a caller of a failed exchange is whether the server may have
-acted on it. That is decided here by one question: may a byte of the request
-have left this process?
+The errors of a failed exchange tell whether the server may have acted on the
+request: it may have if any byte of the request may have left this process.
 """
 
 import http.client
@@ -16,8 +15,8 @@
 
 from .. import errors
 
-ANSWER_BYTES_MAX = 64 * 1024 * 1024
-CONNECTION_AGE_MAX_S = 60.0
+MAX_RESPONSE_BYTES = 64 * 1024 * 1024
+MAX_CONNECTION_AGE_S = 60.0
 CONNECT_TIMEOUT_S = 1.0
 KEEPALIVE_IDLE_S = 5
 KEEPALIVE_INTERVAL_S = 2
@@ -25,31 +24,36 @@
 MS_PER_S = 1000
 READ_BYTES = 64 * 1024
 
-LIBRARY_ERRORS = (OSError, http.client.HTTPException, ssl.SSLError, ValueError)
+TRANSPORT_ERRORS = (
+    OSError,
+    http.client.HTTPException,
+    ssl.SSLError,
+    ValueError,
+)
 
 
 class ExchangeFailed(errors.ApricotleverError):
-    """An exchange ended without an answer."""
+    """An exchange ended without a complete response."""
 
 
-class NotSent(ExchangeFailed):
-    """No byte of the request left, so the server did not act on it."""
+class RequestNotSent(ExchangeFailed):
+    """No byte of the request was sent, so the server did not act on it."""
 
 
-class AnswerLost(ExchangeFailed):
-    """Bytes of the request may have left; the server may have acted."""
+class ResponseLost(ExchangeFailed):
+    """Bytes of the request may have been sent; the server may have acted."""
 
 
-class AnswerTooLarge(AnswerLost):
-    """The answer is longer than is read into memory."""
+class ResponseTooLarge(ResponseLost):
+    """The response body exceeds ``MAX_RESPONSE_BYTES``."""
 
 
-class Answer:
-    """A whole answer.
+class Response:
+    """A complete HTTP response.
 
     :param status: the HTTP status.
-    :param headers: with names in lower case.
-    :param body: the whole body.
+    :param headers: values by header name in lower case.
+    :param body: the complete body.
     """
 
     __slots__ = ("status", "headers", "body")
@@ -63,59 +67,60 @@
 
 
 class _Connection:
-    """One connection and when it was opened."""
+    """A connection with its opening time and its number of exchanges."""
 
-    __slots__ = ("http", "opened", "exchanges")
+    __slots__ = ("http", "opened_at", "exchange_count")
 
     def __init__(self, connection: http.client.HTTPConnection) -> None:
         self.http = connection
-        self.opened = time.monotonic()
-        self.exchanges = 0
+        self.opened_at = time.monotonic()
+        self.exchange_count = 0
 
     @property
-    def reusable(self) -> bool:
+    def is_reusable(self) -> bool:
         """Whether a further exchange may use the connection.
 
         An idle connection that is readable was closed by the server, or
-        holds bytes that belong to no exchange of ours. A write sent into it
-        would be lost with its outcome unknown.
+        holds bytes that belong to no exchange of this client. A write over it
+        could be lost, with its outcome unknown.
         """
-        young = time.monotonic() - self.opened < CONNECTION_AGE_MAX_S
-        return young and self.http.sock is not None and not self._readable
+        young = time.monotonic() - self.opened_at < MAX_CONNECTION_AGE_S
+        return young and self.http.sock is not None and not self._is_readable
 
     @property
-    def _readable(self) -> bool:
+    def _is_readable(self) -> bool:
         poll = select.poll()
         poll.register(self.http.sock, select.POLLIN | select.POLLHUP)
         return bool(poll.poll(0))
 
 
-class _Owned(threading.local):
-    """The connection that a thread owns."""
+class _ThreadConnection(threading.local):
+    """The connection of the current thread."""
 
     connection: _Connection | None = None
 
 
-class HttpLink:
-    """Exchanges with one server.
+class HttpClient:
+    """HTTP client for one server.
 
     A connection belongs to the thread that opened it and is closed after
-    any failure, so an answer that comes late can't be read as the answer
-    to the next request.
+    any failure, so a late response can't be read as the response to the
+    next request.
 
-    :param url: ``http://host:port`` or ``https://``, maybe with a path.
+    :param url: ``http://host:port`` or ``https://host:port``, optionally
+        with a base path.
     """
 
-    __slots__ = ("_url", "_base_path", "_owned")
+    __slots__ = ("_url", "_base_path", "_local")
 
     def __init__(self, url: str) -> None:
         self._url = urllib.parse.urlsplit(url)
         self._base_path = self._url.path.rstrip("/")
-        self._owned = _Owned()
+        self._local = _ThreadConnection()
 
     @property
-    def place(self) -> str:
-        """Host and port, for messages."""
+    def authority(self) -> str:
+        """Host and port of the server, for messages."""
         return self._url.netloc
 
     def exchange(
@@ -125,79 +130,102 @@
         body: bytes | None = None,
         headers: dict[str, str] | None = None,
         timeout_s: float = 2.0,
-    ) -> Answer:
-        """Send one request and read its whole answer.
-
-        :param timeout_s: for the request and its answer together; opening
-            a connection has its own timeout.
-        :raises NotSent: the server can't have acted on the request.
-        :raises AnswerLost: the server may have acted on the request.
+    ) -> Response:
+        """Send one request and read its complete response.
+
+        :param method: HTTP method.
+        :param path: path with query, below the base path.
+        :param body: the request body, or None.
+        :param headers: names and values.
+        :param timeout_s: limit in seconds for the request and its response
+            together; opening a connection has its own timeout.
+        :returns: the response, whatever its status.
+        :raises RequestNotSent: the server can't have acted on the request.
+        :raises ResponseLost: the server may have acted on the request.
         """
-        connection = self._connected()
+        connection = self._get_connection()
         deadline = time.monotonic() + timeout_s
         try:
             _set_timeout(connection.http, timeout_s)
             sent = {**(headers or {}), "Accept-Encoding": "identity"}
             connection.http.request(method, self._base_path + path, body, sent)
-            answer = _read(connection.http, deadline)
-        except LIBRARY_ERRORS as error:
+            response = _read_response(connection.http, deadline)
+        except TRANSPORT_ERRORS as error:
             self.close()
-            raise AnswerLost(self._told(method, path, error)) from error
+            raise ResponseLost(
+                self._failure_message(method, path, error)
+            ) from error
         except BaseException:
             self.close()
             raise
-        connection.exchanges += 1
-        return answer
+        connection.exchange_count += 1
+        return response
 
-    def exchange_again(
+    def read_with_retry(
         self,
         method: str,
         path: str,
         timeout_s: float = 2.0,
         headers: dict[str, str] | None = None,
-    ) -> Answer:
-        """Read something; once more when a connection in use has failed.
-
-        A connection may have gone silent although new ones work: something
-        between the two ends forgot it. The read would time out while the
-        server is well. Only a read is repeated here, since repeating it
-        does nothing at the server.
+    ) -> Response:
+        """Send a read, and repeat it once if a reused connection failed.
+
+        A middlebox may drop the state of an open connection while new ones
+        work; a read over the old connection then times out although the
+        server is healthy. Only reads are repeated here, since repeating one
+        has no effect at the server.
+
+        :param method: HTTP method of the read.
+        :param path: path with query, below the base path.
+        :param timeout_s: limit in seconds for each of the two exchanges.
+        :param headers: names and values.
+        :returns: the response, whatever its status.
+        :raises RequestNotSent: no connection could be opened.
+        :raises ResponseLost: no complete response arrived.
         """
-        used = self._owned.connection
+        reused = self._local.connection
         try:
             return self.exchange(method, path, None, headers, timeout_s)
-        except AnswerTooLarge:
+        except ResponseTooLarge:
             raise
-        except AnswerLost:
-            if used is None:
+        except ResponseLost:
+            if reused is None:
                 raise
         return self.exchange(method, path, None, headers, timeout_s)
 
     def close(self) -> None:
         """Close this thread's connection."""
-        connection = self._owned.connection
-        self._owned.connection = None
+        connection = self._local.connection
+        self._local.connection = None
         if connection is not None:
             connection.http.close()
 
-    def _connected(self) -> _Connection:
-        connection = self._owned.connection
-        if connection is not None and connection.reusable:
+    def _get_connection(self) -> _Connection:
+        connection = self._local.connection
+        if connection is not None and connection.is_reusable:
             return connection
         self.close()
         try:
-            opened = _open(self._url)
-        except LIBRARY_ERRORS as error:
-            raise NotSent(f"can't connect to {self.place}: {error}") from error
-        self._owned.connection = _Connection(opened)
-        return self._owned.connection
-
-    def _told(self, method: str, path: str, error: Exception) -> str:
+            opened = _open_connection(self._url)
+        except TRANSPORT_ERRORS as error:
+            raise RequestNotSent(
+                f"can't connect to {self.authority}: {error}"
+            ) from error
+        self._local.connection = _Connection(opened)
+        return self._local.connection
+
+    def _failure_message(
+        self, method: str, path: str, error: Exception
+    ) -> str:
         reason = str(error) or type(error).__name__
-        return f"no answer from {self.place} to {method} {path}: {reason}"
+        return (
+            f"no response from {self.authority} to {method} {path}: {reason}"
+        )
 
 
-def _open(url: urllib.parse.SplitResult) -> http.client.HTTPConnection:
+def _open_connection(
+    url: urllib.parse.SplitResult,
+) -> http.client.HTTPConnection:
     make: typing.Callable[..., http.client.HTTPConnection] = (
         http.client.HTTPSConnection
         if url.scheme == "https"
@@ -206,31 +234,31 @@
     connection = make(url.hostname, url.port, timeout=CONNECT_TIMEOUT_S)
     try:
         connection.connect()
-        _watch_for_silence(connection.sock)
+        _enable_keepalive(connection.sock)
     except BaseException:
         connection.close()
         raise
-    # Without this, the library itself opens a new connection for the next
-    # request, with neither the options nor the checks of this module.
+    # Otherwise http.client reopens a closed connection for the next request,
+    # without the socket options and the checks of this module.
     connection.auto_open = 0
     return connection
 
 
-def _watch_for_silence(sock: socket.socket) -> None:
-    """Make the kernel end a connection whose other end went silent."""
+def _enable_keepalive(sock: socket.socket) -> None:
+    """Make the kernel close a connection whose other end is unreachable."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     options = (
         (socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S),
         (socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S),
         (socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
-        (socket.TCP_USER_TIMEOUT, _silence_s() * MS_PER_S),
+        (socket.TCP_USER_TIMEOUT, _keepalive_timeout_s() * MS_PER_S),
     )
     for option, value in options:
         sock.setsockopt(socket.IPPROTO_TCP, option, value)
 
 
-def _silence_s() -> int:
+def _keepalive_timeout_s() -> int:
     return KEEPALIVE_IDLE_S + KEEPALIVE_INTERVAL_S * KEEPALIVE_PROBES
 
 
@@ -241,27 +269,31 @@
         connection.sock.settimeout(max(timeout_s, 0.001))
 
 
-def _read(connection: http.client.HTTPConnection, deadline: float) -> Answer:
+def _read_response(
+    connection: http.client.HTTPConnection, deadline: float
+) -> Response:
     response = connection.getresponse()
     body = bytearray()
     while chunk := response.read(READ_BYTES):
         body += chunk
-        if len(body) > ANSWER_BYTES_MAX:
-            raise AnswerTooLarge(f"more than {ANSWER_BYTES_MAX} bytes")
+        if len(body) > MAX_RESPONSE_BYTES:
+            raise ResponseTooLarge(f"more than {MAX_RESPONSE_BYTES} bytes")
         remaining_s = deadline - time.monotonic()
         if remaining_s <= 0:
             raise TimeoutError("timed out")
         _set_timeout(connection, remaining_s)
-    _check_whole(response)
+    _check_complete(response)
     headers = {k.lower(): v for k, v in response.getheaders()}
-    return Answer(response.status, headers, bytes(body))
+    return Response(response.status, headers, bytes(body))
+
 
+def _check_complete(response: http.client.HTTPResponse) -> None:
+    """Check that the body is as long as its Content-Length.
 
-def _check_whole(response: http.client.HTTPResponse) -> None:
-    """Refuse a body that is shorter than its header says.
+    A read of a given size ends without an error when the connection closes
+    early, so a truncated response would pass for a complete one.
 
-    A sized read ends quietly when the server goes away in the middle, so a
-    cut answer would pass for a whole one.
+    :raises http.client.IncompleteRead: when the body is truncated.
     """
     if response.length:
         raise http.client.IncompleteRead(b"", response.length)
--- a/src/apricotlever/links/_platform_http.py
+++ b/src/apricotlever/links/_platform_http.py
@@ -1,7 +1,7 @@
-"""What the clients of the platform's services share.
+"""Base class of the clients of the platform's services.
 
-It turns HTTP answers and failures into :mod:`platform_errors`, inside
-``returns.result.Failure``.
+It turns HTTP responses and failures into the errors of
+:mod:`.platform_errors`, inside ``returns.result.Failure``.
 """
 
 import typing
@@ -14,41 +14,48 @@
 
 Json = typing.Any
 T = typing.TypeVar("T")
-Reader = typing.Callable[[Json], T]
-ErrorMaker = typing.Callable[
-    [str, _http.Answer, Json], platform_errors.PlatformError
+Decoder = typing.Callable[[Json], T]
+ErrorFactory = typing.Callable[
+    [str, _http.Response, Json], platform_errors.PlatformError
 ]
 
 DEFAULT_TIMEOUT_S = 2.0
 DEFAULT_RETRY_AFTER_S = 1.0
-# Past this a watch's answer is overdue, as on a connection gone silent.
-WATCH_MARGIN_S = 0.5
+# Time beyond the requested wait after which the response to a watch counts as
+# lost, as on a connection that no longer carries packets.
+LONG_POLL_MARGIN_S = 0.5
 
 _JSON_HEADERS = {"Content-Type": "application/json"}
-_errors_by_status: dict[int, ErrorMaker] = {}
+_errors_by_status: dict[int, ErrorFactory] = {}
 
 
-def error_for(status: int) -> typing.Callable[[ErrorMaker], ErrorMaker]:
-    """Register which error an HTTP status means."""
+def error_factory(
+    status: int,
+) -> typing.Callable[[ErrorFactory], ErrorFactory]:
+    """Register the decorated function to make the error for a status.
 
-    def register(maker: ErrorMaker) -> ErrorMaker:
-        _errors_by_status[status] = maker
-        return maker
+    :param status: HTTP status code.
+    """
+
+    def register(factory: ErrorFactory) -> ErrorFactory:
+        _errors_by_status[status] = factory
+        return factory
 
     return register
 
 
-class Service:
-    """One of the platform's services.
+class PlatformClient:
+    """Client of one of the platform's services.
 
-    :param url: where it is.
-    :param timeout_s: for a call that is not a watch.
+    :param url: base URL of the service.
+    :param timeout_s: limit in seconds for a call that does not wait for
+        changes.
     """
 
     __slots__ = ("_link", "_timeout_s")
 
     def __init__(self, url: str, timeout_s: float = DEFAULT_TIMEOUT_S) -> None:
-        self._link = _http.HttpLink(url)
+        self._link = _http.HttpClient(url)
         self._timeout_s = timeout_s
 
     def close(self) -> None:
@@ -56,47 +63,60 @@
         self._link.close()
 
     def _read(
-        self, path: str, reader: Reader[T], wait_s: float = 0.0
+        self, path: str, decoder: Decoder[T], wait_s: float = 0.0
     ) -> platform_errors.Outcome[T]:
-        """Read something; a lost answer is as good as none asked for."""
-        timeout_s = wait_s + WATCH_MARGIN_S if wait_s else self._timeout_s
+        """Send a read; a lost response is ``Unavailable``.
+
+        :param path: path with query.
+        :param decoder: turns the parsed JSON into the result.
+        :param wait_s: how long the service may wait for changes, in
+            seconds; 0 for a call that does not wait.
+        """
+        timeout_s = wait_s + LONG_POLL_MARGIN_S if wait_s else self._timeout_s
         try:
-            answer = self._link.exchange_again("GET", path, timeout_s)
+            response = self._link.read_with_retry("GET", path, timeout_s)
         except _http.ExchangeFailed as error:
             return result.Failure(platform_errors.Unavailable(error.message))
-        return _outcome(f"GET {path}", answer, reader)
+        return _decode_outcome(f"GET {path}", response, decoder)
 
     def _write(
         self,
         method: str,
         path: str,
         body: Json,
-        reader: Reader[T],
+        decoder: Decoder[T],
         headers: dict[str, str] | None = None,
     ) -> platform_errors.Outcome[T]:
-        """Write something; a lost answer leaves the outcome unknown."""
+        """Send a write; a lost response is ``Ambiguous``.
+
+        :param method: HTTP method.
+        :param path: path with query.
+        :param body: sent as JSON; None for no body.
+        :param decoder: turns the parsed JSON into the result.
+        :param headers: names and values.
+        """
         data = None if body is None else documents.encoded(body)
         sent = {**(headers or {}), **(_JSON_HEADERS if data else {})}
         try:
-            answer = self._link.exchange(
+            response = self._link.exchange(
                 method, path, data, sent, self._timeout_s
             )
-        except _http.NotSent as error:
+        except _http.RequestNotSent as error:
             return result.Failure(platform_errors.Unavailable(error.message))
         except _http.ExchangeFailed as error:
             return result.Failure(platform_errors.Ambiguous(error.message))
-        return _write_outcome(f"{method} {path}", answer, reader)
+        return _decode_write_outcome(f"{method} {path}", response, decoder)
 
 
-def _write_outcome(
-    call: str, answer: _http.Answer, reader: Reader[T]
+def _decode_write_outcome(
+    call: str, response: _http.Response, decoder: Decoder[T]
 ) -> platform_errors.Outcome[T]:
-    """The outcome of a write.
+    """Turn the response to a write into its outcome.
 
-    An answer that can't be read, or a status that tells of trouble behind
-    a gateway, doesn't say whether the write took effect.
+    A response that can't be decoded, or the error status of a gateway in
+    between, doesn't tell whether the write took effect.
     """
-    outcome = _outcome(call, answer, reader)
+    outcome = _decode_outcome(call, response, decoder)
     if isinstance(outcome, result.Failure):
         error = outcome.failure()
         if isinstance(error, platform_errors.BadAnswer):
@@ -104,83 +124,85 @@
     return outcome
 
 
-def _outcome(
-    call: str, answer: _http.Answer, reader: Reader[T]
+def _decode_outcome(
+    call: str, response: _http.Response, decoder: Decoder[T]
 ) -> platform_errors.Outcome[T]:
     try:
-        document = documents.loads(answer.body) if answer.body else {}
+        document = documents.loads(response.body) if response.body else {}
     except documents.NotJson:
         document = {}
-        if answer.status < 300:
-            return result.Failure(_bad(call, answer))
-    if answer.status >= 300:
-        maker = _errors_by_status.get(answer.status, _unexpected)
-        return result.Failure(maker(call, answer, document))
+        if response.status < 300:
+            return result.Failure(_bad_answer(call, response))
+    if response.status >= 300:
+        factory = _errors_by_status.get(response.status, _unexpected_status)
+        return result.Failure(factory(call, response, document))
     try:
-        return result.Success(reader(document))
+        return result.Success(decoder(document))
     except (KeyError, TypeError, ValueError, AttributeError):
-        return result.Failure(_bad(call, answer))
+        return result.Failure(_bad_answer(call, response))
 
 
-def _bad(call: str, answer: _http.Answer) -> platform_errors.BadAnswer:
-    text = answer.body[:80].decode("utf-8", "replace")
+def _bad_answer(
+    call: str, response: _http.Response
+) -> platform_errors.BadAnswer:
+    text = response.body[:80].decode("utf-8", "replace")
     return platform_errors.BadAnswer(
-        f"{call}: status {answer.status} with {text!r}"
+        f"{call}: unexpected response, status {response.status} with {text!r}"
     )
 
 
-def _unexpected(
-    call: str, answer: _http.Answer, document: Json
+def _unexpected_status(
+    call: str, response: _http.Response, document: Json
 ) -> platform_errors.PlatformError:
-    return _bad(call, answer)
+    return _bad_answer(call, response)
 
 
-@error_for(404)
+@error_factory(404)
 def _not_found(
-    call: str, answer: _http.Answer, document: Json
+    call: str, response: _http.Response, document: Json
 ) -> platform_errors.PlatformError:
-    return platform_errors.NotFound(f"{call}: there is none")
+    return platform_errors.NotFound(f"{call}: not found")
 
 
-@error_for(409)
+@error_factory(409)
 def _no_capacity(
-    call: str, answer: _http.Answer, document: Json
+    call: str, response: _http.Response, document: Json
 ) -> platform_errors.PlatformError:
-    return platform_errors.NoCapacity(f"{call}: refused")
+    return platform_errors.NoCapacity(f"{call}: no capacity left")
 
 
-@error_for(410)
+@error_factory(410)
 def _compacted(
-    call: str, answer: _http.Answer, document: Json
+    call: str, response: _http.Response, document: Json
 ) -> platform_errors.PlatformError:
-    return platform_errors.Compacted(f"{call}: the revision is gone")
+    return platform_errors.Compacted(f"{call}: the revision was compacted")
 
 
-@error_for(412)
+@error_factory(412)
 def _conflict(
-    call: str, answer: _http.Answer, document: Json
+    call: str, response: _http.Response, document: Json
 ) -> platform_errors.PlatformError:
     if not isinstance(document, dict):
-        return _bad(call, answer)
+        return _bad_answer(call, response)
     try:
         version = int(document["version"])
     except (KeyError, TypeError, ValueError):
-        return _bad(call, answer)
+        return _bad_answer(call, response)
     return platform_errors.Conflict(call, version)
 
 
-@error_for(413)
+@error_factory(413)
 def _too_large(
-    call: str, answer: _http.Answer, document: Json
+    call: str, response: _http.Response, document: Json
 ) -> platform_errors.PlatformError:
     return platform_errors.TooLarge(f"{call}: the value is too large")
 
 
-@error_for(429)
+@error_factory(429)
 def _throttled(
-    call: str, answer: _http.Answer, document: Json
+    call: str, response: _http.Response, document: Json
 ) -> platform_errors.PlatformError:
-    text = answer.headers.get("retry-after", "")
+    text = response.headers.get("retry-after", "")
     try:
         retry_after_s = max(0.0, float(text))
     except ValueError:
@@ -188,8 +210,8 @@
     return platform_errors.Throttled(f"{call}: throttled", retry_after_s)
 
 
-@error_for(503)
-def _turned_away(
-    call: str, answer: _http.Answer, document: Json
+@error_factory(503)
+def _service_unavailable(
+    call: str, response: _http.Response, document: Json
 ) -> platform_errors.PlatformError:
     return platform_errors.Unavailable(f"{call}: the service is down")
--- a/src/apricotlever/links/cloud_api.py
+++ b/src/apricotlever/links/cloud_api.py
@@ -18,16 +18,16 @@
 
 
 class Vm:
-    """A VM as the cloud API lists it; the list lags behind.
+    """A VM in the cloud API's list, which may lag behind the VM's real state.
 
-    :param vm: its name.
-    :param data_centre: where it runs.
+    :param vm: the VM's name.
+    :param data_centre: the data centre that the VM runs in.
     :param role: ``ROLE_RUNNER`` or ``ROLE_ENTRY``.
-    :param pool: the pool of a runner, else empty.
-    :param machine: its machine class.
+    :param pool: the pool of a runner; empty for other VMs.
+    :param machine: the VM's machine class.
     :param market: ``MARKET_RECLAIMABLE`` or ``MARKET_ON_DEMAND``.
-    :param address: ``host:port``, empty while it has none.
-    :param state: one of the ``STATE_`` names.
+    :param address: ``host:port``; empty while the VM has none.
+    :param state: one of the ``STATE_`` constants.
     """
 
     __slots__ = (
@@ -63,9 +63,12 @@
 
 
 class Price:
-    """What a machine class costs.
+    """The price of a machine class in a data centre and market.
 
-    :param per_hour: in the cloud's currency.
+    :param data_centre: the data centre's name.
+    :param machine: the machine class.
+    :param market: ``MARKET_RECLAIMABLE`` or ``MARKET_ON_DEMAND``.
+    :param per_hour: price per hour in the cloud's currency.
     """
 
     __slots__ = ("data_centre", "machine", "market", "per_hour")
@@ -80,11 +83,12 @@
 
 
 class Notice:
-    """The cloud will take a VM back.
+    """Notice that the cloud will reclaim a VM.
 
-    :param seq: the notice's number.
+    :param seq: the notice's sequence number.
     :param vm: the VM's name.
-    :param deadline_s: seconds from when the notice was read.
+    :param deadline_s: seconds until the VM is reclaimed, counted from when
+        the notice was read.
     """
 
     __slots__ = ("seq", "vm", "deadline_s")
@@ -96,10 +100,10 @@
 
 
 class Notices:
-    """What a wait for notices returned.
+    """The result of a wait for reclaim notices.
 
-    :param notices: oldest first.
-    :param seq: the number to ask after next.
+    :param notices: the notices, oldest first.
+    :param seq: the sequence number to continue the next wait from.
     """
 
     __slots__ = ("notices", "seq")
@@ -109,11 +113,12 @@
         self.seq = seq
 
 
-class CloudApi(_platform_http.Service):
-    """Offers, buys and releases VMs, and says which are reclaimed.
+class CloudApi(_platform_http.PlatformClient):
+    """Lists, buys and releases VMs, and reports reclaim notices and prices.
 
-    :param url: where the cloud API is.
-    :param timeout_s: for a call that is not a wait for notices.
+    :param url: base URL of the cloud API.
+    :param timeout_s: limit in seconds for a call that is not a wait for
+        notices.
     """
 
     __slots__ = ()
@@ -130,10 +135,14 @@
         pool: str,
         token: str,
     ) -> platform_errors.Outcome[Vm]:
-        """Start a runner.
-
-        :param token: names this purchase. Repeating it after ``Ambiguous``
-            with the same token buys no second VM.
+        """Buy and start a runner.
+
+        :param data_centre: the data centre to start the runner in.
+        :param machine: the machine class.
+        :param market: ``MARKET_RECLAIMABLE`` or ``MARKET_ON_DEMAND``.
+        :param pool: the runner's pool.
+        :param token: idempotency token of the purchase. Repeating a purchase
+            with the same token after ``Ambiguous`` buys no second VM.
         :returns: the VM, or ``NoCapacity``, ``Ambiguous``, ``Unavailable``.
         """
         body = {
@@ -150,21 +159,22 @@
         return self._write("POST", "/v1/vms", body, reader)
 
     def release(self, vm: str) -> platform_errors.Outcome[None]:
-        """Give a VM back; ``NotFound`` if it is gone already."""
+        """Release a VM; ``NotFound`` if it no longer exists."""
         path = "/v1/vms/" + urllib.parse.quote(vm, safe="")
         return self._write("DELETE", path, None, lambda _: None)
 
     def prices(self) -> platform_errors.Outcome[tuple[Price, ...]]:
-        """List what each machine class costs now."""
+        """List the current prices of all machine classes."""
         return self._read("/v1/prices", _prices)
 
     def notices(
         self, after: int, timeout_s: float
     ) -> platform_errors.Outcome[Notices]:
-        """Wait for notices.
+        """Wait for reclaim notices.
 
-        :param after: the number of the last notice that is known.
-        :param timeout_s: how long to wait; then there are none.
+        :param after: sequence number of the last notice already read.
+        :param timeout_s: how long to wait in seconds; the result holds no
+            notices if none arrive in this time.
         """
         query = urllib.parse.urlencode(
             {"after": after, "timeout_s": timeout_s}
--- a/src/apricotlever/links/entry_api.py
+++ b/src/apricotlever/links/entry_api.py
@@ -1,4 +1,4 @@
-"""Client of what an entry VM tells operators."""
+"""Client of an entry VM's HTTP interface for operators."""
 
 import typing
 
@@ -12,22 +12,22 @@
 Json = typing.Any
 
 DEFAULT_TIMEOUT_S = 2.0
-STATUS_FINE = 200
+STATUS_OK = 200
 
 
 class EntryUnreachable(errors.ApricotleverError):
-    """An entry VM gave no usable answer."""
+    """No valid response came from an entry VM."""
 
 
 Outcome = result.Result[Json, EntryUnreachable]
 
 
 class EntryApi:
-    """One entry VM, asked for its state.
+    """Reads the state of one entry VM.
 
-    :param address: where it listens for callers.
-    :param timeout_s: for each call.
-    :param key: the operators' key, empty for none.
+    :param address: the address on which the VM listens for callers.
+    :param timeout_s: limit in seconds for each call.
+    :param key: the operators' key; empty to send none.
     """
 
     __slots__ = ("_address", "_link", "_timeout_s", "_headers")
@@ -39,25 +39,25 @@
         key: str = "",
     ) -> None:
         self._address = address
-        self._link = _http.HttpLink(f"http://{address}")
+        self._link = _http.HttpClient(f"http://{address}")
         self._timeout_s = timeout_s
         self._headers = {"Authorization": f"Bearer {key}"} if key else {}
 
     @property
     def address(self) -> settings.Address:
-        """Where the VM listens for callers."""
+        """The address on which the VM listens for callers."""
         return self._address
 
     def status(self) -> Outcome:
-        """What is in force at the VM."""
+        """Read the VM's status, with the versions in force."""
         return self._get("/v1/status")
 
     def entries(self) -> Outcome:
-        """The entry VMs that take new work."""
+        """Read the list of entry VMs that accept new calls."""
         return self._get("/v1/entries")
 
     def histograms(self) -> Outcome:
-        """The VM's latency histograms, encoded."""
+        """Read the VM's latency histograms, in encoded form."""
         return self._get("/v1/histograms")
 
     def close(self) -> None:
@@ -66,14 +66,14 @@
 
     def _get(self, path: str) -> Outcome:
         try:
-            answer = self._link.exchange_again(
+            response = self._link.read_with_retry(
                 "GET", path, self._timeout_s, self._headers
             )
-            document = documents.loads(answer.body)
+            document = documents.loads(response.body)
         except (_http.ExchangeFailed, documents.NotJson) as error:
             return self._failed(path, error.message)
-        if answer.status != STATUS_FINE or not isinstance(document, dict):
-            return self._failed(path, f"status {answer.status}")
+        if response.status != STATUS_OK or not isinstance(document, dict):
+            return self._failed(path, f"status {response.status}")
         return result.Success(document)
 
     def _failed(self, path: str, reason: str) -> Outcome:
--- a/src/apricotlever/links/object_api.py
+++ b/src/apricotlever/links/object_api.py
@@ -10,17 +10,17 @@
 from . import platform_errors
 
 Json = typing.Any
-TookEffect = typing.Callable[["Stored"], bool]
+ShowsWrite = typing.Callable[["Stored"], bool]
 
 VALUE_BYTES_MAX = 1_000_000
 READ_BACK_ATTEMPTS = 3
 
 
 class Stored:
-    """An object as it stands in the store.
+    """An object and the version at which the store holds it.
 
-    :param name: its name.
-    :param version: the store's revision at its last write.
+    :param name: the object's name.
+    :param version: the store's revision at the object's last write.
     :param value: parsed JSON.
     """
 
@@ -33,10 +33,10 @@
 
 
 class Listing:
-    """Objects whose names share a prefix.
+    """The objects whose names share a prefix.
 
     :param items: the objects.
-    :param version: the store's revision; a watch may go on from it.
+    :param version: the store's revision; a watch may continue from it.
     """
 
     __slots__ = ("items", "version")
@@ -47,10 +47,10 @@
 
 
 class Events:
-    """What a watch saw.
+    """The changes that a watch returned.
 
     :param events: the changes in order; a deleted object's value is None.
-    :param version: the revision to watch on from.
+    :param version: the revision from which the next watch continues.
     """
 
     __slots__ = ("events", "version")
@@ -60,13 +60,13 @@
         self.version = version
 
 
-class ObjectApi(_platform_http.Service):
-    """Versioned objects with conditional updates and watches.
+class ObjectApi(_platform_http.PlatformClient):
+    """Client for versioned objects with conditional writes and watches.
 
     One instance may be used by many threads; each has its own connection.
 
-    :param url: where the object API is.
-    :param timeout_s: for a call that is not a watch.
+    :param url: base URL of the object API.
+    :param timeout_s: limit in seconds for a call that is not a watch.
     """
 
     __slots__ = ()
@@ -74,7 +74,7 @@
     def get(self, name: str) -> platform_errors.Outcome[Stored]:
         """Read an object.
 
-        :returns: it, or ``NotFound``, ``Unavailable``, ``Throttled``.
+        :returns: the object, or ``NotFound``, ``Unavailable``, ``Throttled``.
         """
         return self._read(_object_path(name), _stored)
 
@@ -83,15 +83,18 @@
     ) -> platform_errors.Outcome[Stored]:
         """Write an object if its version is the expected one.
 
-        :param expected_version: None to create it, and only that.
-        :returns: what was stored, or ``Conflict``, ``Ambiguous``,
-            ``Unavailable``, ``Throttled``, ``TooLarge``.
+        :param name: the object's name.
+        :param value: the new value, written as JSON.
+        :param expected_version: None to write only if the object does not
+            exist yet.
+        :returns: the stored object, or ``Conflict``, ``Ambiguous``,
+            ``Unavailable``, ``Throttled``, ``ValueTooLarge``.
         """
 
         def reader(document: Json) -> Stored:
             return Stored(name, int(document["version"]), value)
 
-        headers = _condition(expected_version)
+        headers = _precondition_headers(expected_version)
         body = {"value": value}
         return self._write("PUT", _object_path(name), body, reader, headers)
 
@@ -100,17 +103,18 @@
     ) -> platform_errors.Outcome[int]:
         """Delete an object.
 
-        :param expected_version: None for whichever version there is.
-        :returns: the store's revision, or as :meth:`put`.
+        :param name: the object's name.
+        :param expected_version: None to delete whichever version exists.
+        :returns: the store's revision, or an error as from :meth:`put`.
         """
         headers = {}
         if expected_version is not None:
-            headers = _condition(expected_version)
+            headers = _precondition_headers(expected_version)
         path = _object_path(name)
         return self._write("DELETE", path, None, _version, headers)
 
     def list(self, prefix: str) -> platform_errors.Outcome[Listing]:
-        """Read every object whose name starts with a prefix."""
+        """Read all objects whose names start with a prefix."""
         query = urllib.parse.urlencode({"prefix": prefix})
         return self._read(f"/v1/objects?{query}", _listing)
 
@@ -119,8 +123,10 @@
     ) -> platform_errors.Outcome[Events]:
         """Wait for changes under a prefix.
 
-        :param after: the revision to watch from.
-        :param timeout_s: how long to wait; then the events are empty.
+        :param prefix: prefix of the names of the objects to watch.
+        :param after: the revision after which changes are returned.
+        :param timeout_s: how long to wait in seconds; the result holds no
+            changes if there are none in this time.
         :returns: the changes, or ``Compacted``, ``Unavailable``.
         """
         query = urllib.parse.urlencode(
@@ -133,57 +139,67 @@
         name: str,
         value: Json,
         expected_version: int | None,
-        took_effect: TookEffect | None = None,
+        shows_write: ShowsWrite | None = None,
         attempts: int = READ_BACK_ATTEMPTS,
     ) -> platform_errors.Outcome[Stored]:
-        """Write as :meth:`put`, and find out what an ambiguous one did.
-
-        A write whose answer was lost may have taken effect. Repeated
-        blindly, it would meet its own version, be told of a conflict and
-        be taken for refused though it is in force. So the object is read
-        before the write is repeated, and once more on a conflict after an
-        ambiguous write, which may have arrived late. A repeat is safe: it
-        carries the same condition, so the two can't both take effect.
-
-        :param took_effect: whether an object shows this write; by default
-            if its value equals. The value should hold something that no
+        """Write as :meth:`put`, and resolve an ambiguous result by reading.
+
+        A write whose answer was lost may have taken effect. A blind retry
+        would conflict with the version that the first attempt stored, and
+        the write would count as refused although it is in force. So the
+        object is read before the write is repeated, and once more after a
+        conflict that follows an ambiguous write, as that write may have
+        arrived late. The repeat is safe: it carries the same precondition,
+        so the two writes can't both take effect.
+
+        :param name: the object's name.
+        :param value: the new value, which should hold something that no
             other writer writes.
-        :param attempts: writes at most; at least one.
+        :param expected_version: as for :meth:`put`.
+        :param shows_write: tells whether an object holds the result of this
+            write; by default, whether its value equals ``value``.
+        :param attempts: maximum number of writes; at least 1.
         :returns: as :meth:`put`; ``Ambiguous`` only if the object could
             not be read back, or all attempts were ambiguous.
         """
-        shows = took_effect or (lambda stored: bool(stored.value == value))
+        shows = shows_write or (lambda stored: bool(stored.value == value))
         outcome = self.put(name, value, expected_version)
-        was_ambiguous = _failed_by(outcome, platform_errors.Ambiguous)
+        was_ambiguous = _failed_with(outcome, platform_errors.Ambiguous)
         for _ in range(attempts - 1):
-            if not was_ambiguous or not _failed_by(outcome, *_UNSETTLED):
+            if not was_ambiguous or not _failed_with(
+                outcome, *_INCONCLUSIVE_ERRORS
+            ):
                 return outcome
             seen = self.get(name)
-            settled = _settle(seen, expected_version, shows, outcome)
+            settled = _resolve_ambiguity(
+                seen, expected_version, shows, outcome
+            )
             if settled is not None:
                 return settled
             outcome = self.put(name, value, expected_version)
-        return self._last_look(name, was_ambiguous, shows, outcome)
+        return self._final_outcome(name, was_ambiguous, shows, outcome)
 
-    def _last_look(
+    def _final_outcome(
         self,
         name: str,
         was_ambiguous: bool,
-        shows: TookEffect,
+        shows: ShowsWrite,
         outcome: platform_errors.Outcome[Stored],
     ) -> platform_errors.Outcome[Stored]:
-        if not was_ambiguous or not _failed_by(outcome, *_UNSETTLED):
+        if not was_ambiguous or not _failed_with(
+            outcome, *_INCONCLUSIVE_ERRORS
+        ):
             return outcome
         match self.get(name):
             case result.Success(stored) if shows(stored):
                 return result.Success(stored)
-        if _failed_by(outcome, platform_errors.Conflict):
+        if _failed_with(outcome, platform_errors.Conflict):
             return outcome
-        return result.Failure(_unknown(outcome))
+        return result.Failure(_outcome_unknown(outcome))
 
 
-# After an ambiguous write, none of these says what became of it.
-_UNSETTLED: tuple[type[platform_errors.PlatformError], ...] = (
+# Errors that don't tell whether an earlier ambiguous write took effect.
+_INCONCLUSIVE_ERRORS: tuple[type[platform_errors.PlatformError], ...] = (
     platform_errors.Ambiguous,
     platform_errors.Conflict,
     platform_errors.Unavailable,
@@ -191,7 +207,7 @@
 )
 
 
-def _failed_by(
+def _failed_with(
     outcome: platform_errors.Outcome[typing.Any],
     *kinds: type[platform_errors.PlatformError],
 ) -> bool:
@@ -201,13 +217,13 @@
     return False
 
 
-def _settle(
+def _resolve_ambiguity(
     seen: platform_errors.Outcome[Stored],
     expected_version: int | None,
-    shows: TookEffect,
+    shows: ShowsWrite,
     outcome: platform_errors.Outcome[Stored],
 ) -> platform_errors.Outcome[Stored] | None:
-    """What a read after an ambiguous write tells; None to write again."""
+    """Derive the outcome of an ambiguous write; None to repeat the write."""
     match seen:
         case result.Success(stored):
             if shows(stored):
@@ -220,10 +236,10 @@
             if expected_version is None:
                 return None
             return result.Failure(platform_errors.Conflict("object", 0))
-    return result.Failure(_unknown(outcome))
+    return result.Failure(_outcome_unknown(outcome))
 
 
-def _unknown(
+def _outcome_unknown(
     outcome: platform_errors.Outcome[Stored],
 ) -> platform_errors.Ambiguous:
     message = outcome.failure().message
@@ -234,7 +250,7 @@
     return "/v1/objects/" + urllib.parse.quote(name, safe="/")
 
 
-def _condition(expected_version: int | None) -> dict[str, str]:
+def _precondition_headers(expected_version: int | None) -> dict[str, str]:
     if expected_version is None:
         return {"If-None-Match": "*"}
     return {"If-Match": str(expected_version)}
--- a/src/apricotlever/links/platform.py
+++ b/src/apricotlever/links/platform.py
@@ -1,6 +1,6 @@
-"""The platform: its clients, what they return and how they fail.
+"""Public names of the clients of the platform's services.
 
-Every call returns a ``returns.result.Result``; what may fail is one of the
+Every call returns a ``returns.result.Result``, whose failure is one of the
 :class:`PlatformError` subclasses named here.
 """
 
--- a/src/apricotlever/links/platform_errors.py
+++ b/src/apricotlever/links/platform_errors.py
@@ -1,4 +1,4 @@
-"""What may go wrong with a call to the platform."""
+"""Errors of calls to the platform."""
 
 import typing
 
@@ -10,9 +10,9 @@
 
 
 class PlatformError(errors.ApricotleverError):
-    """The root of the errors of calls to the platform.
+    """Base class of the errors of calls to the platform.
 
-    ``kind`` is a short name for logs and metrics.
+    ``kind`` is the error's short name in logs and metrics.
     """
 
     kind = "failed"
@@ -22,24 +22,29 @@
 
 
 class Unavailable(PlatformError):
-    """The call had no effect: not reached, turned away, or only a read."""
+    """The service could not be reached, is down, or did not answer a read.
+
+    The call had no effect.
+    """
 
     kind = "unavailable"
 
 
 class Ambiguous(PlatformError):
-    """The request may have gone out and no answer came.
+    """The request may have been sent, and no valid answer arrived.
 
-    A write may have taken effect, or may still do so.
+    The write may have taken effect, or may still do so.
     """
 
     kind = "ambiguous"
 
 
 class Conflict(PlatformError):
-    """A conditional write was refused since the version differs.
+    """A conditional write was refused because the version differs.
 
-    :param current_version: the version in the store; 0 if there is none.
+    :param name: the object or the call, for the message.
+    :param current_version: the object's version in the store; 0 if the
+        object does not exist.
     """
 
     kind = "conflict"
@@ -50,20 +55,21 @@
 
     @property
     def current_version(self) -> int:
-        """The version in the store; 0 if there is none."""
+        """The object's version in the store; 0 if it does not exist."""
         return self._current_version
 
 
 class NotFound(PlatformError):
-    """There is no such thing."""
+    """The requested object, VM or model does not exist."""
 
     kind = "not_found"
 
 
 class Throttled(PlatformError):
-    """Over the call rate; the call had no effect.
+    """The call exceeded the platform's rate limit and had no effect.
 
-    :param retry_after_s: when the platform wants to be asked again.
+    :param message: the call and its failure.
+    :param retry_after_s: seconds to wait before the call is repeated.
     """
 
     kind = "throttled"
@@ -74,18 +80,18 @@
 
     @property
     def retry_after_s(self) -> float:
-        """Seconds until the platform wants to be asked again."""
+        """Seconds to wait before the call is repeated."""
         return self._retry_after_s
 
 
 class TooLarge(PlatformError):
-    """The value is over the platform's limit; the call had no effect."""
+    """The value exceeds the platform's size limit; the call had no effect."""
 
     kind = "too_large"
 
 
 class Compacted(PlatformError):
-    """The revision to watch from is gone: list, then watch again."""
+    """The revision to watch from was compacted: list, then watch again."""
 
     kind = "compacted"
 
@@ -97,6 +103,6 @@
 
 
 class BadAnswer(PlatformError):
-    """The platform's answer is not what its interface promises."""
+    """The platform's answer does not follow its interface."""
 
     kind = "bad_answer"
--- a/src/apricotlever/links/weight_store.py
+++ b/src/apricotlever/links/weight_store.py
@@ -9,11 +9,13 @@
 Json = typing.Any
 
 
-class WeightStore(_platform_http.Service):
-    """Paces the loading of models; engines fetch the weights themselves.
+class WeightStore(_platform_http.PlatformClient):
+    """Grants leases for loading models and tells which weights exist.
 
-    :param url: where the weight store is.
-    :param timeout_s: for each call.
+    The engines fetch the weights themselves.
+
+    :param url: base URL of the weight store.
+    :param timeout_s: limit in seconds for each call.
     """
 
     __slots__ = ()
@@ -21,18 +23,22 @@
     def lease(
         self, model: str, version: str
     ) -> platform_errors.Outcome[float]:
-        """Ask for a turn to load a model.
+        """Request a lease to load a model.
 
-        :returns: how many seconds the turn lasts, or ``Throttled``.
+        :param model: the model's name.
+        :param version: the model's version.
+        :returns: the duration of the lease in seconds, or ``Throttled``.
         """
         body = {"model": model, "version": version}
-        return self._write("POST", "/v1/leases", body, _seconds)
+        return self._write("POST", "/v1/leases", body, _lease_duration_s)
 
     def exists(
         self, model: str, version: str
     ) -> platform_errors.Outcome[None]:
-        """Ask whether a model's weights are there.
+        """Check whether the weights of a model exist.
 
+        :param model: the model's name.
+        :param version: the model's version.
         :returns: None, or ``NotFound``, ``Throttled``.
         """
         named = (
@@ -42,5 +48,5 @@
         return self._read(path, lambda _: None)
 
 
-def _seconds(document: Json) -> float:
+def _lease_duration_s(document: Json) -> float:
     return float(document["seconds"])
--- a/tests/links/blind.py
+++ b/tests/links/blind.py
@@ -1,4 +1,4 @@
-"""A naive writer: repeats a write until it gets an answer."""
+"""A writer that retries ambiguous writes without reading them back."""
 
 import typing
 
@@ -15,7 +15,7 @@
     value: typing.Any,
     expected_version: int | None,
 ) -> platform.Outcome[platform.Stored]:
-    """Write without asking what became of an ambiguous write."""
+    """Write, and repeat an ambiguous write without reading the object."""
     for _ in range(ATTEMPTS):
         outcome = objects.put(name, value, expected_version)
         match outcome:
--- a/tests/links/platform.feature
+++ b/tests/links/platform.feature
@@ -13,7 +13,7 @@
     And a platform watch of "a" after version 1 sees "two" at version 2
     And listing platform objects under "a" shows "two" at version 2
 
-  Scenario: A lost answer is told apart from a write that never left
+  Scenario: A lost answer is told apart from a write that was not sent
     Given the object API loses the answer of 1 write
     When platform object "a" is created with "one"
     Then the platform write fails as "ambiguous"
@@ -23,9 +23,9 @@
     Then the platform write fails as "unavailable"
 
   Scenario Outline: A write whose answer was lost is read back
-    Symptom: an operator is told that an edit was refused; it is in force.
-    Events: the write takes effect, its answer is lost, it is repeated.
-    Cause: the repeat meets the version that the write itself made.
+    A write takes effect, its answer is lost, and the write is repeated. The
+    repeat conflicts with the version that the first attempt stored, and an
+    operator is told that an edit was refused although it is in force.
     Given the object API loses the <what> of 1 write
     When platform object "a" is created with "mine" by <way>
     Then the platform write <outcome>
@@ -33,14 +33,14 @@
 
     Examples:
       | what    | way             | outcome                      |
-      | answer  | blind repeats   | fails as "conflict"          |
+      | answer  | blind retries   | fails as "conflict"          |
       | answer  | reading it back | succeeds with version 1      |
       | request | reading it back | succeeds with version 1      |
 
-  Scenario Outline: Another's write is not taken for one's own
-    Symptom: two VMs both believe that they hold one lease.
-    Events: one write is lost on its way; another VM's write takes effect.
-    Cause: the object is there, but does not hold the first VM's value.
+  Scenario Outline: Another VM's write is not taken for the VM's own
+    One VM's write is lost on its way and another VM's write takes effect.
+    If the first VM took the existing object for its own, both VMs would
+    believe that they hold the same lease.
     Given the object API loses the request of 1 write
     And another VM creates platform object "a" with "theirs" meanwhile
     When platform object "a" is created with "mine" by <way>
@@ -52,32 +52,32 @@
       | reading it back | conflict  |
       | one write       | ambiguous |
 
-  Scenario: With the store gone after a lost answer the outcome is unknown
+  Scenario: If the store is down after a lost answer, the outcome is unknown
     Given the object API loses the answer of 1 write and is then down
     When platform object "a" is created with "mine" by reading it back
     Then the platform write fails as "ambiguous"
 
-  Scenario: A connection that went silent does not fail a read
-    Symptom: reads time out at one VM while the store is well.
-    Events: a firewall forgets an open connection; new ones work.
-    Cause: the read was sent into the forgotten connection.
-    Given platform object "a" was read over a connection that went silent
+  Scenario: A read is repeated when its connection lost its packets
+    A firewall drops the state of an open connection, so that its packets are
+    lost while new connections work. Reads over the old connection would time
+    out at one VM although the store is healthy.
+    Given platform object "a" was read over a connection that then lost packets
     Then platform object "a" holds "one"
-    And the platform saw 2 connections
+    And the platform accepted 2 connections
 
-  Scenario: A connection that the server closed while idle is not written to
-    Symptom: the first write after a quiet spell has an unknown outcome.
-    Events: the server closes an idle connection, then a write is sent on it.
-    Cause: nobody looked at the connection before using it again.
+  Scenario: A connection that the server closed while idle is not used
+    The server closes an idle connection. If its state were not checked before
+    the next use, the first write after an idle period would be sent into the
+    closed connection, with an unknown outcome.
     Given platform object "a" was read over a connection that was then closed
     When platform object "a" is written with "two" expecting version 1
     Then the platform write succeeds with version 2
 
-  Scenario: A cut answer is no answer
-    Given a server whose answers end in the middle
+  Scenario: A truncated answer counts as no answer
+    Given a server that sends truncated answers
     Then reading platform object "a" fails as "unavailable"
 
-  Scenario Outline: The platform's refusals have their own errors
+  Scenario Outline: Each kind of platform failure has its own error
     Given the object API is set to <fault>
     Then reading platform object "a" fails as "<kind>"
 
@@ -87,7 +87,7 @@
       | {"down": true}       | unavailable |
       | {}                   | not_found   |
 
-  Scenario: The cloud API's lists, purchases and notices
+  Scenario: Purchases and reclaim notices of the cloud API
     Given the platform's cloud API is up with a spare runner
     When a runner is bought twice with one token
     Then both purchases name one VM
--- a/tests/steps/links_platform.py
+++ b/tests/steps/links_platform.py
@@ -19,11 +19,11 @@
 from tests.support import cuttable
 
 TIMEOUT_S = 1.0
-SILENT_TIMEOUT_S = 0.2
-CUT_ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{}"
+SHORT_TIMEOUT_S = 0.2
+TRUNCATED_ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{}"
 
-WAYS = {
-    "blind repeats": blind.put,
+WRITE_FUNCTIONS = {
+    "blind retries": blind.put,
     "one write": functools.partial(
         platform.ObjectApi.put_reading_back, attempts=1
     ),
@@ -31,47 +31,50 @@
 }
 
 
-class _MeddledApi(platform.ObjectApi):
-    """Runs something once, after the first write."""
+class _InterruptedApi(platform.ObjectApi):
+    """Object API client that calls a function once, after the first write."""
 
-    __slots__ = ("_meddle",)
+    __slots__ = ("_after_first_write",)
 
-    def __init__(self, url, meddle):
+    def __init__(self, url, after_first_write):
         super().__init__(url, TIMEOUT_S)
-        self._meddle = meddle
+        self._after_first_write = after_first_write
 
     def put(self, name, value, expected_version):
         outcome = super().put(name, value, expected_version)
-        meddle, self._meddle = self._meddle, lambda: None
-        meddle()
+        after_first_write, self._after_first_write = (
+            self._after_first_write,
+            lambda: None,
+        )
+        after_first_write()
         return outcome
 
 
 @given("the platform's object API is up")
-def _up(context):
-    context.platform_standin = object_api.ObjectApi()
-    context.platform_address = serving.serve(context, context.platform_standin)
+def _start_object_api(context):
+    context.object_api = object_api.ObjectApi()
+    context.platform_address = serving.serve(context, context.object_api)
     context.platform = platform.ObjectApi(
         f"http://{context.platform_address}", TIMEOUT_S
     )
 
 
 @given("the object API loses the {what} of {count:d} write")
-def _lose(context, what, count):
-    context.platform_standin.faults.set({f"lose_{what}": count})
+def _lose_writes(context, what, count):
+    context.object_api.faults.set({f"lose_{what}": count})
 
 
 @given("the object API loses the answer of 1 write and is then down")
-def _lose_and_down(context):
-    faults = context.platform_standin.faults
+def _lose_answer_then_down(context):
+    faults = context.object_api.faults
     faults.set({"lose_answer": 1})
     url = f"http://{context.platform_address}"
-    context.platform = _MeddledApi(url, lambda: faults.set({"down": True}))
+    context.platform = _InterruptedApi(url, lambda: faults.set({"down": True}))
 
 
 @given("the object API refuses connections")
-def _refuses(context):
-    context.platform_standin.faults.set({"refuse": True})
+def _refuse_connections(context):
+    context.object_api.faults.set({"refuse": True})
     context.platform.close()
     _until_refused(context.platform_address)
 
@@ -86,19 +89,24 @@
 
 
 @given("the object API is set to {faults}")
-def _set(context, faults):
-    context.platform_standin.faults.set(json.loads(faults))
+def _set_faults(context, faults):
+    context.object_api.faults.set(json.loads(faults))
 
 
 @given('another VM creates platform object "{name}" with "{value}" meanwhile')
-def _meanwhile(context, name, value):
+def _other_vm_writes(context, name, value):
     url = f"http://{context.platform_address}"
     other = platform.ObjectApi(url, TIMEOUT_S)
-    context.platform = _MeddledApi(url, lambda: other.put(name, value, None))
+    context.platform = _InterruptedApi(
+        url, lambda: other.put(name, value, None)
+    )
 
 
-@given('platform object "{name}" was read over a connection that went silent')
-def _silent(context, name):
+@given(
+    'platform object "{name}" was read over a connection '
+    "that then lost packets"
+)
+def _read_then_lose_packets(context, name):
     _read_through_relay(context, name)
     context.platform_relay.silence()
 
@@ -106,7 +114,7 @@
 @given(
     'platform object "{name}" was read over a connection that was then closed'
 )
-def _closed(context, name):
+def _read_then_close(context, name):
     _read_through_relay(context, name)
     context.platform_relay.cut()
 
@@ -116,12 +124,12 @@
     context.platform_relay = cuttable.Relay(context.platform_address)
     context.closers.append(context.platform_relay.close)
     url = f"http://{context.platform_relay.address}"
-    context.platform = platform.ObjectApi(url, SILENT_TIMEOUT_S)
+    context.platform = platform.ObjectApi(url, SHORT_TIMEOUT_S)
     context.platform.get(name).unwrap()
 
 
-@given("a server whose answers end in the middle")
-def _cutting(context):
+@given("a server that sends truncated answers")
+def _truncating_server(context):
     listener = socket.create_server(("127.0.0.1", 0))
     context.closers.append(listener.close)
     context.closers.append(lambda: listener.shutdown(socket.SHUT_RDWR))
@@ -131,7 +139,7 @@
             while True:
                 connection, _ = listener.accept()
                 connection.recv(65536)
-                connection.sendall(CUT_ANSWER)
+                connection.sendall(TRUNCATED_ANSWER)
                 connection.close()
         except OSError:
             return
@@ -148,7 +156,7 @@
 
 @when('platform object "{name}" is created with "{value}" by {way}')
 def _create_by(context, name, value, way):
-    put = WAYS[way]
+    put = WRITE_FUNCTIONS[way]
     context.platform_outcome = put(context.platform, name, value, None)
 
 
@@ -207,22 +215,22 @@
     assert listing.version == version
 
 
-@then("the platform saw {count:d} connections")
-def _connections(context, count):
+@then("the platform accepted {count:d} connections")
+def _accepted_connections(context, count):
     assert context.platform_relay.accepted == count
 
 
 @given("the platform's cloud API is up with a spare runner")
-def _cloud(context):
+def _start_cloud_api(context):
     address = serving.serve(context, cloud_api.CloudApi())
     spare = {"vm": "runner-1", "address": "127.0.0.1:1"}
     context.cloud_address = address
-    _control(address, "spares", {"spares": [spare]})
+    _post_control(address, "spares", {"spares": [spare]})
     context.cloud = platform.CloudApi(f"http://{address}")
 
 
 @when("a runner is bought twice with one token")
-def _buy(context):
+def _buy_twice(context):
     context.purchases = [_buy_with(context, "token-1") for _ in range(2)]
 
 
@@ -240,7 +248,7 @@
 @then("a reclaim notice of that VM arrives")
 def _notice(context):
     order = {"vms": ["runner-1"], "notice_s": 30}
-    _control(context.cloud_address, "reclaim", order)
+    _post_control(context.cloud_address, "reclaim", order)
     notices = context.cloud.notices(0, TIMEOUT_S).unwrap()
     (notice,) = notices.notices
     assert notice.vm == "runner-1" and 0 < notice.deadline_s <= 30
@@ -250,7 +258,7 @@
     return context.cloud.buy("sala-a", "gpu", "reclaimable", "pool", token)
 
 
-def _control(address, name, document):
+def _post_control(address, name, document):
     connection = http.client.HTTPConnection(address)
     connection.request("POST", f"/control/{name}", json.dumps(document))
     assert connection.getresponse().status == 200
