--- a/src/apricotlever/links/_caller_channels.py
+++ b/src/apricotlever/links/_caller_channels.py
@@ -1,4 +1,8 @@
-"""What waitress does with a caller's connection, and what it does here."""
+"""Subclasses of waitress's server, channel and task for callers.
+
+They time out slow requests, refuse calls when the queue for threads is full,
+and let a handler write a stream from another thread.
+"""
 
 from http import client as http_names
 import time
@@ -11,10 +15,10 @@
 
 from .. import refusals
 
-TASK = "apricotlever.task"
-_KEY_FIELD = "IDEMPOTENCY_KEY"
+TASK_ENVIRON_KEY = "apricotlever.task"
+_IDEMPOTENCY_KEY_HEADER = "IDEMPOTENCY_KEY"
 
-_KIND_BY_STATUS = {
+_REFUSAL_KIND_BY_STATUS = {
     400: refusals.BAD_REQUEST,
     408: refusals.SLOW_SENDER,
     413: refusals.BODY_TOO_LARGE,
@@ -25,39 +29,40 @@
 
 
 def status_line(status: int) -> str:
-    """A status code with its reason phrase.
+    """Format a status code with its reason phrase.
 
     :param status: HTTP status code.
+    :returns: such as ``404 Not Found``.
     """
     return f"{status} {http_names.responses.get(status, 'Unknown')}"
 
 
 class RequestTimeout:
-    """Stands in the parser's error for a request that came too slowly."""
+    """Parser error of a request that did not arrive in time."""
 
     code = 408
     body = "the request did not arrive in time"
 
 
 class Overloaded:
-    """Stands in the parser's error when no thread is free."""
+    """Parser error of a request that found the queue for threads full."""
 
     code = 503
-    body = "this entry VM has no thread left for the request"
+    body = "all threads of this entry VM are busy"
 
 
 class RefusalTask(waitress_task.ErrorTask):
-    """Answers a malformed request in the form of every other refusal."""
+    """Answers a request that was not accepted, as JSON like every refusal."""
 
     def execute(self) -> None:
         """Write the refusal and close the connection."""
         error = self.request.error
-        kind = _KIND_BY_STATUS.get(error.code, refusals.BAD_REQUEST)
+        kind = _REFUSAL_KIND_BY_STATUS.get(error.code, refusals.BAD_REQUEST)
         retry_after_s = 1.0 if kind is refusals.SHED else None
         message = str(error.body).strip() or kind.meaning
         executed = refusals.Executed.NO
-        if _KEY_FIELD in self.request.headers:
-            # An earlier sending under the key may have run.
+        if _IDEMPOTENCY_KEY_HEADER in self.request.headers:
+            # An earlier request with the same key may have run.
             executed = refusals.Executed.UNKNOWN
         refusal = refusals.Refusal(kind, message, executed, retry_after_s)
         body = refusal.body()
@@ -69,60 +74,60 @@
 
 
 class Task(waitress_task.WSGITask):
-    """A call whose handler can write its stream from another thread."""
+    """A WSGI task that its handler can reach, to write a stream to it."""
 
     def get_environment(self) -> dict[str, typing.Any]:
-        """The WSGI environment, which names this task as well."""
+        """Build the WSGI environment, with this task as an extra entry."""
         environ = super().get_environment()
-        environ[TASK] = self
+        environ[TASK_ENVIRON_KEY] = self
         return environ
 
 
 class Channel(waitress_channel.HTTPChannel):
-    """A caller's connection that knows when its request began."""
+    """A caller's connection that records when its current request began."""
 
     task_class = Task
     error_task_class = RefusalTask
-    began: float | None = None
+    request_started_at: float | None = None
     request: typing.Any
-    stalled = False
+    has_unsent_data = False
 
     def writable(self) -> bool:
         """Whether the network thread has something to send.
 
-        A thread that answers sends its bytes itself. If the network thread
-        polled for the same bytes, it would find the socket ready and the
-        buffer locked, again and again, at the cost of a whole core. It is
-        wanted only for what the caller's socket did not take.
+        The thread that serves a request sends the response bytes itself. If
+        the network thread polled for the same bytes, it would find the socket
+        ready and the buffer locked, again and again, and use a whole core.
+        The network thread sends only what the caller's socket did not accept.
         """
-        if self.requests and not self.stalled:
+        if self.requests and not self.has_unsent_data:
             return bool(self.will_close)
         return bool(super().writable())
 
     def write_soon(self, data: typing.Any) -> int:
-        """Buffer bytes, and wake the network thread if some stay there."""
+        """Buffer bytes, and wake the network thread if some remain unsent."""
         written = int(super().write_soon(data))
-        self.stalled = self.total_outbufs_len > 0
-        if self.stalled:
+        self.has_unsent_data = self.total_outbufs_len > 0
+        if self.has_unsent_data:
             self.server.pull_trigger()
         return written
 
     def received(self, data: bytes) -> bool:
-        """Parse bytes, and note when the request that they are of began."""
+        """Parse received bytes, and record when their request began."""
         if self.request is None:
-            self.began = time.monotonic()
+            self.request_started_at = time.monotonic()
         answer = super().received(data)
         if self.request is None:
-            self.began = None
+            self.request_started_at = None
         return answer
 
-    def send_now(self, data: bytes) -> None:
-        """Send bytes past the output buffers while those are empty.
+    def send_directly(self, data: bytes) -> None:
+        """Send bytes to the socket, bypassing the output buffers if empty.
 
-        The buffers cost more than the sending itself, and a stream of small
-        events almost never needs them.
+        Buffering costs more than sending, and a stream of small events
+        almost never needs it.
 
-        :raises ClientDisconnected: when the caller has gone.
+        :raises ClientDisconnected: when the caller has disconnected.
         """
         with self.outbuf_lock:
             if self.total_outbufs_len:
@@ -138,17 +143,17 @@
                 self.write_soon(data[sent:])
         self.last_activity = time.time()
 
-    def overdue(self, limit_s: float) -> bool:
-        """Whether a request has been arriving for too long.
+    def is_overdue(self, limit_s: float) -> bool:
+        """Whether the current request has been arriving for too long.
 
-        :param limit_s: how long it may take, in seconds.
+        :param limit_s: how long a request may take to arrive, in seconds.
         """
-        if self.began is None or self.request is None:
+        if self.request_started_at is None or self.request is None:
             return False
-        return time.monotonic() - self.began > limit_s
+        return time.monotonic() - self.request_started_at > limit_s
 
-    def give_up_receiving(self) -> None:
-        """Answer the half-received request with a timeout."""
+    def time_out_request(self) -> None:
+        """Answer the incomplete request with status 408."""
         with self.requests_lock:
             if self.request is None or self.requests:
                 return
@@ -157,38 +162,40 @@
             request.completed = True
             self.requests.append(request)
             self.request = None
-            self.began = None
+            self.request_started_at = None
         self.server.add_task(self)
 
 
 class Server(waitress_server.TcpWSGIServer):
-    """A server that times out slow senders and refuses when full.
+    """A server that times out slow requests and refuses calls when full.
 
-    A sender that trickles bytes would hold a connection for ever and never
-    look idle; the age of the request, not of the last byte, ends it.
+    A client that sends a few bytes at a time would hold a connection for
+    ever without being idle. So the limit is on the age of the request, not on
+    the time since its last byte.
     """
 
     channel_class = Channel
-    receive_s = 10.0
-    queued_max = 64
+    receive_timeout_s = 10.0
+    max_queued_requests = 64
 
     def maintenance(self, now: float) -> None:
-        """End the requests that have been arriving for too long."""
+        """Time out the requests that have been arriving for too long."""
         super().maintenance(now)
         overdue = [
             channel
             for channel in self.active_channels.values()
-            if channel.overdue(self.receive_s)
+            if channel.is_overdue(self.receive_timeout_s)
         ]
         for channel in overdue:
-            channel.give_up_receiving()
+            channel.time_out_request()
 
     def stop_listening(self) -> None:
-        """Accept what waits, then close the port; on the loop's thread.
+        """Accept the waiting connections, then close the listening socket.
 
-        The kernel resets the connections that wait to be accepted when the
-        listening socket is closed. Their callers have sent a request and
-        could not tell whether it was run, so they are accepted first.
+        This method must be called on the network thread. When the listening
+        socket is closed, the kernel resets the connections that were not
+        accepted yet. Their callers may have sent a request and could not
+        tell whether it was run, so these connections are accepted first.
         """
         known = -1
         while known != len(self.active_channels):
@@ -198,12 +205,12 @@
         wasyncore.dispatcher.close(self)
 
     def add_task(self, task: Channel) -> None:
-        """Queue a request for the threads, or refuse it when they are busy."""
-        # With every thread busy a request would wait unseen, and its refusal
-        # would come late. A small error is written from the network thread
-        # instead, which never blocks on it.
+        """Queue a request for a thread, or refuse it if the queue is full."""
+        # A request that waited in a full queue would be refused late. The
+        # network thread writes the refusal instead, which is small enough
+        # never to block that thread.
         request = task.requests[0] if task.requests else None
-        if len(self.task_dispatcher.queue) < self.queued_max:
+        if len(self.task_dispatcher.queue) < self.max_queued_requests:
             super().add_task(task)
             return
         if request is not None and request.error is None:
--- a/src/apricotlever/links/caller_routes.py
+++ b/src/apricotlever/links/caller_routes.py
@@ -1,4 +1,4 @@
-"""The table from a call's method and path to its handler."""
+"""Routing of calls to handlers by method and path."""
 
 import re
 import typing
@@ -9,7 +9,7 @@
 
 
 class _Route:
-    """One row of the table of routes."""
+    """A path pattern with its methods and its handler."""
 
     __slots__ = ("pattern", "methods", "handler")
 
@@ -25,7 +25,7 @@
 
 
 class Routes:
-    """A table from method and path to handler, filled by a decorator."""
+    """A routing table, filled by the decorator :meth:`register`."""
 
     __slots__ = ("_table",)
 
@@ -35,11 +35,11 @@
     def on(
         self, pattern: str, *methods: str
     ) -> typing.Callable[[typing.Any], typing.Any]:
-        """Register a handler.
+        """Register the decorated function as a handler.
 
         :param pattern: a regular expression for the whole path; its groups
             become the handler's arguments after the call.
-        :param methods: methods taken; none means any.
+        :param methods: the allowed HTTP methods; none allows any.
         """
 
         def register(handler: typing.Any) -> typing.Any:
@@ -50,10 +50,11 @@
         return register
 
     def find(self, call: callers.Call) -> tuple[typing.Any, tuple[str, ...]]:
-        """The handler of a call and the arguments from its path.
+        """Find the handler of a call and the arguments from its path.
 
-        :param call: what came in.
-        :raises Refusal: when no path matches, or not with this method.
+        :param call: the call to route.
+        :raises Refusal: when no route matches the path, or none of those
+            that match it allows the method.
         """
         matches = [
             (route, match.groups())
@@ -66,5 +67,5 @@
             if not route.methods or call.method in route.methods:
                 return route.handler, groups
         raise refusals.Refusal(
-            refusals.METHOD, f"{call.method} is not taken here"
+            refusals.METHOD, f"{call.method} is not allowed here"
         )
--- a/src/apricotlever/links/callers.py
+++ b/src/apricotlever/links/callers.py
@@ -1,9 +1,10 @@
-"""The HTTP link to callers, on waitress.
+"""The HTTP server for callers, on waitress.
 
-The link turns HTTP into a typed :class:`Call`, hands it to a handler on one
-of waitress's threads, and writes the :class:`Reply`. Whatever is wrong with
-the HTTP itself is answered here, as JSON that promises that nothing ran. Of
-a call with an idempotency key it doesn't, for that may have come before.
+The server turns an HTTP request into a typed :class:`Call`, passes it to a
+handler on one of waitress's threads, and writes the :class:`Reply`. Malformed
+HTTP is answered here, with JSON that says that nothing was run; for a call
+with an idempotency key it says that this is unknown, as an earlier call with
+the same key may have run.
 """
 
 import json
@@ -20,12 +21,12 @@
 Application = typing.Callable[["Call"], "Reply | StreamReply"]
 
 JSON_TYPE = "application/json"
-CONNECTION_LIMIT = 8192
-BACKLOG = 1024
-BACKLOG_BYTES_MAX = 1_000_000
+MAX_CONNECTIONS = 8192
+LISTEN_BACKLOG = 1024
+MAX_UNSENT_BYTES = 1_000_000
 CLEANUP_INTERVAL_S = 1
-IDLE_CONNECTION_S = 120
-_LENGTH_LIMIT = 2**31
+IDLE_CONNECTION_TIMEOUT_S = 120
+_BUFFER_OVERFLOW_BYTES = 2**31
 
 
 class Call:
@@ -33,9 +34,9 @@
 
     :param method: the HTTP method, upper case.
     :param path: the decoded path.
-    :param query: the first value of each query parameter.
+    :param query: one value for each query parameter.
     :param environ: the WSGI environment.
-    :param body: the whole body.
+    :param body: the complete body.
     """
 
     __slots__ = ("method", "path", "query", "_environ", "body")
@@ -55,9 +56,9 @@
         self.body = body
 
     def header(self, name: str, default: str = "") -> str:
-        """The value of a header.
+        """Return the value of a header.
 
-        :param name: its name in any case.
+        :param name: the header's name, in any case.
         :param default: returned when the header is missing.
         """
         key = name.upper().replace("-", "_")
@@ -66,7 +67,7 @@
         return self._environ.get(key, default)
 
     def target(self, path: str) -> str:
-        """A path, quoted, with this call's query.
+        """Quote a path and append this call's query string.
 
         :param path: the decoded path.
         """
@@ -75,17 +76,17 @@
         return f"{quoted}?{query}" if query else quoted
 
     def gone(self) -> bool:
-        """Whether the caller closed the connection."""
+        """Whether the caller has closed the connection."""
         check = self._environ.get("waitress.client_disconnected")
         return bool(check and check())
 
 
 class Reply:
-    """What to answer.
+    """The response to a call.
 
     :param status: HTTP status code.
     :param headers: names and values.
-    :param body: bytes, or an iterator of chunks for a stream.
+    :param body: bytes, or an iterator of the body's chunks.
     """
 
     __slots__ = ("status", "headers", "body")
@@ -106,9 +107,9 @@
 
 
 class Writer:
-    """Writes the body of a stream; any one thread may use it at a time.
+    """Writes the body of a stream; one thread at a time may use it.
 
-    :param task: of the WSGI server, after ``start_response``.
+    :param task: the WSGI task, after ``start_response`` was called.
     """
 
     __slots__ = ("_task", "_channel")
@@ -118,32 +119,34 @@
         self._channel = task.channel
 
     def __call__(self, data: bytes) -> None:
-        """Write; never blocks.
+        """Write a chunk of the body without blocking.
 
-        :raises CallerGone: when the caller has gone. One that does not read
-            is treated alike: it would hold memory for as long as it likes,
-            and can come back for what it missed.
+        :param data: the chunk.
+        :raises CallerDisconnected: when the caller has disconnected, or has
+            left more than ``MAX_UNSENT_BYTES`` unread. A caller that does
+            not read would hold this memory without limit; it can resume the
+            stream later.
         """
         task = self._task
         channel = self._channel
-        if channel.total_outbufs_len > BACKLOG_BYTES_MAX:
-            raise CallerGone("the caller does not read")
+        if channel.total_outbufs_len > MAX_UNSENT_BYTES:
+            raise CallerGone("the caller does not read the stream")
         try:
             if not task.wrote_header:
                 task.write(data)
             elif task.chunked_response:
-                channel.send_now(b"%X\r\n%b\r\n" % (len(data), data))
+                channel.send_directly(b"%X\r\n%b\r\n" % (len(data), data))
             else:
-                channel.send_now(data)
+                channel.send_directly(data)
         except (waitress_channel.ClientDisconnected, OSError) as error:
-            raise CallerGone("the caller has gone") from error
+            raise CallerGone("the caller has disconnected") from error
 
 
 class StreamReply:
-    """What to answer, written as it comes.
+    """The response to a call whose body is written as it is produced.
 
     :param headers: names and values.
-    :param run: writes the whole body and returns; raises nothing.
+    :param run: writes the whole body and returns; must not raise.
     """
 
     __slots__ = ("headers", "run")
@@ -158,9 +161,9 @@
 
 
 def json_reply(document: typing.Any) -> Reply:
-    """A document as an answer that nobody on the way may keep.
+    """Make a JSON response that caches must not store.
 
-    :param document: anything that JSON can hold.
+    :param document: any value that JSON can represent.
     """
     body = json.dumps(document).encode()
     headers = [("Content-Type", JSON_TYPE), ("Cache-Control", "no-store")]
@@ -168,24 +171,26 @@
 
 
 def refused(refusal: refusals.Refusal) -> Reply:
-    """The reply that a refusal becomes.
+    """Make the response for a refusal.
 
-    :param refusal: what to tell the caller.
+    :param refusal: the error that the caller is told.
     """
     return Reply(refusal.kind.status, refusal.headers(), refusal.body())
 
 
 class CallerServer:
-    """Listens for callers.
+    """HTTP server for callers.
 
     :param host: address to bind.
-    :param port: port to bind; 0 picks one.
-    :param application: turns a call into a reply; may raise Refusal.
-    :param on_fault: told of an exception that the application let through.
-    :param threads: how many calls are served at once.
-    :param body_bytes_max: largest body taken.
-    :param header_bytes_max: largest header block taken.
-    :param receive_s: how long a request may take to arrive.
+    :param port: port to bind; 0 picks a free one.
+    :param application: turns a call into a reply; may raise ``Refusal``.
+    :param on_unhandled_error: called with any other exception that the
+        application raises.
+    :param threads: how many calls are served concurrently.
+    :param body_bytes_max: size limit of a request body, in bytes.
+    :param header_bytes_max: size limit of a request's headers, in bytes.
+    :param receive_timeout_s: how long a request may take to arrive, in
+        seconds.
     """
 
     def __init__(
@@ -193,73 +198,73 @@
         host: str,
         port: int,
         application: Application,
-        on_fault: typing.Callable[[Exception], None],
+        on_unhandled_error: typing.Callable[[Exception], None],
         threads: int,
         body_bytes_max: int,
         header_bytes_max: int,
-        receive_s: float,
+        receive_timeout_s: float,
     ) -> None:
         self._application = application
-        self._on_fault = on_fault
-        # The VMs have no disks: the buffers' overflow to temporary files is
-        # put out of reach.
+        self._on_unhandled_error = on_unhandled_error
+        # The VMs have no disks, so the size at which waitress moves a buffer
+        # to a temporary file is set higher than any buffer grows.
         self._server = _caller_channels.Server(
-            self._wsgi,
+            self._wsgi_application,
             host=host,
             port=port,
             threads=threads,
             send_bytes=1,
             asyncore_use_poll=True,
             channel_request_lookahead=1,
-            connection_limit=CONNECTION_LIMIT,
-            backlog=BACKLOG,
+            connection_limit=MAX_CONNECTIONS,
+            backlog=LISTEN_BACKLOG,
             cleanup_interval=CLEANUP_INTERVAL_S,
-            channel_timeout=IDLE_CONNECTION_S,
+            channel_timeout=IDLE_CONNECTION_TIMEOUT_S,
             max_request_body_size=body_bytes_max,
             max_request_header_size=header_bytes_max,
-            inbuf_overflow=_LENGTH_LIMIT,
-            outbuf_overflow=_LENGTH_LIMIT,
+            inbuf_overflow=_BUFFER_OVERFLOW_BYTES,
+            outbuf_overflow=_BUFFER_OVERFLOW_BYTES,
             ident=None,
             clear_untrusted_proxy_headers=False,
         )
-        self._server.receive_s = receive_s
+        self._server.receive_timeout_s = receive_timeout_s
 
     @property
     def port(self) -> int:
-        """The port that was bound."""
+        """The port that the server is bound to."""
         return int(self._server.effective_port)
 
     @property
     def busy(self) -> bool:
-        """Whether a call is being answered, or waits for a thread."""
+        """Whether a call is being served or waits for a thread."""
         dispatcher = self._server.task_dispatcher
         return bool(dispatcher.active_count or dispatcher.queue)
 
     @property
     def unsent(self) -> bool:
-        """Whether callers have not taken all that was written to them."""
+        """Whether response bytes wait for callers to read them."""
         return any(
             channel.total_outbufs_len
             for channel in list(self._server.active_channels.values())
         )
 
     def run(self) -> None:
-        """Serve until closed; runs on a thread of its own."""
+        """Serve until closed; to be called on a thread of its own."""
         try:
             self._server.run()
         except OSError:
-            # Closing the sockets under the poll loop ends it this way.
+            # Closing the sockets while the loop polls them raises this.
             return
 
     def stop_listening(self) -> None:
-        """Take no new connections; open ones go on."""
+        """Accept no new connections; open ones are still served."""
         self._server.trigger.pull_trigger(self._server.stop_listening)
 
     def close(self) -> None:
-        """End at once, with the connections that are open."""
+        """Close the server and its open connections at once."""
         self._server.close()
 
-    def _wsgi(
+    def _wsgi_application(
         self,
         environ: dict[str, typing.Any],
         start_response: typing.Callable[..., typing.Any],
@@ -267,7 +272,7 @@
         reply = self._answer(environ)
         if isinstance(reply, StreamReply):
             start_response(_caller_channels.status_line(200), reply.headers)
-            reply.run(Writer(environ[_caller_channels.TASK]))
+            reply.run(Writer(environ[_caller_channels.TASK_ENVIRON_KEY]))
             return []
         start_response(
             _caller_channels.status_line(reply.status), reply.headers
@@ -282,8 +287,8 @@
         except refusals.Refusal as refusal:
             return refused(refusal)
         except Exception as error:
-            self._on_fault(error)
-            message = "the request met a fault in this daemon"
+            self._on_unhandled_error(error)
+            message = "an internal error occurred in this daemon"
             return refused(
                 refusals.Refusal(
                     refusals.INTERNAL, message, refusals.Executed.UNKNOWN
--- a/src/apricotlever/links/openai.py
+++ b/src/apricotlever/links/openai.py
@@ -1,7 +1,7 @@
-"""OpenAI's format: requests from callers and events from runners.
+"""Requests of callers and events of runners in OpenAI's format.
 
-Only what routing, recovery and accounting need is read; the rest of a body
-goes to the runner as it came.
+Only the fields that routing, recovery and accounting need are read; the rest
+of a request body is passed to the runner unchanged.
 """
 
 import json
@@ -12,7 +12,7 @@
 
 DEFAULT_MAX_TOKENS = 128
 MAX_TOKENS_LIMIT = 32768
-EXTENSION = "apricotlever"
+EXTENSION_FIELD = "apricotlever"
 DONE_EVENT = b"data: [DONE]\n\n"
 EVENT_END = b"\n\n"
 CHAT_PATH = "/v1/chat/completions"
@@ -20,11 +20,11 @@
 
 
 class ModelRequest:
-    """A completion that a caller asked for.
+    """A caller's request for a completion.
 
-    :param document: the decoded body.
-    :param chat: whether it came in the chat form.
-    :param prompt: the text that the engine will see as the prompt.
+    :param document: the parsed body.
+    :param chat: whether the request is a chat completion.
+    :param prompt: the text that the engine receives as the prompt.
     """
 
     __slots__ = ("document", "chat", "entry", "prompt", "max_tokens", "stream")
@@ -41,56 +41,56 @@
 
     @property
     def path(self) -> str:
-        """The runner's path for this form of request."""
+        """The path at the runner for this kind of completion."""
         return CHAT_PATH if self.chat else COMPLETIONS_PATH
 
     @property
     def prompt_tokens(self) -> int:
-        """How many tokens the prompt is taken to have."""
+        """The estimated number of tokens in the prompt."""
         return prefix.tokens_of(self.prompt)
 
     def body_for(
         self, model: str, resume_tokens: typing.Sequence[str]
     ) -> bytes:
-        """The body to send to a runner.
+        """Build the request body for a runner.
 
         :param model: the model's name at the runner.
-        :param resume_tokens: tokens that the caller has; the runner goes on
-            with the one after them.
+        :param resume_tokens: the tokens that the caller already has; the
+            runner continues after them.
         """
         document = dict(self.document, model=model, stream=True)
         document["max_tokens"] = self.max_tokens
-        document.pop(EXTENSION, None)
+        document.pop(EXTENSION_FIELD, None)
         if resume_tokens:
-            document[EXTENSION] = {"resume_tokens": list(resume_tokens)}
+            document[EXTENSION_FIELD] = {"resume_tokens": list(resume_tokens)}
         return json.dumps(document).encode()
 
 
 def parse(body: bytes, chat: bool) -> ModelRequest:
-    """Decode and check a caller's body.
+    """Parse and validate the body of a completion request.
 
     :param body: JSON in OpenAI's format.
-    :param chat: whether it came to the chat path.
-    :raises Refusal: naming the field that is wrong.
+    :param chat: whether the request is a chat completion.
+    :raises Refusal: when the body is not valid; names the invalid field.
     """
     document = decode_object(body)
     model = document.get("model")
     if not isinstance(model, str) or not model:
-        raise _wrong("model", "the name of a catalogue entry")
+        raise _field_error("model", "the name of a catalogue entry")
     if chat:
         _check_messages(document)
     else:
         _check_prompt(document)
     _check_seed(document)
-    prompt = _encodable(prefix.prompt_text(document))
+    prompt = _check_encodable(prefix.prompt_text(document))
     return ModelRequest(document, chat, prompt)
 
 
 def decode_object(body: bytes) -> dict[str, typing.Any]:
-    """Decode a JSON object.
+    """Parse a request body that must be a JSON object.
 
-    :param body: what the caller sent.
-    :raises Refusal: when it is no JSON object.
+    :param body: the request body.
+    :raises Refusal: when the body is not a JSON object.
     """
     try:
         document = json.loads(body)
@@ -103,9 +103,9 @@
     return document
 
 
-def _wrong(field: str, wanted: str) -> refusals.Refusal:
+def _field_error(field: str, expected: str) -> refusals.Refusal:
     return refusals.Refusal(
-        refusals.BAD_JSON, f"field {field}: wanted {wanted}"
+        refusals.BAD_JSON, f"field {field}: expected {expected}"
     )
 
 
@@ -113,31 +113,36 @@
     value = document.get("max_tokens", DEFAULT_MAX_TOKENS)
     whole = isinstance(value, int) and not isinstance(value, bool)
     if not whole or not 1 <= value <= MAX_TOKENS_LIMIT:
-        raise _wrong("max_tokens", f"an integer from 1 to {MAX_TOKENS_LIMIT}")
+        raise _field_error(
+            "max_tokens", f"an integer from 1 to {MAX_TOKENS_LIMIT}"
+        )
     return value
 
 
 def _check_seed(document: dict[str, typing.Any]) -> None:
-    # A runner would refuse it, and what a runner has seen may have run.
+    # A runner would refuse an invalid seed, but a request that was sent to a
+    # runner counts as one that may have run.
     value = document.get("seed")
     whole = isinstance(value, int) and not isinstance(value, bool)
     if value is not None and not whole:
-        raise _wrong("seed", "an integer")
+        raise _field_error("seed", "an integer")
 
 
 def _check_prompt(document: dict[str, typing.Any]) -> None:
     if not isinstance(document.get("prompt"), str):
-        raise _wrong("prompt", "a string")
+        raise _field_error("prompt", "a string")
     if "messages" in document:
-        raise _wrong("messages", "no messages beside a prompt")
+        raise _field_error("messages", "no messages together with a prompt")
 
 
 def _check_messages(document: dict[str, typing.Any]) -> None:
     messages = document.get("messages")
     if not isinstance(messages, list) or not messages:
-        raise _wrong("messages", "a list of messages that is not empty")
+        raise _field_error("messages", "a non-empty list of messages")
     if not all(map(_is_message, messages)):
-        raise _wrong("messages", "objects with a role and a content")
+        raise _field_error(
+            "messages", "objects with the strings role and content"
+        )
 
 
 def _is_message(message: typing.Any) -> bool:
@@ -146,18 +151,18 @@
     )
 
 
-def _encodable(text: str) -> str:
-    # JSON may carry half of a surrogate pair, which no UTF-8 can hold; it
-    # would fail much later, in the middle of routing.
+def _check_encodable(text: str) -> str:
+    # JSON may hold half of a surrogate pair, which UTF-8 can't encode. Without
+    # this check the request would fail later, during routing.
     try:
         text.encode()
     except UnicodeEncodeError as error:
-        raise _wrong("prompt", "text that UTF-8 can hold") from error
+        raise _field_error("prompt", "text that UTF-8 can encode") from error
     return text
 
 
 def token_of(event: bytes) -> str:
-    """The token text in one SSE event of a runner.
+    """Extract the token's text from a server-sent event of a runner.
 
     :param event: the event's bytes, with its ``data:`` line.
     """
@@ -171,11 +176,11 @@
 def whole_answer(
     request: ModelRequest, request_id: str, tokens: typing.Sequence[str]
 ) -> bytes:
-    """The answer to a request that did not ask for a stream.
+    """Build the response body for a request without streaming.
 
     :param request: the caller's request.
-    :param request_id: its ID.
-    :param tokens: the tokens of the answer in order.
+    :param request_id: the request's ID.
+    :param tokens: the tokens of the completion, in order.
     """
     text = "".join(tokens)
     finish = "length" if len(tokens) >= request.max_tokens else "stop"
