--- a/src/apricotlever/roll_outs/model.py
+++ b/src/apricotlever/roll_outs/model.py
@@ -3,10 +3,10 @@
 import enum
 import typing
 
-from .. import shapes
+from .. import validation
 
 
-class State(enum.IntEnum):
+class RollOutState(enum.IntEnum):
     """State of a roll-out; merging keeps the higher value."""
 
     #: A share of the calls goes to the new version.
@@ -23,10 +23,10 @@
     @property
     def is_final(self) -> bool:
         """Whether the result needs no further write to the store."""
-        return self >= State.COMPLETED
+        return self >= RollOutState.COMPLETED
 
 
-class Bounds:
+class RollOutLimits:
     """Limits on the exposure of a service to a bad version.
 
     :param exposure_share: share of the service's calls that a bad version may
@@ -49,7 +49,7 @@
         self.rollback_s = rollback_s
 
 
-class Order:
+class RollOutOrder:
     """An order to move a service to another version.
 
     :param revision: the latest known revision of the order in the store.
@@ -74,7 +74,7 @@
         revision: int,
         started_at: float,
         duration_s: float,
-        state: State = State.RUNNING,
+        state: RollOutState = RollOutState.RUNNING,
     ) -> None:
         self.service = service
         self.version = version
@@ -83,7 +83,7 @@
         self.duration_s = duration_s
         self.state = state
 
-    def merge(self, other: "Order") -> "Order":
+    def merge(self, other: "RollOutOrder") -> "RollOutOrder":
         """Merge with another order for the same service.
 
         The result of several merges does not depend on their sequence, so
@@ -95,7 +95,7 @@
         if only_one_is_final and self.revision != other.revision:
             # The lower revision belongs to an earlier order for this version.
             return other if other.revision > self.revision else self
-        return Order(
+        return RollOutOrder(
             self.service,
             self.version,
             max(self.revision, other.revision),
@@ -104,9 +104,9 @@
             max(self.state, other.state),
         )
 
-    def with_state(self, state: State) -> "Order":
+    def with_state(self, state: RollOutState) -> "RollOutOrder":
         """A copy of the order in the given state."""
-        return Order(
+        return RollOutOrder(
             self.service,
             self.version,
             self.revision,
@@ -115,7 +115,7 @@
             state,
         )
 
-    def equals(self, other: "Order") -> bool:
+    def equals(self, other: "RollOutOrder") -> bool:
         """Whether all fields are equal."""
         return self.to_record() == other.to_record()
 
@@ -125,40 +125,43 @@
         return [*fields[:-1], int(self.state)]
 
     @classmethod
-    def from_record(cls, record: typing.Any) -> "Order":
+    def from_record(cls, record: typing.Any) -> "RollOutOrder":
         """Deserialize a record of :meth:`to_record`.
 
         :raises shapes.Misshapen: if the record is malformed.
         """
-        fields = shapes.checked_record(_FIELDS, record)
-        fields[-1] = State(fields[-1])
+        fields = validation.validate_record(_FIELDS, record)
+        fields[-1] = RollOutState(fields[-1])
         return cls(*fields)
 
 
 def _is_state(value: typing.Any) -> bool:
-    return shapes.is_whole(value) and value in State._value2member_map_
+    return (
+        validation.is_non_negative_int(value)
+        and value in RollOutState._value2member_map_
+    )
 
 
-_FIELDS: tuple[tuple[str, shapes.Check], ...] = (
-    ("service", shapes.is_text),
-    ("version", shapes.is_text),
-    ("revision", shapes.is_whole),
-    ("started_at", shapes.is_number),
-    ("duration_s", shapes.is_number),
+_FIELDS: tuple[tuple[str, validation.Predicate], ...] = (
+    ("service", validation.is_non_empty_string),
+    ("version", validation.is_non_empty_string),
+    ("revision", validation.is_non_negative_int),
+    ("started_at", validation.is_non_negative_number),
+    ("duration_s", validation.is_non_negative_number),
     ("state", _is_state),
 )
 
 
-def is_order(value: typing.Any) -> bool:
+def is_order_record(value: typing.Any) -> bool:
     """Whether a value is a valid record of an order."""
     try:
-        Order.from_record(value)
-    except shapes.Misshapen:
+        RollOutOrder.from_record(value)
+    except validation.Misshapen:
         return False
     return True
 
 
-class Arm(enum.Enum):
+class RunnerRole(enum.Enum):
     """The role of a runner in the roll-out of its service."""
 
     #: Takes regular calls.
--- a/src/apricotlever/roll_outs/progress.py
+++ b/src/apricotlever/roll_outs/progress.py
@@ -5,10 +5,10 @@
 
 from ..vms import rendezvous
 
+from . import canary_analysis
 from . import model
 from . import samples
 from . import schedule
-from . import verdict
 
 #: Recent time windows that are evaluated in addition to the totals, in
 #: seconds. The totals alone would delay the detection of a fault that starts
@@ -19,7 +19,7 @@
 #: Drain time as a multiple of the mean duration of the slowest route.
 DRAIN_FACTOR = 3.0
 
-Counts = dict[samples.Key, samples.Sample]
+Counts = dict[samples.SampleKey, samples.Sample]
 
 
 class RollOut:
@@ -45,7 +45,9 @@
         "_history",
     )
 
-    def __init__(self, order: model.Order, limits: model.Bounds) -> None:
+    def __init__(
+        self, order: model.RollOutOrder, limits: model.RollOutLimits
+    ) -> None:
         self.order = order
         self.schedule = schedule.Schedule(order.duration_s, limits)
         self.old_runners: frozenset[str] = frozenset()
@@ -97,7 +99,7 @@
         if longest is not None:
             self.schedule.set_drain_time(DRAIN_FACTOR * math.exp(longest))
 
-    def evaluate(self, now: float) -> verdict.Finding | None:
+    def evaluate(self, now: float) -> canary_analysis.Finding | None:
         """Evaluate the new version by the totals and the recent windows.
 
         :param now: time of a monotonic clock, in seconds.
@@ -110,9 +112,9 @@
         self._take_snapshot(now)
         return next(filter(None, map(_evaluate_counts, all_counts)), None)
 
-    def evaluate_final(self) -> verdict.Finding | None:
+    def evaluate_final(self) -> canary_analysis.Finding | None:
         """Evaluate the new version for the last time before the takeover."""
-        return _evaluate_counts(self.fleet_counts, verdict.FINAL_CHECK)
+        return _evaluate_counts(self.fleet_counts, canary_analysis.FINAL_CHECK)
 
     def _recent_counts(self, now: float, window_s: float) -> Counts:
         """The counts of a recent time window."""
@@ -138,8 +140,9 @@
 
 
 def _evaluate_counts(
-    counts: Counts, thresholds: verdict.Thresholds = verdict.REPEATED_CHECK
-) -> verdict.Finding | None:
+    counts: Counts,
+    thresholds: canary_analysis.Thresholds = canary_analysis.REPEATED_CHECK,
+) -> canary_analysis.Finding | None:
     old = {key.route: s for key, s in counts.items() if not key.runner}
     new = {(k.runner, k.route): s for k, s in counts.items() if k.runner}
-    return verdict.judge(old, new, thresholds)
+    return canary_analysis.compare_versions(old, new, thresholds)
--- a/src/apricotlever/roll_outs/samples.py
+++ b/src/apricotlever/roll_outs/samples.py
@@ -7,7 +7,7 @@
 import math
 import typing
 
-from .. import shapes
+from .. import validation
 
 #: Runner name that stands for all runners of the old version.
 OLD_VERSION = ""
@@ -15,7 +15,7 @@
 MIN_TIME_S = 0.001
 
 
-class Key(typing.NamedTuple):
+class SampleKey(typing.NamedTuple):
     """Identifies a sample.
 
     :param version: target version of the roll-out.
@@ -34,7 +34,7 @@
         return "\n".join(self)
 
     @classmethod
-    def from_text(cls, text: str) -> "Key":
+    def from_text(cls, text: str) -> "SampleKey":
         """Parse a key from :attr:`text`.
 
         :raises ValueError: if the text is malformed.
@@ -174,13 +174,13 @@
 
 Record = list[float]
 Records = dict[str, Record]
-is_records = shapes.is_map(
-    shapes.is_text,
-    shapes.is_row(
-        *[shapes.is_whole] * 4,
-        *[shapes.is_finite] * 2,
-        shapes.is_whole,
-        *[shapes.is_finite] * 2,
+is_records = validation.is_map_of(
+    validation.is_non_empty_string,
+    validation.is_tuple_of(
+        *[validation.is_non_negative_int] * 4,
+        *[validation.is_finite_number] * 2,
+        validation.is_non_negative_int,
+        *[validation.is_finite_number] * 2,
     ),
 )
 
--- a/src/apricotlever/roll_outs/schedule.py
+++ b/src/apricotlever/roll_outs/schedule.py
@@ -104,7 +104,7 @@
 
     __slots__ = ("_limits", "_duration_s", "_drain_s")
 
-    def __init__(self, duration_s: float, limits: model.Bounds) -> None:
+    def __init__(self, duration_s: float, limits: model.RollOutLimits) -> None:
         self._duration_s = duration_s
         self._limits = limits
         self._drain_s = self._max_drain_s
--- a/src/apricotlever/runners/crash_blocklist.py
+++ b/src/apricotlever/runners/crash_blocklist.py
@@ -13,7 +13,7 @@
 import typing
 
 from .. import clock as clocks
-from .. import shapes
+from .. import validation
 from . import crashes
 from . import quarantine
 
@@ -38,18 +38,20 @@
 #: answered, and the seconds left for each blocked fingerprint.
 CrashRecord = tuple[list[CrashEntry], list[str], dict[str, float]]
 #: Checks that a value received from a peer has that shape.
-is_crash_record = shapes.is_row(
-    shapes.is_list(
-        shapes.is_row(
-            shapes.is_text,
-            shapes.is_any_text,
-            shapes.is_number,
-            shapes.is_flag,
-            shapes.is_list(shapes.is_any_text),
+is_crash_record = validation.is_tuple_of(
+    validation.is_list_of(
+        validation.is_tuple_of(
+            validation.is_non_empty_string,
+            validation.is_string,
+            validation.is_non_negative_number,
+            validation.is_bool,
+            validation.is_list_of(validation.is_string),
         )
     ),
-    shapes.is_list(shapes.is_any_text),
-    shapes.is_map(shapes.is_any_text, shapes.is_number),
+    validation.is_list_of(validation.is_string),
+    validation.is_map_of(
+        validation.is_string, validation.is_non_negative_number
+    ),
 )
 
 
--- a/src/apricotlever/serving/dialects.py
+++ b/src/apricotlever/serving/dialects.py
@@ -98,14 +98,16 @@
 
     def roll_out(
         self, stored: store.StoredObject, heard_at: float
-    ) -> roll_outs_model.Order:
+    ) -> roll_outs_model.RollOutOrder:
         """Translate a roll-out order; ``ValueError`` if it is invalid.
 
         :param heard_at: time of receipt, in seconds since 1970.
         """
 
     def roll_out_status(
-        self, order: roll_outs_model.Order, state: roll_outs_model.State
+        self,
+        order: roll_outs_model.RollOutOrder,
+        state: roll_outs_model.RollOutState,
     ) -> store.Json:
         """The status of an order in a state."""
 
--- a/src/apricotlever/serving/duty_roster.py
+++ b/src/apricotlever/serving/duty_roster.py
@@ -117,7 +117,7 @@
 
     def write_roll_outs(
         self,
-        controller: roll_outs_controller.Controller,
+        controller: roll_outs_controller.RollOutController,
         store_: store.Store,
         calls: upstreams.Upstreams,
         dialect: dialects.PlatformDialect,
--- a/src/apricotlever/serving/limit_calls.py
+++ b/src/apricotlever/serving/limit_calls.py
@@ -11,7 +11,7 @@
 import msgpack
 
 from .. import logs
-from .. import shapes
+from .. import validation
 
 from . import log_limit
 
@@ -26,17 +26,27 @@
 GIVE_BACK = 2
 COUNTED = 3
 
-_IS_ASK = shapes.is_row(
-    shapes.is_whole, shapes.is_whole, shapes.is_text, shapes.is_number
+_IS_ASK = validation.is_tuple_of(
+    validation.is_non_negative_int,
+    validation.is_non_negative_int,
+    validation.is_non_empty_string,
+    validation.is_non_negative_number,
 )
-_IS_ANSWER = shapes.is_row(
-    shapes.is_whole, shapes.is_whole, shapes.is_none_or(shapes.is_number)
+_IS_ANSWER = validation.is_tuple_of(
+    validation.is_non_negative_int,
+    validation.is_non_negative_int,
+    validation.is_none_or(validation.is_non_negative_number),
 )
-_IS_GIVE_BACK = shapes.is_row(
-    shapes.is_whole, shapes.is_text, shapes.is_number
+_IS_GIVE_BACK = validation.is_tuple_of(
+    validation.is_non_negative_int,
+    validation.is_non_empty_string,
+    validation.is_non_negative_number,
 )
-_IS_COUNTED = shapes.is_row(
-    shapes.is_whole, shapes.is_text, shapes.is_text, shapes.is_number
+_IS_COUNTED = validation.is_tuple_of(
+    validation.is_non_negative_int,
+    validation.is_non_empty_string,
+    validation.is_non_empty_string,
+    validation.is_non_negative_number,
 )
 _FORMS = {
     ASK: _IS_ASK,
--- a/src/apricotlever/serving/node.py
+++ b/src/apricotlever/serving/node.py
@@ -79,8 +79,10 @@
         self._configuration: routes.Configuration | None = None
         self._configuration_spec: store.Json = None
         self._directory = directories.Directory(clock, config.bounds.drain_s)
-        self._roll_outs = roll_outs_controller.Controller(
-            clock, rng, config.bounds.roll_outs or roll_outs_model.Bounds()
+        self._roll_outs = roll_outs_controller.RollOutController(
+            clock,
+            rng,
+            config.bounds.roll_outs or roll_outs_model.RollOutLimits(),
         )
         self._orders = roll_out_orders.Orders(
             clock, self._roll_outs, dialect.platform, self._roll_outs_changed
@@ -335,7 +337,7 @@
     def observe(self, loads: peer_loads.PeerLoads) -> None:
         """Loads of the other VMs came."""
         self._upstreams.observe_peers(loads)
-        self._roll_outs.observe(loads.trials, loads.from_aggregate)
+        self._roll_outs.update_fleet_counts(loads.trials, loads.from_aggregate)
 
     def configuration_above(self, version: int) -> store.Json | None:
         """The configuration, None if it is not newer."""
--- a/src/apricotlever/serving/notes.py
+++ b/src/apricotlever/serving/notes.py
@@ -8,7 +8,7 @@
 
 from .. import clock as clocks
 from .. import logs
-from .. import shapes
+from .. import validation
 
 from . import store
 
@@ -31,12 +31,16 @@
     return {COUNTS: counts, LEVELS: dict(levels), WRITTEN_AT: wall}
 
 
-_IS_COUNTS = shapes.is_map(shapes.is_text, shapes.is_whole)
-_IS_TABLES = shapes.is_map(
+_IS_COUNTS = validation.is_map_of(
+    validation.is_non_empty_string, validation.is_non_negative_int
+)
+_IS_TABLES = validation.is_map_of(
     lambda window: isinstance(window, str) and window.isdecimal(),
-    shapes.is_map(shapes.is_text, _IS_COUNTS),
+    validation.is_map_of(validation.is_non_empty_string, _IS_COUNTS),
+)
+_IS_LEVELS = validation.is_map_of(
+    validation.is_non_empty_string, validation.is_finite_number
 )
-_IS_LEVELS = shapes.is_map(shapes.is_text, shapes.is_finite)
 
 
 def counts(spec: store.Json) -> dict[int, dict[str, dict[str, int]]]:
@@ -67,7 +71,9 @@
         return {}
     spec = found.spec if isinstance(found.spec, dict) else {}
     written_at, levels = spec.get(WRITTEN_AT, -1.0), spec.get(LEVELS, {})
-    if not shapes.is_number(written_at) or not _IS_LEVELS(levels):
+    if not validation.is_non_negative_number(written_at) or not _IS_LEVELS(
+        levels
+    ):
         logs.event("stored_refused", kind=KIND, object=NAME, part=LEVELS)
         return {}
     return dict(levels) if abs(clock.wall() - written_at) <= OLD_S else {}
--- a/src/apricotlever/serving/observations.py
+++ b/src/apricotlever/serving/observations.py
@@ -54,7 +54,7 @@
         if self._histograms is None:
             self._histograms = histograms.Histograms(MOST_HISTOGRAMS)
         record = self._histograms.record
-        record(histograms.WHOLE, customer, kind, whole_s)
+        record(histograms.WHOLE_ANSWER, customer, kind, whole_s)
         if first_s is not None:
             record(histograms.FIRST_TOKEN, customer, kind, first_s)
 
--- a/src/apricotlever/serving/peers.py
+++ b/src/apricotlever/serving/peers.py
@@ -6,7 +6,7 @@
 import msgpack
 
 from .. import logs
-from .. import shapes
+from .. import validation
 
 from . import callers
 from . import channels
@@ -27,9 +27,11 @@
 #: Named so that a peer that tells no incarnations answers 404.
 RUNNERS_PATH = "/incarnations"
 
-_IS_NEWS = shapes.is_row(
-    shapes.is_list(shapes.is_list(lambda value: True)),
-    shapes.is_map(shapes.is_text, shapes.is_whole),
+_IS_NEWS = validation.is_tuple_of(
+    validation.is_list_of(validation.is_list_of(lambda value: True)),
+    validation.is_map_of(
+        validation.is_non_empty_string, validation.is_non_negative_int
+    ),
 )
 _News = typing.TypeVar("_News")
 
@@ -114,7 +116,7 @@
     """
     news = _decoded(body)
     if not _IS_NEWS(news):
-        raise shapes.Misshapen("news of runners", news)
+        raise validation.Misshapen("news of runners", news)
     entries, gone = news
     return [runners.Runner.from_record(record) for record in entries], gone
 
--- a/src/apricotlever/serving/roll_out_duty.py
+++ b/src/apricotlever/serving/roll_out_duty.py
@@ -9,7 +9,7 @@
 
 from .. import clock as clocks
 from .. import logs
-from .. import shapes
+from .. import validation
 from ..roll_outs import controller as controllers
 from ..roll_outs import model
 
@@ -27,8 +27,8 @@
 def _is_start_record(value: typing.Any) -> bool:
     return (
         isinstance(value, dict)
-        and shapes.is_text(value.get("version"))
-        and shapes.is_number(value.get("started_at"))
+        and validation.is_non_empty_string(value.get("version"))
+        and validation.is_non_negative_number(value.get("started_at"))
     )
 
 
@@ -63,7 +63,7 @@
     def __init__(
         self,
         clock: clocks.Clock,
-        controller: controllers.Controller,
+        controller: controllers.RollOutController,
         store_: store.Store,
         dialect: dialects.PlatformDialect,
         keeper: Holder,
@@ -81,7 +81,7 @@
         #: Versions whose start was recorded or read, by service.
         self._started: dict[str, str] = {}
         #: The last version and state written, by service.
-        self._written: dict[str, tuple[str, model.State]] = {}
+        self._written: dict[str, tuple[str, model.RollOutState]] = {}
 
     async def step(self) -> None:
         """Write all results that are due."""
@@ -92,7 +92,7 @@
             return
         if self._clock.now() < self._next_try:
             return
-        for result in self._controller.results(self._in_flight):
+        for result in self._controller.due_results(self._in_flight):
             try:
                 await self._process_result(result)
             except (store.StoreError, ValueError) as error:
@@ -123,13 +123,13 @@
         if self._keeper.fencing is None:
             return
         if found is None:
-            if self._controller.withdrawn(order.service, order.revision):
+            if self._controller.withdraw_order(order.service, order.revision):
                 self._changed()
             return
         current = self._dialect.roll_out(found, order.started_at)
         if current.version != order.version or current.state.is_final:
             # The order was replaced, or another holder wrote the result.
-            if self._controller.heard(current):
+            if self._controller.merge_order(current):
                 self._changed()
             return
         status = self._dialect.roll_out_status(order, state)
@@ -147,10 +147,10 @@
         self._written[order.service] = (order.version, state)
         written = order.with_state(state)
         written.revision = found.revision
-        if self._controller.heard(written):
+        if self._controller.merge_order(written):
             self._changed()
 
-    async def _record_start(self, order: model.Order) -> None:
+    async def _record_start(self, order: model.RollOutOrder) -> None:
         """Note when a roll-out began, or take over what is noted."""
         record = {"version": order.version, "started_at": order.started_at}
         found = await self._store.get(STARTS_KIND, order.service)
@@ -167,5 +167,5 @@
             return
         earlier = order.with_state(order.state)
         earlier.started_at = found.spec["started_at"]
-        if self._controller.heard(earlier):
+        if self._controller.merge_order(earlier):
             self._changed()
--- a/src/apricotlever/serving/roll_out_orders.py
+++ b/src/apricotlever/serving/roll_out_orders.py
@@ -23,7 +23,7 @@
     def __init__(
         self,
         clock: clocks.Clock,
-        controller: controllers.Controller,
+        controller: controllers.RollOutController,
         platform: dialects.PlatformDialect,
         changed: typing.Callable[[], None],
     ) -> None:
@@ -56,20 +56,22 @@
 
     def heard(self, records: typing.Iterable[list[typing.Any]]) -> None:
         """Handle orders received from another VM."""
-        self._take(map(model.Order.from_record, records))
+        self._take(map(model.RollOutOrder.from_record, records))
 
     def _take(
         self,
-        orders: typing.Iterable[model.Order],
+        orders: typing.Iterable[model.RollOutOrder],
         withdrawn: typing.Iterable[str] = (),
         revision: int = 0,
     ) -> None:
-        news = [self._controller.heard(order) for order in orders]
-        news += [self._controller.withdrawn(s, revision) for s in withdrawn]
+        news = [self._controller.merge_order(order) for order in orders]
+        news += [
+            self._controller.withdraw_order(s, revision) for s in withdrawn
+        ]
         if any(news):
             self._changed()
 
-    def _read(self, stored: store.StoredObject) -> model.Order | None:
+    def _read(self, stored: store.StoredObject) -> model.RollOutOrder | None:
         try:
             order = self._platform.roll_out(stored, self._clock.wall())
         except ValueError as error:
--- a/src/apricotlever/serving/routes.py
+++ b/src/apricotlever/serving/routes.py
@@ -8,7 +8,7 @@
 import enum
 import typing
 
-from ..data_centres import fleet_size
+from ..data_centres import fleet_mix_planner
 
 
 class CallKind(enum.Enum):
@@ -167,7 +167,7 @@
         name: str,
         max_connections: int,
         engine: Engine | None = None,
-        scaling: fleet_size.Terms | None = None,
+        scaling: fleet_mix_planner.ScalingTerms | None = None,
     ) -> None:
         self.name = name
         self.max_connections = max_connections
--- a/src/apricotlever/serving/runner_duty.py
+++ b/src/apricotlever/serving/runner_duty.py
@@ -4,8 +4,8 @@
 
 from .. import clock as clocks
 from .. import logs
-from ..data_centres import demand
-from ..data_centres import fleet_size
+from ..data_centres import fleet_mix_planner
+from ..data_centres import prefill_load
 from ..vms import follower_selection
 
 from . import dialects
@@ -85,7 +85,7 @@
 
     def __init__(
         self,
-        held: dict[str, fleet_size.Holding],
+        held: dict[str, fleet_mix_planner.RunnerCounts],
         needed: float,
         trusted: float,
         idle: bool,
@@ -103,8 +103,8 @@
 
     def __init__(self, clock: clocks.Clock) -> None:
         self._clock = clock
-        self._demands: dict[str, demand.Demand] = {}
-        self._sizes: dict[str, fleet_size.FleetSize] = {}
+        self._demands: dict[str, prefill_load.PrefillLoad] = {}
+        self._sizes: dict[str, fleet_mix_planner.FleetMixPlanner] = {}
         self._started_with: dict[str, int] = {}
 
     def heard(
@@ -114,25 +114,25 @@
         for service, (total, speed, pressure) in work.items():
             known = self._demands.get(service)
             if known is None:
-                known = demand.Demand(self._clock)
+                known = prefill_load.PrefillLoad(self._clock)
                 self._demands[service] = known
-            known.heard(process, total, speed, pressure)
+            known.receive_report(process, total, speed, pressure)
 
     def keep_only(self, processes: typing.Container[str]) -> None:
         """Forget processes that have ended."""
         for known in self._demands.values():
-            known.keep_only(processes)
+            known.retain_processes(processes)
 
-    def size_of(self, service: str) -> fleet_size.FleetSize:
+    def size_of(self, service: str) -> fleet_mix_planner.FleetMixPlanner:
         """The plan of a service."""
         return self._sizes.setdefault(
-            service, fleet_size.FleetSize(self._clock)
+            service, fleet_mix_planner.FleetMixPlanner(self._clock)
         )
 
     def never_worked(self, service: str) -> bool:
         """Whether no VM has counted any work at a service's runners."""
         known = self._demands.get(service)
-        return known is None or not known.known_for_s
+        return known is None or not known.observed_for_s
 
     def needed(
         self,
@@ -148,15 +148,15 @@
         self._started_with.setdefault(service.name, present)
         known = self._demands.get(service.name)
         places = service.engine.concurrency if service.engine else 1
-        measured = known.runners(in_flight, places) if known else 1.0
+        measured = known.required_runners(in_flight, places) if known else 1.0
         if told:
             logs.event(
                 "runners_needed",
                 service=service.name,
                 measured=measured,
-                rate=known.rate if known else None,
-                speed=known.speed if known else None,
-                pressure=known.pressure if known else None,
+                rate=known.tokens_per_s if known else None,
+                speed=known.prefill_speed if known else None,
+                pressure=known.latency_ratio if known else None,
                 in_flight=in_flight,
                 present=present,
             )
@@ -165,7 +165,7 @@
     def trusted(self, service: str) -> float:
         """Runners that count as needed until the work is known."""
         known = self._demands.get(service)
-        if known is None or known.known_for_s < LEARNED_AFTER_S:
+        if known is None or known.observed_for_s < LEARNED_AFTER_S:
             return float(self._started_with.get(service, 0))
         return 0.0
 
@@ -243,7 +243,10 @@
                     return
 
     def _load(
-        self, service: routes.Service, terms: fleet_size.Terms, told: bool
+        self,
+        service: routes.Service,
+        terms: fleet_mix_planner.ScalingTerms,
+        told: bool,
     ) -> _Load:
         held = self._held(service.name, terms)
         present = sum(h.on_demand + h.reclaimable for h in held.values())
@@ -256,7 +259,7 @@
         )
 
     def _lines(
-        self, service: str, terms: fleet_size.Terms, load: _Load
+        self, service: str, terms: fleet_mix_planner.ScalingTerms, load: _Load
     ) -> list[_Line]:
         held = load.held
         size = self._work.size_of(service)
@@ -285,9 +288,12 @@
         return lines
 
     def _held(
-        self, service: str, terms: fleet_size.Terms
-    ) -> dict[str, fleet_size.Holding]:
-        held = {place: fleet_size.Holding() for place in terms.prices}
+        self, service: str, terms: fleet_mix_planner.ScalingTerms
+    ) -> dict[str, fleet_mix_planner.RunnerCounts]:
+        held = {
+            place: fleet_mix_planner.RunnerCounts()
+            for place in terms.on_demand_prices
+        }
         for runner in self._directory.of_service(service):
             holding = held.get(runner.data_centre)
             if holding is None or not self._serves(runner):
@@ -316,7 +322,7 @@
         if (
             line.reclaimable
             and line.count > line.present
-            and self._work.size_of(line.service).dry
+            and self._work.size_of(line.service).is_reorder_delayed
         ):
             # One data centre has just refused; the next try asks again.
             return True
@@ -349,6 +355,8 @@
     def _note(self, line: _Line, taken: bool) -> None:
         size = self._work.size_of(line.service)
         if taken:
-            size.taken(line.place, line.reclaimable, line.count, line.boot_s)
+            size.record_accepted_order(
+                line.place, line.reclaimable, line.count, line.boot_s
+            )
         elif line.reclaimable:
-            size.refused(line.place)
+            size.record_refusal(line.place)
--- a/src/apricotlever/serving/runners.py
+++ b/src/apricotlever/serving/runners.py
@@ -2,7 +2,7 @@
 
 import typing
 
-from .. import shapes
+from .. import validation
 
 
 class Unreadable:
@@ -130,7 +130,7 @@
 
         :raises shapes.Misshapen: when it is no such record.
         """
-        return cls(*shapes.checked_record(_FIELDS, record))
+        return cls(*validation.validate_record(_FIELDS, record))
 
     @classmethod
     def never_read(cls, name: str, revision: int) -> "Runner":
@@ -141,21 +141,21 @@
 
 
 #: What each field of a peer's record has to be, in order.
-_FIELDS: tuple[tuple[str, shapes.Check], ...] = (
-    ("name", shapes.is_text),
-    ("service", shapes.is_any_text),
-    ("host", shapes.is_any_text),
-    ("port", shapes.is_whole),
-    ("data_centre", shapes.is_any_text),
-    ("concurrency", shapes.is_whole),
-    ("leaving", shapes.is_flag),
-    ("leaves_s", shapes.is_none_or(shapes.is_number)),
-    ("reclaimable", shapes.is_flag),
-    ("revision", shapes.is_whole),
-    ("born", shapes.is_whole),
-    ("sequence", shapes.is_whole),
-    ("withdrawn", shapes.is_flag),
-    ("version", shapes.is_any_text),
+_FIELDS: tuple[tuple[str, validation.Predicate], ...] = (
+    ("name", validation.is_non_empty_string),
+    ("service", validation.is_string),
+    ("host", validation.is_string),
+    ("port", validation.is_non_negative_int),
+    ("data_centre", validation.is_string),
+    ("concurrency", validation.is_non_negative_int),
+    ("leaving", validation.is_bool),
+    ("leaves_s", validation.is_none_or(validation.is_non_negative_number)),
+    ("reclaimable", validation.is_bool),
+    ("revision", validation.is_non_negative_int),
+    ("born", validation.is_non_negative_int),
+    ("sequence", validation.is_non_negative_int),
+    ("withdrawn", validation.is_bool),
+    ("version", validation.is_string),
 )
 
 #: What an entry of the store says.
--- a/src/apricotlever/serving/settings.py
+++ b/src/apricotlever/serving/settings.py
@@ -63,7 +63,7 @@
         runner_heartbeat_s: float = 1.2,
         limit_overshoot: float = 0.0,
         fencing_checked: bool = True,
-        roll_outs: roll_outs_model.Bounds | None = None,
+        roll_outs: roll_outs_model.RollOutLimits | None = None,
     ) -> None:
         self.roll_outs = roll_outs
         self.fencing_checked = fencing_checked
--- a/src/apricotlever/serving/trials.py
+++ b/src/apricotlever/serving/trials.py
@@ -16,13 +16,13 @@
 #: its expected time.
 SLOW_FACTOR = 4.0
 _SUFFIXES = {
-    roll_outs_model.Arm.SERVING: "",
-    roll_outs_model.Arm.CANARY: " canary",
-    roll_outs_model.Arm.STANDBY: " standby",
+    roll_outs_model.RunnerRole.SERVING: "",
+    roll_outs_model.RunnerRole.CANARY: " canary",
+    roll_outs_model.RunnerRole.STANDBY: " standby",
 }
 
 
-def pool_name(service: str, arm: roll_outs_model.Arm) -> str:
+def pool_name(service: str, arm: roll_outs_model.RunnerRole) -> str:
     """The pool of a service's runners in a role; "" for none."""
     suffix = _SUFFIXES.get(arm)
     return "" if suffix is None else service + suffix
@@ -51,7 +51,7 @@
     __slots__ = ("_by_attempt", "_clock", "_controller")
 
     def __init__(
-        self, clock: clocks.Clock, controller: controllers.Controller
+        self, clock: clocks.Clock, controller: controllers.RollOutController
     ) -> None:
         self._clock = clock
         self._controller = controller
@@ -71,7 +71,7 @@
         :param speed: reading speed of the service's runners, in tokens per
             second; 0 if unknown.
         """
-        sample = self._controller.sent(runner, route)
+        sample = self._controller.record_sent(runner, route)
         if sample is not None:
             expected_s = ANSWER_OVERHEAD_S + tokens / (speed or ASSUMED_SPEED)
             self._by_attempt[attempt] = _Trial(
--- a/src/apricotlever/serving/upstreams.py
+++ b/src/apricotlever/serving/upstreams.py
@@ -5,7 +5,7 @@
 
 from .. import clock as clocks
 from .. import logs
-from ..data_centres import demand
+from ..data_centres import prefill_load
 from ..roll_outs import controller as roll_outs_controller
 from ..roll_outs import model as roll_outs_model
 from ..runners import model as models
@@ -64,12 +64,12 @@
         directory: directories.Directory,
         process: str = "",
         news: typing.Callable[[], None] | None = None,
-        roll_outs: roll_outs_controller.Controller | None = None,
+        roll_outs: roll_outs_controller.RollOutController | None = None,
     ) -> None:
         self._clock = clock
         self._news = news
-        self._roll_outs = roll_outs or roll_outs_controller.Controller(
-            clock, rng, roll_outs_model.Bounds()
+        self._roll_outs = roll_outs or roll_outs_controller.RollOutController(
+            clock, rng, roll_outs_model.RollOutLimits()
         )
         self._trials = trials.Trials(clock, self._roll_outs)
         self._outliers = outlier_detector.OutlierDetector(clock, process)
@@ -83,11 +83,11 @@
         self._own: dict[str, int] = {}
         self._silence = silence_detector.SilenceDetector(clock)
         self._others: dict[str, int] = {}
-        self._work: dict[str, demand.WorkCounter] = {}
+        self._work: dict[str, prefill_load.PrefillMeter] = {}
         #: Attempts without an answer yet: work counter, query, tokens to
         #: read, start.
         self._reading: dict[
-            str, tuple[demand.WorkCounter, models.Query, int, float]
+            str, tuple[prefill_load.PrefillMeter, models.Query, int, float]
         ] = {}
 
     @property
@@ -124,7 +124,7 @@
     def work(self) -> dict[str, tuple[int, float, float]]:
         """Tokens read, a runner's speed and the pressure, by service."""
         return {
-            name: (work.total, work.speed, work.pressure)
+            name: (work.total_tokens, work.prefill_speed, work.latency_ratio)
             for name, work in self._work.items()
         }
 
@@ -238,8 +238,12 @@
         """The runner for a query, None when there is none."""
         service = query.pool
         repeated = bool(query.excluded)
-        if self._roll_outs.draw(service, query.entry, repeated):
-            query.pool = trials.pool_name(service, roll_outs_model.Arm.CANARY)
+        if self._roll_outs.should_use_new_version(
+            service, query.entry, repeated
+        ):
+            query.pool = trials.pool_name(
+                service, roll_outs_model.RunnerRole.CANARY
+            )
             choice = self._choose(query)
             if not isinstance(choice, models.NoRunner):
                 return self._directory.get(choice.runner.name)
@@ -254,7 +258,9 @@
 
     def serves(self, runner: runners.Runner) -> bool:
         """Whether a runner takes regular calls of its service."""
-        return self._roll_outs.arm(runner) is roll_outs_model.Arm.SERVING
+        return (
+            self._roll_outs.role(runner) is roll_outs_model.RunnerRole.SERVING
+        )
 
     def in_flight_at(self, names: typing.Iterable[str]) -> int:
         """The number of calls of all VMs at the given runners."""
@@ -276,9 +282,11 @@
         self._silence.call_sent(name)
         tokens = self._router.request_started(attempt, name, query)
         counter = self._counter(runner.service)
-        self._trials.sent(attempt, runner, query.entry, tokens, counter.speed)
+        self._trials.sent(
+            attempt, runner, query.entry, tokens, counter.prefill_speed
+        )
         if query.prompt_tokens:
-            counter.sent(tokens)
+            counter.record_sent(tokens)
             if self._news is not None:
                 self._news()
             now = self._clock.now()
@@ -295,7 +303,7 @@
         reading = self._reading.pop(attempt, None)
         if reading is not None:
             counter, query, tokens, since = reading
-            counter.read(
+            counter.record_first_answer(
                 tokens,
                 self._clock.now() - since,
                 query.wanted_first_token_s,
@@ -377,15 +385,15 @@
         Each version has its own pool, so that prompts are neither placed nor
         copied across versions.
         """
-        return trials.pool_name(runner.service, self._roll_outs.arm(runner))
+        return trials.pool_name(runner.service, self._roll_outs.role(runner))
 
     def _copies(self, name: str) -> bool:
         configuration = self._configuration
         service = configuration and configuration.services.get(name)
         return bool(service and service.engine and service.engine.copies)
 
-    def _counter(self, service: str) -> demand.WorkCounter:
-        return self._work.setdefault(service, demand.WorkCounter())
+    def _counter(self, service: str) -> prefill_load.PrefillMeter:
+        return self._work.setdefault(service, prefill_load.PrefillMeter())
 
     def _blocks(self, runner: runners.Runner) -> int:
         service = self._service(runner)
--- a/src/apricotlever/settings.py
+++ b/src/apricotlever/settings.py
@@ -18,7 +18,7 @@
 Sizes = timing.Sizes
 Timing = timing.Timing
 
-_SCHEMA = documents.schema_of("apricotlever", SCHEMA_NAME)
+_SCHEMA = documents.load_schema("apricotlever", SCHEMA_NAME)
 
 
 class SettingsInvalid(documents.DocumentInvalid):
@@ -144,7 +144,7 @@
     :param document: parsed JSON.
     :raises SettingsInvalid: if fields are invalid; names the fields.
     """
-    faults = documents.faults_of(document, _SCHEMA)
+    faults = documents.find_faults(document, _SCHEMA)
     faults = faults or _address_faults(document)
     if faults:
         raise SettingsInvalid(faults)
--- a/src/apricotlever/shapes.py
+++ b/src/apricotlever/validation.py
@@ -8,12 +8,12 @@
 import math
 import typing
 
-Check = typing.Callable[[typing.Any], bool]
+Predicate = typing.Callable[[typing.Any], bool]
 
 #: Larger integers have no exact representation as floats. No count, revision
 #: or time in milliseconds comes close to it.
-MOST_WHOLE = 2**53
-MOST_PORT = 65535
+MAX_SAFE_INTEGER = 2**53
+MAX_PORT = 65535
 
 
 class Misshapen(ValueError):
@@ -29,38 +29,38 @@
         self.name = name
 
 
-def is_text(value: typing.Any) -> bool:
+def is_non_empty_string(value: typing.Any) -> bool:
     """Whether a value is a string that is not empty."""
     return isinstance(value, str) and bool(value)
 
 
-def is_any_text(value: typing.Any) -> bool:
+def is_string(value: typing.Any) -> bool:
     """Whether a value is a string, possibly empty."""
     return isinstance(value, str)
 
 
-def is_flag(value: typing.Any) -> bool:
+def is_bool(value: typing.Any) -> bool:
     """Whether a value is a Boolean."""
     return isinstance(value, bool)
 
 
-def is_whole(value: typing.Any) -> bool:
+def is_non_negative_int(value: typing.Any) -> bool:
     """Whether a value is an integer from 0 to ``MAX_SAFE_INTEGER``."""
-    return type(value) is int and 0 <= value <= MOST_WHOLE
+    return type(value) is int and 0 <= value <= MAX_SAFE_INTEGER
 
 
-def is_number(value: typing.Any) -> bool:
+def is_non_negative_number(value: typing.Any) -> bool:
     """Whether a value is a finite number from 0 upwards."""
     if type(value) is float:
         return math.isfinite(value) and value >= 0.0
-    return is_whole(value)
+    return is_non_negative_int(value)
 
 
-def is_finite(value: typing.Any) -> bool:
+def is_finite_number(value: typing.Any) -> bool:
     """Whether a value is a finite number, possibly negative."""
     if type(value) is float:
         return math.isfinite(value)
-    return type(value) is int and abs(value) <= MOST_WHOLE
+    return type(value) is int and abs(value) <= MAX_SAFE_INTEGER
 
 
 def is_address(value: typing.Any) -> bool:
@@ -71,10 +71,10 @@
     # str.isdigit() also accepts the digits of other scripts.
     if not host or not (port.isascii() and port.isdigit()) or len(port) > 5:
         return False
-    return str(int(port)) == port and 0 < int(port) <= MOST_PORT
+    return str(int(port)) == port and 0 < int(port) <= MAX_PORT
 
 
-def is_map(of_key: Check, of_value: Check) -> Check:
+def is_map_of(of_key: Predicate, of_value: Predicate) -> Predicate:
     """A check for a dictionary whose keys and values pass the checks."""
 
     def check(value: typing.Any) -> bool:
@@ -85,7 +85,7 @@
     return check
 
 
-def is_list(of_item: Check) -> Check:
+def is_list_of(of_item: Predicate) -> Predicate:
     """A check for a list or tuple whose items all pass a check."""
 
     def check(value: typing.Any) -> bool:
@@ -94,7 +94,7 @@
     return check
 
 
-def is_row(*of_items: Check) -> Check:
+def is_tuple_of(*of_items: Predicate) -> Predicate:
     """A check for a list or tuple of fixed length, with a check per item."""
 
     def check(value: typing.Any) -> bool:
@@ -107,13 +107,13 @@
     return check
 
 
-def is_none_or(of_value: Check) -> Check:
+def is_none_or(of_value: Predicate) -> Predicate:
     """A check for None or a value that passes a check."""
     return lambda value: value is None or of_value(value)
 
 
-def checked_record(
-    checks: typing.Sequence[tuple[str, Check]], record: typing.Any
+def validate_record(
+    checks: typing.Sequence[tuple[str, Predicate]], record: typing.Any
 ) -> list[typing.Any]:
     """Validate the fields of a record.
 
--- a/src/apricotlever/vms/aggregates.py
+++ b/src/apricotlever/vms/aggregates.py
@@ -8,7 +8,7 @@
 
 import typing
 
-from .. import shapes
+from .. import validation
 from ..roll_outs import samples
 
 from . import vm_records
@@ -108,7 +108,7 @@
 
         :raises shapes.Misshapen: when a field is missing or invalid.
         """
-        fields = shapes.checked_record(_FIELDS, record)
+        fields = validation.validate_record(_FIELDS, record)
         fields[_ENTRIES_AT] = [
             vm_records.VmRecord.from_record(entry)
             for entry in fields[_ENTRIES_AT]
@@ -117,25 +117,48 @@
 
 
 _ENTRIES_AT = Aggregate.__slots__.index("entries")
-_PAIR = shapes.is_row(shapes.is_whole, shapes.is_whole)
-_FIELDS: tuple[tuple[str, shapes.Check], ...] = (
-    ("vm", shapes.is_text),
-    ("incarnation", shapes.is_whole),
-    ("number", shapes.is_whole),
-    ("peer_address", shapes.is_address),
-    ("whole", shapes.is_flag),
-    ("entries", shapes.is_list(shapes.is_list(lambda value: True))),
-    ("ages", shapes.is_map(shapes.is_text, shapes.is_number)),
+_PAIR = validation.is_tuple_of(
+    validation.is_non_negative_int, validation.is_non_negative_int
+)
+_FIELDS: tuple[tuple[str, validation.Predicate], ...] = (
+    ("vm", validation.is_non_empty_string),
+    ("incarnation", validation.is_non_negative_int),
+    ("number", validation.is_non_negative_int),
+    ("peer_address", validation.is_address),
+    ("whole", validation.is_bool),
+    (
+        "entries",
+        validation.is_list_of(validation.is_list_of(lambda value: True)),
+    ),
+    (
+        "ages",
+        validation.is_map_of(
+            validation.is_non_empty_string, validation.is_non_negative_number
+        ),
+    ),
     (
         "used",
-        shapes.is_map(
-            shapes.is_text, shapes.is_map(shapes.is_text, shapes.is_finite)
+        validation.is_map_of(
+            validation.is_non_empty_string,
+            validation.is_map_of(
+                validation.is_non_empty_string, validation.is_finite_number
+            ),
+        ),
+    ),
+    ("loads", validation.is_map_of(validation.is_non_empty_string, _PAIR)),
+    (
+        "silent",
+        validation.is_map_of(
+            validation.is_non_empty_string, validation.is_non_negative_int
+        ),
+    ),
+    ("failures", validation.is_map_of(validation.is_non_empty_string, _PAIR)),
+    (
+        "included",
+        validation.is_map_of(
+            validation.is_non_empty_string, validation.is_non_negative_int
         ),
     ),
-    ("loads", shapes.is_map(shapes.is_text, _PAIR)),
-    ("silent", shapes.is_map(shapes.is_text, shapes.is_whole)),
-    ("failures", shapes.is_map(shapes.is_text, _PAIR)),
-    ("included", shapes.is_map(shapes.is_text, shapes.is_whole)),
     ("trials", samples.is_records),
 )
 
@@ -172,17 +195,17 @@
 
         :raises shapes.Misshapen: when a field is missing or invalid.
         """
-        return cls(*shapes.checked_record(_TALLY_FIELDS, record))
+        return cls(*validation.validate_record(_TALLY_FIELDS, record))
 
 
-_TALLY_FIELDS: tuple[tuple[str, shapes.Check], ...] = (
-    ("vm", shapes.is_text),
-    ("peer_address", shapes.is_address),
+_TALLY_FIELDS: tuple[tuple[str, validation.Predicate], ...] = (
+    ("vm", validation.is_non_empty_string),
+    ("peer_address", validation.is_address),
     (
         "counts",
-        shapes.is_map(
-            shapes.is_text,
-            shapes.is_row(vm_records.is_usage, vm_records.is_work),
+        validation.is_map_of(
+            validation.is_non_empty_string,
+            validation.is_tuple_of(vm_records.is_usage, vm_records.is_work),
         ),
     ),
 )
--- a/src/apricotlever/vms/lease_objects.py
+++ b/src/apricotlever/vms/lease_objects.py
@@ -2,7 +2,7 @@
 
 import typing
 
-from .. import shapes
+from .. import validation
 
 Value = dict[str, typing.Any]
 
@@ -98,8 +98,8 @@
     """Whether a JSON value has the fields and types of a lease."""
     return (
         isinstance(value, dict)
-        and shapes.is_any_text(value.get("holder"))
-        and shapes.is_whole(value.get("incarnation"))
-        and shapes.is_whole(value.get("fencing"))
-        and shapes.is_number(value.get("duration_s"))
+        and validation.is_string(value.get("holder"))
+        and validation.is_non_negative_int(value.get("incarnation"))
+        and validation.is_non_negative_int(value.get("fencing"))
+        and validation.is_non_negative_number(value.get("duration_s"))
     )
--- a/src/apricotlever/vms/vm_records.py
+++ b/src/apricotlever/vms/vm_records.py
@@ -7,7 +7,7 @@
 
 import typing
 
-from .. import shapes
+from .. import validation
 from ..roll_outs import model as roll_outs_model
 from ..roll_outs import samples
 from ..runners import crash_blocklist
@@ -217,7 +217,7 @@
 
         :raises shapes.Misshapen: when a field is missing or invalid.
         """
-        return cls(*shapes.checked_record(_FIELDS, record))
+        return cls(*validation.validate_record(_FIELDS, record))
 
 
 #: Status fields; an aggregator passes on changes of these at once.
@@ -233,52 +233,67 @@
     "roll_outs",
 )
 _VERSION_FIELDS = ("configuration", "directory", "runners")
-_COUNT_BY_NAME = shapes.is_map(shapes.is_text, shapes.is_whole)
-_UNITS_BY_NAME = shapes.is_map(shapes.is_text, shapes.is_finite)
-is_usage = shapes.is_map(shapes.is_whole, _COUNT_BY_NAME)
-is_work = shapes.is_map(
-    shapes.is_text,
-    shapes.is_row(shapes.is_whole, shapes.is_number, shapes.is_number),
+_COUNT_BY_NAME = validation.is_map_of(
+    validation.is_non_empty_string, validation.is_non_negative_int
+)
+_UNITS_BY_NAME = validation.is_map_of(
+    validation.is_non_empty_string, validation.is_finite_number
+)
+is_usage = validation.is_map_of(validation.is_non_negative_int, _COUNT_BY_NAME)
+is_work = validation.is_map_of(
+    validation.is_non_empty_string,
+    validation.is_tuple_of(
+        validation.is_non_negative_int,
+        validation.is_non_negative_number,
+        validation.is_non_negative_number,
+    ),
 )
 #: Name and check of each field, in order. An invalid field would otherwise
 #: raise where its value is used, in a task that many calls depend on.
-_FIELDS: tuple[tuple[str, shapes.Check], ...] = (
-    ("vm", shapes.is_text),
-    ("incarnation", shapes.is_whole),
-    ("number", shapes.is_whole),
-    ("peer_address", shapes.is_address),
-    ("caller_address", shapes.is_any_text),
-    ("data_centre", shapes.is_any_text),
-    ("ready", shapes.is_flag),
-    ("leaving", shapes.is_flag),
-    ("follows", shapes.is_flag),
-    ("configuration", shapes.is_whole),
-    ("directory", shapes.is_whole),
-    ("runners", shapes.is_whole),
+_FIELDS: tuple[tuple[str, validation.Predicate], ...] = (
+    ("vm", validation.is_non_empty_string),
+    ("incarnation", validation.is_non_negative_int),
+    ("number", validation.is_non_negative_int),
+    ("peer_address", validation.is_address),
+    ("caller_address", validation.is_string),
+    ("data_centre", validation.is_string),
+    ("ready", validation.is_bool),
+    ("leaving", validation.is_bool),
+    ("follows", validation.is_bool),
+    ("configuration", validation.is_non_negative_int),
+    ("directory", validation.is_non_negative_int),
+    ("runners", validation.is_non_negative_int),
     ("in_flight", _COUNT_BY_NAME),
     ("pending", _COUNT_BY_NAME),
     ("used", _UNITS_BY_NAME),
     ("levels", _UNITS_BY_NAME),
     ("usage", is_usage),
     ("work", is_work),
-    ("silent", shapes.is_list(shapes.is_text)),
+    ("silent", validation.is_list_of(validation.is_non_empty_string)),
     (
         "failures",
-        shapes.is_map(
-            shapes.is_text, shapes.is_row(shapes.is_whole, shapes.is_whole)
+        validation.is_map_of(
+            validation.is_non_empty_string,
+            validation.is_tuple_of(
+                validation.is_non_negative_int, validation.is_non_negative_int
+            ),
         ),
     ),
-    ("reported", shapes.is_whole),
-    ("known", shapes.is_list(shapes.is_address)),
-    ("crashes", shapes.is_none_or(crash_blocklist.is_crash_record)),
-    ("gave_up", shapes.is_whole),
+    ("reported", validation.is_non_negative_int),
+    ("known", validation.is_list_of(validation.is_address)),
+    ("crashes", validation.is_none_or(crash_blocklist.is_crash_record)),
+    ("gave_up", validation.is_non_negative_int),
     (
         "lease",
-        shapes.is_none_or(shapes.is_row(shapes.is_whole, shapes.is_whole)),
+        validation.is_none_or(
+            validation.is_tuple_of(
+                validation.is_non_negative_int, validation.is_non_negative_int
+            )
+        ),
     ),
-    ("limits_port", shapes.is_whole),
-    ("aggregator", shapes.is_any_text),
-    ("hears", shapes.is_whole),
-    ("roll_outs", shapes.is_list(roll_outs_model.is_order)),
+    ("limits_port", validation.is_non_negative_int),
+    ("aggregator", validation.is_string),
+    ("hears", validation.is_non_negative_int),
+    ("roll_outs", validation.is_list_of(roll_outs_model.is_order_record)),
     ("trials", samples.is_records),
 )
--- a/tests/daemon/detoured.py
+++ b/tests/daemon/detoured.py
@@ -11,7 +11,7 @@
 import typing
 
 from apricotlever.daemon import main
-from apricotlever.links import peers
+from apricotlever.links import peer_link
 
 SUFFIX = ".detours"
 
@@ -22,15 +22,15 @@
 
 
 def _detour(path: pathlib.Path) -> None:
-    direct = peers.PeerLink.call
+    direct = peer_link.PeerLink.call
 
     def call(
-        link: peers.PeerLink, address: str, *arguments: typing.Any
+        link: peer_link.PeerLink, address: str, *arguments: typing.Any
     ) -> typing.Any:
         found = json.loads(path.read_text()) if path.exists() else {}
         return direct(link, found.get(address, address), *arguments)
 
-    peers.PeerLink.call = call  # type: ignore[method-assign]
+    peer_link.PeerLink.call = call  # type: ignore[method-assign]
 
 
 if __name__ == "__main__":
--- a/tests/links/blind.py
+++ b/tests/links/blind_writer.py
@@ -14,7 +14,7 @@
     name: str,
     value: typing.Any,
     expected_version: int | None,
-) -> platform.Outcome[platform.Stored]:
+) -> platform.Outcome[platform.PlatformObject]:
     """Write, and repeat an ambiguous write without reading the object."""
     for _ in range(ATTEMPTS):
         outcome = objects.put(name, value, expected_version)
--- a/tests/steps/catalogue_edit.py
+++ b/tests/steps/catalogue_edit.py
@@ -13,7 +13,7 @@
 
 @when("a catalogue edit merges the Consorzio's example into Procurador's")
 def _merge(context):
-    context.edited = edit.merged(
+    context.edited = edit.apply_overlay(
         examples.document(examples.PROCURADOR),
         examples.document(examples.CONSORZIO),
     )
@@ -33,16 +33,16 @@
         examples.changed(base, field, {"by": i})
         for i, field in enumerate((mine, theirs))
     ]
-    assert edit.collide(base, *edited) == (verdict == "collide")
+    assert edit.edits_conflict(base, *edited) == (verdict == "collide")
 
 
 @when("a catalogue is edited {times:d} times")
 def _edit_times(context, times):
-    version = edit.NONE
+    version = edit.NO_VERSION
     for number in range(1, times + 1):
-        stamp = edit.Stamp(0, f"edit-{number}", "operator", 0.0)
+        stamp = edit.EditStamp(0, f"edit-{number}", "operator", 0.0)
         value = edit.stored_value(version.document, version, stamp)
-        version = edit.Version(number, value)
+        version = edit.StoredVersion(number, value)
     context.catalogue_version = version
 
 
@@ -71,7 +71,7 @@
 @given("a catalogue object whose edit is {record}")
 def _invalid_edit(context, record):
     value = {**examples.document(), "edit": json.loads(record)}
-    context.catalogue_version = edit.Version(7, value)
+    context.catalogue_version = edit.StoredVersion(7, value)
 
 
 @then("the catalogue version has its document and no history")
--- a/tests/steps/catalogue_schema.py
+++ b/tests/steps/catalogue_schema.py
@@ -75,5 +75,7 @@
 
 @then("the catalogue's page lists exactly the schema's fields")
 def _page(context):
-    loaded = documents.schema_of("apricotlever.catalogue", schema.SCHEMA_NAME)
+    loaded = documents.load_schema(
+        "apricotlever.catalogue", schema.SCHEMA_NAME
+    )
     assert pages.rows("catalogue.md", "Fields") == pages.fields(loaded)
--- a/tests/steps/client_catalogue_store.py
+++ b/tests/steps/client_catalogue_store.py
@@ -32,7 +32,7 @@
         self.after = after
 
     def put(self, name, value, expected_version):
-        if name != edit.CURRENT_NAME:
+        if name != edit.CURRENT_OBJECT_NAME:
             return super().put(name, value, expected_version)
         before, self.before = self.before, None
         after, self.after = self.after, None
@@ -64,7 +64,7 @@
 
 
 def _merge(store, overlay):
-    return store.change(lambda base: edit.merged(base, overlay), None)
+    return store.change(lambda base: edit.apply_overlay(base, overlay), None)
 
 
 def _try(context, run):
@@ -108,8 +108,8 @@
 def _blindly(context, weight, customer):
     document = _weighted(context.read.document, customer, weight)
     api = platform.ObjectApi(context.store_url)
-    version = api.get(edit.CURRENT_NAME).unwrap().version
-    api.put(edit.CURRENT_NAME, document, version).unwrap()
+    version = api.get(edit.CURRENT_OBJECT_NAME).unwrap().version
+    api.put(edit.CURRENT_OBJECT_NAME, document, version).unwrap()
 
 
 @then("the second operator's edit is lost")
--- a/tests/steps/daemon_gateway.py
+++ b/tests/steps/daemon_gateway.py
@@ -7,7 +7,7 @@
 from apricotlever.catalogue import model as catalogues
 from apricotlever import clock as clocks
 from apricotlever.daemon import gateway
-from apricotlever.links import callers
+from apricotlever.links import caller_server
 from apricotlever import refusals
 from behave import given
 from behave import then
@@ -49,7 +49,9 @@
 
     def ask(self, message):
         future = futures.Future()
-        refusal = refusals.Refusal(refusals.SHED, "full", retry_after_s=1.0)
+        refusal = refusals.Refusal(
+            refusals.OVERLOADED, "full", retry_after_s=1.0
+        )
         future.set_exception(refusal)
         return future
 
@@ -92,7 +94,7 @@
 def _request(context, kind):
     path, body = CALLS[kind]
     environ = {"HTTP_AUTHORIZATION": f"Bearer {KEY}"}
-    call = callers.Call("POST", path, {}, environ, body)
+    call = caller_server.Call("POST", path, {}, environ, body)
     context.refusal = None
     try:
         context.make_gateway(kind)(call)
--- a/tests/steps/data_centres_capacity.py
+++ b/tests/steps/data_centres_capacity.py
@@ -7,12 +7,12 @@
 from behave import when
 
 from apricotlever import clock
-from apricotlever.data_centres import capacity
-from apricotlever.data_centres import loads
+from apricotlever.data_centres import capacity_planner
 from apricotlever.data_centres import model
+from apricotlever.data_centres import model_load_limiter
 from apricotlever.data_centres import placement
-from apricotlever.data_centres import prices
-from apricotlever.data_centres import risk
+from apricotlever.data_centres import price_book
+from apricotlever.data_centres import reclaim_risk
 from apricotlever.data_centres import sizing
 
 DATA_CENTRES = ("sala-a", "sala-b", "sala-c")
@@ -30,15 +30,15 @@
 
     def __init__(self, planner_of, least):
         self.clock = clock.ManualClock(60_000.0)
-        self.price_book = prices.PriceBook()
-        self.load_limiter = loads.LoadPacer(self.clock)
+        self.price_book = price_book.PriceBook()
+        self.load_limiter = model_load_limiter.ModelLoadLimiter(self.clock)
         self.places = [
             model.Place(data_centre, "large", market)
             for data_centre in DATA_CENTRES
             for market in model.Market
         ]
         self.fluctuate(0.0)
-        policy = capacity.Policy("large", least, 60, SLOTS)
+        policy = capacity_planner.CapacityPolicy("large", least, 60, SLOTS)
         self.planner = planner_of(self, policy)
         self.vms, self.vm_by_token, self.sent_tokens = {}, {}, []
         self.refusing_data_centres, self.loses_answers, self.list_delay_s = (
@@ -91,8 +91,8 @@
             vm = f"vm-{len(self.vm_by_token)}"
             self.vm_by_token[order.token] = vm
             self.vms[vm] = (
-                model.Holding(
-                    vm, order.place, model.State.LIVE, self.starts_loaded
+                model.HeldRunner(
+                    vm, order.place, model.RunnerState.LIVE, self.starts_loaded
                 ),
                 self.clock.now(),
             )
@@ -102,7 +102,7 @@
     def load(self, order):
         if len(self.loading) >= self.max_loads:
             self.load_refusals += 1
-            self.load_limiter.refused(order.vm, TICK_S)
+            self.load_limiter.record_refusal(order.vm, TICK_S)
             return
         self.loading[order.vm] = LOAD_TICKS
 
@@ -111,7 +111,7 @@
         for vm in [vm for vm, ticks in remaining.items() if not ticks]:
             del remaining[vm]
             self.vms[vm][0].loaded = True
-            self.load_limiter.done(vm)
+            self.load_limiter.record_end(vm)
         self.loading = remaining
 
     def count_by_place(self):
@@ -124,13 +124,13 @@
 @given("a planner for 3 data centres with at least {least:d} runners")
 def _planner(context, least):
     def planner_of(cloud, policy):
-        return capacity.CapacityPlanner(
+        return capacity_planner.CapacityPlanner(
             cloud.clock,
             random.Random(1),
             "drafts",
             policy,
             cloud.price_book,
-            risk.ReclaimRisk(cloud.clock),
+            reclaim_risk.ReclaimRisk(cloud.clock),
             cloud.load_limiter,
         )
 
@@ -172,7 +172,7 @@
     for place in cloud.places:
         for number in range(wanted[place.market]):
             vm = f"{place}-{number}"
-            holding = model.Holding(vm, place, model.State.LIVE)
+            holding = model.HeldRunner(vm, place, model.RunnerState.LIVE)
             cloud.vms[vm] = (holding, 0.0)
 
 
@@ -195,7 +195,7 @@
     cloud.refusing_data_centres.add(data_centre)
     for holding, _ in cloud.vms.values():
         if holding.place.data_centre == data_centre:
-            holding.state = model.State.LEAVING
+            holding.state = model.RunnerState.LEAVING
 
 
 @then("the held runners suffice for {rate:d} requests/s")
@@ -204,7 +204,7 @@
     live = [
         holding
         for holding, _ in context.cloud.vms.values()
-        if holding.state is model.State.LIVE
+        if holding.state is model.RunnerState.LIVE
     ]
     needed = sizing.runners_needed(demand, SLOTS)
     assert len(live) >= needed, (len(live), needed)
--- a/tests/steps/data_centres_demand.py
+++ b/tests/steps/data_centres_demand.py
@@ -5,7 +5,7 @@
 from behave import when
 
 from apricotlever import clock as clocks
-from apricotlever.data_centres import demand
+from apricotlever.data_centres import prefill_load
 
 STEP_S = 0.2
 
@@ -16,7 +16,7 @@
 )
 def _load_of_vms(context, vms, rate, speed):
     context.clock = clocks.ManualClock()
-    context.demand = demand.Demand(context.clock)
+    context.demand = prefill_load.PrefillLoad(context.clock)
     context.totals = [0] * vms
     context.rate, context.speed = rate, speed
 
@@ -65,7 +65,7 @@
 @then("about 1 runner is required for each {tokens:d} tokens per second")
 def _runners_per_rate(context, tokens):
     rate = context.rate * len(context.totals)
-    usable_speed = demand.TARGET_PREFILL_UTILIZATION * context.speed
+    usable_speed = prefill_load.TARGET_PREFILL_UTILIZATION * context.speed
     expected = -(-rate // usable_speed)
     assert context.demand.runners(0, 96) == max(1, expected)
     assert usable_speed > 0 and tokens
@@ -78,12 +78,12 @@
 
 @then("the prefill speed is that of the prompts that did not wait")
 def _speed_of_idle_runners(context):
-    counter = demand.WorkCounter()
+    counter = prefill_load.PrefillMeter()
     for number in range(60):
         # Every fourth prompt reached an idle runner, and the others waited.
         took_s = 0.1 if number % 4 == 0 else 0.9
-        counter.read(4000, took_s)
-    assert abs(counter.speed - 40000) < 1
+        counter.record_first_answer(4000, took_s)
+    assert abs(counter.prefill_speed - 40000) < 1
 
 
 TOKENS = 2500
@@ -97,9 +97,9 @@
 
 @given("prompts with a prefill speed of {speed:d} tokens per second")
 def _prompts_without_wait(context, speed):
-    context.counter = demand.WorkCounter()
+    context.counter = prefill_load.PrefillMeter()
     context.speed = speed
-    _send_prompts(context, demand.SPEED_SAMPLES, speed)
+    _send_prompts(context, prefill_load.SPEED_SAMPLES, speed)
 
 
 @given(
@@ -107,7 +107,7 @@
     "second"
 )
 def _cached_prompts(context, count, speed):
-    context.counter = demand.WorkCounter()
+    context.counter = prefill_load.PrefillMeter()
     _send_prompts(context, count, speed)
 
 
--- a/tests/steps/data_centres_fleet_size.py
+++ b/tests/steps/data_centres_fleet_size.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies
 
 from apricotlever import clock as clocks
-from apricotlever.data_centres import fleet_size
+from apricotlever.data_centres import fleet_mix_planner
 
 DATA_CENTRES = ("a", "b", "c")
 BOOT_S = 4.0
@@ -18,7 +18,7 @@
 
 def _terms(least, most, count=3):
     prices = dict(zip(DATA_CENTRES[:count], (0.85, 1.2, 1.0), strict=False))
-    return fleet_size.Terms(least, most, BOOT_S, 0.22, prices)
+    return fleet_mix_planner.ScalingTerms(least, most, BOOT_S, 0.22, prices)
 
 
 class Platform:
@@ -26,10 +26,11 @@
 
     def __init__(self, terms):
         self.clock = clocks.ManualClock()
-        self.size = fleet_size.FleetSize(self.clock)
+        self.size = fleet_mix_planner.FleetMixPlanner(self.clock)
         self.terms = terms
         self.held = {
-            data_centre: fleet_size.Holding() for data_centre in terms.prices
+            data_centre: fleet_mix_planner.RunnerCounts()
+            for data_centre in terms.prices
         }
         self.refuses = False
         self.boots = False
@@ -53,7 +54,7 @@
             if wanted.reclaimable <= have.reclaimable:
                 have.reclaimable = wanted.reclaimable
             elif self.refuses:
-                self.size.refused(data_centre)
+                self.size.record_refusal(data_centre)
             else:
                 self._accept(data_centre, wanted.reclaimable)
         total = sum(holding.on_demand for holding in self.held.values())
@@ -64,10 +65,10 @@
     def _accept(self, data_centre, count):
         if not self.boots:
             self.held[data_centre].reclaimable = count
-            self.size.taken(data_centre, True, count, BOOT_S)
+            self.size.record_accepted_order(data_centre, True, count, BOOT_S)
         elif data_centre not in self.booting:
             self.booting[data_centre] = (count, self.clock.now() + BOOT_S)
-            self.size.taken(data_centre, True, count, BOOT_S)
+            self.size.record_accepted_order(data_centre, True, count, BOOT_S)
 
     def run(self, needed, steps=40):
         """Repeat the same step."""
@@ -129,7 +130,7 @@
     platform = context.platform
     platform.refuses = True
     platform.held["c"].reclaimable = 0
-    new_planner = fleet_size.FleetSize(platform.clock)
+    new_planner = fleet_mix_planner.FleetMixPlanner(platform.clock)
     for _ in range(4):
         new_planner.observe(platform.held, 6)
         platform.held["c"].reclaimable = 0
--- a/tests/steps/histograms.py
+++ b/tests/steps/histograms.py
@@ -9,7 +9,7 @@
 import hypothesis
 from hypothesis import strategies
 
-KEY = (histograms.WHOLE, "customer", "class")
+KEY = (histograms.WHOLE_ANSWER, "customer", "class")
 RELATIVE_ERROR = 0.02
 US_PER_S = 1_000_000
 
@@ -22,7 +22,7 @@
 
 def _vm(values_us):
     made = histograms.Histograms()
-    handle = made.handle(*KEY)
+    handle = made.distribution(*KEY)
     for value in values_us:
         made.record_gap_us(handle, value)
     return made
@@ -81,7 +81,9 @@
 def _bounded(context, keys, n):
     context.histograms = histograms.Histograms(keys)
     for i in range(n):
-        context.histograms.record(histograms.WHOLE, f"c{i}", "class", 1.0)
+        context.histograms.record(
+            histograms.WHOLE_ANSWER, f"c{i}", "class", 1.0
+        )
 
 
 @then(
--- a/tests/steps/links_peers.py
+++ b/tests/steps/links_peers.py
@@ -9,9 +9,9 @@
 
 from apricotlever import clock as clocks
 from apricotlever.links import peer_grpc
+from apricotlever.links import peer_link
 from apricotlever.links import peer_pb2 as pb
-from apricotlever.links import peers
-from tests.links import silent_relay
+from tests.links import packet_drop_relay
 from tests.support import ports
 
 TIMEOUT_S = 5.0
@@ -31,29 +31,29 @@
     """Start this link and a second one that calls it."""
     context.handler_future = futures.Future()
     context.handler_called = threading.Event()
-    handlers = peers.Handlers()
+    handlers = peer_link.Handlers()
 
-    @handlers.answers("Gossip")
+    @handlers.register("Gossip")
     def gossip(message):
         return pb.GossipMessage(ack=pb.Ack(sequence=message.probe.sequence))
 
-    @handlers.answers("Run")
+    @handlers.register("Run")
     def run(message):
         context.handler_called.set()
         return context.handler_future
 
-    @handlers.answers("Crash")
+    @handlers.register("Crash")
     def crash(message):
-        raise peers.PeerRefused("not now")
+        raise peer_link.PeerRefused("not now")
 
-    @handlers.answers("Handover")
+    @handlers.register("Handover")
     def handover(message):
         raise RuntimeError("broken")
 
     context.clock = clocks.ManualClock()
-    context.server = peers.PeerLink("127.0.0.1", 0, handlers)
-    context.caller = peers.PeerLink(
-        "127.0.0.1", 0, peers.Handlers(), context.clock, MAX_AGE_S
+    context.server = peer_link.PeerLink("127.0.0.1", 0, handlers)
+    context.caller = peer_link.PeerLink(
+        "127.0.0.1", 0, peer_link.Handlers(), context.clock, MAX_AGE_S
     )
     for link in (context.server, context.caller):
         link.start()
@@ -65,7 +65,7 @@
 def behind_relay(context):
     """Open one connection through the relay and check that it works."""
     two_links(context)
-    context.relay = silent_relay.PacketDropRelay(context.server.address)
+    context.relay = packet_drop_relay.PacketDropRelay(context.server.address)
     context.closers.append(context.relay.close)
     context.address = context.relay.address
     answered(context, "Gossip")
@@ -96,7 +96,7 @@
 @behave.then('a peer call "{method}" is refused with "{reason}"')
 def refused(context, method, reason):
     """The connection must stay open for further calls."""
-    error = _expect_error(_call(context, method), peers.PeerRefused)
+    error = _expect_error(_call(context, method), peer_link.PeerRefused)
     assert error.message == reason
     assert context.caller.open_channel_count == 1
 
@@ -108,21 +108,21 @@
     context.closers.append(reserved.close)
     address = f"{ports.HOST}:{reserved.reserve()}"
     call = _call(context, "Gossip", address=address)
-    assert not _expect_error(call, peers.PeerUnavailable).sent
+    assert not _expect_error(call, peer_link.PeerUnavailable).sent
 
 
 @behave.then('a peer call to "{address}" is unavailable and was not sent')
 def bad_address(context, address):
     """Call an address that is not of the form host:port."""
     call = _call(context, "Gossip", address=address)
-    assert not _expect_error(call, peers.PeerUnavailable).sent
+    assert not _expect_error(call, peer_link.PeerUnavailable).sent
 
 
 @behave.then('a peer call "{method}" is unavailable and may have been sent')
 def may_have_been_sent(context, method):
     """The caller must not conclude that the call was not run."""
     call = _call(context, method, SHORT_TIMEOUT_S)
-    assert _expect_error(call, peers.PeerUnavailable).sent
+    assert _expect_error(call, peer_link.PeerUnavailable).sent
     assert context.caller.open_channel_count == 0
 
 
@@ -130,7 +130,7 @@
 def not_sent(context, method):
     """The peer refuses connections after it has stopped."""
     call = _call(context, method)
-    assert not _expect_error(call, peers.PeerUnavailable).sent
+    assert not _expect_error(call, peer_link.PeerUnavailable).sent
 
 
 @behave.when("the peer relay drops the traffic of its open connections")
@@ -206,7 +206,7 @@
 def caller_times_out(context, method):
     """A further call gives the server time to see the cancelled stream."""
     call = _call(context, method, SHORT_TIMEOUT_S)
-    assert _expect_error(call, peers.PeerUnavailable).sent
+    assert _expect_error(call, peer_link.PeerUnavailable).sent
     answered(context, "Gossip")
 
 
--- a/tests/steps/links_platform.py
+++ b/tests/steps/links_platform.py
@@ -14,7 +14,7 @@
 from standins import cloud_api
 from standins import object_api
 
-from tests.links import blind
+from tests.links import blind_writer
 from tests.standins import serving
 from tests.support import cuttable
 
@@ -23,11 +23,11 @@
 TRUNCATED_ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{}"
 
 WRITE_FUNCTIONS = {
-    "blind retries": blind.put,
+    "blind retries": blind_writer.put,
     "one write": functools.partial(
-        platform.ObjectApi.put_reading_back, attempts=1
+        platform.ObjectApi.put_with_read_back, attempts=1
     ),
-    "reading it back": platform.ObjectApi.put_reading_back,
+    "reading it back": platform.ObjectApi.put_with_read_back,
 }
 
 
--- a/tests/steps/links_stream_loop.py
+++ b/tests/steps/links_stream_loop.py
@@ -10,7 +10,7 @@
 
 from apricotlever import clock
 from apricotlever.links import stream_loop
-from apricotlever.links import upstreams
+from apricotlever.links import upstream_exchange
 
 RESULT_TIMEOUT_S = 10.0
 
@@ -62,4 +62,4 @@
 @then("the loop's stream ends with a timeout")
 def _times_out(context):
     error = context.stream.exception(RESULT_TIMEOUT_S)
-    assert isinstance(error, upstreams.Silent), error
+    assert isinstance(error, upstream_exchange.UpstreamTimeout), error
--- a/tests/steps/links_upstreams.py
+++ b/tests/steps/links_upstreams.py
@@ -4,7 +4,7 @@
 from behave import when
 
 from apricotlever import clock as clocks
-from apricotlever.links import upstreams
+from apricotlever.links import upstream_exchange
 
 CALL_INTERVAL_S = 1.0
 TIMEOUT_SPACING_S = 0.01
@@ -23,7 +23,7 @@
 
 def _create_pool(context):
     context.clock = clocks.ManualClock()
-    context.pool = upstreams.Pool(context.clock)
+    context.pool = upstream_exchange.ConnectionPool(context.clock)
     context.connections = []
 
 
--- a/tests/steps/roll_outs_controller.py
+++ b/tests/steps/roll_outs_controller.py
@@ -38,13 +38,13 @@
     def __init__(self, duration_s, old):
         self.clock = clocks.ManualClock()
         self.rng = random.Random(4)
-        self.controller = controllers.Controller(
-            self.clock, random.Random(3), model.Bounds()
+        self.controller = controllers.RollOutController(
+            self.clock, random.Random(3), model.RollOutLimits()
         )
-        self.order = model.Order(
+        self.order = model.RollOutOrder(
             SERVICE, NEW, 5, self.clock.wall(), duration_s
         )
-        self.controller.heard(self.order)
+        self.controller.merge_order(self.order)
         self.old_runners = [Runner(f"a{n}", "v1") for n in range(old)]
         self.new_runners = []
         self.in_flight = 0
@@ -65,16 +65,16 @@
 
         :returns: the runner that it is sent to.
         """
-        arm = model.Arm.SERVING
-        if self.controller.draw(SERVICE, ROUTE, is_retry):
-            arm = model.Arm.CANARY
+        arm = model.RunnerRole.SERVING
+        if self.controller.should_use_new_version(SERVICE, ROUTE, is_retry):
+            arm = model.RunnerRole.CANARY
         runners = [
             runner
             for runner in [*self.old_runners, *self.new_runners]
-            if self.controller.arm(runner) is arm
+            if self.controller.role(runner) is arm
         ]
         runner = self.rng.choice(runners)
-        sample = self.controller.sent(runner, ROUTE)
+        sample = self.controller.record_sent(runner, ROUTE)
         if sample is not None:
             sample.ended += 1
             sample.first_byte.add(0.1)
@@ -84,7 +84,7 @@
     def tick(self):
         """Advance the clock by one tick."""
         self.clock.advance(TICK_S)
-        self.controller.observe({}, False)
+        self.controller.update_fleet_counts({}, False)
         self.controller.tick()
 
     def run(self, until_s):
@@ -100,7 +100,7 @@
 
     def result(self):
         """The state that is due; None if there is none."""
-        results = self.controller.results(lambda names: self.in_flight)
+        results = self.controller.due_results(lambda names: self.in_flight)
         return results[0].state if results else None
 
 
@@ -140,7 +140,9 @@
     called = vm.run(19.0)
     assert all(runner.version == NEW for runner in called)
     canaries = [
-        r for r in vm.new_runners if vm.controller.arm(r) is model.Arm.CANARY
+        r
+        for r in vm.new_runners
+        if vm.controller.arm(r) is model.RunnerRole.CANARY
     ]
     assert len(canaries) == count
 
@@ -151,7 +153,7 @@
     vm = context.vm
     vm.run(3)
     records = {
-        samples.Key(SERVICE, NEW, runner.runner_id, ROUTE).text: (
+        samples.SampleKey(SERVICE, NEW, runner.runner_id, ROUTE).text: (
             samples.Sample(calls // 10, calls // 10, calls // 20).to_record()
         )
         for runner in vm.new_runners
@@ -163,7 +165,7 @@
 @when("another VM reports that the version is {state}")
 def step_reported_state(context, state):
     """Receive the order of another VM."""
-    order = context.vm.order.with_state(model.State[state])
+    order = context.vm.order.with_state(model.RollOutState[state])
     assert context.vm.controller.heard(order)
 
 
@@ -191,7 +193,9 @@
 @then("the result {state} is due")
 def step_result_due(context, state):
     """Check the state that is due."""
-    assert context.vm.result() is model.State[state], context.vm.result()
+    assert (
+        context.vm.result() is model.RollOutState[state]
+    ), context.vm.result()
 
 
 @then("no result of a roll-out is due")
@@ -218,15 +222,19 @@
 def step_roles(context, old, new):
     """Check the roles of all runners."""
     vm = context.vm
-    assert {vm.controller.arm(r) for r in vm.old_runners} == {model.Arm[old]}
-    assert {vm.controller.arm(r) for r in vm.new_runners} == {model.Arm[new]}
+    assert {vm.controller.arm(r) for r in vm.old_runners} == {
+        model.RunnerRole[old]
+    }
+    assert {vm.controller.arm(r) for r in vm.new_runners} == {
+        model.RunnerRole[new]
+    }
 
 
 @when("a second roll-out to version {version} starts")
 def step_second_order(context, version):
     """Receive a second order."""
     vm = context.vm
-    second = model.Order(SERVICE, version, 9, vm.clock.wall(), 20.0)
+    second = model.RollOutOrder(SERVICE, version, 9, vm.clock.wall(), 20.0)
     assert vm.controller.heard(second)
     vm.controller.set_runners([*vm.old_runners, *vm.new_runners])
 
@@ -238,7 +246,7 @@
     found = {
         vm.controller.arm(r) for r in vm.new_runners if r.version == version
     }
-    assert found == {model.Arm[arm]}, found
+    assert found == {model.RunnerRole[arm]}, found
 
 
 @then("a late update of the first order changes nothing")
@@ -251,14 +259,14 @@
 def step_repeated_order(context):
     """Receive the order with a higher revision and no status."""
     vm = context.vm
-    second = model.Order(SERVICE, NEW, 9, vm.clock.wall(), 20.0)
+    second = model.RollOutOrder(SERVICE, NEW, 9, vm.clock.wall(), 20.0)
     assert vm.controller.heard(second)
 
 
 @then("a late result of the finished order changes nothing")
 def step_late_result(context):
     """Receive the result of the finished order after the repeated one."""
-    finished = context.vm.order.with_state(model.State.ROLLED_BACK)
+    finished = context.vm.order.with_state(model.RollOutState.ROLLED_BACK)
     assert not context.vm.controller.heard(finished)
 
 
@@ -272,7 +280,7 @@
 def step_reported_start(context, ago_s):
     """Receive an earlier start time."""
     vm = context.vm
-    order = vm.order.with_state(model.State.RUNNING)
+    order = vm.order.with_state(model.RollOutState.RUNNING)
     order.started_at = vm.clock.wall() - ago_s
     assert vm.controller.heard(order)
     context.started_ago_s = ago_s
@@ -291,14 +299,20 @@
 def step_any_sequence(context):
     """Merge the same updates in all sequences."""
     updates = [
-        model.Order(SERVICE, "v2", 5, 100.0, 20.0),
-        model.Order(SERVICE, "v2", 5, 99.0, 20.0, model.State.FAILED),
-        model.Order(SERVICE, "v2", 7, 101.0, 20.0, model.State.ROLLED_BACK),
-        model.Order(SERVICE, "v3", 9, 130.0, 30.0),
-        model.Order(SERVICE, "v3", 11, 130.5, 30.0, model.State.COMPLETED),
+        model.RollOutOrder(SERVICE, "v2", 5, 100.0, 20.0),
+        model.RollOutOrder(
+            SERVICE, "v2", 5, 99.0, 20.0, model.RollOutState.FAILED
+        ),
+        model.RollOutOrder(
+            SERVICE, "v2", 7, 101.0, 20.0, model.RollOutState.ROLLED_BACK
+        ),
+        model.RollOutOrder(SERVICE, "v3", 9, 130.0, 30.0),
+        model.RollOutOrder(
+            SERVICE, "v3", 11, 130.5, 30.0, model.RollOutState.COMPLETED
+        ),
     ]
     results = {
-        tuple(functools.reduce(model.Order.merge, sequence).to_record())
+        tuple(functools.reduce(model.RollOutOrder.merge, sequence).to_record())
         for sequence in itertools.permutations(updates)
     }
     assert len(results) == 1, results
@@ -321,7 +335,9 @@
 def step_expected_results(context, correct):
     """Count the expected results."""
     wanted = (
-        model.State.ROLLED_BACK if context.fault.bad else model.State.COMPLETED
+        model.RollOutState.ROLLED_BACK
+        if context.fault.bad
+        else model.RollOutState.COMPLETED
     )
     found = [outcome.state for outcome in context.outcomes]
     assert found.count(wanted) >= correct, found
@@ -331,6 +347,6 @@
 def step_exposure(context):
     """Compare the calls at bad versions with the limit."""
     for outcome in context.outcomes if context.fault.bad else ():
-        if outcome.state is model.State.ROLLED_BACK:
+        if outcome.state is model.RollOutState.ROLLED_BACK:
             assert outcome.exposed <= outcome.allowed, outcome.exposed
             assert not outcome.late_calls
--- a/tests/steps/roll_outs_verdict.py
+++ b/tests/steps/roll_outs_verdict.py
@@ -7,8 +7,8 @@
 from behave import then
 from behave import when
 
+from apricotlever.roll_outs import canary_analysis
 from apricotlever.roll_outs import samples
-from apricotlever.roll_outs import verdict
 
 #: Standard deviation of the logarithms of times.
 SPREAD = 0.4
@@ -98,7 +98,7 @@
 @then("on route {route} it is bad because of its {reason}")
 def step_bad_on_route(context, reason, route):
     """Check the finding."""
-    found = verdict.judge(context.old, context.new)
+    found = canary_analysis.compare_versions(context.old, context.new)
     assert found is not None
     assert (found.reason, found.route) == (REASONS[reason], route)
 
@@ -106,15 +106,17 @@
 @then("it is bad because of its {reason}")
 def step_bad(context, reason):
     """Check the finding."""
-    found = verdict.judge(context.old, context.new)
+    found = canary_analysis.compare_versions(context.old, context.new)
     assert found is not None and found.reason == REASONS[reason], found
 
 
 @then("it is not bad")
 def step_not_bad(context):
     """Check that neither the repeated nor the final check fails."""
-    assert verdict.judge(context.old, context.new) is None
-    last = verdict.judge(context.old, context.new, verdict.FINAL_CHECK)
+    assert canary_analysis.compare_versions(context.old, context.new) is None
+    last = canary_analysis.compare_versions(
+        context.old, context.new, canary_analysis.FINAL_CHECK
+    )
     assert last is None, (last.reason, last.new, last.old)
 
 
--- a/tests/steps/serving_roll_outs.py
+++ b/tests/steps/serving_roll_outs.py
@@ -90,8 +90,8 @@
     def __init__(self, store_, clock, fencing=1):
         self.store = store_
         self.clock = clock
-        self.controller = controllers.Controller(
-            clock, random.Random(1), model.Bounds()
+        self.controller = controllers.RollOutController(
+            clock, random.Random(1), model.RollOutLimits()
         )
         self.documents = documents.Documents()
         self.orders = roll_out_orders.Orders(
@@ -178,7 +178,7 @@
 def step_found_bad(context):
     """Receive the verdict of another VM, and run the duty."""
     holder = context.holder
-    holder.controller.heard(holder.order.with_state(model.State.FAILED))
+    holder.controller.heard(holder.order.with_state(model.RollOutState.FAILED))
     holder.step()
 
 
@@ -193,7 +193,7 @@
     ]
     holder.controller.set_runners(listed)
     told = {
-        samples.Key(SERVICE, "v2", runner.runner_id, "r").text: (
+        samples.SampleKey(SERVICE, "v2", runner.runner_id, "r").text: (
             samples.Sample(20, 20, 0).to_record()
         )
         for runner in listed
@@ -230,14 +230,14 @@
 @then("the holder knows that it is {state}")
 def step_knows(context, state):
     """Check the order of the holder."""
-    assert context.holder.order.state is model.State[state.upper()]
+    assert context.holder.order.state is model.RollOutState[state.upper()]
 
 
 @then("the holder knows the other version")
 def step_knows_other(context):
     """Check the order of the holder."""
     assert context.holder.order.version == "v3"
-    assert context.holder.order.state is model.State.RUNNING
+    assert context.holder.order.state is model.RollOutState.RUNNING
 
 
 @when("{seconds:d} seconds later all processes have ended and started again")
@@ -275,10 +275,10 @@
     """Set up two runners of each version."""
     clock = context.clock = clocks.ManualClock()
     context.directory = directories.Directory(clock)
-    context.controller = controllers.Controller(
-        clock, random.Random(1), model.Bounds()
+    context.controller = controllers.RollOutController(
+        clock, random.Random(1), model.RollOutLimits()
     )
-    context.order = model.Order(SERVICE, "v2", 5, clock.wall(), 20.0)
+    context.order = model.RollOutOrder(SERVICE, "v2", 5, clock.wall(), 20.0)
     context.controller.heard(context.order)
     context.upstreams = upstreams.Upstreams(
         clock,
@@ -338,7 +338,9 @@
 @when("v2 is found bad")
 def step_bad(context):
     """Receive the verdict of another VM."""
-    context.controller.heard(context.order.with_state(model.State.FAILED))
+    context.controller.heard(
+        context.order.with_state(model.RollOutState.FAILED)
+    )
     context.upstreams.refresh()
 
 
--- a/tests/steps/serving_runner_duty.py
+++ b/tests/steps/serving_runner_duty.py
@@ -8,7 +8,7 @@
 from behave import when
 
 from apricotlever import clock as clocks
-from apricotlever.data_centres import fleet_size
+from apricotlever.data_centres import fleet_mix_planner
 from apricotlever.serving import directory as directories
 from apricotlever.serving import routes
 from apricotlever.serving import runner_duty
@@ -18,7 +18,7 @@
 PLACES = ("a", "b", "c")
 HEARTBEAT_S = 1.2
 SPEED = 10_000.0
-TERMS = fleet_size.Terms(
+TERMS = fleet_mix_planner.ScalingTerms(
     1, 6, 4.0, 0.22, dict(zip(PLACES, (0.85, 1.2, 1.0), strict=True))
 )
 
--- a/tests/steps/settings.py
+++ b/tests/steps/settings.py
@@ -53,7 +53,7 @@
 
 @then("the settings' timing and sizes have the schema's defaults")
 def _defaults(context):
-    schema = documents.schema_of("apricotlever", settings.SCHEMA_NAME)
+    schema = documents.load_schema("apricotlever", settings.SCHEMA_NAME)
     parts = {"timing": settings.Timing(), "sizes": settings.Sizes()}
     for part, values in parts.items():
         properties = schema["properties"][part]["properties"]
@@ -77,5 +77,5 @@
 
 @then("the settings' page lists exactly the schema's fields")
 def _page(context):
-    schema = documents.schema_of("apricotlever", settings.SCHEMA_NAME)
+    schema = documents.load_schema("apricotlever", settings.SCHEMA_NAME)
     assert pages.rows("settings.md", "Fields") == pages.fields(schema)
