--- a/bench/_capacity_rules.py
+++ b/bench/_capacity_rules.py
@@ -69,9 +69,9 @@
                 demand.service_s,
                 demand.wait_s,
             ),
-            self._policy.slots,
+            self._policy.slots_per_runner,
         )
-        wanted = max(self._policy.least, math.ceil(self._extra * wanted))
+        wanted = max(self._policy.min_runners, math.ceil(self._extra * wanted))
         loads: list[model.PlannerAction] = [
             model.LoadModel(each.vm)
             for each in counted
@@ -79,10 +79,10 @@
         ]
         return loads + self._change(counted, wanted)
 
-    def granted(self, token: str, vm: str) -> None:
+    def record_grant(self, token: str, vm: str) -> None:
         """Nothing to learn."""
 
-    def refused(self, token: str) -> None:
+    def record_refusal(self, token: str) -> None:
         """Nothing to learn: it is asked again at the next tick."""
 
     def _change(
@@ -104,13 +104,15 @@
             return orders
         dearest = max(
             (each for each in counted if each.loaded),
-            key=lambda each: self._book.per_hour(each.place) or 0.0,
+            key=lambda each: self._book.price_per_hour(each.place) or 0.0,
             default=None,
         )
         return [model.Release(dearest.vm)] if dearest else []
 
     def _cheapest(self, places: typing.Iterable[model.Place]) -> model.Place:
-        return min(places, key=lambda each: self._book.per_hour(each) or 0.0)
+        return min(
+            places, key=lambda each: self._book.price_per_hour(each) or 0.0
+        )
 
 
 @rule("on_demand")
--- a/bench/_platform_day_model.py
+++ b/bench/_platform_day_model.py
@@ -97,10 +97,10 @@
     ) -> dict[str, fleet_mix_planner.RunnerCounts]:
         """The runners to hold from now on."""
 
-    def refused(self, place: str) -> None:
+    def record_refusal(self, place: str) -> None:
         """Reclaimable runners were not to be had."""
 
-    def taken(
+    def record_accepted_order(
         self, place: str, reclaimable: bool, count: int, boot_s: float
     ) -> None:
         """An order was taken."""
@@ -292,12 +292,14 @@
         ]
         if count > len(there):
             if reclaimable and now < self._dry_until[place]:
-                self._rule.refused(place)
+                self._rule.record_refusal(place)
                 return
             for _ in range(count - len(there)):
                 serves_at = now + self._terms.boot_s
                 self.runners.append(Runner(place, reclaimable, serves_at))
-            self._rule.taken(place, reclaimable, count, self._terms.boot_s)
+            self._rule.record_accepted_order(
+                place, reclaimable, count, self._terms.boot_s
+            )
         for runner in sorted(there, key=lambda r: -r.serves_at)[
             : max(0, len(there) - count)
         ]:
--- a/bench/_roll_out_world.py
+++ b/bench/_roll_out_world.py
@@ -157,28 +157,32 @@
     def orders(self) -> list[model.RollOutOrder]:
         """Orders to send to the other VMs."""
 
-    def heard(self, order: model.RollOutOrder) -> bool:
+    def merge_order(self, order: model.RollOutOrder) -> bool:
         """Merge an order."""
 
     def set_runners(self, runners: typing.Iterable[typing.Any]) -> None:
         """Replace the list of runners."""
 
-    def arm(self, runner: typing.Any) -> model.RunnerRole:
+    def role(self, runner: typing.Any) -> model.RunnerRole:
         """The role of a runner in the roll-out."""
 
-    def draw(self, service: str, route: str, repeated: bool = False) -> bool:
+    def should_use_new_version(
+        self, service: str, route: str, is_retry: bool = False
+    ) -> bool:
         """Whether the next call goes to the new version."""
 
-    def sent(self, runner: typing.Any, route: str) -> samples.Sample | None:
+    def record_sent(
+        self, runner: typing.Any, route: str
+    ) -> samples.Sample | None:
         """Register a call; returns the sample that counts it."""
 
-    def observe(self, told: samples.Records, summed: bool) -> None:
+    def update_fleet_counts(self, told: samples.Records, summed: bool) -> None:
         """Update the fleet-wide counts."""
 
     def tick(self) -> bool:
         """Evaluate the new version."""
 
-    def results(
+    def due_results(
         self, in_flight: typing.Callable[[frozenset[str]], int]
     ) -> list[controllers.Result]:
         """Results that the lease holder has to write."""
@@ -272,7 +276,7 @@
             SERVICE, NEW, 1, self._clock.wall(), self._load.duration_s
         )
         for vm in self._vms:
-            vm.heard(order)
+            vm.merge_order(order)
             vm.set_runners(self._old)
         self._schedule(BOOT_S, self._new_runners_ready)
         self._schedule(0.0, self._tick)
@@ -316,7 +320,7 @@
             self._published.popleft()
         if self._published[0][0] <= now - propagation_s:
             for vm in self._vms:
-                vm.observe(self._published[0][1], True)
+                vm.update_fleet_counts(self._published[0][1], True)
         for vm in self._vms:
             vm.tick()
         for order in [o for vm in self._vms for o in vm.orders]:
@@ -328,10 +332,10 @@
 
     def _deliver(self, order: model.RollOutOrder) -> None:
         for vm in self._vms:
-            vm.heard(order)
+            vm.merge_order(order)
 
     def _write(self) -> None:
-        for result in self._vms[0].results(self._in_flight):
+        for result in self._vms[0].due_results(self._in_flight):
             if result.state.is_final and self.outcome.state is None:
                 self.outcome.state = result.state
                 self.outcome.took_s = self._elapsed_s
@@ -349,7 +353,7 @@
         routes = self._load.routes
         (route,) = self._rng.choices(routes, [r.weight for r in routes])
         runner = self._choose(vm, route)
-        sample = vm.sent(runner, route.name)
+        sample = vm.record_sent(runner, route.name)
         self._calls += 1
         is_new = runner.version == NEW
         if is_new:
@@ -379,9 +383,9 @@
         )
 
     def _choose(self, vm: Participant, route: Route) -> _Runner:
-        if vm.draw(SERVICE, route.name):
+        if vm.should_use_new_version(SERVICE, route.name):
             found = [
-                r for r in self._new if vm.arm(r) is model.RunnerRole.CANARY
+                r for r in self._new if vm.role(r) is model.RunnerRole.CANARY
             ]
             if found:
                 return self._least_loaded(found)
@@ -389,7 +393,7 @@
             *self._old,
             *(self._new if self._elapsed_s >= BOOT_S else ()),
         ]
-        found = [r for r in listed if vm.arm(r) is model.RunnerRole.SERVING]
+        found = [r for r in listed if vm.role(r) is model.RunnerRole.SERVING]
         return self._least_loaded(found or self._old)
 
     def _least_loaded(self, found: list[_Runner]) -> _Runner:
--- a/bench/at_most_once.py
+++ b/bench/at_most_once.py
@@ -152,8 +152,8 @@
 def _keyed_call(keyed: ledger.Ledger) -> None:
     run = keyed.begin(keyed.mint("notary"), "notary", "0" * 16)
     assert isinstance(run, ledger_messages.RunCall)
-    keyed.sent(run.token)
-    keyed.finished(run.token, ANSWER)
+    keyed.start_sending(run.token)
+    keyed.record_answer(run.token, ANSWER)
 
 
 def _key() -> dict[str, typing.Any]:
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -212,11 +212,11 @@
         now = self.clock.now()
         if self.day.refuses(order.place, now):
             self.totals["refused"] += 1
-            self.rule.refused(order.token)
+            self.rule.record_refusal(order.token)
             return
         vm = f"vm-{len(self.machines)}-{self._rng.getrandbits(40):x}"
         self.machines.append(Machine(vm, order.place, now))
-        self.rule.granted(order.token, vm)
+        self.rule.record_grant(order.token, vm)
 
     def _load(self, order: model.LoadModel) -> None:
         now = self.clock.now()
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -136,7 +136,7 @@
         for name in names:
             others = [other for other in names if other != name]
             self._rates[name].set_members(others)
-            self._keepers[name].set_vms(others)
+            self._keepers[name].set_other_vms(others)
         #: News under way: when it is due, to whom, from whom, the total.
         self._news: list[tuple[float, str, str, float]] = []
 
@@ -145,7 +145,7 @@
         while self._news and self._news[0][0] <= at:
             due, to, teller, total = heapq.heappop(self._news)
             self._advance(due)
-            self._rates[to].heard(teller, total)
+            self._rates[to].receive_total(teller, total)
         self._advance(at)
 
     def _advance(self, at: float) -> None:
@@ -162,7 +162,7 @@
         return True
 
     def _tell(self, teller: str) -> None:
-        total = self._rates[teller].used
+        total = self._rates[teller].admitted_units
         for other in self._rates:
             if other != teller:
                 due = self.clock.now() + self._rng.uniform(*NEWS_S)
@@ -173,7 +173,7 @@
         for name, rate in self._rates.items():
             for other in self._rates:
                 if other != name:
-                    rate.present(other)
+                    rate.record_contact(other)
             rate.tick()
 
 
--- a/bench/news.py
+++ b/bench/news.py
@@ -36,9 +36,11 @@
 class FlatNews(record_exchange.RecordExchange):
     """Tells some of the others in turn."""
 
-    def news(self) -> list[record_exchange.OutgoingMessage]:
+    def publish_change(self) -> list[record_exchange.OutgoingMessage]:
         """Nothing between two records, where these go to some only."""
-        return super().news() if len(self._table.alive()) <= 24 else []
+        return (
+            super().publish_change() if len(self._table.alive()) <= 24 else []
+        )
 
 
 def measure(vms: int, places: int, is_flat: bool = False) -> dict[str, float]:
--- a/bench/platform_day.py
+++ b/bench/platform_day.py
@@ -46,10 +46,10 @@
     def __init__(self, clock: clocks.Clock) -> None:
         """It has no use for a clock."""
 
-    def refused(self, place: str) -> None:
+    def record_refusal(self, place: str) -> None:
         """It asks again."""
 
-    def taken(
+    def record_accepted_order(
         self, place: str, reclaimable: bool, count: int, boot_s: float
     ) -> None:
         """Orders show by themselves."""
@@ -68,7 +68,7 @@
         """Three in each data centre."""
         return {
             place: fleet_mix_planner.RunnerCounts(3, 0)
-            for place in terms.prices
+            for place in terms.on_demand_prices
         }
 
 
@@ -83,10 +83,10 @@
         needed: float,
     ) -> dict[str, fleet_mix_planner.RunnerCounts]:
         """The need, rounded up in each data centre."""
-        each = math.ceil(needed / len(terms.prices))
+        each = math.ceil(needed / len(terms.on_demand_prices))
         return {
             place: fleet_mix_planner.RunnerCounts(each, 0)
-            for place in terms.prices
+            for place in terms.on_demand_prices
         }
 
 
@@ -101,13 +101,16 @@
         needed: float,
     ) -> dict[str, fleet_mix_planner.RunnerCounts]:
         """All in one place, and the least elsewhere."""
-        cheapest = min(terms.prices, key=lambda place: terms.prices[place])
+        cheapest = min(
+            terms.on_demand_prices,
+            key=lambda place: terms.on_demand_prices[place],
+        )
         return {
             place: fleet_mix_planner.RunnerCounts(
-                0 if place == cheapest else terms.least,
+                0 if place == cheapest else terms.min_runners,
                 math.ceil(needed) if place == cheapest else 0,
             )
-            for place in terms.prices
+            for place in terms.on_demand_prices
         }
 
 
@@ -122,10 +125,10 @@
         needed: float,
     ) -> dict[str, fleet_mix_planner.RunnerCounts]:
         """Half of the need of each kind."""
-        each = math.ceil(needed / 2 / len(terms.prices))
+        each = math.ceil(needed / 2 / len(terms.on_demand_prices))
         return {
             place: fleet_mix_planner.RunnerCounts(each, each)
-            for place in terms.prices
+            for place in terms.on_demand_prices
         }
 
 
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -63,7 +63,7 @@
     return _all(
         waiting,
         lambda each: recovery.Replay(
-            rng.choice(each.candidates).runner, each.sent
+            rng.choice(each.candidates).runner, each.sent_tokens
         ),
     )
 
@@ -164,8 +164,8 @@
             waiting = list(self.streams.values())
             for each in waiting:
                 each.notice_s = self.notice_s - now
-                each.left_s -= STEP_S
-                each.sent = [*each.sent, *["t"] * TOKENS_A_STEP]
+                each.remaining_s -= STEP_S
+                each.sent_tokens = [*each.sent_tokens, *["t"] * TOKENS_A_STEP]
             for chosen in move(waiting, self.rng):
                 self._obey(chosen, now)
             now += STEP_S
@@ -184,7 +184,7 @@
             del self.streams[name]
             self.totals["exported"] += 1
         for name, each in list(self.streams.items()):
-            if each.left_s <= 0 and not each.moving_to:
+            if each.remaining_s <= 0 and not each.moving_to:
                 del self.streams[name]
                 self.totals["ended"] += 1
 
@@ -194,7 +194,7 @@
         if isinstance(decision, recovery.ExportTo):
             lanes = self.lanes[stream.runner]
             lane = min(range(len(lanes)), key=lanes.__getitem__)
-            seconds = _true_s(stream.redo_tokens, self.rng)
+            seconds = _true_s(stream.recomputed_tokens, self.rng)
             lanes[lane] = max(now, lanes[lane]) + seconds
             self.exported[chosen.request_id] = lanes[lane]
             stream.moving_to = decision.runner
@@ -202,13 +202,13 @@
         elif isinstance(decision, recovery.Replay):
             self.load[decision.runner] += 1
             self.totals["replayed"] += 1
-            self.totals["recomputed"] += stream.redo_tokens
+            self.totals["recomputed"] += stream.recomputed_tokens
             del self.streams[chosen.request_id]
 
     def _lose(self, stream: recovery.AffectedStream) -> None:
         self.totals["lost_on_the_way"] += bool(stream.moving_to)
         self.totals["taken_with_runner"] += not stream.moving_to
-        self.totals["recomputed"] += stream.redo_tokens
+        self.totals["recomputed"] += stream.recomputed_tokens
 
 
 def run(arguments: list[str]) -> int:
--- a/bench/retries.py
+++ b/bench/retries.py
@@ -31,7 +31,7 @@
 class _Unbounded(retry_budget.RetryBudget):
     """Retries each failure as long as its attempts last."""
 
-    def take(self, entry: str) -> bool:
+    def try_acquire(self, entry: str) -> bool:
         """Always."""
         return True
 
@@ -62,7 +62,7 @@
         for attempt in range(1, retry_policy.MAX_ATTEMPTS + 1):
             attempts += 1
             if rng.random() >= failing:
-                budget.succeeded("entry")
+                budget.record_success("entry")
                 answered += 1
                 break
             if not _may_retry(budget, attempt):
@@ -91,7 +91,7 @@
             failed = round(count * failing)
             answered += count - failed
             for _ in range(count - failed):
-                budget.succeeded("entry")
+                budget.record_success("entry")
             if number < retry_policy.MAX_ATTEMPTS:
                 again[number] = sum(
                     _may_retry(budget, number) for _ in range(failed)
--- a/bench/roll_outs.py
+++ b/bench/roll_outs.py
@@ -75,7 +75,9 @@
     MOST_FACTOR = 2.0
     LEAST_CALLS = 20
 
-    def draw(self, service: str, route: str, repeated: bool = False) -> bool:
+    def should_use_new_version(
+        self, service: str, route: str, is_retry: bool = False
+    ) -> bool:
         """Choose the new version with the share of the current step."""
         roll_out = self._by_service[service]
         if roll_out.order.state is not model.RollOutState.RUNNING:
--- a/bench/spreading.py
+++ b/bench/spreading.py
@@ -80,7 +80,7 @@
     def _look(self, node: virtual.Node) -> None:
         if node.running:
             view = node.membership.view
-            self._perform(node, self.spreads[node.vm].look(view))
+            self._perform(node, self.spreads[node.vm].update_view(view))
             self.fleet.later(LOOK_S, self._look, node)
 
     def _tick(self, node: virtual.Node) -> None:
@@ -94,12 +94,15 @@
         part = self.spreads[node.vm]
         if isinstance(action, actions.CatalogueAdvertised):
             self._perform(
-                node, part.heard(action.version, action.digest, action.via)
+                node,
+                part.peer_has_version(
+                    action.version, action.digest, action.via
+                ),
             )
         if isinstance(
             action, actions.RumourDelivered
         ) and action.rumour.HasField("catalogue"):
-            self._perform(node, part.rumoured(action.rumour, action.via))
+            self._perform(node, part.receive_rumour(action.rumour, action.via))
 
     @functools.singledispatchmethod
     def _do(self, action: typing.Any, node: virtual.Node) -> None:
@@ -165,7 +168,8 @@
         if node.running:
             part = self.spreads[node.vm]
             self._perform(
-                node, part.stored(self.store.version, self.store.document)
+                node,
+                part.receive_stored(self.store.version, self.store.document),
             )
 
     def _serve(
@@ -174,7 +178,7 @@
         asker: virtual.Node,
         request: pb.FetchCatalogue,
     ) -> None:
-        answer = self.spreads[target.vm].serve(request)
+        answer = self.spreads[target.vm].answer_fetch(request)
         size = answer.ByteSize() + request.ByteSize()
         self.fetched_bytes += size
         target.sent_bytes += size
@@ -188,4 +192,6 @@
         self, node: virtual.Node, vm: str, answer: pb.CatalogueDocument
     ) -> None:
         if node.running:
-            self._perform(node, self.spreads[node.vm].answered(vm, answer))
+            self._perform(
+                node, self.spreads[node.vm].receive_answer(vm, answer)
+            )
--- a/tests/requests/at_most_once.py
+++ b/tests/requests/at_most_once.py
@@ -207,7 +207,7 @@
             if at_once:
                 self.fleet.arrive(len(self.fleet.network) - 1, again=False)
 
-    @stateful.precondition(_has("heirs"))
+    @stateful.precondition(_has("successors"))
     @stateful.rule()
     def send_outcomes(self) -> None:
         for vm in self.fleet.live:
@@ -221,12 +221,14 @@
         subject = self.fleet.live.get(other)
         if subject is not None and truth:
             me = subject.ledger.me
-            process.ledger.alive(me.vm, me.incarnation)
+            process.ledger.on_incarnation_alive(me.vm, me.incarnation)
         elif subject is not None:
             # A false suspicion: the VM was only slow.
-            process.ledger.gone(other, subject.ledger.me.incarnation)
+            process.ledger.on_incarnation_gone(
+                other, subject.ledger.me.incarnation
+            )
         for owner, successor in self.fleet.successors.items():
-            process.ledger.handed_over(owner, successor)
+            process.ledger.on_ledger_transferred(owner, successor)
 
     @stateful.rule(seconds=strategies.sampled_from(PAUSES_S))
     def pause(self, seconds: float) -> None:
--- a/tests/requests/naive_ledger.py
+++ b/tests/requests/naive_ledger.py
@@ -12,7 +12,7 @@
 
     __slots__ = ()
 
-    def lost(self, token: int) -> bool:
+    def record_lost_answer(self, token: int) -> bool:
         entry = self._runs._local_entry(token)
         if entry is None:
             return False
--- a/tests/requests/recovery.feature
+++ b/tests/requests/recovery.feature
@@ -9,11 +9,11 @@
       | notice | cause  | candidates | export | left | decision   |
       | 30     | notice | 2          | 1      | 60   | ExportTo   |
       | 30     | notice | 2          | 29     | 60   | Replay     |
-      | 30     | notice | 2          | 1      | 10   | CarryOn    |
+      | 30     | notice | 2          | 1      | 10   | KeepRunning    |
       | 30     | notice | 0          | 1      | 60   | Wait       |
       | 0      | lost   | 2          | 1      | 60   | Replay     |
       | 0      | lost   | 0          | 1      | 60   | Wait       |
-      | 900    | broken | 2          | 1      | 60   | ResumeSame |
+      | 900    | broken | 2          | 1      | 60   | Reconnect |
 
   Scenario: A notice that arrives twice
     Guards against two runners that work on one stream. The notice for a VM is
@@ -23,7 +23,7 @@
     Given a stream with 30 s of notice, cause notice, 2 runners
     And it needs 1 s to export and ends by itself in 60 s
     And its export is in progress
-    Then the recovery decision is "CarryOn"
+    Then the recovery decision is "KeepRunning"
 
   Scenario: The runner is killed during the export
     Guards against losing a stream after a notice. The runner is reclaimed
--- a/tests/requests/simulated_fleet.py
+++ b/tests/requests/simulated_fleet.py
@@ -233,7 +233,7 @@
                 self.store_calls.append((process, action))
                 continue
             call = process.calls.pop(action.result.token)
-            decision = process.ledger.claimed(action.result)
+            decision = process.ledger.on_claim_result(action.result)
             self._answer(process, call, decision)
 
     def store_answers(self, index: int, fault: str) -> None:
@@ -245,7 +245,7 @@
         """
         process, action = self.store_calls.pop(index)
         if self.store.down:
-            self._do(process, process.claims.failed(action.name))
+            self._do(process, process.claims.on_failure(action.name))
         elif isinstance(action, claims.ReadBucket):
             self._read(process, action, fault)
         else:
@@ -256,11 +256,11 @@
     ) -> None:
         stored = self.store.objects.get(action.name)
         if fault:
-            self._do(process, process.claims.failed(action.name))
+            self._do(process, process.claims.on_failure(action.name))
         elif stored is None:
-            self._do(process, process.claims.missing(action.name))
+            self._do(process, process.claims.on_missing(action.name))
         else:
-            self._do(process, process.claims.read(action.name, *stored))
+            self._do(process, process.claims.on_read(action.name, *stored))
 
     def _write(
         self, process: Process, action: claims.WriteBucket, fault: str
@@ -271,18 +271,18 @@
             None if fault in ("late", "lost") else self.store.write(action)
         )
         if fault:
-            self._do(process, process.claims.ambiguous(action.name))
+            self._do(process, process.claims.on_ambiguous_write(action.name))
         elif version is None:
-            self._do(process, process.claims.conflict(action.name))
+            self._do(process, process.claims.on_conflict(action.name))
         else:
-            self._do(process, process.claims.written(action.name, version))
+            self._do(process, process.claims.on_written(action.name, version))
 
     def send(self, index: int) -> None:
         """Let a worker send its call if the ledger allows it."""
         attempt = self.attempts[index]
         if not self._is_live(attempt.process):
             self.attempts.pop(index)
-        elif attempt.process.ledger.sent(attempt.token):
+        elif attempt.process.ledger.start_sending(attempt.token):
             if attempt.on_wire:
                 again = Attempt(attempt.process, attempt.token, attempt.call)
                 again.on_wire = True
@@ -312,14 +312,14 @@
             self.attempts.pop(index)
         elif not attempt.on_wire:
             self.attempts.pop(index)
-            ledger.not_sent(attempt.token)
+            ledger.record_not_sent(attempt.token)
         elif attempt.body is not None:
             self.attempts.pop(index)
             answer = ledger_messages.Answer(200, (), attempt.body)
-            if ledger.finished(attempt.token, answer):
+            if ledger.record_answer(attempt.token, answer):
                 self._check_answer(attempt.call, attempt.body)
         else:
-            ledger.lost(attempt.token)
+            ledger.record_lost_answer(attempt.token)
 
     def vanish(self, index: int) -> None:
         """Lose a run, whether or not its call was sent."""
@@ -328,7 +328,7 @@
     def hand_over(self, vm: str, successor: str) -> None:
         source = self.live[vm]
         target = self.live[successor].ledger.me
-        state = source.ledger.hand_over(target.vm, target.incarnation)
+        state = source.ledger.export_to(target.vm, target.incarnation)
         data = ledger_state.encode(state)
 
         def deliver(process: Process) -> None:
@@ -345,23 +345,25 @@
     def _receipt(
         self, source: Process, receipt: ledger_state.LedgerReceipt
     ) -> None:
-        source.ledger.succession.receipt(receipt)
-        if source.ledger.succession.confirmed:
-            self.successors[receipt.sender] = source.ledger.succession.heir
+        source.ledger.transfer.apply_receipt(receipt)
+        if source.ledger.transfer.confirmed:
+            self.successors[receipt.sender] = source.ledger.transfer.successor
 
     def send_outcomes(self, vm: str) -> None:
         source = self.live[vm]
-        settled = source.ledger.succession.outcomes()
+        settled = source.ledger.transfer.pending_outcomes()
         data = ledger_state.encode_settled(settled)
-        successor = source.ledger.succession.heir
+        successor = source.ledger.transfer.successor
         if successor is None or not settled:
             return
 
         def deliver(process: Process) -> None:
             if process.ledger.me != successor:
                 return
-            process.ledger.settle(ledger_state.decode_settled(data))
-            source.ledger.succession.received(settled)
+            process.ledger.settle_remote_calls(
+                ledger_state.decode_settled(data)
+            )
+            source.ledger.transfer.acknowledge_outcomes(settled)
 
         self.network.append(Message(successor, deliver))
 
--- a/tests/runners/crash_fleet.py
+++ b/tests/runners/crash_fleet.py
@@ -28,7 +28,7 @@
     def receive(self, report: crashes.Report) -> None:
         """Process the report of a crash or of a complete answer."""
 
-    def standing(self, fingerprint: str) -> quarantine.FingerprintStatus:
+    def status(self, fingerprint: str) -> quarantine.FingerprintStatus:
         """The status of a fingerprint."""
 
 
@@ -47,7 +47,7 @@
                 )
                 runners.add(report.runner)
 
-    def standing(self, fingerprint: str) -> quarantine.FingerprintStatus:
+    def status(self, fingerprint: str) -> quarantine.FingerprintStatus:
         """Quarantined from two crashes, clear before."""
         states = quarantine.FingerprintState
         if len(self.crashed_runners.get(fingerprint, ())) >= 2:
@@ -119,7 +119,7 @@
         if request.vm is None or request.poison:
             request.vm = self.rng.randrange(len(self.rules))
         vm = request.vm
-        status = self.rules[vm].standing(request.name)
+        status = self.rules[vm].status(request.name)
         if status.state is quarantine.FingerprintState.QUARANTINED:
             request.refused += 1
             self.after(5.0, lambda: self.send(request))
@@ -175,7 +175,7 @@
         judge = self.rules[0]
         assert isinstance(judge, quarantine.Quarantine)
         places = tuple(quarantine.TrialCandidate(n, self.up[n]) for n in names)
-        answer = judge.judge(
+        answer = judge.decide(
             quarantine.TrialRequest(request.name, request.name, places)
         )
         if isinstance(answer, quarantine.RunAsTrial):
@@ -210,7 +210,7 @@
     def _end_trial(self, request: Request) -> None:
         request.on_trial = False
         if isinstance(self.rules[0], quarantine.Quarantine):
-            self.rules[0].trial_over(
+            self.rules[0].end_trial(
                 quarantine.TrialEnded(request.name, request.name)
             )
 
--- a/tests/steps/catalogue_edit.py
+++ b/tests/steps/catalogue_edit.py
@@ -59,8 +59,8 @@
     "and the edit {dropped:d} is not"
 )
 def _recognized(context, kept, dropped):
-    assert context.catalogue_version.shows(f"edit-{kept}")
-    assert not context.catalogue_version.shows(f"edit-{dropped}")
+    assert context.catalogue_version.contains_edit(f"edit-{kept}")
+    assert not context.catalogue_version.contains_edit(f"edit-{dropped}")
 
 
 @then("the catalogue versions {a:d}, {b:d} and {c:d} are listed as expired")
--- a/tests/steps/data_centres_capacity.py
+++ b/tests/steps/data_centres_capacity.py
@@ -85,7 +85,7 @@
         self.sent_tokens.append(order.token)
         if order.place.data_centre in self.refusing_data_centres:
             self.refused_starts += 1
-            self.planner.refused(order.token)
+            self.planner.record_refusal(order.token)
             return
         if order.token not in self.vm_by_token:
             vm = f"vm-{len(self.vm_by_token)}"
@@ -97,7 +97,9 @@
                 self.clock.now(),
             )
         if not self.loses_answers:
-            self.planner.granted(order.token, self.vm_by_token[order.token])
+            self.planner.record_grant(
+                order.token, self.vm_by_token[order.token]
+            )
 
     def load(self, order):
         if len(self.loading) >= self.max_loads:
--- a/tests/steps/data_centres_demand.py
+++ b/tests/steps/data_centres_demand.py
@@ -27,7 +27,7 @@
         for vm in range(len(context.totals)):
             context.totals[vm] += round(context.rate * STEP_S)
             if vm != silent_vm:
-                context.demand.heard(
+                context.demand.receive_report(
                     f"vm-{vm}",
                     context.totals[vm],
                     context.speed,
@@ -45,7 +45,7 @@
 
 @then("the load requires {count:d} runners")
 def _required_runners(context, count):
-    assert context.demand.runners(0, 96) == count
+    assert context.demand.required_runners(0, 96) == count
 
 
 @when("{seconds:d} seconds pass")
@@ -67,13 +67,13 @@
     rate = context.rate * len(context.totals)
     usable_speed = prefill_load.TARGET_PREFILL_UTILIZATION * context.speed
     expected = -(-rate // usable_speed)
-    assert context.demand.runners(0, 96) == max(1, expected)
+    assert context.demand.required_runners(0, 96) == max(1, expected)
     assert usable_speed > 0 and tokens
 
 
 @then("the rate is about {tokens:d} tokens per second")
 def _rate(context, tokens):
-    assert abs(context.demand.rate - tokens) < 0.1 * tokens
+    assert abs(context.demand.tokens_per_s - tokens) < 0.1 * tokens
 
 
 @then("the prefill speed is that of the prompts that did not wait")
@@ -91,8 +91,8 @@
 
 def _send_prompts(context, count, speed):
     for _ in range(count):
-        context.counter.sent(TOKENS)
-        context.counter.read(TOKENS, TOKENS / speed)
+        context.counter.record_sent(TOKENS)
+        context.counter.record_first_answer(TOKENS, TOKENS / speed)
 
 
 @given("prompts with a prefill speed of {speed:d} tokens per second")
@@ -123,12 +123,12 @@
 
 @then("the prefill speed is still above {speed:d} tokens per second")
 def _speed_above(context, speed):
-    assert context.counter.speed > speed, context.counter.speed
+    assert context.counter.prefill_speed > speed, context.counter.prefill_speed
 
 
 @then("the prefill speed is below {speed:d} tokens per second")
 def _speed_below(context, speed):
-    assert context.counter.speed < speed, context.counter.speed
+    assert context.counter.prefill_speed < speed, context.counter.prefill_speed
 
 
 @then(
--- a/tests/steps/data_centres_fleet_size.py
+++ b/tests/steps/data_centres_fleet_size.py
@@ -30,7 +30,7 @@
         self.terms = terms
         self.held = {
             data_centre: fleet_mix_planner.RunnerCounts()
-            for data_centre in terms.prices
+            for data_centre in terms.on_demand_prices
         }
         self.refuses = False
         self.boots = False
--- a/tests/steps/histograms.py
+++ b/tests/steps/histograms.py
@@ -71,7 +71,7 @@
 @then("the averaged percentile is wrong and the merged percentile is right")
 def _average(context):
     vms = context.histogram_vms
-    each = [vm.handle(*KEY).percentile(95) for vm in vms]
+    each = [vm.distribution(*KEY).percentile(95) for vm in vms]
     merged = _merged(vms).percentile(95)
     assert sum(each) / len(each) > 4
     assert math.isclose(merged, 0.1, rel_tol=RELATIVE_ERROR)
--- a/tests/steps/links_upstreams.py
+++ b/tests/steps/links_upstreams.py
@@ -87,7 +87,7 @@
     context.clock.advance(CALL_INTERVAL_S)
     context.blamed = []
     for opened_at in opened:
-        context.blamed.append(context.pool.fell_silent(UPSTREAM, opened_at))
+        context.blamed.append(context.pool.record_silence(UPSTREAM, opened_at))
         context.clock.advance(TIMEOUT_SPACING_S)
 
 
@@ -98,11 +98,11 @@
 
 @then("a repeat after a connection that was opened later does count")
 def _repeat_counted(context):
-    assert not context.pool.fell_silent(UPSTREAM, context.clock.now())
+    assert not context.pool.record_silence(UPSTREAM, context.clock.now())
 
 
 @then("after {seconds:f} s the pooled connections are blamed once more")
 def _blamed_again(context, seconds):
     opened_at = context.clock.now()
     context.clock.advance(seconds)
-    assert context.pool.fell_silent(UPSTREAM, opened_at)
+    assert context.pool.record_silence(UPSTREAM, opened_at)
--- a/tests/steps/requests_claims.py
+++ b/tests/steps/requests_claims.py
@@ -57,11 +57,11 @@
         if isinstance(action, claims.ReadBucket):
             stored = self.store.objects.get(action.name)
             if fault:
-                self._do(vm, batcher.failed(action.name))
+                self._do(vm, batcher.on_failure(action.name))
             elif stored is None:
-                self._do(vm, batcher.missing(action.name))
+                self._do(vm, batcher.on_missing(action.name))
             else:
-                self._do(vm, batcher.read(action.name, *stored))
+                self._do(vm, batcher.on_read(action.name, *stored))
             return
         version = None
         if fault == "late":
@@ -69,11 +69,11 @@
         elif fault != "lost":
             version = self.store.write(action)
         if fault:
-            self._do(vm, batcher.ambiguous(action.name))
+            self._do(vm, batcher.on_ambiguous_write(action.name))
         elif version is None:
-            self._do(vm, batcher.conflict(action.name))
+            self._do(vm, batcher.on_conflict(action.name))
         else:
-            self._do(vm, batcher.written(action.name, version))
+            self._do(vm, batcher.on_written(action.name, version))
 
     def result_of(self, key):
         return [
--- a/tests/steps/requests_departure.py
+++ b/tests/steps/requests_departure.py
@@ -94,7 +94,7 @@
                     self.redirected[request_id] = action.vm
                     self.check_adopted(request_id)
             elif isinstance(action, handover_sender.ExportLedger):
-                owner = action.heir
+                owner = action.successor
                 state = self.ledger.export_to(owner.vm, owner.incarnation)
                 self.do(self.leaving.on_exported(state))
             elif isinstance(action, handover_sender.DeliverReceipt):
@@ -104,7 +104,7 @@
 
     def redirect(self, request_ids, part):
         for request_id in request_ids:
-            self.redirected[request_id] = part.heir.vm
+            self.redirected[request_id] = part.successor.vm
             self.check_adopted(request_id)
 
     def check_adopted(self, request_id):
@@ -115,13 +115,13 @@
 
     def deliver(self, part, delivery):
         if delivery == "peer crashes" and len(self.receivers) > 1:
-            self.receivers.pop(part.heir, None)
-        receiver = self.receivers.get(part.heir)
+            self.receivers.pop(part.successor, None)
+        receiver = self.receivers.get(part.successor)
         if receiver is None:
-            self.do(self.leaving.on_peer_gone(part.heir))
+            self.do(self.leaving.on_peer_gone(part.successor))
         elif delivery != "part lost":
             self.adopt(
-                part.heir, receiver.receive(handover_parts.encode(part))
+                part.successor, receiver.receive(handover_parts.encode(part))
             )
             if delivery != "receipt lost":
                 self.do(self.leaving.on_receipt(part.sequence))
@@ -205,7 +205,7 @@
 
 @when("the handover starts")
 def _begin(context):
-    context.actions = context.handover.begin(
+    context.actions = context.handover.start(
         context.peers, context.running, []
     )
 
@@ -213,7 +213,7 @@
 @then('its parts go to "{one}" and "{other}" only')
 def _targets(context, one, other):
     successors = {
-        action.part.heir.vm
+        action.part.successor.vm
         for action in context.actions
         if isinstance(action, handover_sender.SendPart)
     }
--- a/tests/steps/requests_ledger.py
+++ b/tests/steps/requests_ledger.py
@@ -116,7 +116,7 @@
     context.fleet.crash(vm)
     context.fleet.start(vm)
     for process in context.fleet.live.values():
-        process.ledger.alive(vm, context.fleet.incarnations)
+        process.ledger.on_incarnation_alive(vm, context.fleet.incarnations)
 
 
 @when(
@@ -125,7 +125,7 @@
 def _refusal(context, successor, vm):
     source = context.fleet.live[vm].ledger
     refuser = context.fleet.live[successor].ledger.me
-    source.succession.receipt(
+    source.transfer.apply_receipt(
         ledger_state.LedgerReceipt(source.me, refuser, accepted=False)
     )
 
--- a/tests/steps/requests_records.py
+++ b/tests/steps/requests_records.py
@@ -38,7 +38,7 @@
 
 @when('the record is moved to VM "{vm}"')
 def _move(context, vm):
-    context.records.moved(NAME, vm)
+    context.records.record_move(NAME, vm)
 
 
 @when("{seconds:d} seconds pass for the records")
--- a/tests/steps/requests_recovery.py
+++ b/tests/steps/requests_recovery.py
@@ -27,8 +27,8 @@
         "runner": "old",
         "priority": 1,
         "prompt_tokens": 100,
-        "sent": ["t"] * 3,
-        "left_s": 60.0,
+        "sent_tokens": ["t"] * 3,
+        "remaining_s": 60.0,
         "notice_s": 30.0,
         "export_s": 1.0,
         "deadline_s": 100.0,
@@ -50,7 +50,7 @@
 @given("it needs {export:g} s to export and ends by itself in {left:g} s")
 def _times(context, export, left):
     context.situation.export_s = export
-    context.situation.left_s = left
+    context.situation.remaining_s = left
 
 
 @given("its export is in progress")
@@ -68,12 +68,12 @@
 situations = strategies.builds(
     _situation,
     cause=strategies.sampled_from(recovery.RecoveryCause),
-    left_s=seconds,
+    remaining_s=seconds,
     notice_s=seconds,
     export_s=seconds,
     deadline_s=strategies.floats(-1, 200),
     failures=strategies.integers(0, 5),
-    same_runner=strategies.integers(0, 2),
+    reconnects=strategies.integers(0, 2),
     moving_to=strategies.sampled_from(("", "r1")),
     candidates=strategies.integers(0, 3).map(_candidates),
 )
@@ -154,7 +154,7 @@
         if isinstance(move.decision, recovery.Wait)
     }
     ranks = {
-        each.request_id: (each.priority, each.redo_tokens)
+        each.request_id: (each.priority, each.recomputed_tokens)
         for each in context.leaving_streams
     }
     moved = [ranks[name] for name in ranks if name not in waiting]
@@ -176,7 +176,8 @@
     moves = _moves(context)
     exported = _names(moves, recovery.ExportTo)
     tokens = {
-        each.request_id: each.redo_tokens for each in context.leaving_streams
+        each.request_id: each.recomputed_tokens
+        for each in context.leaving_streams
     }
     waiting = _names(moves, recovery.Wait)
     assert (len(exported), len(waiting)) == (count, others)
--- a/tests/steps/requests_stream.py
+++ b/tests/steps/requests_stream.py
@@ -70,7 +70,7 @@
 
 @when("attempt {attempt:d} starts at the cursor")
 def _begin(context, attempt):
-    context.cursor.begin(attempt)
+    context.cursor.start_attempt(attempt)
 
 
 @when("attempt {attempt:d} offers token {index:d}")
--- a/tests/steps/roll_outs_controller.py
+++ b/tests/steps/roll_outs_controller.py
@@ -142,7 +142,7 @@
     canaries = [
         r
         for r in vm.new_runners
-        if vm.controller.arm(r) is model.RunnerRole.CANARY
+        if vm.controller.role(r) is model.RunnerRole.CANARY
     ]
     assert len(canaries) == count
 
@@ -158,7 +158,7 @@
         )
         for runner in vm.new_runners
     }
-    vm.controller.observe(records, False)
+    vm.controller.update_fleet_counts(records, False)
     assert vm.controller.tick()
 
 
@@ -166,7 +166,7 @@
 def step_reported_state(context, state):
     """Receive the order of another VM."""
     order = context.vm.order.with_state(model.RollOutState[state])
-    assert context.vm.controller.heard(order)
+    assert context.vm.controller.merge_order(order)
 
 
 @when("the roll-out is {state}")
--- a/tests/steps/runners_culprits.py
+++ b/tests/steps/runners_culprits.py
@@ -31,10 +31,10 @@
     def set_sizes(self, sizes):
         """Ignore the sizes."""
 
-    def broke(self, runner, fingerprint):
+    def connection_broken(self, runner, fingerprint):
         """Ignore the broken call."""
 
-    def died(self, runner, data_centre, noticed):
+    def runner_crashed(self, runner, data_centre, noticed):
         """Ignore the crash."""
 
     def retry_after_s(self, fingerprint):
@@ -44,7 +44,7 @@
     def tick(self):
         """Do nothing, as no state expires."""
 
-    def told(self, whole):
+    def next_record(self, whole):
         """Report nothing."""
         return None
 
@@ -75,8 +75,8 @@
         runner = self.rng.choice(up)
         self.down[runner] = now + RESTART_S
         self.crashed += 1
-        vm.broke(f"r-{runner}", POISON)
-        vm.died(f"r-{runner}", DATA_CENTRE, False)
+        vm.connection_broken(f"r-{runner}", POISON)
+        vm.runner_crashed(f"r-{runner}", DATA_CENTRE, False)
 
     def wait(self, seconds):
         """Advance the clock and exchange records."""
@@ -85,7 +85,7 @@
             self.records += 1
             for sender in self.vms:
                 sender.tick()
-                record = sender.told(self.records % 5 == 1)
+                record = sender.next_record(self.records % 5 == 1)
                 for vm in self.vms:
                     lost = self.rng.random() < 1 / 3
                     if (
@@ -94,7 +94,7 @@
                         and vm is not sender
                         and not lost
                     ):
-                        vm.heard("peer", record)
+                        vm.merge_record("peer", record)
 
     def run(self):
         """Send the call repeatedly and return the number of crashes."""
@@ -131,7 +131,7 @@
     context.clock = clocks.ManualClock(100.0)
     context.vm = _make_vm(context, "vm-1")
     for name in ("a", "b", "c"):
-        context.vm.broke("r1", name)
+        context.vm.connection_broken("r1", name)
 
 
 def _make_vm(context, name):
@@ -143,54 +143,54 @@
 @when("r1 has ended")
 def _runner_ended(context):
     context.clock.advance(0.01)
-    context.vm.died("r1", DATA_CENTRE, False)
+    context.vm.runner_crashed("r1", DATA_CENTRE, False)
 
 
 @when('the call "{name}" breaks off at {runner}, which has ended')
 def _breaks_at_crash(context, name, runner):
     context.clock.advance(2.0)
-    context.vm.broke(runner, name)
-    context.vm.died(runner, DATA_CENTRE, False)
+    context.vm.connection_broken(runner, name)
+    context.vm.runner_crashed(runner, DATA_CENTRE, False)
 
 
 @when('the call "{name}" breaks off at r2 and at r3')
 def _breaks_at_running_runners(context, name):
     for runner in ("r2", "r3"):
-        context.vm.broke(runner, name)
+        context.vm.connection_broken(runner, name)
 
 
 @when('the call "{name}" breaks off at r1')
 def _breaks_after_crash(context, name):
     context.clock.advance(0.01)
-    context.vm.broke("r1", name)
+    context.vm.connection_broken("r1", name)
 
 
 @when("{count:d} more calls break off at r1, one after the other")
 def _more_calls_break(context, count):
     for number in range(count):
         context.clock.advance(0.01)
-        context.vm.broke("r1", f"more-{number}")
+        context.vm.connection_broken("r1", f"more-{number}")
 
 
 @then("its next record reports one crash with {count:d} calls")
 def _record_is_complete(context, count):
-    deaths, _, _ = context.vm.told(False)
+    deaths, _, _ = context.vm.next_record(False)
     assert [len(death[-1]) for death in deaths] == [count], deaths
 
 
 @when("{seconds:d} seconds pass and r1 has ended")
 def _runner_ends_later(context, seconds):
     context.clock.advance(seconds)
-    context.vm.died("r1", DATA_CENTRE, False)
+    context.vm.runner_crashed("r1", DATA_CENTRE, False)
 
 
 @when('the call "{name}" is answered at another entry VM')
 def _answered_elsewhere(context, name):
     other = _make_vm(context, "vm-2")
-    other.merge_record("vm-1", context.vm.told(False))
+    other.merge_record("vm-1", context.vm.next_record(False))
     context.clock.advance(0.1)
     other.answered(name)
-    context.vm.heard("vm-2", other.next_record(False))
+    context.vm.merge_record("vm-2", other.next_record(False))
 
 
 @when("{seconds:d} seconds pass and another entry VM starts")
@@ -198,7 +198,7 @@
     context.clock.advance(seconds)
     context.vm.tick()
     context.other = _make_vm(context, "vm-2")
-    context.other.heard("vm-1", context.vm.told(True))
+    context.other.merge_record("vm-1", context.vm.next_record(True))
 
 
 @when("two entry VMs exchange records for {seconds:d} seconds")
@@ -208,7 +208,7 @@
         context.clock.advance(1.0)
         for vm, peer in ((context.vm, other), (other, context.vm)):
             vm.tick()
-            record = vm.told(True)
+            record = vm.next_record(True)
             if record is not None:
                 peer.merge_record("peer", record)
 
--- a/tests/steps/runners_outliers.py
+++ b/tests/steps/runners_outliers.py
@@ -94,7 +94,7 @@
 @then("all VMs eject runner 1 alone")
 def _first_ejected(context):
     for vm in context.fleet.vms:
-        assert vm.left_out == {"runner-1"}, vm.left_out
+        assert vm.ejected == {"runner-1"}, vm.ejected
 
 
 @then("no VM ejects a runner")
@@ -147,10 +147,10 @@
     vm = context.fleet.vms[0]
     for runner in context.fleet.runners[1:]:
         for _ in range(2):
-            vm.ended(runner, False)
+            vm.call_ended(runner, False)
     for _ in range(2):
-        vm.ended("runner-1", True)
-    context.ejections = vm.judge([context.fleet.runners])
+        vm.call_ended("runner-1", True)
+    context.ejections = vm.detect([context.fleet.runners])
 
 
 @when(
@@ -161,8 +161,8 @@
     for runner in context.fleet.runners:
         for number in range(calls):
             is_first = runner == context.fleet.runners[0]
-            vm.ended(runner, is_first and number < failed)
-    context.ejections = vm.judge([context.fleet.runners])
+            vm.call_ended(runner, is_first and number < failed)
+    context.ejections = vm.detect([context.fleet.runners])
 
 
 @then("VM 1 ejects runner 1")
--- a/tests/steps/runners_prefix.py
+++ b/tests/steps/runners_prefix.py
@@ -89,7 +89,7 @@
 def _route_many(context, count):
     for number in range(count):
         for runner in RUNNERS:
-            context.index.routed(
+            context.index.claim(
                 runner, tuple(range(number * 8, number * 8 + 8))
             )
 
--- a/tests/steps/runners_quarantine.py
+++ b/tests/steps/runners_quarantine.py
@@ -149,7 +149,7 @@
     for fleet, others in context.found:
         assert all(r.done for r in others)
         for rule in fleet.rules:
-            states = {rule.standing(r.name).state for r in others}
+            states = {rule.status(r.name).state for r in others}
             assert STATES.QUARANTINED not in states
 
 
@@ -233,7 +233,7 @@
 @then('the fingerprint is {state} for customer "{customer}"')
 def _state_for(context, state, customer):
     name = quarantine.fingerprint("e", customer, BODY)
-    status = context.rule.standing(name)
+    status = context.rule.status(name)
     assert status.state.value == state
     assert (status.retry_after_s > 0) == (state == "quarantined")
 
@@ -279,7 +279,7 @@
 
 def _ask(context, name, request_id):
     request = quarantine.TrialRequest(name, request_id, context.places)
-    return context.rule.judge(request)
+    return context.rule.decide(request)
 
 
 @then("the judge sends them to different runners")
@@ -301,7 +301,7 @@
 @when("one of the trials ends with an answer")
 def _trial_answered(context):
     context.clock.advance(2.0)
-    context.rule.trial_over(quarantine.TrialEnded("x", "x"))
+    context.rule.end_trial(quarantine.TrialEnded("x", "x"))
     context.rule.receive(crashes.RequestCompleted("x", 0.0))
 
 
@@ -339,4 +339,4 @@
 
 @then("the crash log keeps at most {count:d} crashes")
 def _crash_limit(context, count):
-    assert len(context.rule.log.deaths) <= count
+    assert len(context.rule.log.crashes) <= count
--- a/tests/steps/runners_routing.py
+++ b/tests/steps/runners_routing.py
@@ -135,7 +135,7 @@
 def _send_prompt(context, count):
     query = _query(tuple(range(count)), 64 * count)
     context.sent = context.router.choose(query).runner.name
-    context.router.started("first", context.sent, query)
+    context.router.request_started("first", context.sent, query)
 
 
 @then("router 1 sends a prompt with the same beginning to the same runner")
@@ -179,13 +179,13 @@
 
 @when("runner {number:d} is leaving and the list still shows it")
 def _runner_leaving(context, number):
-    context.router.leaving(f"r{number}", 30.0)
+    context.router.mark_leaving(f"r{number}", 30.0)
     context.router.set_runners(context.runners)
 
 
 @when("runner {number:d} is gone and the list still shows it")
 def _runner_gone(context, number):
-    context.router.gone(f"r{number}")
+    context.router.remove_runner(f"r{number}")
     context.router.set_runners(context.runners)
 
 
@@ -232,10 +232,10 @@
     for number in range(200):
         name = router.choose(_query((number,), 64)).runner.name
         context.went[name] += 1
-        router.started(str(number), name, _query())
+        router.request_started(str(number), name, _query())
         if name == "r3":
-            router.finished(str(number), models.Outcome.FAILED)
-        router.finished(str(number - 30), models.Outcome.DONE, 100)
+            router.request_finished(str(number), models.Outcome.FAILED)
+        router.request_finished(str(number - 30), models.Outcome.DONE, 100)
         router._clock.advance(0.05)
 
 
@@ -257,7 +257,7 @@
     for number in range(10):
         for router in routers:
             runner = router.choose(_query()).runner.name
-            router.started(str(number), runner, _query())
+            router.request_started(str(number), runner, _query())
             router._clock.advance(0.01)
             sent[runner] += 1
     return sent[name]
@@ -267,7 +267,7 @@
 def _old_report(context, number):
     for router in context.routers:
         for n, runner in enumerate(context.runners):
-            router.started(f"old{n}", runner.name, _query(tokens=0))
+            router.request_started(f"old{n}", runner.name, _query(tokens=0))
         router._clock.advance(3.0)
         _report_idle(router, number)
 
@@ -310,10 +310,10 @@
         route = context.router.choose(_query(tokens=500))
         name = route.runner.name
         context.went[context.by_name[name].data_centre] += 1
-        context.router.started(str(number), name, _query(tokens=500))
+        context.router.request_started(str(number), name, _query(tokens=500))
         context.clock.advance(0.1)
         context.router.first_token(str(number))
-        context.router.finished(str(number), models.Outcome.DONE)
+        context.router.request_finished(str(number), models.Outcome.DONE)
 
 
 @when("{count:d} prompts come while all runners are idle")
--- a/tests/steps/runners_silence.py
+++ b/tests/steps/runners_silence.py
@@ -17,7 +17,7 @@
     context.silence = silence_detector.SilenceDetector(context.clock)
     context.calls = calls
     for _ in range(calls):
-        context.silence.sent(RUNNER)
+        context.silence.call_sent(RUNNER)
 
 
 @step("{seconds:f} seconds pass without a byte")
@@ -29,31 +29,31 @@
 def _regular_bytes(context, seconds, pause):
     for _ in range(int(seconds / pause)):
         context.clock.advance(pause)
-        context.silence.heard(RUNNER)
+        context.silence.bytes_received(RUNNER)
 
 
 @when("all of its calls end and {seconds:f} seconds pass")
 def _calls_end(context, seconds):
     for _ in range(context.calls):
-        context.silence.ended(RUNNER)
+        context.silence.call_ended(RUNNER)
     context.clock.advance(seconds)
 
 
 @step("a byte comes from the runner")
 def _byte_received(context):
-    context.silence.heard(RUNNER)
+    context.silence.bytes_received(RUNNER)
 
 
 @when("{count:d} other VMs report it as silent")
 def _peer_reports(context, count):
-    context.silence.told({RUNNER: count})
+    context.silence.set_peer_counts({RUNNER: count})
 
 
 @then("the runner is treated as silent")
 def _treated_as_silent(context):
-    assert RUNNER in context.silence.believed
+    assert RUNNER in context.silence.silent
 
 
 @then("the runner is not treated as silent")
 def _not_treated_as_silent(context):
-    assert RUNNER not in context.silence.believed
+    assert RUNNER not in context.silence.silent
--- a/tests/steps/serving_datagrams.py
+++ b/tests/steps/serving_datagrams.py
@@ -203,9 +203,9 @@
     _fleet_vm(context)
     context.sent = []
     for number in range(1, count + 1):
-        context.link._table.heard(_record(number, f"10.0.0.{number}"))
+        context.link._table.receive_record(_record(number, f"10.0.0.{number}"))
     # The first look finds out who aggregates.
-    context.link._news.look()
+    context.link._news.tick()
 
     def send(message, receivers):
         context.sent.append(receivers)
--- a/tests/steps/serving_roll_outs.py
+++ b/tests/steps/serving_roll_outs.py
@@ -178,7 +178,9 @@
 def step_found_bad(context):
     """Receive the verdict of another VM, and run the duty."""
     holder = context.holder
-    holder.controller.heard(holder.order.with_state(model.RollOutState.FAILED))
+    holder.controller.merge_order(
+        holder.order.with_state(model.RollOutState.FAILED)
+    )
     holder.step()
 
 
@@ -200,7 +202,7 @@
         if runner.version == "v2"
     }
     holder.clock.advance(17.0)
-    holder.controller.observe(told, True)
+    holder.controller.update_fleet_counts(told, True)
     for _ in range(20):
         holder.controller.tick()
         holder.step(1)
@@ -279,7 +281,7 @@
         clock, random.Random(1), model.RollOutLimits()
     )
     context.order = model.RollOutOrder(SERVICE, "v2", 5, clock.wall(), 20.0)
-    context.controller.heard(context.order)
+    context.controller.merge_order(context.order)
     context.upstreams = upstreams.Upstreams(
         clock,
         random.Random(1),
@@ -325,7 +327,7 @@
         context.upstreams.finished(
             f"call-{number}", runner, models.Outcome.DONE
         )
-        context.controller.observe({}, False)
+        context.controller.update_fleet_counts({}, False)
 
 
 @then("{least:d} to {most:d} of them are at v2")
@@ -338,7 +340,7 @@
 @when("v2 is found bad")
 def step_bad(context):
     """Receive the verdict of another VM."""
-    context.controller.heard(
+    context.controller.merge_order(
         context.order.with_state(model.RollOutState.FAILED)
     )
     context.upstreams.refresh()
--- a/tests/steps/vms_digests.py
+++ b/tests/steps/vms_digests.py
@@ -109,13 +109,13 @@
     one, two = context.fleet.vms
     late = two.next_record()
     two.incarnation, two.number = 2, 0
-    assert one.table.heard(two.next_record()).incarnation == 1
-    one.table.heard(late)
+    assert one.table.receive_record(two.next_record()).incarnation == 1
+    one.table.receive_record(late)
 
 
 @when("VM 1 detects that its process was paused")
 def _detect_pause(context):
-    context.fleet.vms[0].table.silence()
+    context.fleet.vms[0].table.mark_all_silent()
 
 
 @then("each peer table lists all others as alive")
--- a/tests/steps/vms_duties.py
+++ b/tests/steps/vms_duties.py
@@ -145,7 +145,7 @@
 def releases(context, name):
     """It does so because it stops."""
     (context.holder,) = _responsible_vms(context, _duty(name))
-    context.duties_by_vm[context.holder].leave()
+    context.duties_by_vm[context.holder].release_all()
 
 
 @behave.then('that VM must not order for duty "{name}" any more')
--- a/tests/steps/vms_followers.py
+++ b/tests/steps/vms_followers.py
@@ -51,7 +51,7 @@
         known = context.clock.now() >= context.known_at
         records = [vm.record for vm in context.vms if known]
         for vm in context.vms:
-            vm.followers.look([r for r in records if r.vm != vm.name])
+            vm.followers.update([r for r in records if r.vm != vm.name])
         for vm in context.vms:
             vm.follows_store = vm.followers.follows and vm.is_answered
         following = sum(vm.followers.follows for vm in context.vms)
--- a/tests/steps/vms_leads.py
+++ b/tests/steps/vms_leads.py
@@ -20,7 +20,7 @@
 
 def _receive_records(context, ahead, not_ahead):
     for peer in [*ahead, *not_ahead]:
-        if context.leads.due(
+        if context.leads.should_ask(
             "runners", peer, peer in ahead, context.tolerated_s
         ):
             context.asked.append(peer)
--- a/tests/steps/vms_leases.py
+++ b/tests/steps/vms_leases.py
@@ -280,7 +280,7 @@
 @behave.when("an upstream that has seen fencing number 7 refuses an order")
 def refused(context):
     """The number 7 dates from before the store lost the object."""
-    context.lease.fenced_off(7)
+    context.lease.fencing_rejected(7)
 
 
 @behave.then("no order is sent until the lease is written with number 8")
--- a/tests/steps/vms_membership.py
+++ b/tests/steps/vms_membership.py
@@ -25,7 +25,7 @@
 )
 def converged_fleet(context, count, places):
     """All VMs see each other."""
-    gossip_fleet(context, count, places)
+    start_gossip_fleet(context, count, places)
     context.world.fleet.run(SETTLE_S)
     assert context.world.complete()
     context.world.since = context.world.fleet.clock.now()
--- a/tests/steps/vms_orders.py
+++ b/tests/steps/vms_orders.py
@@ -20,8 +20,8 @@
     """It is set twice; an equal target changes nothing."""
     context.clock = clocks.ManualClock()
     context.orders = orders.Orders(context.clock, "v1", 5)
-    context.orders.want("r1", TARGET)
-    context.orders.want("r1", dict(TARGET))
+    context.orders.set_target("r1", TARGET)
+    context.orders.set_target("r1", dict(TARGET))
 
 
 @behave.then("the target is sent, read back and confirmed")
@@ -33,7 +33,7 @@
     context.orders.sent("r1")
     _single_action(context, orders.ReadBack)
     assert context.orders.unconfirmed == ["r1"]
-    context.orders.found("r1", dict(TARGET))
+    context.orders.target_read("r1", dict(TARGET))
     assert not context.orders.unconfirmed
     assert not context.orders.tick()
 
@@ -49,7 +49,7 @@
 def read_first(context):
     """It is sent again when it did not take effect."""
     _single_action(context, orders.ReadBack)
-    context.orders.found("r1", OTHER)
+    context.orders.target_read("r1", OTHER)
     _single_action(context, orders.SendOrder)
 
 
@@ -59,7 +59,7 @@
     confirmed(context)
     context.clock.advance(orders.READ_BACK_S)
     _single_action(context, orders.ReadBack)
-    context.orders.found("r1", OTHER)
+    context.orders.target_read("r1", OTHER)
 
 
 @behave.then("the target is sent again")
--- a/tests/steps/vms_spread.py
+++ b/tests/steps/vms_spread.py
@@ -192,27 +192,27 @@
     context.clock, context.replicator = _new_replicator(
         lambda document, version: "bad" if "bad" in document else None
     )
-    context.result = context.replicator.stored(5, _document(5))
+    context.result = context.replicator.receive_stored(5, _document(5))
     assert isinstance(context.result[0], replication_actions.ApplyCatalogue)
 
 
 @behave.when("the replicator's store returns version 3")
 def store_older(context):
     """As after the restore of a backup."""
-    context.result = context.replicator.stored(3, _document(3))
+    context.result = context.replicator.receive_stored(3, _document(3))
 
 
 @behave.when("the replicator's store returns another document as version 5")
 def store_clash(context):
     """The store returns it twice, to check that it is reported once."""
-    context.result = context.replicator.stored(5, _document(9))
-    context.result += context.replicator.stored(5, _document(9))
+    context.result = context.replicator.receive_stored(5, _document(9))
+    context.result += context.replicator.receive_stored(5, _document(9))
 
 
 @behave.when("a peer mentions version 5 with another digest")
 def peer_clash(context):
     """The peer mentions it twice; one of the two is reported."""
-    context.result = context.replicator.heard(5, 1, "p1")
+    context.result = context.replicator.peer_has_version(5, 1, "p1")
     context.result += context.replicator.heard(5, 1, "p1")
 
 
