--- a/tests/adapter/callers.feature
+++ b/tests/adapter/callers.feature
@@ -1,47 +1,46 @@
-Feature: The adapter's translation of calls and answers
+Feature: Translation between the platform and the product by the adapter
 
-  Scenario: A caller's call becomes the product's
+  Scenario: A caller's call is decoded
     When the adapter reads a call with a prompt of 1460 and 80 tokens
-    Then the product sees its key, its patience of 8.0 s and 3 prompt parts
-    And headers of the connection are left out
+    Then the decoded call has its key, its deadline of 8.0 s and 3 prompt parts
+    And hop-by-hop headers are removed
 
-  Scenario Outline: Malformed calls are refused by the adapter
+  Scenario Outline: The adapter rejects malformed calls
     When the adapter reads a call with <fault>
-    Then it says that the call is malformed
+    Then the adapter raises an error for the call
 
     Examples:
       | fault                  |
-      | two hosts              |
+      | two Host headers       |
       | an absolute target     |
-      | a deadline of letters  |
-      | a deadline of infinity |
+      | a non-numeric deadline |
+      | an infinite deadline   |
       | parts without lengths  |
 
-  # Symptom: one customer's call runs as another's, or goes on from another
-  # call's memory.
-  # Events: a caller sends the headers that only the system sets.
-  # Cause: unknown headers passed on as they came.
-  Scenario: A caller can't set what only the system sets
-    When a call that forges the system's headers is sent to a runner
-    Then the runner sees the system's own values and nothing forged
+  # Guards against a caller that sets reserved headers, so that its call runs
+  # for another customer or with another call's cached tokens. This happens
+  # when the adapter forwards a caller's headers without removing these.
+  Scenario: Reserved headers from a caller are dropped
+    When a call that forges reserved headers is sent to a runner
+    Then the runner gets the product's own values and nothing forged
 
-  Scenario: A runner's promise is read, and nothing else taken for one
-    Then only a marked answer promises that a call has not run
+  Scenario: Only a marked answer counts as a guarantee of a runner
+    Then only a marked answer guarantees that a call has not run
 
-  Scenario: A configuration becomes routes, services, customers and limits
+  Scenario: A configuration is decoded
     When the adapter reads a configuration with a split route
-    Then the product finds the longest prefix, the split and the customer
+    Then the decoded configuration finds the longest prefix, the split and the customer
 
-  Scenario: A runner's entry becomes a runner
+  Scenario: A runner's entry is decoded
     When the adapter reads the entry of a leaving runner
-    Then the product knows its address and that it leaves
+    Then the decoded runner has its address and is leaving
 
-  Scenario: Store calls are written as the platform reads them
-    Then list, watch, create and replace have their paths and queries
+  Scenario: Store calls are encoded as the platform expects
+    Then list, watch, create and replace calls have the expected paths and queries
 
-  Scenario: Settings become the product's
+  Scenario: A settings file is decoded
     When the adapter reads a settings file
-    Then the product knows its addresses, bounds and duties
+    Then the decoded settings have its addresses, bounds and duties
 
-  Scenario: The platform's names stand in the adapter alone
-    Then no source of the product or its stand-ins has a name of the platform
+  Scenario: Only the adapter contains names of the platform
+    Then no source file of the product or its stand-ins contains a name of the platform
--- a/tests/adapter/entries.feature
+++ b/tests/adapter/entries.feature
@@ -1,15 +1,13 @@
-Feature: What others write into the store can't stop a VM, nor mislead it
+Feature: Invalid data in the store neither stops nor misleads a VM
 
-  # Symptom: a VM keeps the runners that it knew, for ever: those that leave
-  # get calls, those that come get none.
-  # Events: somebody writes an entry whose address is null; the watch of the
-  # runners' entries meets it.
-  # Cause: an error of a type that the listener does not expect ends the task.
-  Scenario Outline: A spoiled entry ends no watch and takes no other with it
-    Given a store with a good entry and one whose <field> is <value>
-    When a VM's watch follows it
-    Then the watch goes on and the good runner alone gets work
-    And one line of the log says what is wrong
+  # Guards against an invalid entry, such as one with a null address, that
+  # ends a VM's watch with an unexpected type of error. The VM would then send
+  # calls to runners that have left and none to new ones.
+  Scenario Outline: An invalid entry affects neither the watch nor other entries
+    Given a store with a valid entry and one whose <field> is <value>
+    When a VM watches the store
+    Then the watch continues and only the runner with the valid entry gets calls
+    And one line of the log names the invalid entry
 
     Examples:
       | field             | value        |
@@ -33,60 +31,59 @@
       | born              | 1.5          |
       | born              | null         |
 
-  # Symptom: all runners are lost for as long as one object can't be read.
-  # Events: a page of the list holds bytes that are no text, or a number of
-  # five thousand digits.
-  # Cause: the page is read as a whole or not at all.
-  Scenario Outline: What can't be read in a page leaves the rest of it
-    Given a page with a good entry and one with <what>
-    Then the good entry is read from the page
+  # Guards against the loss of all runners while one object in the list can't
+  # be decoded, such as one with invalid UTF-8 or a number of 5000 digits.
+  # This happens when a page is decoded as a whole or not at all.
+  Scenario Outline: Unreadable objects in a page do not affect the others
+    Given a page with a valid entry and one with <what>
+    Then the valid entry is decoded from the page
 
     Examples:
-      | what                 |
-      | bytes that are no text |
+      | what                    |
+      | invalid UTF-8           |
       | a number of 5000 digits |
-      | no name              |
-      | nothing but a number |
+      | no name                 |
+      | only a number           |
 
-  # Symptom: a runner that serves well loses its calls in flight.
-  # Events: its own entry turns unreadable, and is written again.
-  # Cause: an entry that can't be read taken for one that was removed.
-  Scenario: A runner whose own entry is spoiled gets no work, and keeps its calls
-    Given a store with two good entries
-    When the first one's entry turns unreadable
-    Then new work goes to the second alone, and the first is still known
-    When the first one's entry is written again
-    Then new work goes to both
+  # Guards against a healthy runner that loses its calls in flight because its
+  # entry becomes unreadable for a while. This happens when an unreadable
+  # entry is treated as a deleted one.
+  Scenario: A runner with an unreadable entry gets no new calls and keeps its calls
+    Given a store with two valid entries
+    When the first runner's entry becomes unreadable
+    Then only the second runner gets new calls, and the first is still known
+    When the first runner's entry is written again
+    Then both runners get new calls
 
-  Scenario: A VM that hears from a peer that an entry can't be read believes it
-    Given a store with two good entries
-    When the first one's entry turns unreadable for one VM alone
-    And its peer hears of it
-    Then both VMs believe the same, and the peer still knows the first
+  Scenario: A VM accepts a peer's report that an entry is unreadable
+    Given a store with two valid entries
+    When the first runner's entry becomes unreadable for only one VM
+    And its peer receives the change
+    Then both VMs have the same directory, and the peer still knows the first
 
-  Scenario: Any value in any field of an entry is a runner or a reason
-    When every field of an entry takes every kind of value
-    Then each is read as a runner only if all its fields are in order
+  Scenario: An entry is decoded as a runner only if all its fields are valid
+    When the fields of an entry take arbitrary values
+    Then each entry is decoded as a runner only if all its fields are valid
 
-  Scenario: Any bytes as an answer of the store are read or refused
-    When answers of the store take any bytes
-    Then none ends in another error than a refusal
+  Scenario: Arbitrary bytes in an answer of the store are decoded or rejected
+    When answers of the store consist of arbitrary bytes
+    Then no decoder raises another error than a rejection
 
-  Scenario: Any value in any field of a configuration is read or refused
-    When every field of a configuration takes every kind of value
-    Then none ends in another error than a refusal
+  Scenario: Arbitrary values in a configuration are decoded or rejected
+    When the fields of a configuration take arbitrary values
+    Then no decoder raises another error than a rejection
 
-  Scenario: Any value in any field of a peer's record is read or refused
-    When every field of a record takes every kind of value
-    Then none ends in another error than a refusal
+  Scenario: Arbitrary values in a peer's record are decoded or rejected
+    When the fields of a peer's record take arbitrary values
+    Then no decoder raises another error than a rejection
 
-  # Symptom: usage is never reported again.
-  # Events: somebody writes over the object with the counts of the fleet.
-  # Cause: an error of another type than the duty expects, at each try.
-  Scenario: Notes in the store of any form stop no duty
-    When the fleet's notes take every kind of value
-    Then none ends in another error than a refusal
+  # Guards against usage reports that stop for good after another program
+  # overwrites the object with the fleet's counts. This happens when each
+  # attempt to decode the object raises an error the duty does not expect.
+  Scenario: Arbitrary notes in the store stop no duty
+    When the fleet's notes take arbitrary values
+    Then no decoder raises another error than a rejection
 
-  Scenario: A lease object of any form is read or refused
-    When the lease's fields take every kind of value
-    Then none ends in another error than a refusal
+  Scenario: Arbitrary values in a lease object are decoded or rejected
+    When the lease's fields take arbitrary values
+    Then no decoder raises another error than a rejection
--- a/tests/steps/adapter.py
+++ b/tests/steps/adapter.py
@@ -1,4 +1,4 @@
-"""Steps for tests/adapter."""
+"""Steps for tests/adapter/callers.feature."""
 
 import json
 import os
@@ -11,7 +11,8 @@
 from behave import when
 
 ROOT = pathlib.Path(__file__).parents[2]
-# The folder is no package: the standard library has a module of its name.
+# The folder is not a package, because its name is that of a standard
+# library module.
 sys.path.insert(0, str(ROOT / "platform"))
 
 from adapter import callers  # noqa: E402
@@ -43,17 +44,17 @@
 )
 
 
-def _read(headers, target="/lohu930/2f?x=1"):
+def _decode_call(headers, target="/lohu930/2f?x=1"):
     return callers.Callers().read("POST", target, headers, b"body", 1.0)
 
 
 @when("the adapter reads a call with a prompt of 1460 and 80 tokens")
-def _call(context):
-    context.call = _read(HEADERS)
+def _read_call(context):
+    context.call = _decode_call(HEADERS)
 
 
-@then("the product sees its key, its patience of 8.0 s and 3 prompt parts")
-def _sees(context):
+@then("the decoded call has its key, its deadline of 8.0 s and 3 prompt parts")
+def _check_decoded_call(context):
     call = context.call
     assert call.key == "i9n73hh2b9wu3fexd9dn"
     assert call.patience_s == 8.0
@@ -63,38 +64,38 @@
     assert (call.path, call.host) == ("/lohu930/2f", "ficu95.example")
 
 
-@then("headers of the connection are left out")
-def _left_out(context):
+@then("hop-by-hop headers are removed")
+def _check_hop_by_hop_headers(context):
     names = {name.lower() for name, _ in context.call.headers}
     assert not names & {b"connection", b"x-hop"}
     assert b"prefix-hash" in names
 
 
-FAULTS = {
-    "two hosts": ([*HEADERS, (b"host", b"other.example")], "/"),
+MALFORMED_CALLS = {
+    "two Host headers": ([*HEADERS, (b"host", b"other.example")], "/"),
     "an absolute target": (HEADERS, "http://ficu95.example/"),
-    "a deadline of letters": ([*HEADERS, (b"Deadline-Ms", b"soon")], "/"),
-    "a deadline of infinity": ([*HEADERS, (b"Deadline-Ms", b"inf")], "/"),
+    "a non-numeric deadline": ([*HEADERS, (b"Deadline-Ms", b"soon")], "/"),
+    "an infinite deadline": ([*HEADERS, (b"Deadline-Ms", b"inf")], "/"),
     "parts without lengths": ([*HEADERS, (b"Prefix-Hash", b"5c1e")], "/"),
 }
 
 
 @when("the adapter reads a call with {fault}")
-def _malformed(context, fault):
+def _read_malformed_call(context, fault):
     context.error = None
     try:
-        _read(*FAULTS[fault])
+        _decode_call(*MALFORMED_CALLS[fault])
     except ValueError as error:
         context.error = error
 
 
-@then("it says that the call is malformed")
-def _says(context):
+@then("the adapter raises an error for the call")
+def _check_error(context):
     assert context.error is not None
 
 
-@when("a call that forges the system's headers is sent to a runner")
-def _forges(context):
+@when("a call that forges reserved headers is sent to a runner")
+def _send_forged_call(context):
     forged = [
         (b"Tenant", b"somebody-else"),
         (b"Kv-From", b"10.0.0.1:80/x"),
@@ -104,13 +105,13 @@
         (b"Expect-Instance", b"i-other"),
         (b"Request-Priority", b"0"),
     ]
-    call = _read([*HEADERS, *forged])
+    call = _decode_call([*HEADERS, *forged])
     errand = messages.Errand("i-7f3a91c2", "hule930", 1.5, 3, None)
     context.sent = upstreams.Upstreams().request(call, errand).decode()
 
 
-@then("the runner sees the system's own values and nothing forged")
-def _own(context):
+@then("the runner gets the product's own values and nothing forged")
+def _check_sent_headers(context):
     lines = context.sent.split("\r\n")
     assert lines[0] == "POST /lohu930/2f?x=1 HTTP/1.1"
     for line in (
@@ -129,8 +130,8 @@
     assert context.sent.endswith("\r\n\r\nbody")
 
 
-@then("only a marked answer promises that a call has not run")
-def _promise(context):
+@then("only a marked answer guarantees that a call has not run")
+def _check_not_run_marks(context):
     dialect = upstreams.Upstreams()
     marked = dialect.head(503, [(b"Not-Executed", b"1")])
     plain = dialect.head(503, [(b"Retry-After", b"0.5")])
@@ -153,7 +154,7 @@
     "stream_resume": True,
     "target_gap_ms": 300,
 }
-SPLIT = {
+SPLIT_ROUTE = {
     **ROUTE,
     "name": "r-2",
     "path_prefix": "/pufi791/deep/",
@@ -166,7 +167,7 @@
 }
 CONFIGURATION = {
     "version": 7,
-    "routes": [ROUTE, SPLIT],
+    "routes": [ROUTE, SPLIT_ROUTE],
     "services": [
         {
             "name": "huvo11a",
@@ -203,12 +204,15 @@
 
 
 @when("the adapter reads a configuration with a split route")
-def _configuration(context):
+def _read_configuration(context):
     context.read = documents.Documents().configuration(CONFIGURATION)
 
 
-@then("the product finds the longest prefix, the split and the customer")
-def _finds(context):
+@then(
+    "the decoded configuration finds the longest prefix, the split "
+    "and the customer"
+)
+def _check_configuration(context):
     read = context.read
     assert read.version == 7
     plain = read.route_of("ficu95.example", "/pufi791/x")
@@ -226,7 +230,7 @@
 
 
 @when("the adapter reads the entry of a leaving runner")
-def _entry(context):
+def _read_entry(context):
     spec = {
         "service": "huvo11a",
         "address": "10.128.0.9:8080",
@@ -244,8 +248,8 @@
     )
 
 
-@then("the product knows its address and that it leaves")
-def _leaves(context):
+@then("the decoded runner has its address and is leaving")
+def _check_leaving_runner(context):
     runner = context.runner
     assert (runner.runner_id, runner.address) == (
         "i-7f3a91c2",
@@ -255,9 +259,12 @@
     assert runner.revision == 12
 
 
-@then("list, watch, create and replace have their paths and queries")
-def _calls(context):
-    codec = objects.Objects()
+@then(
+    "list, watch, create and replace calls have the expected paths "
+    "and queries"
+)
+def _check_store_calls(context):
+    codec = objects.ObjectStoreCodec()
     assert codec.list_call("servers", None, False).target == (
         "/-/objects/servers"
     )
@@ -298,7 +305,7 @@
 
 
 @when("the adapter reads a settings file")
-def _settings(context):
+def _read_settings(context):
     with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
         json.dump(SETTINGS, file)
         file.flush()
@@ -307,8 +314,8 @@
         del os.environ[settings.PATH_VARIABLE]
 
 
-@then("the product knows its addresses, bounds and duties")
-def _knows(context):
+@then("the decoded settings have its addresses, bounds and duties")
+def _check_settings(context):
     read = context.settings
     assert str(read.callers) == "10.1.0.14:8221"
     assert str(read.peers) == "10.1.0.14:8229"
@@ -318,8 +325,11 @@
     assert read.bounds.limit_spare == 72000
 
 
-@then("no source of the product or its stand-ins has a name of the platform")
-def _names(context):
+@then(
+    "no source file of the product or its stand-ins contains a name "
+    "of the platform"
+)
+def _check_platform_names(context):
     found = [
         f"{path.relative_to(ROOT)}:{number}"
         for folder in ("src", "standins", "bench")
--- a/tests/steps/adapter_entries.py
+++ b/tests/steps/adapter_entries.py
@@ -85,25 +85,25 @@
     return {"entries": list(found), "has_more": False, "as_of": 9}
 
 
-class _Store:
-    """Answers of a store as bytes, read as the platform's are."""
+class _FixedStore:
+    """Store whose list answer is given as bytes and decoded by the adapter."""
 
     def __init__(self, body):
         self.body = body
         self.lists = 0
 
     async def list_all(self, kind):
-        """The page."""
+        """Decode the answer."""
         self.lists += 1
-        return objects.Objects().page(self.body)
+        return objects.ObjectStoreCodec().page(self.body)
 
     async def watch(self, kind, revision, wait_s):
-        """Nothing changes."""
+        """Wait without a change."""
         await asyncio.sleep(60)
 
 
 class _Vm:
-    """One VM's directory and what follows the store for it."""
+    """Directory of one VM and the listener that updates it."""
 
     def __init__(self):
         self.clock = clocks.ManualClock()
@@ -117,7 +117,7 @@
         self.revision = 0
 
     def write(self, name, spec):
-        """The store's watch brings an entry."""
+        """Deliver a changed entry as the store's watch does."""
         self.revision += 1
         stored = store.StoredObject(name, self.revision, spec, None)
         self.entries.changed(
@@ -125,20 +125,20 @@
         )
 
     def working(self):
-        """Names of the runners that take new work."""
+        """Return the names of the runners that take new calls."""
         found = self.directory.of_service("huvo11a")
         return sorted(runner.name for runner in found)
 
 
-@given("a store with a good entry and one whose {field} is {value}")
-def _spoiled(context, field, value):
+@given("a store with a valid entry and one whose {field} is {value}")
+def _store_with_invalid_entry(context, field, value):
     page = _page(_object("good", 1, GOOD), _object("bad", 2, "@"))
     spec = json.dumps({**GOOD, field: "@@"}).replace('"@@"', value)
     context.body = json.dumps(page).replace('"@"', spec).encode()
 
 
-@when("a VM's watch follows it")
-def _follows(context):
+@when("a VM watches the store")
+def _watch_store(context):
     context.vm = _Vm()
     context.logged = []
     logs.setup_writer("vm", lambda name, line: context.logged.append(line))
@@ -146,7 +146,7 @@
 
     async def follow():
         context.watcher = store_watch.Watcher(
-            _Store(context.body),
+            _FixedStore(context.body),
             "servers",
             context.vm.entries,
             random.Random(1),
@@ -163,45 +163,51 @@
     context.restarts = running.restarts["watch"]
 
 
-@then("the watch goes on and the good runner alone gets work")
-def _goes_on(context):
+@then(
+    "the watch continues and only the runner with the valid entry gets calls"
+)
+def _check_watch(context):
     assert context.in_touch and not context.restarts
     assert context.vm.working() == ["good"]
 
 
-@then("one line of the log says what is wrong")
-def _says(context):
-    told = [line for line in context.logged if "entry_refused" in line]
-    assert len(told) == 1 and "bad" in told[0], context.logged
+@then("one line of the log names the invalid entry")
+def _check_log(context):
+    matching_lines = [
+        line for line in context.logged if "entry_refused" in line
+    ]
+    assert (
+        len(matching_lines) == 1 and "bad" in matching_lines[0]
+    ), context.logged
 
 
-BAD_OBJECTS = {
-    "bytes that are no text": b'{"metadata":{"name":"bad"},"spec":"\xff\xfe"}',
+UNREADABLE_OBJECTS = {
+    "invalid UTF-8": b'{"metadata":{"name":"bad"},"spec":"\xff\xfe"}',
     "a number of 5000 digits": b'{"metadata":{"name":"bad"},"spec":'
     + b"9" * 5000
     + b"}",
     "no name": b'{"metadata":{},"spec":{}}',
-    "nothing but a number": b"7",
+    "only a number": b"7",
 }
 
 
-@given("a page with a good entry and one with {what}")
-def _bad_page(context, what):
+@given("a page with a valid entry and one with {what}")
+def _page_with_unreadable_object(context, what):
     page = json.dumps(_page(_object("good", 1, GOOD), "@")).encode()
-    context.body = page.replace(b'"@"', BAD_OBJECTS[what])
+    context.body = page.replace(b'"@"', UNREADABLE_OBJECTS[what])
 
 
-@then("the good entry is read from the page")
-def _read(context):
-    page = objects.Objects().page(context.body)
+@then("the valid entry is decoded from the page")
+def _check_page(context):
+    page = objects.ObjectStoreCodec().page(context.body)
     found = [documents.Documents().runner(stored) for stored in page.objects]
     good = [entry for entry in found if isinstance(entry, runners.Runner)]
     assert [runner.name for runner in good] == ["good"]
     assert len(found) - len(good) + page.unreadable == 1
 
 
-@given("a store with two good entries")
-def _two(context):
+@given("a store with two valid entries")
+def _store_two_entries(context):
     context.vms = [_Vm(), _Vm()]
     for vm in context.vms:
         vm.write("first", GOOD)
@@ -209,39 +215,39 @@
     context.vm = context.vms[0]
 
 
-@step("the first one's entry turns unreadable")
-@step("the first one's entry turns unreadable for one VM alone")
-def _turns(context):
+@step("the first runner's entry becomes unreadable")
+@step("the first runner's entry becomes unreadable for only one VM")
+def _make_unreadable(context):
     context.vm.write("first", {**GOOD, "state": "?"})
 
 
-@then("new work goes to the second alone, and the first is still known")
-def _second(context):
+@then("only the second runner gets new calls, and the first is still known")
+def _check_only_second(context):
     assert context.vm.working() == ["second"]
     known = [r.name for r in context.vm.directory.runners]
     assert sorted(known) == ["first", "second"]
 
 
-@when("the first one's entry is written again")
-def _again(context):
+@when("the first runner's entry is written again")
+def _rewrite_entry(context):
     context.vm.write("first", {**GOOD, "sequence": 5})
 
 
-@then("new work goes to both")
-def _both(context):
+@then("both runners get new calls")
+def _check_both(context):
     assert context.vm.working() == ["first", "second"]
 
 
-@when("its peer hears of it")
-def _hears(context):
+@when("its peer receives the change")
+def _receive_change(context):
     one, other = (vm.directory for vm in context.vms)
     entries, gone = one.news_after(other.revision)
     records = [runner.to_record() for runner in entries]
     other.heard([runners.Runner.from_record(r) for r in records], gone)
 
 
-@then("both VMs believe the same, and the peer still knows the first")
-def _same(context):
+@then("both VMs have the same directory, and the peer still knows the first")
+def _check_same_directory(context):
     one, other = context.vms
     assert one.directory.checksum == other.directory.checksum
     assert other.working() == ["second"]
@@ -251,17 +257,17 @@
     }
 
 
-def _is_whole(value, least=0, most=2**53):
+def _is_int_in_range(value, least=0, most=2**53):
     return type(value) is int and least <= value <= most
 
 
-def _is_time(value):
+def _is_duration(value):
     finite = type(value) is float and 0.0 <= value < float("inf")
-    return finite or _is_whole(value)
+    return finite or _is_int_in_range(value)
 
 
 def _is_address(value):
-    """By taking it apart and putting it together again."""
+    """Check an address by parsing it and formatting it again."""
     if type(value) is not str:
         return False
     host, _, port = value.rpartition(":")
@@ -269,29 +275,29 @@
         numbers = [*map(int, host.split(".")), int(port)]
     except ValueError:
         return False
-    again = "{}.{}.{}.{}:{}".format(*numbers) if len(numbers) == 5 else ""
+    formatted = "{}.{}.{}.{}:{}".format(*numbers) if len(numbers) == 5 else ""
     return (
-        value == again
+        value == formatted
         and all(0 <= part <= 255 for part in numbers[:4])
         and 0 < numbers[4] < 65536
     )
 
 
-#: Whether a value may stand in a field of an entry.
+#: Checks whether a value is valid, by field of an entry.
 IN_ORDER = {
     "service": lambda v: type(v) is str and v != "",
     "address": _is_address,
     "zone": lambda v: type(v) is str and v != "",
     "version": lambda v: type(v) is str and v != "",
-    "concurrency": lambda v: _is_whole(v, 1, 65535),
+    "concurrency": lambda v: _is_int_in_range(v, 1, 65535),
     "state": lambda v: v == "ready" or v == "draining",
-    "cold_remaining_ms": _is_time,
+    "cold_remaining_ms": _is_duration,
     "phase": lambda v: True,
     "models": lambda v: True,
-    "sequence": _is_whole,
-    "born": lambda v: v is MISSING or _is_whole(v, 1),
+    "sequence": _is_int_in_range,
+    "born": lambda v: v is MISSING or _is_int_in_range(v, 1),
     "spot": lambda v: v is MISSING or v is None or type(v) is bool,
-    "leaves_ms": lambda v: v is MISSING or v is None or _is_time(v),
+    "leaves_ms": lambda v: v is MISSING or v is None or _is_duration(v),
 }
 
 
@@ -304,8 +310,8 @@
     return document
 
 
-@when("every field of an entry takes every kind of value")
-def _every_field(context):
+@when("the fields of an entry take arbitrary values")
+def _vary_entry(context):
     context.wrong = []
 
     @SETTINGS
@@ -333,13 +339,16 @@
     replace()
 
 
-@then("each is read as a runner only if all its fields are in order")
-def _only_if(context):
+@then("each entry is decoded as a runner only if all its fields are valid")
+def _check_entries(context):
     assert not context.wrong, context.wrong[:5]
 
 
-def _refusals(context, read, strategy, refused=ValueError):
-    """Read what a strategy draws; a refusal is the only error allowed."""
+def _collect_errors(context, read, strategy, refused=ValueError):
+    """Decode values that a strategy draws.
+
+    :param read: the decoder; its only permitted errors are ``refused``.
+    """
     context.errors = getattr(context, "errors", [])
 
     @SETTINGS
@@ -355,14 +364,14 @@
     draw()
 
 
-@then("none ends in another error than a refusal")
-def _none(context):
+@then("no decoder raises another error than a rejection")
+def _check_errors(context):
     assert not context.errors, context.errors[:3]
 
 
-@when("answers of the store take any bytes")
-def _any_bytes(context):
-    codec = objects.Objects()
+@when("answers of the store consist of arbitrary bytes")
+def _vary_store_answers(context):
+    codec = objects.ObjectStoreCodec()
     good = json.dumps(_page(_object("good", 1, GOOD))).encode()
 
     def read(body):
@@ -372,48 +381,50 @@
             except ValueError:
                 continue
 
-    _refusals(context, read, strategies.binary(max_size=60))
-    _refusals(context, read, ANY_JSON.map(lambda v: json.dumps(v).encode()))
+    _collect_errors(context, read, strategies.binary(max_size=60))
+    _collect_errors(
+        context, read, ANY_JSON.map(lambda v: json.dumps(v).encode())
+    )
     cut = strategies.integers(0, len(good))
-    _refusals(context, read, cut.map(lambda n: good[:n] + good[n + 1 :]))
+    _collect_errors(context, read, cut.map(lambda n: good[:n] + good[n + 1 :]))
     read(b"[" * 100000)
     inner = ANY_JSON.map(
         lambda v: json.dumps(
             {"entries": [v], "events": [v], "as_of": 3, "metadata": v}
         ).encode()
     )
-    _refusals(context, read, inner)
+    _collect_errors(context, read, inner)
 
 
-def _places(document):
-    """Paths to all values in a document."""
+def _value_paths(document):
+    """Yield the path of keys to each value in a document."""
     pairs = document.items() if isinstance(document, dict) else ()
     if isinstance(document, list):
         pairs = enumerate(document)
     for key, value in pairs:
         yield (key,)
-        yield from ((key, *rest) for rest in _places(value))
+        yield from ((key, *rest) for rest in _value_paths(value))
 
 
-def _put(document, place, value):
+def _with_value_at(document, path, value):
     document = copy.deepcopy(document)
     inner = document
-    for key in place[:-1]:
+    for key in path[:-1]:
         inner = inner[key]
-    inner[place[-1]] = value
+    inner[path[-1]] = value
     return document
 
 
-@when("every field of a configuration takes every kind of value")
-def _configurations(context):
+@when("the fields of a configuration take arbitrary values")
+def _vary_configuration(context):
     good = adapter_steps.CONFIGURATION
     drawn = strategies.tuples(
-        strategies.sampled_from(sorted(_places(good), key=str)), ANY_JSON
-    ).map(lambda drawn: _put(good, *drawn))
+        strategies.sampled_from(sorted(_value_paths(good), key=str)), ANY_JSON
+    ).map(lambda drawn: _with_value_at(good, *drawn))
     read = documents.Documents().configuration
     assert read(good).version == 7
-    _refusals(context, read, drawn)
-    _refusals(context, read, ANY_JSON)
+    _collect_errors(context, read, drawn)
+    _collect_errors(context, read, ANY_JSON)
 
 
 RECORD = digests.Digest(
@@ -438,26 +449,26 @@
 ).to_record()
 
 
-@when("every field of a record takes every kind of value")
-def _records(context):
+@when("the fields of a peer's record take arbitrary values")
+def _vary_record(context):
     packed = strategies.tuples(
-        strategies.sampled_from(sorted(_places(RECORD), key=str)),
-        ANY_JSON.filter(_fits),
-    ).map(lambda drawn: _pack(_put(RECORD, *drawn)))
+        strategies.sampled_from(sorted(_value_paths(RECORD), key=str)),
+        ANY_JSON.filter(_is_packable),
+    ).map(lambda drawn: _pack(_with_value_at(RECORD, *drawn)))
     assert datagrams.unpack(_pack(RECORD)).vm == "vm-2"
     refused = (ValueError, TypeError, zlib.error)
-    local = _Local()
-    _refusals(context, lambda data: local.use(data), packed, refused)
+    local = _RecordConsumer()
+    _collect_errors(context, lambda data: local.use(data), packed, refused)
     bodies = strategies.binary(max_size=40)
-    _refusals(context, peers.unpack_runners, bodies)
-    _refusals(context, peers.unpack_configuration, bodies)
-    news = ANY_JSON.filter(_fits).map(
+    _collect_errors(context, peers.unpack_runners, bodies)
+    _collect_errors(context, peers.unpack_configuration, bodies)
+    news = ANY_JSON.filter(_is_packable).map(
         lambda v: msgpack.packb([[[v] * 13], {"r": v}])
     )
-    _refusals(context, peers.unpack_runners, news)
+    _collect_errors(context, peers.unpack_runners, news)
 
 
-def _fits(value):
+def _is_packable(value):
     try:
         msgpack.packb(value)
     except (OverflowError, ValueError, UnicodeEncodeError):
@@ -469,11 +480,11 @@
     return zlib.compress(msgpack.packb(record))
 
 
-class _Local:
-    """Does with a record what a VM does."""
+class _RecordConsumer:
+    """Uses a record as a VM does."""
 
     def use(self, data):
-        """Take it in and use each of its figures."""
+        """Store a record in a peer table and use its values."""
         digest = datagrams.unpack(data)
         clock = clocks.ManualClock()
         table = peer_table.PeerTable(
@@ -488,22 +499,22 @@
         assert all(f >= 0 for f, _ in digest.failures.values())
 
 
-@when("the fleet's notes take every kind of value")
-def _notes(context):
+@when("the fleet's notes take arbitrary values")
+def _vary_notes(context):
     good = notes.compose({"7": {"vm#1": {"c": 3}}}, {"c": 2.0}, 100.0)
     assert notes.counts(good) == {7: {"vm#1": {"c": 3}}}
     drawn = strategies.tuples(
-        strategies.sampled_from(sorted(_places(good), key=str)), ANY_JSON
-    ).map(lambda drawn: _put(good, *drawn))
+        strategies.sampled_from(sorted(_value_paths(good), key=str)), ANY_JSON
+    ).map(lambda drawn: _with_value_at(good, *drawn))
 
-    class Found:
-        """A store that has the notes."""
+    class NotesStore:
+        """Store that contains the notes."""
 
         def __init__(self, spec):
             self.spec = spec
 
         async def get(self, kind, name):
-            """The notes."""
+            """Return the notes."""
             return store.StoredObject(name, 1, self.spec, None)
 
     def read(spec):
@@ -511,15 +522,15 @@
             assert sum(sum(c.values()) for c in windows.values()) >= 0
         notes.fixed_counts(spec)
         clock = clocks.ManualClock()
-        levels = asyncio.run(notes.read_levels(Found(spec), clock))
+        levels = asyncio.run(notes.read_levels(NotesStore(spec), clock))
         assert all(level == level for level in levels.values())
 
-    _refusals(context, read, drawn)
-    _refusals(context, read, ANY_JSON)
+    _collect_errors(context, read, drawn)
+    _collect_errors(context, read, ANY_JSON)
 
 
-@when("the lease's fields take every kind of value")
-def _leases(context):
+@when("the lease's fields take arbitrary values")
+def _vary_lease(context):
     drawn = strategies.tuples(
         strategies.sampled_from(sorted(LEASE)), ANY_JSON
     ).map(lambda drawn: {**LEASE, drawn[0]: drawn[1]})
@@ -532,5 +543,5 @@
         assert 0 <= value["duration_s"] < float("inf")
 
     assert lease_objects.is_lease(LEASE)
-    _refusals(context, read, drawn)
-    _refusals(context, read, ANY_JSON)
+    _collect_errors(context, read, drawn)
+    _collect_errors(context, read, ANY_JSON)
