--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,4 +1,6 @@
-"""A randomized soak of the request path: real processes, faults from outside.
+"""Randomized soak test of the request path.
+
+The test runs real processes and injects faults from outside of them.
 
 ``python -m soak --seeds 5``
 """
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m soak``: soaks with seeds, and tells which promises broke."""
+"""Runs soak tests by seed and reports which guarantees were violated."""
 
 import argparse
 import asyncio
@@ -15,94 +15,106 @@
 from . import faults
 from . import fleet
 
-VMS = 3
-RUNNERS = 6
-CALLERS = 8
-SECONDS = 12.0
-#: After the last fault until calls have to be served again, in seconds:
-#: silent connections are noticed, what is missing in the store is gone.
-SETTLE_S = 6.0
-CALM_S = 2.0
-SEEDS = range(1_000_000)
+VM_COUNT = 3
+RUNNER_COUNT = 6
+CALLER_COUNT = 8
+DURATION_S = 12.0
+#: From the end of the last fault until calls have to be served again, in
+#: seconds. In this time the VMs detect silent connections and drop runners
+#: whose entries were removed from the store.
+RECOVERY_S = 6.0
+QUIET_PERIOD_S = 2.0
+SEED_RANGE = range(1_000_000)
 
 
-class Result:
-    """What came of one soak.
+class SoakResult:
+    """Outcome of one soak test.
 
-    :param broken: promises that were not kept.
+    :param calls: all calls of the callers.
+    :param schedule: start times and names of the faults.
+    :param violations: descriptions of the violated guarantees.
     """
 
     def __init__(
         self,
         seed: int,
         calls: list[callers.Call],
-        planned: list[tuple[float, str]],
-        broken: list[str],
+        schedule: list[tuple[float, str]],
+        violations: list[str],
     ) -> None:
         self.seed = seed
         self.calls = calls
-        self.planned = planned
-        self.broken = broken
+        self.schedule = schedule
+        self.violations = violations
 
     @property
-    def document(self) -> dict[str, typing.Any]:
-        """The result in numbers and words."""
+    def summary(self) -> dict[str, typing.Any]:
+        """Summary to print as JSON."""
         return {
             "seed": self.seed,
             "calls": len(self.calls),
             "served": sum(call.served for call in self.calls),
-            "faults": [f"{at:.1f} {name}" for at, name in self.planned],
-            "broken": self.broken,
+            "faults": [f"{at:.1f} {name}" for at, name in self.schedule],
+            "broken": self.violations,
         }
 
 
-async def soak(seed: int, seconds: float, folder: pathlib.Path) -> Result:
-    """Run one soak.
+async def soak(seed: int, seconds: float, folder: pathlib.Path) -> SoakResult:
+    """Run one soak test.
 
-    :param seconds: in which faults begin.
-    :param folder: for logs and journals.
+    :param seconds: length of the period in which faults start.
+    :param folder: for logs and the runners' journal.
     """
     rng = random.Random(seed)
-    running = fleet.Fleet(folder)
-    planned = faults.plan(rng, seconds)
+    processes = fleet.Fleet(folder)
+    schedule = faults.plan(rng, seconds)
     try:
-        await running.start(VMS, RUNNERS)
-        crowd = callers.Callers(running, rng)
-        tasks = [asyncio.ensure_future(crowd.run()) for _ in range(CALLERS)]
-        await _disturb(running, planned, rng)
-        await asyncio.sleep(SETTLE_S)
-        calm_from = crowd.now
-        await asyncio.sleep(CALM_S)
-        crowd.stop()
+        await processes.start(VM_COUNT, RUNNER_COUNT)
+        caller_group = callers.CallerGroup(processes, rng)
+        tasks = [
+            asyncio.ensure_future(caller_group.run())
+            for _ in range(CALLER_COUNT)
+        ]
+        await _inject_faults(processes, schedule, rng)
+        await asyncio.sleep(RECOVERY_S)
+        quiet_since_s = caller_group.elapsed_s
+        await asyncio.sleep(QUIET_PERIOD_S)
+        caller_group.stop()
         await asyncio.gather(*tasks)
-        broken = checks.broken(crowd.calls, running.ran(), calm_from)
-        return Result(seed, crowd.calls, planned, broken)
+        violations = checks.find_violations(
+            caller_group.calls, processes.executions(), quiet_since_s
+        )
+        return SoakResult(seed, caller_group.calls, schedule, violations)
     finally:
-        running.close()
+        processes.close()
 
 
-async def _disturb(
-    running: fleet.Fleet,
-    planned: list[tuple[float, str]],
+async def _inject_faults(
+    processes: fleet.Fleet,
+    schedule: list[tuple[float, str]],
     rng: random.Random,
 ) -> None:
-    """Begin each fault in its time, and wait until all are over."""
-    began = asyncio.get_running_loop().time()
+    """Start each fault at its scheduled time and wait for all to end."""
+    started_at = asyncio.get_running_loop().time()
     tasks = []
-    for at, name in planned:
-        now = asyncio.get_running_loop().time() - began
+    for at, name in schedule:
+        now = asyncio.get_running_loop().time() - started_at
         await asyncio.sleep(max(0.0, at - now))
-        own = random.Random(rng.random())
-        tasks.append(asyncio.ensure_future(faults.FAULTS[name](running, own)))
+        fault_rng = random.Random(rng.random())
+        tasks.append(
+            asyncio.ensure_future(faults.FAULTS[name](processes, fault_rng))
+        )
     await asyncio.gather(*tasks)
 
 
-def _run(seed: int, seconds: float, keep: pathlib.Path) -> Result:
-    """Run one soak; the folder of one that broke a promise is kept."""
+def _run_seed(
+    seed: int, seconds: float, keep_folder: pathlib.Path
+) -> SoakResult:
+    """Run one soak test; keep its folder if a guarantee was violated."""
     folder = pathlib.Path(tempfile.mkdtemp(prefix="soak-"))
     result = asyncio.run(soak(seed, seconds, folder))
-    if result.broken:
-        kept = keep / f"seed-{seed}"
+    if result.violations:
+        kept = keep_folder / f"seed-{seed}"
         shutil.rmtree(kept, ignore_errors=True)
         shutil.copytree(folder, kept)
     shutil.rmtree(folder, ignore_errors=True)
@@ -110,33 +122,41 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run the soaks.
+    """Run the soak tests that the command line asks for.
 
-    :returns: 1 if a promise was broken, else 0.
+    :returns: 1 if a guarantee was violated, else 0.
     """
     parser = argparse.ArgumentParser("soak", description=__doc__)
     parser.add_argument(
-        "--seeds", type=int, default=5, help="fresh seeds (default: 5)"
+        "--seeds",
+        type=int,
+        default=5,
+        help="number of random seeds (default: 5)",
     )
     parser.add_argument(
-        "--seed", type=int, action="append", help="one seed; may come often"
+        "--seed",
+        type=int,
+        action="append",
+        help="a seed to run; may be repeated",
     )
-    parser.add_argument("--seconds", type=float, default=SECONDS)
+    parser.add_argument("--seconds", type=float, default=DURATION_S)
     parser.add_argument(
         "--keep",
         type=pathlib.Path,
         default=pathlib.Path("soak-logs"),
-        help="where folders of soaks that broke a promise go",
+        help="where to keep the folders of failed soak tests",
     )
     options = parser.parse_args(arguments)
-    fresh = random.SystemRandom()
-    seeds = options.seed or [fresh.choice(SEEDS) for _ in range(options.seeds)]
-    broken = 0
+    system_rng = random.SystemRandom()
+    seeds = options.seed or [
+        system_rng.choice(SEED_RANGE) for _ in range(options.seeds)
+    ]
+    failed_soaks = 0
     for seed in seeds:
-        result = _run(seed, options.seconds, options.keep)
-        print(json.dumps(result.document), flush=True)
-        broken += bool(result.broken)
-    return int(bool(broken))
+        result = _run_seed(seed, options.seconds, options.keep)
+        print(json.dumps(result.summary), flush=True)
+        failed_soaks += bool(result.violations)
+    return int(bool(failed_soaks))
 
 
 if __name__ == "__main__":
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers of a soak: they look VMs up, keep connections, and remember."""
+"""Callers of a soak test, which record each call and its answer."""
 
 import asyncio
 import itertools
@@ -9,25 +9,26 @@
 
 from . import fleet
 
-#: A caller's list of VMs is read anew after this time, in seconds.
-TTL_S = 1.0
-LOOKUP_S = 1.0
-PAUSE_S = 0.05
-#: How long a caller waits, and says that it waits, in seconds.
-PATIENCE_S = 5.0
-KEEP_PART = 0.7
-LEFTOVER_BYTES = 4096
-#: Call id, customer and path of each run.
-Ran = typing.Sequence[typing.Sequence[str]]
-EVENT = re.compile(rb"id: (\d+)\ndata: (\d+) of (\S+)\n\n")
+#: Time after which a caller looks the VMs up again, in seconds.
+LOOKUP_TTL_S = 1.0
+LOOKUP_TIMEOUT_S = 1.0
+MAX_PAUSE_S = 0.05
+#: The deadline that a caller declares in each call, in seconds.
+CALL_TIMEOUT_S = 5.0
+#: Probability that a connection is kept open after a call.
+KEEP_ALIVE_SHARE = 0.7
+TRAILING_READ_BYTES = 4096
+#: Call id, customer and path of each execution on a runner.
+Executions = typing.Sequence[typing.Sequence[str]]
+EVENT_PATTERN = re.compile(rb"id: (\d+)\ndata: (\d+) of (\S+)\n\n")
 
 
 class Call:
-    """One call and what came back.
+    """One call and its answer.
 
-    :param sent_at: seconds since the soak began.
-    :param status: 0 when no whole head came.
-    :param complete: whether the answer looked whole.
+    :param prefix: path prefix of the route.
+    :param vm: name of the VM that the call is sent to.
+    :param sent_at: seconds since the start of the soak test.
     """
 
     def __init__(
@@ -37,20 +38,22 @@
         self.prefix = prefix
         self.vm = vm
         self.sent_at = sent_at
+        #: HTTP status; 0 unless the head of an answer was read.
         self.status = 0
         self.body = b""
+        #: Whether the answer was read up to its declared end.
         self.complete = False
-        #: Bytes that followed the answer on its connection.
-        self.unasked = b""
+        #: Bytes received after the end of the answer.
+        self.trailing_bytes = b""
 
     @property
     def served(self) -> bool:
-        """Whether a whole success came."""
+        """Whether a complete answer with status 200 was received."""
         return self.status == 200 and self.complete
 
 
 class Connection:
-    """A connection to one VM."""
+    """Keep-alive connection to one VM."""
 
     def __init__(
         self,
@@ -63,12 +66,12 @@
         self.writer = writer
         self.closing = False
 
-    async def call(self, call: Call) -> None:
-        """Send a call and read its answer into it."""
+    async def send(self, call: Call) -> None:
+        """Send a call and store its answer in it."""
         self.writer.write(
             f"POST {call.prefix}x HTTP/1.1\r\nHost: {fleet.ROUTE_HOST}\r\n"
-            f"Call-Id: {call.call_id}\r\nKey: {fleet.KEY}\r\n"
-            f"Wait-S: {PATIENCE_S}\r\nContent-Length: 2\r\n\r\nhi".encode()
+            f"Call-Id: {call.call_id}\r\nKey: {fleet.API_KEY}\r\n"
+            f"Wait-S: {CALL_TIMEOUT_S}\r\nContent-Length: 2\r\n\r\nhi".encode()
         )
         await self.writer.drain()
         head = await self.reader.readuntil(b"\r\n\r\n")
@@ -80,117 +83,125 @@
         call.status = int(lines[0].split()[1])
         self.closing = headers.get("connection", "").lower() == "close"
         if headers.get("transfer-encoding") == "chunked":
-            await self._chunks(call)
+            await self._read_chunks(call)
         else:
             length = int(headers["content-length"])
             call.body = await self.reader.readexactly(length)
         call.complete = True
 
-    async def _chunks(self, call: Call) -> None:
+    async def _read_chunks(self, call: Call) -> None:
         while size := int(await self.reader.readuntil(b"\r\n"), 16):
             call.body += await self.reader.readexactly(size)
             await self.reader.readexactly(2)
         await self.reader.readexactly(2)
 
-    async def leftover(self) -> bytes:
-        """What has come after the last answer, without waiting."""
+    async def read_trailing_bytes(self) -> bytes:
+        """Return bytes received after the last answer, without waiting."""
         try:
             async with asyncio.timeout(0):
-                return await self.reader.read(LEFTOVER_BYTES)
+                return await self.reader.read(TRAILING_READ_BYTES)
         except (TimeoutError, OSError):
             return b""
 
     def close(self) -> None:
-        """Close at once."""
+        """Close the connection without waiting for unsent data."""
         self.writer.transport.abort()
 
 
-class Callers:
-    """Some callers that call one after the other, each for itself.
+class CallerGroup:
+    """Independent callers; each sends one call at a time.
 
-    :param running: the fleet that they call.
+    :param processes: the fleet that the callers call.
+    :param rng: source of all random choices of the callers.
     """
 
-    def __init__(self, running: fleet.Fleet, rng: random.Random) -> None:
-        self._fleet = running
+    def __init__(self, processes: fleet.Fleet, rng: random.Random) -> None:
+        self._fleet = processes
         self._rng = rng
-        self._numbers = itertools.count(1)
-        self._began = asyncio.get_running_loop().time()
+        self._call_numbers = itertools.count(1)
+        self._started_at = asyncio.get_running_loop().time()
         self._stopped = False
         self.calls: list[Call] = []
 
     @property
-    def now(self) -> float:
-        """Seconds since the soak began."""
-        return asyncio.get_running_loop().time() - self._began
+    def elapsed_s(self) -> float:
+        """Seconds since the start of the soak test."""
+        return asyncio.get_running_loop().time() - self._started_at
 
     def stop(self) -> None:
-        """Let each caller end after its call."""
+        """Let each caller end after its current call."""
         self._stopped = True
 
     async def run(self) -> None:
-        """One caller, until all are stopped."""
+        """Run one caller until :meth:`stop` is called."""
         ports: list[int] = []
-        read_at = float("-inf")
+        looked_up_at_s = float("-inf")
         connection: Connection | None = None
         while not self._stopped:
-            if self.now - read_at > TTL_S or not ports:
+            if self.elapsed_s - looked_up_at_s > LOOKUP_TTL_S or not ports:
                 ports = await asyncio.to_thread(self._look_up) or ports
-                read_at = self.now
+                looked_up_at_s = self.elapsed_s
             if connection is not None and connection.port not in ports:
                 connection.close()
                 connection = None
             if ports:
-                connection = await self._call(ports, connection)
-            await asyncio.sleep(PAUSE_S * self._rng.random())
+                connection = await self._send_call(ports, connection)
+            await asyncio.sleep(MAX_PAUSE_S * self._rng.random())
         if connection is not None:
             connection.close()
 
-    async def _call(
+    async def _send_call(
         self, ports: list[int], connection: Connection | None
     ) -> Connection | None:
         prefix = self._rng.choice(fleet.ROUTES)[0]
         port = connection.port if connection else self._rng.choice(ports)
-        name = self._vm_at(port)
-        call = Call(f"c-{next(self._numbers)}", prefix, name, self.now)
+        vm_name = self._vm_name(port)
+        call = Call(
+            f"c-{next(self._call_numbers)}", prefix, vm_name, self.elapsed_s
+        )
         self.calls.append(call)
-        keep = self._rng.random() < KEEP_PART
+        keep = self._rng.random() < KEEP_ALIVE_SHARE
         try:
-            async with asyncio.timeout(PATIENCE_S + 1.0):
+            async with asyncio.timeout(CALL_TIMEOUT_S + 1.0):
                 if connection is None:
-                    pair = await asyncio.open_connection(fleet.HOST, port)
-                    connection = Connection(port, *pair)
-                await connection.call(call)
+                    streams = await asyncio.open_connection(fleet.HOST, port)
+                    connection = Connection(port, *streams)
+                await connection.send(call)
         except (OSError, EOFError, ValueError, TimeoutError):
             if connection is not None:
                 connection.close()
             return None
-        call.unasked = await connection.leftover()
-        if not keep or connection.closing or call.unasked:
+        call.trailing_bytes = await connection.read_trailing_bytes()
+        if not keep or connection.closing or call.trailing_bytes:
             connection.close()
             return None
         return connection
 
     def _look_up(self) -> list[int]:
-        """Ask VMs, in any order, until one answers."""
+        """Ask the VMs in random order until one answers.
+
+        :returns: ports of the VMs to call; empty when no VM answered.
+        """
         for vm in self._rng.sample(self._fleet.vms, len(self._fleet.vms)):
             url = f"http://{fleet.HOST}:{vm.ports['lookups']}/vms"
             try:
-                with urllib.request.urlopen(url, timeout=LOOKUP_S) as answer:
+                with urllib.request.urlopen(
+                    url, timeout=LOOKUP_TIMEOUT_S
+                ) as answer:
                     text = answer.read().decode()
             except OSError:
                 continue
             return [int(line.rpartition(":")[2]) for line in text.split()]
         return []
 
-    def _vm_at(self, port: int) -> str:
+    def _vm_name(self, port: int) -> str:
         names = (v.name for v in self._fleet.vms if v.ports["callers"] == port)
         return next(names, "")
 
 
-def events_in(body: bytes) -> list[tuple[int, str]]:
-    """Number and call of each whole event."""
+def parse_events(body: bytes) -> list[tuple[int, str]]:
+    """Return number and call id of each complete event."""
     return [
         (int(number), call_id.decode())
-        for number, _, call_id in EVENT.findall(body)
+        for number, _, call_id in EVENT_PATTERN.findall(body)
     ]
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -1,4 +1,4 @@
-"""What has to hold after a soak, from what callers and runners saw."""
+"""Checks the records of callers and runners after a soak test."""
 
 import collections
 import itertools
@@ -7,95 +7,118 @@
 from . import fleet
 from . import runner
 
-#: Statuses that promise that a call has not run and never will.
-PROMISES = (408, 421, 429, 503)
-#: Calls of the calm time at the end that have to be served.
-LEAST_SERVED_PART = 0.9
-REPEATABLE = ("/safe/", "/stream-on/")
+#: Statuses that guarantee that a call has not run and never will.
+NOT_RUN_STATUSES = (408, 421, 429, 503)
+#: Share of the calls in the final quiet period that have to be served.
+MIN_SERVED_SHARE = 0.9
+#: Path prefixes of the routes whose calls may run more than once.
+REPEATABLE_PREFIXES = ("/safe/", "/stream-on/")
 
 
-def broken(
-    calls: list[callers.Call], ran: callers.Ran, calm_from: float
+def find_violations(
+    calls: list[callers.Call],
+    executions: callers.Executions,
+    quiet_since_s: float,
 ) -> list[str]:
-    """All promises that were not kept, in words.
+    """Describe each violated guarantee.
 
-    :param ran: call id, customer and path of each run.
-    :param calm_from: from when on nothing was disturbed any more.
+    :param executions: call id, customer and path of each execution.
+    :param quiet_since_s: start of the final quiet period, in seconds since
+        the start of the soak test.
     """
-    runs = collections.Counter(each[0] for each in ran)
+    execution_counts = collections.Counter(each[0] for each in executions)
     return [
-        *_runs(calls, ran, runs),
-        *itertools.chain.from_iterable(map(_answer, calls)),
-        *_refusals(calls, runs),
-        *_calm(calls, calm_from),
+        *_check_executions(calls, executions, execution_counts),
+        *itertools.chain.from_iterable(map(_check_answer, calls)),
+        *_check_refusals(calls, execution_counts),
+        *_check_recovery(calls, quiet_since_s),
     ]
 
 
-def _runs(
-    calls: list[callers.Call], ran: callers.Ran, runs: dict[str, int]
+def _check_executions(
+    calls: list[callers.Call],
+    executions: callers.Executions,
+    execution_counts: dict[str, int],
 ) -> list[str]:
-    """Each run was asked for, by its caller and as often as allowed."""
+    """Check that each execution was requested and none repeated wrongly."""
     sent = {call.call_id: call for call in calls}
-    found = []
-    for call_id, customer, path in ran:
+    violations = []
+    for call_id, customer, path in executions:
         if call_id not in sent or path != sent[call_id].prefix + "x":
-            found.append(f"{call_id} {path} ran and nobody had sent it")
+            violations.append(f"{call_id} {path} ran but was never sent")
         elif customer != fleet.CUSTOMER:
-            found.append(f"{call_id} ran for {customer!r}")
+            violations.append(f"{call_id} ran for customer {customer!r}")
     for call in calls:
-        often = runs.get(call.call_id, 0)
-        if often > 1 and call.prefix not in REPEATABLE:
-            found.append(f"{call.call_id} {call.prefix} ran {often} times")
-    return found
-
-
-def _answer(call: callers.Call) -> list[str]:
-    """An answer is the runner's own, whole or visibly cut."""
-    found = []
-    if call.unasked:
-        found.append(f"{call.call_id}: bytes after the answer")
+        executed = execution_counts.get(call.call_id, 0)
+        if executed > 1 and call.prefix not in REPEATABLE_PREFIXES:
+            violations.append(
+                f"{call.call_id} {call.prefix} ran {executed} times"
+            )
+    return violations
+
+
+def _check_answer(call: callers.Call) -> list[str]:
+    """Check that an answer is unaltered or recognizably incomplete."""
+    violations = []
+    if call.trailing_bytes:
+        violations.append(f"{call.call_id}: bytes after the answer")
     if call.status in (401, 403, 404):
-        found.append(f"{call.call_id}: refused with {call.status}")
+        violations.append(f"{call.call_id}: refused with {call.status}")
     if call.status != 200:
-        return found
+        return violations
     if call.prefix.startswith("/stream"):
-        return [*found, *_events(call)]
-    if call.complete and call.body.decode() != runner.text_of(call.call_id):
-        found.append(f"{call.call_id}: another answer, {call.body[:60]!r}")
-    return found
-
-
-def _events(call: callers.Call) -> list[str]:
-    events = callers.events_in(call.body)
+        return [*violations, *_check_events(call)]
+    if call.complete and call.body.decode() != runner.answer_text(
+        call.call_id
+    ):
+        violations.append(
+            f"{call.call_id}: wrong answer body, {call.body[:60]!r}"
+        )
+    return violations
+
+
+def _check_events(call: callers.Call) -> list[str]:
+    events = callers.parse_events(call.body)
     numbers = [number for number, _ in events]
-    found = []
+    violations = []
     if any(call_id != call.call_id for _, call_id in events):
-        found.append(f"{call.call_id}: events of another call")
+        violations.append(f"{call.call_id}: events of another call")
     if numbers != list(range(1, len(numbers) + 1)):
-        found.append(f"{call.call_id}: events {numbers}")
-    if call.complete and len(numbers) != runner.events_of(call.call_id):
-        found.append(f"{call.call_id}: looks whole after {len(numbers)}")
-    return found
-
-
-def _refusals(calls: list[callers.Call], runs: dict[str, int]) -> list[str]:
-    """What was promised not to have run has not."""
+        violations.append(
+            f"{call.call_id}: unexpected event numbers {numbers}"
+        )
+    if call.complete and len(numbers) != runner.event_count(call.call_id):
+        violations.append(
+            f"{call.call_id}: complete answer with {len(numbers)} events"
+        )
+    return violations
+
+
+def _check_refusals(
+    calls: list[callers.Call], execution_counts: dict[str, int]
+) -> list[str]:
+    """Check that no call refused as not run has run."""
     return [
-        f"{call.call_id} {call.prefix}: {call.status}, and it ran"
+        f"{call.call_id} {call.prefix}: {call.status}, but it ran"
         for call in calls
-        if call.status in PROMISES
-        and call.prefix not in REPEATABLE
-        and runs.get(call.call_id)
+        if call.status in NOT_RUN_STATUSES
+        and call.prefix not in REPEATABLE_PREFIXES
+        and execution_counts.get(call.call_id)
     ]
 
 
-def _calm(calls: list[callers.Call], calm_from: float) -> list[str]:
-    """When nothing is disturbed any more, calls are served again."""
-    late = [call for call in calls if call.sent_at >= calm_from]
-    served = sum(call.served for call in late)
-    if not late:
-        return ["no call was made in the calm time"]
-    if served < LEAST_SERVED_PART * len(late):
-        failed = [(c.call_id, c.status) for c in late if not c.served]
-        return [f"served {served} of {len(late)} in the calm: {failed[:5]}"]
+def _check_recovery(
+    calls: list[callers.Call], quiet_since_s: float
+) -> list[str]:
+    """Check that calls are served in the final quiet period."""
+    quiet_calls = [call for call in calls if call.sent_at >= quiet_since_s]
+    served = sum(call.served for call in quiet_calls)
+    if not quiet_calls:
+        return ["no call was sent in the quiet period"]
+    if served < MIN_SERVED_SHARE * len(quiet_calls):
+        failed = [(c.call_id, c.status) for c in quiet_calls if not c.served]
+        return [
+            f"served {served} of {len(quiet_calls)} in the quiet period: "
+            f"{failed[:5]}"
+        ]
     return []
--- a/soak/dialect.py
+++ b/soak/dialect.py
@@ -1,4 +1,4 @@
-"""The dialect that the soaked VMs speak: JSON in the product's own words."""
+"""Dialect of the VMs in a soak test: JSON with the product's own names."""
 
 import json
 import typing
@@ -16,8 +16,8 @@
 RUNNERS_KIND = "runners"
 
 
-#: What each field of a runner's entry has to be.
-_ENTRY: dict[str, shapes.Check] = {
+#: Check of each field of a runner's entry.
+_ENTRY_FIELDS: dict[str, shapes.Check] = {
     "service": shapes.is_text,
     "host": shapes.is_text,
     "port": shapes.is_whole,
@@ -29,21 +29,21 @@
 }
 
 
-def _is_entry(spec: store.Json) -> bool:
+def _is_valid_entry(spec: store.Json) -> bool:
     return isinstance(spec, dict) and all(
-        check(spec.get(name)) for name, check in _ENTRY.items()
+        check(spec.get(name)) for name, check in _ENTRY_FIELDS.items()
     )
 
 
 class Documents:
-    """What lies in the store."""
+    """Platform dialect of the soak test."""
 
     configuration_kind = CONFIGURATION_KIND
     configuration_name = CONFIGURATION_NAME
     runners_kind = RUNNERS_KIND
 
     def configuration(self, spec: store.Json) -> routes.Configuration:
-        """Translate a configuration."""
+        """Decode a configuration."""
         return routes.Configuration(
             spec["version"],
             [_route(each) for each in spec["routes"]],
@@ -56,9 +56,9 @@
         )
 
     def runner(self, stored: store.StoredObject) -> runners.Entry:
-        """Translate a runner's entry, whatever stands in it."""
+        """Decode the entry of a runner; an invalid one is unreadable."""
         spec = stored.spec
-        if not _is_entry(spec):
+        if not _is_valid_entry(spec):
             return runners.Unreadable(stored.name, stored.revision, "spoiled")
         return runners.Runner(
             stored.name,
@@ -74,19 +74,22 @@
         )
 
     def store_codec(self) -> store.Codec:
-        """How calls to the store look."""
-        return Codec()
+        """Make the codec of calls to the store."""
+        return ObjectApiCodec()
 
     def report_call(
         self, window: int, counts: typing.Mapping[str, int]
     ) -> tuple[str, bytes]:
-        """Path and body of a usage report."""
+        """Return path and body of a usage report."""
         return f"/report/{window}", json.dumps(dict(counts)).encode()
 
     def order_call(
         self, service: str, data_centre: str, count: int, reclaimable: bool
     ) -> tuple[str, bytes]:
-        """Runners can't be ordered here."""
+        """Not supported: a soak test orders no runners.
+
+        :raises NotImplementedError: always.
+        """
         raise NotImplementedError
 
 
@@ -104,18 +107,18 @@
     )
 
 
-class Codec:
-    """Calls to the object API stand-in; a name there is ``KIND/NAME``."""
+class ObjectApiCodec:
+    """Codec of the object API stand-in, which names objects ``KIND/NAME``."""
 
     @property
     def durable(self) -> bool:
-        """The stand-in forgets all when it ends."""
+        """Always false: the stand-in keeps its objects in memory only."""
         return False
 
     def list_call(
         self, kind: str, after: str | None, stale: bool
     ) -> store.Call:
-        """List a kind; it comes whole."""
+        """List a kind; the stand-in returns the whole list in one page."""
         return store.Call("GET", f"/v1/objects?prefix={kind}/")
 
     def watch_call(
@@ -140,17 +143,21 @@
     def replace_call(
         self, kind: str, name: str, spec: store.Json, revision: int | None
     ) -> store.Call:
-        """Replace an object's value."""
+        """Replace the value of an object.
+
+        :param revision: that the object must be at, 0 for one that must not
+            exist yet; None for any.
+        """
         query = "" if revision is None else f"?at={revision}"
         body = json.dumps({"value": spec}).encode()
         return store.Call("PUT", f"/v1/objects/{kind}/{name}{query}", body)
 
     def delete_call(self, kind: str, name: str) -> store.Call:
-        """Remove an object."""
+        """Delete an object."""
         return store.Call("DELETE", f"/v1/objects/{kind}/{name}")
 
     def page(self, body: bytes) -> store.Page:
-        """Read a list."""
+        """Decode a list."""
         document = json.loads(body)
         return store.Page(
             [_stored(item) for item in document["items"]],
@@ -159,7 +166,7 @@
         )
 
     def changes(self, body: bytes) -> store.Changes:
-        """Read the answer to a watch."""
+        """Decode the answer to a watch."""
         document = json.loads(body)
         return store.Changes(
             [
@@ -170,7 +177,7 @@
         )
 
     def stored(self, body: bytes) -> store.StoredObject:
-        """Read one object; the answer to a write lacks its value."""
+        """Decode one object; the answer to a write has no value."""
         return _stored(json.loads(body))
 
 
@@ -183,7 +190,7 @@
 
 @dialects.register("soak")
 def make() -> dialects.Dialect:
-    """The dialect of the soak."""
+    """Make the dialect of the soak test."""
     return dialects.Dialect(
         plain_dialect.PlainCallers(),
         plain_dialect.PlainRunners(),
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -1,4 +1,4 @@
-"""The soaked processes: a store, runners and entry VMs on loopback."""
+"""Processes of a soak test: a store, runners and entry VMs on loopback."""
 
 import asyncio
 import itertools
@@ -20,28 +20,30 @@
 
 HOST = ports.HOST
 ROOT = pathlib.Path(__file__).resolve().parents[1]
-START_S = 20.0
-POLL_S = 0.05
+START_TIMEOUT_S = 20.0
+POLL_INTERVAL_S = 0.05
 CONCURRENCY = 16
 ROUTE_HOST = "soak.example"
-KEY = "key-of-clerks"
+API_KEY = "key-of-clerks"
 CUSTOMER = "clerks"
 DATA_CENTRES = ("dc-a", "dc-b")
 SERVICES = ("plain", "streams")
-#: What may be repeated, below each prefix.
+#: Prefix, service, kind of calls, maximum number of attempts and whether
+#: streams are resumable, for each route.
 ROUTES = (
     ("/safe/", "plain", "idempotent", 3, False),
     ("/once/", "plain", "non-idempotent", 3, False),
     ("/stream/", "streams", "stream", 3, False),
     ("/stream-on/", "streams", "stream", 3, True),
 )
-TIMEOUT_S = 4.0
+ROUTE_TIMEOUT_S = 4.0
 
 
-class Child:
-    """One process; it is ended by its id only.
+class ChildProcess:
+    """One child process, which is signalled by its process id only.
 
-    :param log: where its output goes.
+    :param arguments: of ``python -m``.
+    :param log: file for the output of the process.
     """
 
     def __init__(self, arguments: list[str], log: pathlib.Path) -> None:
@@ -50,12 +52,12 @@
         self._process: subprocess.Popen[bytes] | None = None
 
     @property
-    def running(self) -> bool:
-        """Whether it was started and has not ended."""
+    def is_running(self) -> bool:
+        """Whether the process was started and has not ended."""
         return self._process is not None and self._process.poll() is None
 
     def start(self) -> None:
-        """Start it, again after an end."""
+        """Start the process, or start it again after it has ended."""
         with self._log.open("ab") as log:
             self._process = subprocess.Popen(
                 [sys.executable, "-m", *self._arguments],
@@ -65,133 +67,149 @@
                 stderr=subprocess.STDOUT,
             )
 
-    def signal(self, number: int) -> None:
-        """Send a signal, if it still runs."""
-        if self._process is not None and self.running:
+    def send_signal(self, number: int) -> None:
+        """Send a signal to the process if it is still running."""
+        if self._process is not None and self.is_running:
             os.kill(self._process.pid, number)
 
-    async def ended(self, timeout_s: float) -> bool:
-        """Wait for its end."""
-        return await until(lambda: not self.running, timeout_s)
+    async def wait_until_ended(self, timeout_s: float) -> bool:
+        """Wait for the end of the process.
+
+        :returns: False when the process has not ended in time.
+        """
+        return await wait_until(lambda: not self.is_running, timeout_s)
 
     def kill(self) -> None:
-        """End it at once, also when it stands still."""
+        """Kill the process, even if it is suspended, and wait for its end."""
         if self._process is not None:
-            self.signal(signal.SIGKILL)
+            self.send_signal(signal.SIGKILL)
             self._process.wait()
 
 
-class Vm:
-    """One entry VM with its proxy to the store."""
+class VmProcess:
+    """One entry VM and its proxy to the store.
+
+    :param ports_by_role: ports for callers, checks, lookups and peers.
+    """
 
     def __init__(
         self,
         name: str,
-        child: Child,
-        served: dict[str, int],
-        link: proxy.Proxy,
+        process: ChildProcess,
+        ports_by_role: dict[str, int],
+        link: proxy.FaultProxy,
     ) -> None:
         self.name = name
-        self.child = child
-        self.ports = served
+        self.process = process
+        self.ports = ports_by_role
         self.link = link
 
 
-class Runner:
-    """One runner with the proxy that all VMs reach it by."""
+class RunnerProcess:
+    """One runner and the proxy through which all VMs reach it."""
 
     def __init__(
-        self, name: str, service: str, child: Child, link: proxy.Proxy
+        self,
+        name: str,
+        service: str,
+        process: ChildProcess,
+        link: proxy.FaultProxy,
     ) -> None:
         self.name = name
         self.service = service
-        self.child = child
+        self.process = process
         self.link = link
         self.born = 0
         self.sequence = 0
-        self.started()
+        self.reset_incarnation()
 
-    def started(self) -> None:
-        """Its process is a new one."""
+    def reset_incarnation(self) -> None:
+        """Record that the runner runs in a new process."""
         self.born = max(self.born + 1, time.time_ns() // 1_000_000)
         self.sequence = 0
 
 
 class Fleet:
-    """All processes of one soak.
+    """All processes of one soak test.
 
-    :param folder: for settings, logs and journals.
+    :param folder: for settings, logs and the runners' journal.
     """
 
     def __init__(self, folder: pathlib.Path) -> None:
         self._folder = folder
-        self._numbers = itertools.count(1)
+        self._runner_numbers = itertools.count(1)
         self._ports = ports.Reservations()
         self._store_port = self._ports.reserve()
         self._version = 0
-        self.store = Child(
+        self.store = ChildProcess(
             ["standins.object_api", "--port", str(self._store_port)],
             folder / "store.log",
         )
-        self.vms: list[Vm] = []
-        self.runners: list[Runner] = []
+        self.vms: list[VmProcess] = []
+        self.runners: list[RunnerProcess] = []
 
     async def start(self, vms: int, runners: int) -> None:
-        """Start everything.
+        """Start all processes.
 
-        :raises TimeoutError: when a VM does not get ready.
+        :param vms: number of entry VMs.
+        :param runners: number of runners.
+        :raises TimeoutError: when a VM does not become ready.
         """
         self.store.start()
-        await self._wait(lambda: self._store("GET", "/v1/objects"))
-        await self.configure()
+        await self._retry(
+            lambda: self._try_store_request("GET", "/v1/objects")
+        )
+        await self.write_configuration()
         for number in range(runners):
             await self.add_runner(SERVICES[number % len(SERVICES)])
-        addresses = [self._vm_ports() for _ in range(vms)]
+        addresses = [self._reserve_vm_ports() for _ in range(vms)]
         seeds = [each["peers"] for each in addresses[:3]]
         for number, each in enumerate(addresses):
             await self._add_vm(f"vm-{number}", each, seeds)
         for vm in self.vms:
-            await self._wait(lambda vm=vm: ready(vm))
+            await self._retry(lambda vm=vm: is_ready(vm))
 
-    async def configure(self) -> None:
-        """Put the next version in force; only its number changes."""
+    async def write_configuration(self) -> None:
+        """Write the next configuration; only its version changes."""
         self._version += 1
-        await self.put(
+        await self.put_object(
             dialect.CONFIGURATION_KIND,
             dialect.CONFIGURATION_NAME,
             {
                 "version": self._version,
                 "services": list(SERVICES),
-                "customers": {CUSTOMER: [KEY]},
+                "customers": {CUSTOMER: [API_KEY]},
                 "routes": [_route_document(*route) for route in ROUTES],
             },
         )
 
     async def add_runner(
-        self, service: str, link: proxy.Proxy | None = None, port: int = 0
-    ) -> Runner:
-        """Start a runner and list it.
+        self, service: str, link: proxy.FaultProxy | None = None, port: int = 0
+    ) -> RunnerProcess:
+        """Start a runner and write its entry.
 
-        :param link: of a former runner, whose address it takes over.
+        :param link: proxy of a former runner whose address the new runner
+            takes over; None for a new address.
+        :param port: of the former runner's process; 0 for a new port.
         """
-        name = f"r-{next(self._numbers)}"
+        name = f"r-{next(self._runner_numbers)}"
         port = port or self._ports.reserve()
-        child = Child(
+        process = ChildProcess(
             ["soak.runner", name, str(port), str(self.journal)],
             self._folder / f"{name}.log",
         )
-        child.start()
-        await until(lambda: _listens(port), START_S)
+        process.start()
+        await wait_until(lambda: _is_listening(port), START_TIMEOUT_S)
         if link is None:
-            link = proxy.Proxy(port)
+            link = proxy.FaultProxy(port)
             await link.start()
-        runner = Runner(name, service, child, link)
+        runner = RunnerProcess(name, service, process, link)
         self.runners.append(runner)
-        await self.list_runner(runner, leaving=False)
+        await self.write_entry(runner, leaving=False)
         return runner
 
-    async def list_runner(self, runner: Runner, leaving: bool) -> None:
-        """Write a runner's entry."""
+    async def write_entry(self, runner: RunnerProcess, leaving: bool) -> None:
+        """Write the entry of a runner into the store."""
         number = int(runner.name.rpartition("-")[2])
         runner.sequence += 1
         entry = {
@@ -204,57 +222,61 @@
             "born": runner.born,
             "sequence": runner.sequence,
         }
-        await self.put(dialect.RUNNERS_KIND, runner.name, entry)
+        await self.put_object(dialect.RUNNERS_KIND, runner.name, entry)
 
-    async def restart_runner(self, runner: Runner) -> None:
-        """Start a runner again, under its name and at its address."""
+    async def restart_runner(self, runner: RunnerProcess) -> None:
+        """Start a runner again with the same name and address."""
         port = runner.link.target
-        runner.child.start()
-        await until(lambda: _listens(port), START_S)
-        runner.started()
-        await self.list_runner(runner, leaving=False)
+        runner.process.start()
+        await wait_until(lambda: _is_listening(port), START_TIMEOUT_S)
+        runner.reset_incarnation()
+        await self.write_entry(runner, leaving=False)
 
-    async def remove_runner(self, runner: Runner) -> None:
-        """Remove an entry; the store may stand still meanwhile."""
+    async def delete_entry(self, runner: RunnerProcess) -> None:
+        """Delete the entry of a runner, retrying while the store is down."""
         path = f"/v1/objects/{dialect.RUNNERS_KIND}/{runner.name}"
-        await self._wait(lambda: self._store("DELETE", path))
+        await self._retry(lambda: self._try_store_request("DELETE", path))
 
-    async def put(self, kind: str, name: str, value: typing.Any) -> None:
-        """Write an object as the platform does, until it is written."""
+    async def put_object(
+        self, kind: str, name: str, value: typing.Any
+    ) -> None:
+        """Write an object of the platform, retrying until it is stored."""
         path = f"/v1/objects/{kind}/{name}"
-        await self._wait(lambda: self._store("PUT", path, {"value": value}))
+        await self._retry(
+            lambda: self._try_store_request("PUT", path, {"value": value})
+        )
 
     @property
     def journal(self) -> pathlib.Path:
-        """Where all runners write what they run."""
+        """Path of the file in which all runners record their calls."""
         return self._folder / "journal.txt"
 
-    def ran(self) -> list[list[str]]:
-        """Call id, customer and path of each run."""
+    def executions(self) -> list[list[str]]:
+        """Return call id, customer and path of each execution on a runner."""
         if not self.journal.exists():
             return []
         lines = self.journal.read_text().splitlines()
         return [line.split(" ") for line in lines]
 
     def close(self) -> None:
-        """End all processes."""
-        children = [vm.child for vm in self.vms]
-        children += [runner.child for runner in self.runners]
-        for child in [*children, self.store]:
-            child.signal(signal.SIGCONT)
-            child.kill()
+        """Kill all processes and close the proxies."""
+        processes = [vm.process for vm in self.vms]
+        processes += [runner.process for runner in self.runners]
+        for process in [*processes, self.store]:
+            process.send_signal(signal.SIGCONT)
+            process.kill()
         for each in [*self.vms, *self.runners]:
             each.link.close()
         self._ports.close()
 
-    def _vm_ports(self) -> dict[str, int]:
+    def _reserve_vm_ports(self) -> dict[str, int]:
         names = ("callers", "checks", "lookups", "peers")
         return {name: self._ports.reserve() for name in names}
 
     async def _add_vm(
-        self, name: str, served: dict[str, int], seeds: list[int]
+        self, name: str, ports_by_role: dict[str, int], seeds: list[int]
     ) -> None:
-        link = proxy.Proxy(self._store_port)
+        link = proxy.FaultProxy(self._store_port)
         await link.start()
         number = len(self.vms)
         document = {
@@ -262,15 +284,17 @@
             "data_centre": DATA_CENTRES[number % len(DATA_CENTRES)],
             "seeds": seeds,
             "store": link.port,
-            **served,
+            **ports_by_role,
         }
         path = self._folder / f"{name}.json"
         path.write_text(json.dumps(document))
-        child = Child(["soak.vm", str(path)], self._folder / f"{name}.log")
-        child.start()
-        self.vms.append(Vm(name, child, served, link))
+        process = ChildProcess(
+            ["soak.vm", str(path)], self._folder / f"{name}.log"
+        )
+        process.start()
+        self.vms.append(VmProcess(name, process, ports_by_role, link))
 
-    def _store(
+    def _try_store_request(
         self, method: str, path: str, document: typing.Any = None
     ) -> bool:
         body = None if document is None else json.dumps(document).encode()
@@ -284,17 +308,20 @@
         except OSError:
             return False
 
-    async def _wait(self, done: typing.Callable[[], bool]) -> None:
-        """Repeat a blocking step in a thread until it has succeeded."""
-        deadline = asyncio.get_running_loop().time() + START_S
-        while not await asyncio.to_thread(done):
+    async def _retry(self, operation: typing.Callable[[], bool]) -> None:
+        """Repeat a blocking operation in a thread until it succeeds.
+
+        :raises TimeoutError: when the operation fails for too long.
+        """
+        deadline = asyncio.get_running_loop().time() + START_TIMEOUT_S
+        while not await asyncio.to_thread(operation):
             if asyncio.get_running_loop().time() > deadline:
-                raise TimeoutError("a step of the soak does not succeed")
-            await asyncio.sleep(POLL_S)
+                raise TimeoutError("store or VM did not respond in time")
+            await asyncio.sleep(POLL_INTERVAL_S)
 
 
-def ready(vm: Vm) -> bool:
-    """Whether a VM says that callers may be sent to it."""
+def is_ready(vm: VmProcess) -> bool:
+    """Whether a VM reports that it is ready for callers."""
     url = f"http://{HOST}:{vm.ports['checks']}/ready"
     try:
         with urllib.request.urlopen(url, timeout=0.5) as answer:
@@ -303,19 +330,24 @@
         return False
 
 
-async def until(done: typing.Callable[[], bool], timeout_s: float) -> bool:
-    """Poll until something is so, or the time is over."""
+async def wait_until(
+    condition: typing.Callable[[], bool], timeout_s: float
+) -> bool:
+    """Poll a condition until it holds or the time is over.
+
+    :returns: whether the condition held in time.
+    """
     deadline = asyncio.get_running_loop().time() + timeout_s
-    while not done():
+    while not condition():
         if asyncio.get_running_loop().time() > deadline:
             return False
-        await asyncio.sleep(POLL_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
     return True
 
 
-def _listens(port: int) -> bool:
-    with socket.socket() as found:
-        return found.connect_ex((HOST, port)) == 0
+def _is_listening(port: int) -> bool:
+    with socket.socket() as probe:
+        return probe.connect_ex((HOST, port)) == 0
 
 
 def _route_document(
@@ -328,7 +360,7 @@
         "service": service,
         "kind": kind,
         "resumable": resumable,
-        "timeout_s": TIMEOUT_S,
+        "timeout_s": ROUTE_TIMEOUT_S,
         "objective_s": 0.5,
         "max_attempts": attempts,
     }
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that spoils connections."""
+"""Loopback TCP proxy that injects network faults."""
 
 import asyncio
 import contextlib
@@ -9,26 +9,27 @@
 HOST = "127.0.0.1"
 CHUNK_BYTES = 65536
 DELAY_S = 0.25
-RESET = struct.pack("ii", 1, 0)
+#: Socket option value that makes a close send a reset.
+LINGER_RESET = struct.pack("ii", 1, 0)
 
 
 class Mode(enum.Enum):
-    """What the proxy does to its connections, open and new ones."""
+    """What the proxy does to its open and new connections."""
 
     PASS = "pass"
     DELAY = "delay"
-    #: Open connections are reset, and new ones at once.
+    #: Open connections are reset, new ones as soon as they are accepted.
     RESET = "reset"
-    #: Nothing passes either way, and nobody is told.
+    #: Data is dropped in both directions; connections stay open.
     SILENT = "silent"
-    #: Requests pass, answers don't.
+    #: Requests are forwarded, answers are dropped.
     ONE_WAY = "one_way"
 
 
-class Proxy:
-    """Passes connections on to one port.
+class FaultProxy:
+    """Forwards connections to one port.
 
-    :param target: the port behind it.
+    :param target: the port that connections are forwarded to.
     """
 
     def __init__(self, target: int) -> None:
@@ -44,14 +45,14 @@
         self.port = self._server.sockets[0].getsockname()[1]
 
     def set_mode(self, mode: Mode) -> None:
-        """Change what is done to connections."""
+        """Change the mode for open and new connections."""
         self._mode = mode
         if mode is Mode.RESET:
             for writer in list(self._writers):
-                _reset(writer)
+                _reset_connection(writer)
 
     def close(self) -> None:
-        """Stop listening and end all connections."""
+        """Stop listening and abort all connections."""
         if self._server is not None:
             self._server.close()
         for writer in list(self._writers):
@@ -63,59 +64,64 @@
         self._writers.add(writer)
         try:
             if self._mode is Mode.RESET:
-                _reset(writer)
+                _reset_connection(writer)
                 return
-            far_reader, far_writer = await asyncio.open_connection(
+            target_reader, target_writer = await asyncio.open_connection(
                 HOST, self.target
             )
         except OSError:
-            _reset(writer)
+            _reset_connection(writer)
             return
         finally:
             self._writers.discard(writer)
-        self._writers |= {writer, far_writer}
+        self._writers |= {writer, target_writer}
         try:
             await asyncio.gather(
-                self._pump(reader, far_writer, False),
-                self._pump(far_reader, writer, True),
+                self._copy(reader, target_writer, False),
+                self._copy(target_reader, writer, True),
             )
         except asyncio.CancelledError:
-            # The loop ends; asyncio would report each connection.
+            # The event loop is closing; asyncio would log an error for each
+            # connection.
             pass
         finally:
-            self._writers -= {writer, far_writer}
+            self._writers -= {writer, target_writer}
             writer.transport.abort()
-            far_writer.transport.abort()
+            target_writer.transport.abort()
 
-    async def _pump(
+    async def _copy(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        answers: bool,
+        from_target: bool,
     ) -> None:
-        """Copy one way.
+        """Copy data in one direction.
 
-        A connection that has lost bytes stays silent for good: no network
-        leaves a gap in the middle of a stream.
+        Once data was dropped in a direction, no later data is forwarded in
+        it, because TCP never leaves a gap in the middle of a stream.
+
+        :param from_target: whether the data are answers of the target.
         """
-        lost = False
+        data_lost = False
         with contextlib.suppress(OSError):
             while data := await reader.read(CHUNK_BYTES):
                 if self._mode is Mode.DELAY:
                     await asyncio.sleep(DELAY_S)
-                lost = lost or self._mode is Mode.SILENT
-                lost = lost or (self._mode is Mode.ONE_WAY and answers)
-                if lost:
+                data_lost = data_lost or self._mode is Mode.SILENT
+                data_lost = data_lost or (
+                    self._mode is Mode.ONE_WAY and from_target
+                )
+                if data_lost:
                     continue
                 writer.write(data)
                 await writer.drain()
-            if not lost and self._mode is not Mode.SILENT:
+            if not data_lost and self._mode is not Mode.SILENT:
                 writer.transport.abort()
 
 
-def _reset(writer: asyncio.StreamWriter) -> None:
+def _reset_connection(writer: asyncio.StreamWriter) -> None:
     sock = writer.get_extra_info("socket")
     if sock is not None:
         with contextlib.suppress(OSError):
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
     writer.transport.abort()
--- a/soak/runner.py
+++ b/soak/runner.py
@@ -1,8 +1,10 @@
-"""A runner as a process: ``python -m soak.runner NAME PORT JOURNAL``.
+"""Runner process of a soak test.
 
-It answers plain calls and streams with text that names the call, so that an
-answer that reached the wrong caller shows. Each call that it begins to run
-stands in its journal before the first byte of the answer.
+Usage: ``python -m soak.runner NAME PORT JOURNAL``
+
+Answers and events contain the id of the call, so that an answer delivered to
+the wrong caller is detectable. The runner records each call in its journal
+before it sends the first byte of the answer.
 """
 
 import asyncio
@@ -12,38 +14,39 @@
 import typing
 
 HOST = "127.0.0.1"
-SLOTS = 24
-EVENTS_MOST = 40
-PAUSE_S = 0.02
-WORK_S = 0.03
+MAX_CONCURRENT_CALLS = 24
+#: Upper limit of the number of events in a stream, exclusive.
+EVENT_COUNT_END = 40
+EVENT_INTERVAL_S = 0.02
+ANSWER_DELAY_S = 0.03
 
 Headers = dict[str, str]
 
 
-def text_of(call_id: str) -> str:
-    """What every runner answers to a call."""
+def answer_text(call_id: str) -> str:
+    """Return the text that every runner answers to a call."""
     return (
         f"answer to {call_id} {hashlib.sha256(call_id.encode()).hexdigest()}"
     )
 
 
-def events_of(call_id: str) -> int:
-    """How many events the stream of a call has."""
+def event_count(call_id: str) -> int:
+    """Return the number of events in the stream of a call."""
     return 5 + int(hashlib.sha256(call_id.encode()).hexdigest(), 16) % (
-        EVENTS_MOST - 5
+        EVENT_COUNT_END - 5
     )
 
 
-def event(call_id: str, number: int) -> bytes:
-    """One event of a call's stream."""
+def format_event(call_id: str, number: int) -> bytes:
+    """Encode one event of a call's stream."""
     return f"id: {number}\ndata: {number} of {call_id}\n\n".encode()
 
 
 class Runner:
-    """Serves one port.
+    """HTTP server of one runner.
 
-    :param name: its id in the store.
-    :param journal: gets a line for each call that is run.
+    :param name: the runner's name in the store.
+    :param journal: receives a line for each call that runs.
     """
 
     def __init__(self, name: str, journal: typing.TextIO) -> None:
@@ -54,10 +57,10 @@
     async def serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Answer the calls of one connection."""
+        """Answer the calls on one connection."""
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             while True:
-                path, headers = await _read(reader)
+                path, headers = await _read_request(reader)
                 await self._answer(path, headers, writer)
                 await writer.drain()
         writer.close()
@@ -67,10 +70,10 @@
     ) -> None:
         call_id = headers["call-id"]
         if headers["for-runner"] != self._name:
-            writer.write(_whole(421, call_id, "", "Other-Runner: yes"))
+            writer.write(_response(421, call_id, "", "Other-Runner: yes"))
             return
-        if self._running >= SLOTS:
-            writer.write(_whole(503, call_id, "", "Not-Run: yes"))
+        if self._running >= MAX_CONCURRENT_CALLS:
+            writer.write(_response(503, call_id, "", "Not-Run: yes"))
             return
         self._running += 1
         try:
@@ -79,15 +82,15 @@
             self._journal.flush()
             if path.startswith("/stream"):
                 after = int(headers.get("after", 0))
-                await _stream(call_id, after, writer)
+                await _send_stream(call_id, after, writer)
             else:
-                await asyncio.sleep(WORK_S)
-                writer.write(_whole(200, call_id, text_of(call_id)))
+                await asyncio.sleep(ANSWER_DELAY_S)
+                writer.write(_response(200, call_id, answer_text(call_id)))
         finally:
             self._running -= 1
 
 
-async def _read(reader: asyncio.StreamReader) -> tuple[str, Headers]:
+async def _read_request(reader: asyncio.StreamReader) -> tuple[str, Headers]:
     head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
     headers = {
         name.lower(): value
@@ -97,26 +100,26 @@
     return head[0].split()[1], headers
 
 
-def _whole(status: int, call_id: str, body: str, *more: str) -> bytes:
-    return _head(status, call_id, f"Content-Length: {len(body)}", *more) + (
-        body.encode()
-    )
+def _response(status: int, call_id: str, body: str, *more: str) -> bytes:
+    return _response_head(
+        status, call_id, f"Content-Length: {len(body)}", *more
+    ) + (body.encode())
 
 
-def _head(status: int, call_id: str, *more: str) -> bytes:
+def _response_head(status: int, call_id: str, *more: str) -> bytes:
     lines = [f"HTTP/1.1 {status} X", f"Call-Id: {call_id}", "Signed: yes"]
     return "\r\n".join([*lines, *more, "", ""]).encode()
 
 
-async def _stream(
+async def _send_stream(
     call_id: str, after: int, writer: asyncio.StreamWriter
 ) -> None:
-    writer.write(_head(200, call_id, "Transfer-Encoding: chunked"))
-    for number in range(after + 1, events_of(call_id) + 1):
-        data = event(call_id, number)
+    writer.write(_response_head(200, call_id, "Transfer-Encoding: chunked"))
+    for number in range(after + 1, event_count(call_id) + 1):
+        data = format_event(call_id, number)
         writer.write(b"%x\r\n%b\r\n" % (len(data), data))
         await writer.drain()
-        await asyncio.sleep(PAUSE_S)
+        await asyncio.sleep(EVENT_INTERVAL_S)
     writer.write(b"0\r\n\r\n")
 
 
--- a/soak/vm.py
+++ b/soak/vm.py
@@ -1,4 +1,7 @@
-"""One entry VM as a process: ``python -m soak.vm SETTINGS.json``."""
+"""Entry VM process of a soak test.
+
+Usage: ``python -m soak.vm SETTINGS.json``
+"""
 
 import json
 import pathlib
@@ -8,31 +11,31 @@
 from apricotlever.serving import main
 from apricotlever.serving import settings
 
-from . import dialect  # noqa: F401 - registers itself
+from . import dialect  # noqa: F401 - registers the dialect
 
 HOST = "127.0.0.1"
-#: How long a VM that leaves may take, in seconds.
+#: How long a VM may take to shut down, in seconds.
 SHUTDOWN_S = 4.0
 
 
-def read(path: pathlib.Path) -> settings.NodeSettings:
-    """Read a VM's settings."""
+def read_settings(path: pathlib.Path) -> settings.NodeSettings:
+    """Read the settings of a VM."""
     document = json.loads(path.read_text())
 
-    def at(name: str) -> settings.Address:
+    def address_of(name: str) -> settings.Address:
         return settings.Address(HOST, document[name])
 
     return settings.NodeSettings(
         document["vm"],
         document["data_centre"],
         ("dc-a", "dc-b"),
-        at("callers"),
-        at("checks"),
-        at("lookups"),
-        at("peers"),
+        address_of("callers"),
+        address_of("checks"),
+        address_of("lookups"),
+        address_of("peers"),
         None,
         tuple(f"{HOST}:{port}" for port in document["seeds"]),
-        at("store"),
+        address_of("store"),
         None,
         False,
         False,
@@ -42,9 +45,13 @@
 
 
 def run(arguments: typing.Sequence[str]) -> int:
-    """Serve until told to stop."""
+    """Serve until the process is told to stop.
+
+    :param arguments: path of the settings file.
+    :returns: exit code of the process.
+    """
     path = pathlib.Path(arguments[0])
-    return main.run("soak", lambda: read(path))
+    return main.run("soak", lambda: read_settings(path))
 
 
 if __name__ == "__main__":
--- a/tests/soak/soak.feature
+++ b/tests/soak/soak.feature
@@ -1,29 +1,29 @@
-Feature: Real processes under faults from outside
+Feature: Soak test of real processes with injected faults
 
-  Scenario: A short soak with a seed keeps all promises
-    When a soak with seed 7 disturbs 3 VMs and 6 runners for 4.0 s
-    Then it made over 100 calls and broke no promise
+  Scenario: A short soak test with a fixed seed violates no guarantee
+    When a soak test with seed 7 injects faults into 3 VMs and 6 runners for 4.0 s
+    Then it made over 100 calls and violated no guarantee
 
-  Scenario Outline: A soak notices a promise that is broken
-    Given a soaked call <what>
-    Then the checks say "<complaint>"
+  Scenario Outline: The checks detect a violated guarantee
+    Given a recorded call <what>
+    Then the checks report "<complaint>"
 
     Examples:
-      | what                                         | complaint               |
-      | to /once/ that ran twice                     | ran 2 times             |
-      | to /once/ that was refused and ran           | and it ran              |
-      | to /stream/ whose answer leaves an event out | events                  |
-      | to /stream/ that looks whole too early       | looks whole after       |
-      | to /stream/ with events of another call      | events of another call  |
-      | to /safe/ with the answer to another         | another answer          |
-      | to /safe/ with bytes after its answer        | bytes after the answer  |
-      | to /safe/ that was refused with 404          | refused with 404        |
-      | to /safe/ in the calm that was not served    | in the calm             |
-      | that nobody sent                             | nobody had sent it      |
+      | what                                      | complaint                |
+      | to /once/ that ran twice                  | ran 2 times              |
+      | to /once/ that was refused and ran        | but it ran               |
+      | to /stream/ whose answer lacks an event   | unexpected event numbers |
+      | to /stream/ that is complete too early    | complete answer with     |
+      | to /stream/ with events of another call   | events of another call   |
+      | to /safe/ with the answer to another call | wrong answer body        |
+      | to /safe/ with bytes after its answer     | bytes after the answer   |
+      | to /safe/ that was refused with 404       | refused with 404         |
+      | to /safe/ in the quiet period, not served | in the quiet period      |
+      | that was never sent                       | but was never sent       |
 
-  Scenario: What is allowed is no complaint
-    Given a soaked call to /safe/ that ran twice
-    Then the checks say nothing
+  Scenario: Repeating a call that may be repeated is no violation
+    Given a recorded call to /safe/ that ran twice
+    Then the checks report no violation
 
-  Scenario: A plan of faults depends on its seed alone
+  Scenario: The fault plan depends only on the seed
     Then the plans of seed 7 are equal and that of seed 8 differs
--- a/tests/steps/soak_checks.py
+++ b/tests/steps/soak_checks.py
@@ -9,127 +9,152 @@
 from behave import then
 from behave import when
 
-from soak import __main__ as soaks
+from soak import __main__ as soak_main
 from soak import callers
 from soak import checks
 from soak import faults
 from soak import fleet
 from soak import runner
 
-OTHER = "c-other"
+OTHER_CALL_ID = "c-other"
 
 
 @when(
-    "a soak with seed {seed:d} disturbs {vms:d} VMs and {runners:d} runners "
-    "for {seconds:f} s"
+    "a soak test with seed {seed:d} injects faults into {vms:d} VMs "
+    "and {runners:d} runners for {seconds:f} s"
 )
-def _soak(context, seed, vms, runners, seconds):
-    assert (vms, runners) == (soaks.VMS, soaks.RUNNERS)
+def _run_soak(context, seed, vms, runners, seconds):
+    assert (vms, runners) == (soak_main.VM_COUNT, soak_main.RUNNER_COUNT)
     with tempfile.TemporaryDirectory() as folder:
         context.result = asyncio.run(
-            soaks.soak(seed, seconds, pathlib.Path(folder))
+            soak_main.soak(seed, seconds, pathlib.Path(folder))
         )
 
 
-@then("it made over {count:d} calls and broke no promise")
-def _kept(context, count):
-    assert not context.result.broken, context.result.document
+@then("it made over {count:d} calls and violated no guarantee")
+def _check_result(context, count):
+    assert not context.result.violations, context.result.summary
     assert len(context.result.calls) > count
 
 
-def _served(prefix):
+def _served_call(prefix):
     call = callers.Call("c-1", prefix, "vm-0", 1.0)
     call.status = 200
     call.complete = True
-    call.body = runner.text_of("c-1").encode()
+    call.body = runner.answer_text("c-1").encode()
     return call
 
 
-def _streamed(numbers, call_id="c-1"):
-    call = _served("/stream/")
-    call.body = b"".join(runner.event(call_id, n) for n in numbers)
+def _stream_call(numbers, call_id="c-1"):
+    call = _served_call("/stream/")
+    call.body = b"".join(runner.format_event(call_id, n) for n in numbers)
     return call
 
 
-def _gap():
-    call = _streamed([1, 2, 4])
+def _stream_with_gap():
+    call = _stream_call([1, 2, 4])
     call.complete = False
     return call
 
 
-def _status(prefix, status):
-    call = _served(prefix)
+def _call_with_status(prefix, status):
+    call = _served_call(prefix)
     call.status = status
     call.body = b""
     return call
 
 
-def _all_events():
-    return range(1, runner.events_of("c-1") + 1)
+def _all_event_numbers():
+    return range(1, runner.event_count("c-1") + 1)
 
 
-def _wrong_body():
-    call = _served("/safe/")
-    call.body = runner.text_of(OTHER).encode()
+def _call_with_wrong_body():
+    call = _served_call("/safe/")
+    call.body = runner.answer_text(OTHER_CALL_ID).encode()
     return call
 
 
-def _unasked():
-    call = _served("/safe/")
-    call.unasked = b"more"
+def _call_with_trailing_bytes():
+    call = _served_call("/safe/")
+    call.trailing_bytes = b"more"
     return call
 
 
-def _late():
-    call = _status("/safe/", 502)
+def _failed_quiet_call():
+    call = _call_with_status("/safe/", 502)
     call.sent_at = 11.0
     return call
 
 
-#: What happened, to the call and how often it ran.
-WHAT = {
-    "to /once/ that ran twice": lambda: (_served("/once/"), 2),
-    "to /safe/ that ran twice": lambda: (_served("/safe/"), 2),
-    "to /once/ that was refused and ran": lambda: (_status("/once/", 503), 1),
-    "to /stream/ whose answer leaves an event out": lambda: (_gap(), 1),
-    "to /stream/ that looks whole too early": lambda: (_streamed([1, 2]), 1),
+#: The recorded call and how often it ran, by scenario; the call is None
+#: when only its execution is recorded.
+SCENARIOS = {
+    "to /once/ that ran twice": lambda: (_served_call("/once/"), 2),
+    "to /safe/ that ran twice": lambda: (_served_call("/safe/"), 2),
+    "to /once/ that was refused and ran": lambda: (
+        _call_with_status("/once/", 503),
+        1,
+    ),
+    "to /stream/ whose answer lacks an event": lambda: (_stream_with_gap(), 1),
+    "to /stream/ that is complete too early": lambda: (
+        _stream_call([1, 2]),
+        1,
+    ),
     "to /stream/ with events of another call": lambda: (
-        _streamed(_all_events(), OTHER),
+        _stream_call(_all_event_numbers(), OTHER_CALL_ID),
+        1,
+    ),
+    "to /safe/ with the answer to another call": lambda: (
+        _call_with_wrong_body(),
         1,
     ),
-    "to /safe/ with the answer to another": lambda: (_wrong_body(), 1),
-    "to /safe/ with bytes after its answer": lambda: (_unasked(), 1),
-    "to /safe/ that was refused with 404": lambda: (_status("/safe/", 404), 0),
-    "to /safe/ in the calm that was not served": lambda: (_late(), 1),
-    "that nobody sent": lambda: (None, 1),
+    "to /safe/ with bytes after its answer": lambda: (
+        _call_with_trailing_bytes(),
+        1,
+    ),
+    "to /safe/ that was refused with 404": lambda: (
+        _call_with_status("/safe/", 404),
+        0,
+    ),
+    "to /safe/ in the quiet period, not served": lambda: (
+        _failed_quiet_call(),
+        1,
+    ),
+    "that was never sent": lambda: (None, 1),
 }
 
 
-@given("a soaked call {what}")
-def _call(context, what):
-    call, often = WHAT[what]()
-    calm = callers.Call("c-2", "/safe/", "vm-0", 12.0)
-    calm.status, calm.complete = 200, True
-    calm.body = runner.text_of("c-2").encode()
-    calls = [calm] if call is None else [call, calm]
+@given("a recorded call {what}")
+def _check_call(context, what):
+    call, execution_count = SCENARIOS[what]()
+    quiet_call = callers.Call("c-2", "/safe/", "vm-0", 12.0)
+    quiet_call.status, quiet_call.complete = 200, True
+    quiet_call.body = runner.answer_text("c-2").encode()
+    calls = [quiet_call] if call is None else [call, quiet_call]
     prefix = call.prefix if call is not None else "/safe/"
-    ran = [["c-2", fleet.CUSTOMER, "/safe/x"]]
-    ran += [["c-1", fleet.CUSTOMER, f"{prefix}x"]] * often
-    context.found = checks.broken(calls, ran, 10.0)
+    executions = [["c-2", fleet.CUSTOMER, "/safe/x"]]
+    executions += [["c-1", fleet.CUSTOMER, f"{prefix}x"]] * execution_count
+    context.violations = checks.find_violations(calls, executions, 10.0)
 
 
-@then('the checks say "{complaint}"')
-def _complaint(context, complaint):
-    assert len(context.found) == 1, context.found
-    assert complaint in context.found[0], context.found
+@then('the checks report "{complaint}"')
+def _one_violation(context, complaint):
+    assert len(context.violations) == 1, context.violations
+    assert complaint in context.violations[0], context.violations
 
 
-@then("the checks say nothing")
-def _nothing(context):
-    assert not context.found, context.found
+@then("the checks report no violation")
+def _no_violation(context):
+    assert not context.violations, context.violations
 
 
-@then("the plans of seed {one:d} are equal and that of seed {other:d} differs")
-def _plans(context, one, other):
-    plans = [faults.plan(random.Random(s), 12.0) for s in (one, one, other)]
+@then(
+    "the plans of seed {first_seed:d} are equal "
+    "and that of seed {other_seed:d} differs"
+)
+def _compare_plans(context, first_seed, other_seed):
+    plans = [
+        faults.plan(random.Random(s), 12.0)
+        for s in (first_seed, first_seed, other_seed)
+    ]
     assert plans[0] == plans[1] != plans[2]
