--- a/standins/_cache.py
+++ b/standins/_cache.py
@@ -1,4 +1,4 @@
-"""The prefix cache of an engine stand-in, and the events it publishes."""
+"""The prefix cache of an engine stand-in and the cache events it publishes."""
 
 import collections
 import random
@@ -7,12 +7,18 @@
 
 from . import _tokens
 
-KEPT_EVENTS = 4096
-SEED = 5
+MAX_KEPT_EVENTS = 4096
+EVENT_LOSS_SEED = 5
 
 
 class CacheEvent:
-    """Blocks that were stored or removed at one time."""
+    """Blocks that were stored or removed in one operation.
+
+    :param seq: the event's sequence number; the first event has 1.
+    :param at: time of the operation on the monotonic clock, in seconds.
+    :param kind: ``stored`` or ``removed``.
+    :param blocks: hashes of the blocks.
+    """
 
     __slots__ = ("seq", "at", "kind", "blocks")
 
@@ -25,7 +31,7 @@
         self.blocks = blocks
 
     def payload(self) -> dict[str, typing.Any]:
-        """The event as the engine publishes it."""
+        """The event in the format that the engine publishes."""
         return {
             "seq": self.seq,
             "kind": self.kind,
@@ -33,148 +39,172 @@
         }
 
 
-class CacheEvents:
-    """Events that become visible late, and some of them never."""
+class CacheEventLog:
+    """The latest cache events, published with a lag and with losses."""
 
-    __slots__ = ("_events", "_seq", "_rng")
+    __slots__ = ("_events", "_seq", "_random")
 
     def __init__(self) -> None:
         self._events: collections.deque[CacheEvent] = collections.deque(
-            maxlen=KEPT_EVENTS
+            maxlen=MAX_KEPT_EVENTS
         )
         self._seq = 0
-        self._rng = random.Random(SEED)
+        self._random = random.Random(EVENT_LOSS_SEED)
 
-    def add(self, kind: str, blocks: list[int], gap: float) -> None:
+    def add(
+        self, kind: str, blocks: list[int], loss_probability: float
+    ) -> None:
         """Append an event.
 
-        :param gap: the chance that its number is used up but nobody is
-            ever told what happened.
+        :param loss_probability: probability that the event is dropped. A
+            dropped event still uses up a sequence number, so that readers
+            see a gap.
         """
         if not blocks:
             return
         self._seq += 1
-        if self._rng.random() >= gap:
+        if self._random.random() >= loss_probability:
             event = CacheEvent(self._seq, time.monotonic(), kind, blocks)
             self._events.append(event)
 
-    def after(self, seq: int, lag_s: float) -> dict[str, typing.Any]:
-        """The events after a number that are old enough to be told."""
+    def events_after(self, seq: int, lag_s: float) -> dict[str, typing.Any]:
+        """The published events whose sequence number is above ``seq``.
+
+        :param lag_s: age in seconds that an event must have to be published.
+        :returns: the events, the last published sequence number as ``seq``
+            (0 without any) and the first available one as ``from`` (the
+            number of the next event without any).
+        """
         until = time.monotonic() - lag_s
-        told = [event for event in self._events if event.at <= until]
-        first = told[0].seq if told else self._seq + 1
+        visible = [event for event in self._events if event.at <= until]
+        first = visible[0].seq if visible else self._seq + 1
         return {
-            "events": [event.payload() for event in told if event.seq > seq],
-            "seq": told[-1].seq if told else 0,
+            "events": [
+                event.payload() for event in visible if event.seq > seq
+            ],
+            "seq": visible[-1].seq if visible else 0,
             "from": first,
         }
 
 
 class PrefixCache:
-    """Blocks of prompts, the least recently used evicted first.
+    """A prefix cache with eviction of the least recently used block.
 
-    A block that a running sequence holds is never evicted.
+    Pinned blocks are never evicted; a running sequence pins its blocks.
 
-    :param capacity: in blocks.
-    :param gap: reads the chance that an event is lost.
+    :param capacity: maximum number of stored blocks.
+    :param loss_probability: returns the probability that a cache event is
+        dropped.
     """
 
     __slots__ = (
-        "_blocks",
+        "_pins_by_block",
         "_capacity",
-        "_evicted",
+        "_evicted_blocks",
         "_evicted_recomputed",
-        "_events",
-        "_gap",
+        "_event_log",
+        "_loss_probability",
     )
 
-    def __init__(self, capacity: int, gap: typing.Callable[[], float]) -> None:
+    def __init__(
+        self, capacity: int, loss_probability: typing.Callable[[], float]
+    ) -> None:
         self._capacity = capacity
-        self._blocks: collections.OrderedDict[int, int] = (
+        self._pins_by_block: collections.OrderedDict[int, int] = (
             collections.OrderedDict()
         )
-        self._evicted: set[int] = set()
+        self._evicted_blocks: set[int] = set()
         self._evicted_recomputed = 0
-        self._events = CacheEvents()
-        self._gap = gap
+        self._event_log = CacheEventLog()
+        self._loss_probability = loss_probability
 
     @property
-    def capacity(self) -> int:
-        """How many blocks fit."""
+    def capacity_blocks(self) -> int:
+        """Maximum number of stored blocks."""
         return self._capacity
 
     @property
-    def used(self) -> int:
-        """How many blocks are stored."""
-        return len(self._blocks)
+    def used_blocks(self) -> int:
+        """Number of stored blocks."""
+        return len(self._pins_by_block)
 
     @property
-    def events(self) -> CacheEvents:
-        """What was stored and removed."""
-        return self._events
+    def event_log(self) -> CacheEventLog:
+        """Events for the blocks that were stored and removed."""
+        return self._event_log
 
     @property
     def evicted_recomputed(self) -> int:
-        """Tokens of blocks that were evicted and then computed again."""
+        """Number of tokens in blocks that were evicted and computed again."""
         return self._evicted_recomputed
 
     def clear_counts(self) -> None:
-        """Forget what was counted."""
+        """Reset the counter of recomputed tokens."""
         self._evicted_recomputed = 0
 
-    def cached(self, blocks: list[int]) -> int:
-        """How many leading blocks are stored; marks them as used."""
-        missing = (i for i, b in enumerate(blocks) if b not in self._blocks)
+    def match_prefix(self, blocks: list[int]) -> int:
+        """Mark the stored leading blocks as recently used and count them."""
+        missing = (
+            index
+            for index, block in enumerate(blocks)
+            if block not in self._pins_by_block
+        )
         count = next(missing, len(blocks))
-        # The chain's end is marked first, so that it is evicted first: a
-        # block whose predecessor is gone could not be found again.
+        # Blocks at the end of the chain are marked as used first, so that
+        # they are evicted first: a block can't be matched without all of its
+        # predecessors.
         for block in reversed(blocks[:count]):
-            self._blocks.move_to_end(block)
+            self._pins_by_block.move_to_end(block)
         return count
 
-    def hold(self, blocks: list[int]) -> list[int]:
-        """Keep the stored ones among some blocks from eviction.
+    def pin(self, blocks: list[int]) -> list[int]:
+        """Protect those of the given blocks that are stored from eviction.
 
-        :returns: the blocks to give to :meth:`release`.
+        :returns: the pinned blocks, to be passed to :meth:`unpin`.
         """
-        held = [block for block in blocks if block in self._blocks]
-        for block in held:
-            self._blocks[block] += 1
-        return held
+        pinned = [block for block in blocks if block in self._pins_by_block]
+        for block in pinned:
+            self._pins_by_block[block] += 1
+        return pinned
 
-    def release(self, held: list[int]) -> None:
-        """Let held blocks be evicted again."""
-        for block in held:
-            self._blocks[block] -= 1
+    def unpin(self, pinned: list[int]) -> None:
+        """Remove one pin from each block."""
+        for block in pinned:
+            self._pins_by_block[block] -= 1
 
     def store(self, blocks: list[int], computed: bool = True) -> None:
-        """Store a chain of blocks, as much of it as finds room.
+        """Store a chain of blocks, or as many of its first as fit.
 
-        :param computed: False for imported blocks.
+        :param computed: False for imported blocks, which do not count as
+            recomputed.
         """
-        new = [block for block in blocks if block not in self._blocks]
-        known = [block for block in blocks if block in self._blocks]
-        kept = self.hold(known)
-        removed = self._make_room(len(new))
-        self.release(kept)
-        room = self._capacity - len(self._blocks)
+        new = [block for block in blocks if block not in self._pins_by_block]
+        present = [block for block in blocks if block in self._pins_by_block]
+        pinned_present = self.pin(present)
+        evicted = self._evict_excess(len(new))
+        self.unpin(pinned_present)
+        room = self._capacity - len(self._pins_by_block)
         stored = new[: max(0, room)]
         for block in reversed(stored):
-            self._blocks[block] = 0
+            self._pins_by_block[block] = 0
         if computed:
-            again = sum(block in self._evicted for block in stored)
-            self._evicted_recomputed += again * _tokens.BLOCK_TOKENS
-        self._evicted.difference_update(stored)
-        self._events.add("removed", removed, self._gap())
-        self._events.add("stored", stored, self._gap())
-
-    def _make_room(self, wanted: int) -> list[int]:
-        excess = len(self._blocks) + wanted - self._capacity
+            recomputed = sum(block in self._evicted_blocks for block in stored)
+            self._evicted_recomputed += recomputed * _tokens.BLOCK_TOKENS
+        self._evicted_blocks.difference_update(stored)
+        self._event_log.add("removed", evicted, self._loss_probability())
+        self._event_log.add("stored", stored, self._loss_probability())
+
+    def _evict_excess(self, new_count: int) -> list[int]:
+        excess = len(self._pins_by_block) + new_count - self._capacity
         if excess <= 0:
             return []
-        free = (block for block, held in self._blocks.items() if not held)
-        removed = [block for _, block in zip(range(excess), free)]
-        for block in removed:
-            del self._blocks[block]
-        self._evicted.update(removed)
-        return removed
+        unpinned = (
+            block
+            for block, pinned in self._pins_by_block.items()
+            if not pinned
+        )
+        evicted = [block for _, block in zip(range(excess), unpinned)]
+        for block in evicted:
+            del self._pins_by_block[block]
+        self._evicted_blocks.update(evicted)
+        return evicted
--- a/standins/_faults.py
+++ b/standins/_faults.py
@@ -1,83 +1,86 @@
-"""Fault settings of a stand-in: a checked, shared set of named values."""
+"""Validated fault settings, shared by the threads of a stand-in."""
 
 import random
 import threading
 import typing
 
-SEED = 11
+RANDOM_SEED = 11
 
 
 class UnknownFault(Exception):
-    """A fault that the stand-in does not have was set."""
+    """A setting was given for a fault that the stand-in does not have."""
 
 
-class Faults:
+class FaultSettings:
     """Named fault settings, read by handlers and set by /control/faults.
 
-    :param defaults: each fault with its value after a reset.
+    :param defaults: initial value of each fault, restored by a reset.
     """
 
-    __slots__ = ("_defaults", "_values", "_lock", "_rng", "_changed")
+    __slots__ = ("_defaults", "_values", "_lock", "_random", "_listeners")
 
     def __init__(self, defaults: dict[str, typing.Any]) -> None:
         self._defaults = dict(defaults)
         self._values = dict(defaults)
         self._lock = threading.Lock()
-        self._rng = random.Random(SEED)
-        self._changed: list[typing.Callable[[], None]] = []
+        self._random = random.Random(RANDOM_SEED)
+        self._listeners: list[typing.Callable[[], None]] = []
 
     @property
     def values(self) -> dict[str, typing.Any]:
-        """A copy of the settings in force."""
+        """A copy of the current settings."""
         return dict(self._values)
 
     def __getitem__(self, name: str) -> typing.Any:
         return self._values[name]
 
-    def on_change(self, listener: typing.Callable[[], None]) -> None:
-        """Call ``listener`` after each change."""
-        self._changed.append(listener)
+    def add_listener(self, listener: typing.Callable[[], None]) -> None:
+        """Register a listener that is called after each change or reset."""
+        self._listeners.append(listener)
 
     def set(self, values: dict[str, typing.Any]) -> None:
-        """Merge new settings.
+        """Update the given settings and keep the others.
 
-        :raises UnknownFault: for a name that this stand-in lacks, since a
-            misspelt fault would make its test pass without the fault.
+        :raises UnknownFault: for a name that this stand-in does not have. A
+            misspelt name would otherwise let a test pass without its fault.
         """
         unknown = sorted(set(values) - set(self._defaults))
         if unknown:
-            raise UnknownFault(f"no such faults: {', '.join(unknown)}")
+            raise UnknownFault(f"unknown faults: {', '.join(unknown)}")
         with self._lock:
             self._values.update(values)
-        self._tell()
+        self._notify_listeners()
 
     def reset(self) -> None:
-        """Go back to the values given at construction."""
+        """Restore the default values and the random seed."""
         with self._lock:
             self._values = dict(self._defaults)
-            self._rng = random.Random(SEED)
-        self._tell()
+            self._random = random.Random(RANDOM_SEED)
+        self._notify_listeners()
 
-    def take(self, name: str) -> bool:
-        """Use up one occurrence of a counted fault.
+    def consume(self, name: str) -> bool:
+        """Decide whether a counted fault hits this call.
 
-        :param name: a fault whose value is True for always, or how many
-            of the next calls it hits.
+        A finite count is reduced by one for each hit.
+
+        :param name: a fault whose value is True for every call, or the
+            number of calls that it still hits.
+        :returns: whether the fault hits.
         """
         with self._lock:
-            left = self._values[name]
-            if left is True:
+            remaining = self._values[name]
+            if remaining is True:
                 return True
-            if not left:
+            if not remaining:
                 return False
-            self._values[name] = left - 1
+            self._values[name] = remaining - 1
             return True
 
-    def chance(self, name: str) -> bool:
-        """Draw with the probability that the fault holds."""
+    def draw(self, name: str) -> bool:
+        """Return True at random, with the fault's value as probability."""
         with self._lock:
-            return self._rng.random() < self._values[name]
+            return self._random.random() < self._values[name]
 
-    def _tell(self) -> None:
-        for listener in self._changed:
+    def _notify_listeners(self) -> None:
+        for listener in self._listeners:
             listener()
--- a/standins/_frames.py
+++ b/standins/_frames.py
@@ -1,4 +1,4 @@
-"""What an engine stand-in sends: headers, events, answers and state."""
+"""Response headers, bodies and stream events of an engine stand-in."""
 
 import json
 import typing
@@ -7,60 +7,60 @@
 from . import _sequence
 
 
-def echo(
+def request_id_headers(
     request: _http.Request, sequence: _sequence.Sequence
 ) -> _http.Headers:
-    """The headers that name the request and the attempt answered."""
+    """Response headers with the request ID and the attempt number."""
     attempt = request.header("Apricotlever-Attempt")
     return [
-        ("Apricotlever-Request", sequence.work.request_id),
-        ("Apricotlever-Attempt", attempt or str(sequence.work.attempt)),
+        ("Apricotlever-Request", sequence.request.request_id),
+        ("Apricotlever-Attempt", attempt or str(sequence.request.attempt)),
     ]
 
 
-def frame_parts(work: _sequence.Work) -> tuple[str, str]:
-    """What stands before and after the token in a data line."""
-    name = json.dumps(work.request_id)
-    if work.chat:
-        before = f'data: {{"id":{name},"choices":[{{"index":0,"delta":'
+def token_event_parts(request: _sequence.GenerationRequest) -> tuple[str, str]:
+    """The data line of a token event, split before and after the token."""
+    request_id = json.dumps(request.request_id)
+    if request.chat:
+        before = f'data: {{"id":{request_id},"choices":[{{"index":0,"delta":'
         return before + '{"content":"', '"}}]}\n\n'
-    before = f'data: {{"id":{name},"choices":[{{"index":0,"text":"'
+    before = f'data: {{"id":{request_id},"choices":[{{"index":0,"text":"'
     return before, '"}]}\n\n'
 
 
-def last_frame(ended: str) -> bytes:
-    """The event that closes a stream."""
-    if ended == _sequence.DONE:
+def final_event(state: str) -> bytes:
+    """The last event of a stream whose sequence ended in ``state``."""
+    if state == _sequence.DONE:
         return b"data: [DONE]\n\n"
-    return f"event: {ended}\ndata: {{}}\n\n".encode()
+    return f"event: {state}\ndata: {{}}\n\n".encode()
 
 
-def answer(sequence: _sequence.Sequence) -> dict[str, typing.Any]:
-    """A whole answer in OpenAI's format."""
-    work = sequence.work
+def completion_payload(sequence: _sequence.Sequence) -> dict[str, typing.Any]:
+    """The body of a non-streamed response in OpenAI's format."""
+    request = sequence.request
     text = "".join(sequence.tokens)
     message = {"role": "assistant", "content": text}
-    content = {"message": message} if work.chat else {"text": text}
+    content = {"message": message} if request.chat else {"text": text}
     return {
-        "id": work.request_id,
-        "model": work.model,
+        "id": request.request_id,
+        "model": request.model,
         "choices": [{"index": 0, **content, "finish_reason": "length"}],
         "usage": {
-            "prompt_tokens": sequence.prompt_tokens,
+            "prompt_tokens": sequence.prompt_token_count,
             "completion_tokens": len(sequence.tokens),
-            "total_tokens": sequence.prompt_tokens + len(sequence.tokens),
+            "total_tokens": sequence.prompt_token_count + len(sequence.tokens),
         },
     }
 
 
-def state_of(sequence: _sequence.Sequence) -> dict[str, typing.Any]:
-    """The state that an export hands out and an import takes."""
-    blocks = sequence.all_blocks() if sequence.prefilled else []
+def exported_state(sequence: _sequence.Sequence) -> dict[str, typing.Any]:
+    """The state of a sequence, as an export returns and an import takes it."""
+    blocks = sequence.current_blocks() if sequence.prefilled else []
     return {
-        "request": sequence.work.request_id,
-        "work": sequence.work.payload(),
-        "seed": sequence.work.seed,
-        "prompt_hash": f"{sequence.base:016x}",
+        "request": sequence.request.request_id,
+        "work": sequence.request.payload(),
+        "seed": sequence.request.seed,
+        "prompt_hash": f"{sequence.answer_hash:016x}",
         "tokens": sequence.tokens,
         "prefilled": sequence.prefilled,
         "blocks": [f"{block:016x}" for block in blocks],
--- a/standins/_http.py
+++ b/standins/_http.py
@@ -1,7 +1,7 @@
-"""HTTP plumbing shared by the stand-ins: routes, control and common faults.
+"""HTTP handling shared by the stand-ins: routes, control calls, common faults.
 
-A stand-in is a subclass of :class:`StandIn` whose methods are registered by
-:func:`route`. Paths under /control are never touched by the faults.
+A stand-in is a subclass of :class:`StandIn` that registers its handlers with
+:func:`route`. Faults do not affect calls to paths under /control.
 """
 
 import json
@@ -17,7 +17,7 @@
 Handler = typing.Callable[..., "Response"]
 Headers = list[tuple[str, str]]
 
-REASONS = {
+REASON_PHRASES = {
     200: "OK",
     201: "Created",
     400: "Bad Request",
@@ -30,7 +30,7 @@
     500: "Internal Server Error",
     503: "Service Unavailable",
 }
-CONTROL = "/control/"
+CONTROL_PREFIX = "/control/"
 SILENCE_POLL_S = 0.05
 COMMON_FAULTS: dict[str, typing.Any] = {
     "down": False,
@@ -56,23 +56,23 @@
 
     @property
     def body(self) -> bytes:
-        """The whole body."""
+        """The request body."""
         if self._body is None:
             self._body = self.environ["wsgi.input"].read()
         return self._body
 
     @property
     def params(self) -> dict[str, str]:
-        """The query's parameters, the last of each name."""
+        """The query parameters; a repeated name has its last value."""
         return dict(parse.parse_qsl(self.environ.get("QUERY_STRING", "")))
 
     def header(self, name: str, default: str = "") -> str:
-        """A header's value, or the default."""
+        """The value of a header; the default if the header is missing."""
         key = "HTTP_" + name.upper().replace("-", "_")
         return self.environ.get(key, default)
 
     def json(self) -> typing.Any:
-        """The body as JSON; an empty body is an empty object."""
+        """The body parsed as JSON; an empty body gives an empty object."""
         return json.loads(self.body or b"{}")
 
     def disconnected(self) -> bool:
@@ -81,7 +81,7 @@
 
 
 class Response:
-    """A JSON answer, or a stream of byte strings."""
+    """A JSON response, or a response that streams byte strings."""
 
     __slots__ = ("status", "payload", "headers", "stream")
 
@@ -99,7 +99,7 @@
 
 
 class Route:
-    """A method and a compiled path pattern with its handler."""
+    """A handler with its HTTP method and compiled path pattern."""
 
     __slots__ = ("method", "pattern", "handler")
 
@@ -110,65 +110,72 @@
 
 
 def route(method: str, pattern: str) -> typing.Callable[[Handler], Handler]:
-    """Register a method of a stand-in for calls on matching paths.
+    """Register a method of a stand-in as the handler of matching requests.
 
     :param method: the HTTP method, or ``*`` for any.
-    :param pattern: a regular expression; its groups become arguments.
+    :param pattern: a regular expression for the whole path; its groups are
+        passed to the handler as arguments.
     """
 
-    def mark(handler: Handler) -> Handler:
-        found = handler.__dict__.setdefault("routes", [])
-        found.append(Route(method, pattern, handler))
+    def decorator(handler: Handler) -> Handler:
+        routes = handler.__dict__.setdefault("routes", [])
+        routes.append(Route(method, pattern, handler))
         return handler
 
-    return mark
+    return decorator
 
 
-def drop() -> typing.NoReturn:
-    """Close the connection without a byte of answer."""
+def drop_connection() -> typing.NoReturn:
+    """Close the connection without sending a response."""
     raise channel.ClientDisconnected
 
 
 class StandIn:
-    """A WSGI application made of registered routes, with faults.
+    """A WSGI application of registered routes with injectable faults.
 
-    :param faults: the stand-in's own faults and their defaults.
+    :param faults: the faults specific to the stand-in, with their defaults.
     """
 
-    lossy_methods: typing.ClassVar[tuple[str, ...]] = ("PUT", "POST", "DELETE")
+    response_loss_methods: typing.ClassVar[tuple[str, ...]] = (
+        "PUT",
+        "POST",
+        "DELETE",
+    )
     _routes: typing.ClassVar[list[Route]] = []
 
     def __init_subclass__(cls) -> None:
-        own = [
-            found
+        own_routes = [
+            registered
             for method in vars(cls).values()
-            for found in getattr(method, "routes", ())
+            for registered in getattr(method, "routes", ())
         ]
-        cls._routes = cls._routes + own
+        cls._routes = cls._routes + own_routes
 
     def __init__(self, faults: dict[str, typing.Any] | None = None) -> None:
-        self._faults = _faults.Faults({**COMMON_FAULTS, **(faults or {})})
+        self._faults = _faults.FaultSettings(
+            {**COMMON_FAULTS, **(faults or {})}
+        )
 
     @property
-    def faults(self) -> _faults.Faults:
+    def faults(self) -> _faults.FaultSettings:
         """The fault settings."""
         return self._faults
 
     def counts(self) -> dict[str, typing.Any]:
-        """What GET /control/counts answers."""
+        """The counters returned by GET /control/counts."""
         return {}
 
     def clear_counts(self) -> None:
-        """Hook of /control/reset: forget what was counted."""
+        """Hook for POST /control/reset: resets the counters."""
 
-    def admit(self, request: Request) -> Response | None:
-        """Hook before a handler: count a call, or answer in its place."""
+    def before_dispatch(self, request: Request) -> Response | None:
+        """Hook before each handler, which it can replace with a response."""
 
     def wait_while_silent(self, request: Request) -> None:
-        """Hold a call, without an answer, while the stand-in is silent."""
+        """Block a call without a response while the stand-in is silent."""
         while self._faults["silent"]:
             if request.disconnected():
-                drop()
+                drop_connection()
             time.sleep(SILENCE_POLL_S)
 
     def __call__(
@@ -178,41 +185,44 @@
     ) -> typing.Iterable[bytes]:
         request = Request(environ)
         try:
-            response = self._answer(request)
+            response = self._respond(request)
         except (ValueError, KeyError, _faults.UnknownFault) as error:
             response = Response(400, {"error": f"bad request: {error}"})
-        return _send(response, start_response)
+        return _send_response(response, start_response)
 
-    def _answer(self, request: Request) -> Response:
-        if request.path.startswith(CONTROL):
+    def _respond(self, request: Request) -> Response:
+        if request.path.startswith(CONTROL_PREFIX):
             return self._dispatch(request)
-        self._before(request)
+        self._apply_request_faults(request)
         if self._faults["down"]:
             return Response(503, {"error": "unavailable"})
-        response = self.admit(request) or self._dispatch(request)
-        if request.method in self.lossy_methods and self._loses():
-            drop()
+        response = self.before_dispatch(request) or self._dispatch(request)
+        if (
+            request.method in self.response_loss_methods
+            and self._response_is_lost()
+        ):
+            drop_connection()
         return response
 
-    def _before(self, request: Request) -> None:
-        if self._faults["refuse"] or self._faults.take("lose_request"):
-            drop()
+    def _apply_request_faults(self, request: Request) -> None:
+        if self._faults["refuse"] or self._faults.consume("lose_request"):
+            drop_connection()
         self.wait_while_silent(request)
         if self._faults["slow_s"]:
             time.sleep(self._faults["slow_s"])
 
-    def _loses(self) -> bool:
-        if self._faults.take("lose_answer"):
+    def _response_is_lost(self) -> bool:
+        if self._faults.consume("lose_answer"):
             return True
-        return self._faults.chance("lose_answer_probability")
+        return self._faults.draw("lose_answer_probability")
 
     def _dispatch(self, request: Request) -> Response:
-        for found in self._routes:
-            if found.method not in (request.method, "*"):
+        for candidate in self._routes:
+            if candidate.method not in (request.method, "*"):
                 continue
-            match = found.pattern.match(request.path)
+            match = candidate.pattern.match(request.path)
             if match:
-                return found.handler(self, request, *match.groups())
+                return candidate.handler(self, request, *match.groups())
         return Response(404, {"error": "not_found"})
 
 
@@ -228,7 +238,7 @@
 
 
 @route("GET", "/control/counts")
-def _counts(standin: StandIn, request: Request) -> Response:
+def _show_counts(standin: StandIn, request: Request) -> Response:
     return Response(200, standin.counts())
 
 
@@ -240,19 +250,19 @@
 
 
 StandIn._routes = [
-    found
-    for handler in (_show_faults, _set_faults, _counts, _reset)
-    for found in handler.routes  # type: ignore[attr-defined]
+    registered
+    for handler in (_show_faults, _set_faults, _show_counts, _reset)
+    for registered in handler.routes  # type: ignore[attr-defined]
 ]
 
 
-def _send(
+def _send_response(
     response: Response, start_response: typing.Callable[..., typing.Any]
 ) -> typing.Iterable[bytes]:
-    status = f"{response.status} {REASONS[response.status]}"
+    status = f"{response.status} {REASON_PHRASES[response.status]}"
     if response.stream is not None:
-        kind = ("Content-Type", "text/event-stream")
-        start_response(status, [kind, *response.headers])
+        content_type = ("Content-Type", "text/event-stream")
+        start_response(status, [content_type, *response.headers])
         return response.stream
     body = json.dumps(response.payload, separators=(",", ":")).encode()
     headers = [
--- a/standins/_journal.py
+++ b/standins/_journal.py
@@ -1,4 +1,4 @@
-"""Counts by name that outlive a process that is killed."""
+"""Counters that survive the death of their process."""
 
 import collections
 import os
@@ -6,12 +6,12 @@
 
 
 class Journal:
-    """Occurrences by name, appended to a file before they are counted.
+    """Counts occurrences by name and appends each to a file first.
 
-    A test that kills a stand-in would lose what it counted; with a file,
-    the next process of the same stand-in, or the test, reads it again.
+    The counts of a stand-in that a test kills would otherwise be lost. The
+    restarted stand-in, or the test itself, reads them back from the file.
 
-    :param path: the file, or an empty string to keep counts in memory.
+    :param path: the file; an empty string keeps the counts only in memory.
     """
 
     __slots__ = ("_counts", "_file", "_lock")
@@ -31,9 +31,9 @@
             return dict(self._counts)
 
     def add(self, name: str) -> int:
-        """Count one occurrence.
+        """Count one occurrence of a name.
 
-        :returns: how many there are now.
+        :returns: the number of its occurrences so far.
         """
         with self._lock:
             if self._file >= 0:
@@ -42,7 +42,7 @@
             return self._counts[name]
 
     def clear(self) -> None:
-        """Forget every occurrence."""
+        """Reset the counts and empty the file."""
         with self._lock:
             self._counts.clear()
             if self._file >= 0:
@@ -50,8 +50,8 @@
 
 
 def read(path: str) -> "collections.Counter[str]":
-    """The counts that a journal's file holds; none if it is absent."""
+    """Read the counts from a journal file; empty if there is no such file."""
     if not path or not os.path.exists(path):
         return collections.Counter()
-    with open(path) as lines:
-        return collections.Counter(line.rstrip("\n") for line in lines)
+    with open(path) as journal_file:
+        return collections.Counter(line.rstrip("\n") for line in journal_file)
--- a/standins/_sequence.py
+++ b/standins/_sequence.py
@@ -1,4 +1,4 @@
-"""One answer that an engine stand-in generates."""
+"""Sequences: the answers that an engine stand-in generates."""
 
 import threading
 import time
@@ -11,11 +11,14 @@
 DONE = "done"
 CANCELLED = "cancelled"
 EXPORTED = "exported"
-LIVE = (WAITING, RUNNING)
+ACTIVE_STATES = (WAITING, RUNNING)
 
 
-class Work:
-    """What a caller asked for, fit to be moved to another engine."""
+class GenerationRequest:
+    """The parameters of a request; they can move to another engine.
+
+    The names of the attributes are the keys of the exported state.
+    """
 
     __slots__ = (
         "request_id",
@@ -49,107 +52,118 @@
         self.chat = chat
 
     def payload(self) -> dict[str, typing.Any]:
-        """The work as JSON; keys as the constructor's parameters."""
+        """The parameters as a JSON object, with the constructor's names."""
         return {name: getattr(self, name) for name in self.__slots__}
 
 
 class Sequence:
-    """The state of one answer: its tokens so far and who reads them.
+    """The state of one answer: its tokens so far and its number of readers.
 
-    Tokens are appended by the scheduler's thread alone.
+    Only the scheduler thread appends tokens.
 
-    :param work: what to answer.
-    :param tokens: the tokens that it starts with.
-    :param prefilled: whether the state of prompt and tokens is at hand.
+    :param request: the generation request to answer.
+    :param tokens: tokens of the answer that were generated before, here or at
+        another engine.
+    :param prefilled: whether the state of the prompt and those tokens was
+        imported, so that no prefill is needed.
     """
 
     __slots__ = (
-        "work",
+        "request",
         "tokens",
-        "resumed",
-        "base",
-        "blocks",
-        "held",
+        "resumed_count",
+        "answer_hash",
+        "initial_blocks",
+        "pinned_blocks",
         "state",
-        "prefill_left",
+        "prefill_remaining",
         "prefilled",
-        "seen_before",
-        "crash_at",
+        "is_repeat",
+        "crash_after_tokens",
         "_condition",
         "_readers",
         "_unread_since",
     )
 
     def __init__(
-        self, work: Work, tokens: list[str], prefilled: bool = False
+        self,
+        request: GenerationRequest,
+        tokens: list[str],
+        prefilled: bool = False,
     ) -> None:
-        self.work = work
+        self.request = request
         self.tokens = list(tokens)
-        self.resumed = len(tokens)
-        self.base = _tokens.answer_base(work.prompt, work.seed)
-        self.blocks = self.all_blocks()
-        self.held: list[int] = []
+        self.resumed_count = len(tokens)
+        self.answer_hash = _tokens.answer_hash(request.prompt, request.seed)
+        self.initial_blocks = self.current_blocks()
+        self.pinned_blocks: list[int] = []
         self.state = WAITING
-        self.prefill_left = 0
+        self.prefill_remaining = 0
         self.prefilled = prefilled
-        self.seen_before = False
-        self.crash_at: int | None = None
+        self.is_repeat = False
+        self.crash_after_tokens: int | None = None
         self._condition = threading.Condition()
         self._readers = 0
         self._unread_since = time.monotonic()
 
     @property
-    def prompt_tokens(self) -> int:
-        """Tokens of the prompt."""
-        return _tokens.tokens_in(len(self.work.prompt.encode()))
+    def prompt_token_count(self) -> int:
+        """Number of tokens in the prompt."""
+        return _tokens.token_count(len(self.request.prompt.encode()))
 
     @property
-    def finished(self) -> bool:
-        """Whether each token asked for is there."""
-        return len(self.tokens) >= self.work.max_tokens
-
-    def all_blocks(self) -> list[int]:
-        """The blocks of the prompt and the tokens so far."""
-        text = self.work.prompt + "".join(self.tokens)
-        return _tokens.blocks_of(self.work.model, text)
-
-    def grow(self) -> None:
-        """Append the next token and wake who waits for it."""
-        self.tokens.append(_tokens.token(self.base, len(self.tokens)))
-        self.wake()
+    def is_complete(self) -> bool:
+        """Whether all requested tokens are generated."""
+        return len(self.tokens) >= self.request.max_tokens
+
+    def current_blocks(self) -> list[int]:
+        """Hashes of the full blocks of the prompt and the tokens so far."""
+        text = self.request.prompt + "".join(self.tokens)
+        return _tokens.prefix_block_hashes(self.request.model, text)
+
+    def generate_token(self) -> None:
+        """Append the next token and wake the waiting readers."""
+        self.tokens.append(
+            _tokens.answer_token(self.answer_hash, len(self.tokens))
+        )
+        self.notify_readers()
 
     def end(self, state: str) -> None:
-        """Enter a state without further tokens."""
+        """Set a final state and wake the waiting readers."""
         self.state = state
-        self.wake()
+        self.notify_readers()
 
-    def wake(self) -> None:
-        """Make the readers look again."""
+    def notify_readers(self) -> None:
+        """Wake the readers that wait for tokens or for the end."""
         with self._condition:
             self._condition.notify_all()
 
-    def wait_beyond(self, index: int, timeout_s: float) -> list[str]:
-        """The tokens from an index on, waiting for the first of them."""
+    def wait_for_tokens(self, index: int, timeout_s: float) -> list[str]:
+        """The tokens from an index on, after a wait for the first of them.
+
+        :param timeout_s: maximum time to wait, in seconds.
+        :returns: the tokens; empty after a timeout or without further tokens.
+        """
         with self._condition:
-            if len(self.tokens) <= index and self.state in LIVE:
+            if len(self.tokens) <= index and self.state in ACTIVE_STATES:
                 self._condition.wait(timeout_s)
         return self.tokens[index:]
 
-    def attach(self) -> None:
-        """Note one more reader."""
+    def add_reader(self) -> None:
+        """Count one more reader."""
         with self._condition:
             self._readers += 1
 
-    def detach(self) -> None:
-        """Note that a reader has gone."""
+    def remove_reader(self) -> None:
+        """Count one reader less."""
         with self._condition:
             self._readers -= 1
             self._unread_since = time.monotonic()
 
-    def unread_for(self, now: float) -> float:
-        """Seconds for which nobody has been reading."""
+    def unread_s(self, now: float) -> float:
+        """Seconds without a reader up to now; 0 while there is a reader."""
         return 0.0 if self._readers else now - self._unread_since
 
-    def ended_as(self) -> str | None:
-        """The final state, or None while tokens may still come."""
-        return None if self.state in LIVE else self.state
+    def final_state(self) -> str | None:
+        """The final state, or None while tokens may still be generated."""
+        return None if self.state in ACTIVE_STATES else self.state
--- a/standins/_server.py
+++ b/standins/_server.py
@@ -1,4 +1,4 @@
-"""Runs a stand-in on waitress, with a second port just for its control."""
+"""Serves a stand-in with waitress, with a separate port for control calls."""
 
 import argparse
 import logging
@@ -12,118 +12,129 @@
 from . import _http
 
 HOST = "127.0.0.1"
-BACKLOG = 1024
+LISTEN_BACKLOG = 1024
 CONTROL_THREADS = 4
 DEFAULT_THREADS = 128
-STOP_S = 1.0
-#: How long a change of a fault waits for the loop, which may be ending.
-STEP_S = 10.0
+SHUTDOWN_TIMEOUT_S = 1.0
+#: Maximum wait for the server loop to apply a fault change. A loop that is
+#: ending may never apply it.
+LOOP_TIMEOUT_S = 10.0
 
 
 class _Listener:
-    """One waitress server with a loop of its own."""
-
-    __slots__ = ("_map", "_server", "_port", "_reserved", "_looping")
+    """A waitress server with its own socket and event loop."""
+
+    __slots__ = (
+        "_socket_map",
+        "_server",
+        "_port",
+        "_reserved_socket",
+        "_loop_running",
+    )
 
     def __init__(
         self, application: typing.Any, host: str, port: int, threads: int
     ) -> None:
-        sock = _bound(host, port)
+        sock = _bind_socket(host, port)
         self._port: int = sock.getsockname()[1]
-        self._map: dict[int, typing.Any] = {}
-        self._reserved: socket.socket | None = None
-        self._looping = False
+        self._socket_map: dict[int, typing.Any] = {}
+        self._reserved_socket: socket.socket | None = None
+        self._loop_running = False
         self._server = waitress.create_server(
             application,
-            map=self._map,
+            map=self._socket_map,
             sockets=[sock],
             threads=threads,
             send_bytes=1,
             asyncore_use_poll=True,
             channel_request_lookahead=1,
-            connection_limit=4 * BACKLOG,
-            backlog=BACKLOG,
+            connection_limit=4 * LISTEN_BACKLOG,
+            backlog=LISTEN_BACKLOG,
             channel_timeout=3600,
         )
 
     @property
     def port(self) -> int:
-        """The port that it listens on."""
+        """The TCP port of the listener."""
         return self._port
 
     def run(self) -> None:
-        """Serve until :meth:`end`."""
-        self._looping = True
+        """Serve until :meth:`stop`."""
+        self._loop_running = True
         self._server.run()
-        self._looping = False
-        self._server.task_dispatcher.shutdown(timeout=STOP_S)
+        self._loop_running = False
+        self._server.task_dispatcher.shutdown(timeout=SHUTDOWN_TIMEOUT_S)
 
-    def end(self) -> None:
-        """Make the loop close each connection and return."""
+    def stop(self) -> None:
+        """Make the loop close every connection and return from :meth:`run`."""
         self._server.trigger.pull_trigger(self._end_loop)
 
     def close(self) -> None:
-        """Close what the loop used; only after the loop has returned.
+        """Close the loop's descriptors; call it after :meth:`run` returned.
 
-        Were it closed by the loop, :meth:`end` could find its descriptor
-        gone between queueing the step and waking the loop.
+        If the loop itself closed the trigger, :meth:`stop` could find the
+        trigger's descriptor closed between queueing its function and waking
+        the loop.
         """
         self._server.trigger.close()
-        if self._reserved is not None:
-            self._reserved.close()
+        if self._reserved_socket is not None:
+            self._reserved_socket.close()
 
-    def refuse(self, refusing: bool) -> None:
+    def set_refusing(self, refusing: bool) -> None:
         """Make the kernel refuse new connections, or accept them again.
 
-        Only the loop may touch its sockets, and it does so when it comes to
-        it. Were that not waited for, the control would answer first, and a
-        call right after a mended fault would be refused once in a while.
+        Only the loop's thread may change its sockets, and it does so
+        asynchronously. Without the wait, the control call could return before
+        the change, and a request sent right after the fault was cleared would
+        sometimes be refused.
         """
         step = self._stop_listening if refusing else self._listen_again
         done = threading.Event()
 
-        def carry_out() -> None:
+        def run_step() -> None:
             step()
             done.set()
 
-        self._server.trigger.pull_trigger(carry_out)
-        if self._looping:
-            done.wait(STEP_S)
+        self._server.trigger.pull_trigger(run_step)
+        if self._loop_running:
+            done.wait(LOOP_TIMEOUT_S)
 
     def _end_loop(self) -> None:
         for connection in list(self._server.active_channels.values()):
             connection.handle_close()
-        if self._reserved is None:
+        if self._reserved_socket is None:
             wasyncore.dispatcher.close(self._server)
-        self._map.clear()
+        self._socket_map.clear()
 
     def _stop_listening(self) -> None:
-        if self._reserved is not None:
+        if self._reserved_socket is not None:
             return
         host = self._server.socket.getsockname()[0]
         self._server.del_channel()
         self._server.socket.close()
-        # Bound but not listening: connections are refused, and no other
-        # process can be given the port meanwhile.
-        self._reserved = _bound(host, self._port)
+        # A socket that is bound but not listening makes the kernel refuse
+        # connections and keeps other processes from taking the port.
+        self._reserved_socket = _bind_socket(host, self._port)
 
     def _listen_again(self) -> None:
-        if self._reserved is None:
+        if self._reserved_socket is None:
             return
-        sock, self._reserved = self._reserved, None
-        sock.listen(BACKLOG)
-        self._server.set_socket(sock, self._map)
+        sock, self._reserved_socket = self._reserved_socket, None
+        sock.listen(LISTEN_BACKLOG)
+        self._server.set_socket(sock, self._socket_map)
 
 
 class Server:
-    """A stand-in being served from threads of this process.
+    """Serves a stand-in from threads of this process.
 
     :param standin: the application.
-    :param port: of the service; 0 picks one.
-    :param threads: calls served at once, streams and long polls included.
+    :param port: port of the service; 0 lets the system pick one.
+    :param threads: maximum number of concurrent calls, including streams and
+        long polls.
+    :param host: address to bind both ports to.
     """
 
-    __slots__ = ("_standin", "_service", "_control", "_running")
+    __slots__ = ("_standin", "_service", "_control", "_threads")
 
     def __init__(
         self,
@@ -135,60 +146,61 @@
         self._standin = standin
         self._service = _Listener(standin, host, port, threads)
         self._control = _Listener(standin, host, 0, CONTROL_THREADS)
-        self._running: list[threading.Thread] = []
-        # A client that breaks off is an ordinary event for a stand-in.
+        self._threads: list[threading.Thread] = []
+        # Clients often disconnect early from a stand-in, so their disconnects
+        # are not worth a log message.
         logging.getLogger("waitress").setLevel(logging.ERROR)
-        standin.faults.on_change(self._faults_changed)
+        standin.faults.add_listener(self._apply_refuse_fault)
 
     @property
     def port(self) -> int:
-        """The port of the service; it answers /control as well."""
+        """The port of the service, which also serves paths under /control."""
         return self._service.port
 
     @property
     def control_port(self) -> int:
-        """A port that answers even when the other refuses or is full."""
+        """A port that responds even if the service port refuses or is full."""
         return self._control.port
 
     def start(self) -> None:
-        """Serve from daemon threads."""
-        self._running = [
+        """Start serving on daemon threads."""
+        self._threads = [
             threading.Thread(target=listener.run, daemon=True)
             for listener in (self._service, self._control)
         ]
-        for thread in self._running:
+        for thread in self._threads:
             thread.start()
 
     def wait(self) -> None:
         """Block until both loops have ended."""
-        for thread in self._running:
+        for thread in self._threads:
             thread.join()
 
     def close(self) -> None:
-        """Stop serving."""
+        """Stop serving and release the ports."""
         listeners = (self._service, self._control)
         for listener in listeners:
-            listener.end()
-        for thread in self._running:
+            listener.stop()
+        for thread in self._threads:
             thread.join()
         for listener in listeners:
             listener.close()
 
-    def _faults_changed(self) -> None:
-        self._service.refuse(bool(self._standin.faults["refuse"]))
+    def _apply_refuse_fault(self) -> None:
+        self._service.set_refusing(bool(self._standin.faults["refuse"]))
 
 
-def parser(description: str) -> argparse.ArgumentParser:
-    """An argument parser with the flags that each stand-in has."""
-    made = argparse.ArgumentParser(description=description)
-    made.add_argument("--host", default=HOST)
-    made.add_argument("--port", type=int, default=0)
-    made.add_argument("--threads", type=int, default=DEFAULT_THREADS)
-    return made
+def argument_parser(description: str) -> argparse.ArgumentParser:
+    """Create an argument parser with the flags common to all stand-ins."""
+    parser = argparse.ArgumentParser(description=description)
+    parser.add_argument("--host", default=HOST)
+    parser.add_argument("--port", type=int, default=0)
+    parser.add_argument("--threads", type=int, default=DEFAULT_THREADS)
+    return parser
 
 
 def serve(standin: _http.StandIn, arguments: argparse.Namespace) -> int:
-    """Serve until killed, after one line that tells the ports."""
+    """Print one line with the ports, then serve until killed."""
     server = Server(standin, arguments.port, arguments.threads, arguments.host)
     server.start()
     print(
@@ -200,7 +212,7 @@
     return 0
 
 
-def _bound(host: str, port: int) -> socket.socket:
+def _bind_socket(host: str, port: int) -> socket.socket:
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind((host, port))
--- a/standins/_tokens.py
+++ b/standins/_tokens.py
@@ -1,7 +1,7 @@
-"""Answers and prompt blocks that any engine stand-in computes alike.
+"""Deterministic answers and prefix blocks, the same for all engine stand-ins.
 
-A token of an answer depends only on the prompt, the seed and its index, so
-whoever knows the request can check a whole answer at the far end.
+A token of an answer depends only on the prompt, the seed and the token's
+index, so that a client can check a complete answer against its request.
 """
 
 import itertools
@@ -15,14 +15,14 @@
 
 _CONSONANTS = "bdfghjklmnprstvz"
 _VOWELS = "aeiou"
-WORDS = [
+TOKEN_WORDS = [
     " " + "".join(letters)
     for letters in itertools.product(_CONSONANTS, _VOWELS, _CONSONANTS)
 ]
 
 
 def prompt_of(body: dict[str, typing.Any]) -> str:
-    """The prompt text of an OpenAI completion or chat body."""
+    """Extract the prompt text from an OpenAI completion or chat body."""
     if "messages" in body:
         return "".join(
             f"{message['role']}: {message['content']}\n"
@@ -31,45 +31,58 @@
     return body["prompt"]
 
 
-def tokens_in(prompt_bytes: int) -> int:
-    """How many tokens a prompt of so many bytes has."""
+def token_count(prompt_bytes: int) -> int:
+    """Number of tokens in a prompt of ``prompt_bytes`` bytes."""
     return -(-prompt_bytes // TOKEN_BYTES)
 
 
-def answer_base(prompt_text: str, seed: int) -> int:
-    """What an answer's tokens follow from, as an unsigned 64-bit int."""
+def answer_hash(prompt_text: str, seed: int) -> int:
+    """Hash of prompt and seed that determines the tokens of an answer.
+
+    :returns: an unsigned 64-bit integer.
+    """
     return xxhash.xxh64_intdigest(
         prompt_text.encode(), seed=seed & 0xFFFFFFFFFFFFFFFF
     )
 
 
-def token(base: int, index: int) -> str:
-    """One token, of four bytes with its leading space."""
-    digest = xxhash.xxh64_intdigest(index.to_bytes(4, "big"), seed=base)
-    return WORDS[digest % len(WORDS)]
+def answer_token(seed_hash: int, index: int) -> str:
+    """The token at an index: four bytes, of which the first is a space.
+
+    :param seed_hash: the hash returned by :func:`answer_hash`.
+    """
+    digest = xxhash.xxh64_intdigest(index.to_bytes(4, "big"), seed=seed_hash)
+    return TOKEN_WORDS[digest % len(TOKEN_WORDS)]
 
 
 def expected_answer(prompt_text: str, seed: int, max_tokens: int) -> list[str]:
-    """The whole answer that every engine gives to a prompt.
+    """The tokens of the answer that every engine stand-in gives to a prompt.
 
-    :param prompt_text: as :func:`prompt_of` gives it.
-    :param seed: of the request; 0 when it had none.
+    :param prompt_text: the text returned by :func:`prompt_from_body`.
+    :param seed: the request's seed; 0 for a request without one.
+    :param max_tokens: number of tokens in the answer.
     """
-    base = answer_base(prompt_text, seed)
-    return [token(base, index) for index in range(max_tokens)]
+    seed_hash = answer_hash(prompt_text, seed)
+    return [answer_token(seed_hash, index) for index in range(max_tokens)]
 
 
-def blocks_of(model: str, text: str) -> list[int]:
-    """The chained hashes of a text's full blocks."""
+def prefix_block_hashes(model: str, text: str) -> list[int]:
+    """Hashes of the full blocks of a text.
+
+    Each hash depends on the model and on all blocks before it, so that equal
+    hashes mean equal prefixes.
+    """
     data = text.encode()
-    whole = len(data) - len(data) % BLOCK_BYTES
+    full_length = len(data) - len(data) % BLOCK_BYTES
     return list(
         itertools.accumulate(
             (
                 data[start : start + BLOCK_BYTES]
-                for start in range(0, whole, BLOCK_BYTES)
+                for start in range(0, full_length, BLOCK_BYTES)
+            ),
+            lambda previous, block: xxhash.xxh64_intdigest(
+                block, seed=previous
             ),
-            lambda before, block: xxhash.xxh64_intdigest(block, seed=before),
             initial=xxhash.xxh64_intdigest(model.encode()),
         )
     )[1:]
--- a/standins/_waiters.py
+++ b/standins/_waiters.py
@@ -1,4 +1,4 @@
-"""Long polls of a stand-in, and how many of them wait."""
+"""Long polling for the stand-ins, with a count of the waiting polls."""
 
 import threading
 import time
@@ -9,49 +9,51 @@
 DISCONNECT_POLL_S = 1.0
 
 
-class Waiters:
-    """Long polls that wait for a change, and how many there are."""
+class LongPolls:
+    """Blocks long polls until a change, and counts those that wait."""
 
-    __slots__ = ("_condition", "_waiting")
+    __slots__ = ("_condition", "_waiting_count")
 
     def __init__(self) -> None:
         self._condition = threading.Condition()
-        self._waiting = 0
+        self._waiting_count = 0
 
     @property
     def condition(self) -> threading.Condition:
-        """The lock of the state that the polls read."""
+        """The condition whose lock guards the state that polls read."""
         return self._condition
 
     @property
-    def waiting(self) -> int:
-        """Long polls that wait just now."""
-        return self._waiting
+    def waiting_count(self) -> int:
+        """Number of long polls that are waiting."""
+        return self._waiting_count
 
-    def poll(
+    def wait_until(
         self,
         request: _http.Request,
         ready: typing.Callable[[], typing.Any],
         timeout_s: float,
     ) -> None:
-        """Wait, holding the condition, until ``ready`` gives something.
+        """Wait until ``ready`` returns a true value.
 
-        :param request: its client's disconnection ends the wait.
-        :param timeout_s: gives up after this long.
+        :param request: the polling request; the wait ends when its client
+            disconnects.
+        :param ready: called with the lock of :attr:`condition` held.
+        :param timeout_s: maximum time to wait, in seconds.
         """
-        until = time.monotonic() + timeout_s
+        deadline = time.monotonic() + timeout_s
         with self._condition:
-            self._waiting += 1
+            self._waiting_count += 1
             try:
                 while not ready() and not request.disconnected():
-                    left_s = until - time.monotonic()
-                    if left_s <= 0.0:
+                    remaining_s = deadline - time.monotonic()
+                    if remaining_s <= 0.0:
                         return
-                    self._condition.wait(min(left_s, DISCONNECT_POLL_S))
+                    self._condition.wait(min(remaining_s, DISCONNECT_POLL_S))
             finally:
-                self._waiting -= 1
+                self._waiting_count -= 1
 
-    def wake(self) -> None:
-        """Make each poll look again."""
+    def notify(self) -> None:
+        """Make every waiting poll check for a change."""
         with self._condition:
             self._condition.notify_all()
--- a/standins/cloud_api.py
+++ b/standins/cloud_api.py
@@ -1,7 +1,7 @@
-"""A stand-in of the cloud API: VMs, prices and reclaim notices.
+"""Stand-in for the cloud API: VMs, prices and reclaim notices.
 
-It keeps records only: whoever starts the processes of the VMs ends them
-when a notice runs out.
+The stand-in only keeps records. Whoever starts the processes of the VMs must
+end them when the deadline of a notice has passed.
 
 ``python -m standins.cloud_api --port 0``
 """
@@ -16,7 +16,7 @@
 from . import _server
 from . import _waiters
 
-FAULTS: dict[str, typing.Any] = {
+DEFAULT_FAULTS: dict[str, typing.Any] = {
     "lag_s": 0.5,
     "start_s": 1.0,
     "no_capacity": False,
@@ -29,31 +29,40 @@
 
 
 class _Vm:
-    """A VM and the times at which its state changed."""
+    """A VM with the history of its state."""
 
-    __slots__ = ("fields", "_changes")
+    __slots__ = ("fields", "_transitions")
 
     def __init__(self, fields: dict[str, typing.Any]) -> None:
         self.fields = fields
-        self._changes: list[tuple[float, str | None]] = []
+        self._transitions: list[tuple[float, str | None]] = []
 
-    def change(self, at: float, state: str | None) -> None:
-        """Enter a state at a time, also a future one; None means gone."""
-        self._changes = [change for change in self._changes if change[0] < at]
-        self._changes.append((at, state))
+    def set_state(self, at: float, state: str | None) -> None:
+        """Set the state from a time on, which may be in the future.
 
-    def state(self, at: float) -> str | None:
-        """The state at a time."""
-        past = [state for since, state in self._changes if since <= at]
+        :param at: time on the monotonic clock, in seconds; transitions from
+            this time on are replaced.
+        :param state: the state; None for a VM that no longer exists.
+        """
+        self._transitions = [
+            transition
+            for transition in self._transitions
+            if transition[0] < at
+        ]
+        self._transitions.append((at, state))
+
+    def state_at(self, at: float) -> str | None:
+        """The state at a time; None if the VM does not exist then."""
+        past = [state for since, state in self._transitions if since <= at]
         return past[-1] if past else None
 
     def payload(self, at: float) -> dict[str, typing.Any]:
-        """The VM as the list shows it."""
-        return {**self.fields, "state": self.state(at)}
+        """The VM in the format of the VM list."""
+        return {**self.fields, "state": self.state_at(at)}
 
 
 class _Notice:
-    """That a VM will be taken back at a time."""
+    """Announces that the cloud reclaims a VM at a deadline."""
 
     __slots__ = ("seq", "vm", "at", "deadline")
 
@@ -64,7 +73,7 @@
         self.deadline = deadline
 
     def payload(self, now: float) -> dict[str, typing.Any]:
-        """The notice with the seconds that are left."""
+        """The notice with the seconds that remain until its deadline."""
         return {
             "seq": self.seq,
             "vm": self.vm,
@@ -73,28 +82,28 @@
 
 
 class CloudApi(_http.StandIn):
-    """Records of VMs, of what they cost and of notices."""
+    """Keeps records of VMs, prices and reclaim notices."""
 
     def __init__(self) -> None:
-        super().__init__(FAULTS)
-        self._waiters = _waiters.Waiters()
-        self._lock = self._waiters.condition
+        super().__init__(DEFAULT_FAULTS)
+        self._long_polls = _waiters.LongPolls()
+        self._lock = self._long_polls.condition
         self._vms: dict[str, _Vm] = {}
-        self._by_token: dict[str, str] = {}
+        self._vm_by_token: dict[str, str] = {}
         self._spares: list[dict[str, typing.Any]] = []
         self._has_spares = False
         self._prices: dict[tuple[str, str, str], float] = {}
         self._notices: list[_Notice] = []
-        self._names = itertools.count(1)
+        self._vm_numbers = itertools.count(1)
         self._counts: collections.Counter[str] = collections.Counter()
 
     def counts(self) -> dict[str, typing.Any]:
-        """Calls by kind, and the long polls that wait now."""
-        waiting = self._waiters.waiting
+        """Calls by kind, and the number of waiting long polls."""
+        waiting = self._long_polls.waiting_count
         return {**self._counts, "notices_waiting": waiting}
 
     def clear_counts(self) -> None:
-        """Forget the counted calls; the VMs stay."""
+        """Reset the counters; the VMs stay."""
         self._counts.clear()
 
     @_http.route("GET", "/v1/vms")
@@ -105,7 +114,7 @@
             vms = [
                 vm.payload(at)
                 for vm in self._vms.values()
-                if vm.state(at) is not None
+                if vm.state_at(at) is not None
             ]
         return _http.Response(200, {"vms": vms})
 
@@ -114,17 +123,17 @@
         order = request.json()
         with self._lock:
             self._counts["buy"] += 1
-            known = self._by_token.get(order.get("token", ""))
-            if known is not None:
-                return self._bought(known)
-            spare = self._spare_for(order)
+            bought_before = self._vm_by_token.get(order.get("token", ""))
+            if bought_before is not None:
+                return self._purchase_response(bought_before)
+            spare = self._take_spare(order)
             if spare is None:
                 self._counts["refused"] += 1
                 return _http.Response(409, {"error": "no_capacity"})
-            name = spare.get("vm") or f"vm-{next(self._names)}"
-            self._add(name, {"role": "runner", **order, **spare})
-            self._by_token[order.get("token") or name] = name
-            return self._bought(name)
+            name = spare.get("vm") or f"vm-{next(self._vm_numbers)}"
+            self._add_starting_vm(name, {"role": "runner", **order, **spare})
+            self._vm_by_token[order.get("token") or name] = name
+            return self._purchase_response(name)
 
     @_http.route("DELETE", "/v1/vms/([^/]+)")
     def _release(self, request: _http.Request, name: str) -> _http.Response:
@@ -132,7 +141,7 @@
             self._counts["release"] += 1
             if name not in self._vms:
                 return _http.Response(404, {"error": "not_found"})
-            self._vms[name].change(time.monotonic(), None)
+            self._vms[name].set_state(time.monotonic(), None)
         return _http.Response(200, {"vm": name})
 
     @_http.route("GET", "/v1/prices")
@@ -158,10 +167,12 @@
         timeout_s = float(request.params.get("timeout_s", "0"))
         with self._lock:
             self._counts["notices"] += 1
-        self._waiters.poll(request, lambda: self._since(after), timeout_s)
+        self._long_polls.wait_until(
+            request, lambda: self._published_notices(after), timeout_s
+        )
         with self._lock:
             now = time.monotonic()
-            found = self._since(after)
+            found = self._published_notices(after)
         notices = [notice.payload(now) for notice in found]
         seq = found[-1].seq if found else after
         return _http.Response(200, {"notices": notices, "seq": seq})
@@ -173,13 +184,13 @@
         with self._lock:
             state = fields.pop("state")
             vm = _Vm({**dict.fromkeys(VM_FIELDS, ""), **fields})
-            vm.change(time.monotonic(), state)
+            vm.set_state(time.monotonic(), state)
             self._vms[fields["vm"]] = vm
         return _http.Response(200, {"vm": fields["vm"]})
 
     @_http.route("POST", "/control/spares")
     def _add_spares(self, request: _http.Request) -> _http.Response:
-        """Addresses that bought VMs get, the first that fits an order."""
+        """Add spares; a purchase gets the first spare that matches it."""
         with self._lock:
             self._spares += request.json()["spares"]
             self._has_spares = True
@@ -192,19 +203,19 @@
         deadline = now + float(order["notice_s"])
         with self._lock:
             for name in order["vms"]:
-                self._vms[name].change(now, LEAVING)
-                self._vms[name].change(deadline, None)
+                self._vms[name].set_state(now, LEAVING)
+                self._vms[name].set_state(deadline, None)
                 seq = len(self._notices) + 1
                 self._notices.append(_Notice(seq, name, now, deadline))
             self._lock.notify_all()
         return _http.Response(200, {"seq": len(self._notices)})
 
     @_http.route("POST", "/control/gone")
-    def _gone(self, request: _http.Request) -> _http.Response:
-        """VMs that vanished without a notice; the list lags behind."""
+    def _remove_vms(self, request: _http.Request) -> _http.Response:
+        """Remove VMs without a notice, as if they had failed."""
         with self._lock:
             for name in request.json()["vms"]:
-                self._vms[name].change(time.monotonic(), None)
+                self._vms[name].set_state(time.monotonic(), None)
         return _http.Response(200, {})
 
     @_http.route("POST", "/control/prices")
@@ -219,29 +230,31 @@
             )
         return _http.Response(200, {"prices": len(self._prices)})
 
-    def _since(self, after: int) -> list[_Notice]:
+    def _published_notices(self, after: int) -> list[_Notice]:
         until = time.monotonic() - self.faults["notices_lag_s"]
         return [
             notice for notice in self._notices[after:] if notice.at <= until
         ]
 
-    def _bought(self, name: str) -> _http.Response:
+    def _purchase_response(self, name: str) -> _http.Response:
         return _http.Response(201, self._vms[name].payload(time.monotonic()))
 
-    def _add(self, name: str, order: dict[str, typing.Any]) -> None:
+    def _add_starting_vm(
+        self, name: str, order: dict[str, typing.Any]
+    ) -> None:
         now = time.monotonic()
         fields = {field: order.get(field, "") for field in VM_FIELDS}
         vm = _Vm({"vm": name, **fields})
-        vm.change(now, STARTING)
-        vm.change(now + self.faults["start_s"], LIVE)
+        vm.set_state(now, STARTING)
+        vm.set_state(now + self.faults["start_s"], LIVE)
         self._vms[name] = vm
 
-    def _spare_for(
+    def _take_spare(
         self, order: dict[str, typing.Any]
     ) -> dict[str, typing.Any] | None:
-        """The spare that an order gets; None if it is refused.
+        """Take the spare for an order; None if the order is refused.
 
-        Without any spares given, each order gets a VM without an address.
+        If no spares were ever added, each order gets a VM without an address.
         """
         refused = self.faults["no_capacity"]
         if refused is True or order["data_centre"] in (refused or ()):
@@ -263,11 +276,11 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Serve an empty cloud.
+    """Serve a cloud without VMs until killed.
 
-    :param arguments: the command line without the program's name.
+    :param arguments: the command line without the program name.
     """
-    parser = _server.parser("cloud API stand-in")
+    parser = _server.argument_parser("cloud API stand-in")
     return _server.serve(CloudApi(), parser.parse_args(arguments))
 
 
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,4 +1,4 @@
-"""A stand-in of a model engine that batches continuously.
+"""Stand-in for a model engine with continuous batching.
 
 ``python -m standins.engine --port 0``
 """
@@ -23,8 +23,8 @@
 from . import _tokens
 
 DEFAULT_MAX_TOKENS = 16
-READ_WAIT_S = 1.0
-FAULTS: dict[str, typing.Any] = {
+READER_WAIT_S = 1.0
+DEFAULT_FAULTS: dict[str, typing.Any] = {
     "crash_on": "",
     "crash_after_tokens": 0,
     "slow": 1.0,
@@ -40,17 +40,20 @@
 
 
 class Engine(_http.StandIn):
-    """The HTTP interface of an engine.
-
-    :param journal: counts executions by request.
-    :param models: names loaded at the start.
-    :param strict: whether a model that is not loaded is refused.
-    :param queue_limit: sequences that may wait; 0 for any number.
+    """The HTTP interface of the engine stand-in.
+
+    :param scheduler_config: step durations and capacity of the scheduler.
+    :param blocks: capacity of the prefix cache in blocks.
+    :param journal: counts executions by request ID.
+    :param models: the models loaded at the start, each as ``NAME:VERSION``.
+    :param strict: whether requests for a model that is not loaded are refused.
+    :param queue_limit: maximum number of waiting sequences; 0 for no limit.
+    :param faults: defaults of faults that differ from ``DEFAULT_FAULTS``.
     """
 
     def __init__(
         self,
-        speed: _batch.Speed | None = None,
+        scheduler_config: _batch.SchedulerConfig | None = None,
         blocks: int = 4096,
         journal: _journal.Journal | None = None,
         models: tuple[str, ...] = (),
@@ -58,193 +61,217 @@
         queue_limit: int = 0,
         faults: dict[str, typing.Any] | None = None,
     ) -> None:
-        super().__init__({**FAULTS, **(faults or {})})
+        super().__init__({**DEFAULT_FAULTS, **(faults or {})})
         self._cache = _cache.PrefixCache(
             blocks, lambda: self.faults["event_gap"]
         )
-        self._batcher = _batch.Batcher(
-            speed or _batch.Speed(),
+        self._scheduler = _batch.BatchScheduler(
+            scheduler_config or _batch.SchedulerConfig(),
             self._cache,
             lambda: self.faults["slow"],
         )
         self._journal = journal or _journal.Journal()
-        self._orders = _orders.Orders([_model(name) for name in models])
+        self._target_state = _orders.TargetState(
+            [_parse_model(name) for name in models]
+        )
         self._strict = strict
         self._queue_limit = queue_limit
-        self._seen = set(self._journal.counts)
-        self._unnamed = itertools.count(1)
+        self._known_request_ids = set(self._journal.counts)
+        self._request_numbers = itertools.count(1)
         self._counts: collections.Counter[str] = collections.Counter()
-        self._silenced = 0
+        self._silence_calls = 0
         self._lock = threading.Lock()
-        self._batcher.start()
+        self._scheduler.start()
 
     def counts(self) -> dict[str, typing.Any]:
-        """Executions and recomputed tokens by request, and totals."""
+        """Executions and recomputed tokens by request ID, and totals."""
         kinds = ("imports", "exports", "resumes", "resume_mismatches")
         return {
             "executions": self._journal.counts,
-            **self._batcher.counts(),
+            **self._scheduler.counts(),
             **{kind: self._counts[kind] for kind in kinds},
         }
 
     def clear_counts(self) -> None:
-        """Forget what was counted; cache and sequences stay."""
+        """Reset the counters; the cache and the sequences stay."""
         self._journal.clear()
-        self._batcher.clear_counts()
+        self._scheduler.clear_counts()
         self._counts.clear()
 
     def close(self) -> None:
-        """End the scheduler."""
-        self._batcher.close()
+        """Stop the scheduler."""
+        self._scheduler.close()
 
     @_http.route("POST", "/v1/completions")
     def _complete(self, request: _http.Request) -> _http.Response:
-        return self._generate(request, chat=False)
+        return self._handle_completion(request, chat=False)
 
     @_http.route("POST", "/v1/chat/completions")
     def _chat(self, request: _http.Request) -> _http.Response:
-        return self._generate(request, chat=True)
+        return self._handle_completion(request, chat=True)
 
     @_http.route("GET", "/v1/streams/([^/]+)")
-    def _resume(self, request: _http.Request, name: str) -> _http.Response:
-        sequence = self._batcher.find(name)
-        gone = (_sequence.EXPORTED, _sequence.CANCELLED)
-        if sequence is None or sequence.state in gone:
+    def _resume(
+        self, request: _http.Request, request_id: str
+    ) -> _http.Response:
+        sequence = self._scheduler.find_sequence(request_id)
+        unreadable_states = (_sequence.EXPORTED, _sequence.CANCELLED)
+        if sequence is None or sequence.state in unreadable_states:
             return _http.Response(404, {"error": "not_found"})
-        self._count("resumes")
+        self._increment("resumes")
         start = int(request.params.get("from", "0"))
-        return self._stream(request, sequence, start)
+        return self._stream_response(request, sequence, start)
 
     @_http.route("DELETE", "/v1/streams/([^/]+)")
-    def _cancel(self, request: _http.Request, name: str) -> _http.Response:
-        if self._batcher.stop(name, _sequence.CANCELLED) is None:
+    def _cancel(
+        self, request: _http.Request, request_id: str
+    ) -> _http.Response:
+        if (
+            self._scheduler.end_sequence(request_id, _sequence.CANCELLED)
+            is None
+        ):
             return _http.Response(404, {"error": "not_found"})
-        return _http.Response(200, {"request": name})
+        return _http.Response(200, {"request": request_id})
 
     @_http.route("POST", "/v1/streams/([^/]+)/export")
-    def _export(self, request: _http.Request, name: str) -> _http.Response:
+    def _export(
+        self, request: _http.Request, request_id: str
+    ) -> _http.Response:
         if self.faults["export_fails"]:
             return _http.Response(500, {"error": "export_failed"})
-        sequence = self._batcher.stop(name, _sequence.EXPORTED)
+        sequence = self._scheduler.end_sequence(request_id, _sequence.EXPORTED)
         if sequence is None:
             return _http.Response(404, {"error": "not_found"})
-        self._count("exports")
+        self._increment("exports")
         time.sleep(self.faults["export_delay_s"])
-        return _http.Response(200, _frames.state_of(sequence))
+        return _http.Response(200, _frames.exported_state(sequence))
 
     @_http.route("POST", "/v1/import")
     def _import(self, request: _http.Request) -> _http.Response:
         if self.faults["import_fails"]:
             return _http.Response(500, {"error": "import_failed"})
-        refusal = self._refusal("")
+        refusal = self._refusal_response("")
         if refusal is not None:
             return refusal
         state = request.json()
-        work = _sequence.Work(**state["work"])
+        generation = _sequence.GenerationRequest(**state["work"])
         sequence = _sequence.Sequence(
-            work, state["tokens"], state["prefilled"]
+            generation, state["tokens"], state["prefilled"]
         )
-        self._crash_on(sequence)
-        self._batcher.store([int(block, 16) for block in state["blocks"]])
-        self._count("imports")
-        self._seen.add(work.request_id)
-        self._batcher.submit(sequence)
-        return _http.Response(200, {"request": work.request_id})
+        self._apply_crash_fault(sequence)
+        self._scheduler.store_blocks(
+            [int(block, 16) for block in state["blocks"]]
+        )
+        self._increment("imports")
+        self._known_request_ids.add(generation.request_id)
+        self._scheduler.submit(sequence)
+        return _http.Response(200, {"request": generation.request_id})
 
     @_http.route("GET", "/v1/load")
     def _load(self, request: _http.Request) -> _http.Response:
-        load = self._batcher.load(self.faults["load_lag_s"])
+        load = self._scheduler.load(self.faults["load_lag_s"])
         return _http.Response(200, load)
 
     @_http.route("GET", "/v1/cache/events")
     def _events(self, request: _http.Request) -> _http.Response:
         after = int(request.params.get("after", "0"))
-        with self._batcher.lock:
-            events = self._cache.events.after(
+        with self._scheduler.lock:
+            events = self._cache.event_log.events_after(
                 after, self.faults["events_lag_s"]
             )
         return _http.Response(200, events)
 
     @_http.route("POST", "/v1/orders")
     def _order(self, request: _http.Request) -> _http.Response:
-        applied = self._orders.apply(
+        applied = self._target_state.apply_order(
             request.json(), self.faults["fencing"], self.faults["load_s"]
         )
         if not applied:
-            return _http.Response(409, {"fencing": self._orders.fencing})
-        return _http.Response(200, self._orders.payload())
+            return _http.Response(409, {"fencing": self._target_state.fencing})
+        return _http.Response(200, self._target_state.payload())
 
     @_http.route("GET", "/v1/orders")
     def _show_orders(self, request: _http.Request) -> _http.Response:
-        return _http.Response(200, self._orders.payload())
+        return _http.Response(200, self._target_state.payload())
 
     @_http.route("GET", "/v1/health")
     def _health(self, request: _http.Request) -> _http.Response:
         return _http.Response(
-            200, {"models": self._orders.models, "role": self._orders.role}
+            200,
+            {
+                "models": self._target_state.models,
+                "role": self._target_state.role,
+            },
         )
 
     @_http.route("POST", "/control/silence")
     def _silence(self, request: _http.Request) -> _http.Response:
-        """Make the streams that are open now silent for good."""
+        """Stop the output of all streams that are open now, for good."""
         with self._lock:
-            self._silenced += 1
+            self._silence_calls += 1
         return _http.Response(200, {})
 
-    def _generate(self, request: _http.Request, chat: bool) -> _http.Response:
+    def _handle_completion(
+        self, request: _http.Request, chat: bool
+    ) -> _http.Response:
         body = request.json()
-        refusal = self._refusal(body.get("model", ""))
+        refusal = self._refusal_response(body.get("model", ""))
         if refusal is not None:
             return refusal
-        sequence = self._accept(request, body, chat)
+        sequence = self._submit(request, body, chat)
         if body.get("stream"):
-            return self._stream(request, sequence, len(sequence.tokens))
-        return self._whole(request, sequence)
+            return self._stream_response(
+                request, sequence, len(sequence.tokens)
+            )
+        return self._full_response(request, sequence)
 
-    def _refusal(self, model: str) -> _http.Response | None:
-        if self._orders.role == "drain":
+    def _refusal_response(self, model: str) -> _http.Response | None:
+        if self._target_state.role == "drain":
             return _http.Response(503, {"error": "draining"})
-        loaded = {known["model"] for known in self._orders.models}
+        loaded = {known["model"] for known in self._target_state.models}
         if self._strict and model and model not in loaded:
             return _http.Response(404, {"error": "model_not_loaded"})
-        if self._queue_limit and self._batcher.waiting >= self._queue_limit:
+        if (
+            self._queue_limit
+            and self._scheduler.waiting_count >= self._queue_limit
+        ):
             return _http.Response(
                 503, {"error": "queue_full"}, [("Retry-After", "1")]
             )
         return None
 
-    def _accept(
+    def _submit(
         self,
         request: _http.Request,
         body: dict[str, typing.Any],
         chat: bool,
     ) -> _sequence.Sequence:
-        work = self._work(request, body, chat)
+        generation = self._parse_request(request, body, chat)
         extra = body.get("apricotlever") or {}
-        resumed = extra.get("resume_tokens") or []
-        sequence = _sequence.Sequence(work, resumed)
-        seen = work.request_id in self._seen
-        sequence.seen_before = seen or work.attempt > 1
-        self._seen.add(work.request_id)
-        if not resumed:
-            self._journal.add(work.request_id)
-        elif resumed != _tokens.expected_answer(
-            work.prompt, work.seed, len(resumed)
+        resume_tokens = extra.get("resume_tokens") or []
+        sequence = _sequence.Sequence(generation, resume_tokens)
+        is_known = generation.request_id in self._known_request_ids
+        sequence.is_repeat = is_known or generation.attempt > 1
+        self._known_request_ids.add(generation.request_id)
+        if not resume_tokens:
+            self._journal.add(generation.request_id)
+        elif resume_tokens != _tokens.expected_answer(
+            generation.prompt, generation.seed, len(resume_tokens)
         ):
-            self._count("resume_mismatches")
-        self._crash_on(sequence)
-        self._batcher.submit(sequence)
+            self._increment("resume_mismatches")
+        self._apply_crash_fault(sequence)
+        self._scheduler.submit(sequence)
         return sequence
 
-    def _work(
+    def _parse_request(
         self,
         request: _http.Request,
         body: dict[str, typing.Any],
         chat: bool,
-    ) -> _sequence.Work:
-        named = request.header("Apricotlever-Request")
-        return _sequence.Work(
-            named or f"unnamed-{next(self._unnamed)}",
+    ) -> _sequence.GenerationRequest:
+        request_id_header = request.header("Apricotlever-Request")
+        return _sequence.GenerationRequest(
+            request_id_header or f"unnamed-{next(self._request_numbers)}",
             int(request.header("Apricotlever-Attempt", "1")),
             int(request.header("Apricotlever-Priority", "0")),
             body.get("model", ""),
@@ -254,84 +281,90 @@
             chat,
         )
 
-    def _crash_on(self, sequence: _sequence.Sequence) -> None:
-        wanted = self.faults["crash_on"]
-        if not wanted or wanted not in sequence.work.prompt:
+    def _apply_crash_fault(self, sequence: _sequence.Sequence) -> None:
+        crash_text = self.faults["crash_on"]
+        if not crash_text or crash_text not in sequence.request.prompt:
             return
         if not self.faults["crash_after_tokens"]:
             os._exit(_batch.CRASH_CODE)
-        sequence.crash_at = self.faults["crash_after_tokens"]
+        sequence.crash_after_tokens = self.faults["crash_after_tokens"]
 
-    def _stream(
+    def _stream_response(
         self, request: _http.Request, sequence: _sequence.Sequence, start: int
     ) -> _http.Response:
-        stream = self._frames(request, sequence, start)
+        stream = self._token_events(request, sequence, start)
         return _http.Response(
-            200, headers=_frames.echo(request, sequence), stream=stream
+            200,
+            headers=_frames.request_id_headers(request, sequence),
+            stream=stream,
         )
 
-    def _frames(
+    def _token_events(
         self, request: _http.Request, sequence: _sequence.Sequence, start: int
     ) -> typing.Iterator[bytes]:
-        opened = self._silenced
-        before, after = _frames.frame_parts(sequence.work)
+        silence_calls_at_start = self._silence_calls
+        before, after = _frames.token_event_parts(sequence.request)
         index = start
-        sequence.attach()
+        sequence.add_reader()
         try:
             while not request.disconnected():
-                ended = sequence.ended_as()
-                tokens = sequence.wait_beyond(index, READ_WAIT_S)
-                self._hold(request, opened)
+                final_state = sequence.final_state()
+                tokens = sequence.wait_for_tokens(index, READER_WAIT_S)
+                self._wait_if_silenced(request, silence_calls_at_start)
                 if tokens:
                     yield "".join(
                         f"id: {at}\n{before}{token}{after}"
                         for at, token in enumerate(tokens, index)
                     ).encode()
                     index += len(tokens)
-                elif ended is not None:
-                    yield _frames.last_frame(ended)
+                elif final_state is not None:
+                    yield _frames.final_event(final_state)
                     return
         finally:
-            sequence.detach()
+            sequence.remove_reader()
 
-    def _hold(self, request: _http.Request, opened: int) -> None:
+    def _wait_if_silenced(
+        self, request: _http.Request, silence_calls_at_start: int
+    ) -> None:
         self.wait_while_silent(request)
-        while self._silenced != opened:
+        while self._silence_calls != silence_calls_at_start:
             if request.disconnected():
-                _http.drop()
+                _http.drop_connection()
             time.sleep(_http.SILENCE_POLL_S)
 
-    def _whole(
+    def _full_response(
         self, request: _http.Request, sequence: _sequence.Sequence
     ) -> _http.Response:
-        opened = self._silenced
-        sequence.attach()
+        silence_calls_at_start = self._silence_calls
+        sequence.add_reader()
         try:
-            while sequence.ended_as() is None:
-                sequence.wait_beyond(len(sequence.tokens), READ_WAIT_S)
+            while sequence.final_state() is None:
+                sequence.wait_for_tokens(len(sequence.tokens), READER_WAIT_S)
                 if request.disconnected():
-                    _http.drop()
+                    _http.drop_connection()
         finally:
-            sequence.detach()
-        self._hold(request, opened)
+            sequence.remove_reader()
+        self._wait_if_silenced(request, silence_calls_at_start)
         if sequence.state != _sequence.DONE:
             return _http.Response(409, {"error": sequence.state})
         return _http.Response(
-            200, _frames.answer(sequence), _frames.echo(request, sequence)
+            200,
+            _frames.completion_payload(sequence),
+            _frames.request_id_headers(request, sequence),
         )
 
-    def _count(self, kind: str) -> None:
+    def _increment(self, kind: str) -> None:
         with self._lock:
             self._counts[kind] += 1
 
 
-def _model(name: str) -> dict[str, typing.Any]:
+def _parse_model(name: str) -> dict[str, typing.Any]:
     model, _, version = name.partition(":")
     return {"model": model, "version": version, "adapters": []}
 
 
-def _parser() -> argparse.ArgumentParser:
-    parser = _server.parser("model engine stand-in")
+def _argument_parser() -> argparse.ArgumentParser:
+    parser = _server.argument_parser("model engine stand-in")
     parser.add_argument("--slots", type=int, default=16)
     parser.add_argument("--step-ms", type=float, default=15.0)
     parser.add_argument("--step-ms-per-sequence", type=float, default=0.3)
@@ -351,8 +384,8 @@
     return parser
 
 
-def _speed(options: argparse.Namespace) -> _batch.Speed:
-    return _batch.Speed(
+def _scheduler_config(options: argparse.Namespace) -> _batch.SchedulerConfig:
+    return _batch.SchedulerConfig(
         options.slots,
         options.step_ms / 1e3,
         options.step_ms_per_sequence / 1e3,
@@ -363,13 +396,13 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Serve one engine.
+    """Serve one engine stand-in until killed.
 
-    :param arguments: the command line without the program's name.
+    :param arguments: the command line without the program name.
     """
-    options = _parser().parse_args(arguments)
+    options = _argument_parser().parse_args(arguments)
     engine = Engine(
-        _speed(options),
+        _scheduler_config(options),
         options.blocks,
         _journal.Journal(options.journal),
         tuple(name for name in options.models.split(",") if name),
--- a/standins/object_api.py
+++ b/standins/object_api.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's object API: versions, updates and watches.
+"""Stand-in for the platform's object API: versions, updates and watches.
 
 ``python -m standins.object_api --port 0``
 """
@@ -14,13 +14,13 @@
 from . import _server
 from . import _waiters
 
-VALUE_BYTES_MAX = 1_000_000
+MAX_VALUE_BYTES = 1_000_000
 KEPT_EVENTS = 20_000
-FAULTS: dict[str, typing.Any] = {"calls_per_s": None}
+DEFAULT_FAULTS: dict[str, typing.Any] = {"calls_per_s": None}
 
 
-class _Stored:
-    """A value with the revision that wrote it."""
+class _StoredValue:
+    """A value and the revision that wrote it."""
 
     __slots__ = ("version", "value")
 
@@ -29,8 +29,8 @@
         self.value = value
 
 
-class _Event:
-    """One change: a new value, or a deletion when the value is None."""
+class _ChangeEvent:
+    """A change of an object; its value is None for a deletion."""
 
     __slots__ = ("version", "name", "value")
 
@@ -40,7 +40,7 @@
         self.value = value
 
     def payload(self) -> dict[str, typing.Any]:
-        """The event as the watch answers it."""
+        """The event in the format of a watch response."""
         return {
             "name": self.name,
             "version": self.version,
@@ -49,37 +49,37 @@
 
 
 class ObjectApi(_http.StandIn):
-    """Named JSON values under one global revision counter."""
+    """Stores named JSON values under one global revision counter."""
 
     def __init__(self) -> None:
-        super().__init__(FAULTS)
-        self._waiters = _waiters.Waiters()
-        self._lock = self._waiters.condition
-        self._objects: dict[str, _Stored] = {}
-        self._events: list[_Event] = []
+        super().__init__(DEFAULT_FAULTS)
+        self._long_polls = _waiters.LongPolls()
+        self._lock = self._long_polls.condition
+        self._objects: dict[str, _StoredValue] = {}
+        self._events: list[_ChangeEvent] = []
         self._revision = 0
-        self._compacted = 0
-        self._rate = _rates.CallRate()
+        self._compacted_revision = 0
+        self._rate_limiter = _rates.RateLimiter()
         self._counts: collections.Counter[str] = collections.Counter()
-        self.faults.on_change(self._waiters.wake)
+        self.faults.add_listener(self._long_polls.notify)
 
     def counts(self) -> dict[str, typing.Any]:
-        """Calls by kind since the start, and the watches that wait now."""
+        """Calls by kind, the number of waiting watches, and the revision."""
         return {
             **self._counts,
-            "watches_waiting": self._waiters.waiting,
+            "watches_waiting": self._long_polls.waiting_count,
             "revision": self._revision,
         }
 
     def clear_counts(self) -> None:
-        """Forget the counted calls; the objects stay."""
+        """Reset the counters; the objects stay."""
         self._counts.clear()
 
-    def admit(self, request: _http.Request) -> _http.Response | None:
-        """Refuse a call over the rate."""
+    def before_dispatch(self, request: _http.Request) -> _http.Response | None:
+        """Count the call, and refuse it if it exceeds the rate limit."""
         with self._lock:
             self._counts["calls"] += 1
-        if not self._rate.take(self.faults["calls_per_s"]):
+        if not self._rate_limiter.try_acquire(self.faults["calls_per_s"]):
             return None
         with self._lock:
             self._counts["throttled"] += 1
@@ -94,21 +94,21 @@
             found = self._objects.get(name)
         if found is None:
             return _http.Response(404, {"error": "not_found"})
-        return _http.Response(200, _item(name, found))
+        return _http.Response(200, _object_payload(name, found))
 
     @_http.route("PUT", "/v1/objects/(.+)")
     def _put(self, request: _http.Request, name: str) -> _http.Response:
         value = request.json()["value"]
-        if _size(value) > VALUE_BYTES_MAX:
+        if _encoded_bytes(value) > MAX_VALUE_BYTES:
             return _http.Response(413, {"error": "too_large"})
         with self._lock:
             self._counts["put"] += 1
             current = self._version_of(name)
-            if not _allowed(request, current):
+            if not _precondition_holds(request, current):
                 self._counts["conflict"] += 1
                 return _http.Response(412, {"name": name, "version": current})
-            version = self._write(name, value)
-            self._objects[name] = _Stored(version, value)
+            version = self._record_change(name, value)
+            self._objects[name] = _StoredValue(version, value)
         return _http.Response(200, {"name": name, "version": version})
 
     @_http.route("DELETE", "/v1/objects/(.+)")
@@ -118,11 +118,11 @@
             current = self._version_of(name)
             if not current:
                 return _http.Response(404, {"error": "not_found"})
-            if not _allowed(request, current):
+            if not _precondition_holds(request, current):
                 self._counts["conflict"] += 1
                 return _http.Response(412, {"name": name, "version": current})
             del self._objects[name]
-            version = self._write(name, None)
+            version = self._record_change(name, None)
         return _http.Response(200, {"version": version})
 
     @_http.route("GET", "/v1/objects")
@@ -131,7 +131,7 @@
         with self._lock:
             self._counts["list"] += 1
             items = [
-                _item(name, stored)
+                _object_payload(name, stored)
                 for name, stored in sorted(self._objects.items())
                 if name.startswith(prefix)
             ]
@@ -145,19 +145,21 @@
         timeout_s = float(request.params.get("timeout_s", "30"))
         with self._lock:
             self._counts["watch"] += 1
-        self._waiters.poll(
+        self._long_polls.wait_until(
             request,
-            lambda: after < self._compacted
+            lambda: after < self._compacted_revision
             or self.faults["down"]
-            or self._since(after, prefix),
+            or self._events_after(after, prefix),
             timeout_s,
         )
         if self.faults["down"]:
             return _http.Response(503, {"error": "unavailable"})
         with self._lock:
-            if after < self._compacted:
+            if after < self._compacted_revision:
                 return _http.Response(410, {"error": "compacted"})
-            events = [event.payload() for event in self._since(after, prefix)]
+            events = [
+                event.payload() for event in self._events_after(after, prefix)
+            ]
             version = max(after, self._revision)
         return _http.Response(200, {"events": events, "version": version})
 
@@ -165,53 +167,56 @@
     def _compact(self, request: _http.Request) -> _http.Response:
         with self._lock:
             before = int(request.json().get("before", self._revision))
-            self._drop_events(before)
+            self._compact_events(before)
             self._lock.notify_all()
-        return _http.Response(200, {"compacted": self._compacted})
+        return _http.Response(200, {"compacted": self._compacted_revision})
 
     def _version_of(self, name: str) -> int:
         found = self._objects.get(name)
         return found.version if found is not None else 0
 
-    def _write(self, name: str, value: typing.Any) -> int:
+    def _record_change(self, name: str, value: typing.Any) -> int:
         self._revision += 1
-        self._events.append(_Event(self._revision, name, value))
+        self._events.append(_ChangeEvent(self._revision, name, value))
         if len(self._events) > 2 * KEPT_EVENTS:
-            self._drop_events(self._events[-KEPT_EVENTS].version)
+            self._compact_events(self._events[-KEPT_EVENTS].version)
         self._lock.notify_all()
         return self._revision
 
-    def _drop_events(self, upto: int) -> None:
-        first = self._first_after(upto)
+    def _compact_events(self, revision: int) -> None:
+        first = self._index_after(revision)
         del self._events[:first]
-        self._compacted = max(self._compacted, min(upto, self._revision))
+        self._compacted_revision = max(
+            self._compacted_revision, min(revision, self._revision)
+        )
 
-    def _first_after(self, revision: int) -> int:
+    def _index_after(self, revision: int) -> int:
         return bisect.bisect_right(
             self._events, revision, key=lambda event: event.version
         )
 
-    def _since(self, after: int, prefix: str) -> list[_Event]:
+    def _events_after(self, after: int, prefix: str) -> list[_ChangeEvent]:
         return [
             event
-            for event in self._events[self._first_after(after) :]
+            for event in self._events[self._index_after(after) :]
             if event.name.startswith(prefix)
         ]
 
 
-def _item(name: str, stored: _Stored) -> dict[str, typing.Any]:
+def _object_payload(name: str, stored: _StoredValue) -> dict[str, typing.Any]:
     return {"name": name, "version": stored.version, "value": stored.value}
 
 
-def _size(value: typing.Any) -> int:
+def _encoded_bytes(value: typing.Any) -> int:
     return len(json.dumps(value, separators=(",", ":")).encode())
 
 
-def _allowed(request: _http.Request, current: int) -> bool:
-    """Whether a write may take place.
+def _precondition_holds(request: _http.Request, current: int) -> bool:
+    """Whether the precondition of a write holds.
 
-    The condition stands in headers, or as ``at`` in the query for callers
-    that send none; 0 there means that there must be no such object.
+    The precondition is in a header, or in the query parameter ``at`` for
+    clients that send no such headers. The version 0 requires that the object
+    does not exist.
     """
     if request.header("If-None-Match") == "*":
         return current == 0
@@ -220,11 +225,11 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Serve an empty store.
+    """Serve an empty store until killed.
 
-    :param arguments: the command line without the program's name.
+    :param arguments: the command line without the program name.
     """
-    parser = _server.parser("object API stand-in")
+    parser = _server.argument_parser("object API stand-in")
     return _server.serve(ObjectApi(), parser.parse_args(arguments))
 
 
--- a/standins/plain_dialect.py
+++ b/standins/plain_dialect.py
@@ -1,58 +1,74 @@
-"""A small dialect of its own for tests of the request path."""
+"""A minimal dialect for tests of the request path."""
 
 from apricotlever.serving import messages
 from apricotlever.serving import pool
 
-DROPPED = {b"connection", b"content-length", b"transfer-encoding", b"host"}
+CONNECTION_HEADERS = {
+    b"connection",
+    b"content-length",
+    b"transfer-encoding",
+    b"host",
+}
 
 
-def _named(headers):
+def _headers_by_name(headers):
     return {name.lower(): value for name, value in headers}
 
 
 class PlainCallers:
-    """``Call-Id``, ``Wait-S``, ``Key``, ``Prompt`` and ``After``."""
+    """Caller dialect with the headers Call-Id, Wait-S, Key and After."""
 
     ready_path = "/ready"
     lookup_path = "/vms"
 
     def read(self, method, target, headers, body, received_at):
-        """Translate a call."""
-        named = _named(headers)
-        wait = named.get(b"wait-s")
-        after = named.get(b"after")
+        """Parse a call into the product's type."""
+        by_name = _headers_by_name(headers)
+        wait_s = by_name.get(b"wait-s")
+        after = by_name.get(b"after")
         return messages.CallerCall(
             method,
             target,
-            named.get(b"host", b"").decode(),
-            [(n, v) for n, v in headers if n.lower() not in DROPPED],
+            by_name.get(b"host", b"").decode(),
+            [
+                (name, value)
+                for name, value in headers
+                if name.lower() not in CONNECTION_HEADERS
+            ],
             body,
-            named.get(b"call-id", b"").decode(),
-            float(wait) if wait else None,
-            named.get(b"key", b"").decode(),
+            by_name.get(b"call-id", b"").decode(),
+            float(wait_s) if wait_s else None,
+            by_name.get(b"key", b"").decode(),
             None,
             int(after) if after else None,
             received_at,
         )
 
     def refusal_headers(self, call):
-        """None of its own."""
+        """No headers: the dialect adds none to a refusal."""
         return []
 
     def answer_headers(self, head):
-        """All but those of the connection."""
-        return [(n, v) for n, v in head.headers if n.lower() not in DROPPED]
+        """All headers of the runner's answer but those of the connection."""
+        return [
+            (name, value)
+            for name, value in head.headers
+            if name.lower() not in CONNECTION_HEADERS
+        ]
 
     def lookup_answer(self, addresses, ttl_s):
-        """One address a line."""
+        """The addresses, one per line."""
         return "\n".join(addresses).encode()
 
 
 class PlainRunners:
-    """``Call-Id``, ``Left-S``, ``After``; answers bear ``Signed``."""
+    """Runner dialect with the headers Call-Id, Left-S and After.
+
+    A runner marks its own answers with the header Signed.
+    """
 
     def request(self, call, errand):
-        """A whole request."""
+        """Encode a request with its headers and body."""
         lines = [
             f"{call.method} {call.target} HTTP/1.1",
             f"Host: {call.host}",
@@ -68,15 +84,15 @@
         return "\r\n".join([*lines, "", ""]).encode() + call.body
 
     def head(self, status, headers):
-        """Translate the head of an answer."""
-        named = _named(headers)
+        """Parse the status and headers of an answer."""
+        by_name = _headers_by_name(headers)
         return messages.RunnerHead(
             status,
             headers,
-            not_run=b"not-run" in named,
-            other_runner=b"other-runner" in named,
-            signed=b"signed" in named,
-            request_id=named.get(b"call-id", b"").decode(),
-            closing=named.get(b"connection", b"").lower() == b"close",
-            keep_alive_s=pool.keep_alive_s(named.get(b"keep-alive", b"")),
+            not_run=b"not-run" in by_name,
+            other_runner=b"other-runner" in by_name,
+            signed=b"signed" in by_name,
+            request_id=by_name.get(b"call-id", b"").decode(),
+            closing=by_name.get(b"connection", b"").lower() == b"close",
+            keep_alive_s=pool.keep_alive_s(by_name.get(b"keep-alive", b"")),
         )
--- a/standins/plain_service.py
+++ b/standins/plain_service.py
@@ -1,4 +1,4 @@
-"""A stand-in of a plain service whose runs must not be repeated.
+"""Stand-in for a plain service whose operations must run at most once.
 
 ``python -m standins.plain_service --port 0``
 """
@@ -13,8 +13,8 @@
 from . import _journal
 from . import _server
 
-DIED_CODE = 71
-FAULTS: dict[str, typing.Any] = {
+FAULT_EXIT_CODE = 71
+DEFAULT_FAULTS: dict[str, typing.Any] = {
     "delay_s": 0.0,
     "die_before": 0,
     "die_after": 0,
@@ -22,7 +22,7 @@
 
 
 class PlainService(_http.StandIn):
-    """Counts each run by its operation and by its request.
+    """Counts the runs of each operation and of each request.
 
     :param operations: counts runs by operation.
     :param requests: counts runs by request ID.
@@ -33,14 +33,14 @@
         operations: _journal.Journal | None = None,
         requests: _journal.Journal | None = None,
     ) -> None:
-        super().__init__(FAULTS)
+        super().__init__(DEFAULT_FAULTS)
         self._operations = operations or _journal.Journal()
         self._requests = requests or _journal.Journal()
         self._lock = threading.Lock()
         self._in_flight = 0
 
     def counts(self) -> dict[str, typing.Any]:
-        """Runs by operation and by request, and calls in flight."""
+        """Runs by operation, runs by request ID, and calls in flight."""
         return {
             "runs": self._operations.counts,
             "requests": self._requests.counts,
@@ -48,7 +48,7 @@
         }
 
     def clear_counts(self) -> None:
-        """Forget each run."""
+        """Reset the counts of runs."""
         self._operations.clear()
         self._requests.clear()
 
@@ -63,25 +63,25 @@
         return _http.Response(200, {"models": [], "role": "serve"})
 
     @_http.route("POST", "/.*")
-    def _run(self, request: _http.Request) -> _http.Response:
+    def _run_operation(self, request: _http.Request) -> _http.Response:
         body = request.json()
-        self._work()
-        if self.faults.take("die_before"):
-            os._exit(DIED_CODE)
+        self._simulate_work()
+        if self.faults.consume("die_before"):
+            os._exit(FAULT_EXIT_CODE)
         request_id = request.header("Apricotlever-Request")
         operation = str(body.get("operation", request_id))
         run = self._operations.add(operation)
         self._requests.add(request_id)
-        if self.faults.take("die_after"):
-            os._exit(DIED_CODE)
-        return self._done(request, {"operation": operation, "run": run})
+        if self.faults.consume("die_after"):
+            os._exit(FAULT_EXIT_CODE)
+        return self._response(request, {"operation": operation, "run": run})
 
     @_http.route("*", "/.*")
-    def _look(self, request: _http.Request) -> _http.Response:
-        self._work()
-        return self._done(request, {})
+    def _handle_other_method(self, request: _http.Request) -> _http.Response:
+        self._simulate_work()
+        return self._response(request, {})
 
-    def _work(self) -> None:
+    def _simulate_work(self) -> None:
         with self._lock:
             self._in_flight += 1
         try:
@@ -90,7 +90,7 @@
             with self._lock:
                 self._in_flight -= 1
 
-    def _done(
+    def _response(
         self, request: _http.Request, result: dict[str, typing.Any]
     ) -> _http.Response:
         names = ("Apricotlever-Request", "Apricotlever-Attempt")
@@ -109,11 +109,11 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Serve one service.
+    """Serve one plain service until killed.
 
-    :param arguments: the command line without the program's name.
+    :param arguments: the command line without the program name.
     """
-    parser = _server.parser("plain service stand-in")
+    parser = _server.argument_parser("plain service stand-in")
     parser.add_argument("--journal", default="", metavar="FILE")
     parser.add_argument("--delay-s", type=float, default=0.0)
     options = parser.parse_args(arguments)
--- a/standins/weight_store.py
+++ b/standins/weight_store.py
@@ -1,4 +1,4 @@
-"""A stand-in of the weight store, whose loads are limited in rate.
+"""Stand-in for the weight store, which limits the rate of loads.
 
 ``python -m standins.weight_store --port 0``
 """
@@ -12,7 +12,7 @@
 from . import _rates
 from . import _server
 
-FAULTS: dict[str, typing.Any] = {
+DEFAULT_FAULTS: dict[str, typing.Any] = {
     "loads_per_s": 1.0,
     "burst": 4.0,
     "load_s": 2.0,
@@ -21,26 +21,26 @@
 
 
 class WeightStore(_http.StandIn):
-    """Answers how large weights are and when they may be loaded."""
+    """Returns the size of weights and grants leases to load them."""
 
     def __init__(self) -> None:
-        super().__init__(FAULTS)
-        self._rate = _rates.CallRate()
+        super().__init__(DEFAULT_FAULTS)
+        self._rate_limiter = _rates.RateLimiter()
         self._counts: collections.Counter[str] = collections.Counter()
 
     def counts(self) -> dict[str, typing.Any]:
-        """Granted and refused loads, and leases by model and version."""
+        """Granted and refused calls, and leases by model and version."""
         return dict(self._counts)
 
     def clear_counts(self) -> None:
-        """Forget what was counted."""
+        """Reset the counters."""
         self._counts.clear()
 
     @_http.route("GET", "/v1/weights/([^/]+)/([^/]+)")
     def _weights(
         self, request: _http.Request, model: str, version: str
     ) -> _http.Response:
-        refusal = self._limit()
+        refusal = self._check_rate_limit()
         if refusal is not None:
             return refusal
         size = self.faults["weight_bytes"]
@@ -50,15 +50,15 @@
 
     @_http.route("POST", "/v1/leases")
     def _lease(self, request: _http.Request) -> _http.Response:
-        wanted = request.json()
-        refusal = self._limit()
+        lease = request.json()
+        refusal = self._check_rate_limit()
         if refusal is not None:
             return refusal
-        self._counts[f"{wanted['model']}/{wanted['version']}"] += 1
+        self._counts[f"{lease['model']}/{lease['version']}"] += 1
         return _http.Response(200, {"seconds": self.faults["load_s"]})
 
-    def _limit(self) -> _http.Response | None:
-        wait_s = self._rate.take(
+    def _check_rate_limit(self) -> _http.Response | None:
+        wait_s = self._rate_limiter.try_acquire(
             self.faults["loads_per_s"], self.faults["burst"]
         )
         if not wait_s:
@@ -74,11 +74,11 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Serve a store that holds any weights.
+    """Serve a store with weights for every model until killed.
 
-    :param arguments: the command line without the program's name.
+    :param arguments: the command line without the program name.
     """
-    parser = _server.parser("weight store stand-in")
+    parser = _server.argument_parser("weight store stand-in")
     return _server.serve(WeightStore(), parser.parse_args(arguments))
 
 
--- a/tests/standins/entry_fake.py
+++ b/tests/standins/entry_fake.py
@@ -89,7 +89,7 @@
     fake: EntryFake, cut: int, tokens: list[str]
 ) -> typing.Iterator[str]:
     yield ": about to break\n\n"
-    _http.drop()
+    _http.drop_connection()
 
 
 @spoil("doubles")
--- a/tests/standins/object_api.feature
+++ b/tests/standins/object_api.feature
@@ -1,62 +1,61 @@
 Feature: The object API stand-in
 
-  Scenario: Conditional updates let one of many racing writers win
+  Scenario: Only one of many concurrent conditional updates succeeds
     Given an object API stand-in with an object
-    When 12 writers update the object at once on its first version
-    Then 1 writer has won and the object API holds its value
+    When 12 writers update the object concurrently on its first version
+    Then 1 writer has succeeded and the object API stores its value
 
-  Scenario: Unconditional updates let every racing writer win
-    Symptom: a writer was told that its value is stored, and it is gone.
-    Events: two writers read one version; each writes; the later one wins.
-    Cause: the update was not conditional.
+  Scenario: All concurrent unconditional updates succeed
+    Writers that read the same version and update it without a condition
+    overwrite each other. A writer's value is lost although its update was
+    reported as stored.
     Given an object API stand-in with an object
-    When 12 writers update the object at once without a condition
-    Then 12 writers have won and the object API holds just one value
+    When 12 writers update the object concurrently without a condition
+    Then 12 writers have succeeded and the object API stores one value
 
-  Scenario: Create-only claims are granted once
+  Scenario: Only one of many concurrent creations of an object succeeds
     Given an object API stand-in with an object
-    When 12 writers claim a name at once
-    Then 1 writer has won and the object API holds its claim
+    When 12 writers create the same claim concurrently
+    Then 1 writer has succeeded and the object API stores its claim
 
-  Scenario: An answer is lost after the write has taken effect
-    Symptom: the writer sees a broken connection.
-    Events: the store writes the value, then closes without an answer.
-    Cause: the lose_answer fault for one call.
+  Scenario: A write takes effect although its response is lost
+    The lose_answer fault makes the object API store the value and then close
+    the connection without a response.
     Given an object API stand-in with an object
-    When the answer to an update is lost
-    Then the object API holds the update whose answer was lost
-    And the next update gets an answer
+    When the response to an update is lost
+    Then the object API stores the update whose response was lost
+    And the next update gets a response
 
   Scenario: A lost request changes nothing
     Given an object API stand-in with an object
-    When an update is lost before it reaches the store
-    Then the object API holds the first value
+    When an update is lost before the object API handles it
+    Then the object API stores the first value
 
-  Scenario: A write wakes a watch and counts as a waiting call until then
+  Scenario: A watch waits until an object under its prefix is written
     Given an object API stand-in with an object
-    When a watch waits for objects under the prefix
+    When a watch waits for changes under the prefix
     Then the object API counts 1 waiting watch
-    And a write under another prefix leaves it waiting
-    And a write under the prefix wakes it with the value
+    And a write under another prefix leaves the watch waiting
+    And a write under the prefix ends the watch with the new value
 
-  Scenario: A deletion is an event without a value
+  Scenario: A watch reports a deletion as an event without a value
     Given an object API stand-in with an object
     When the object is deleted from the object API
-    Then a watch from its first version gets a null value
+    Then a watch from the object's first version gets a null value
 
-  Scenario: A compacted revision is gone
+  Scenario: A watch from a compacted revision is refused
     Given an object API stand-in with an object
     When the object is updated and its events are compacted
-    Then a watch from its first version is told that it is gone
+    Then a watch from the object's first version is answered with 410
 
-  Scenario: Down means no connection or 503, also for a waiting watch
+  Scenario: An outage also ends a waiting watch
     Given an object API stand-in with an object
-    When a watch waits for objects under the prefix
+    When a watch waits for changes under the prefix
     And the object API goes down
     Then the waiting watch is answered with 503
-    And while it refuses connections none comes about, and later one does
+    And connections fail while the object API refuses them, not afterwards
 
-  Scenario: Calls over the rate and values over a megabyte are refused
+  Scenario: Calls above the rate limit and large values are refused
     Given an object API stand-in with an object
     Then a value over a megabyte is answered with 413
-    And over a rate of 5 calls a second some of 30 are answered with 429
+    And at a limit of 5 calls per second some of 30 are answered with 429
--- a/tests/standins/server.feature
+++ b/tests/standins/server.feature
@@ -1,13 +1,11 @@
-Feature: A stand-in's faults are in force once its control has answered
+Feature: A fault change is in effect when its control call returns
 
-  Scenario: Connections are refused and accepted as the control says
-    Symptom: once in some hundred runs a scenario that has just mended a
-    stand-in gets "connection refused" from it.
-    Events: a stand-in that refuses connections is reset; its loop is busy
-    for a moment; the next call comes at once.
-    Cause: the control answers before the loop has listened again.
-    Given a stand-in whose loop is busy for 0.3 s before each control call
-    When its control is told to refuse connections
-    Then the next connection is refused
-    When its control is told to reset
-    Then the next connection is accepted
+  Scenario: Connections are refused and accepted after a control call
+    If a control call returned before the server loop has listened again, a
+    connection made right after a reset would sometimes be refused, in about
+    one of some hundred test runs.
+    Given a stand-in whose loop is blocked for 0.3 s before each control call
+    When a control call makes the stand-in refuse connections
+    Then the next connection to the stand-in is refused
+    When a control call resets the stand-in's faults
+    Then the next connection to the stand-in is accepted
--- a/tests/steps/standins_engine.py
+++ b/tests/steps/standins_engine.py
@@ -23,7 +23,7 @@
 
 
 def _start(context, linger_s=10.0, slots=16, blocks=4096):
-    speed = _batch.Speed(
+    speed = _batch.SchedulerConfig(
         slots=slots,
         step_s=STEP_S,
         prefill_s_per_token=0.0,
@@ -72,7 +72,7 @@
         _start(context)
 
 
-@given("an engine stand-in that lingers for {seconds:g} s")
+@given("an engine stand-in with a linger time of {seconds:g} s")
 def _lingering(context, seconds):
     context.engines, context.addresses = [], []
     _start(context, linger_s=seconds)
@@ -84,7 +84,7 @@
     _start(context, slots=slots)
 
 
-@given("an engine stand-in with room for {blocks:d} blocks")
+@given("an engine stand-in with a prefix cache of {blocks:d} blocks")
 def _with_blocks(context, blocks):
     context.engines, context.addresses = [], []
     _start(context, blocks=blocks)
@@ -95,12 +95,12 @@
     context.engines[0].faults.set({"fencing": False})
 
 
-@given("the engine stand-in loses every cache event")
+@given("the engine stand-in drops every cache event")
 def _losing(context):
     context.engines[0].faults.set({"event_gap": 1.0, "events_lag_s": 0.0})
 
 
-@given("an engine stand-in in a process of its own")
+@given("an engine stand-in in its own process")
 def _a_process(context):
     context.fleet = fleet.Fleet()
     context.closers.append(context.fleet.close)
@@ -137,7 +137,7 @@
     assert 5 <= len(context.state["tokens"]) < count
 
 
-@when("a stream of {count:d} tokens is exported once it is generated")
+@when("a stream of {count:d} tokens is exported when all are generated")
 def _export_late(context, count):
     _new_answer(context, count)
     _post(context, engine_calls.body(count), limit=5)
@@ -155,12 +155,12 @@
     assert reply.status == 200, reply.payload
 
 
-@when("the second engine stand-in's stream is read after the last token")
+@when("the stream is read on from the second engine stand-in")
 def _read_imported(context):
     _read_on(context, 1)
 
 
-@when("the prompt and the sent tokens are replayed at the second")
+@when("the request resumes on the second one with the received tokens")
 def _replay(context):
     context.sent = len(context.answer.tokens)
     extra = {"resume_tokens": context.answer.tokens[:]}
@@ -168,24 +168,24 @@
     _post(context, body, engine_calls.headers(attempt=2), which=1)
 
 
-@when("the same request is sent to the engine stand-in once more")
+@when("the same request is sent to the engine stand-in again")
 def _again(context):
     _new_answer(context, 8)
     _post(context, engine_calls.body(8), engine_calls.headers(attempt=2))
 
 
-@when("a reader breaks off a stream of {count:d} tokens after {limit:d}")
+@when("a client disconnects from a stream of {count:d} tokens after {limit:d}")
 def _break_off(context, count, limit):
     _new_answer(context, count)
     _post(context, engine_calls.body(count), limit=limit)
 
 
-@when("the engine stand-in's stream is resumed after the last token")
+@when("the stream is read on from the same engine stand-in")
 def _resume(context):
     _read_on(context, 0)
 
 
-@when("requests of priority 1 and 9 wait behind a running one")
+@when("requests of priority 1 and 9 wait while another one runs")
 def _priorities(context):
     context.streams = [
         _submit(context, f"r.{priority}", priority) for priority in (5, 1, 9)
@@ -205,7 +205,10 @@
     return connection
 
 
-@when("orders with the fencing numbers {first:d} and {second:d} reach it")
+@when(
+    "the engine stand-in gets orders with fencing numbers {first:d} and"
+    " {second:d}"
+)
 def _orders(context, first, second):
     for fencing, role in ((first, "serve"), (second, "drain")):
         order = {
@@ -219,12 +222,12 @@
         context.status = reply.status
 
 
-@when("the engine stand-in stops losing cache events")
+@when("the engine stand-in stops dropping cache events")
 def _not_losing(context):
     context.engines[0].faults.set({"event_gap": 0.0})
 
 
-@when("another prompt is streamed from the engine stand-in")
+@when("a completion of another prompt is streamed")
 def _another_prompt(context):
     _post(
         context,
@@ -233,7 +236,7 @@
     )
 
 
-@when("three prompts of 3 blocks each are sent in turn, twice")
+@when("three prompts of 3 blocks each are sent one after another, twice")
 def _thrash(context):
     prompts = [letter * 3 * _tokens.BLOCK_BYTES for letter in "abc"]
     for number, prompt in enumerate(prompts * 2):
@@ -245,7 +248,7 @@
         )
 
 
-@when("a prompt that crashes it reaches the engine process")
+@when("a prompt that matches the crash fault is sent to the engine process")
 def _crash(context):
     context.fleet.faults("e1", crash_on=CRASH_WORD)
     try:
@@ -260,7 +263,7 @@
         context.error = error
 
 
-@when("the open stream is silenced after {count:d} tokens")
+@when("an open stream is silenced after {count:d} tokens")
 def _silence(context, count):
     context.connection, context.response = engine_calls.open_stream(
         context.addresses[0],
@@ -275,7 +278,7 @@
     engine_calls.call(context.addresses[0], "POST", "/control/silence", {})
 
 
-@then("the engine stand-in's answer is whole")
+@then("the answer from the engine stand-in is complete")
 def _whole(context):
     assert not context.answer.problem, context.answer.problem
 
@@ -300,22 +303,22 @@
     assert totals == [0, 0], totals
 
 
-@then("the request ran as a fresh start in {count:d} engine stand-in")
+@then("the request was executed from its start on {count:d} engine stand-in")
 def _ran_once(context, count):
     assert sum(map(_executions, context.engines)) == count
 
 
-@then("the second counts the prompt and the sent tokens as recomputed")
+@then("the second one counts the prompt and those tokens as recomputed")
 def _recomputed(context):
     counts = context.engines[1].counts()
-    prompt_tokens = _tokens.tokens_in(len(engine_calls.PROMPT.encode()))
+    prompt_tokens = _tokens.token_count(len(engine_calls.PROMPT.encode()))
     wanted = prompt_tokens + context.sent
     assert counts["recomputed"] == {engine_calls.REQUEST: wanted}, counts
     assert counts["executions"] == {}, counts
     assert counts["resume_mismatches"] == 0, counts
 
 
-@then("the engine stand-in forgets the stream")
+@then("the engine stand-in no longer knows the stream")
 def _forgotten(context):
     path = f"/v1/streams/{engine_calls.REQUEST}?from=4000"
     fleet.wait_for(
@@ -334,7 +337,9 @@
     assert context.engines[0].counts()["generated_total"] == 120
 
 
-@then("the engine stand-in follows the order numbered {fencing:d}")
+@then(
+    "the engine stand-in has applied the order with fencing number {fencing:d}"
+)
 def _in_force(context, fencing):
     reply = engine_calls.call(context.addresses[0], "GET", "/v1/orders")
     assert reply.payload["order"] == f"order-{fencing}", reply.payload
@@ -342,7 +347,7 @@
     assert context.status == (409 if fencing == 5 else 200), context.status
 
 
-@then("the engine stand-in's first cache event has a number above 1")
+@then("the first published cache event has a sequence number above 1")
 def _gap(context):
     reply = engine_calls.call(
         context.addresses[0], "GET", "/v1/cache/events?after=0"
@@ -351,7 +356,7 @@
     assert events and events[0]["seq"] > 1, reply.payload
 
 
-@then("the engine stand-in counts evicted blocks that were recomputed")
+@then("the engine stand-in counts the recomputed tokens of evicted blocks")
 def _evicted(context):
     counts = context.engines[0].counts()
     assert counts["evicted_recomputed"] >= 3 * _tokens.BLOCK_TOKENS, counts
@@ -366,7 +371,7 @@
     assert _journal.read(path) == {engine_calls.REQUEST: count}
 
 
-@then("the silenced stream gives nothing more")
+@then("the silenced stream sends nothing more")
 def _silent(context):
     try:
         while context.response.readline():
@@ -377,7 +382,7 @@
     raise AssertionError("the stream ended instead of going silent")
 
 
-@then("a new stream of the engine stand-in is whole")
+@then("a new stream of the engine stand-in is complete")
 def _new_stream(context):
     _new_answer(context, 6)
     _post(context, engine_calls.body(6), engine_calls.headers("r.new"))
--- a/tests/steps/standins_object_api.py
+++ b/tests/steps/standins_object_api.py
@@ -73,32 +73,32 @@
     context.first = _update(context, FIRST).payload["version"]
 
 
-@when("{count:d} writers update the object at once on its first version")
+@when("{count:d} writers update the object concurrently on its first version")
 def _racing_updates(context, count):
     _race(context, count, PATH, {"If-Match": str(context.first)})
 
 
-@when("{count:d} writers update the object at once without a condition")
+@when("{count:d} writers update the object concurrently without a condition")
 def _unconditional(context, count):
     _race(context, count, PATH, {})
 
 
-@when("{count:d} writers claim a name at once")
+@when("{count:d} writers create the same claim concurrently")
 def _claims(context, count):
     _race(context, count, CLAIM_PATH, {"If-None-Match": "*"})
 
 
-@when("the answer to an update is lost")
+@when("the response to an update is lost")
 def _answer_lost(context):
     _lost(context, "lose_answer")
 
 
-@when("an update is lost before it reaches the store")
+@when("an update is lost before the object API handles it")
 def _request_lost(context):
     _lost(context, "lose_request")
 
 
-@when("a watch waits for objects under the prefix")
+@when("a watch waits for changes under the prefix")
 def _watch(context):
     pool = futures.ThreadPoolExecutor(1)
     context.closers.append(pool.shutdown)
@@ -123,35 +123,35 @@
     context.standin.faults.set({"down": True})
 
 
-@then("1 writer has won and the object API holds its value")
+@then("1 writer has succeeded and the object API stores its value")
 def _one_won(context):
     assert [_value(context)] == context.winners, context.winners
     versions = {reply.payload["version"] for reply in context.losers}
     assert versions == {_call(context, "GET", PATH).payload["version"]}
 
 
-@then("{count:d} writers have won and the object API holds just one value")
+@then("{count:d} writers have succeeded and the object API stores one value")
 def _all_won(context, count):
     assert len(context.winners) == count
     assert _value(context) in context.winners
 
 
-@then("1 writer has won and the object API holds its claim")
+@then("1 writer has succeeded and the object API stores its claim")
 def _claimed(context):
     assert [_value(context, CLAIM_PATH)] == context.winners
 
 
-@then("the object API holds the update whose answer was lost")
+@then("the object API stores the update whose response was lost")
 def _took_effect(context):
     assert _value(context) == SECOND["value"]
 
 
-@then("the next update gets an answer")
+@then("the next update gets a response")
 def _answered(context):
     assert _update(context, FIRST).status == 200
 
 
-@then("the object API holds the first value")
+@then("the object API stores the first value")
 def _unchanged(context):
     assert _value(context) == FIRST["value"]
 
@@ -161,14 +161,14 @@
     assert context.standin.counts()["watches_waiting"] == 1
 
 
-@then("a write under another prefix leaves it waiting")
+@then("a write under another prefix leaves the watch waiting")
 def _elsewhere(context):
     _call(context, "PUT", "/v1/objects/status/one", FIRST)
     assert not context.watch.done()
     assert context.standin.counts()["watches_waiting"] == 1
 
 
-@then("a write under the prefix wakes it with the value")
+@then("a write under the prefix ends the watch with the new value")
 def _woken(context):
     version = _update(context, SECOND).payload["version"]
     reply = context.watch.result(WATCH_S / 2)
@@ -176,13 +176,13 @@
     assert reply.payload == {"events": [event], "version": version}
 
 
-@then("a watch from its first version gets a null value")
+@then("a watch from the object's first version gets a null value")
 def _null(context):
     reply = _call(context, "GET", _watch_path(context.first))
     assert [event["value"] for event in reply.payload["events"]] == [None]
 
 
-@then("a watch from its first version is told that it is gone")
+@then("a watch from the object's first version is answered with 410")
 def _gone(context):
     assert _call(context, "GET", _watch_path(context.first)).status == 410
 
@@ -192,7 +192,7 @@
     assert context.watch.result(WATCH_S / 2).status == 503
 
 
-@then("while it refuses connections none comes about, and later one does")
+@then("connections fail while the object API refuses them, not afterwards")
 def _refuses(context):
     _fault(context, {"refuse": True, "down": False})
     fleet.wait_for(lambda: not _connects(context))
@@ -217,11 +217,11 @@
 
 @then("a value over a megabyte is answered with 413")
 def _too_large(context):
-    large = {"value": "x" * object_api.VALUE_BYTES_MAX}
+    large = {"value": "x" * object_api.MAX_VALUE_BYTES}
     assert _update(context, large).status == 413
 
 
-@then("over a rate of 5 calls a second some of 30 are answered with 429")
+@then("at a limit of 5 calls per second some of 30 are answered with 429")
 def _throttled(context):
     context.standin.faults.set({"calls_per_s": 5})
     replies = [_call(context, "GET", PATH) for _ in range(30)]
--- a/tests/steps/standins_server.py
+++ b/tests/steps/standins_server.py
@@ -25,7 +25,8 @@
 
 
 @given(
-    "a stand-in whose loop is busy for {seconds:g} s before each control call"
+    "a stand-in whose loop is blocked for {seconds:g} s before each"
+    " control call"
 )
 def _busy(context, seconds):
     context.busy_s = seconds
@@ -41,23 +42,23 @@
     assert reply.status == 200, reply.payload
 
 
-@when("its control is told to refuse connections")
+@when("a control call makes the stand-in refuse connections")
 def _refuse(context):
     _control(context, "faults", {"refuse": True})
 
 
-@when("its control is told to reset")
+@when("a control call resets the stand-in's faults")
 def _reset(context):
     _control(context, "reset", {})
 
 
-@then("the next connection is refused")
+@then("the next connection to the stand-in is refused")
 def _refused(context):
     found = _connect(context)
     assert found == errno.ECONNREFUSED, found
 
 
-@then("the next connection is accepted")
+@then("the next connection to the stand-in is accepted")
 def _accepted(context):
     found = _connect(context)
     assert found == 0, found
--- a/tests/steps/standins_services.py
+++ b/tests/steps/standins_services.py
@@ -46,26 +46,26 @@
     context.cloud = serving.serve(context, standin)
 
 
-@given("a weight store stand-in that allows {burst:d} loads at once")
+@given("a weight store stand-in with a burst limit of {burst:d} loads")
 def _a_weight_store(context, burst):
     standin = weight_store.WeightStore()
     standin.faults.set({"burst": burst, "loads_per_s": 0.01})
     context.weights = serving.serve(context, standin)
 
 
-@given("a plain service stand-in in a process of its own")
+@given("a plain service stand-in in its own process")
 def _a_service(context):
     context.fleet = fleet.Fleet()
     context.closers.append(context.fleet.close)
     context.fleet.start_services(["s1"], "pool", register=False)
 
 
-@given("the plain service's fault {fault} for one call")
+@given("the plain service has the fault {fault} for one call")
 def _service_fault(context, fault):
     context.fleet.faults("s1", **{fault: 1})
 
 
-@when("the same purchase reaches the cloud API twice")
+@when("the same purchase is sent to the cloud API twice")
 def _buy_twice(context):
     first = _buy(context, "dc-a", "token-1")
     context.early = _listed(context)
@@ -74,7 +74,7 @@
     context.bought = {first.payload["vm"], second.payload["vm"]}
 
 
-@when("the cloud API has no capacity in dc-a")
+@when("the cloud API has no capacity in data centre dc-a")
 def _no_capacity(context):
     context.cloud_standin.faults.set({"no_capacity": ["dc-a"]})
 
@@ -94,7 +94,7 @@
         context.notices = waiting.result(5.0).payload
 
 
-@when("{count:d} leases are asked of the weight store")
+@when("{count:d} leases are requested from the weight store")
 def _leases(context, count):
     body = {"model": "m", "version": "1"}
     context.replies = [
@@ -124,33 +124,34 @@
     assert len(context.bought) == 1
 
 
-@then("the cloud API's list shows it only later")
+@then("the cloud API's list contains the VM only after its lag")
 def _later(context):
     assert context.early == {}
     fleet.wait_for(lambda: set(_listed(context)) == context.bought)
 
 
-@then("the cloud API refuses a VM in dc-a and sells one in dc-b")
+@then("the cloud API refuses a VM in dc-a and sells a VM in dc-b")
 def _refused(context):
     assert _buy(context, "dc-a", "token-1").status == 409
     assert _buy(context, "dc-b", "token-2").status == 201
 
 
-@then("the cloud API's notice names the runner and the time left")
+@then("the cloud API's notice has the runner's name and the remaining time")
 def _noticed(context):
     (notice,) = context.notices["notices"]
     assert notice["vm"] == RUNNER and notice["seq"] == 1
     assert 0.0 <= notice["deadline_s"] <= context.notice_s
 
 
-@then("the cloud API's list shows it leaving, then no more")
+@then("the cloud API's list shows the runner as leaving, then not at all")
 def _leaving(context):
     assert context.states == {RUNNER: "leaving"}
     fleet.wait_for(lambda: not _listed(context))
 
 
 @then(
-    "the weight store grants {granted:d} and refuses {refused:d}, saying when"
+    "the weight store grants {granted:d} and refuses {refused:d} with a"
+    " retry time"
 )
 def _granted(context, granted, refused):
     statuses = [reply.status for reply in context.replies]
@@ -165,12 +166,12 @@
     assert runs == {OPERATION: count}, runs
 
 
-@then("the plain service gave no answer")
+@then("the plain service has sent no response")
 def _no_answer(context):
     assert len(context.errors) == 1
 
 
-@then("started again, it has run the operation {count:d} times")
+@then("after a restart the service has run the operation {count:d} times")
 def _after_restart(context, count):
     context.fleet.process("s1").wait(10.0)
     context.fleet.restart("s1")
