--- a/standins/_http.py
+++ b/standins/_http.py
@@ -126,7 +126,7 @@
 
 
 def drop_connection() -> typing.NoReturn:
-    """Close the connection without sending a response."""
+    """Close the connection without sending anything more."""
     raise channel.ClientDisconnected
 
 
@@ -136,6 +136,7 @@
     :param faults: the faults specific to the stand-in, with their defaults.
     """
 
+    #: HTTP methods whose responses the lose_answer faults can lose.
     response_loss_methods: typing.ClassVar[tuple[str, ...]] = (
         "PUT",
         "POST",
@@ -169,7 +170,7 @@
         """Hook for POST /control/reset: resets the counters."""
 
     def before_dispatch(self, request: Request) -> Response | None:
-        """Hook before each handler, which it can replace with a response."""
+        """Hook before each handler; a returned response is sent instead."""
 
     def wait_while_silent(self, request: Request) -> None:
         """Block a call without a response while the stand-in is silent."""
--- a/tests/standins/__init__.py
+++ b/tests/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Proofs that the stand-ins keep what they promise."""
+"""Tests of the stand-ins and of the support code for tests."""
--- a/tests/standins/engine.feature
+++ b/tests/standins/engine.feature
@@ -26,9 +26,9 @@
   Scenario: A request resumed at another engine recomputes its context
     Given 2 engine stand-ins
     When a stream of 60 tokens is exported from the first engine stand-in
-    And the request resumes on the second one with the received tokens
+    And the request resumes on the second engine stand-in
     Then the answer from the engine stand-in is complete
-    And the second one counts the prompt and those tokens as recomputed
+    And the second engine stand-in recomputed the prompt and received tokens
 
   Scenario: A repeated request does not recompute cached blocks
     Given an engine stand-in
--- a/tests/standins/engine_calls.py
+++ b/tests/standins/engine_calls.py
@@ -1,4 +1,4 @@
-"""Calls to an engine stand-in as a daemon would make them."""
+"""Calls to an engine stand-in, as the daemon makes them."""
 
 import http.client
 import json
@@ -14,7 +14,7 @@
 
 
 def body(max_tokens, prompt=PROMPT):
-    """A streamed completion's body."""
+    """Create the body of a streamed completion request."""
     return {
         "model": ENTRY,
         "prompt": prompt,
@@ -24,32 +24,37 @@
     }
 
 
-def headers(request=REQUEST, attempt=1, priority=0):
-    """The headers that an entry VM adds."""
+def headers(request_id=REQUEST, attempt=1, priority=0):
+    """Create the headers that an entry VM adds to a request."""
     return {
-        "Apricotlever-Request": request,
+        "Apricotlever-Request": request_id,
         "Apricotlever-Attempt": str(attempt),
         "Apricotlever-Priority": str(priority),
     }
 
 
 def call(address, method, path, body=None, headers=None):
-    """One JSON call."""
+    """Make a JSON call."""
     return calls.call(address, method, path, body, headers)
 
 
 def open_stream(
     address, method, path, body=None, headers=None, timeout_s=10.0
 ):
-    """A connection with an answer that has begun."""
+    """Send a request and wait for the head of the response.
+
+    :returns: the open connection and the response, whose body is unread.
+    """
     connection = http.client.HTTPConnection(address, timeout=timeout_s)
     content = json.dumps(body).encode() if body is not None else None
     connection.request(method, path, content, headers or {})
     return connection, connection.getresponse()
 
 
-def read(answer, address, method, path, body=None, headers=None, limit=None):
-    """Read a stream to its end, or until it has given ``limit`` tokens."""
+def read_stream(
+    answer, address, method, path, body=None, headers=None, limit=None
+):
+    """Read a stream to its end, or until ``answer`` has ``limit`` tokens."""
     connection, response = open_stream(address, method, path, body, headers)
     answers.note_headers(answer, response.status, response.headers)
     try:
--- a/tests/standins/entry_fake.py
+++ b/tests/standins/entry_fake.py
@@ -1,4 +1,4 @@
-"""A fake of an entry VM that spoils streams in a chosen way."""
+"""A fake entry VM that injects a chosen fault into its streams."""
 
 import itertools
 import json
@@ -7,32 +7,43 @@
 from standins import _http
 from standins import _tokens
 
-Spoil = typing.Callable[["EntryFake", int, list[str]], typing.Iterator[str]]
+StreamFault = typing.Callable[
+    ["EntryFake", int, list[str]], typing.Iterator[str]
+]
 
-SPOILS: dict[str, Spoil] = {}
-SPOIL_AFTER = 3
+STREAM_FAULTS: dict[str, StreamFault] = {}
+FAULT_AFTER_TOKENS = 3
 
 
-def spoil(name: str) -> typing.Callable[[Spoil], Spoil]:
-    """Register a way to go on after the first few tokens."""
+def stream_fault(name: str) -> typing.Callable[[StreamFault], StreamFault]:
+    """Register what a faulty stream sends after its first tokens.
 
-    def mark(method: Spoil) -> Spoil:
-        SPOILS[name] = method
-        return method
+    :param name: the name of the fault in the scenarios.
+    """
+
+    def decorator(generator: StreamFault) -> StreamFault:
+        STREAM_FAULTS[name] = generator
+        return generator
 
-    return mark
+    return decorator
 
 
 class EntryFake(_http.StandIn):
-    """Streams the expected answer itself.
+    """Streams the expected answer, with a fault in streams from the start.
 
-    :param spoiling: the name of a registered way, or nothing.
+    Resumed streams have no fault.
+
+    :param fault: the name of a registered stream fault; empty for none.
+    :param bodies_by_request_id: request bodies, shared by all fake entry VMs
+        so that each can resume the request.
     """
 
-    def __init__(self, spoiling: str, bodies: dict[str, typing.Any]) -> None:
+    def __init__(
+        self, fault: str, bodies_by_request_id: dict[str, typing.Any]
+    ) -> None:
         super().__init__()
-        self._spoiling = spoiling
-        self._bodies = bodies
+        self._fault = fault
+        self._bodies_by_request_id = bodies_by_request_id
         self.peers: list[str] = []
 
     @_http.route("GET", "/v1/entries")
@@ -42,91 +53,102 @@
 
     @_http.route("POST", "/v1/completions")
     def _complete(self, request: _http.Request) -> _http.Response:
-        self._bodies["r.1"] = request.json()
-        return self._stream(0, self._spoiling)
+        self._bodies_by_request_id["r.1"] = request.json()
+        return self._stream(0, self._fault)
 
     @_http.route("GET", "/v1/requests/r.1")
     def _resume(self, request: _http.Request) -> _http.Response:
         return self._stream(int(request.header("Last-Event-ID")) + 1, "")
 
-    def _stream(self, start: int, spoiling: str) -> _http.Response:
-        body = self._bodies["r.1"]
+    def _stream(self, start: int, fault: str) -> _http.Response:
+        body = self._bodies_by_request_id["r.1"]
         tokens = _tokens.expected_answer(
             body["prompt"], body["seed"], body["max_tokens"]
         )
-        cut = SPOIL_AFTER if spoiling else len(tokens)
-        first = events(start, tokens[start:cut])
-        rest = SPOILS[spoiling](self, cut, tokens) if spoiling else end()
+        fault_index = FAULT_AFTER_TOKENS if fault else len(tokens)
+        first = token_events(start, tokens[start:fault_index])
+        remaining = (
+            STREAM_FAULTS[fault](self, fault_index, tokens)
+            if fault
+            else done_event()
+        )
         return _http.Response(
             200,
             headers=[("Apricotlever-Request", "r.1")],
-            stream=map(str.encode, itertools.chain(first, rest)),
+            stream=map(str.encode, itertools.chain(first, remaining)),
         )
 
 
-def events(start: int, tokens: list[str]) -> typing.Iterator[str]:
-    """Tokens as events numbered from ``start``."""
+def token_events(start: int, tokens: list[str]) -> typing.Iterator[str]:
+    """Encode tokens as events with IDs from ``start`` on."""
     for at, token in enumerate(tokens, start):
         chunk = json.dumps({"choices": [{"text": token}]})
         yield f"id: {at}\ndata: {chunk}\n\n"
 
 
-def end() -> typing.Iterator[str]:
-    """The event that closes an answer."""
+def done_event() -> typing.Iterator[str]:
+    """The event that ends a complete answer."""
     yield "data: [DONE]\n\n"
 
 
-@spoil("moves")
-def _moves(
-    fake: EntryFake, cut: int, tokens: list[str]
+@stream_fault("moves")
+def _redirect(
+    entry_vm: EntryFake, fault_index: int, tokens: list[str]
 ) -> typing.Iterator[str]:
-    address = json.dumps({"entry": fake.peers[1]})
+    """Redirect the client to the other entry VM."""
+    address = json.dumps({"entry": entry_vm.peers[1]})
     yield f"event: moved\ndata: {address}\n\n"
 
 
-@spoil("breaks")
-def _breaks(
-    fake: EntryFake, cut: int, tokens: list[str]
+@stream_fault("breaks")
+def _disconnect(
+    entry_vm: EntryFake, fault_index: int, tokens: list[str]
 ) -> typing.Iterator[str]:
+    """Close the connection in the middle of the stream."""
     yield ": about to break\n\n"
     _http.drop_connection()
 
 
-@spoil("doubles")
-def _doubles(
-    fake: EntryFake, cut: int, tokens: list[str]
+@stream_fault("doubles")
+def _repeat_token(
+    entry_vm: EntryFake, fault_index: int, tokens: list[str]
 ) -> typing.Iterator[str]:
-    yield from events(cut - 1, tokens[cut - 1 :])
-    yield from end()
+    """Send the last token a second time."""
+    yield from token_events(fault_index - 1, tokens[fault_index - 1 :])
+    yield from done_event()
 
 
-@spoil("skips")
-def _skips(
-    fake: EntryFake, cut: int, tokens: list[str]
+@stream_fault("skips")
+def _skip_token(
+    entry_vm: EntryFake, fault_index: int, tokens: list[str]
 ) -> typing.Iterator[str]:
-    yield from events(cut + 1, tokens[cut + 1 :])
-    yield from end()
+    """Leave out a token."""
+    yield from token_events(fault_index + 1, tokens[fault_index + 1 :])
+    yield from done_event()
 
 
-@spoil("swaps")
-def _swaps(
-    fake: EntryFake, cut: int, tokens: list[str]
+@stream_fault("swaps")
+def _send_wrong_tokens(
+    entry_vm: EntryFake, fault_index: int, tokens: list[str]
 ) -> typing.Iterator[str]:
-    foreign = _tokens.expected_answer("another's prompt", 0, len(tokens))
-    yield from events(cut, foreign[cut:])
-    yield from end()
+    """Continue with the tokens of another prompt."""
+    wrong_tokens = _tokens.expected_answer("another's prompt", 0, len(tokens))
+    yield from token_events(fault_index, wrong_tokens[fault_index:])
+    yield from done_event()
 
 
-@spoil("shortens")
-def _shortens(
-    fake: EntryFake, cut: int, tokens: list[str]
+@stream_fault("shortens")
+def _truncate(
+    entry_vm: EntryFake, fault_index: int, tokens: list[str]
 ) -> typing.Iterator[str]:
-    yield from end()
+    """End the stream early, as if the answer were complete."""
+    yield from done_event()
 
 
-@spoil("errors")
-def _errors(
-    fake: EntryFake, cut: int, tokens: list[str]
+@stream_fault("errors")
+def _send_error_event(
+    entry_vm: EntryFake, fault_index: int, tokens: list[str]
 ) -> typing.Iterator[str]:
+    """Send an error event instead of more tokens."""
     error = {"type": "gave_up", "executed": "yes"}
     yield f"event: error\ndata: {json.dumps({'error': error})}\n\n"
--- a/tests/standins/object_api.feature
+++ b/tests/standins/object_api.feature
@@ -48,7 +48,7 @@
     When the object is updated and its events are compacted
     Then a watch from the object's first version is answered with 410
 
-  Scenario: An outage also ends a waiting watch
+  Scenario: An outage gives status 503 or refused connections
     Given an object API stand-in with an object
     When a watch waits for changes under the prefix
     And the object API goes down
--- a/tests/standins/serving.py
+++ b/tests/standins/serving.py
@@ -1,4 +1,4 @@
-"""Serves a stand-in from threads of the test, until the scenario ends."""
+"""Serves a stand-in from the test process until its scenario ends."""
 
 import typing
 
@@ -9,9 +9,10 @@
 
 
 def serve(context: typing.Any, standin: _http.StandIn) -> str:
-    """Serve a stand-in for one scenario.
+    """Serve a stand-in until the end of the scenario.
 
-    :returns: ``host:port``.
+    :param context: the scenario's context; its ``closers`` stop the server.
+    :returns: the address as ``host:port``.
     """
     server = _server.Server(standin, threads=16)
     server.start()
--- a/tests/standins/support.feature
+++ b/tests/standins/support.feature
@@ -1,25 +1,25 @@
-Feature: The test support's caller and relay
+Feature: Support code for tests: the caller, the relay and reserved ports
 
-  Scenario: The caller follows a moved stream and checks the whole answer
-    Given two entry VM fakes, the first moves streams after 3 tokens
-    When the caller asks for 8 tokens
-    Then the caller's answer is whole after 1 move and 0 breaks
+  Scenario: The caller follows a moved stream and checks the complete answer
+    Given two fake entry VMs, the first with the fault moves after 3 tokens
+    When the caller requests 8 tokens
+    Then the caller's answer is complete after 1 move and 0 disconnections
 
-  Scenario: The caller resumes a broken stream at another entry VM
-    Given two entry VM fakes, the first breaks streams after 3 tokens
-    When the caller asks for 8 tokens
-    Then the caller's answer is whole after 0 moves and 1 break
+  Scenario: The caller resumes a disconnected stream at another entry VM
+    Given two fake entry VMs, the first with the fault breaks after 3 tokens
+    When the caller requests 8 tokens
+    Then the caller's answer is complete after 0 moves and 1 disconnection
 
   Scenario: The caller tries another entry VM when one refuses connections
-    Given two entry VM fakes, the first moves streams after 3 tokens
-    And the first entry VM fake refuses connections
-    When the caller asks for 8 tokens
-    Then the caller's answer is whole after 0 moves and 1 break
+    Given two fake entry VMs, the first with the fault moves after 3 tokens
+    And the first fake entry VM refuses connections
+    When the caller requests 8 tokens
+    Then the caller's answer is complete after 0 moves and 1 disconnection
 
-  Scenario Outline: The caller finds what is wrong with an answer
-    Given two entry VM fakes, the first <fault> streams after 3 tokens
-    When the caller asks for 8 tokens
-    Then the caller's check says <problem>
+  Scenario Outline: The caller's check detects a faulty answer
+    Given two fake entry VMs, the first with the fault <fault> after 3 tokens
+    When the caller requests 8 tokens
+    Then the caller's check of the answer reports <problem>
 
     Examples:
       | fault     | problem      |
@@ -29,22 +29,21 @@
       | shortens  | differ       |
       | errors    | not whole    |
 
-  Scenario: Open connections go silent for good while new ones work
-    Given a relay before a plain service
-    When a call waits behind the relay and its connection goes silent
-    Then the call gets no answer although the service has run it
-    And a new connection through the relay works
+  Scenario: Silenced connections stay silent while new connections work
+    Given a relay in front of a plain service
+    When a call waits for the service and the relay silences its connection
+    Then the call gets no response although the service has run the operation
+    And a call on a new connection through the relay succeeds
 
   Scenario: Connections through the relay are refused and later accepted
-    Given a relay before a plain service
+    Given a relay in front of a plain service
     When the relay refuses connections
-    Then a connection to the relay is refused until it is restored
-
-  Scenario: A reserved port waits for its process
-    Symptom: one start of a fleet in some hundred fails.
-    Events: a port is looked up for an entry VM and let go; another process
-    that asks for any port gets it; the entry VM can't listen and ends.
-    Cause: a port that nobody has bound is anybody's.
-    When a port is reserved
-    Then nobody else can bind the port or connect from it
-    And the process that is meant can listen on it, also after a restart
+    Then connections to the relay are refused until the relay is restored
+
+  Scenario: A reserved port stays free for its process
+    If a free port was only looked up for an entry VM, another process could
+    get it before the entry VM listens on it. The entry VM would then exit, and
+    about one start of a fleet in some hundred would fail.
+    When a port is reserved for a process
+    Then no other process can bind the reserved port or connect to it
+    And the process can listen on the reserved port, also after a restart
--- a/tests/steps/standins_server.py
+++ b/tests/steps/standins_server.py
@@ -14,51 +14,51 @@
 from tests.support import http
 
 
-def _connect(context):
-    with socket.socket() as trying:
-        return trying.connect_ex((serving.HOST, context.server.port))
+def _connect_error(context):
+    with socket.socket() as client:
+        return client.connect_ex((serving.HOST, context.server.port))
 
 
-def _keep_busy(context):
+def _block_loop(context):
     trigger = context.server._service._server.trigger
-    trigger.pull_trigger(lambda: time.sleep(context.busy_s))
+    trigger.pull_trigger(lambda: time.sleep(context.block_s))
 
 
 @given(
     "a stand-in whose loop is blocked for {seconds:g} s before each"
     " control call"
 )
-def _busy(context, seconds):
-    context.busy_s = seconds
+def _stand_in_with_blocked_loop(context, seconds):
+    context.block_s = seconds
     context.server = _server.Server(object_api.ObjectApi(), threads=4)
     context.server.start()
     context.closers.append(context.server.close)
 
 
-def _control(context, path, body):
-    _keep_busy(context)
+def _call_control(context, path, body):
+    _block_loop(context)
     address = f"{serving.HOST}:{context.server.control_port}"
     reply = http.call(address, "POST", f"/control/{path}", body)
     assert reply.status == 200, reply.payload
 
 
 @when("a control call makes the stand-in refuse connections")
-def _refuse(context):
-    _control(context, "faults", {"refuse": True})
+def _refuse_connections(context):
+    _call_control(context, "faults", {"refuse": True})
 
 
 @when("a control call resets the stand-in's faults")
-def _reset(context):
-    _control(context, "reset", {})
+def _reset_faults(context):
+    _call_control(context, "reset", {})
 
 
 @then("the next connection to the stand-in is refused")
-def _refused(context):
-    found = _connect(context)
-    assert found == errno.ECONNREFUSED, found
+def _connection_refused(context):
+    error = _connect_error(context)
+    assert error == errno.ECONNREFUSED, error
 
 
 @then("the next connection to the stand-in is accepted")
-def _accepted(context):
-    found = _connect(context)
-    assert found == 0, found
+def _connection_accepted(context):
+    error = _connect_error(context)
+    assert error == 0, error
--- a/tests/steps/standins_support.py
+++ b/tests/steps/standins_support.py
@@ -18,26 +18,30 @@
 from tests.support import ports
 
 OPERATION = {"operation": "entry-5"}
-IMPATIENCE_S = 0.5
+TIME_SCALE_S = 0.5
 
 
-@given("two entry VM fakes, the first {spoiling} streams after 3 tokens")
-def _fakes(context, spoiling):
+@given("two fake entry VMs, the first with the fault {fault} after 3 tokens")
+def _two_entry_vms(context, fault):
     bodies = {}
-    fakes = [entry_fake.EntryFake(how, bodies) for how in (spoiling, "")]
-    context.addresses = [serving.serve(context, fake) for fake in fakes]
-    context.fakes = fakes
-    for fake in fakes:
-        fake.peers = context.addresses
+    entry_vms = [
+        entry_fake.EntryFake(fault_name, bodies) for fault_name in (fault, "")
+    ]
+    context.addresses = [
+        serving.serve(context, entry_vm) for entry_vm in entry_vms
+    ]
+    context.entry_vms = entry_vms
+    for entry_vm in entry_vms:
+        entry_vm.peers = context.addresses
 
 
-@given("the first entry VM fake refuses connections")
-def _fake_refuses(context):
-    context.fakes[0].faults.set({"refuse": True})
-    fleet.wait_for(lambda: not _accepts(context.addresses[0]))
+@given("the first fake entry VM refuses connections")
+def _first_entry_vm_refuses(context):
+    context.entry_vms[0].faults.set({"refuse": True})
+    fleet.wait_for(lambda: not _accepts_connections(context.addresses[0]))
 
 
-def _accepts(address):
+def _accepts_connections(address):
     try:
         calls.call(address, "GET", "/v1/entries")
     except ConnectionRefusedError:
@@ -47,17 +51,17 @@
     return True
 
 
-@given("a relay before a plain service")
-def _a_relay(context):
+@given("a relay in front of a plain service")
+def _relay_before_service(context):
     context.service = plain_service.PlainService()
     address = serving.serve(context, context.service)
     context.relay = cuttable.Relay(address)
     context.closers.append(context.relay.close)
 
 
-@when("the caller asks for {count:d} tokens")
-def _ask(context, count):
-    asking = caller.Caller(context.addresses, "key")
+@when("the caller requests {count:d} tokens")
+def _request_tokens(context, count):
+    stream_caller = caller.Caller(context.addresses, "key")
     body = {
         "model": "drafts",
         "prompt": "a mandate",
@@ -65,105 +69,110 @@
         "seed": 3,
         "stream": True,
     }
-    context.answer = asking.stream(
+    context.answer = stream_caller.stream(
         "/v1/completions", body, context.addresses[0]
     )
 
 
-@when("a call waits behind the relay and its connection goes silent")
-def _silence(context):
-    context.service.faults.set({"delay_s": IMPATIENCE_S / 2})
+@when("a call waits for the service and the relay silences its connection")
+def _silence_relay(context):
+    context.service.faults.set({"delay_s": TIME_SCALE_S / 2})
     with futures.ThreadPoolExecutor(1) as pool:
-        calling = pool.submit(_run, context)
+        pending_call = pool.submit(_call_service, context)
         fleet.wait_for(lambda: context.service.counts()["in_flight"])
         context.relay.silence()
-        context.error = calling.exception(10.0)
+        context.error = pending_call.exception(10.0)
 
 
-def _run(context):
+def _call_service(context):
     return calls.call(
         context.relay.address,
         "POST",
         "/entries",
         OPERATION,
-        timeout_s=2 * IMPATIENCE_S,
+        timeout_s=2 * TIME_SCALE_S,
     )
 
 
 @when("the relay refuses connections")
-def _refuse(context):
+def _refuse_connections(context):
     context.relay.refuse()
 
 
-@then("the caller's answer is whole after {moves:d} move and 0 breaks")
-def _moved(context, moves):
-    _whole(context, moves, 0)
+@then(
+    "the caller's answer is complete after {moves:d} move and 0 disconnections"
+)
+def _complete_after_move(context, moves):
+    _check_complete(context, moves, 0)
 
 
-@then("the caller's answer is whole after 0 moves and {breaks:d} break")
-def _broken(context, breaks):
-    _whole(context, 0, breaks)
+@then(
+    "the caller's answer is complete after 0 moves and {breaks:d}"
+    " disconnection"
+)
+def _complete_after_break(context, breaks):
+    _check_complete(context, 0, breaks)
 
 
-def _whole(context, moves, breaks):
+def _check_complete(context, moves, breaks):
     answer = context.answer
     assert not answer.problem, answer.problem
     assert (answer.moves, answer.breaks) == (moves, breaks)
 
 
-@then("the caller's check says {problem}")
-def _problem(context, problem):
+@then("the caller's check of the answer reports {problem}")
+def _problem_reported(context, problem):
     assert problem in context.answer.problem, context.answer.problem
 
 
-@then("the call gets no answer although the service has run it")
-def _no_answer(context):
+@then("the call gets no response although the service has run the operation")
+def _no_response(context):
     assert isinstance(context.error, TimeoutError), context.error
     fleet.wait_for(lambda: context.service.counts()["runs"])
 
 
-@then("a new connection through the relay works")
-def _works(context):
-    assert _run(context).payload["run"] == 2
+@then("a call on a new connection through the relay succeeds")
+def _new_connection_works(context):
+    assert _call_service(context).payload["run"] == 2
 
 
-@then("a connection to the relay is refused until it is restored")
-def _refused(context):
+@then("connections to the relay are refused until the relay is restored")
+def _connection_refused(context):
     try:
-        _run(context)
+        _call_service(context)
     except ConnectionRefusedError:
         context.relay.restore()
-        assert _run(context).status == 200
+        assert _call_service(context).status == 200
         return
     raise AssertionError("the relay took a connection")
 
 
-@when("a port is reserved")
-def _reserved(context):
+@when("a port is reserved for a process")
+def _reserve_port(context):
     reservations = ports.Reservations()
     context.closers.append(reservations.close)
     context.port = reservations.reserve()
 
 
-@then("nobody else can bind the port or connect from it")
-def _taken(context):
-    with socket.socket() as other:
-        found = other.connect_ex((ports.HOST, context.port))
-        assert found == errno.ECONNREFUSED, found
-    with socket.socket() as other:
+@then("no other process can bind the reserved port or connect to it")
+def _port_taken(context):
+    with socket.socket() as other_socket:
+        error_code = other_socket.connect_ex((ports.HOST, context.port))
+        assert error_code == errno.ECONNREFUSED, error_code
+    with socket.socket() as other_socket:
         try:
-            other.bind((ports.HOST, context.port))
+            other_socket.bind((ports.HOST, context.port))
         except OSError as error:
             assert error.errno == errno.EADDRINUSE, error
             return
     raise AssertionError(f"port {context.port} was free")
 
 
-@then("the process that is meant can listen on it, also after a restart")
-def _listens(context):
+@then("the process can listen on the reserved port, also after a restart")
+def _owner_can_listen(context):
     for _ in range(2):
         address = (ports.HOST, context.port)
         with socket.create_server(address) as listener:
-            with socket.create_connection(address) as caller_end:
+            with socket.create_connection(address) as client:
                 listener.accept()[0].close()
-                assert caller_end.recv(1) == b""
+                assert client.recv(1) == b""
