--- a/standins/_cache.py
+++ b/standins/_cache.py
@@ -54,7 +54,7 @@
     def add(
         self, kind: str, blocks: list[int], loss_probability: float
     ) -> None:
-        """Append an event.
+        """Append an event with the next sequence number.
 
         :param loss_probability: probability that the event is dropped. A
             dropped event still uses up a sequence number, so that readers
