--- a/src/apricotlever/client/__init__.py
+++ b/src/apricotlever/client/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command line."""
+"""Command-line client for operators."""
--- a/src/apricotlever/client/bars.py
+++ b/src/apricotlever/client/bars.py
@@ -1,4 +1,4 @@
-"""Histograms and tables for a terminal."""
+"""Formats histograms and tables as text for a terminal."""
 
 import collections.abc
 import itertools
@@ -8,7 +8,7 @@
 
 Json = typing.Any
 
-BOUNDS_S = (
+BUCKET_BOUNDS_S = (
     0.001,
     0.002,
     0.005,
@@ -26,42 +26,51 @@
     60.0,
     300.0,
 )
-BAR_CHARACTERS_MAX = 40
+MAX_BAR_WIDTH = 40
 BAR_CHARACTER = "#"
-PERCENTS = (50.0, 95.0, 99.0)
+PERCENTILES = (50.0, 95.0, 99.0)
 
 
-def duration(seconds: float) -> str:
-    """Seconds in the unit that reads best."""
+def format_duration(seconds: float) -> str:
+    """Format a duration in milliseconds or seconds.
+
+    :param seconds: the duration, in seconds.
+    """
     if seconds < 1.0:
         return f"{seconds * 1000:.3g}ms"
     return f"{seconds:.4g}s"
 
 
-def summary(found: histograms.Distribution) -> dict[str, Json]:
-    """Count and percentiles of a distribution, in seconds."""
+def summarize_distribution(
+    distribution: histograms.Distribution,
+) -> dict[str, Json]:
+    """Labels, count and percentiles of a distribution.
+
+    :returns: fields by name; percentiles are in seconds.
+    """
     percentiles = {
-        f"p{percent:g}_s": found.percentile(percent) for percent in PERCENTS
+        f"p{percent:g}_s": distribution.percentile(percent)
+        for percent in PERCENTILES
     }
     return {
-        "measure": found.measure,
-        "customer": found.customer,
-        "class": found.service_class,
-        "count": found.count,
+        "measure": distribution.measure,
+        "customer": distribution.customer,
+        "class": distribution.service_class,
+        "count": distribution.count,
         **percentiles,
     }
 
 
-def histogram(found: histograms.Distribution) -> str:
-    """A title line, then one bar for each range that holds values."""
-    named = summary(found)
-    title = " ".join(f"{k}={_cell(k, v)}" for k, v in named.items())
-    counts = found.counts_below(BOUNDS_S)
-    labels = [f"<= {duration(bound)}" for bound in BOUNDS_S]
-    labels.append(f" > {duration(BOUNDS_S[-1])}")
+def format_histogram(distribution: histograms.Distribution) -> str:
+    """Format a title line and one bar for each non-empty bucket."""
+    fields = summarize_distribution(distribution)
+    title = " ".join(f"{k}={_format_field(k, v)}" for k, v in fields.items())
+    counts = distribution.counts_below(BUCKET_BOUNDS_S)
+    labels = [f"<= {format_duration(bound)}" for bound in BUCKET_BOUNDS_S]
+    labels.append(f" > {format_duration(BUCKET_BOUNDS_S[-1])}")
     highest = max(counts, default=0)
     bars = [
-        f"  {label:>9} {_bar(count, highest)} {count}"
+        f"  {label:>9} {_format_bar(count, highest)} {count}"
         for label, count in zip(labels, counts)
         if count
     ]
@@ -69,11 +78,17 @@
 
 
 def table(rows: collections.abc.Sequence[dict[str, Json]]) -> str:
-    """Rows of equal fields as aligned columns under a heading."""
+    """Format rows as aligned columns under a heading.
+
+    :param rows: fields by name; a missing field is shown as ``-``.
+    """
     if not rows:
         return "none"
     names = list(dict.fromkeys(itertools.chain.from_iterable(rows)))
-    lines = [names, *([_text(row.get(n)) for n in names] for row in rows)]
+    lines = [
+        names,
+        *([_format_cell(row.get(n)) for n in names] for row in rows),
+    ]
     widths = [max(map(len, column)) for column in zip(*lines)]
     padded = (
         "  ".join(cell.ljust(width) for cell, width in zip(line, widths))
@@ -82,16 +97,17 @@
     return "\n".join(line.rstrip() for line in padded)
 
 
-def _bar(count: int, highest: int) -> str:
-    length = -(-count * BAR_CHARACTERS_MAX // highest)
+def _format_bar(count: int, highest: int) -> str:
+    # The division rounds up, so that every non-zero count has a visible bar.
+    length = -(-count * MAX_BAR_WIDTH // highest)
     return BAR_CHARACTER * length
 
 
-def _cell(name: str, value: Json) -> str:
-    return duration(value) if name.endswith("_s") else str(value)
+def _format_field(name: str, value: Json) -> str:
+    return format_duration(value) if name.endswith("_s") else str(value)
 
 
-def _text(value: Json) -> str:
+def _format_cell(value: Json) -> str:
     if value is None:
         return "-"
     return f"{value:.6g}" if isinstance(value, float) else str(value)
--- a/src/apricotlever/client/catalogue_commands.py
+++ b/src/apricotlever/client/catalogue_commands.py
@@ -1,4 +1,4 @@
-"""Commands that check, edit and show the catalogue."""
+"""Commands that validate, edit and show the catalogue."""
 
 import argparse
 import datetime
@@ -15,23 +15,25 @@
 
 Json = typing.Any
 
-_SIGNS = {
+_CHANGE_SIGNS = {
     difference.ADDED: "+",
     difference.REMOVED: "-",
     difference.CHANGED: "~",
 }
 
 
-def changes_text(changes: tuple[difference.Change, ...]) -> str:
-    """One line for each field that differs."""
-    return "\n".join(map(_change_line, changes))
+def format_changes(changes: tuple[difference.Change, ...]) -> str:
+    """Format changes, one line for each field that differs."""
+    return "\n".join(map(_format_change, changes))
 
 
-def _file_argument(parser: argparse.ArgumentParser) -> None:
-    parser.add_argument("file", help="a catalogue in JSON; - reads stdin")
+def _add_file_argument(parser: argparse.ArgumentParser) -> None:
+    parser.add_argument(
+        "file", help="a catalogue in JSON; - reads standard input"
+    )
 
 
-def _expect_argument(parser: argparse.ArgumentParser) -> None:
+def _add_expect_argument(parser: argparse.ArgumentParser) -> None:
     parser.add_argument(
         "--expect",
         type=int,
@@ -40,30 +42,32 @@
     )
 
 
-def _apply_arguments(parser: argparse.ArgumentParser) -> None:
-    _file_argument(parser)
-    _expect_argument(parser)
+def _add_apply_arguments(parser: argparse.ArgumentParser) -> None:
+    _add_file_argument(parser)
+    _add_expect_argument(parser)
     parser.add_argument(
         "--merge",
         action="store_true",
-        help="put only what the file names, and keep everything else",
+        help="replace only the parts in the file and keep everything else",
     )
 
 
-def _delete_arguments(parser: argparse.ArgumentParser) -> None:
-    parser.add_argument("name", help="an entry")
-    _expect_argument(parser)
+def _add_delete_arguments(parser: argparse.ArgumentParser) -> None:
+    parser.add_argument("name", help="name of an entry")
+    _add_expect_argument(parser)
 
 
-def _show_arguments(parser: argparse.ArgumentParser) -> None:
+def _add_show_arguments(parser: argparse.ArgumentParser) -> None:
     parser.add_argument(
-        "--version", type=int, help="an older version that is kept"
+        "--version",
+        type=int,
+        help="an older version that is kept in the history",
     )
 
 
-def _diff_arguments(parser: argparse.ArgumentParser) -> None:
+def _add_diff_arguments(parser: argparse.ArgumentParser) -> None:
     parser.add_argument(
-        "to", help="a file, or a version's number", metavar="FILE|VERSION"
+        "to", help="a file or a version number", metavar="FILE|VERSION"
     )
     parser.add_argument(
         "--from",
@@ -74,10 +78,10 @@
     )
 
 
-@command.command("catalogue", "validate", arguments=_file_argument)
+@command.command("catalogue", "validate", arguments=_add_file_argument)
 def validate(invocation: command.Invocation) -> command.Report:
-    """Check a file without the platform."""
-    document = invocation.document()
+    """Validate a file without connecting to the platform."""
+    document = invocation.load_document()
     parsed = catalogue.parse(document, 0)
     counts = {
         "entries": len(parsed.entries),
@@ -88,25 +92,25 @@
     return command.Report({"valid": True, **counts}, f"valid {text}")
 
 
-@command.command("catalogue", "apply", arguments=_apply_arguments)
+@command.command("catalogue", "apply", arguments=_add_apply_arguments)
 def apply(invocation: command.Invocation) -> command.Report:
-    """Put a file in force, unless another edit came first."""
-    document = invocation.document()
+    """Put a file in force, unless a concurrent edit came first."""
+    document = invocation.load_document()
     options = invocation.options
     if not isinstance(document, dict):
         raise errors.InvalidInput("the catalogue must be a JSON object")
     expected = options.expect
     if options.merge:
-        return _applied(_merge(invocation, document, expected))
+        return _edit_report(_merge_overlay(invocation, document, expected))
     catalogue.parse(document, 0)
     if expected is None:
         expected = edit.expected_version(document)
-    return _applied(invocation.store().replace(document, expected))
+    return _edit_report(invocation.store().replace(document, expected))
 
 
-@command.command("catalogue", "delete", arguments=_delete_arguments)
+@command.command("catalogue", "delete", arguments=_add_delete_arguments)
 def delete(invocation: command.Invocation) -> command.Report:
-    """Take an entry out of force."""
+    """Delete an entry from the catalogue in force."""
     options = invocation.options
 
     def transform(document: Json) -> Json:
@@ -114,10 +118,10 @@
             raise errors.InvalidInput(f"there is no entry {options.name}")
         return edit.without_entry(document, options.name)
 
-    return _applied(invocation.store().change(transform, options.expect))
+    return _edit_report(invocation.store().update(transform, options.expect))
 
 
-@command.command("catalogue", "show", arguments=_show_arguments)
+@command.command("catalogue", "show", arguments=_add_show_arguments)
 def show(invocation: command.Invocation) -> command.Report:
     """Print the catalogue in force, ready to edit and apply."""
     store = invocation.store()
@@ -141,9 +145,9 @@
     return command.Report(report, "\n".join(lines))
 
 
-@command.command("catalogue", "diff", arguments=_diff_arguments)
+@command.command("catalogue", "diff", arguments=_add_diff_arguments)
 def diff(invocation: command.Invocation) -> command.Report:
-    """Show what a file or a version would change."""
+    """Show what applying a file or an older version would change."""
     options = invocation.options
     store = invocation.store()
     base = options.base
@@ -153,21 +157,21 @@
         after = catalogue.filled_in(older.document)
     else:
         options.file = options.to
-        after = catalogue.parse(invocation.document(), 0).document
+        after = catalogue.parse(invocation.load_document(), 0).document
     changes = difference.changes(catalogue.filled_in(before.document), after)
     report = {
         "version": before.version,
         "changes": [change.document for change in changes],
     }
-    return command.Report(report, changes_text(changes) or "no difference")
+    return command.Report(report, format_changes(changes) or "no difference")
 
 
 @command.command("catalogue", "history")
 def history(invocation: command.Invocation) -> command.Report:
-    """List the versions that are kept, the newest first."""
+    """List the versions in the history, newest first."""
     stamps = invocation.store().history()
     lines = [
-        f"version={stamp.version} at={_time_text(stamp.at)} "
+        f"version={stamp.version} at={_format_time(stamp.at)} "
         f"by={stamp.by or '-'} edit={stamp.edit_id or '-'}"
         for stamp in stamps
     ]
@@ -175,28 +179,28 @@
     return command.Report(report, "\n".join(lines) or "no version yet")
 
 
-def _merge(
+def _merge_overlay(
     invocation: command.Invocation, overlay: Json, expected: int | None
-) -> catalogue_store.Applied:
-    wrong = [
+) -> catalogue_store.EditResult:
+    invalid = [
         section
         for section in difference.SECTIONS
         if not isinstance(overlay.get(section, {}), dict)
     ]
-    if wrong:
-        raise errors.InvalidInput(f"{wrong[0]}: want an object")
-    return invocation.store().change(
+    if invalid:
+        raise errors.InvalidInput(f"{invalid[0]}: must be a JSON object")
+    return invocation.store().update(
         lambda document: edit.merged(document, overlay), expected
     )
 
 
-def _applied(applied: catalogue_store.Applied) -> command.Report:
-    changes = applied.changes
-    lines = [changes_text(changes), f"version={applied.version}"]
+def _edit_report(edited: catalogue_store.EditResult) -> command.Report:
+    changes = edited.changes
+    lines = [format_changes(changes), f"version={edited.version}"]
     if not changes:
-        lines = [f"version={applied.version} nothing to change"]
+        lines = [f"version={edited.version} nothing to change"]
     report = {
-        "version": applied.version,
+        "version": edited.version,
         "changes": [change.document for change in changes],
     }
     return command.Report(report, "\n".join(lines))
@@ -212,8 +216,8 @@
     }
 
 
-def _change_line(change: difference.Change) -> str:
-    sign = _SIGNS[change.kind]
+def _format_change(change: difference.Change) -> str:
+    sign = _CHANGE_SIGNS[change.kind]
     if change.kind == difference.CHANGED:
         before = documents.shown(change.before)
         return f"{sign} {change.field}: {before} -> " + documents.shown(
@@ -223,7 +227,7 @@
     return f"{sign} {change.field}: {documents.shown(value)}"
 
 
-def _time_text(at: float) -> str:
+def _format_time(at: float) -> str:
     if not at:
         return "-"
     moment = datetime.datetime.fromtimestamp(at, datetime.timezone.utc)
--- a/src/apricotlever/client/catalogue_store.py
+++ b/src/apricotlever/client/catalogue_store.py
@@ -1,11 +1,11 @@
-"""Reading and editing the catalogue in the object API.
-
-An edit makes two writes. First the version that is about to be replaced is
-copied to ``catalogue/history/VERSION``, then ``catalogue/current`` is
-replaced on the condition that it still has that version. A crash between
-the two leaves a copy of what is still in force, which harms nothing and is
-written again by the next edit. In the other order, a crash would lose the
-replaced version for good.
+"""Reads and edits the catalogue in the object API.
+
+An edit makes two writes. The first copies the version in force to
+``catalogue/history/VERSION``. The second replaces ``catalogue/current`` on
+the condition that it still has that version. A crash between the two writes
+leaves a redundant copy of the version in force, which is harmless and which
+the next edit writes again. In the opposite order, a crash would lose the
+replaced version permanently.
 """
 
 import collections.abc
@@ -25,14 +25,15 @@
 Json = typing.Any
 Transform = typing.Callable[[Json], Json]
 
-REBASES_MAX = 5
+MAX_WRITE_ATTEMPTS = 5
 
 
-class Applied:
-    """What became of an edit.
+class EditResult:
+    """Result of a successful edit.
 
-    :param version: the version in force.
-    :param changes: what the edit changed; empty if there was nothing to do.
+    :param version: the version that the edit put in force, or the current
+        one if the edit changed nothing.
+    :param changes: fields that the edit changed; empty if it changed none.
     """
 
     __slots__ = ("version", "changes")
@@ -45,106 +46,126 @@
 
 
 class CatalogueStore:
-    """The catalogue's object and its history.
+    """The catalogue object and its history.
 
-    :param objects: the platform's object API.
-    :param by: who edits, for the history.
+    :param objects: client of the platform's object API.
+    :param editor: name of the operator, recorded in the history.
     """
 
-    __slots__ = ("_objects", "_by")
+    __slots__ = ("_objects", "_editor")
 
-    def __init__(self, objects: platform.ObjectApi, by: str) -> None:
+    def __init__(self, objects: platform.ObjectApi, editor: str) -> None:
         self._objects = objects
-        self._by = by
+        self._editor = editor
 
     def current(self) -> edit.Version:
-        """The version that the store holds; ``edit.NONE`` if none."""
+        """Read the current version; ``edit.NO_VERSION`` if there is none.
+
+        :raises Unreachable: if the store can't be read.
+        """
         return self._read(edit.CURRENT_NAME) or edit.NONE
 
     def version(self, version: int) -> edit.Version:
-        """A version that is in force or kept in the history."""
+        """Read a version that is in force or in the history.
+
+        :raises InvalidInput: if the history does not hold the version.
+        :raises Unreachable: if the store can't be read.
+        """
         current = self.current()
         if version == current.version:
             return current
         kept = self._read(edit.history_name(version))
         if kept is None:
-            raise errors.InvalidInput(f"version {version} is not kept")
+            raise errors.InvalidInput(
+                f"version {version} is not kept in the history"
+            )
         return edit.Version(version, kept.value)
 
     def history(self) -> tuple[edit.Stamp, ...]:
-        """The version in force and those before it, the newest first."""
+        """Read the stamps of all kept versions, newest first.
+
+        :raises Unreachable: if the store can't be read.
+        """
         current = self.current()
         return (current.stamp, *current.history) if current.version else ()
 
-    def replace(self, document: Json, expected: int | None) -> Applied:
+    def replace(self, document: Json, expected: int | None) -> EditResult:
         """Put a whole document in force.
 
-        :param expected: the version that it was made from; None for the
-            one that is in force now.
-        :raises EditLost: if another version is in force.
+        :param expected: the version that the document is based on; None
+            for the version that is in force now.
+        :raises EditConflict: if another version is in force.
+        :raises OutcomeUnknown: if the write may have taken effect.
+        :raises Unreachable: if the store failed and nothing was changed.
         """
         base = self.current()
         if expected is not None and expected != base.version:
-            raise _lost(base, document)
-        return self._write(base, document)
+            raise _edit_conflict(base, document)
+        return self._write_version(base, document)
 
-    def change(self, transform: Transform, expected: int | None) -> Applied:
+    def update(self, transform: Transform, expected: int | None) -> EditResult:
         """Change parts of the document in force.
 
-        When another edit comes first and changed other parts, the change
-        is made again on top of it; when it changed the same parts, the
-        operator has to decide.
-
-        :param transform: makes the new document out of the one in force.
-        :param expected: as for :meth:`replace`; then nothing is redone.
+        If a concurrent edit changed other parts, the change is rebased on
+        it. If the concurrent edit changed the same parts, the operator has
+        to decide.
+
+        :param transform: makes the new document from the one in force.
+        :param expected: as for :meth:`replace`; if it is given, the change
+            is not rebased.
+        :raises EditConflict: if a concurrent edit changed the same parts,
+            if another version than ``expected`` is in force, or if all
+            attempts to write met a concurrent edit.
+        :raises OutcomeUnknown: if the write may have taken effect.
+        :raises Unreachable: if the store failed and nothing was changed.
         """
         base = self.current()
         if expected is not None and expected != base.version:
-            raise _lost(base, transform(base.document))
-        for _ in range(REBASES_MAX):
+            raise _edit_conflict(base, transform(base.document))
+        for _ in range(MAX_WRITE_ATTEMPTS):
             mine = transform(base.document)
             try:
-                return self._write(base, mine)
+                return self._write_version(base, mine)
             except errors.EditLost:
                 if expected is not None:
                     raise
             theirs = self.current()
             if edit.collide(base.document, mine, theirs.document):
-                raise _lost(theirs, mine)
+                raise _edit_conflict(theirs, mine)
             base = theirs
-        raise _lost(base, mine)
+        raise _edit_conflict(base, mine)
 
-    def _write(self, base: edit.Version, document: Json) -> Applied:
+    def _write_version(self, base: edit.Version, document: Json) -> EditResult:
         checked = catalogue.parse(edit.without_edit(document), 0).document
         changes = difference.changes(
             catalogue.filled_in(base.document), checked
         )
         if base.version and not changes:
-            return Applied(base.version, ())
-        stamp = edit.Stamp(0, uuid.uuid4().hex, self._by, time.time())
+            return EditResult(base.version, ())
+        stamp = edit.Stamp(0, uuid.uuid4().hex, self._editor, time.time())
         value = edit.stored_value(checked, base, stamp)
         _check_size(value)
-        self._keep(base)
-        version = self._put(base, checked, value, stamp)
-        self._prune(value[edit.FIELD]["expired"])
-        return Applied(version, changes)
+        self._archive(base)
+        version = self._write_current(base, checked, value, stamp)
+        self._delete_expired(value[edit.FIELD]["expired"])
+        return EditResult(version, changes)
 
-    def _keep(self, base: edit.Version) -> None:
-        """Copy what is about to be replaced into the history."""
+    def _archive(self, base: edit.Version) -> None:
+        """Copy the version that will be replaced into the history."""
         if not base.version:
             return
         name = edit.history_name(base.version)
-        kept = self._objects.put_reading_back(name, base.value, None)
-        match kept:
+        outcome = self._objects.put_reading_back(name, base.value, None)
+        match outcome:
             case result.Failure(platform.Conflict()) | result.Success():
                 return
             case result.Failure(error):
                 raise errors.Unreachable(
-                    f"nothing was changed, the history can't be written: "
+                    f"nothing was changed; writing the history failed: "
                     f"{error.message}"
                 )
 
-    def _put(
+    def _write_current(
         self,
         base: edit.Version,
         document: Json,
@@ -156,34 +177,34 @@
             edit.CURRENT_NAME,
             value,
             base.version or None,
-            lambda stored: _as_version(stored).shows(edit_id),
+            lambda stored: _stored_version(stored).shows(edit_id),
         )
         match outcome:
             case result.Success(stored):
-                return self._version_of(stored, edit_id)
+                return self._version_of_edit(stored, edit_id)
             case result.Failure(platform.Conflict()):
-                raise _lost(self.current(), document)
+                raise _edit_conflict(self.current(), document)
             case result.Failure(platform.Ambiguous() as error):
                 raise errors.OutcomeUnknown(
-                    f"edit {edit_id} may be in force, look for it in "
+                    f"edit {edit_id} may be in force; check the output of "
                     f"'catalogue history': {error.message}"
                 )
         raise errors.Unreachable(
             f"nothing was changed: {outcome.failure().message}"
         )
 
-    def _version_of(self, stored: platform.Stored, edit_id: str) -> int:
-        """The version that an edit got, also when later ones replaced it."""
-        version = _as_version(stored)
+    def _version_of_edit(self, stored: platform.Stored, edit_id: str) -> int:
+        """The version number of an edit, even if later edits replaced it."""
+        version = _stored_version(stored)
         stamps = (version.stamp, *version.history)
         found = (s.version for s in stamps if s.edit_id == edit_id)
         return next(found, stored.version)
 
-    def _prune(self, versions: collections.abc.Iterable[int]) -> None:
-        """Delete versions that fell out of the history.
+    def _delete_expired(self, versions: collections.abc.Iterable[int]) -> None:
+        """Delete versions that dropped out of the history.
 
-        It runs after the edit is in force, so failing here fails nothing:
-        the next edits name the same versions and delete them again.
+        The edit is already in force at this point, so failed deletions are
+        ignored. The next edits list the same versions again and retry.
         """
         for version in versions:
             self._objects.delete(edit.history_name(version))
@@ -191,7 +212,7 @@
     def _read(self, name: str) -> edit.Version | None:
         match self._objects.get(name):
             case result.Success(stored):
-                return _as_version(stored)
+                return _stored_version(stored)
             case result.Failure(platform.NotFound()):
                 return None
             case result.Failure(error):
@@ -199,11 +220,11 @@
         raise AssertionError("a result is a success or a failure")
 
 
-def _as_version(stored: platform.Stored) -> edit.Version:
+def _stored_version(stored: platform.Stored) -> edit.Version:
     return edit.Version(stored.version, stored.value)
 
 
-def _lost(current: edit.Version, document: Json) -> errors.EditLost:
+def _edit_conflict(current: edit.Version, document: Json) -> errors.EditLost:
     changes = difference.changes(
         catalogue.filled_in(current.document),
         catalogue.filled_in(edit.without_edit(document)),
@@ -220,6 +241,6 @@
     size = len(documents.encoded(value))
     if size > platform.VALUE_BYTES_MAX:
         raise errors.InvalidInput(
-            f"the catalogue takes {size} bytes with its history, the "
-            f"platform holds {platform.VALUE_BYTES_MAX}"
+            f"the catalogue with its history has {size} bytes; the platform "
+            f"stores at most {platform.VALUE_BYTES_MAX}"
         )
--- a/src/apricotlever/client/command.py
+++ b/src/apricotlever/client/command.py
@@ -1,4 +1,4 @@
-"""Registry of the commands and what each is given."""
+"""Registry of the commands, and the arguments and results of one run."""
 
 import argparse
 import sys
@@ -20,10 +20,10 @@
 
 
 class Report:
-    """What a command has to say.
+    """Output of a command.
 
-    :param document: for ``--json``.
-    :param text: for people.
+    :param document: JSON document that ``--json`` prints.
+    :param text: plain text that is printed otherwise.
     """
 
     __slots__ = ("document", "text")
@@ -34,12 +34,13 @@
 
 
 class Command:
-    """A command of the command line.
+    """A registered subcommand.
 
-    :param path: its words, such as ``("catalogue", "show")``.
+    :param path: words of the command, such as ``("catalogue", "show")``.
     :param summary: one line of help.
-    :param run: does the work.
-    :param add_arguments: adds its own arguments.
+    :param run: function that executes the command.
+    :param add_arguments: adds the command's own arguments to its parser;
+        None if it has none.
     """
 
     __slots__ = ("path", "summary", "run", "add_arguments")
@@ -63,9 +64,11 @@
 def command(
     *path: str, arguments: AddArguments | None = None
 ) -> typing.Callable[[Run], Run]:
-    """Register a function as a command; its docstring is the help.
+    """Register a function as a command.
 
-    :param path: the command's words.
+    The first line of the function's docstring is the command's help text.
+
+    :param path: words of the command.
     :param arguments: adds the command's own arguments to its parser.
     """
 
@@ -78,9 +81,10 @@
 
 
 class Invocation:
-    """One run of a command: its arguments and where to connect.
+    """One run of a command: its arguments and the services it connects to.
 
     :param options: the parsed command line.
+    :raises SettingsInvalid: if the settings file is missing or invalid.
     """
 
     __slots__ = ("_options", "_settings")
@@ -97,14 +101,18 @@
         return self._options
 
     def store(self) -> catalogue_store.CatalogueStore:
-        """The catalogue in the object API that the command line names."""
-        found = self.known_store()
+        """Build a client of the catalogue in the configured object API.
+
+        :raises UsageError: if neither an object API nor a settings file is
+            given.
+        """
+        found = self.optional_store()
         if found is None:
-            raise errors.WrongUsage("give --objects URL or --settings FILE")
+            raise errors.UsageError("give --objects URL or --settings FILE")
         return found
 
-    def known_store(self) -> catalogue_store.CatalogueStore | None:
-        """As :meth:`store`; None when the command line names none."""
+    def optional_store(self) -> catalogue_store.CatalogueStore | None:
+        """Like :meth:`store`, but None if no object API is configured."""
         url = self._options.objects
         if url is None and self._settings:
             url = self._settings.platform.objects
@@ -114,20 +122,27 @@
         return catalogue_store.CatalogueStore(api, self._options.by)
 
     def fleet(self) -> fleet.Fleet:
-        """The entry VMs that the command line names."""
+        """Build a client of the configured entry VMs.
+
+        :raises UsageError: if neither an entry VM nor a settings file is
+            given.
+        """
         addresses = list(self._options.entry or ())
         if not addresses and self._settings:
             addresses = [self._settings.callers]
         if not addresses:
-            raise errors.WrongUsage(
+            raise errors.UsageError(
                 "give --entry HOST:PORT or --settings FILE"
             )
         return fleet.Fleet(addresses, self._operator_key())
 
     def _operator_key(self) -> str:
-        """The key in the file that the command line names, or none.
+        """Read the operator key from its file; empty if no file is given.
+
+        The key is passed in a file because other users of the machine can
+        read the arguments of a process.
 
-        A file, for others can read a process's arguments.
+        :raises InvalidInput: if the file can't be read.
         """
         name = self._options.operator_key_file
         if name is None:
@@ -138,16 +153,19 @@
         except OSError as error:
             raise errors.InvalidInput(f"{name}: {error}") from error
 
-    def document(self) -> Json:
-        """The JSON file that the command line names; ``-`` is stdin."""
+    def load_document(self) -> Json:
+        """Parse the JSON file named on the command line; ``-`` is stdin.
+
+        :raises InvalidInput: if the file can't be read or is not JSON.
+        """
         name = self._options.file
         try:
-            return documents.loads(_content(name))
+            return documents.loads(_read_file(name))
         except (OSError, root_errors.ApricotleverError) as error:
             raise errors.InvalidInput(f"{name}: {error}") from error
 
 
-def _content(name: str) -> bytes:
+def _read_file(name: str) -> bytes:
     if name == STDIN_NAME:
         return sys.stdin.buffer.read()
     with open(name, "rb") as file:
--- a/src/apricotlever/client/day.py
+++ b/src/apricotlever/client/day.py
@@ -1,4 +1,4 @@
-"""What happened in a stretch of time, counted from the logs of all VMs."""
+"""Summarizes the requests and fleet events in the logs of all VMs."""
 
 import collections
 import datetime
@@ -8,8 +8,8 @@
 
 from . import losses
 
-#: Events that are marked in plots over time: something changed for everybody.
-MARKED = frozenset(
+#: Events that affect all requests; plots over time mark them.
+FLEET_EVENTS = frozenset(
     {"configuration_in_force", "lease_taken", "member_dead", "runner_gone"}
 )
 SERVED = "served"
@@ -17,16 +17,20 @@
 REFUSED = "refused"
 
 
-class Answer:
-    """The end of one request.
-
-    :param at_s: seconds since the first log line.
-    :param outcome: served, failed or refused.
-    :param took_s: from its first byte to its last; None when it was refused.
-    :param reason: why it was not served, by its first word; empty if it was.
-    :param first_s: seconds to the first byte of its answer; None if unknown.
-    :param objective_s: objective for ``first_s``; None if unknown.
-    :param sends: number of times it was sent to a runner.
+class RequestResult:
+    """The result of one request.
+
+    :param at_s: seconds from the first log line to the end of the request.
+    :param outcome: ``SERVED``, ``FAILED`` or ``REFUSED``.
+    :param route: name of the request's route; empty if unknown.
+    :param runner: the last runner that was tried; empty if unknown.
+    :param took_s: seconds until the last byte of the answer; None if the
+        request's last log line is a refusal.
+    :param reason: code of the reason why the request was not served; empty
+        if it was served.
+    :param first_s: seconds to the first byte of the answer; None if unknown.
+    :param objective_s: objective for ``first_s``, in seconds; None if unknown.
+    :param sends: number of times the request was sent to a runner.
     """
 
     __slots__ = (
@@ -64,10 +68,11 @@
         self.reason = reason
 
 
-class Mark:
-    """A change that concerned all requests.
+class FleetEvent:
+    """A change that affected all requests.
 
     :param at_s: seconds since the first log line.
+    :param event: name of the log event.
     """
 
     __slots__ = ("at_s", "event")
@@ -77,42 +82,44 @@
         self.event = event
 
 
-class Day:
-    """All ends of requests and all marks, in time order.
+class LogSummary:
+    """Results of all requests and all fleet events, in time order.
 
-    :param vms: whose lines were read.
-    :param capacity: samples of the services whose runners are ordered.
+    :param results: results of the requests.
+    :param fleet_events: changes that affected all requests.
+    :param vms: names of the VMs whose log lines were read.
+    :param capacity: runner samples of the services with ordered runners.
     """
 
-    __slots__ = ("answers", "capacity", "marks", "vms")
+    __slots__ = ("results", "capacity", "fleet_events", "vms")
 
     def __init__(
         self,
-        answers: list[Answer],
-        marks: list[Mark],
+        results: list[RequestResult],
+        fleet_events: list[FleetEvent],
         vms: list[str],
         capacity: typing.Sequence[losses.Capacity] = (),
     ) -> None:
         self.capacity = capacity
-        self.answers = answers
-        self.marks = marks
+        self.results = results
+        self.fleet_events = fleet_events
         self.vms = vms
 
     @property
     def losses(self) -> losses.Losses:
-        """The requests that were lost or late."""
-        return losses.Losses(self.answers, self.capacity)
+        """Statistics of the lost and late requests."""
+        return losses.Losses(self.results, self.capacity)
 
     @property
     def document(self) -> dict[str, typing.Any]:
-        """The counts, for those who read no plots."""
+        """The counts as JSON, to complement the plots."""
         reasons = collections.Counter(
-            answer.reason for answer in self.answers if answer.reason
+            result.reason for result in self.results if result.reason
         )
         return {
             "vms": self.vms,
             "outcomes": dict(
-                collections.Counter(answer.outcome for answer in self.answers)
+                collections.Counter(result.outcome for result in self.results)
             ),
             "reasons": dict(reasons.most_common()),
             "losses": self.losses.by_reason(),
@@ -120,50 +127,53 @@
         }
 
 
-def read(lines: typing.Sequence[log_lines.LogLine]) -> Day:
-    """Count what the lines tell.
+def summarize(lines: typing.Sequence[log_lines.LogLine]) -> LogSummary:
+    """Summarize log lines.
 
-    A request that was sent to a runner and then refused has two lines, its
-    end and its refusal; the refusal has the last word.
+    A request that was sent to a runner and then refused has two log lines,
+    one for its end and one for its refusal. The later line, the refusal,
+    determines its result.
 
-    :param lines: in time order, of all VMs.
+    :param lines: log lines of all VMs, in time order.
     """
     if not lines:
-        return Day([], [], [])
-    start = _seconds(lines[0].time)
-    answers: dict[str, Answer] = {}
-    marks: list[Mark] = []
+        return LogSummary([], [], [])
+    start = _timestamp_s(lines[0].time)
+    results: dict[str, RequestResult] = {}
+    fleet_events: list[FleetEvent] = []
     capacity: list[losses.Capacity] = []
     seen: set[str] = set()
     for line in lines:
-        at_s = _seconds(line.time) - start
+        at_s = _timestamp_s(line.time) - start
         if line.event == "request_ended":
-            answers[_id(line)] = _ended(at_s, line)
+            results[_request_key(line)] = _result_of_end(at_s, line)
         elif line.event == "request_refused":
-            answers[_id(line)] = _refused(at_s, line, answers.get(_id(line)))
+            results[_request_key(line)] = _result_of_refusal(
+                at_s, line, results.get(_request_key(line))
+            )
         elif line.event == "runners_needed":
             capacity.append(losses.Capacity.from_line(at_s, line))
-        elif line.event in MARKED and _is_new(line, seen):
-            marks.append(Mark(at_s, line.event))
-    return Day(
-        list(answers.values()),
-        marks,
+        elif line.event in FLEET_EVENTS and _is_first_report(line, seen):
+            fleet_events.append(FleetEvent(at_s, line.event))
+    return LogSummary(
+        list(results.values()),
+        fleet_events,
         sorted({line.vm for line in lines}),
         capacity,
     )
 
 
-def _id(line: log_lines.LogLine) -> str:
-    """The request's id; a malformed one has none and counts by itself."""
+def _request_key(line: log_lines.LogLine) -> str:
+    """The request's id; a unique key for a malformed request without one."""
     return line.fields.get("request") or f"{line.vm} {line.time}"
 
 
-def _ended(at_s: float, line: log_lines.LogLine) -> Answer:
+def _result_of_end(at_s: float, line: log_lines.LogLine) -> RequestResult:
     fields = line.fields
     served = fields.get("served") == "True"
-    # Without a reason of the VM the runner's own failure was passed on.
-    reason = _first_word(fields.get("ended", "")) or "runner_failed"
-    return Answer(
+    # Without a reason from the VM, the runner's own error was passed on.
+    reason = _reason_code(fields.get("ended", "")) or "runner_failed"
+    return RequestResult(
         at_s,
         SERVED if served else FAILED,
         fields.get("route", ""),
@@ -182,35 +192,38 @@
     return float(fields[name]) if name in fields else None
 
 
-def _refused(
-    at_s: float, line: log_lines.LogLine, before: Answer | None
-) -> Answer:
+def _result_of_refusal(
+    at_s: float, line: log_lines.LogLine, earlier: RequestResult | None
+) -> RequestResult:
     ran = line.fields.get("status") in ("502", "504")
-    return Answer(
+    return RequestResult(
         at_s,
         FAILED if ran else REFUSED,
-        before.route if before else "",
-        before.runner if before else "",
+        earlier.route if earlier else "",
+        earlier.runner if earlier else "",
         None,
-        _first_word(line.fields.get("reason", "unknown")),
+        _reason_code(line.fields.get("reason", "unknown")),
     )
 
 
-def _first_word(reason: str) -> str:
+def _reason_code(reason: str) -> str:
     return reason.partition(":")[0]
 
 
-def _is_new(line: log_lines.LogLine, seen: set[str]) -> bool:
-    """Whether this is the first VM that tells of a change."""
-    what = line.fields.get("version", line.fields.get("runner", ""))
-    what = what or line.fields.get("member", line.time)
-    key = f"{line.event} {what}"
+def _is_first_report(line: log_lines.LogLine, seen: set[str]) -> bool:
+    """Whether no earlier line, of any VM, reported the same change.
+
+    :param seen: changes reported so far; a new change is added.
+    """
+    subject = line.fields.get("version", line.fields.get("runner", ""))
+    subject = subject or line.fields.get("member", line.time)
+    key = f"{line.event} {subject}"
     if key in seen:
         return False
     seen.add(key)
     return True
 
 
-def _seconds(time: str) -> float:
+def _timestamp_s(time: str) -> float:
     moment = datetime.datetime.fromisoformat(time.removesuffix("Z"))
     return moment.replace(tzinfo=datetime.timezone.utc).timestamp()
--- a/src/apricotlever/client/errors.py
+++ b/src/apricotlever/client/errors.py
@@ -1,33 +1,34 @@
-"""Errors that a command shows, each with its exit code."""
+"""Errors that commands report, each with its exit code."""
 
 from .. import errors
 from ..catalogue import difference
 from . import exit_codes
 
 
-class CommandFailed(errors.ApricotleverError):
-    """Something went wrong that has no exit code of its own."""
+class CommandError(errors.ApricotleverError):
+    """A command failed for a reason without an exit code of its own."""
 
     exit_code = exit_codes.FAILURE
 
 
-class WrongUsage(CommandFailed):
-    """The command line lacks something that the command needs."""
+class UsageError(CommandError):
+    """An argument that the command needs is missing."""
 
     exit_code = exit_codes.USAGE
 
 
-class InvalidInput(CommandFailed):
-    """A file or the catalogue in it is invalid."""
+class InvalidInput(CommandError):
+    """An argument, a file or the catalogue in a file is invalid."""
 
     exit_code = exit_codes.INVALID_INPUT
 
 
-class EditLost(CommandFailed):
-    """Another edit came first.
+class EditLost(CommandError):
+    """A concurrent edit came first.
 
     :param version: the version in force.
-    :param changes: from what is in force to the refused document.
+    :param changes: differences from the version in force to the rejected
+        document.
     """
 
     exit_code = exit_codes.CONFLICT
@@ -49,23 +50,23 @@
 
     @property
     def changes(self) -> tuple[difference.Change, ...]:
-        """What the refused document would have changed in it."""
+        """Differences from the version in force to the rejected document."""
         return self._changes
 
 
-class Unreachable(CommandFailed):
+class Unreachable(CommandError):
     """The platform or an entry VM can't be reached."""
 
     exit_code = exit_codes.UNAVAILABLE
 
 
-class NotInForce(CommandFailed):
-    """A version was not in force at every entry VM in time."""
+class VersionNotInForce(CommandError):
+    """A version was not in force at every entry VM before the timeout."""
 
     exit_code = exit_codes.NOT_IN_FORCE
 
 
-class OutcomeUnknown(CommandFailed):
-    """An edit may have taken effect."""
+class OutcomeUnknown(CommandError):
+    """An edit may or may not have taken effect."""
 
     exit_code = exit_codes.OUTCOME_UNKNOWN
--- a/src/apricotlever/client/exit_codes.py
+++ b/src/apricotlever/client/exit_codes.py
@@ -1,6 +1,6 @@
 """Exit codes of the ``apricotlever`` command."""
 
-FINE = 0
+SUCCESS = 0
 FAILURE = 1
 USAGE = 2
 INVALID_INPUT = 3
@@ -10,7 +10,7 @@
 OUTCOME_UNKNOWN = 7
 
 MEANINGS: dict[int, str] = {
-    FINE: "Done, and in case of an edit put in force by the store.",
+    SUCCESS: "Done, and in case of an edit put in force by the store.",
     FAILURE: "Something else went wrong; the message says what.",
     USAGE: "The command line is wrong.",
     INVALID_INPUT: "A file or the catalogue in it is invalid.",
--- a/src/apricotlever/client/fleet.py
+++ b/src/apricotlever/client/fleet.py
@@ -1,4 +1,4 @@
-"""Asking every entry VM of the fleet, starting from any one of them."""
+"""Queries every entry VM of the fleet, discovered through any one of them."""
 
 import collections.abc
 from concurrent import futures
@@ -11,17 +11,17 @@
 from ..links import entry_api
 
 Json = typing.Any
-Question = typing.Callable[[entry_api.EntryApi], entry_api.Outcome]
+Query = typing.Callable[[entry_api.EntryApi], entry_api.Outcome]
 
-ASKED_AT_ONCE_MAX = 32
+MAX_CONCURRENT_QUERIES = 32
 STATE_DEAD = "dead"
 
 
 class Member:
-    """An entry VM as one of its peers lists it.
+    """An entry VM as listed by one of its peers.
 
-    :param vm: its name.
-    :param address: where it listens for callers.
+    :param vm: name of the VM.
+    :param address: address where the VM listens for callers.
     :param state: ``alive``, ``suspect`` or ``leaving``.
     """
 
@@ -34,11 +34,11 @@
 
 
 class Reply:
-    """What one entry VM answered.
+    """Reply of one entry VM to a query.
 
-    :param member: who was asked.
-    :param document: its answer; None when there was none.
-    :param problem: why there was none, else empty.
+    :param member: the queried VM.
+    :param document: JSON document of the reply; None if the query failed.
+    :param problem: why the query failed; empty if it succeeded.
     """
 
     __slots__ = ("member", "document", "problem")
@@ -50,10 +50,10 @@
 
 
 class Fleet:
-    """The entry VMs, found through any that answers.
+    """Client of all entry VMs, which it discovers through any one of them.
 
-    :param addresses: entry VMs to begin with, tried in order.
-    :param key: the operators' key, empty for none.
+    :param addresses: entry VMs for discovery, tried in order.
+    :param key: the operator key; empty for none.
     """
 
     __slots__ = ("_addresses", "_key")
@@ -66,14 +66,14 @@
         self._addresses = tuple(addresses)
         self._key = key
 
-    def ask_any(self, question: Question) -> Json:
-        """Ask the entry VMs of the command line until one answers.
+    def query_any(self, query: Query) -> Json:
+        """Query the configured entry VMs in order until one answers.
 
-        :raises Unreachable: if none does.
+        :raises Unreachable: if none answers.
         """
-        asked = (question(self._api(a)) for a in self._addresses)
+        outcomes = (query(self._api(a)) for a in self._addresses)
         problems = []
-        for outcome in asked:
+        for outcome in outcomes:
             match outcome:
                 case result.Success(document):
                     return document
@@ -82,10 +82,13 @@
         raise errors.Unreachable("; ".join(problems))
 
     def members(self) -> tuple[Member, ...]:
-        """Every entry VM that is not held to be dead, sorted by name."""
-        status = self.ask_any(entry_api.EntryApi.status)
+        """Every entry VM that its peers don't list as dead, sorted by name.
+
+        :raises Unreachable: if no entry VM answers with a list of peers.
+        """
+        status = self.query_any(entry_api.EntryApi.status)
         try:
-            members = [_member(peer) for peer in status["peers"]]
+            members = [_parse_member(peer) for peer in status["peers"]]
         except (KeyError, TypeError, ValueError) as error:
             raise errors.Unreachable(
                 f"the status of the entry VM has no list of peers: {error!r}"
@@ -93,12 +96,16 @@
         live = {m.vm: m for m in members if m.state != STATE_DEAD}
         return tuple(live[vm] for vm in sorted(live))
 
-    def ask_all(self, question: Question) -> tuple[Reply, ...]:
-        """Ask every live entry VM at once."""
+    def query_all(self, query: Query) -> tuple[Reply, ...]:
+        """Query every live entry VM concurrently.
+
+        :raises Unreachable: if no entry VM answers with a list of peers.
+        """
         members = self.members()
-        with futures.ThreadPoolExecutor(ASKED_AT_ONCE_MAX) as pool:
+        with futures.ThreadPoolExecutor(MAX_CONCURRENT_QUERIES) as pool:
             replies = pool.map(
-                lambda m: _reply(m, self._api(m.address), question), members
+                lambda m: _query_member(m, self._api(m.address), query),
+                members,
             )
             return tuple(replies)
 
@@ -106,16 +113,16 @@
         return entry_api.EntryApi(address, key=self._key)
 
 
-def _member(peer: Json) -> Member:
+def _parse_member(peer: Json) -> Member:
     address = settings.Address.from_text(peer["address"])
     return Member(str(peer["vm"]), address, str(peer["state"]))
 
 
-def _reply(
-    member: Member, api: entry_api.EntryApi, question: Question
+def _query_member(
+    member: Member, api: entry_api.EntryApi, query: Query
 ) -> Reply:
     try:
-        match question(api):
+        match query(api):
             case result.Success(document):
                 return Reply(member, document, "")
             case result.Failure(problem):
--- a/src/apricotlever/client/fleet_commands.py
+++ b/src/apricotlever/client/fleet_commands.py
@@ -1,4 +1,4 @@
-"""Commands that ask the entry VMs what is in force and how it goes."""
+"""Commands that query the entry VMs for their state, latency and cost."""
 
 import argparse
 import collections
@@ -15,10 +15,10 @@
 
 Json = typing.Any
 
-DEFAULT_WAIT_S = 10.0
+DEFAULT_WAIT_TIMEOUT_S = 10.0
 
 
-def _in_force_arguments(parser: argparse.ArgumentParser) -> None:
+def _add_in_force_arguments(parser: argparse.ArgumentParser) -> None:
     parser.add_argument(
         "--wait",
         type=int,
@@ -28,38 +28,46 @@
     parser.add_argument(
         "--timeout",
         type=float,
-        default=DEFAULT_WAIT_S,
+        default=DEFAULT_WAIT_TIMEOUT_S,
         metavar="S",
         help="how many seconds to wait (default: %(default)s)",
     )
 
 
-@command.command("in-force", arguments=_in_force_arguments)
+@command.command("in-force", arguments=_add_in_force_arguments)
 def in_force(invocation: command.Invocation) -> command.Report:
     """Show the catalogue version at every live entry VM."""
     options = invocation.options
-    asked = versions.Question(invocation.fleet(), invocation.known_store())
-    found = (
-        asked.ask()
+    version_query = versions.VersionQuery(
+        invocation.fleet(), invocation.optional_store()
+    )
+    version_status = (
+        version_query.query()
         if options.wait is None
-        else asked.wait(options.wait, options.timeout)
+        else version_query.wait_for_version(options.wait, options.timeout)
     )
-    document = {"vms": found.rows, "store": found.store_problem}
-    lines = [bars.table(found.rows), *filter(None, [found.store_problem])]
+    document = {
+        "vms": version_status.rows,
+        "store": version_status.store_problem,
+    }
+    lines = [
+        bars.table(version_status.rows),
+        *filter(None, [version_status.store_problem]),
+    ]
     return command.Report(document, "\n".join(lines))
 
 
 @command.command("status")
 def status(invocation: command.Invocation) -> command.Report:
-    """Show what is in force at one entry VM."""
-    document = invocation.fleet().ask_any(entry_api.EntryApi.status)
+    """Show the status of one entry VM."""
+    document = invocation.fleet().query_any(entry_api.EntryApi.status)
     return command.Report(document, json.dumps(document, indent=2))
 
 
 @command.command("entries")
 def entries(invocation: command.Invocation) -> command.Report:
-    """List the entry VMs that callers are told to use."""
-    document = invocation.fleet().ask_any(entry_api.EntryApi.entries)
+    """List the entry VMs that are announced to callers."""
+    document = invocation.fleet().query_any(entry_api.EntryApi.entries)
     rows = document.get("entries", [])
     text = f"ttl_s={document.get('ttl_s')}\n{bars.table(rows)}"
     return command.Report(document, text)
@@ -67,46 +75,52 @@
 
 @command.command("histograms")
 def histograms(invocation: command.Invocation) -> command.Report:
-    """Show the latencies of the whole fleet by customer and class."""
-    replies = invocation.fleet().ask_all(entry_api.EntryApi.histograms)
+    """Show latency histograms of the fleet by customer and class."""
+    replies = invocation.fleet().query_all(entry_api.EntryApi.histograms)
     encoded = itertools.chain.from_iterable(
         reply.document.get("histograms", ())
         for reply in replies
         if reply.document is not None
     )
     merged = list(latency.merge(encoded).values())
-    missing = _missing(replies)
+    unanswered = _unanswered_vms(replies)
     report = {
         "histograms": [
-            {**bars.summary(found), "histogram": found.encoded["histogram"]}
+            {
+                **bars.summarize_distribution(found),
+                "histogram": found.encoded["histogram"],
+            }
             for found in merged
         ],
-        "missing": missing,
+        "missing": unanswered,
     }
-    texts = [*map(bars.histogram, merged), *_missing_lines(missing)]
+    texts = [
+        *map(bars.format_histogram, merged),
+        *_unanswered_lines(unanswered),
+    ]
     return command.Report(report, "\n".join(texts) or "no values yet")
 
 
 @command.command("cost")
 def cost(invocation: command.Invocation) -> command.Report:
-    """Show what entries and customers cost, summed over the fleet."""
-    replies = invocation.fleet().ask_all(entry_api.EntryApi.status)
-    rows = _summed(replies)
-    missing = _missing(replies)
-    text = "\n".join([bars.table(rows), *_missing_lines(missing)])
-    return command.Report({"cost": rows, "missing": missing}, text)
+    """Show the cost of entries and customers, summed over the fleet."""
+    replies = invocation.fleet().query_all(entry_api.EntryApi.status)
+    rows = _sum_costs(replies)
+    unanswered = _unanswered_vms(replies)
+    text = "\n".join([bars.table(rows), *_unanswered_lines(unanswered)])
+    return command.Report({"cost": rows, "missing": unanswered}, text)
 
 
-def _missing(replies: tuple[fleet.Reply, ...]) -> list[str]:
+def _unanswered_vms(replies: tuple[fleet.Reply, ...]) -> list[str]:
     return [reply.member.vm for reply in replies if reply.document is None]
 
 
-def _missing_lines(missing: list[str]) -> list[str]:
-    """Say that sums are incomplete, rather than show them as whole."""
-    return [f"no answer from: {', '.join(missing)}"] if missing else []
+def _unanswered_lines(unanswered: list[str]) -> list[str]:
+    """Warn that sums are incomplete because some VMs did not answer."""
+    return [f"no answer from: {', '.join(unanswered)}"] if unanswered else []
 
 
-def _summed(replies: tuple[fleet.Reply, ...]) -> list[dict[str, Json]]:
+def _sum_costs(replies: tuple[fleet.Reply, ...]) -> list[dict[str, Json]]:
     rows = itertools.chain.from_iterable(
         reply.document.get("cost", ())
         for reply in replies
--- a/src/apricotlever/client/log_commands.py
+++ b/src/apricotlever/client/log_commands.py
@@ -11,16 +11,16 @@
 from .. import logs
 
 from . import command
-from . import day as days
+from . import day
 from . import errors
 from . import stories
 
 STDIN_NAME = "-"
-LOG_FILES = "*.log"
-DEFAULT_PAGE = "report.html"
+LOG_FILE_PATTERN = "*.log"
+DEFAULT_REPORT_FILE = "report.html"
 
 
-def _explain_arguments(parser: argparse.ArgumentParser) -> None:
+def _add_explain_arguments(parser: argparse.ArgumentParser) -> None:
     parser.add_argument("request", metavar="ID", help="the request's id")
     parser.add_argument(
         "files",
@@ -31,72 +31,82 @@
     )
 
 
-@command.command("explain", arguments=_explain_arguments)
+@command.command("explain", arguments=_add_explain_arguments)
 def explain(invocation: command.Invocation) -> command.Report:
-    """Tell one request's story from the logs of entry VMs."""
+    """Explain how one request ended, from the logs of entry VMs."""
     options = invocation.options
-    lines = log_lines.parse_all(_all_lines(options.files))
+    lines = log_lines.parse_all(_read_all_lines(options.files))
     if not lines:
-        raise errors.InvalidInput("no log line in what was given")
-    story = stories.tell(options.request, lines)
-    if story is None:
+        raise errors.InvalidInput("no log line in the input")
+    timeline = stories.build_timeline(options.request, lines)
+    if timeline is None:
         raise errors.InvalidInput(
             f"no line names the request {options.request!r}; "
             f"{len(lines)} lines were read"
         )
-    return command.Report(_document(story), _text(story))
+    return command.Report(
+        _timeline_document(timeline), _timeline_text(timeline)
+    )
 
 
-def _report_arguments(parser: argparse.ArgumentParser) -> None:
+def _add_report_arguments(parser: argparse.ArgumentParser) -> None:
     parser.add_argument(
-        "directory", metavar="DIR", help="where the VMs' *.log files are"
+        "directory", metavar="DIR", help="directory with the VMs' *.log files"
     )
     parser.add_argument(
         "--output",
         metavar="FILE",
-        default=DEFAULT_PAGE,
+        default=DEFAULT_REPORT_FILE,
         help="the page to write (default: %(default)s)",
     )
 
 
-@command.command("report", arguments=_report_arguments)
+@command.command("report", arguments=_add_report_arguments)
 def report(invocation: command.Invocation) -> command.Report:
-    """Draw a page of plots from the logs in a directory."""
+    """Write a page of plots from the logs in a directory."""
     options = invocation.options
-    files = sorted(pathlib.Path(options.directory).glob(LOG_FILES))
+    files = sorted(pathlib.Path(options.directory).glob(LOG_FILE_PATTERN))
     if not files:
         raise errors.InvalidInput(
-            f"{options.directory}: no file is named {LOG_FILES}"
+            f"{options.directory}: no file is named {LOG_FILE_PATTERN}"
         )
-    day = days.read(log_lines.parse_all(_all_lines(map(str, files))))
-    if not day.answers:
+    summary = day.summarize(
+        log_lines.parse_all(_read_all_lines(map(str, files)))
+    )
+    if not summary.results:
         raise errors.InvalidInput(
             f"no request ended in the logs of {options.directory}"
         )
-    _write(options.output, _plots().page(day))
-    document = {**day.document, "page": options.output}
-    return command.Report(document, _summary(document))
+    _write_file(options.output, _load_plots().render_page(summary))
+    document = {**summary.document, "page": options.output}
+    return command.Report(document, _report_text(document))
+
+
+def _load_plots() -> typing.Any:
+    """Import the plotting module, which needs matplotlib.
 
+    Matplotlib is an optional dependency, since VMs and most commands work
+    without it.
 
-def _plots() -> typing.Any:
-    """The module that draws; VMs and most commands do without it."""
+    :raises CommandError: if matplotlib is not installed.
+    """
     try:
         return importlib.import_module(f"{__package__}.day_plots")
     except ImportError as error:
-        raise errors.CommandFailed(
+        raise errors.CommandError(
             f"the report needs matplotlib ({error}); install "
             "apricotlever[reports]"
         ) from error
 
 
-def _write(name: str, text: str) -> None:
+def _write_file(name: str, text: str) -> None:
     try:
         pathlib.Path(name).write_text(text, encoding="utf-8")
     except OSError as error:
         raise errors.InvalidInput(f"{name}: {error}") from error
 
 
-def _summary(document: dict[str, typing.Any]) -> str:
+def _report_text(document: dict[str, typing.Any]) -> str:
     outcomes = logs.line(**document["outcomes"])
     reasons = logs.line(**document["reasons"])
     return (
@@ -106,11 +116,11 @@
     )
 
 
-def _all_lines(names: typing.Iterable[str]) -> typing.Iterator[str]:
-    return itertools.chain.from_iterable(_lines(name) for name in names)
+def _read_all_lines(names: typing.Iterable[str]) -> typing.Iterator[str]:
+    return itertools.chain.from_iterable(_read_lines(name) for name in names)
 
 
-def _lines(name: str) -> list[str]:
+def _read_lines(name: str) -> list[str]:
     if name == STDIN_NAME:
         return sys.stdin.read().splitlines()
     try:
@@ -120,16 +130,18 @@
         raise errors.InvalidInput(f"{name}: {error}") from error
 
 
-def _document(story: stories.Story) -> dict[str, typing.Any]:
+def _timeline_document(
+    timeline: stories.RequestTimeline,
+) -> dict[str, typing.Any]:
     return {
-        "request": story.request_id,
-        "cause": story.cause,
-        "lines": [_record(line) for line in story.lines],
-        "background": [_record(line) for line in story.background],
+        "request": timeline.request_id,
+        "cause": timeline.cause,
+        "lines": [_line_document(line) for line in timeline.lines],
+        "background": [_line_document(line) for line in timeline.background],
     }
 
 
-def _record(line: log_lines.LogLine) -> dict[str, str]:
+def _line_document(line: log_lines.LogLine) -> dict[str, str]:
     return {
         "time": line.time,
         "vm": line.vm,
@@ -138,14 +150,14 @@
     }
 
 
-def _text(story: stories.Story) -> str:
-    lines = [f"request {story.request_id}: {story.cause}", ""]
-    marked = [(x.time, "  ", x) for x in story.lines]
-    marked += [(x.time, "- ", x) for x in story.background]
+def _timeline_text(timeline: stories.RequestTimeline) -> str:
+    lines = [f"request {timeline.request_id}: {timeline.cause}", ""]
+    marked = [(x.time, "  ", x) for x in timeline.lines]
+    marked += [(x.time, "- ", x) for x in timeline.background]
     for time, mark, line in sorted(marked, key=lambda item: item[0]):
         fields = {k: v for k, v in line.fields.items() if k != "request"}
         lines.append(
             f"{mark}{time} {line.vm} {line.event} {logs.line(**fields)}"
         )
-    lines += ["", "lines with - are background of its VMs and runners"]
+    lines += ["", "lines with - are background events of its VMs and runners"]
     return "\n".join(lines)
--- a/src/apricotlever/client/losses.py
+++ b/src/apricotlever/client/losses.py
@@ -1,4 +1,4 @@
-"""Requests that were lost or late, by route, time window and reason."""
+"""Counts lost and late requests by route, time window and reason."""
 
 import collections
 import typing
@@ -7,9 +7,9 @@
 
 #: Length of a time window, in seconds.
 WINDOW_S = 2.0
-#: Rows of the table, those with the most requests.
-MOST_ROWS = 40
-#: Reported texts of the reasons for which a request was not served.
+#: Maximum number of table rows; rows with the most requests are kept.
+MAX_ROWS = 40
+#: Text shown for each reason code of a request that was not served.
 _REASON_TEXTS = {
     "over_the_limit": "refused by a limit",
     "no_runner": "no runner",
@@ -26,8 +26,8 @@
 }
 
 
-class Answer(typing.Protocol):
-    """The fields of a request's end that determine its loss."""
+class LossFields(typing.Protocol):
+    """Fields of a request's result that classify it as lost or late."""
 
     @property
     def at_s(self) -> float:
@@ -35,15 +35,15 @@
 
     @property
     def route(self) -> str:
-        """Name of the route that the request took."""
+        """Name of the request's route."""
 
     @property
     def reason(self) -> str:
-        """First word of why it was not served; empty if it was."""
+        """Code of the reason why the request was not served; else empty."""
 
     @property
     def first_s(self) -> float | None:
-        """Seconds to the first byte of its answer; None if unknown."""
+        """Seconds until the first byte of the answer; None if unknown."""
 
     @property
     def objective_s(self) -> float | None:
@@ -51,28 +51,29 @@
 
     @property
     def sends(self) -> int:
-        """Number of times it was sent to a runner."""
+        """Number of times the request was sent to a runner."""
 
 
-def loss_reason(answer: Answer) -> str:
-    """Why a request was lost or late; empty if it was neither."""
-    if answer.reason:
-        return _REASON_TEXTS.get(answer.reason, answer.reason)
-    if answer.first_s is None or answer.objective_s is None:
+def loss_reason(result: LossFields) -> str:
+    """Reason why a request was lost or late; empty if it was neither."""
+    if result.reason:
+        return _REASON_TEXTS.get(result.reason, result.reason)
+    if result.first_s is None or result.objective_s is None:
         return ""
-    if answer.first_s <= answer.objective_s:
+    if result.first_s <= result.objective_s:
         return ""
     return (
-        "late, retried" if answer.sends > 1 else "late, waited at its runner"
+        "late, retried" if result.sends > 1 else "late, waited at its runner"
     )
 
 
 class Capacity:
-    """Runners of a service, as logged by the VM that orders them.
+    """Sample of a service's runners, logged by the VM that orders runners.
 
-    :param present: runners that are listed.
-    :param needed: runners that the work needs.
-    :param in_flight: calls of all VMs in flight at these runners.
+    :param at_s: seconds since the first log line.
+    :param present: number of listed runners.
+    :param needed: number of runners that the measured load requires.
+    :param in_flight: calls in flight at these runners, from all VMs.
     """
 
     __slots__ = ("at_s", "service", "present", "needed", "in_flight")
@@ -107,30 +108,30 @@
 class Losses:
     """All requests that were lost or late.
 
-    :param answers: the ends of all requests.
-    :param capacity: samples of the services whose runners are ordered.
+    :param results: results of all requests.
+    :param capacity: runner samples of the services with ordered runners.
     """
 
-    __slots__ = ("_answers", "_capacity")
+    __slots__ = ("_results", "_capacity")
 
     def __init__(
         self,
-        answers: typing.Iterable[Answer],
+        results: typing.Iterable[LossFields],
         capacity: typing.Sequence[Capacity] = (),
     ) -> None:
-        self._answers = [answer for answer in answers if loss_reason(answer)]
+        self._results = [result for result in results if loss_reason(result)]
         self._capacity = capacity
 
     @property
-    def answers(self) -> list[Answer]:
-        """The ends of the requests that were lost or late."""
-        return self._answers
+    def results(self) -> list[LossFields]:
+        """Results of the requests that were lost or late."""
+        return self._results
 
     def rows(self) -> list[dict[str, typing.Any]]:
-        """Rows by route, window and reason, most requests first."""
+        """Table rows by route, window and reason, most requests first."""
         counts = collections.Counter(
-            (answer.route, _window(answer.at_s), loss_reason(answer))
-            for answer in self._answers
+            (result.route, _window_index(result.at_s), loss_reason(result))
+            for result in self._results
         )
         return [
             {
@@ -138,22 +139,27 @@
                 "from_s": window * WINDOW_S,
                 "reason": reason,
                 "calls": count,
-                "runners": self._runners_in(window),
+                "runners": self._capacity_in_window(window),
             }
-            for (route, window, reason), count in counts.most_common(MOST_ROWS)
+            for (route, window, reason), count in counts.most_common(MAX_ROWS)
         ]
 
     def by_reason(self) -> dict[str, int]:
-        """Number of requests by reason, highest first."""
+        """Number of lost or late requests by reason, highest first."""
         return dict(
-            collections.Counter(map(loss_reason, self._answers)).most_common()
+            collections.Counter(map(loss_reason, self._results)).most_common()
         )
 
-    def _runners_in(self, window: int) -> dict[str, list[float]]:
-        """Runners present and needed, and calls in flight, by service."""
+    def _capacity_in_window(self, window: int) -> dict[str, list[float]]:
+        """Last capacity sample of each service in a time window.
+
+        :param window: index of the time window.
+        :returns: by service: runners present, runners needed, calls in
+            flight.
+        """
         found = {}
         for sample in self._capacity:
-            if _window(sample.at_s) == window:
+            if _window_index(sample.at_s) == window:
                 found[sample.service] = [
                     sample.present,
                     sample.needed,
@@ -162,5 +168,5 @@
         return found
 
 
-def _window(at_s: float) -> int:
+def _window_index(at_s: float) -> int:
     return int(at_s // WINDOW_S)
--- a/src/apricotlever/client/main.py
+++ b/src/apricotlever/client/main.py
@@ -1,4 +1,4 @@
-"""The ``apricotlever`` command: operators edit and read back."""
+"""Entry point of the ``apricotlever`` command for operators."""
 
 import argparse
 import getpass
@@ -18,29 +18,29 @@
 from . import log_commands
 
 PROGRAM = "apricotlever"
-DEFAULT_TIMEOUT_S = 5.0
+DEFAULT_CALL_TIMEOUT_S = 5.0
 
-# Importing a module of commands registers them.
+# Importing these modules registers their commands.
 COMMAND_MODULES = (catalogue_commands, fleet_commands, log_commands)
 
 
 def main(arguments: list[str] | None = None) -> int:
     """Run one command.
 
-    :param arguments: the command line without the program's name; the
-        process's own when None.
+    :param arguments: command-line arguments without the program name; None
+        for those of the process.
     :returns: one of :mod:`exit_codes`.
     """
-    options = _parser().parse_args(arguments)
+    options = _build_parser().parse_args(arguments)
     try:
         report = options.command.run(command.Invocation(options))
     except root_errors.ApricotleverError as error:
-        return _failed(error, options.json)
+        return _print_failure(error, options.json)
     print(json.dumps(report.document) if options.json else report.text)
-    return exit_codes.FINE
+    return exit_codes.SUCCESS
 
 
-def _failed(error: root_errors.ApricotleverError, as_json: bool) -> int:
+def _print_failure(error: root_errors.ApricotleverError, as_json: bool) -> int:
     code = _exit_code(error)
     changes = error.changes if isinstance(error, errors.EditLost) else ()
     if as_json:
@@ -54,7 +54,7 @@
     print(f"{PROGRAM}: {error.message}", file=sys.stderr)
     if changes:
         print("what your document would change in it:", file=sys.stderr)
-        print(catalogue_commands.changes_text(changes), file=sys.stderr)
+        print(catalogue_commands.format_changes(changes), file=sys.stderr)
     return code
 
 
@@ -64,10 +64,10 @@
     return error.exit_code
 
 
-def _parser() -> argparse.ArgumentParser:
+def _build_parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(
         prog=PROGRAM,
-        description="Edit the catalogue and read back what is in force.",
+        description="Edit the catalogue and query the entry VMs.",
         epilog=_exit_code_help(),
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
@@ -76,71 +76,77 @@
     )
     commands = parser.add_subparsers(required=True, metavar="COMMAND")
     groups: dict[tuple[str, ...], typing.Any] = {(): commands}
-    for known in command.COMMANDS:
-        _add_command(groups, known)
+    for registered in command.COMMANDS:
+        _add_command(groups, registered)
     return parser
 
 
 def _add_command(
-    groups: dict[tuple[str, ...], typing.Any], known: command.Command
+    groups: dict[tuple[str, ...], typing.Any], registered: command.Command
 ) -> None:
-    parent = known.path[:-1]
+    parent = registered.path[:-1]
     if parent not in groups:
         group = groups[()].add_parser(
             parent[-1], help=f"commands on the {parent[-1]}"
         )
         groups[parent] = group.add_subparsers(required=True, metavar="COMMAND")
     parser = groups[parent].add_parser(
-        known.path[-1], help=known.summary, description=known.summary
+        registered.path[-1],
+        help=registered.summary,
+        description=registered.summary,
     )
-    if known.add_arguments:
-        known.add_arguments(parser)
+    if registered.add_arguments:
+        registered.add_arguments(parser)
     _add_connection_arguments(parser)
-    parser.set_defaults(command=known)
+    parser.set_defaults(command=registered)
 
 
 def _add_connection_arguments(parser: argparse.ArgumentParser) -> None:
     parser.add_argument(
-        "--json", action="store_true", help="print one JSON document"
+        "--json",
+        action="store_true",
+        help="print the output as one JSON document",
     )
     parser.add_argument(
-        "--objects", metavar="URL", help="the platform's object API"
+        "--objects", metavar="URL", help="URL of the platform's object API"
     )
     parser.add_argument(
         "--entry",
         action="append",
-        type=_address,
+        type=_parse_address,
         metavar="HOST:PORT",
-        help="an entry VM to ask first; may be given more than once",
+        help="an entry VM to connect to; may be given more than once",
     )
     parser.add_argument(
-        "--settings", metavar="FILE", help="a daemon's settings, for both"
+        "--settings",
+        metavar="FILE",
+        help="a daemon's settings; defaults for --objects and --entry",
     )
     parser.add_argument(
         "--operator-key-file",
         metavar="FILE",
-        help="holds the key that entry VMs want from operators",
+        help="file with the operator key that entry VMs require",
     )
     parser.add_argument(
         "--call-timeout",
         type=float,
-        default=DEFAULT_TIMEOUT_S,
+        default=DEFAULT_CALL_TIMEOUT_S,
         metavar="S",
-        help="for each call to the platform (default: %(default)s)",
+        help="timeout of each call to the platform (default: %(default)s)",
     )
     parser.add_argument(
         "--by",
-        default=_user(),
+        default=_current_user(),
         metavar="NAME",
-        help="who edits, for the history (default: %(default)s)",
+        help="editor name for the history (default: %(default)s)",
     )
 
 
-def _address(text: str) -> settings.Address:
+def _parse_address(text: str) -> settings.Address:
     return settings.Address.from_text(text)
 
 
-def _user() -> str:
+def _current_user() -> str:
     try:
         return getpass.getuser()
     except (KeyError, OSError):
--- a/src/apricotlever/client/stories.py
+++ b/src/apricotlever/client/stories.py
@@ -1,14 +1,15 @@
-"""One request's story, put together from the logs of several VMs."""
+"""Reconstructs the timeline of one request from the logs of several VMs."""
 
 import datetime
 import typing
 
 from .. import log_lines
 
-#: Events of a VM or a runner that count as background of a request when they
-#: fall within its time, or this many seconds around it.
-AROUND_S = 3.0
-BACKGROUND = frozenset(
+#: A timeline includes background events from this many seconds before its
+#: request to at least this many seconds after the request's last line.
+BACKGROUND_MARGIN_S = 3.0
+#: Events of a VM or a runner that are shown as background of a request.
+BACKGROUND_EVENTS = frozenset(
     {
         "configuration_in_force",
         "dependency_lost",
@@ -27,40 +28,43 @@
         "stop_cut_off",
     }
 )
-#: What a reason means, by how it begins.
-CAUSES = (
+#: Prefix of a logged reason, and its meaning. The first match counts, so a
+#: longer prefix stands before a shorter one.
+REASON_MEANINGS = (
     ("over_the_limit", "its customer was over its limit, so it was not run"),
-    ("unknown_key", "no version in force at that VM had its API key"),
-    ("no_route", "no route of the version in force fits its host and path"),
-    ("leaving", "its VM was about to end, so it was not run"),
-    ("no_configuration", "the VM knew no configuration yet"),
-    ("no_runner", "no runner of the service could take it"),
-    ("retry_budget", "no retry was left for the service"),
-    ("turned_away", "the runners that were asked turned it away"),
-    ("replaced", "another runner had the address by then"),
-    ("unreachable", "no connection to the runner opened in time"),
+    ("unknown_key", "no version in force at that VM contained its API key"),
+    ("no_route", "no route of the version in force matches its host and path"),
+    ("leaving", "its VM was shutting down, so it was not run"),
+    ("no_configuration", "its VM had no configuration yet"),
+    ("no_runner", "no runner of the service was available for it"),
+    ("retry_budget", "the retry budget of the service was exhausted"),
+    ("turned_away", "the runners that were tried rejected it"),
+    ("replaced", "another runner had taken over the runner's address"),
+    ("unreachable", "no connection to the runner could be opened in time"),
     ("connections_used_up", "all connections to the runner were in use"),
     (
         "broken:not an answer",
         "the runner sent what is no answer; it may have run",
     ),
     ("broken", "the runner broke the connection off; it may have run"),
-    ("disorder", "the runner's stream left an event out or repeated one"),
+    ("disorder", "the runner's stream skipped or repeated an event"),
     ("ends_within_an_event", "the stream ended in the middle of an event"),
-    ("no_answer_in_time", "a runner did not begin to answer in time"),
-    ("unsigned", "the answer did not bear the mark of a runner"),
+    ("no_answer_in_time", "a runner did not start to answer in time"),
+    ("unsigned", "the answer lacked the identification of a runner"),
     ("deadline", "its time, or the route's, was over"),
-    ("malformed", "the call had no valid form"),
-    ("caller_gone", "its caller had left"),
+    ("malformed", "the call was malformed"),
+    ("caller_gone", "its caller had disconnected"),
     ("crashes_runners", "two runners ended while they ran the same call"),
 )
 
 
-class Story:
-    """What the logs say of one request.
+class RequestTimeline:
+    """Log lines that concern one request.
 
-    :param lines: those that name it, in time order.
-    :param background: of its VMs and runners, around it.
+    :param request_id: the request's id.
+    :param lines: lines that name the request, in time order.
+    :param background: background events of the request's VMs and runners
+        around the time of the request, in time order.
     """
 
     __slots__ = ("request_id", "lines", "background")
@@ -77,17 +81,21 @@
 
     @property
     def cause(self) -> str:
-        """One sentence: how it ended and why."""
-        last = self._last("request_ended")
-        refused = self._last("request_refused")
+        """How the request ended and why, in one sentence."""
+        last = self._last_line("request_ended")
+        refused = self._last_line("request_refused")
         if last is not None and last.fields.get("served") == "True":
-            return _answered(last)
+            return _describe_answer(last)
         found = refused or last
         if found is None:
-            return self._unended
+            return self._missing_end_cause
         reason = found.fields.get("reason") or found.fields.get("ended") or ""
         meaning = next(
-            (text for start, text in CAUSES if reason.startswith(start)),
+            (
+                text
+                for start, text in REASON_MEANINGS
+                if reason.startswith(start)
+            ),
             "a runner's own failure was passed on" if not reason else reason,
         )
         status = found.fields.get("status")
@@ -97,8 +105,8 @@
         return f"{how}: {meaning}"
 
     @property
-    def _unended(self) -> str:
-        """Why there is no end: the VM that had the request had one."""
+    def _missing_end_cause(self) -> str:
+        """Why the end was not logged: the request's VM may have died."""
         vm = self.lines[-1].vm
         for line in self.background:
             if line.time <= self.lines[-1].time:
@@ -115,13 +123,13 @@
                 )
         return "still running, or its end was not logged"
 
-    def _last(self, event: str) -> log_lines.LogLine | None:
+    def _last_line(self, event: str) -> log_lines.LogLine | None:
         found = [line for line in self.lines if line.event == event]
         return found[-1] if found else None
 
 
-def _answered(last: log_lines.LogLine) -> str:
-    """How an answer came, with what makes a stream late."""
+def _describe_answer(last: log_lines.LogLine) -> str:
+    """Describe a served request with the delays of its stream."""
     text = f"answered after {last.fields.get('took_s')} s"
     first_s = last.fields.get("first_s")
     if first_s is not None:
@@ -132,35 +140,42 @@
     return text
 
 
-def tell(
+def build_timeline(
     request_id: str, lines: typing.Sequence[log_lines.LogLine]
-) -> Story | None:
-    """Find a request's story.
+) -> RequestTimeline | None:
+    """Build the timeline of a request.
 
-    :param lines: in time order, of all VMs.
-    :returns: None when no line names the request.
+    :param request_id: the request's id.
+    :param lines: log lines of all VMs, in time order.
+    :returns: the timeline; None if no line names the request.
     """
-    own = [x for x in lines if x.fields.get("request") == request_id]
-    if not own:
+    request_lines = [x for x in lines if x.fields.get("request") == request_id]
+    if not request_lines:
         return None
-    vms = {line.vm for line in own}
-    runners = {r for line in own if (r := line.fields.get("runner"))}
-    since = _shift(own[0].time, -_took(own) - AROUND_S)
-    until = _shift(own[-1].time, max(AROUND_S, _left(own[-1])))
+    vms = {line.vm for line in request_lines}
+    runners = {r for line in request_lines if (r := line.fields.get("runner"))}
+    since = _shift_time(
+        request_lines[0].time,
+        -_longest_duration_s(request_lines) - BACKGROUND_MARGIN_S,
+    )
+    until = _shift_time(
+        request_lines[-1].time,
+        max(BACKGROUND_MARGIN_S, _time_left_s(request_lines[-1])),
+    )
     background = [
         line
         for line in lines
-        if line.event in BACKGROUND
+        if line.event in BACKGROUND_EVENTS
         and since <= line.time <= until
-        and _concerns(line, vms, runners)
+        and _is_related(line, vms, runners)
     ]
-    return Story(request_id, own, background)
+    return RequestTimeline(request_id, request_lines, background)
 
 
-def _concerns(
+def _is_related(
     line: log_lines.LogLine, vms: set[str], runners: set[str]
 ) -> bool:
-    """Whether a line is about one of a request's VMs or runners."""
+    """Whether a log line is about one of a request's VMs or runners."""
     if line.fields.get("member") in vms:
         return True
     if line.vm not in vms:
@@ -168,16 +183,16 @@
     return "runner" not in line.fields or line.fields["runner"] in runners
 
 
-def _left(line: log_lines.LogLine) -> float:
-    """Seconds that a request had left when it was sent to a runner."""
+def _time_left_s(line: log_lines.LogLine) -> float:
+    """Seconds until the deadline when the request was sent to a runner."""
     return float(line.fields.get("left_s", 0.0))
 
 
-def _took(lines: typing.Iterable[log_lines.LogLine]) -> float:
+def _longest_duration_s(lines: typing.Iterable[log_lines.LogLine]) -> float:
     return max((float(x.fields.get("took_s", 0.0)) for x in lines), default=0)
 
 
-def _shift(time: str, seconds: float) -> str:
+def _shift_time(time: str, seconds: float) -> str:
     moment = datetime.datetime.fromisoformat(time.removesuffix("Z"))
     moved = moment + datetime.timedelta(seconds=seconds)
     return moved.isoformat(timespec="microseconds") + "Z"
--- a/src/apricotlever/client/versions.py
+++ b/src/apricotlever/client/versions.py
@@ -1,4 +1,4 @@
-"""Which catalogue version is in force at each entry VM."""
+"""Finds the catalogue version in force at each entry VM."""
 
 import time
 import typing
@@ -10,15 +10,15 @@
 
 Json = typing.Any
 
-POLL_S = 0.2
+POLL_INTERVAL_S = 0.2
 
 
-class InForce:
+class VersionStatus:
     """The catalogue version at each entry VM.
 
-    :param replies: the status of each live entry VM.
-    :param stored: the store's version, read after the replies came; None
-        when it is not known.
+    :param replies: the status replies of the live entry VMs.
+    :param stored: the store's version, read after the replies arrived; None
+        if it is unknown.
     """
 
     __slots__ = ("_replies", "_stored")
@@ -31,12 +31,12 @@
 
     @property
     def rows(self) -> list[dict[str, Json]]:
-        """One row for each VM."""
+        """One table row for each entry VM."""
         return [
             {
                 "vm": reply.member.vm,
                 "state": reply.member.state,
-                "version": _version_in(reply),
+                "version": _catalogue_version(reply),
                 "problem": reply.problem or None,
             }
             for reply in self._replies
@@ -44,13 +44,21 @@
 
     @property
     def store_problem(self) -> str | None:
-        """The store went back, as after it was restored from a copy.
+        """Warning that the store's version is below the one in force.
 
-        Its versions are then lower than the one in force, so that an edit
-        made on it would pass for being in force although it never will be.
+        This happens when the store is restored from a backup. An edit then
+        gets a version that every VM has already passed, so the edit seems
+        to be in force although no VM applies it. None if there is no such
+        problem.
         """
-        highest = max((_version_in(r) or 0 for r in self._replies), default=0)
-        stored = self._stored if self._stored is not None else self._told
+        highest = max(
+            (_catalogue_version(r) or 0 for r in self._replies), default=0
+        )
+        stored = (
+            self._stored
+            if self._stored is not None
+            else self._reported_store_version
+        )
         if stored is None or stored >= highest:
             return None
         return (
@@ -59,62 +67,72 @@
         )
 
     @property
-    def _told(self) -> int | None:
-        """What the VMs that watch the store know of its going back."""
-        told = (_behind_in(reply) for reply in self._replies)
-        return min((v for v in told if v is not None), default=None)
+    def _reported_store_version(self) -> int | None:
+        """Lowest store version reported by VMs that saw the store go back."""
+        reported = (_store_behind(reply) for reply in self._replies)
+        return min((v for v in reported if v is not None), default=None)
+
+    def not_in_force_reason(self, wanted: int) -> str | None:
+        """Why a version is not in force at every VM; None if it is.
 
-    def missing(self, wanted: int) -> str | None:
-        """Why a version is not in force everywhere; None when it is."""
+        :param wanted: the version; later ones count as well.
+        """
         lagging = [
             reply.member.vm
             for reply in self._replies
-            if (_version_in(reply) or 0) < wanted
+            if (_catalogue_version(reply) or 0) < wanted
         ]
         if lagging:
             return f"version {wanted} is not in force at " + ", ".join(lagging)
         return self.store_problem
 
 
-class Question:
-    """Asks every entry VM for the version in force there.
+class VersionQuery:
+    """Queries every entry VM for the catalogue version in force there.
 
-    :param asked: the entry VMs.
-    :param store: the catalogue in the store; None when it is not known.
+    :param entry_vms: client of the entry VMs.
+    :param store: client of the catalogue's store; None if no store is
+        configured.
     """
 
-    __slots__ = ("_asked", "_store")
+    __slots__ = ("_fleet", "_store")
 
     def __init__(
         self,
-        asked: fleet.Fleet,
+        entry_vms: fleet.Fleet,
         store: catalogue_store.CatalogueStore | None,
     ) -> None:
-        self._asked = asked
+        self._fleet = entry_vms
         self._store = store
 
-    def ask(self) -> InForce:
-        """Ask once."""
-        replies = self._asked.ask_all(entry_api.EntryApi.status)
-        return InForce(replies, self._stored())
+    def query(self) -> VersionStatus:
+        """Query all live entry VMs once.
+
+        :raises Unreachable: if no entry VM answers.
+        """
+        replies = self._fleet.query_all(entry_api.EntryApi.status)
+        return VersionStatus(replies, self._read_store_version())
 
-    def wait(self, wanted: int, timeout_s: float) -> InForce:
-        """Ask again until no live VM lags behind.
+    def wait_for_version(self, wanted: int, timeout_s: float) -> VersionStatus:
+        """Query repeatedly until every live VM has a version or a later one.
 
-        The list of VMs is read anew each time: a VM that dies meanwhile
-        must not hold the answer up, and one that joins must not be missed.
+        The list of VMs is read again for each query, so that a VM that dies
+        meanwhile does not block the wait and a VM that joins is included.
 
-        :raises NotInForce: when the time is over.
+        :raises VersionNotInForce: if the timeout expires.
+        :raises Unreachable: if no entry VM answers.
         """
         deadline = time.monotonic() + timeout_s
-        while problem := (found := self.ask()).missing(wanted):
+        while problem := (found := self.query()).not_in_force_reason(wanted):
             if time.monotonic() >= deadline:
-                raise errors.NotInForce(f"after {timeout_s:g} s: {problem}")
-            time.sleep(POLL_S)
+                raise errors.VersionNotInForce(
+                    f"after {timeout_s:g} s: {problem}"
+                )
+            time.sleep(POLL_INTERVAL_S)
         return found
 
-    def _stored(self) -> int | None:
-        """The store's version; it may be down, which hinders nothing."""
+    def _read_store_version(self) -> int | None:
+        """Read the store's version; None if the store can't be read."""
         if self._store is None:
             return None
         try:
@@ -123,15 +141,15 @@
             return None
 
 
-def _version_in(reply: fleet.Reply) -> int | None:
-    return _number_in(reply, "catalogue_version")
+def _catalogue_version(reply: fleet.Reply) -> int | None:
+    return _int_field(reply, "catalogue_version")
 
 
-def _behind_in(reply: fleet.Reply) -> int | None:
-    return _number_in(reply, "store_behind")
+def _store_behind(reply: fleet.Reply) -> int | None:
+    return _int_field(reply, "store_behind")
 
 
-def _number_in(reply: fleet.Reply, field: str) -> int | None:
+def _int_field(reply: fleet.Reply, field: str) -> int | None:
     if reply.document is None:
         return None
     found = reply.document.get(field)
--- a/tests/client/commands.py
+++ b/tests/client/commands.py
@@ -1,4 +1,4 @@
-"""Runs the operators' command inside the test's process."""
+"""Runs operator commands in the process of the test."""
 
 import contextlib
 import io
@@ -7,8 +7,13 @@
 from apricotlever.client import main
 
 
-class Ran:
-    """How a command ended and what it printed."""
+class CommandResult:
+    """Result of a command.
+
+    :param code: the exit code.
+    :param printed: the standard output.
+    :param complaint: the standard error output.
+    """
 
     __slots__ = ("code", "printed", "complaint")
 
@@ -20,28 +25,35 @@
 
 def run(
     arguments: typing.Sequence[str], connection: typing.Sequence[str]
-) -> Ran:
+) -> CommandResult:
     """Run a command.
 
-    :param connection: arguments that say where the platform and the entry
-        VMs are; left out when the command names them itself.
+    :param arguments: the command and its arguments.
+    :param connection: arguments with the addresses of the platform and the
+        entry VMs; omitted if the command already contains the first of them.
     """
-    extra = () if connection[0] in arguments else connection
+    connection_arguments = () if connection[0] in arguments else connection
     out, complaint = io.StringIO(), io.StringIO()
     with (
         contextlib.redirect_stdout(out),
         contextlib.redirect_stderr(complaint),
     ):
         try:
-            code = main.main([*arguments, *extra])
-        except SystemExit as stopped:
-            code = typing.cast(int, stopped.code)
-    return Ran(code, out.getvalue(), complaint.getvalue())
+            code = main.main([*arguments, *connection_arguments])
+        except SystemExit as stop:
+            code = typing.cast(int, stop.code)
+    return CommandResult(code, out.getvalue(), complaint.getvalue())
 
 
 def run_for(context: typing.Any, arguments: typing.Sequence[str]) -> None:
-    """Run a command for a scenario that told where the platform is."""
-    ran = run(arguments, context.operator_connection)
-    context.exit_code = ran.code
-    context.printed = ran.printed
-    context.complaint = ran.complaint
+    """Run a command with the connection of a scenario.
+
+    The exit code and the output are stored in the context.
+
+    :param context: behave's context of the scenario.
+    :param arguments: the command and its arguments.
+    """
+    command_result = run(arguments, context.operator_connection)
+    context.exit_code = command_result.code
+    context.printed = command_result.printed
+    context.complaint = command_result.complaint
--- a/tests/client/entry_vm.py
+++ b/tests/client/entry_vm.py
@@ -1,4 +1,4 @@
-"""A fake of an entry VM: what it tells operators."""
+"""A fake entry VM that answers operators' queries."""
 
 import typing
 
@@ -6,27 +6,31 @@
 from standins import _http
 
 
-class EntryVm(_http.StandIn):
-    """Answers status, entries and histograms.
+class FakeEntryVm(_http.StandIn):
+    """Answers queries for status and histograms.
 
-    :param vm: its name.
-    :param version: the catalogue version in force at it.
+    :param vm: name of the VM.
+    :param version: catalogue version in force at the VM.
 
-    ``views`` holds the lists of peers that it tells, one at each reading
-    of its status; the last one stays.
+    ``peer_lists`` holds the peers that successive status queries return,
+    one list for each query; the last list is returned repeatedly.
     """
 
     def __init__(self, vm: str, version: int) -> None:
         super().__init__()
         self.vm = vm
         self.version = version
-        self.views: list[list[dict[str, str]]] = [[]]
+        self.peer_lists: list[list[dict[str, str]]] = [[]]
         self._histograms = histograms.Histograms()
         self._histograms.record("first_token", "belem", "desk", 0.5)
 
     @_http.route("GET", "/v1/status")
     def _status(self, request: _http.Request) -> _http.Response:
-        peers = self.views.pop(0) if self.views[1:] else self.views[0]
+        peers = (
+            self.peer_lists.pop(0)
+            if self.peer_lists[1:]
+            else self.peer_lists[0]
+        )
         document: dict[str, typing.Any] = {
             "vm": self.vm,
             "catalogue_version": self.version,
--- a/tests/client/explain.feature
+++ b/tests/client/explain.feature
@@ -1,53 +1,53 @@
-Feature: One request's story from the logs
+Feature: Explaining how one request ended from the logs
 
-  Scenario: A request that broke off is explained from logs of two VMs
-    Given logs of two VMs with a request that broke off at a reclaimed runner
+  Scenario: A broken request is explained from the logs of two VMs
+    Given logs of two VMs with a request broken by a reclaimed runner
     When the operator explains "aa11"
     Then the command succeeds and prints "it may have run"
-    And it prints the runner's leaving as background
-    And it does not print what concerns other requests
+    And it prints that the runner was leaving as a background event
+    And it does not print events of other requests
 
-  Scenario: A request that was refused
-    Given logs of two VMs with a request that broke off at a reclaimed runner
+  Scenario: A refused request is explained
+    Given logs of two VMs with a request broken by a reclaimed runner
     When the operator explains "bb22"
     Then the command succeeds and prints "over its limit"
 
-  Scenario: A request whose runner sent what is no answer
-    Given logs of two VMs with a request that broke off at a reclaimed runner
-    And a log of a request whose runner sent what is no answer
+  Scenario: A request whose runner sent an invalid response is explained
+    Given logs of two VMs with a request broken by a reclaimed runner
+    And a log of a request whose runner sent an invalid response
     When the operator explains "gg77"
     Then the command succeeds and prints "sent what is no answer"
 
-  Scenario: A request that no log names
-    Given logs of two VMs with a request that broke off at a reclaimed runner
+  Scenario: A request that no log line names is reported as an error
+    Given logs of two VMs with a request broken by a reclaimed runner
     When the operator explains "cc33"
     Then the command fails and says "no line names the request 'cc33'"
 
-  Scenario: A file that holds no log
-    Given a file that holds no log
+  Scenario: A file without log lines is reported as an error
+    Given a file without log lines
     When the operator explains "aa11"
     Then the command fails and says "no log line"
 
-  Scenario: A stream that came late
-    Symptom: a caller waited for its stream; the logs hold its whole time.
-    Events: a prompt waited behind longer ones; then the stream went on.
-    Cause: the whole time of a stream doesn't tell a late start from a pause.
-    Given logs of two VMs with requests at a VM that was killed
-    And a log of a stream that came late
+  Scenario: A late stream is explained by its first piece and longest pause
+    Guards against logs that give only the total duration of a stream.
+    That duration does not distinguish a late start, such as of a prompt
+    queued behind longer ones, from a pause in the stream.
+    Given logs of two VMs with a request at a VM that was killed
+    And a log of a late stream
     When the operator explains "ff66"
     Then the command succeeds and prints "its first piece after 1.31 s"
     And the command succeeds and prints "its longest pause 0.12 s"
 
-  Scenario: A request whose VM was killed
-    Symptom: the logs hold no end of a request.
-    Events: its VM is killed while a runner works on it, and starts again.
-    Cause: the line of the end would have been written by the killed process.
-    Given logs of two VMs with requests at a VM that was killed
+  Scenario: A request whose VM was killed is explained
+    Guards against a request without an explanation because its end was not
+    logged. The killed VM would have logged it, but was killed while a runner
+    processed the request, and restarted.
+    Given logs of two VMs with a request at a VM that was killed
     When the operator explains "ee55"
     Then the command succeeds and prints "its VM vm-1 ended while it ran"
-    And it prints when the other VM noticed
+    And it prints when the other VM detected the failure
 
-  Scenario: A request whose VM was cut off
-    Given logs of two VMs with requests at a VM that was cut off
+  Scenario: A request whose VM was cut off from its peers is explained
+    Given logs of two VMs with a request at a VM that was cut off
     When the operator explains "ee55"
     Then the command succeeds and prints "its VM vm-1 was lost to the others"
--- a/tests/client/main.feature
+++ b/tests/client/main.feature
@@ -1,6 +1,6 @@
 Feature: The operators' command line
 
-  Scenario: From a file to a catalogue that is in force
+  Scenario: A catalogue is applied, merged, edited and shown
     Given an operator's command line with an object API
     When the operator runs "catalogue apply examples/procurador.json"
     Then the command exits with 0 and prints "version=1"
@@ -17,15 +17,15 @@
     When the operator runs "catalogue history"
     Then the command exits with 0 and prints "version=3"
 
-  Scenario: A document that was shown is applied to that version only
+  Scenario: A shown document can be applied only to the version it shows
     Given an operator's command line with an object API
-    And the operator has applied an example and saved what is shown
+    And the operator has applied an example and saved the shown document
     When the operator runs "catalogue apply examples/consorzio.json"
     Then the command exits with 0 and prints "version="
-    When the operator applies what was saved
+    When the operator applies the saved document
     Then the command exits with 4 and complains "another edit came first"
 
-  Scenario Outline: Exit codes and complaints
+  Scenario Outline: Failed commands exit with a code and an error message
     Given an operator's command line with an object API
     When the operator runs "<command>"
     Then the command exits with <code> and complains "<complaint>"
@@ -42,7 +42,7 @@
       | in-force --entry 127.0.0.1:1                 | 5    | can't connect      |
       | catalogue frob                               | 2    | invalid choice     |
 
-  Scenario: The version at every entry VM
+  Scenario: The version in force at every entry VM is shown
     Given entry VMs a, b and c with catalogue versions 4, 4 and 3
     When the operator runs "in-force"
     Then the command exits with 0 and prints "c   alive  3"
@@ -51,13 +51,13 @@
     When the operator runs "in-force --wait 4 --timeout 0"
     Then the command exits with 6 and complains "at c"
 
-  Scenario: An entry VM that is gone does not hold the answer up
+  Scenario: A dead entry VM does not block a wait for a version
     Given entry VMs a, b and c with catalogue versions 4, 4 and 3
-    And entry VM c dies and its peers find out during the wait
+    And entry VM c dies and its peers detect the failure during the wait
     When the operator runs "in-force --wait 4"
     Then the command exits with 0 and prints "b   alive  4"
 
-  Scenario: Histograms and cost of the whole fleet
+  Scenario: Histograms and costs are summed over the fleet
     Given entry VMs a, b and c with catalogue versions 4, 4 and 3
     When the operator runs "histograms"
     Then the command exits with 0 and prints "customer=belem class=desk count=3"
@@ -67,7 +67,7 @@
     And the operator runs "cost"
     Then the command exits with 0 and prints "no answer from: c"
 
-  Scenario: The commands against daemons that run
+  Scenario: The commands work against running daemons
     Given a fleet of 2 engines and 2 entry VMs
     And an operator's command line for that fleet
     And 2 callers are streaming 10 tokens each
@@ -85,6 +85,6 @@
     When the operator runs "status --json"
     Then the command exits with 0 and prints ""catalogue_version""
 
-  Scenario: The page of refusals is complete
+  Scenario: The operators' page on refusals is complete
     Then the operators' page lists exactly the exit codes
     And the operators' page lists exactly the types of refusals
--- a/tests/steps/client_catalogue_store.py
+++ b/tests/steps/client_catalogue_store.py
@@ -17,12 +17,16 @@
 TIMEOUT_S = 1.0
 
 
-class _Died(BaseException):
-    """The client's process ended."""
+class _ClientCrash(BaseException):
+    """Simulates the end of the client's process."""
 
 
-class _MeddledApi(platform.ObjectApi):
-    """Runs something before and after the next write of the catalogue."""
+class _InterceptedApi(platform.ObjectApi):
+    """Runs callbacks before and after the next write of the catalogue.
+
+    :param before: called before the write; None for no call.
+    :param after: called after the write; None for no call.
+    """
 
     __slots__ = ("before", "after")
 
@@ -44,12 +48,12 @@
         return outcome
 
 
-def _store(context, by="operator", **meddling):
-    api = _MeddledApi(context.store_url, **meddling)
-    return catalogue_store.CatalogueStore(api, by)
+def _store(context, editor="operator", **callbacks):
+    api = _InterceptedApi(context.store_url, **callbacks)
+    return catalogue_store.CatalogueStore(api, editor)
 
 
-def _weighted(document, customer, weight):
+def _with_weight(document, customer, weight):
     return examples.changed(document, f"customers.{customer}.weight", weight)
 
 
@@ -60,23 +64,23 @@
 
 def _set_weight(store, customer, weight, expected=None):
     document = store.current().document
-    return store.replace(_weighted(document, customer, weight), expected)
+    return store.replace(_with_weight(document, customer, weight), expected)
 
 
 def _merge(store, overlay):
-    return store.change(lambda base: edit.merged(base, overlay), None)
+    return store.update(lambda base: edit.merged(base, overlay), None)
 
 
-def _try(context, run):
+def _run_edit(context, run):
     context.edit_error = None
     try:
         context.edit_applied = run()
-    except (errors.CommandFailed, _Died) as error:
+    except (errors.CommandError, _ClientCrash) as error:
         context.edit_error = error
 
 
-@given("a catalogue store holding Procurador's example")
-def _holding(context):
+@given("a catalogue store with Procurador's example")
+def _store_with_example(context):
     context.store_standin = object_api.ObjectApi()
     address = serving.serve(context, context.store_standin)
     context.store_url = f"http://{address}"
@@ -85,53 +89,53 @@
 
 
 @given("two operators who read the catalogue")
-def _two(context):
+def _two_operators(context):
     context.read = context.operator_store.current()
 
 
 @when('the first operator applies {weight:g} as the weight of "{customer}"')
-def _first(context, weight, customer):
+def _apply_first_edit(context, weight, customer):
     _set_weight(_store(context), customer, weight, context.read.version)
 
 
 @when('the second operator applies {weight:g} as the weight of "{customer}"')
-def _second(context, weight, customer):
-    document = _weighted(context.read.document, customer, weight)
+def _apply_second_edit(context, weight, customer):
+    document = _with_weight(context.read.document, customer, weight)
     store = _store(context)
-    _try(context, lambda: store.replace(document, context.read.version))
+    _run_edit(context, lambda: store.replace(document, context.read.version))
 
 
 @when(
     "the second operator writes {weight:g} as the weight of "
-    '"{customer}" blindly'
+    '"{customer}" unconditionally'
 )
-def _blindly(context, weight, customer):
-    document = _weighted(context.read.document, customer, weight)
+def _write_unconditionally(context, weight, customer):
+    document = _with_weight(context.read.document, customer, weight)
     api = platform.ObjectApi(context.store_url)
     version = api.get(edit.CURRENT_NAME).unwrap().version
     api.put(edit.CURRENT_NAME, document, version).unwrap()
 
 
-@then("the second operator's edit is lost")
-@then("the operator's edit is lost")
-def _lost(context):
+@then("the second operator's edit is rejected as a conflict")
+@then("the operator's edit is rejected as a conflict")
+def _check_conflict(context):
     assert isinstance(context.edit_error, errors.EditLost), context.edit_error
 
 
-@then("the lost edit shows that it would change {field} back")
-def _shows(context, field):
+@then("the rejected edit shows that it would change {field} back")
+def _check_differences(context, field):
     changes = {c.field: c for c in context.edit_error.changes}
     assert (changes[field].before, changes[field].after) == (5.0, 3.0)
 
 
 @then('the weight of "{customer}" in force is {weight:g}')
-def _in_force(context, customer, weight):
+def _check_weight(context, customer, weight):
     document = _store(context).current().document
     assert document["customers"][customer]["weight"] == weight
 
 
-@when("{count:d} operators at once merge a customer each")
-def _at_once(context, count):
+@when("{count:d} operators merge one customer each at the same time")
+def _merge_concurrently(context, count):
     def merge(i):
         overlay = _overlay(f"c{i}", 1.0)
         overlay["customers"][f"c{i}"]["key_sha256"] = f"{i:064x}"
@@ -146,13 +150,13 @@
 
 
 @then("all {count:d} customers are in force")
-def _all_in_force(context, count):
+def _check_customers(context, count):
     customers = context.operator_store.current().document["customers"]
     assert {f"c{i}" for i in range(count)} <= set(customers)
 
 
-@then("the catalogue history names each of the {count:d} edits")
-def _all_named(context, count):
+@then("the catalogue history names the editor of each of the {count:d} edits")
+def _check_editors(context, count):
     history = context.operator_store.history()
     editors = [stamp.by for stamp in history]
     assert sorted(editors) == sorted(
@@ -163,7 +167,7 @@
 @given(
     'another operator sets the weight of "{customer}" during the next write'
 )
-def _during(context, customer):
+def _edit_during_write(context, customer):
     other = _store(context, "other")
     context.operator_store = _store(
         context, before=lambda: _set_weight(other, customer, 9.0)
@@ -171,13 +175,13 @@
 
 
 @when('an operator merges another weight of "{customer}"')
-def _merges(context, customer):
+def _merge_weight(context, customer):
     overlay = _overlay(customer, 8.0)
-    _try(context, lambda: _merge(context.operator_store, overlay))
+    _run_edit(context, lambda: _merge(context.operator_store, overlay))
 
 
-@given("the store loses the answer of the edit and another edit follows")
-def _lose_then_edit(context):
+@given("the store loses the response to the edit and another edit follows")
+def _lose_response_then_edit(context):
     faults = context.store_standin.faults
     other = _store(context, "other")
     context.operator_store = _store(
@@ -187,8 +191,8 @@
     )
 
 
-@given("the store loses the answer of the edit and is then down")
-def _lose_then_down(context):
+@given("the store loses the response to the edit and is then down")
+def _lose_response_then_down(context):
     faults = context.store_standin.faults
     context.operator_store = _store(
         context,
@@ -197,22 +201,22 @@
     )
 
 
-@given("the client dies between its two writes")
-def _dies(context):
-    def die():
-        raise _Died
+@given("the client crashes between its two writes")
+def _crash_between_writes(context):
+    def crash():
+        raise _ClientCrash
 
-    context.operator_store = _store(context, before=die)
+    context.operator_store = _store(context, before=crash)
 
 
 @when('an operator applies {weight:g} as the weight of "{customer}"')
-def _applies(context, weight, customer):
+def _apply_weight(context, weight, customer):
     store = context.operator_store
-    _try(context, lambda: _set_weight(store, customer, weight))
+    _run_edit(context, lambda: _set_weight(store, customer, weight))
 
 
-@then("the edit is reported with the version that it got")
-def _reported(context):
+@then("the edit is reported with its own version")
+def _check_edit_version(context):
     assert context.edit_error is None, context.edit_error
     store = _store(context)
     version = store.version(context.edit_applied.version)
@@ -222,20 +226,20 @@
 
 
 @then("the edit's outcome is unknown")
-def _unknown(context):
+def _check_outcome_unknown(context):
     assert isinstance(context.edit_error, errors.OutcomeUnknown)
 
 
 @then('the weight of "{customer}" in force is {weight:g} once the store is up')
-def _once_up(context, customer, weight):
+def _check_weight_after_recovery(context, customer, weight):
     context.store_standin.faults.set({"down": False})
-    _in_force(context, customer, weight)
+    _check_weight(context, customer, weight)
 
 
 @then(
     'the catalogue history shows the weights {a:g} and {b:g} of "{customer}"'
 )
-def _weights(context, a, b, customer):
+def _check_history_weights(context, a, b, customer):
     store = _store(context)
     documents = [store.version(s.version).document for s in store.history()]
     weights = [d["customers"][customer]["weight"] for d in documents]
@@ -243,13 +247,13 @@
 
 
 @when('an operator applies {count:d} weights of "{customer}"')
-def _many(context, count, customer):
+def _apply_weights(context, count, customer):
     for i in range(count):
         _set_weight(context.operator_store, customer, 10.0 + i)
 
 
 @then("the store holds {count:d} objects of catalogue history")
-def _bounded(context, count):
+def _check_history_size(context, count):
     api = platform.ObjectApi(context.store_url)
     kept = api.list(edit.HISTORY_PREFIX).unwrap().items
     assert len(kept) == count, len(kept)
--- a/tests/steps/client_explain.py
+++ b/tests/steps/client_explain.py
@@ -11,7 +11,7 @@
 from behave import then
 from behave import when
 
-ONE = """\
+BROKEN_REQUEST_LOG = """\
 time=2026-03-01T03:12:13.100000Z level=INFO event=request_routed vm=vm-1 \
 request=aa11 service=s runner=r-7 in_flight=2 attempt=1
 time=2026-03-01T03:12:13.200000Z level=INFO event=request_routed vm=vm-1 \
@@ -26,94 +26,92 @@
 time=2026-03-01T03:12:16.300100Z level=INFO event=request_refused vm=vm-1 \
 request=aa11 status=502 reason="broken:closed by the other side"
 """
-OTHER = """\
+REFUSED_REQUEST_LOG = """\
  3.8 vm-2 time=2026-03-01T03:12:14.000000Z level=INFO event=request_refused \
 vm=vm-2 request=bb22 status=429 reason=over_the_limit retry_after_s=0.3
 a line of something else
 """
-
-
-LOST = """\
+UNFINISHED_REQUEST_LOG = """\
 time=2026-03-01T03:12:13.100000Z level=INFO event=request_routed vm=vm-1 \
 request=ee55 service=s runner=r-7 in_flight=2 left_s=14.7 attempt=1
 """
-NOTICED = """\
+MEMBER_DEAD_LOG = """\
 time=2026-03-01T03:12:18.400000Z level=WARNING event=member_dead vm=vm-2 \
 member=vm-1 alive=1
 """
-STARTED = """\
+RESTART_LOG = """\
 time=2026-03-01T03:12:18.300000Z level=INFO event=started vm=vm-1 \
 incarnation=7
 """
-LATE = """\
+LATE_STREAM_LOG = """\
 time=2026-03-01T03:12:13.100000Z level=INFO event=request_ended vm=vm-1 \
 request=ff66 runner=r-7 sends=1 served=True first_s=1.31 pause_s=0.12 \
 took_s=3.2
 """
 
-GARBLED = """\
+INVALID_RESPONSE_LOG = """\
 time=2026-03-01T03:12:16.300100Z level=INFO event=request_refused vm=vm-1 \
 request=gg77 status=502 reason="broken:not an answer: HttpParserError"
 """
 
 
-def _file(context, name, text):
+def _write_log(context, name, text):
     path = pathlib.Path(context.folder, name)
     path.write_text(text)
     context.files.append(str(path))
 
 
-def _folder(context):
+def _create_folder(context):
     folder = tempfile.TemporaryDirectory()
     context.closers.append(folder.cleanup)
     context.folder = folder.name
     context.files = []
 
 
-@given("logs of two VMs with a request that broke off at a reclaimed runner")
-def _logs(context):
-    _folder(context)
-    _file(context, "vm-2.log", OTHER)
-    _file(context, "vm-1.log", ONE)
+@given("logs of two VMs with a request broken by a reclaimed runner")
+def _broken_request_logs(context):
+    _create_folder(context)
+    _write_log(context, "vm-2.log", REFUSED_REQUEST_LOG)
+    _write_log(context, "vm-1.log", BROKEN_REQUEST_LOG)
 
 
-@given("logs of two VMs with requests at a VM that was killed")
-def _killed(context):
-    _folder(context)
-    _file(context, "vm-1.log", LOST + STARTED)
-    _file(context, "vm-2.log", NOTICED)
+@given("logs of two VMs with a request at a VM that was killed")
+def _killed_vm_logs(context):
+    _create_folder(context)
+    _write_log(context, "vm-1.log", UNFINISHED_REQUEST_LOG + RESTART_LOG)
+    _write_log(context, "vm-2.log", MEMBER_DEAD_LOG)
 
 
-@given("a log of a request whose runner sent what is no answer")
-def _garbled(context):
-    _file(context, "garbled.log", GARBLED)
+@given("a log of a request whose runner sent an invalid response")
+def _invalid_response_log(context):
+    _write_log(context, "garbled.log", INVALID_RESPONSE_LOG)
 
 
-@given("a log of a stream that came late")
-def _late(context):
-    _file(context, "vm-3.log", LATE)
+@given("a log of a late stream")
+def _late_stream_log(context):
+    _write_log(context, "vm-3.log", LATE_STREAM_LOG)
 
 
-@given("logs of two VMs with requests at a VM that was cut off")
-def _cut_off(context):
-    _folder(context)
-    _file(context, "vm-1.log", LOST)
-    _file(context, "vm-2.log", NOTICED)
+@given("logs of two VMs with a request at a VM that was cut off")
+def _cut_off_vm_logs(context):
+    _create_folder(context)
+    _write_log(context, "vm-1.log", UNFINISHED_REQUEST_LOG)
+    _write_log(context, "vm-2.log", MEMBER_DEAD_LOG)
 
 
-@then("it prints when the other VM noticed")
-def _noticed(context):
+@then("it prints when the other VM detected the failure")
+def _check_detected(context):
     assert "vm-2 member_dead" in context.out, context.out
 
 
-@given("a file that holds no log")
-def _no_log(context):
-    _folder(context)
-    _file(context, "notes.txt", "nothing here\n")
+@given("a file without log lines")
+def _no_log_lines(context):
+    _create_folder(context)
+    _write_log(context, "notes.txt", "nothing here\n")
 
 
 @when('the operator explains "{request}"')
-def _explains(context, request):
+def _explain(context, request):
     out, err = io.StringIO(), io.StringIO()
     with contextlib.redirect_stdout(out), contextlib.redirect_stderr(err):
         context.code = main.main(["explain", request, *context.files])
@@ -121,25 +119,25 @@
 
 
 @then('the command succeeds and prints "{text}"')
-def _succeeds(context, text):
-    assert context.code == exit_codes.FINE, context.err
+def _check_success(context, text):
+    assert context.code == exit_codes.SUCCESS, context.err
     assert text in context.out, context.out
 
 
-@then("it prints the runner's leaving as background")
-def _background(context):
+@then("it prints that the runner was leaving as a background event")
+def _check_background(context):
     lines = context.out.splitlines()
     assert any(
         line.startswith("- ") and "runner_leaving" in line for line in lines
     ), lines
 
 
-@then("it does not print what concerns other requests")
-def _others(context):
+@then("it does not print events of other requests")
+def _check_no_other_requests(context):
     assert "dd44" not in context.out and "r-9" not in context.out
 
 
 @then('the command fails and says "{text}"')
-def _fails(context, text):
+def _check_failure(context, text):
     assert context.code == exit_codes.INVALID_INPUT, context.code
     assert text in context.err, context.err
--- a/tests/steps/client_main.py
+++ b/tests/steps/client_main.py
@@ -17,13 +17,13 @@
 
 
 @given("an operator's command line with an object API")
-def _command_line(context):
+def _connect_to_object_api(context):
     address = serving.serve(context, object_api.ObjectApi())
     context.operator_connection = ["--objects", f"http://{address}"]
 
 
 @given("an operator's command line for that fleet")
-def _for_fleet(context):
+def _connect_to_fleet(context):
     running = context.scene.fleet
     context.operator_connection = [
         "--objects",
@@ -33,13 +33,13 @@
 
 
 @when("the operator waits until that version is in force")
-def _waits(context):
+def _wait_until_in_force(context):
     version = context.printed.rpartition("version=")[2].strip()
     commands.run_for(context, ["in-force", "--wait", version])
 
 
-@given("the operator has applied an example and saved what is shown")
-def _saved(context):
+@given("the operator has applied an example and saved the shown document")
+def _save_shown_document(context):
     commands.run_for(
         context, ["catalogue", "apply", "examples/procurador.json"]
     )
@@ -50,33 +50,34 @@
     context.saved.write_text(context.printed)
 
 
-@when("the operator applies what was saved")
-def _apply_saved(context):
+@when("the operator applies the saved document")
+def _apply_saved_document(context):
     commands.run_for(context, ["catalogue", "apply", str(context.saved)])
 
 
 @when('the operator runs "{command}"')
-def _runs(context, command):
+def _run_command(context, command):
     commands.run_for(context, command.split())
 
 
 @then('the command exits with {code:d} and prints "{text}"')
-def _prints(context, code, text):
+def _check_stdout(context, code, text):
     assert context.exit_code == code, context.complaint
     assert text in context.printed, context.printed
 
 
 @then('the command exits with {code:d} and complains "{text}"')
-def _complains(context, code, text):
+def _check_stderr(context, code, text):
     assert context.exit_code == code, (context.exit_code, context.complaint)
     assert text in context.complaint, context.complaint
 
 
 @given("entry VMs a, b and c with catalogue versions {a:d}, {b:d} and {c:d}")
-def _entry_vms(context, a, b, c):
+def _start_entry_vms(context, a, b, c):
     versions = {"a": a, "b": b, "c": c}
     context.entry_vms = {
-        vm: entry_vm.EntryVm(vm, version) for vm, version in versions.items()
+        vm: entry_vm.FakeEntryVm(vm, version)
+        for vm, version in versions.items()
     }
     addresses = {
         vm: serving.serve(context, standin)
@@ -87,36 +88,36 @@
         for vm, address in addresses.items()
     ]
     for standin in context.entry_vms.values():
-        standin.views = [peers]
+        standin.peer_lists = [peers]
     context.operator_connection = ["--entry", addresses["a"]]
 
 
 @when("entry VM c stops answering")
-def _stops(context):
+def _stop_entry_vm(context):
     context.entry_vms["c"].faults.set({"down": True})
 
 
-@given("entry VM c dies and its peers find out during the wait")
-def _dies(context):
-    _stops(context)
+@given("entry VM c dies and its peers detect the failure during the wait")
+def _stop_entry_vm_during_wait(context):
+    _stop_entry_vm(context)
     first = context.entry_vms["a"]
-    (before,) = first.views
+    (before,) = first.peer_lists
     after = [
         {**peer, "state": "dead"} if peer["vm"] == "c" else peer
         for peer in before
     ]
-    first.views = [before, before, after]
+    first.peer_lists = [before, before, after]
 
 
 @then("the operators' page lists exactly the exit codes")
-def _page(context):
+def _check_exit_code_page(context):
     listed = pages.rows("refusals.md", "Exit codes")
     known = [(str(c), m) for c, m in exit_codes.MEANINGS.items()]
     assert listed == known
 
 
 @then("the operators' page lists exactly the types of refusals")
-def _types(context):
+def _check_refusal_types(context):
     known = [
         (f"`{name}`", str(kind.status), kind.meaning)
         for name, kind in refusals.kinds().items()
--- a/tests/steps/client_report.py
+++ b/tests/steps/client_report.py
@@ -13,7 +13,7 @@
 from behave import when
 
 
-def _empty(context):
+def _create_folder(context):
     folder = tempfile.TemporaryDirectory()
     context.closers.append(folder.cleanup)
     context.folder = folder.name
@@ -21,22 +21,19 @@
 
 @given("an empty directory")
 def _empty_directory(context):
-    _empty(context)
+    _create_folder(context)
 
 
-@given("logs in which no request ended")
-def _no_request(context):
-    _empty(context)
+@given("logs without the end of any request")
+def _logs_without_end(context):
+    _create_folder(context)
     line = "time=2026-03-01T03:12:13.100000Z level=INFO event=started vm=a\n"
     pathlib.Path(context.folder, "a.log").write_text(line)
 
 
-@given(
-    "logs of requests that were late, refused and failed while 4 runners "
-    "served"
-)
+@given("logs of late, refused and failed requests with 4 runners present")
 def _loss_logs(context):
-    _empty(context)
+    _create_folder(context)
     template = "time=2026-03-01T03:12:1{} level=INFO event={} vm=a {}\n"
     end = "request_ended"
     lines = [
@@ -65,7 +62,7 @@
 
 
 @then("the losses are {count:d} {reason} and {count2:d} {reason2}")
-def _loss_counts(context, count, reason, count2, reason2):
+def _check_losses(context, count, reason, count2, reason2):
     found = json.loads(context.out)["losses"]
     assert (found[reason], found[reason2]) == (count, count2), found
 
@@ -74,14 +71,14 @@
     'losses of route "{route}" from second {from_s:d} are listed with '
     "{runners:d} runners"
 )
-def _loss_row(context, route, from_s, runners):
+def _check_loss_row(context, route, from_s, runners):
     rows = json.loads(context.out)["losses_by_moment"]
     (row,) = [r for r in rows if r["from_s"] == from_s]
     assert row["route"] == route and row["calls"] == 2, row
     assert row["runners"]["llm"][0] == runners, row
 
 
-def _draw(context, page):
+def _generate_report(context, page):
     arguments = ["report", context.folder, "--output", str(page), "--json"]
     out, err = io.StringIO(), io.StringIO()
     with contextlib.redirect_stdout(out), contextlib.redirect_stderr(err):
@@ -90,16 +87,18 @@
     context.page = pathlib.Path(page)
 
 
-@when("the operator draws a report of them")
-@when("the operator draws a report of it")
-def _report(context):
-    _draw(context, pathlib.Path(context.folder, "page.html"))
+@when("the operator generates a report from them")
+@when("the operator generates a report from it")
+def _report_on_logs(context):
+    _generate_report(context, pathlib.Path(context.folder, "page.html"))
     context.err = context.out
 
 
-@when("the operator draws a report into a directory that is not there")
-def _nowhere(context):
-    _draw(context, pathlib.Path(context.folder, "none", "page.html"))
+@when("the operator writes a report into a missing directory")
+def _report_into_missing_directory(context):
+    _generate_report(
+        context, pathlib.Path(context.folder, "none", "page.html")
+    )
     context.err = context.out
 
 
@@ -107,19 +106,19 @@
     "the report counts {vms:d} VMs, {failed:d} failed and {refused:d} "
     "refused request"
 )
-def _counts(context, vms, failed, refused):
+def _check_counts(context, vms, failed, refused):
     found = json.loads(context.out)
     assert len(found["vms"]) == vms, found
     assert found["outcomes"] == {"failed": failed, "refused": refused}, found
 
 
 @step('its reasons are "{one}" and "{other}"')
-def _reasons(context, one, other):
+def _check_reasons(context, one, other):
     assert set(json.loads(context.out)["reasons"]) == {one, other}
 
 
-@then("the page holds plots and these counts")
-def _page(context):
+@then("the page contains plots and these counts")
+def _check_page(context):
     text = context.page.read_text()
     assert "<svg" in text
     assert "over_the_limit" in text
