--- a/src/apricotlever/client/fleet_commands.py
+++ b/src/apricotlever/client/fleet_commands.py
@@ -41,18 +41,18 @@
     version_query = versions.VersionQuery(
         invocation.fleet(), invocation.optional_store()
     )
-    version_status = (
+    fleet_versions = (
         version_query.query()
         if options.wait is None
         else version_query.wait_for_version(options.wait, options.timeout)
     )
     document = {
-        "vms": version_status.rows,
-        "store": version_status.store_problem,
+        "vms": fleet_versions.rows,
+        "store": fleet_versions.store_problem,
     }
     lines = [
-        bars.table(version_status.rows),
-        *filter(None, [version_status.store_problem]),
+        bars.table(fleet_versions.rows),
+        *filter(None, [fleet_versions.store_problem]),
     ]
     return command.Report(document, "\n".join(lines))
 
--- a/src/apricotlever/client/stories.py
+++ b/src/apricotlever/client/stories.py
@@ -106,7 +106,7 @@
 
     @property
     def _missing_end_cause(self) -> str:
-        """Why the end was not logged: the request's VM may have died."""
+        """Why the logs hold no end of the request."""
         vm = self.lines[-1].vm
         for line in self.background:
             if line.time <= self.lines[-1].time:
