--- a/src/apricotlever/client/main.py
+++ b/src/apricotlever/client/main.py
@@ -33,7 +33,7 @@
     """
     options = _build_parser().parse_args(arguments)
     try:
-        report = options.command.run(command.Invocation(options))
+        report = options.registered_command.run(command.Invocation(options))
     except root_errors.ApricotleverError as error:
         return _print_failure(error, options.json)
     print(json.dumps(report.document) if options.json else report.text)
@@ -98,7 +98,7 @@
     if registered.add_arguments:
         registered.add_arguments(parser)
     _add_connection_arguments(parser)
-    parser.set_defaults(command=registered)
+    parser.set_defaults(registered_command=registered)
 
 
 def _add_connection_arguments(parser: argparse.ArgumentParser) -> None:
