--- a/src/apricotlever/client/catalogue_store.py
+++ b/src/apricotlever/client/catalogue_store.py
@@ -135,7 +135,9 @@
             base = theirs
         raise _edit_conflict(base, mine)
 
-    def _write_version(self, base: edit.StoredVersion, document: Json) -> EditResult:
+    def _write_version(
+        self, base: edit.StoredVersion, document: Json
+    ) -> EditResult:
         checked = catalogue.parse(edit.without_edit(document), 0).document
         changes = difference.changes(
             catalogue.filled_in(base.document), checked
@@ -193,7 +195,9 @@
             f"nothing was changed: {outcome.failure().message}"
         )
 
-    def _version_of_edit(self, stored: platform.PlatformObject, edit_id: str) -> int:
+    def _version_of_edit(
+        self, stored: platform.PlatformObject, edit_id: str
+    ) -> int:
         """The version number of an edit, even if later edits replaced it."""
         version = _stored_version(stored)
         stamps = (version.stamp, *version.history)
@@ -224,7 +228,9 @@
     return edit.StoredVersion(stored.version, stored.value)
 
 
-def _edit_conflict(current: edit.StoredVersion, document: Json) -> errors.EditLost:
+def _edit_conflict(
+    current: edit.StoredVersion, document: Json
+) -> errors.EditLost:
     changes = difference.changes(
         catalogue.filled_in(current.document),
         catalogue.filled_in(edit.without_edit(document)),
--- a/tests/steps/roll_outs_controller.py
+++ b/tests/steps/roll_outs_controller.py
@@ -222,7 +222,7 @@
 def step_roles(context, old, new):
     """Check the roles of all runners."""
     vm = context.vm
-    assert {vm.controller.arm(r) for r in vm.old_runners} == {
+    assert {vm.controller.role(r) for r in vm.old_runners} == {
         model.RunnerRole[old]
     }
     assert {vm.controller.arm(r) for r in vm.new_runners} == {
--- a/tests/steps/vms_membership.py
+++ b/tests/steps/vms_membership.py
@@ -60,7 +60,7 @@
 )
 def sees_all(context, seconds):
     """No view has other members."""
-    context.world.within(seconds, context.world.complete)
+    context.world.wait_until(seconds, context.world.complete)
 
 
 @behave.when('gossip VM "{vm}" crashes')
