--- a/src/apricotlever/roll_outs/model.py
+++ b/src/apricotlever/roll_outs/model.py
@@ -128,7 +128,7 @@
     def from_record(cls, record: typing.Any) -> "RollOutOrder":
         """Deserialize a record of :meth:`to_record`.
 
-        :raises shapes.Misshapen: if the record is malformed.
+        :raises validation.Misshapen: if the record is malformed.
         """
         fields = validation.validate_record(_FIELDS, record)
         fields[-1] = RollOutState(fields[-1])
--- a/src/apricotlever/vms/aggregates.py
+++ b/src/apricotlever/vms/aggregates.py
@@ -106,7 +106,7 @@
     def from_record(cls, record: typing.Any) -> "Aggregate":
         """Decode the result of :meth:`to_record`.
 
-        :raises shapes.Misshapen: when a field is missing or invalid.
+        :raises validation.Misshapen: when a field is missing or invalid.
         """
         fields = validation.validate_record(_FIELDS, record)
         fields[_ENTRIES_AT] = [
@@ -193,7 +193,7 @@
     def from_record(cls, record: typing.Any) -> "Tally":
         """Decode the result of :meth:`to_record`.
 
-        :raises shapes.Misshapen: when a field is missing or invalid.
+        :raises validation.Misshapen: when a field is missing or invalid.
         """
         return cls(*validation.validate_record(_TALLY_FIELDS, record))
 
--- a/src/apricotlever/vms/vm_records.py
+++ b/src/apricotlever/vms/vm_records.py
@@ -215,7 +215,7 @@
     def from_record(cls, record: typing.Any) -> "VmRecord":
         """Decode the result of :meth:`to_record`.
 
-        :raises shapes.Misshapen: when a field is missing or invalid.
+        :raises validation.Misshapen: when a field is missing or invalid.
         """
         return cls(*validation.validate_record(_FIELDS, record))
 
--- a/tests/steps/roll_outs_controller.py
+++ b/tests/steps/roll_outs_controller.py
@@ -225,7 +225,7 @@
     assert {vm.controller.role(r) for r in vm.old_runners} == {
         model.RunnerRole[old]
     }
-    assert {vm.controller.arm(r) for r in vm.new_runners} == {
+    assert {vm.controller.role(r) for r in vm.new_runners} == {
         model.RunnerRole[new]
     }
 
@@ -235,7 +235,7 @@
     """Receive a second order."""
     vm = context.vm
     second = model.RollOutOrder(SERVICE, version, 9, vm.clock.wall(), 20.0)
-    assert vm.controller.heard(second)
+    assert vm.controller.merge_order(second)
     vm.controller.set_runners([*vm.old_runners, *vm.new_runners])
 
 
@@ -244,7 +244,7 @@
     """Check the roles of a version's runners."""
     vm = context.vm
     found = {
-        vm.controller.arm(r) for r in vm.new_runners if r.version == version
+        vm.controller.role(r) for r in vm.new_runners if r.version == version
     }
     assert found == {model.RunnerRole[arm]}, found
 
@@ -252,7 +252,7 @@
 @then("a late update of the first order changes nothing")
 def step_late_update(context):
     """Receive the first order again."""
-    assert not context.vm.controller.heard(context.vm.order)
+    assert not context.vm.controller.merge_order(context.vm.order)
 
 
 @when("the operators order the same version again")
@@ -260,14 +260,14 @@
     """Receive the order with a higher revision and no status."""
     vm = context.vm
     second = model.RollOutOrder(SERVICE, NEW, 9, vm.clock.wall(), 20.0)
-    assert vm.controller.heard(second)
+    assert vm.controller.merge_order(second)
 
 
 @then("a late result of the finished order changes nothing")
 def step_late_result(context):
     """Receive the result of the finished order after the repeated one."""
     finished = context.vm.order.with_state(model.RollOutState.ROLLED_BACK)
-    assert not context.vm.controller.heard(finished)
+    assert not context.vm.controller.merge_order(finished)
 
 
 @when("the operators withdraw the order")
@@ -282,7 +282,7 @@
     vm = context.vm
     order = vm.order.with_state(model.RollOutState.RUNNING)
     order.started_at = vm.clock.wall() - ago_s
-    assert vm.controller.heard(order)
+    assert vm.controller.merge_order(order)
     context.started_ago_s = ago_s
 
 
--- a/tests/steps/vms_membership.py
+++ b/tests/steps/vms_membership.py
@@ -116,7 +116,9 @@
     """It reported the pause once."""
     found = [
         action.seconds
-        for _, node, action in context.world.told[actions.PauseDetected]
+        for _, node, action in context.world.actions_by_type[
+            actions.PauseDetected
+        ]
         if node.vm == vm
     ]
     assert len(found) == 1 and abs(found[0] - seconds) < 0.5, found
@@ -139,7 +141,7 @@
     world = context.world
     assert not [
         action
-        for at, _, action in world.told[actions.MemberChanged]
+        for at, _, action in world.actions_by_type[actions.MemberChanged]
         if action.after.state == pb.VM_SUSPECT and at >= world.since
     ]
 
@@ -166,23 +168,25 @@
     def known():
         return others == {
             node.vm
-            for _, node, action in world.told[actions.IncarnationEnded]
+            for _, node, action in world.actions_by_type[
+                actions.IncarnationEnded
+            ]
             if (action.vm, action.incarnation) == (vm, number)
             and node.vm != vm
         }
 
-    world.within(seconds, known)
+    world.wait_until(seconds, known)
 
 
 @behave.then('the old process of "{vm}" was told that it is superseded')
 def superseded(context, vm):
     """The old process must stop then."""
     world = context.world
-    world.within(
+    world.wait_until(
         5,
         lambda: any(
             node is context.old
-            for _, node, _ in world.told[actions.Superseded]
+            for _, node, _ in world.actions_by_type[actions.Superseded]
         ),
     )
 
@@ -191,14 +195,14 @@
 def leaves(context, vm):
     """The VM still probes and answers."""
     node = context.world.fleet.nodes[vm]
-    context.world.fleet.perform(node, node.membership.leave())
+    context.world.fleet.perform(node, node.membership.announce_leave())
 
 
 @behave.when('gossip VM "{vm}" announces its exit')
 def announces_exit(context, vm):
     """The process ends after the announcement."""
     node = context.world.fleet.nodes[vm]
-    context.world.fleet.perform(node, node.membership.depart())
+    context.world.fleet.perform(node, node.membership.announce_exit())
     node.running = False
 
 
@@ -224,10 +228,10 @@
 def no_new_work(context, seconds, vm):
     """No view names the VM for new work."""
     world = context.world
-    world.within(
+    world.wait_until(
         seconds,
         lambda: not any(
-            vm in node.membership.view.names() for node in world.running()
+            vm in node.membership.view.serving_names() for node in world.running()
         ),
     )
 
@@ -243,7 +247,7 @@
 def recorded_as_leaving(context, vm):
     """The VM has refuted the suspicion by then."""
     world = context.world
-    world.within(
+    world.wait_until(
         10,
         lambda: all(
             node.membership.view.members[vm].state == pb.VM_LEAVING
@@ -288,7 +292,7 @@
     member = context.world.fleet.nodes[vm].member
     hint = membership.Hint(vm, member.peers_address, member.data_centre)
     for node in context.world.running():
-        node.membership.hint([hint])
+        node.membership.set_hints([hint])
 
 
 @behave.then('for {seconds:d} s no gossip VM sees "{vm}"')
@@ -340,7 +344,7 @@
             for view in views
         )
 
-    world.within(seconds, done)
+    world.wait_until(seconds, done)
 
 
 @behave.then("the gossip view counts {count:d} members")
--- a/tests/steps/vms_rumours.py
+++ b/tests/steps/vms_rumours.py
@@ -54,14 +54,14 @@
     """Number of deliveries of such rumours, by VM."""
     return collections.Counter(
         node.vm
-        for _, node, action in world.told[actions.RumourDelivered]
+        for _, node, action in world.actions_by_type[actions.RumourDelivered]
         if action.rumour.WhichOneof("body") == body
     )
 
 
 def _reaches(context, seconds, count, body):
     world = context.world
-    world.within(seconds, lambda: len(_counts(world, body)) == count)
+    world.wait_until(seconds, lambda: len(_counts(world, body)) == count)
     world.fleet.run(20.0)
     counts = _counts(world, body)
     assert len(counts) == count and set(counts.values()) == {1}, counts
@@ -109,7 +109,7 @@
     """Check all messages but those with a full view."""
     sizes = [
         action.message.ByteSize()
-        for _, _, action in context.world.told[actions.Send]
+        for _, _, action in context.world.actions_by_type[actions.Send]
         if action.message.WhichOneof("kind") != "sync"
     ]
     assert max(sizes) <= count + FRAME_BYTES, max(sizes)
--- a/tests/steps/vms_spread.py
+++ b/tests/steps/vms_spread.py
@@ -61,8 +61,8 @@
 
 def _receive(replicator, version, source):
     if source == "store":
-        return replicator.stored(version, _document(version))
-    return replicator.answered("p1", _whole(version))
+        return replicator.receive_stored(version, _document(version))
+    return replicator.receive_answer("p1", _whole(version))
 
 
 @behave.then("any order of answers leaves the greatest version in force")
@@ -220,9 +220,9 @@
 def store_bad(context):
     """Peers send and mention the same document afterwards."""
     bad = dict(_document(6), bad={})
-    context.result = context.replicator.stored(6, bad)
-    context.result += context.replicator.answered("p1", _whole(6, bad))
-    context.result += context.replicator.heard(
+    context.result = context.replicator.receive_stored(6, bad)
+    context.result += context.replicator.receive_answer("p1", _whole(6, bad))
+    context.result += context.replicator.peer_has_version(
         6, catalogue_deltas.compute_digest(bad), "p1"
     )
     context.clock.advance(1.0)
@@ -232,7 +232,9 @@
 @behave.when("a peer sends version 6 with a wrong digest")
 def wrong_digest(context):
     """The document was altered in transit."""
-    context.result = context.replicator.answered("p1", _whole(6, digest=1))
+    context.result = context.replicator.receive_answer(
+        "p1", _whole(6, digest=1)
+    )
 
 
 def _stays_and_reports(context, kind):
@@ -261,7 +263,7 @@
 @behave.then("a valid version 7 is put in force")
 def good(context):
     """The invalid version before it does not block it."""
-    context.replicator.stored(7, _document(7))
+    context.replicator.receive_stored(7, _document(7))
     assert context.replicator.in_force.version == 7
 
 
@@ -274,7 +276,7 @@
     delta = rumour.catalogue.delta
     delta.version, delta.digest = 8, rumour.catalogue.digest
     delta.base_version, delta.base_digest = 7, 77
-    context.result = context.replicator.rumoured(rumour, "p2")
+    context.result = context.replicator.receive_rumour(rumour, "p2")
 
 
 @behave.then("the replicator fetches from the VM that passed it on")
@@ -295,7 +297,7 @@
     assert not context.replicator.tick()
     context.clock.advance(catalogue_replicator.FETCH_RETRY_S)
     (fetch,) = context.replicator.tick()
-    context.replicator.answered(fetch.vm, _whole(8))
+    context.replicator.receive_answer(fetch.vm, _whole(8))
     assert context.replicator.in_force.version == 8
     context.clock.advance(5.0)
     assert not context.replicator.tick()
