--- a/src/apricotlever/serving/attempt.py
+++ b/src/apricotlever/serving/attempt.py
@@ -1,4 +1,4 @@
-"""One sending of a call to one runner, and what came of it."""
+"""One attempt: sends a call to one runner and reads the response."""
 
 import asyncio
 import contextlib
@@ -17,55 +17,56 @@
 from . import runners
 from . import upstreams
 
-#: The longest body of an answer that is held to be passed on as a whole.
-MOST_BODY_BYTES = 16 * 1024 * 1024
-#: Taken off the time that a runner gets, for the way back of its answer.
-RETURN_S = 0.01
-#: A call that was given up without a word from its runner counts against the
-#: runner when it had waited for so many times its objective.
-HUNG_OBJECTIVES = 2.0
-#: How long a connection to a runner may take to open, in seconds. It takes a
-#: few milliseconds; one whose first packet was lost, or whose runner is
-#: dark, takes a second and more, when another runner would have answered.
-CONNECT_S = 0.35
+#: Longest response body that is buffered in order to be forwarded as a whole.
+MAX_BODY_BYTES = 16 * 1024 * 1024
+#: Seconds deducted from a runner's time limit for the response's transfer.
+RESPONSE_MARGIN_S = 0.01
+#: A cancelled call without any response counts as a failure of the runner if
+#: it had waited for more than this multiple of its objective.
+HANG_OBJECTIVE_FACTOR = 2.0
+#: Timeout for opening a connection to a runner, in seconds. Opening one takes
+#: a few milliseconds. After a lost first packet, or to an unreachable runner,
+#: it takes a second or more, in which another runner could have answered.
+CONNECT_TIMEOUT_S = 0.35
 
 
-class Fate(enum.Enum):
-    """What is known of a call after an attempt."""
+class AttemptStatus(enum.Enum):
+    """How far a call got in an attempt."""
 
-    #: The whole answer is here, or has been passed on.
+    #: The complete response was received or forwarded.
     ANSWERED = "answered"
-    #: No byte of it was sent.
+    #: No byte of the call was sent.
     NOT_SENT = "not_sent"
-    #: The runner promised that it has not run it and never will.
+    #: The runner promised that it has not run the call and never will.
     NOT_RUN = "not_run"
-    #: It may have run, and no whole answer will come.
+    #: The call may have run, and no complete response will come.
     BROKEN = "broken"
 
 
-class Outcome:
-    """The end of an attempt.
+class AttemptOutcome:
+    """The result of an attempt.
 
-    :param head: of a whole answer that has not been passed on yet.
-    :param body: of that answer.
-    :param reason: why there is no answer, for the log.
-    :param retry_after_s: when the runner wants to be asked again.
-    :param cut: the runner's side ended the connection before the answer.
+    :param head: head of the response; None unless ``ANSWERED``.
+    :param body: body of the response; empty for a stream, whose events are
+        already forwarded.
+    :param reason: why there is no response, for the log.
+    :param retry_after_s: after how many seconds the runner may be tried again.
+    :param reset: whether the runner closed or reset the connection midway.
     """
 
-    __slots__ = ("fate", "head", "body", "reason", "retry_after_s", "cut")
+    __slots__ = ("status", "head", "body", "reason", "retry_after_s", "reset")
 
     def __init__(
         self,
-        fate: Fate,
+        status: AttemptStatus,
         head: messages.RunnerHead | None = None,
         body: bytes = b"",
         reason: str = "",
         retry_after_s: float | None = None,
-        cut: bool = False,
+        reset: bool = False,
     ) -> None:
-        self.cut = cut
-        self.fate = fate
+        self.reset = reset
+        self.status = status
         self.head = head
         self.body = body
         self.reason = reason
@@ -73,32 +74,35 @@
 
 
 class EventSink(typing.Protocol):
-    """Takes the events of a stream."""
+    """Receives the events of a stream."""
 
     @property
     def splitter(self) -> events.EventSplitter:
-        """Checks the order of the events, over all attempts."""
+        """Checks the order of the events across all attempts."""
 
-    def events(
+    def write_events(
         self, head: messages.RunnerHead, data: bytes, count: int
     ) -> bool:
-        """Pass whole events on to the caller.
+        """Write complete events to the caller.
 
-        :returns: False when the caller is far behind.
+        :param count: the number of events in ``data``.
+        :returns: False when the write buffer is above its limit.
         """
 
-    async def drained(self) -> None:
-        """Wait while the caller is far behind."""
+    async def drain(self) -> None:
+        """Wait until the caller's write buffer is below its limit."""
 
-    def began(self) -> None:
-        """A runner began to run the call."""
+    def mark_started(self) -> None:
+        """Record that a runner runs the call."""
 
 
 class Attempt:
-    """Sends a call to a runner and reads the answer.
+    """Sends a call to a runner and reads the response.
 
     :param name: unique among this VM's attempts.
-    :param sink: takes the events of a stream; None for a plain answer.
+    :param errand: what the runner is told in addition to the call.
+    :param sink: receives the events of a stream; None if the response is not
+        a stream.
     """
 
     __slots__ = (
@@ -136,26 +140,32 @@
         self._sink = sink
         self._pool = upstreams_.pool(runner)
         self._head: messages.RunnerHead | None = None
-        #: What stopped the events while no task waited for them.
+        #: Exception raised in the body callback, to be raised in the task.
         self._failure: Exception | None = None
 
-    async def connect(self, timeout_s: float) -> channels.Channel | Outcome:
-        """A connection to the runner, or the outcome without one."""
+    async def connect(
+        self, timeout_s: float
+    ) -> channels.Channel | AttemptOutcome:
+        """Open a connection, or return the outcome if that fails."""
         try:
-            return await self._pool.acquire(min(CONNECT_S, timeout_s))
+            return await self._pool.acquire(min(CONNECT_TIMEOUT_S, timeout_s))
         except pools.PoolFull:
-            return Outcome(Fate.NOT_SENT, reason="connections_used_up")
+            return AttemptOutcome(
+                AttemptStatus.NOT_SENT, reason="connections_used_up"
+            )
         except channels.NotConnected as error:
-            self._upstreams.unreachable(self._runner)
-            return Outcome(Fate.NOT_SENT, reason=f"unreachable:{error}")
+            self._upstreams.connect_failed(self._runner)
+            return AttemptOutcome(
+                AttemptStatus.NOT_SENT, reason=f"unreachable:{error}"
+            )
 
     async def run(
         self, channel: channels.Channel, patience_s: float | None
-    ) -> Outcome:
-        """Send the call and read its answer.
+    ) -> AttemptOutcome:
+        """Send the call and read the response.
 
-        :param patience_s: how long the answer may take to begin; None for
-            as long as the caller waits.
+        :param patience_s: how long the response may take to begin, in
+            seconds; None for no limit.
         """
         result = models.Outcome.CANCELLED
         blamed = clean = False
@@ -163,84 +173,96 @@
         self._upstreams.started(self._name, self._runner, self._query)
         try:
             channel.send(
-                self._dialect.request(self._call, self._errand), self._accepts
+                self._dialect.request(self._call, self._errand),
+                self._is_own_response,
             )
-            outcome = await self._answer(channel, patience_s)
-            result = _health(outcome)
-            blamed = outcome.fate is Fate.NOT_RUN
+            outcome = await self._read_response(channel, patience_s)
+            result = _health_outcome(outcome)
+            blamed = outcome.status is AttemptStatus.NOT_RUN
             clean = channel.idle
         except channels.Broken as error:
             result = models.Outcome.FAILED
-            outcome = Outcome(
-                Fate.BROKEN, reason=f"broken:{error}", cut=error.reset
+            outcome = AttemptOutcome(
+                AttemptStatus.BROKEN,
+                reason=f"broken:{error}",
+                reset=error.reset,
             )
-        except events.StreamDisorder as error:
+        except events.EventOrderError as error:
             result = models.Outcome.FAILED
-            outcome = Outcome(Fate.BROKEN, reason=f"disorder:{error}")
+            outcome = AttemptOutcome(
+                AttemptStatus.BROKEN, reason=f"disorder:{error}"
+            )
         except asyncio.CancelledError:
-            blamed = self._hung(began)
+            blamed = self._is_hung(began)
             raise
         finally:
             self._upstreams.finished(
                 self._name, self._runner, result, blamed=blamed
             )
-            self._put_back(channel, clean)
+            self._return_channel(channel, clean)
         return outcome
 
-    def _hung(self, began: float) -> bool:
-        """Whether the call was given up as the runner said nothing.
+    def _is_hung(self, began: float) -> bool:
+        """Whether a cancelled call counts as a hang of the runner.
 
-        A runner that hangs on some calls never breaks one off: without this
-        it would look sound for ever.
+        A runner that hangs on some calls never breaks a connection. Without
+        this check it would count as healthy indefinitely.
         """
         waited_s = asyncio.get_running_loop().time() - began
         objective_s = self._query.wanted_first_token_s
-        return self._head is None and waited_s > HUNG_OBJECTIVES * objective_s
+        return (
+            self._head is None
+            and waited_s > HANG_OBJECTIVE_FACTOR * objective_s
+        )
 
-    def _put_back(self, channel: channels.Channel, clean: bool) -> None:
-        # To where it came from: the runner may have a new address by now.
+    def _return_channel(self, channel: channels.Channel, clean: bool) -> None:
+        # The pool that the connection came from is used, as the runner may
+        # have a new address and pool by now.
         head = self._head
         if clean and head is not None:
             self._pool.release(channel, head.closing, head.keep_alive_s)
         else:
             self._pool.discard(channel)
 
-    def _accepts(self, status: int, headers: messages.Headers) -> bool:
-        """Whether an answer is to this call and not a late one."""
+    def _is_own_response(self, status: int, headers: messages.Headers) -> bool:
+        """Whether a response answers this call and not an earlier one."""
         head = self._dialect.head(status, headers)
         return head.request_id in ("", self._call.request_id)
 
-    async def _answer(
+    async def _read_response(
         self, channel: channels.Channel, patience_s: float | None
-    ) -> Outcome:
+    ) -> AttemptOutcome:
         try:
             async with asyncio.timeout(patience_s):
-                raw = await channel.head()
-                self._upstreams.heard(self._runner)
+                raw = await channel.read_head()
+                self._upstreams.bytes_received(self._runner)
                 head = self._dialect.head(raw.status, raw.headers)
                 self._head = head
                 if self._is_stream(head):
-                    first = await self._first_events(channel, head)
+                    first = await self._forward_first_event(channel, head)
         except TimeoutError:
-            return Outcome(Fate.BROKEN, reason="no_answer_in_time")
+            return AttemptOutcome(
+                AttemptStatus.BROKEN, reason="no_answer_in_time"
+            )
         if head.other_runner or head.not_run:
-            # The promise stands in the head; it holds if the rest is lost.
+            # The head alone promises that the call has not run; the promise
+            # holds even if the body is lost.
             with contextlib.suppress(channels.Broken):
-                await _rest(channel)
+                await _read_body(channel)
             if head.other_runner:
-                self._upstreams.replaced(self._runner)
-            return Outcome(
-                Fate.NOT_RUN,
+                self._upstreams.runner_replaced(self._runner)
+            return AttemptOutcome(
+                AttemptStatus.NOT_RUN,
                 reason="replaced" if head.other_runner else "turned_away",
                 retry_after_s=head.retry_after_s,
             )
         if not head.signed:
-            return Outcome(Fate.BROKEN, reason="unsigned")
+            return AttemptOutcome(AttemptStatus.BROKEN, reason="unsigned")
         if self._is_stream(head):
-            return await self._stream(channel, head, first)
+            return await self._forward_stream(channel, head, first)
         self._upstreams.first_answer(self._name)
-        body = await _rest(channel)
-        return Outcome(Fate.ANSWERED, head, body)
+        body = await _read_body(channel)
+        return AttemptOutcome(AttemptStatus.ANSWERED, head, body)
 
     def _is_stream(self, head: messages.RunnerHead) -> bool:
         return (
@@ -250,65 +272,76 @@
             and not head.not_run
         )
 
-    async def _first_events(
+    async def _forward_first_event(
         self, channel: channels.Channel, head: messages.RunnerHead
     ) -> bool:
-        """Pass the first whole events on; False if there is none."""
+        """Forward the first complete events.
+
+        :returns: False if the stream ended without a complete event.
+        """
         assert self._sink is not None
-        while (data := await channel.chunk()) is not None:
+        while (data := await channel.read_chunk()) is not None:
             before = self._sink.splitter.last_id
-            self._pass_on(head, data)
+            self._forward(head, data)
             if self._sink.splitter.last_id != before:
                 self._upstreams.first_answer(self._name)
                 return True
         return False
 
-    async def _stream(
+    async def _forward_stream(
         self, channel: channels.Channel, head: messages.RunnerHead, more: bool
-    ) -> Outcome:
+    ) -> AttemptOutcome:
         assert self._sink is not None
-        while more and (data := await channel.chunk()) is not None:
+        while more and (data := await channel.read_chunk()) is not None:
             if self._failure is not None:
                 raise self._failure
-            self._pass_on(head, data + channel.ready_chunks())
-            await self._sink.drained()
-            channel.tap(functools.partial(self._passed_on, head))
-        if self._sink.splitter.partial:
-            return Outcome(Fate.BROKEN, reason="ends_within_an_event")
-        return Outcome(Fate.ANSWERED, head)
-
-    def _passed_on(self, head: messages.RunnerHead, data: bytes) -> bool:
-        """Pass bytes on as they come; False when the task has to look."""
+            self._forward(head, data + channel.read_buffered())
+            await self._sink.drain()
+            channel.set_body_callback(
+                functools.partial(self._on_body_bytes, head)
+            )
+        if self._sink.splitter.has_partial_event:
+            return AttemptOutcome(
+                AttemptStatus.BROKEN, reason="ends_within_an_event"
+            )
+        return AttemptOutcome(AttemptStatus.ANSWERED, head)
+
+    def _on_body_bytes(self, head: messages.RunnerHead, data: bytes) -> bool:
+        """Forward bytes as they arrive.
+
+        :returns: False when the task has to go on reading instead.
+        """
         try:
-            return self._pass_on(head, data)
-        except (events.StreamDisorder, replies.CallerGone) as error:
-            # Raised again in the task, as the connection calls this one.
+            return self._forward(head, data)
+        except (events.EventOrderError, replies.CallerGone) as error:
+            # This method runs as a callback of the connection, so the error
+            # is kept and raised again in the task.
             self._failure = error
             return False
 
-    def _pass_on(self, head: messages.RunnerHead, data: bytes) -> bool:
+    def _forward(self, head: messages.RunnerHead, data: bytes) -> bool:
         assert self._sink is not None
-        self._upstreams.heard(self._runner)
+        self._upstreams.bytes_received(self._runner)
         whole, count = self._sink.splitter.feed(data)
-        return not count or self._sink.events(head, whole, count)
+        return not count or self._sink.write_events(head, whole, count)
 
 
-async def _rest(channel: channels.Channel) -> bytes:
+async def _read_body(channel: channels.Channel) -> bytes:
     parts: list[bytes] = []
     size = 0
-    while (data := await channel.chunk()) is not None:
+    while (data := await channel.read_chunk()) is not None:
         parts.append(data)
         size += len(data)
-        if size > MOST_BODY_BYTES:
-            raise channels.Broken("the answer is too long")
+        if size > MAX_BODY_BYTES:
+            raise channels.Broken("the response body is too large")
     return b"".join(parts)
 
 
-def _health(outcome: Outcome) -> models.Outcome:
-    """What an outcome says of the runner's health."""
-    if outcome.fate is Fate.NOT_RUN:
+def _health_outcome(outcome: AttemptOutcome) -> models.Outcome:
+    """The outcome as recorded for the runner's health."""
+    if outcome.status is AttemptStatus.NOT_RUN:
         return models.Outcome.CANCELLED
-    if outcome.fate is Fate.BROKEN:
+    if outcome.status is AttemptStatus.BROKEN:
         return models.Outcome.FAILED
     if outcome.head is not None and outcome.head.status >= 500:
         return models.Outcome.FAILED
--- a/src/apricotlever/serving/callers.py
+++ b/src/apricotlever/serving/callers.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 server for callers, peers and the platform's checks."""
+"""HTTP/1.1 server for callers, peer VMs and the platform's health checks."""
 
 import asyncio
 import collections
@@ -15,17 +15,22 @@
 from . import replies
 from . import routes
 
-#: Bytes of an answer that may wait for a slow caller before the task that
-#: writes them waits too.
-MOST_UNSENT_BYTES = 65536
-#: A caller that does not read for so long is given up, in seconds.
-STUCK_S = 10.0
-#: How often idle connections are looked at, in seconds.
-SWEEP_S = 0.5
+#: Write buffer limit of a connection, in bytes. Above it, the task that writes
+#: a response to a slow caller waits.
+MAX_UNSENT_BYTES = 65536
+#: Seconds that a full write buffer may take to drain before the connection is
+#: aborted.
+WRITE_TIMEOUT_S = 10.0
+#: Interval between checks for idle and slow connections, in seconds.
+SWEEP_INTERVAL_S = 0.5
 
 
 class RawCall:
-    """A request as it was read."""
+    """An HTTP request as read from the connection.
+
+    :param received_at: when its first byte came, on the event loop's clock in
+        seconds.
+    """
 
     __slots__ = ("method", "target", "headers", "body", "received_at")
 
@@ -41,27 +46,27 @@
 
 
 class CallerChannel(asyncio.Protocol):
-    """One connection of a caller; its calls are answered in order."""
+    """A caller's connection; pipelined calls are answered in order."""
 
     __slots__ = (
         "_body",
         "_body_bytes",
-        "_call",
-        "_calls",
+        "_current_call",
+        "_pending_calls",
         "_chunked",
         "_closing",
         "_eof",
         "_head_bytes",
-        "_in_head",
+        "_reading_head",
         "_loop",
         "_parser",
-        "_paused",
-        "_reading_since",
+        "_write_paused",
+        "_read_started_at",
         "_server",
         "_task",
         "_transport",
-        "_waiter",
-        "_idle_since",
+        "_drain_waiter",
+        "_idle_started_at",
     )
 
     def __init__(self, server: "CallerServer") -> None:
@@ -69,218 +74,233 @@
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
-        self._call: RawCall | None = None
-        self._calls: collections.deque[RawCall] = collections.deque()
+        self._current_call: RawCall | None = None
+        self._pending_calls: collections.deque[RawCall] = collections.deque()
         self._body: list[bytes] = []
         self._body_bytes = 0
         self._head_bytes = 0
-        self._in_head = True
+        self._reading_head = True
         self._closing = False
         self._eof = False
-        self._paused = False
-        self._waiter: asyncio.Future[None] | None = None
+        self._write_paused = False
+        self._drain_waiter: asyncio.Future[None] | None = None
         self._task: asyncio.Task[None] | None = None
-        self._reading_since: float | None = None
-        self._idle_since = self._loop.time()
+        self._read_started_at: float | None = None
+        self._idle_started_at = self._loop.time()
 
     @property
     def closing(self) -> bool:
-        """Whether this is the last answer on the connection."""
+        """Whether the connection closes after the current response."""
         return self._closing or self._server.leaving
 
     @property
     def host(self) -> str:
-        """The other side's IP number."""
+        """The caller's IP address, "" before the connection is open."""
         if self._transport is None:
             return ""
         return str((self._transport.get_extra_info("peername") or ("",))[0])
 
     @property
-    def behind(self) -> bool:
-        """Whether the caller reads slower than its answer comes."""
-        return self._paused
+    def write_paused(self) -> bool:
+        """Whether the write buffer is above its limit."""
+        return self._write_paused
 
     @property
-    def unsent(self) -> int:
-        """Bytes of answers that wait for the caller to read."""
+    def unsent_bytes(self) -> int:
+        """Response bytes that are buffered for the caller."""
         if self._transport is None:
             return 0
         return self._transport.get_write_buffer_size()
 
     @property
     def busy(self) -> bool:
-        """Whether a call is being answered or was read and waits."""
-        return self._task is not None or bool(self._calls)
+        """Whether a call is being answered or is queued."""
+        return self._task is not None or bool(self._pending_calls)
 
     def write(self, data: bytes) -> None:
         """Queue bytes for the caller.
 
-        :raises replies.CallerGone: when the connection is over.
+        :raises replies.CallerGone: when the connection is closed.
         """
         if self._transport is None or self._transport.is_closing():
             raise replies.CallerGone()
         self._transport.write(data)
 
-    async def drained(self) -> None:
-        """Wait while the caller is far behind.
+    async def drain(self) -> None:
+        """Wait until the write buffer is below its limit.
 
-        :raises replies.CallerGone: when it does not read for too long.
+        :raises replies.CallerGone: when the caller closes the connection, or
+            does not read for :data:`WRITE_TIMEOUT_S`.
         """
-        if not self._paused:
+        if not self._write_paused:
             return
-        self._waiter = self._loop.create_future()
+        self._drain_waiter = self._loop.create_future()
         try:
-            async with asyncio.timeout(STUCK_S):
-                await self._waiter
+            async with asyncio.timeout(WRITE_TIMEOUT_S):
+                await self._drain_waiter
         except TimeoutError as error:
             self.close()
             raise replies.CallerGone() from error
         finally:
-            self._waiter = None
+            self._drain_waiter = None
 
     def close(self) -> None:
-        """Close at once."""
+        """Abort the connection; buffered bytes are dropped."""
         if self._transport is not None:
             self._transport.abort()
 
     def sweep(self, now: float, limits: routes.CallerLimits) -> None:
-        """Close the connection if its caller is too slow or idle."""
+        """Close the connection if it is idle or its caller sends too slowly.
+
+        :param now: on the event loop's clock, in seconds.
+        """
         if self.busy:
             return
-        since = self._reading_since
+        since = self._read_started_at
         if since is None:
-            if now - self._idle_since > limits.idle_s:
-                self._end()
+            if now - self._idle_started_at > limits.idle_s:
+                self._close_after_flush()
             return
-        allowed = limits.header_s if self._in_head else limits.idle_s
+        allowed = limits.header_s if self._reading_head else limits.idle_s
         if now - since > allowed:
-            self._refuse(408)
+            self._reject(408)
 
-    # What asyncio calls.
+    # Callbacks of asyncio.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """A caller has connected."""
+        """Set the connection up and register it with the server."""
         self._transport = typing.cast(asyncio.Transport, transport)
-        self._transport.set_write_buffer_limits(MOST_UNSENT_BYTES)
+        self._transport.set_write_buffer_limits(MAX_UNSENT_BYTES)
         sock = transport.get_extra_info("socket")
         if sock is not None:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._server.channels.add(self)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of a call."""
+        """Parse received bytes; malformed or oversized calls are rejected."""
         if self._closing:
             return
-        if self._reading_since is None:
-            self._reading_since = self._loop.time()
-        if self._in_head:
+        if self._read_started_at is None:
+            self._read_started_at = self._loop.time()
+        if self._reading_head:
             self._head_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._refuse(400)
+            self._reject(400)
         except httptools.HttpParserError as error:
             refusal = error.__context__
-            self._refuse(
-                refusal.status if isinstance(refusal, framing.Refused) else 400
+            self._reject(
+                refusal.status
+                if isinstance(refusal, framing.RequestRejected)
+                else 400
             )
-        except framing.Refused as refusal:
-            self._refuse(refusal.status)
-        if self._in_head and self._call is not None:
+        except framing.RequestRejected as refusal:
+            self._reject(refusal.status)
+        if self._reading_head and self._current_call is not None:
             if self._head_bytes > self._server.limits.header_bytes:
-                self._refuse(431)
+                self._reject(431)
 
     def eof_received(self) -> bool:
-        """The caller sends no more, and so it waits for nothing."""
+        """Close the connection when the caller closes its sending side.
+
+        Such a caller is taken to wait for no response.
+        """
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The caller is gone; what runs for it is stopped."""
+        """Cancel the calls of a caller that has disconnected."""
         self._server.channels.discard(self)
         self._closing = True
-        self._calls.clear()
-        if self._waiter is not None and not self._waiter.done():
-            self._waiter.set_exception(replies.CallerGone())
+        self._pending_calls.clear()
+        if self._drain_waiter is not None and not self._drain_waiter.done():
+            self._drain_waiter.set_exception(replies.CallerGone())
         if self._task is not None:
             self._task.cancel()
 
     def pause_writing(self) -> None:
-        """The caller reads slower than its answer comes."""
-        self._paused = True
+        """Make :meth:`drain` wait, as the write buffer is above its limit."""
+        self._write_paused = True
 
     def resume_writing(self) -> None:
-        """The caller has caught up."""
-        self._paused = False
-        if self._waiter is not None and not self._waiter.done():
-            self._waiter.set_result(None)
+        """Let :meth:`drain` return, as the write buffer has drained."""
+        self._write_paused = False
+        if self._drain_waiter is not None and not self._drain_waiter.done():
+            self._drain_waiter.set_result(None)
 
-    # What the parser calls.
+    # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        """A call begins."""
-        self._call = RawCall(self._loop.time())
+        """Start a new call."""
+        self._current_call = RawCall(self._loop.time())
         self._body = []
         self._body_bytes = 0
-        self._in_head = True
+        self._reading_head = True
 
     def on_url(self, url: bytes) -> None:
-        """A part of the target."""
-        if self._call is not None:
-            self._call.target += url.decode("latin-1")
+        """Append a part of the request target."""
+        if self._current_call is not None:
+            self._current_call.target += url.decode("latin-1")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header."""
-        if self._call is not None and self._in_head:
-            # What comes after the body is a trailer and no header: a key or
-            # a length in it was not there when the call was checked. The
-            # parser leaves blanks that follow a value.
-            self._call.headers.append((name, value.rstrip(b" \t")))
+        """Append a header; trailers are ignored."""
+        if self._current_call is not None and self._reading_head:
+            # Fields after the body are trailers. They are ignored, as an API
+            # key or a length among them was not present when the headers
+            # were checked. The parser keeps trailing whitespace of values.
+            self._current_call.headers.append((name, value.rstrip(b" \t")))
 
     def on_headers_complete(self) -> None:
-        """The head is whole."""
-        call = self._call
+        """Check the complete request head.
+
+        :raises framing.RequestRejected: when the call must not be read on.
+        """
+        call = self._current_call
         if call is None:
             return
-        framing.check_head(
+        framing.check_request_head(
             self._parser.get_http_version(),
             call.target,
             call.headers,
             self._server.limits,
         )
-        self._in_head = False
+        self._reading_head = False
         self._head_bytes = 0
         call.method = self._parser.get_method().decode("latin-1")
         if any(name.lower() == b"expect" for name, _ in call.headers):
             self.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, data: bytes) -> None:
-        """A part of the body."""
+        """Append a part of the body.
+
+        :raises framing.RequestRejected: when the body is over its limit.
+        """
         self._body_bytes += len(data)
         if self._body_bytes > self._server.limits.body_bytes:
-            raise framing.Refused(413)
+            raise framing.RequestRejected(413)
         self._body.append(data)
 
     def on_message_complete(self) -> None:
-        """The call is whole."""
-        call, self._call = self._call, None
+        """Queue the complete call."""
+        call, self._current_call = self._current_call, None
         if call is None or self._closing:
             return
         call.body = b"".join(self._body)
         self._body = []
-        self._in_head = True
+        self._reading_head = True
         self._head_bytes = 0
-        self._reading_since = None
+        self._read_started_at = None
         if not self._parser.should_keep_alive():
             self._closing = True
-        self._calls.append(call)
-        self._next()
+        self._pending_calls.append(call)
+        self._start_next_call()
 
-    def _next(self) -> None:
-        if self._task is None and self._calls:
-            call = self._calls.popleft()
-            self._task = self._loop.create_task(self._answer(call))
+    def _start_next_call(self) -> None:
+        if self._task is None and self._pending_calls:
+            call = self._pending_calls.popleft()
+            self._task = self._loop.create_task(self._handle(call))
 
-    async def _answer(self, call: RawCall) -> None:
+    async def _handle(self, call: RawCall) -> None:
         reply = replies.Reply(self)
         try:
             await self._server.handler(call, reply)
@@ -288,37 +308,37 @@
             self.close()
         finally:
             self._task = None
-            self._idle_since = self._loop.time()
+            self._idle_started_at = self._loop.time()
             if not reply.ended:
                 self.close()
-            elif self.closing and not self._calls:
-                self._end()
+            elif self.closing and not self._pending_calls:
+                self._close_after_flush()
             else:
-                self._next()
+                self._start_next_call()
 
-    def _refuse(self, status: int) -> None:
-        """Refuse what is malformed, and close after what is before it."""
+    def _reject(self, status: int) -> None:
+        """Reject a malformed call, and close after the calls before it."""
         if self._closing:
             return
         self._closing = True
-        self._reading_since = None
+        self._read_started_at = None
         if self.busy:
             return
         try:
             replies.Reply(self).whole(status, ())
         except replies.CallerGone:
             return
-        self._end()
+        self._close_after_flush()
 
-    def _end(self) -> None:
-        """Close after what is queued has been sent."""
+    def _close_after_flush(self) -> None:
+        """Close the connection once its buffered bytes are sent."""
         self._closing = True
         if self._transport is not None:
             self._transport.close()
 
 
 class CallerServer:
-    """Listens on one address.
+    """HTTP server on one address.
 
     :param handler: answers one call.
     """
@@ -334,24 +354,24 @@
 
     @property
     def leaving(self) -> bool:
-        """Whether each answer is the last one on its connection."""
+        """Whether each connection closes after its current response."""
         return self._leaving
 
     @property
     def busy(self) -> int:
-        """Connections with a call that is being answered."""
+        """Number of connections with a call in progress."""
         return sum(channel.busy for channel in self.channels)
 
     async def listen(self, host: str, port: int) -> int:
-        """Start to take connections at an address.
+        """Accept connections at an address.
 
-        :returns: the port, which matters when 0 was asked for.
+        :returns: the port; differs from the argument if that is 0.
         """
         address = addresses.Address(host, port)
         return await self.serve(ports.Ports().take(address))
 
     async def serve(self, sock: socket.socket) -> int:
-        """Start to take connections from a socket that listens.
+        """Accept connections from a listening socket.
 
         :returns: its port.
         """
@@ -362,20 +382,20 @@
         return int(sock.getsockname()[1])
 
     def leave(self) -> None:
-        """Close each connection after the answer it waits for."""
+        """Close each connection after its current response."""
         self._leaving = True
 
     async def sweep_forever(self) -> None:
-        """Close the connections of idle and slow callers, for ever."""
+        """Close idle and slow connections periodically, until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
-            await pace.pause(SWEEP_S)
+            await pace.pause(SWEEP_INTERVAL_S)
             now = loop.time()
             for channel in list(self.channels):
                 channel.sweep(now, self.limits)
 
     def close(self) -> None:
-        """Take no more connections and close all that are open."""
+        """Stop accepting connections and abort those that are open."""
         if self._server is not None:
             self._server.close()
         for channel in list(self.channels):
--- a/src/apricotlever/serving/channels.py
+++ b/src/apricotlever/serving/channels.py
@@ -1,8 +1,8 @@
-"""HTTP/1.1 connections that this VM opens, one exchange at a time each.
+"""HTTP/1.1 client connections, each with one request in progress at a time.
 
-A connection whose exchange did not end cleanly is closed and never used
-again: what still arrives on it could otherwise be taken for the answer to
-somebody else's call.
+A connection whose exchange did not end cleanly is closed and never reused,
+because bytes that still arrive on it could be taken for the response to
+another caller's request.
 """
 
 import asyncio
@@ -14,25 +14,27 @@
 
 from . import messages
 
-#: Body bytes held for a slow reader before the connection stops reading.
-MOST_HELD_BYTES = 262144
-#: Milliseconds that sent bytes may stay unacknowledged. Without it a write
-#: into a connection that went silent is noticed only after many minutes.
-UNACKNOWLEDGED_MS = 2500
+#: Body bytes buffered for a slow consumer before the connection stops reading.
+MAX_BUFFERED_BYTES = 262144
+#: Milliseconds that sent bytes may stay unacknowledged. Without this limit,
+#: writes to a silently dropped connection fail only after many minutes.
+TCP_USER_TIMEOUT_MS = 2500
 
-AcceptHead = typing.Callable[[int, messages.Headers], bool]
-#: Takes body bytes as they come; False when it wants no more for now.
-Tap = typing.Callable[[bytes], bool]
+#: Takes status and headers; returns whether they answer the pending request.
+HeadFilter = typing.Callable[[int, messages.Headers], bool]
+#: Takes body bytes as they arrive; returns False to stop receiving them.
+BodyCallback = typing.Callable[[bytes], bool]
 
 
 class ChannelError(Exception):
-    """Any failure of an exchange."""
+    """Base class for failures of a request on a connection."""
 
 
 class NotConnected(ChannelError):
     """The connection could not be opened; nothing was sent.
 
-    :param refused: nobody listens there, rather than none opened in time.
+    :param refused: whether the peer refused the connection, as opposed to a
+        timeout or another error.
     """
 
     def __init__(self, reason: str, refused: bool = False) -> None:
@@ -41,9 +43,9 @@
 
 
 class Broken(ChannelError):
-    """The connection ended, or sent what is no answer, midway.
+    """The connection failed, or received an invalid response.
 
-    :param reset: whether the other side closed or reset it.
+    :param reset: whether the peer closed or reset it.
     """
 
     def __init__(self, reason: str, reset: bool = False) -> None:
@@ -51,8 +53,8 @@
         self.reset = reset
 
 
-class Head:
-    """Status and headers of an answer."""
+class ResponseHead:
+    """Status and headers of a response."""
 
     __slots__ = ("status", "headers")
 
@@ -62,63 +64,68 @@
 
 
 class Channel(asyncio.Protocol):
-    """One connection.
+    """One client connection.
 
-    Only one task uses it at a time: :meth:`send`, then :meth:`head`, then
-    :meth:`chunk` until it gives None.
+    Only one task may use it at a time: :meth:`send`, then :meth:`read_head`,
+    then :meth:`read_chunk` until it returns None.
+
+    :param on_end: called once when the connection ends.
     """
 
     __slots__ = (
-        "_accept",
+        "_head_filter",
         "_answer_status",
-        "_chunks",
+        "_body_chunks",
         "_error",
-        "_expecting",
+        "_awaiting_response",
         "_head",
         "_headers",
-        "_held",
+        "_buffered_bytes",
         "_idle_since",
-        "_in_answer",
+        "_in_response",
         "_loop",
-        "_on_idle_end",
+        "_on_end",
         "_parser",
-        "_paused",
-        "_skipping",
-        "_tap",
+        "_read_paused",
+        "_skipping_response",
+        "_body_callback",
         "_transport",
-        "_until_close",
+        "_body_until_close",
         "_waiter",
         "uses",
-        "keep_until",
+        "reusable_until",
     )
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        on_idle_end: "typing.Callable[[Channel], None] | None" = None,
+        on_end: "typing.Callable[[Channel], None] | None" = None,
     ) -> None:
         self._loop = loop
-        self._on_idle_end = on_idle_end
+        self._on_end = on_end
         self._transport: asyncio.Transport | None = None
         self._waiter: asyncio.Future[None] | None = None
         self._error: Broken | None = None
-        self._accept: AcceptHead | None = None
-        self._expecting = False
-        self._in_answer = False
-        self._skipping = False
-        self._tap: Tap | None = None
-        self._until_close = False
-        self._head: Head | None = None
+        self._head_filter: HeadFilter | None = None
+        self._awaiting_response = False
+        self._in_response = False
+        self._skipping_response = False
+        self._body_callback: BodyCallback | None = None
+        self._body_until_close = False
+        self._head: ResponseHead | None = None
         self._headers: list[tuple[bytes, bytes]] = []
-        self._chunks: collections.deque[bytes | None] = collections.deque()
-        self._held = 0
-        self._paused = False
+        self._body_chunks: collections.deque[bytes | None] = (
+            collections.deque()
+        )
+        self._buffered_bytes = 0
+        self._read_paused = False
         self._parser = httptools.HttpResponseParser(self)
         self._idle_since = loop.time()
-        #: Exchanges so far.
+        #: Number of requests sent.
         self.uses = 0
-        #: On the loop's clock; past it the connection is not used again.
-        self.keep_until = float("inf")
+        #: Until when the connection may be reused, on the event loop's clock
+        #: in seconds.
+        self.reusable_until = float("inf")
 
     @property
     def open(self) -> bool:
@@ -131,81 +138,97 @@
 
     @property
     def idle(self) -> bool:
-        """Whether the last exchange is over and nothing is left of it."""
-        return self.open and not self._expecting and not self._chunks
+        """Whether the connection is open without a pending response."""
+        return (
+            self.open and not self._awaiting_response and not self._body_chunks
+        )
 
     @property
     def idle_since(self) -> float:
-        """When the last exchange ended, on the loop's clock."""
+        """When the last response ended, on the event loop's clock."""
         return self._idle_since
 
-    def send(self, request: bytes, accept: AcceptHead | None = None) -> None:
-        """Start an exchange.
+    def send(
+        self, request: bytes, head_filter: HeadFilter | None = None
+    ) -> None:
+        """Send a request.
 
-        :param accept: tells whether a head answers this request; an answer
-            that does not is skipped, as it came late for an earlier one.
-        :raises Broken: when the connection has ended meanwhile.
+        :param head_filter: tells whether a response head answers this
+            request; other responses are skipped, as they are late ones to
+            earlier requests.
+        :raises Broken: when the connection has ended or is not idle.
         """
         if not self.idle or self._transport is None:
             raise self._error or Broken("the connection is not idle")
-        self._accept = accept
-        self._expecting = True
+        self._head_filter = head_filter
+        self._awaiting_response = True
         self._head = None
         self.uses += 1
         self._transport.write(request)
 
-    async def head(self) -> Head:
-        """Wait for the head of the answer.
+    async def read_head(self) -> ResponseHead:
+        """Wait for the head of the response.
 
-        :raises Broken: when the exchange cannot go on.
+        :raises Broken: when the connection has failed.
         """
         while self._head is None:
             await self._wait()
         return self._head
 
-    async def chunk(self) -> bytes | None:
-        """Wait for more of the body; None at its end.
+    async def read_chunk(self) -> bytes | None:
+        """Wait for more of the body.
 
-        :raises Broken: when the rest will not come.
+        :returns: None at the end of the body.
+        :raises Broken: when the connection has failed.
         """
-        while not self._chunks:
+        while not self._body_chunks:
             await self._wait()
-        data = self._chunks.popleft()
+        data = self._body_chunks.popleft()
         if data is not None:
-            self._held -= len(data)
-            if self._paused and self._held < MOST_HELD_BYTES // 2:
+            self._buffered_bytes -= len(data)
+            if (
+                self._read_paused
+                and self._buffered_bytes < MAX_BUFFERED_BYTES // 2
+            ):
                 self._resume()
         return data
 
-    def tap(self, tap: Tap) -> None:
-        """Hand over body bytes as they come, without waking a task.
+    def set_body_callback(self, callback: BodyCallback) -> None:
+        """Pass body bytes to a callback as they arrive, without waking a task.
 
-        A task that waits for each event costs a turn of the loop for each,
-        with a system call of its own. The tap ends when it says so, with an
-        empty chunk for whoever waits in :meth:`chunk`, or with the answer.
+        Waking a task for each event costs an event loop iteration and a
+        system call per event. The callback is removed when it returns False,
+        which wakes :meth:`read_chunk` with an empty chunk, or at the end of
+        the response. It is not set while unread chunks are buffered.
         """
-        if not self._chunks:
-            self._tap = tap
+        if not self._body_chunks:
+            self._body_callback = callback
 
-    def ready_chunks(self) -> bytes:
-        """Body bytes that are here already, without waiting."""
+    def read_buffered(self) -> bytes:
+        """Return the buffered body bytes without waiting."""
         ready = []
-        while self._chunks and self._chunks[0] is not None:
-            ready.append(self._chunks.popleft())
+        while self._body_chunks and self._body_chunks[0] is not None:
+            ready.append(self._body_chunks.popleft())
         data = b"".join(part for part in ready if part is not None)
-        self._held -= len(data)
-        if self._paused and self._held < MOST_HELD_BYTES // 2:
+        self._buffered_bytes -= len(data)
+        if (
+            self._read_paused
+            and self._buffered_bytes < MAX_BUFFERED_BYTES // 2
+        ):
             self._resume()
         return data
 
     def close(self) -> None:
-        """Close at once; whatever is under way is given up."""
+        """Abort the connection and fail the pending request."""
         self._fail(Broken("closed by this VM"))
         self._abort()
 
-    def other_side_ended(self) -> None:
-        """Close, as the process on the other side is known to have ended."""
-        self._fail(Broken("the other side has ended", reset=True))
+    def fail_as_reset(self) -> None:
+        """Abort the connection as if the peer had reset it.
+
+        For a peer whose process is known to have ended.
+        """
+        self._fail(Broken("the peer process has ended", reset=True))
         self._abort()
 
     async def _wait(self) -> None:
@@ -224,18 +247,18 @@
     def _fail(self, error: Broken) -> None:
         if self._error is None:
             self._error = error
-        self._tap = None
+        self._body_callback = None
         self._wake()
 
     def _resume(self) -> None:
-        self._paused = False
+        self._read_paused = False
         if self._transport is not None and not self._transport.is_closing():
             self._transport.resume_reading()
 
-    # What asyncio calls.
+    # Callbacks of asyncio.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is open."""
+        """Set socket options on the open connection."""
         self._transport = typing.cast(asyncio.Transport, transport)
         sock = transport.get_extra_info("socket")
         if sock is not None:
@@ -243,122 +266,130 @@
             sock.setsockopt(
                 socket.IPPROTO_TCP,
                 socket.TCP_USER_TIMEOUT,
-                UNACKNOWLEDGED_MS,
+                TCP_USER_TIMEOUT_MS,
             )
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of the answer, or bytes that nobody asked for."""
+        """Parse bytes of the response; abort on unexpected bytes."""
         if self._error is not None:
             return
-        if not self._expecting:
-            self._unasked()
+        if not self._awaiting_response:
+            self._reject_unexpected_bytes()
             return
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, ValueError) as error:
             self._fail(Broken(f"not an answer: {type(error).__name__}"))
             self._abort()
-        if self._held > MOST_HELD_BYTES and not self._paused:
-            self._paused = True
+        if self._buffered_bytes > MAX_BUFFERED_BYTES and not self._read_paused:
+            self._read_paused = True
             if self._transport is not None:
                 self._transport.pause_reading()
 
     def eof_received(self) -> bool:
-        """The other side has closed its half."""
-        if self._expecting and self._in_answer and self._until_close:
-            self._end_of_answer()
+        """End a body that lasts until close; fail any other exchange."""
+        if (
+            self._awaiting_response
+            and self._in_response
+            and self._body_until_close
+        ):
+            self._finish_response()
         self._fail(Broken("closed by the other side", reset=True))
-        self._idle_end()
+        self._notify_end()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is gone."""
+        """Fail the pending request and report the end of the connection."""
         reason = "closed" if exc is None else type(exc).__name__
         self._fail(Broken(reason, reset=True))
-        self._idle_end()
+        self._notify_end()
 
-    # What the parser calls.
+    # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        """An answer begins."""
-        if not self._expecting:
-            # Bytes after a complete answer belong to no call.
-            self._unasked()
+        """Start a new response."""
+        if not self._awaiting_response:
+            # Bytes after a complete response answer no request.
+            self._reject_unexpected_bytes()
         self._headers = []
-        self._in_answer = True
+        self._in_response = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header of the answer."""
+        """Append a header of the response."""
         self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """The head is whole."""
-        if not self._expecting or self._error is not None:
+        """Deliver the head, or skip an interim or late response."""
+        if not self._awaiting_response or self._error is not None:
             return
         status = self._parser.get_status_code()
         names = {name.lower() for name, _ in self._headers}
-        self._until_close = (
+        self._body_until_close = (
             b"content-length" not in names
             and b"transfer-encoding" not in names
             and status >= 200
             and status not in (204, 304)
         )
         if status < 200:
-            self._skipping = True
+            self._skipping_response = True
             return
-        accept = self._accept
-        self._skipping = accept is not None and not accept(
+        head_filter = self._head_filter
+        self._skipping_response = head_filter is not None and not head_filter(
             status, self._headers
         )
-        if not self._skipping:
-            self._head = Head(status, self._headers)
+        if not self._skipping_response:
+            self._head = ResponseHead(status, self._headers)
             self._wake()
 
     def on_body(self, data: bytes) -> None:
-        """A part of the body."""
-        if not self._expecting or self._skipping or self._error is not None:
+        """Deliver a part of the body."""
+        if (
+            not self._awaiting_response
+            or self._skipping_response
+            or self._error is not None
+        ):
             return
-        if self._tap is not None:
-            if self._tap(data):
+        if self._body_callback is not None:
+            if self._body_callback(data):
                 return
-            self._tap = None
+            self._body_callback = None
             data = b""
-        self._chunks.append(data)
-        self._held += len(data)
+        self._body_chunks.append(data)
+        self._buffered_bytes += len(data)
         self._wake()
 
     def on_message_complete(self) -> None:
-        """The answer is whole."""
-        if not self._expecting or self._error is not None:
+        """End the response, or go on after a skipped one."""
+        if not self._awaiting_response or self._error is not None:
             return
-        if self._skipping:
-            self._skipping = False
-            self._in_answer = False
+        if self._skipping_response:
+            self._skipping_response = False
+            self._in_response = False
             return
-        self._end_of_answer()
+        self._finish_response()
 
-    def _end_of_answer(self) -> None:
-        if self._skipping:
+    def _finish_response(self) -> None:
+        if self._skipping_response:
             return
-        self._expecting = False
-        self._in_answer = False
-        self._tap = None
+        self._awaiting_response = False
+        self._in_response = False
+        self._body_callback = None
         self._idle_since = self._loop.time()
-        self._chunks.append(None)
+        self._body_chunks.append(None)
         self._wake()
 
-    def _unasked(self) -> None:
-        self._fail(Broken("bytes that nobody asked for"))
+    def _reject_unexpected_bytes(self) -> None:
+        self._fail(Broken("unexpected bytes outside a response"))
         self._abort()
-        self._idle_end()
+        self._notify_end()
 
     def _abort(self) -> None:
         if self._transport is not None:
             self._transport.abort()
 
-    def _idle_end(self) -> None:
-        if self._on_idle_end is not None:
-            callback, self._on_idle_end = self._on_idle_end, None
+    def _notify_end(self) -> None:
+        if self._on_end is not None:
+            callback, self._on_end = self._on_end, None
             callback(self)
 
 
@@ -371,7 +402,7 @@
     """Open a connection.
 
     :param on_end: called once when the connection ends.
-    :raises NotConnected: when it does not open in time.
+    :raises NotConnected: when the connection fails or times out.
     """
     loop = asyncio.get_running_loop()
     channel = Channel(loop, on_end)
--- a/src/apricotlever/serving/dialects.py
+++ b/src/apricotlever/serving/dialects.py
@@ -1,7 +1,7 @@
-"""What is spoken at the edges, as interfaces with registries.
+"""Interfaces of the platform's protocols, and a registry for dialects.
 
-A dialect translates between what stands on the wire and the types of
-:mod:`.messages` and :mod:`.routes`. It decides nothing and keeps no state.
+A dialect translates between the wire formats and the types of
+:mod:`.messages` and :mod:`.routes`. It takes no decisions and has no state.
 """
 
 import typing
@@ -16,18 +16,15 @@
 _Class = typing.TypeVar("_Class", bound=type)
 
 
-class DialectUnknown(Exception):
-    """No dialect is registered under a name."""
+class UnknownDialectError(Exception):
+    """No dialect is registered under the name."""
 
     def __init__(self, kind: str, name: str) -> None:
-        super().__init__(f"no {kind} dialect is called {name!r}")
+        super().__init__(f"no {kind} dialect is registered as {name!r}")
 
 
 class CallerDialect(typing.Protocol):
-    """How callers speak.
-
-    :meth:`read` raises ``ValueError`` for headers of bad form.
-    """
+    """The protocol of callers."""
 
     def read(
         self,
@@ -37,71 +34,79 @@
         body: bytes,
         received_at: float,
     ) -> messages.CallerCall:
-        """Translate a call."""
+        """Translate a call.
+
+        :param received_at: on the event loop's clock, in seconds.
+        :raises ValueError: for malformed headers.
+        """
 
     @property
     def ready_path(self) -> str:
-        """Where the platform asks whether this VM is ready."""
+        """Path at which the platform checks whether this VM is ready."""
 
     @property
     def lookup_path(self) -> str:
-        """Where callers ask which VMs to use."""
+        """Path at which callers look up the VMs to use."""
 
     def lookup_answer(
         self, addresses: typing.Sequence[str], ttl_s: float
     ) -> bytes:
-        """The VMs that callers should use."""
+        """Body of a response that names the VMs to use.
+
+        :param ttl_s: how long callers may cache it, in seconds.
+        """
 
     def refusal_headers(
         self, call: messages.CallerCall | None
     ) -> list[tuple[bytes, bytes]]:
-        """Headers of an answer that this VM makes itself."""
+        """Headers of a response that does not come from a runner."""
 
     def answer_headers(
         self, head: messages.RunnerHead
     ) -> list[tuple[bytes, bytes]]:
-        """Headers of a runner's answer that the caller gets."""
+        """Headers of a runner's response that are forwarded to the caller."""
 
 
 class RunnerDialect(typing.Protocol):
-    """How runners are spoken to."""
+    """The protocol of runners."""
 
     def request(
         self, call: messages.CallerCall, errand: messages.Errand
     ) -> bytes:
-        """A whole request for a runner."""
+        """The complete request to a runner."""
 
     def head(
         self, status: int, headers: messages.Headers
     ) -> messages.RunnerHead:
-        """Translate the head of an answer."""
+        """Translate the head of a runner's response."""
 
 
 class PlatformDialect(typing.Protocol):
-    """What lies in the platform's store, and how its calls look."""
+    """Formats of the platform's store and of the requests to its services."""
 
     @property
     def configuration_kind(self) -> str:
-        """The kind of the configuration's object."""
+        """Kind of the object that holds the configuration."""
 
     @property
     def configuration_name(self) -> str:
-        """The name of the configuration's object."""
+        """Name of the object that holds the configuration."""
 
     @property
     def runners_kind(self) -> str:
-        """The kind of the runners' entries."""
+        """Kind of the runners' entries."""
 
     @property
     def roll_outs_kind(self) -> str:
-        """The kind of the roll-out orders; each is named after its service."""
+        """Kind of the roll-out orders; each is named after its service."""
 
     def roll_out(
         self, stored: store.StoredObject, heard_at: float
     ) -> roll_outs_model.RollOutOrder:
-        """Translate a roll-out order; ``ValueError`` if it is invalid.
+        """Translate a roll-out order.
 
         :param heard_at: time of receipt, in seconds since 1970.
+        :raises ValueError: when the order is invalid.
         """
 
     def roll_out_status(
@@ -109,16 +114,19 @@
         order: roll_outs_model.RollOutOrder,
         state: roll_outs_model.RollOutState,
     ) -> store.Json:
-        """The status of an order in a state."""
+        """The status document of a roll-out order."""
 
     def configuration(self, spec: store.Json) -> routes.Configuration:
-        """Translate a configuration; ``ValueError`` if it is invalid."""
+        """Translate a configuration.
+
+        :raises ValueError: when the configuration is invalid.
+        """
 
     def runner(self, stored: store.StoredObject) -> runners.Entry:
-        """Translate a runner's entry; never raises, whatever stands there."""
+        """Translate a runner's entry; never raises, even if it is invalid."""
 
     def store_codec(self) -> store.Codec:
-        """How calls to the store look."""
+        """The codec of requests to the store."""
 
     def report_call(
         self, window: int, counts: typing.Mapping[str, int]
@@ -128,20 +136,20 @@
     def order_call(
         self, service: str, data_centre: str, count: int, reclaimable: bool
     ) -> tuple[str, bytes]:
-        """Path and body of an order for a number of runners."""
+        """Path and body of an order that sets a number of runners."""
 
     def duty_headers(
         self, holder: str, fencing: int
     ) -> list[tuple[bytes, bytes]]:
-        """Headers that prove who gives an order."""
+        """Headers that identify the lease holder that sends an order."""
 
 
 class Dialect:
-    """Everything that one platform's adapter provides.
+    """The dialects that a platform's adapter provides.
 
-    :param callers: how callers speak.
-    :param upstreams: how runners speak.
-    :param platform: what lies in the store.
+    :param callers: the protocol of callers.
+    :param upstreams: the protocol of runners.
+    :param platform: the formats of the store and the platform's services.
     """
 
     __slots__ = ("callers", "upstreams", "platform")
@@ -165,7 +173,7 @@
 ) -> typing.Callable[
     [typing.Callable[[], Dialect]], typing.Callable[[], Dialect]
 ]:
-    """Register a function that makes a dialect, under a name."""
+    """Register a factory of a dialect under a name."""
 
     def decorate(
         make: typing.Callable[[], Dialect],
@@ -177,10 +185,10 @@
 
 
 def dialect(name: str) -> Dialect:
-    """Make the dialect of a name.
+    """Create the dialect that is registered under a name.
 
-    :raises DialectUnknown: when nothing registered under it.
+    :raises UnknownDialectError: when no dialect is registered under it.
     """
     if name not in _DIALECTS:
-        raise DialectUnknown("platform", name)
+        raise UnknownDialectError("platform", name)
     return _DIALECTS[name]()
--- a/src/apricotlever/serving/events.py
+++ b/src/apricotlever/serving/events.py
@@ -1,20 +1,20 @@
-"""Splits a stream of server-sent events and checks its order."""
+"""Splits a stream of server-sent events and checks the order of their ids."""
 
 
-class StreamDisorder(Exception):
-    """An event is missing, comes twice or has no id."""
+class EventOrderError(Exception):
+    """An event is missing, is repeated or has no id."""
 
 
 class EventSplitter:
-    """Cuts a byte stream into whole events with ids that rise by one.
+    """Splits a byte stream into complete events whose ids increase by one.
 
-    Only whole events are passed on: a runner may end in the middle of one,
-    and a stream that goes on elsewhere goes on after a whole event. Without
-    the check of the ids, a stream joined from two runs could leave an event
-    out or bring it twice, and nobody would notice.
+    Only complete events are forwarded, because a runner may fail in the
+    middle of an event, and a stream is resumed at another runner after a
+    complete one. Without the check of the ids, a stream joined from two
+    runners could omit or repeat an event unnoticed.
 
-    :param last_id: the event after which the stream goes on; None at its
-        start.
+    :param last_id: the event after which the stream is resumed; None for a
+        stream from its start.
     """
 
     __slots__ = ("_buffer", "_last_id")
@@ -25,23 +25,23 @@
 
     @property
     def last_id(self) -> int | None:
-        """The id of the last whole event, None before the first one."""
+        """The id of the last complete event, None before the first one."""
         return self._last_id
 
     @property
-    def partial(self) -> bool:
-        """Whether the bytes end in the middle of an event."""
+    def has_partial_event(self) -> bool:
+        """Whether the bytes so far end in the middle of an event."""
         return bool(self._buffer)
 
-    def restart(self) -> None:
-        """Another run goes on; what is left of an event is dropped."""
+    def discard_partial(self) -> None:
+        """Drop an incomplete event, as another runner resumes the stream."""
         self._buffer = b""
 
     def feed(self, data: bytes) -> tuple[bytes, int]:
-        """Take bytes.
+        """Add received bytes.
 
-        :returns: the bytes of whole events, and how many events they are.
-        :raises StreamDisorder: when the ids don't follow each other.
+        :returns: the bytes of complete events, and the number of events.
+        :raises EventOrderError: when an id is missing or out of order.
         """
         buffer = self._buffer + data
         end = buffer.rfind(b"\n\n")
@@ -57,9 +57,9 @@
     def _check(self, event: bytes) -> None:
         number = _event_id(event)
         if number is None:
-            raise StreamDisorder("an event has no id")
+            raise EventOrderError("an event has no id")
         if self._last_id is not None and number != self._last_id + 1:
-            raise StreamDisorder(f"event {number} after {self._last_id}")
+            raise EventOrderError(f"event {number} after {self._last_id}")
         self._last_id = number
 
 
--- a/src/apricotlever/serving/exchange.py
+++ b/src/apricotlever/serving/exchange.py
@@ -1,4 +1,4 @@
-"""All attempts at one call, until its caller has a final answer."""
+"""Runs one call: attempts at runners until its caller has a response."""
 
 import asyncio
 import typing
@@ -18,30 +18,31 @@
 if typing.TYPE_CHECKING:
     from . import relay
 
-#: Runners that could not be reached, or turned the call away, before the
-#: caller is sent away too.
-MOST_TURNED_AWAY = 3
-#: A call that may be repeated waits for the first runner's answer for this
-#: many times its objective, and at least this many seconds.
-PATIENCE_OBJECTIVES = 2.5
-LEAST_PATIENCE_S = 0.6
-#: Part of the time left that the first runner may take: the rest has to do
-#: for the second one.
-PATIENCE_PART = 0.7
-#: With less time left no other runner is asked, in seconds.
-LEAST_LEFT_S = 0.05
-#: When a caller should come back if no runner takes its call, in seconds.
-COME_BACK_S = 0.4
-#: A runner is given at least so long, in seconds; none reads a zero.
-LEAST_WORK_S = 0.001
+#: Runners that may be unreachable or reject the call before the call is
+#: refused.
+MAX_REJECTIONS = 3
+#: A call that may be repeated waits for a runner's response to begin for this
+#: multiple of the route's objective, and at least for this many seconds.
+FIRST_RESPONSE_OBJECTIVE_FACTOR = 2.5
+MIN_FIRST_RESPONSE_TIMEOUT_S = 0.6
+#: Share of the time left that this wait must stay below, so that the rest
+#: suffices for a second runner; otherwise the wait ends only at the deadline.
+FIRST_ATTEMPT_SHARE = 0.7
+#: Time left below which a failure is not retried, in seconds.
+MIN_RETRY_TIME_S = 0.05
+#: ``Retry-After`` of a call that no runner has taken, in seconds.
+NO_RUNNER_RETRY_AFTER_S = 0.4
+#: Least time that a runner is given for a call, in seconds, so that no runner
+#: receives a zero.
+MIN_RUNNER_TIME_S = 0.001
 
 
 class NotServed(Exception):
-    """The call ends without a runner's answer.
+    """The call ends without a runner's response.
 
-    :param status: 503 promises that it has not run; 502 and 504 promise
-        nothing.
-    :param retry_after_s: when to come back.
+    :param status: 503 promises that the call has not run; 502 and 504
+        promise nothing.
+    :param retry_after_s: after how many seconds the caller may retry.
     """
 
     def __init__(
@@ -53,16 +54,18 @@
         self.retry_after_s = retry_after_s
 
 
-class Exchange:
-    """One call on its way through attempts to its answer.
+class CallExecution:
+    """Runs one call by attempts at one runner after another.
 
-    :param service: whose runners may run it.
+    Implements :class:`.attempt.EventSink` for the attempts of a stream.
+
+    :param service: the service whose runners may run the call.
     """
 
     __slots__ = (
         "_call",
         "_runner_retry_after_s",
-        "_counted",
+        "_usage_recorded",
         "_customer",
         "_deadline",
         "_loop",
@@ -71,8 +74,8 @@
         "_route",
         "_service",
         "_splitter",
-        "_tried",
-        "_turned_away",
+        "_tried_runners",
+        "_rejections",
         "_last_event_at",
         "first_s",
         "longest_pause_s",
@@ -104,21 +107,22 @@
             wait_s = min(wait_s, call.patience_s)
         self._deadline = call.received_at + wait_s
         self._splitter = events.EventSplitter(call.last_event_id)
-        self._tried: set[str] = set()
-        self._turned_away = 0
-        self._counted = False
+        self._tried_runners: set[str] = set()
+        self._rejections = 0
+        self._usage_recorded = False
         self._runner_retry_after_s: float | None = None
         self._last_event_at: float | None = None
-        #: Between two events of the stream, the longest so far.
+        #: Longest pause between two events of the stream so far, in seconds.
         self.longest_pause_s = 0.0
-        #: From the caller's first byte to the first of the answer.
+        #: Seconds from the first byte of the call to the start of its
+        #: response; None before.
         self.first_s: float | None = None
-        #: Whether a runner may have run the call, or be running it.
+        #: Whether a runner may have run the call or may be running it.
         self.may_have_run = False
-        #: Why there was no answer, "" when there was.
+        #: Why no runner's response was delivered; "" if one was.
         self.reason = ""
         self.runner_id: str | None = None
-        #: Runners to which the call was sent.
+        #: Number of runners to which the call was sent.
         self.sends = 0
         self.served = False
 
@@ -128,33 +132,35 @@
         return self._splitter
 
     async def run(self) -> None:
-        """Answer the call.
+        """Run the call and send its response.
 
-        :raises NotServed: when no runner's answer could be passed on.
+        :raises NotServed: when no runner's response could be forwarded.
         """
         self._relay.budget.record_request(self._service)
         try:
             async with asyncio.timeout_at(self._deadline):
-                await self._attempts()
+                await self._run_attempts()
         except TimeoutError:
             self.reason = "deadline"
             if self._reply.started:
-                self._reply.cut()
+                self._reply.abort()
             elif self.may_have_run:
                 raise NotServed(504, "deadline") from None
             else:
-                raise NotServed(503, "deadline", COME_BACK_S) from None
+                raise NotServed(
+                    503, "deadline", NO_RUNNER_RETRY_AFTER_S
+                ) from None
 
-    async def _attempts(self) -> None:
+    async def _run_attempts(self) -> None:
         while True:
-            outcome = await self._attempt()
-            if outcome.fate is attempts.Fate.ANSWERED:
-                if self._wants_better(outcome):
+            outcome = await self._run_attempt()
+            if outcome.status is attempts.AttemptStatus.ANSWERED:
+                if self._should_retry_failure(outcome):
                     continue
                 self._deliver(outcome)
                 return
             self.reason = outcome.reason
-            self._check_go_on(outcome)
+            self._check_retry(outcome)
             logs.event(
                 "request_retried",
                 request=self._call.request_id,
@@ -163,17 +169,20 @@
                 sends=self.sends,
             )
 
-    async def _attempt(self) -> attempts.Outcome:
+    async def _run_attempt(self) -> attempts.AttemptOutcome:
         upstreams = self._relay.upstreams
-        self._keep_away(upstreams.crashes)
+        self._check_crash_blocklist(upstreams.crashes)
         query = upstreams.query(
-            self._call, self._route, self._service, frozenset(self._tried)
+            self._call,
+            self._route,
+            self._service,
+            frozenset(self._tried_runners),
         )
         runner = upstreams.choose(query)
         if runner is None:
-            raise self._no_answer("no_runner")
+            raise self._not_served("no_runner")
         self.runner_id = runner.runner_id
-        self._tried.add(runner.runner_id)
+        self._tried_runners.add(runner.runner_id)
         errand = self._errand(runner, upstreams.fetch_source(query, runner))
         logs.event(
             "request_routed",
@@ -187,7 +196,7 @@
             attempt=self.sends + 1,
         )
         work = attempts.Attempt(
-            f"{self._call.request_id}.{self._relay.next_number()}",
+            f"{self._call.request_id}.{self._relay.next_attempt_number()}",
             self._call,
             errand,
             runner,
@@ -206,35 +215,38 @@
         work: attempts.Attempt,
         channel: channels.Channel,
         runner: runners.Runner,
-    ) -> attempts.Outcome:
+    ) -> attempts.AttemptOutcome:
         if self.sends and not self._relay.budget.try_acquire(self._service):
             self._relay.upstreams.pool(runner).discard(channel)
-            raise self._no_answer("retry_budget")
+            raise self._not_served("retry_budget")
         self.sends += 1
         ran_before, self.may_have_run = self.may_have_run, True
-        self._splitter.restart()
-        outcome = await work.run(channel, self._patience())
-        if outcome.fate is attempts.Fate.NOT_RUN:
+        self._splitter.discard_partial()
+        outcome = await work.run(channel, self._first_response_timeout_s())
+        if outcome.status is attempts.AttemptStatus.NOT_RUN:
             self.may_have_run = ran_before
-        elif outcome.fate is attempts.Fate.ANSWERED:
-            self.began()
-        if outcome.cut:
+        elif outcome.status is attempts.AttemptStatus.ANSWERED:
+            self.mark_started()
+        if outcome.reset:
             upstreams = self._relay.upstreams
             upstreams.crashes.broke(runner, self._call, self._customer)
-            # Before the caller hears of it and sends the call again.
-            await upstreams.check_crashed(runner)
+            # Awaited here so that a crash is recorded before the caller learns
+            # of the failure and retries the call.
+            await upstreams.check_runner_crash(runner)
         return outcome
 
-    def _keep_away(self, crashes: crash_watch.CrashWatch) -> None:
-        """Give up a call whose like crashed the runners that ran it.
+    def _check_crash_blocklist(self, crashes: crash_watch.CrashWatch) -> None:
+        """Stop a call that matches calls which crashed their runners.
 
-        Asked before each attempt: a runner that takes no connection may
-        just have shown why the one before it broke off.
+        Runs before each attempt: a failed connection may just have shown
+        that the runner of an earlier attempt crashed.
+
+        :raises NotServed: when the call is blocked.
         """
         wait_s = crashes.kept_away_s(self._call, self._customer)
         if wait_s is None:
             return
-        error = self._no_answer("crashes_runners")
+        error = self._not_served("crashes_runners")
         if error.retry_after_s is not None:
             error.retry_after_s = wait_s
         raise error
@@ -242,18 +254,20 @@
     def _errand(
         self, runner: runners.Runner, copy_from: str | None
     ) -> messages.Errand:
-        left_s = self._deadline - self._loop.time() - attempts.RETURN_S
+        left_s = (
+            self._deadline - self._loop.time() - attempts.RESPONSE_MARGIN_S
+        )
         return messages.Errand(
             runner.name,
             self._customer.name if self._customer else None,
-            max(LEAST_WORK_S, left_s),
-            self._place(),
+            max(MIN_RUNNER_TIME_S, left_s),
+            self._queue_level(),
             self._splitter.last_id,
             copy_from,
         )
 
-    def _place(self) -> int | None:
-        """The call's place in an engine's queue; None for a plain one."""
+    def _queue_level(self) -> int | None:
+        """The call's level in an engine's queue; None without a prompt."""
         prompt = self._call.prompt
         if prompt is None:
             return None
@@ -264,60 +278,61 @@
             prompt.tokens_in,
         )
 
-    def _patience(self) -> float | None:
-        """How long the answer may take to begin before another is asked.
+    def _first_response_timeout_s(self) -> float | None:
+        """How long to wait for the response to begin, in seconds.
 
-        A runner that hangs, or whose connection went silent, shows only by
-        this. It is None where the call may not be repeated.
+        Only this timeout detects a runner that hangs or a silently dropped
+        connection before the deadline. It is None if the call must not be
+        repeated, or if too little time would be left for another runner.
         """
-        if not self._may_repeat():
+        if not self._can_repeat():
             return None
         left_s = self._deadline - self._loop.time()
-        wanted_s = PATIENCE_OBJECTIVES * self._route.objective_s
-        patience_s = max(LEAST_PATIENCE_S, wanted_s)
-        most_s = PATIENCE_PART * left_s
+        wanted_s = FIRST_RESPONSE_OBJECTIVE_FACTOR * self._route.objective_s
+        patience_s = max(MIN_FIRST_RESPONSE_TIMEOUT_S, wanted_s)
+        most_s = FIRST_ATTEMPT_SHARE * left_s
         return patience_s if patience_s < most_s else None
 
-    def _may_repeat(self) -> bool:
+    def _can_repeat(self) -> bool:
         return (
             self._route.repeatable
             and self.sends < self._route.max_attempts
             and self._relay.budget.remaining(self._service) >= 1.0
         )
 
-    def _wants_better(self, outcome: attempts.Outcome) -> bool:
-        """Whether a runner's failure is worth another attempt."""
+    def _should_retry_failure(self, outcome: attempts.AttemptOutcome) -> bool:
+        """Whether to retry after a runner's error response."""
         assert outcome.head is not None
         if outcome.head.status < 500 or self._reply.started:
             return False
-        if not self._may_repeat():
+        if not self._can_repeat():
             return False
-        return self._deadline - self._loop.time() > LEAST_LEFT_S
+        return self._deadline - self._loop.time() > MIN_RETRY_TIME_S
 
-    def _check_go_on(self, outcome: attempts.Outcome) -> None:
-        """Return if another runner may be asked.
+    def _check_retry(self, outcome: attempts.AttemptOutcome) -> None:
+        """Check that another runner may be tried.
 
-        :raises NotServed: if not.
+        :raises NotServed: if the call must end here.
         """
-        if outcome.fate is attempts.Fate.BROKEN:
-            if self._may_repeat():
+        if outcome.status is attempts.AttemptStatus.BROKEN:
+            if self._can_repeat():
                 return
-            raise self._no_answer(outcome.reason)
-        self._turned_away += 1
+            raise self._not_served(outcome.reason)
+        self._rejections += 1
         if outcome.retry_after_s is not None:
             self._runner_retry_after_s = outcome.retry_after_s
-        if self._turned_away >= MOST_TURNED_AWAY:
-            raise self._no_answer(outcome.reason)
+        if self._rejections >= MAX_REJECTIONS:
+            raise self._not_served(outcome.reason)
 
-    def _no_answer(self, reason: str) -> NotServed:
+    def _not_served(self, reason: str) -> NotServed:
         self.reason = reason
         if self.may_have_run:
             return NotServed(502, reason)
         return NotServed(
-            503, reason, self._runner_retry_after_s or COME_BACK_S
+            503, reason, self._runner_retry_after_s or NO_RUNNER_RETRY_AFTER_S
         )
 
-    def _deliver(self, outcome: attempts.Outcome) -> None:
+    def _deliver(self, outcome: attempts.AttemptOutcome) -> None:
         assert outcome.head is not None
         self.reason = ""
         if self._reply.started:
@@ -328,37 +343,37 @@
         self._reply.whole(outcome.head.status, headers, outcome.body)
         self.served = 200 <= outcome.head.status < 300
 
-    # What an attempt calls.
+    # Methods of attempt.EventSink.
 
-    def events(
+    def write_events(
         self, head: messages.RunnerHead, data: bytes, count: int
     ) -> bool:
-        """Pass whole events on to the caller.
+        """Write complete events to the caller.
 
-        :returns: False when the caller is far behind.
+        :returns: False when the write buffer is above its limit.
         """
-        self.began()
-        self._note_pause()
+        self.mark_started()
+        self._update_longest_pause()
         if not self._reply.started:
             headers = self._relay.dialect.callers.answer_headers(head)
-            self._reply.start(head.status, headers)
-        return self._reply.send(data)
+            self._reply.start_stream(head.status, headers)
+        return self._reply.send_chunk(data)
 
-    def _note_pause(self) -> None:
+    def _update_longest_pause(self) -> None:
         now = self._loop.time()
         if self._last_event_at is not None:
             pause_s = now - self._last_event_at
             self.longest_pause_s = max(self.longest_pause_s, pause_s)
         self._last_event_at = now
 
-    async def drained(self) -> None:
-        """Wait while the caller is far behind."""
-        await self._reply.drained()
+    async def drain(self) -> None:
+        """Wait until the caller's write buffer is below its limit."""
+        await self._reply.drain()
 
-    def began(self) -> None:
-        """A runner has begun to run the call; it is counted once."""
+    def mark_started(self) -> None:
+        """Record that a runner runs the call; usage counts each call once."""
         if self.first_s is None:
             self.first_s = self._loop.time() - self._call.received_at
-        if not self._counted and self._customer is not None:
-            self._counted = True
+        if not self._usage_recorded and self._customer is not None:
+            self._usage_recorded = True
             self._relay.usage.record_call(self._customer.name)
--- a/src/apricotlever/serving/framing.py
+++ b/src/apricotlever/serving/framing.py
@@ -1,21 +1,21 @@
-"""Refuses requests that two readers of one connection may read differently.
+"""Rejects requests that two HTTP parsers may interpret differently.
 
-The parser takes some of them. What another reader takes for the end of a
-request, or for its host, would let a caller smuggle one past the checks.
+The parser used here accepts some of them. If another parser finds the end or
+the host of a request elsewhere, a caller can smuggle a request past checks.
 """
 
 from . import messages
 from . import routes
 
-#: The parser takes requests without a version for HTTP/0.9, and reads the
-#: line after them as a new request.
-VERSIONS = ("1.0", "1.1")
+#: Accepted versions. The parser treats a request without a version as HTTP/0.9
+#: and the next line as a new request.
+HTTP_VERSIONS = ("1.0", "1.1")
 
 
-class Refused(Exception):
-    """A request that is malformed or over one of the limits.
+class RequestRejected(Exception):
+    """A request is malformed or exceeds a limit.
 
-    :param status: of the answer.
+    :param status: of the response.
     """
 
     def __init__(self, status: int) -> None:
@@ -23,34 +23,34 @@
         self.status = status
 
 
-def check_head(
+def check_request_head(
     version: str,
     target: str,
     headers: messages.Headers,
     limits: routes.CallerLimits,
 ) -> None:
-    """Check a request's head, and the length that it announces.
+    """Check a request's head and its announced body length.
 
     :raises Refused: when the request must not be read on.
     """
     size = sum(len(name) + len(value) + 4 for name, value in headers)
     if size + len(target) > limits.header_bytes:
-        raise Refused(431)
-    if version not in VERSIONS:
-        raise Refused(400)
+        raise RequestRejected(431)
+    if version not in HTTP_VERSIONS:
+        raise RequestRejected(400)
     if not target.startswith("/"):
-        # A whole URL names a host beside the header's; one of the two would
-        # be checked and the other one perhaps served.
-        raise Refused(400)
-    if _codings(headers) not in ([], [b"chunked"]):
-        # What one reader takes for a coding and another for none ends the
-        # body at two places.
-        raise Refused(400)
+        # An absolute URL names a host in addition to the Host header. One of
+        # them could be checked and the other one served.
+        raise RequestRejected(400)
+    if _transfer_codings(headers) not in ([], [b"chunked"]):
+        # Parsers that disagree on whether a transfer coding applies find the
+        # end of the body at different places.
+        raise RequestRejected(400)
     if _content_length(headers) > limits.body_bytes:
-        raise Refused(413)
+        raise RequestRejected(413)
 
 
-def _codings(headers: messages.Headers) -> list[bytes]:
+def _transfer_codings(headers: messages.Headers) -> list[bytes]:
     return [
         value.lower()
         for name, value in headers
--- a/src/apricotlever/serving/opening.py
+++ b/src/apricotlever/serving/opening.py
@@ -1,4 +1,4 @@
-"""When a process that has started begins to answer callers."""
+"""Delays accepting callers until a starting process can serve them."""
 
 import asyncio
 import socket
@@ -6,45 +6,48 @@
 from . import callers
 
 #: How long callers' connections wait for the first configuration and the first
-#: runners, in seconds: as long as peers take to bring what the store does not.
-#: Without either, calls are refused.
-INFORMED_S = 0.4
+#: runners, in seconds. Peers deliver them within this time if the store does
+#: not. Afterwards connections are accepted, and calls are refused while either
+#: is missing.
+READY_TIMEOUT_S = 0.4
 
 
 class Opening:
-    """Holds callers' connections until there is an answer for them.
+    """Leaves callers' connections unaccepted until calls can be served.
 
-    A VM reads configuration and runners within milliseconds of its start.
-    Calls that came meanwhile would be sent away, with one try less; unread,
-    they wait on connections that listen already.
+    A VM reads its configuration and runners within milliseconds of its start.
+    A call read before then would be refused, which costs its caller one
+    attempt. Unaccepted, it waits in the backlog of the listening socket.
     """
 
-    __slots__ = ("_informed", "_waiting")
+    __slots__ = ("_ready", "_waiting_servers")
 
     def __init__(self) -> None:
-        self._informed = asyncio.Event()
-        self._waiting: list[tuple[callers.CallerServer, socket.socket]] = []
+        self._ready = asyncio.Event()
+        self._waiting_servers: list[
+            tuple[callers.CallerServer, socket.socket]
+        ] = []
 
     def add(self, server: callers.CallerServer, sock: socket.socket) -> None:
-        """Have a server wait with its socket."""
-        self._waiting.append((server, sock))
+        """Register a server and its listening socket."""
+        self._waiting_servers.append((server, sock))
 
     def informed(self) -> None:
-        """This VM knows what to serve, and where."""
-        self._informed.set()
+        """Record that this VM has a configuration and runners."""
+        self._ready.set()
 
-    async def serve(self, within_s: float = INFORMED_S) -> bool:
-        """Let the servers take their connections.
+    async def serve(self, within_s: float = READY_TIMEOUT_S) -> bool:
+        """Start the servers once this VM is ready or the time is over.
 
-        :param within_s: whether informed or not, after so many seconds.
-        :returns: whether this VM was informed in time.
+        :param within_s: longest wait, in seconds.
+        :returns: whether this VM was ready in time.
         """
         try:
             async with asyncio.timeout(within_s):
-                await self._informed.wait()
+                await self._ready.wait()
         except TimeoutError:
             pass
-        for server, sock in self._waiting:
+        for server, sock in self._waiting_servers:
             await server.serve(sock)
-        self._waiting.clear()
-        return self._informed.is_set()
+        self._waiting_servers.clear()
+        return self._ready.is_set()
--- a/src/apricotlever/serving/pool.py
+++ b/src/apricotlever/serving/pool.py
@@ -1,30 +1,32 @@
-"""Kept connections to one address."""
+"""Pools of keep-alive connections, one pool per address."""
 
 import asyncio
 import typing
 
 from . import channels
 
-#: How long a connection may idle whose other side did not say how long it
-#: keeps one. An idle time below a second is not announced.
-UNANNOUNCED_S = 0.3
-#: Part of the announced idle time that is used. A request that crosses the
-#: close of an idle connection may have run for all this VM knows.
-KEEP_PART = 0.7
-CONNECT_S = 1.0
-#: How long connections to the store, the cloud and peers are taken to be kept
-#: when the other side does not say; a close is seen before the next call.
-SILENT_KEEP_S = 5.0
+#: Idle time after which a connection is not reused if the peer announced no
+#: keep-alive timeout, in seconds. ``Keep-Alive`` has a resolution of a second,
+#: so shorter timeouts are not announced.
+DEFAULT_IDLE_S = 0.3
+#: Share of the announced keep-alive timeout that is used. If the peer closes
+#: an idle connection while a request is sent, the request may have run.
+KEEP_ALIVE_SHARE = 0.7
+#: Default timeout for opening a connection, in seconds.
+CONNECT_TIMEOUT_S = 1.0
+#: Keep-alive timeout assumed for the store, the cloud and peers if they
+#: announce none, in seconds. A close is noticed before the next request.
+DEFAULT_KEEP_ALIVE_S = 5.0
 
 
 class PoolFull(channels.ChannelError):
-    """As many connections are open as may be; nothing was sent."""
+    """The pool's connection limit is reached; nothing was sent."""
 
 
 class Pool:
-    """Connections to one address; the one used last is used first.
+    """Connections to one address; the most recently used one is reused first.
 
-    :param limit: connections open at once.
+    :param limit: maximum number of open connections.
     """
 
     __slots__ = (
@@ -53,44 +55,44 @@
 
     @property
     def open(self) -> int:
-        """Connections open now."""
+        """The number of open connections."""
         return len(self._open)
 
     @property
     def opened(self) -> int:
-        """Connections ever opened."""
+        """The number of connections ever opened."""
         return self._opened
 
     def set_limit(self, limit: int) -> None:
-        """Change how many may be open; open ones stay."""
+        """Change the connection limit; open connections stay open."""
         self._limit = limit
 
-    def kept(self) -> channels.Channel | None:
-        """A kept connection that may be used, or None."""
+    def take_idle(self) -> channels.Channel | None:
+        """Take an idle connection that may be reused, if there is one."""
         now = asyncio.get_running_loop().time()
         while self._idle:
             channel = self._idle.pop()
-            if channel.idle and now < channel.keep_until:
+            if channel.idle and now < channel.reusable_until:
                 return channel
-            self._drop(channel)
+            self._close_channel(channel)
         return None
 
     async def acquire(
-        self, timeout_s: float = CONNECT_S, fresh: bool = False
+        self, timeout_s: float = CONNECT_TIMEOUT_S, fresh: bool = False
     ) -> channels.Channel:
-        """A connection for one exchange.
+        """Take an idle connection or open one, for one request.
 
-        :param fresh: open a new one even if one is kept.
-        :raises channels.NotConnected: when none opens in time.
-        :raises PoolFull: when too many are open.
+        :param fresh: open a connection even if an idle one is available.
+        :raises channels.NotConnected: when the connection fails or times out.
+        :raises PoolFull: when the connection limit is reached.
         """
-        kept = None if fresh else self.kept()
+        kept = None if fresh else self.take_idle()
         if kept is not None:
             return kept
         if len(self._open) >= self._limit:
             raise PoolFull("too many connections are open")
         channel = await channels.connect(
-            self._host, self._port, timeout_s, self._ended
+            self._host, self._port, timeout_s, self._on_channel_end
         )
         self._opened += 1
         self._open.add(channel)
@@ -102,72 +104,80 @@
         closing: bool,
         keep_alive_s: float | None,
     ) -> None:
-        """Give a connection back after its exchange.
+        """Return a connection to the pool after a complete response.
 
-        :param closing: the other side said that it closes it.
-        :param keep_alive_s: how long it said that it keeps it.
+        :param closing: whether the peer announced that it closes it.
+        :param keep_alive_s: keep-alive timeout that the peer announced, in
+            seconds; None if it announced none.
         """
         if closing or self._retired or not channel.idle:
-            self._drop(channel)
+            self._close_channel(channel)
             return
         kept_s = (
-            UNANNOUNCED_S if keep_alive_s is None else KEEP_PART * keep_alive_s
+            DEFAULT_IDLE_S
+            if keep_alive_s is None
+            else KEEP_ALIVE_SHARE * keep_alive_s
         )
-        channel.keep_until = channel.idle_since + kept_s
+        channel.reusable_until = channel.idle_since + kept_s
         self._idle.append(channel)
 
     def discard(self, channel: channels.Channel) -> None:
-        """Close a connection whose exchange did not end cleanly."""
-        self._drop(channel)
+        """Close a connection whose response did not end cleanly."""
+        self._close_channel(channel)
 
     def close(self) -> None:
-        """Close all idle connections; those in use end with their use."""
+        """Close the idle connections; those in use stay open."""
         idle, self._idle = self._idle, []
         for channel in idle:
-            self._drop(channel)
+            self._close_channel(channel)
 
     def retire(self) -> None:
-        """Keep no connection any more; those in use end with their use."""
+        """Close idle connections now and those in use when released."""
         self._retired = True
         self.close()
 
     def other_side_ended(self) -> None:
-        """Break all connections off, those in use included."""
+        """Abort all connections, as if the peer had reset them."""
         self._retired = True
         while self._open:
-            self._open.pop().other_side_ended()
+            self._open.pop().fail_as_reset()
         self._idle.clear()
 
     def close_old(self, now: float) -> None:
-        """Close idle connections that will not be used again."""
-        stale = [c for c in self._idle if not c.idle or now >= c.keep_until]
+        """Close idle connections that may no longer be reused.
+
+        :param now: on the event loop's clock, in seconds.
+        """
+        stale = [
+            c for c in self._idle if not c.idle or now >= c.reusable_until
+        ]
         for channel in stale:
             self._idle.remove(channel)
-            self._drop(channel)
+            self._close_channel(channel)
 
-    def _drop(self, channel: channels.Channel) -> None:
+    def _close_channel(self, channel: channels.Channel) -> None:
         self._open.discard(channel)
         channel.close()
 
-    def _ended(self, channel: channels.Channel) -> None:
+    def _on_channel_end(self, channel: channels.Channel) -> None:
         self._open.discard(channel)
         if channel in self._idle:
             self._idle.remove(channel)
 
 
 class Answer:
-    """A whole answer."""
+    """A complete response."""
 
     __slots__ = ("status", "headers", "body")
 
-    def __init__(self, head: channels.Head, body: bytes) -> None:
+    def __init__(self, head: channels.ResponseHead, body: bytes) -> None:
         self.status = head.status
         self.headers = head.headers
         self.body = body
 
 
 class NotWanted(channels.ChannelError):
-    """A call was no longer wanted when it could be sent; nothing was."""
+    """A request was no longer wanted once connected; nothing was sent."""
 
 
 async def call(
@@ -177,54 +187,61 @@
     fresh: bool = False,
     still: typing.Callable[[], bool] = lambda: True,
 ) -> Answer:
-    """One whole exchange.
-
-    :param still: asked just before it is sent, whether it is still wanted.
+    """Send a request and read the complete response.
+
+    :param timeout_s: for the connection and again for the response, in
+        seconds.
+    :param fresh: open a connection even if an idle one is available.
+    :param still: called just before sending; tells whether the request is
+        still wanted.
+    :raises PoolFull: nothing was sent.
     :raises channels.NotConnected: nothing was sent.
-    :raises NotWanted: likewise.
-    :raises channels.Broken: it was sent, and the answer did not come.
-    :raises TimeoutError: likewise.
+    :raises NotWanted: nothing was sent.
+    :raises channels.Broken: the request was sent, but no response came.
+    :raises TimeoutError: the request was sent, but no response came.
     """
-    channel = await pool.acquire(min(CONNECT_S, timeout_s), fresh)
+    channel = await pool.acquire(min(CONNECT_TIMEOUT_S, timeout_s), fresh)
     if not still():
         pool.discard(channel)
-        raise NotWanted("it was no longer wanted")
+        raise NotWanted("the request is no longer wanted")
     try:
         async with asyncio.timeout(timeout_s):
             channel.send(request)
-            head = await channel.head()
-            body = await _rest(channel)
+            head = await channel.read_head()
+            body = await _read_body(channel)
     except BaseException:
         pool.discard(channel)
         raise
-    pool.release(channel, _closing(head), _keep_alive(head))
+    pool.release(
+        channel, _announces_close(head), _announced_keep_alive_s(head)
+    )
     return Answer(head, body)
 
 
-async def _rest(channel: channels.Channel) -> bytes:
+async def _read_body(channel: channels.Channel) -> bytes:
     parts = []
-    while (part := await channel.chunk()) is not None:
+    while (part := await channel.read_chunk()) is not None:
         parts.append(part)
     return b"".join(parts)
 
 
-def _closing(head: channels.Head) -> bool:
+def _announces_close(head: channels.ResponseHead) -> bool:
     return any(
         name.lower() == b"connection" and b"close" in value.lower()
         for name, value in head.headers
     )
 
 
-def _keep_alive(head: channels.Head) -> float | None:
-    """The idle time that a head announces; a kept store answers many."""
+def _announced_keep_alive_s(head: channels.ResponseHead) -> float | None:
+    """The keep-alive timeout of a head in seconds, or the default."""
     for name, value in head.headers:
         if name.lower() == b"keep-alive":
             return keep_alive_s(value)
-    return SILENT_KEEP_S
+    return DEFAULT_KEEP_ALIVE_S
 
 
 def keep_alive_s(value: bytes) -> float | None:
-    """The seconds of a ``Keep-Alive`` header, None if it has none."""
+    """The timeout of a ``Keep-Alive`` header in seconds, None if absent."""
     for part in value.split(b","):
         key, _, number = part.strip().partition(b"=")
         if key.lower() == b"timeout" and number.strip().isdigit():
@@ -239,7 +256,7 @@
     body: bytes = b"",
     headers: typing.Iterable[tuple[bytes, bytes]] = (),
 ) -> bytes:
-    """A request with a JSON body or none."""
+    """Encode a request with a JSON body or without a body."""
     lines = [f"{method} {target} HTTP/1.1\r\nHost: {host}\r\n".encode()]
     lines += [name + b": " + value + b"\r\n" for name, value in headers]
     if body or method in ("POST", "PUT"):
--- a/src/apricotlever/serving/relay.py
+++ b/src/apricotlever/serving/relay.py
@@ -1,4 +1,4 @@
-"""Answers callers: checks, limits, attempts, and the final answer."""
+"""Handles callers' calls: authentication, limits, attempts, response."""
 
 import asyncio
 import random
@@ -18,24 +18,26 @@
 from . import routes
 from . import upstreams
 
-#: When a caller that was refused for want of a configuration or of runners
-#: should come back, in seconds: news of either travels within this time.
-COME_BACK_S = 0.3
-#: Added to the time until a limit allows a call, in seconds: a caller that
-#: comes back exactly then may find another one there.
+#: ``Retry-After`` of a call refused without a configuration, in seconds. The
+#: configuration normally reaches a VM within this time.
+NOT_READY_RETRY_AFTER_S = 0.3
+#: Added to the time until a limit admits a call, in seconds. At exactly that
+#: time, another call of the customer may be admitted first.
 LIMIT_MARGIN_S = 0.05
-#: No caller is told to come back sooner, in seconds.
-LEAST_COME_BACK_S = 0.01
-#: The most that a caller of a customer over its limit is sent away for.
-MOST_LIMITED_S = 10.0
+#: Lower limit of ``Retry-After``, in seconds.
+MIN_RETRY_AFTER_S = 0.01
+#: Upper limit of ``Retry-After`` for a customer over its limit, in seconds.
+MAX_LIMIT_RETRY_AFTER_S = 10.0
 
 
 class Refusal(Exception):
-    """A call is not run.
+    """A call ends without a runner's response.
 
-    :param status: of the answer; 429 and 503 promise that it has not run.
-    :param retry_after_s: when to come back; None for never.
-    :param inputs: what decided it, for the log.
+    :param status: of the response; 429 and 503 promise that the call has not
+        run.
+    :param retry_after_s: after how many seconds the caller may retry; None
+        for no ``Retry-After`` header.
+    :param inputs: the inputs of the decision, for the log.
     """
 
     def __init__(
@@ -53,9 +55,9 @@
 
 
 class Relay:
-    """The way of each call through this VM.
+    """Handles each call that this VM receives.
 
-    :param dialect: how callers and runners speak.
+    :param dialect: the protocols of callers and runners.
     """
 
     __slots__ = (
@@ -63,10 +65,10 @@
         "_configuration",
         "_dialect",
         "_limits",
-        "_numbers",
+        "_last_attempt_number",
         "_observations",
         "_rng",
-        "_takes",
+        "_accepts_calls",
         "_upstreams",
         "_usage",
     )
@@ -87,58 +89,58 @@
         self._usage = usage
         self._rng = rng
         self._configuration: routes.Configuration | None = None
-        self._numbers = 0
-        self._takes = True
+        self._last_attempt_number = 0
+        self._accepts_calls = True
         self._observations = observations.Observations()
 
     @property
     def upstreams(self) -> upstreams.Upstreams:
-        """The runners."""
+        """The runners and this VM's connections to them."""
         return self._upstreams
 
     @property
     def budget(self) -> retry_allowance.RetryAllowance:
-        """The retries that this VM may send."""
+        """The allowance of retries to runners."""
         return self._budget
 
     @property
     def usage(self) -> usage_windows.UsageWindows:
-        """What customers used."""
+        """Customers' usage."""
         return self._usage
 
     @property
     def observations(self) -> observations.Observations:
-        """What this VM counts of its calls."""
+        """Counters and latencies of this VM's calls."""
         return self._observations
 
     @property
     def dialect(self) -> dialects.Dialect:
-        """How callers and runners speak."""
+        """The protocols of callers and runners."""
         return self._dialect
 
     def stop_taking(self) -> None:
-        """Refuse all calls that come from now on; another VM takes them."""
-        self._takes = False
+        """Refuse new calls with 503, so that callers retry at another VM."""
+        self._accepts_calls = False
 
     def configure(self, configuration: routes.Configuration) -> None:
-        """Take over a version of the configuration."""
+        """Apply a version of the configuration."""
         self._configuration = configuration
 
-    def next_number(self) -> int:
-        """A new number for an attempt."""
-        self._numbers += 1
-        return self._numbers
+    def next_attempt_number(self) -> int:
+        """Return a number that is unique among this VM's attempts."""
+        self._last_attempt_number += 1
+        return self._last_attempt_number
 
     async def answer(self, raw: callers.RawCall, reply: replies.Reply) -> None:
-        """Answer one call."""
+        """Handle one call, whatever its outcome."""
         call: messages.CallerCall | None = None
         try:
-            call = self._read(raw)
+            call = self._parse(raw)
             await self._serve(call, reply)
         except Refusal as refusal:
-            self._refuse(call, reply, refusal)
+            self._send_refusal(call, reply, refusal)
 
-    def _read(self, raw: callers.RawCall) -> messages.CallerCall:
+    def _parse(self, raw: callers.RawCall) -> messages.CallerCall:
         try:
             return self._dialect.callers.read(
                 raw.method, raw.target, raw.headers, raw.body, raw.received_at
@@ -150,24 +152,24 @@
         self, call: messages.CallerCall, reply: replies.Reply
     ) -> None:
         configuration = self._configuration
-        if not self._takes:
-            raise Refusal(503, "leaving", LEAST_COME_BACK_S)
+        if not self._accepts_calls:
+            raise Refusal(503, "leaving", MIN_RETRY_AFTER_S)
         if configuration is None:
-            raise Refusal(503, "no_configuration", COME_BACK_S)
+            raise Refusal(503, "no_configuration", NOT_READY_RETRY_AFTER_S)
         route = configuration.route_of(call.host, call.path)
         if route is None:
             raise Refusal(404, "no_route")
-        customer = self._customer(configuration, route, call)
-        permit = await self._let_in(customer, call)
+        customer = self._authenticate(configuration, route, call)
+        permit = await self._apply_limit(customer, call)
         point = self._rng.random()
-        work = exchange.Exchange(
+        work = exchange.CallExecution(
             self, call, route, customer, route.service_at(point), reply
         )
-        await self._run(work, call, route, customer, permit)
+        await self._run_and_log(work, call, route, customer, permit)
 
-    async def _run(
+    async def _run_and_log(
         self,
-        work: exchange.Exchange,
+        work: exchange.CallExecution,
         call: messages.CallerCall,
         route: routes.Route,
         customer: routes.Customer | None,
@@ -207,7 +209,7 @@
                 took_s=took_s,
             )
 
-    def _customer(
+    def _authenticate(
         self,
         configuration: routes.Configuration,
         route: routes.Route,
@@ -220,7 +222,7 @@
             raise Refusal(401, "unknown_key")
         return customer
 
-    async def _let_in(
+    async def _apply_limit(
         self, customer: routes.Customer | None, call: messages.CallerCall
     ) -> limits.Permit | None:
         if customer is None:
@@ -238,7 +240,7 @@
             raise Refusal(
                 429,
                 "over_the_limit",
-                min(MOST_LIMITED_S, permit.wait_s + LIMIT_MARGIN_S),
+                min(MAX_LIMIT_RETRY_AFTER_S, permit.wait_s + LIMIT_MARGIN_S),
                 customer=customer.name,
                 units=units,
                 rate=customer.rate,
@@ -247,7 +249,7 @@
             )
         return permit
 
-    def _refuse(
+    def _send_refusal(
         self,
         call: messages.CallerCall | None,
         reply: replies.Reply,
@@ -266,14 +268,14 @@
             **refusal.inputs,
         )
         if reply.started:
-            reply.cut()
+            reply.abort()
             return
         headers = self._dialect.callers.refusal_headers(call)
         if refusal.retry_after_s is not None:
             headers.append(
                 (
                     b"Retry-After",
-                    b"%.2f" % max(LEAST_COME_BACK_S, refusal.retry_after_s),
+                    b"%.2f" % max(MIN_RETRY_AFTER_S, refusal.retry_after_s),
                 )
             )
         reply.whole(refusal.status, headers)
--- a/src/apricotlever/serving/replies.py
+++ b/src/apricotlever/serving/replies.py
@@ -1,8 +1,8 @@
-"""Writes answers to callers."""
+"""Writes HTTP responses to callers."""
 
 import typing
 
-REASONS = {
+REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
     401: b"Unauthorized",
@@ -18,44 +18,53 @@
 }
 
 
-class Channel(typing.Protocol):
-    """A caller's connection, as a reply uses it."""
+class ReplyChannel(typing.Protocol):
+    """The part of a caller's connection that a reply uses."""
 
     @property
     def closing(self) -> bool:
-        """Whether this is the last answer on the connection."""
+        """Whether the connection closes after the current response."""
 
     @property
     def host(self) -> str:
-        """The caller's IP number."""
+        """The caller's IP address."""
 
     @property
-    def behind(self) -> bool:
-        """Whether the caller reads slower than its answer comes."""
+    def write_paused(self) -> bool:
+        """Whether the write buffer is above its limit."""
 
     def write(self, data: bytes) -> None:
-        """Queue bytes for the caller."""
+        """Queue bytes for the caller.
 
-    async def drained(self) -> None:
-        """Wait while the caller is far behind."""
+        :raises CallerGone: when the connection is closed.
+        """
+
+    async def drain(self) -> None:
+        """Wait until the write buffer is below its limit.
+
+        :raises CallerGone: when the caller disconnects or does not read.
+        """
 
     def close(self) -> None:
-        """Close at once."""
+        """Abort the connection."""
 
 
 class CallerGone(Exception):
-    """The caller has closed its connection."""
+    """The caller's connection is closed or timed out."""
 
 
 class Reply:
-    """Writes the answer to one call, once.
+    """Writes the response to one call.
+
+    The response is either written by :meth:`whole`, or by
+    :meth:`start_stream`, :meth:`send_chunk` and :meth:`finish`.
 
     :param channel: the caller's connection.
     """
 
     __slots__ = ("_channel", "_ended", "_started", "status")
 
-    def __init__(self, channel: Channel) -> None:
+    def __init__(self, channel: ReplyChannel) -> None:
         self._channel = channel
         self._started = False
         self._ended = False
@@ -63,17 +72,17 @@
 
     @property
     def started(self) -> bool:
-        """Whether the caller has seen a status."""
+        """Whether the status line was written."""
         return self._started
 
     @property
     def ended(self) -> bool:
-        """Whether the answer is over, whole or not."""
+        """Whether the response has ended, complete or not."""
         return self._ended
 
     @property
     def caller_host(self) -> str:
-        """The caller's IP number."""
+        """The caller's IP address."""
         return self._channel.host
 
     def whole(
@@ -82,45 +91,54 @@
         headers: typing.Iterable[tuple[bytes, bytes]],
         body: bytes = b"",
     ) -> None:
-        """Write a whole answer."""
+        """Write a complete response.
+
+        :raises CallerGone: when the connection is closed.
+        """
         lines = self._head(status, headers)
         lines.append(b"Content-Length: %d\r\n\r\n" % len(body))
         lines.append(body)
         self._ended = True
         self._channel.write(b"".join(lines))
 
-    def start(
+    def start_stream(
         self, status: int, headers: typing.Iterable[tuple[bytes, bytes]]
     ) -> None:
-        """Write the head of an answer that comes in pieces."""
+        """Write the head of a chunked response.
+
+        :raises CallerGone: when the connection is closed.
+        """
         lines = self._head(status, headers)
         lines.append(b"Transfer-Encoding: chunked\r\n\r\n")
         self._channel.write(b"".join(lines))
 
-    def send(self, data: bytes) -> bool:
-        """Write a piece.
+    def send_chunk(self, data: bytes) -> bool:
+        """Write a chunk.
 
-        :returns: False when the caller is far behind; wait for
-            :meth:`drained` then.
-        :raises CallerGone: when nobody reads any more.
+        :returns: False when the write buffer is above its limit; await
+            :meth:`drain` then.
+        :raises CallerGone: when the connection is closed.
         """
         self._channel.write(b"%x\r\n%b\r\n" % (len(data), data))
-        return not self._channel.behind
+        return not self._channel.write_paused
 
-    async def drained(self) -> None:
-        """Wait while the caller is far behind.
+    async def drain(self) -> None:
+        """Wait until the write buffer is below its limit.
 
-        :raises CallerGone: when it does not read for too long.
+        :raises CallerGone: when the caller disconnects or does not read.
         """
-        await self._channel.drained()
+        await self._channel.drain()
 
     def finish(self) -> None:
-        """The answer is complete."""
+        """End a chunked response.
+
+        :raises CallerGone: when the connection is closed.
+        """
         self._ended = True
         self._channel.write(b"0\r\n\r\n")
 
-    def cut(self) -> None:
-        """End an answer early, so that it can't be taken for a whole one."""
+    def abort(self) -> None:
+        """Abort the connection, so that the response is seen as incomplete."""
         self._ended = True
         self._channel.close()
 
@@ -129,7 +147,7 @@
     ) -> list[bytes]:
         self._started = True
         self.status = status
-        reason = REASONS.get(status, b"Status")
+        reason = REASON_PHRASES.get(status, b"Status")
         lines = [b"HTTP/1.1 %d %b\r\n" % (status, reason)]
         lines += [b"%b: %b\r\n" % header for header in headers]
         if self._channel.closing:
--- a/src/apricotlever/serving/routes.py
+++ b/src/apricotlever/serving/routes.py
@@ -1,8 +1,8 @@
-"""The configuration in force as the request path needs it.
+"""The configuration in force, in the form that the request path uses.
 
-A dialect translates what the operators wrote into these types once for each
-version; they are never changed afterwards, so a request can hold on to the
-version with which it began.
+A dialect translates each version of the operators' configuration into these
+types once. They are never changed afterwards, so a call can keep the version
+with which it began.
 """
 
 import enum
@@ -12,7 +12,7 @@
 
 
 class CallKind(enum.Enum):
-    """What may be repeated, and how the answer arrives."""
+    """Whether a call may be repeated, and whether its response is a stream."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non-idempotent"
@@ -20,17 +20,17 @@
 
 
 class Route:
-    """Where the calls below one path prefix of one host go.
-
-    :param targets: services with their weights; more than one splits.
-    :param kind: what may be repeated.
-    :param resumable: whether a stream may go on at another runner.
-    :param timeout_s: the longest that a caller is kept waiting.
-    :param objective_s: a first answer within it is on time.
-    :param gap_s: the longest pause between two events that is on time;
-        0 when the route has none.
+    """Destination and terms of the calls below a path prefix of a host.
+
+    :param targets: services with their weights; several split the traffic.
+    :param kind: whether calls may be repeated or are streams.
+    :param resumable: whether a stream may be resumed at another runner.
+    :param timeout_s: longest time until a call ends, in seconds.
+    :param objective_s: latency objective of the first byte, in seconds.
+    :param gap_s: objective of the pause between two events, in seconds; 0 if
+        the route has none.
     :param priority: 0 is the most urgent.
-    :param max_attempts: runners to which one call may be sent.
+    :param max_attempts: maximum number of runners to which a call is sent.
     :param public: whether calls need no API key.
     """
 
@@ -79,15 +79,15 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a call that may have run can be sent once more."""
+        """Whether a call that may have run may be sent again."""
         if self.kind is CallKind.STREAM:
             return self.resumable
         return self.kind is CallKind.IDEMPOTENT
 
     def service_at(self, point: float) -> str:
-        """The service at a point of the split.
+        """The service at a point of the weighted split.
 
-        :param point: uniform in [0, 1).
+        :param point: uniformly random in [0, 1).
         """
         left = point * sum(weight for _, weight in self.targets)
         for service, weight in self.targets:
@@ -98,13 +98,13 @@
 
 
 class Customer:
-    """One customer: its API keys and its limit.
+    """A customer with its API keys and rate limit.
 
-    :param priority: goes before the route's; None when it has none.
+    :param priority: overrides the route's; None for no override.
     :param rate: units per second for the whole fleet, 0 for no limit.
-    :param burst: units on top of the rate.
-    :param by_tokens: whether a unit is a token and not a request.
-    :param default_tokens: what a call counts that declares no tokens.
+    :param burst: units allowed in addition to the rate.
+    :param by_tokens: whether a unit is a token instead of a request.
+    :param default_tokens: units of a call that declares no tokens.
     """
 
     __slots__ = (
@@ -137,11 +137,11 @@
 
 
 class Engine:
-    """What a service's runners are, when they run a language model.
+    """Properties of a service's runners that run a language model.
 
-    :param concurrency: requests in one batch.
-    :param memory_tokens: tokens that fit into a runner's cache.
-    :param copies: whether a runner can copy another's cached tokens.
+    :param concurrency: maximum number of requests in a batch.
+    :param memory_tokens: capacity of a runner's cache in tokens.
+    :param copies: whether a runner can copy another runner's cached tokens.
     """
 
     __slots__ = ("concurrency", "memory_tokens", "copies")
@@ -155,9 +155,12 @@
 
 
 class Service:
-    """A service: model runners or plain ones.
+    """A service and the properties of its runners.
 
-    :param max_connections: that one runner takes from all VMs together.
+    :param max_connections: connections that a runner accepts from all VMs
+        together.
+    :param engine: None if the runners run no language model.
+    :param scaling: None if the service is not scaled automatically.
     """
 
     __slots__ = ("name", "max_connections", "engine", "scaling")
@@ -176,7 +179,14 @@
 
 
 class CallerLimits:
-    """What a caller may send, and how long it may take."""
+    """Limits of the size and duration of callers' requests.
+
+    :param header_bytes: maximum size of a request head.
+    :param body_bytes: maximum size of a request body.
+    :param header_s: time limit for receiving a request head, in seconds.
+    :param idle_s: time limit for an idle connection and for receiving a
+        whole request, in seconds.
+    """
 
     __slots__ = ("header_bytes", "body_bytes", "header_s", "idle_s")
 
@@ -196,7 +206,7 @@
 class Configuration:
     """One version of the configuration, indexed for look-ups.
 
-    :param version: rises, not evenly.
+    :param version: increases with each change, not necessarily by one.
     """
 
     __slots__ = (
@@ -234,15 +244,15 @@
         }
 
     def route_of(self, host: str, path: str) -> Route | None:
-        """The route with the longest prefix of a path, if any."""
+        """The route with the longest prefix of a path, None without one."""
         candidates = self._by_host.get(host, ())
         return next((r for r in candidates if path.startswith(r.prefix)), None)
 
     def customer_of(self, key: str) -> Customer | None:
-        """The customer that holds an API key, if any."""
+        """The customer of an API key, None if the key is unknown."""
         return self._by_key.get(key)
 
     @property
     def keyed(self) -> bool:
-        """Whether calls need an API key at all."""
+        """Whether calls to non-public routes need an API key."""
         return bool(self.customers)
--- a/src/apricotlever/serving/upstreams.py
+++ b/src/apricotlever/serving/upstreams.py
@@ -1,4 +1,4 @@
-"""The runners as the request path uses them: choice, connections, load."""
+"""The runners as the request path uses them: routing, connections, load."""
 
 import random
 import typing
@@ -24,15 +24,15 @@
 from . import runners
 from . import trials
 
-#: What an answer of a plain service counts as, in tokens.
-NO_TOKENS = 0
+#: Output tokens reported for a response whose tokens are not counted.
+NO_OUTPUT_TOKENS = 0
 
 
 class Upstreams:
-    """All runners of all services.
+    """Chooses runners of all services and tracks calls, failures and load.
 
-    :param directory: which runners there are.
-    :param news: called when a runner was given a prompt to read.
+    :param directory: the known runners.
+    :param news: called when a prompt was sent to a runner.
     :param roll_outs: determines the roles of runners in roll-outs; None
         without roll-outs.
     """
@@ -42,17 +42,17 @@
         "_configuration",
         "_crashes",
         "_directory",
-        "_news",
-        "_others",
+        "_on_prompt_sent",
+        "_peer_in_flight",
         "_outliers",
-        "_own",
+        "_own_in_flight",
         "_pools",
-        "_reading",
+        "_prefills",
         "_roll_outs",
         "_router",
         "_silence",
         "_trials",
-        "_work",
+        "_meters",
     )
 
     def __init__(
@@ -67,7 +67,7 @@
         roll_outs: roll_outs_controller.RollOutController | None = None,
     ) -> None:
         self._clock = clock
-        self._news = news
+        self._on_prompt_sent = news
         self._roll_outs = roll_outs or roll_outs_controller.RollOutController(
             clock, rng, roll_outs_model.RollOutLimits()
         )
@@ -80,56 +80,63 @@
         )
         self._pools = runner_pools.RunnerPools()
         self._configuration: routes.Configuration | None = None
-        self._own: dict[str, int] = {}
+        self._own_in_flight: dict[str, int] = {}
         self._silence = silence_detector.SilenceDetector(clock)
-        self._others: dict[str, int] = {}
-        self._work: dict[str, prefill_load.PrefillMeter] = {}
-        #: Attempts without an answer yet: work counter, query, tokens to
-        #: read, start.
-        self._reading: dict[
+        self._peer_in_flight: dict[str, int] = {}
+        self._meters: dict[str, prefill_load.PrefillMeter] = {}
+        #: Attempts without a response yet, by name: meter, query, prompt
+        #: tokens to process, and start on the clock in seconds.
+        self._prefills: dict[
             str, tuple[prefill_load.PrefillMeter, models.Query, int, float]
         ] = {}
 
     @property
     def directory(self) -> directories.Directory:
-        """Which runners there are."""
+        """The known runners."""
         return self._directory
 
     @property
     def crashes(self) -> crash_watch.CrashWatch:
-        """Crashes of runners, and the calls that may cause them."""
+        """Crashes of runners and the calls that may have caused them."""
         return self._crashes
 
     @property
     def in_flight(self) -> dict[str, int]:
-        """This VM's calls at each runner that has any."""
-        return {name: count for name, count in self._own.items() if count}
+        """This VM's calls in progress by runner, without zeros."""
+        return {
+            name: count for name, count in self._own_in_flight.items() if count
+        }
 
     @property
     def silent(self) -> list[str]:
-        """Runners that this VM finds silent."""
+        """Runners that this VM observes as silent."""
         return self._silence.silent_here
 
     @property
     def failures(self) -> outlier_detector.Counts:
-        """This VM's failed and all calls, by runner."""
+        """This VM's counts of failed and of all calls, by runner."""
         return self._outliers.own_counts
 
     @property
     def pending(self) -> dict[str, int]:
-        """Prompt tokens that wait at each runner for this VM."""
+        """Prompt tokens of this VM that await a first token, by runner."""
         return self._router.pending_tokens()
 
     @property
     def work(self) -> dict[str, tuple[int, float, float]]:
-        """Tokens read, a runner's speed and the pressure, by service."""
+        """Prompt processing by service.
+
+        :returns: uncached prompt tokens sent since the start, a runner's
+            prefill speed in tokens per second, and the mean ratio of latency
+            to objective.
+        """
         return {
             name: (work.total_tokens, work.prefill_speed, work.latency_ratio)
-            for name, work in self._work.items()
+            for name, work in self._meters.items()
         }
 
     def all_in_flight(self, service: str) -> int:
-        """Calls of all VMs at the runners of a service."""
+        """The number of calls of all VMs at a service's runners."""
         return self.in_flight_at(
             r.runner_id
             for r in self._directory.runners
@@ -138,23 +145,23 @@
 
     @property
     def opened(self) -> int:
-        """Connections opened to the runners that are known now."""
+        """The number of connections ever opened to the known runners."""
         return self._pools.opened
 
     def configure(self, configuration: routes.Configuration) -> None:
-        """Take over a version of the configuration."""
+        """Apply a version of the configuration."""
         self._configuration = configuration
         self._pools.configure(configuration.services)
         self.refresh()
 
     def refresh(self) -> None:
-        """Take over which runners take new work."""
+        """Apply the directory's runners to routing, pools and detectors."""
         listed = self._directory.runners
         self._roll_outs.set_runners(listed)
         self._router.set_runners(
-            _described(runner, pool)
+            _routing_view(runner, pool)
             for runner in listed
-            if not runner.leaving and (pool := self._pool_of(runner))
+            if not runner.leaving and (pool := self._routing_pool(runner))
         )
         self._crashes.listed(listed)
         present = {runner.runner_id for runner in listed}
@@ -163,18 +170,18 @@
         self._pools.keep_only(listed)
 
     def set_members(self, count: int) -> None:
-        """Take over how many VMs share the runners' connections."""
+        """Set how many VMs share each runner's connection limit."""
         self._pools.set_members(count)
 
     def observe_peers(self, loads: peer_loads.PeerLoads) -> None:
-        """Take in what the other VMs do at each runner."""
+        """Apply what the other VMs report of each runner."""
         self._silence.set_peer_counts(loads.silent)
         for source, counts in loads.failures.items():
             self._outliers.add_peer_counts(
                 source, counts, loads.from_aggregate
             )
-        self._judge()
-        self._others = others = loads.in_flight
+        self._detect_outliers()
+        self._peer_in_flight = others = loads.in_flight
         self._router.observe_pending(loads.pending)
         for runner in self._directory.runners:
             name = runner.runner_id
@@ -182,7 +189,7 @@
             self._router.observe_load(
                 name,
                 models.LoadReport(
-                    total, 0, runner.concurrency, 0, self._blocks(runner)
+                    total, 0, runner.concurrency, 0, self._cache_blocks(runner)
                 ),
             )
 
@@ -193,7 +200,10 @@
         service: str,
         excluded: frozenset[str],
     ) -> models.Query:
-        """What routing has to know of a call."""
+        """Build the routing query of a call.
+
+        :param excluded: runners that must not be chosen.
+        """
         prompt = call.prompt
         if prompt is None:
             return models.Query(
@@ -219,15 +229,16 @@
             excluded=excluded,
             wanted_first_token_s=route.objective_s,
             shared_blocks=len(shared),
-            can_copy=self._copies(service),
+            can_copy=self._can_copy(service),
         )
 
     def fetch_source(
         self, query: models.Query, runner: runners.Runner
     ) -> str | None:
-        """Where a runner may copy the cached part of a prompt from.
+        """The runner from which a prompt's cached prefix may be copied.
 
-        :returns: ``host:port``, None when it has to read all itself.
+        :returns: ``host:port``; None if the runner has to process the whole
+            prompt itself.
         """
         if not query.can_copy:
             return None
@@ -235,7 +246,7 @@
         return source.address if source is not None else None
 
     def choose(self, query: models.Query) -> runners.Runner | None:
-        """The runner for a query, None when there is none."""
+        """Choose a runner for a query; None if none is available."""
         service = query.pool
         repeated = bool(query.excluded)
         if self._roll_outs.should_use_new_version(
@@ -244,11 +255,11 @@
             query.pool = trials.pool_name(
                 service, roll_outs_model.RunnerRole.CANARY
             )
-            choice = self._choose(query)
+            choice = self._choose_healthy(query)
             if not isinstance(choice, models.NoRunner):
                 return self._directory.get(choice.runner.name)
             query.pool = service
-        choice = self._choose(query)
+        choice = self._choose_healthy(query)
         if isinstance(choice, models.NoRunner):
             logs.event(
                 "no_runner", service=query.pool, reason=choice.reason.value
@@ -257,7 +268,7 @@
         return self._directory.get(choice.runner.name)
 
     def serves(self, runner: runners.Runner) -> bool:
-        """Whether a runner takes regular calls of its service."""
+        """Whether a runner takes its service's regular calls."""
         return (
             self._roll_outs.role(runner) is roll_outs_model.RunnerRole.SERVING
         )
@@ -265,42 +276,43 @@
     def in_flight_at(self, names: typing.Iterable[str]) -> int:
         """The number of calls of all VMs at the given runners."""
         return sum(
-            self._own.get(name, 0) + self._others.get(name, 0)
+            self._own_in_flight.get(name, 0)
+            + self._peer_in_flight.get(name, 0)
             for name in names
         )
 
     def pool(self, runner: runners.Runner) -> pools.Pool:
-        """The connections to a runner."""
+        """The connection pool of a runner."""
         return self._pools.of(runner)
 
     def started(
         self, attempt: str, runner: runners.Runner, query: models.Query
     ) -> None:
-        """A call was sent to a runner."""
+        """Record that a call was sent to a runner."""
         name = runner.runner_id
-        self._own[name] = self._own.get(name, 0) + 1
+        self._own_in_flight[name] = self._own_in_flight.get(name, 0) + 1
         self._silence.call_sent(name)
         tokens = self._router.request_started(attempt, name, query)
-        counter = self._counter(runner.service)
+        counter = self._meter(runner.service)
         self._trials.sent(
             attempt, runner, query.entry, tokens, counter.prefill_speed
         )
         if query.prompt_tokens:
             counter.record_sent(tokens)
-            if self._news is not None:
-                self._news()
+            if self._on_prompt_sent is not None:
+                self._on_prompt_sent()
             now = self._clock.now()
-            self._reading[attempt] = (counter, query, tokens, now)
+            self._prefills[attempt] = (counter, query, tokens, now)
 
-    def heard(self, runner: runners.Runner) -> None:
-        """A byte of an answer came from a runner."""
+    def bytes_received(self, runner: runners.Runner) -> None:
+        """Record that bytes of a response came from a runner."""
         self._silence.bytes_received(runner.runner_id)
 
     def first_answer(self, attempt: str) -> None:
-        """The first byte of an answer came."""
+        """Record the start of an attempt's response."""
         self._router.first_token(attempt)
         self._trials.first_answer(attempt)
-        reading = self._reading.pop(attempt, None)
+        reading = self._prefills.pop(attempt, None)
         if reading is not None:
             counter, query, tokens, since = reading
             counter.record_first_answer(
@@ -314,62 +326,69 @@
         attempt: str,
         runner: runners.Runner,
         outcome: models.Outcome,
-        tokens: int = NO_TOKENS,
+        tokens: int = NO_OUTPUT_TOKENS,
         blamed: bool = False,
     ) -> None:
-        """A call ended at its runner.
+        """Record the end of a call at its runner.
 
-        :param blamed: the runner turned it away or said nothing, which a
-            full runner does too: it counts only beside its service's others.
+        :param tokens: output tokens of the response.
+        :param blamed: whether the runner rejected the call or did not
+            respond. An overloaded runner does so too, so this counts only in
+            outlier detection, which compares the runners of a service.
         """
-        self._reading.pop(attempt, None)
+        self._prefills.pop(attempt, None)
         self._trials.ended(attempt, outcome)
         name = runner.runner_id
         self._silence.call_ended(name)
         if outcome is not models.Outcome.CANCELLED or blamed:
             failed = outcome is models.Outcome.FAILED or blamed
             self._outliers.call_ended(name, failed)
-        left = self._own.get(name, 1) - 1
+        left = self._own_in_flight.get(name, 1) - 1
         if left > 0:
-            self._own[name] = left
+            self._own_in_flight[name] = left
         else:
-            self._own.pop(name, None)
+            self._own_in_flight.pop(name, None)
         self._router.request_finished(attempt, outcome, tokens)
 
-    def unreachable(self, runner: runners.Runner) -> None:
-        """No connection to a runner opened."""
+    def connect_failed(self, runner: runners.Runner) -> None:
+        """Record that no connection to a runner could be opened."""
         self._router.record_failure(runner.runner_id)
         self._crashes.lost(runner)
 
-    async def check_crashed(self, runner: runners.Runner) -> None:
-        """Find out whether a runner that broke an answer off has ended."""
+    async def check_runner_crash(self, runner: runners.Runner) -> None:
+        """Check whether a runner that broke a connection has crashed."""
         if self._directory.get(runner.runner_id) is None:
-            # Another one has started in its place, or its entry has gone.
+            # The runner was replaced, or its entry was removed.
             return
         if await self._crashes.refuses(runner, self.pool(runner)):
-            self.unreachable(runner)
+            self.connect_failed(runner)
 
-    def replaced(self, runner: runners.Runner) -> None:
-        """Another runner answers at a runner's address."""
+    def runner_replaced(self, runner: runners.Runner) -> None:
+        """Remove a runner whose address now belongs to another runner."""
         self._directory.gone(runner.runner_id)
         self.refresh()
 
     def sweep(self, now: float) -> None:
-        """Close connections that idled for too long."""
+        """Close expired idle connections and advance crash detection.
+
+        :param now: on the event loop's clock, in seconds.
+        """
         self._pools.sweep(now)
         self._crashes.tick()
 
-    def _judge(self) -> None:
+    def _detect_outliers(self) -> None:
         by_service: dict[str, list[str]] = {}
         for runner in self._directory.runners:
-            pool = "" if runner.leaving else self._pool_of(runner)
+            pool = "" if runner.leaving else self._routing_pool(runner)
             if pool:
                 by_service.setdefault(pool, []).append(runner.runner_id)
         for found in self._outliers.detect(by_service.values()):
             logs.event("runner_outlier", **found.inputs)
 
-    def _choose(self, query: models.Query) -> models.Route | models.NoRunner:
-        """Choose a runner from a pool, preferring healthy ones."""
+    def _choose_healthy(
+        self, query: models.Query
+    ) -> models.Route | models.NoRunner:
+        """Choose a runner from the query's pool, preferring healthy ones."""
         excluded = query.excluded
         avoided = self._silence.silent | self._outliers.ejected
         query.excluded = excluded | avoided
@@ -379,35 +398,35 @@
             choice = self._router.choose(query)
         return choice
 
-    def _pool_of(self, runner: runners.Runner) -> str:
-        """The pool of a runner; "" for none.
+    def _routing_pool(self, runner: runners.Runner) -> str:
+        """The routing pool of a runner; "" for none.
 
         Each version has its own pool, so that prompts are neither placed nor
         copied across versions.
         """
         return trials.pool_name(runner.service, self._roll_outs.role(runner))
 
-    def _copies(self, name: str) -> bool:
+    def _can_copy(self, name: str) -> bool:
         configuration = self._configuration
         service = configuration and configuration.services.get(name)
         return bool(service and service.engine and service.engine.copies)
 
-    def _counter(self, service: str) -> prefill_load.PrefillMeter:
-        return self._work.setdefault(service, prefill_load.PrefillMeter())
+    def _meter(self, service: str) -> prefill_load.PrefillMeter:
+        return self._meters.setdefault(service, prefill_load.PrefillMeter())
 
-    def _blocks(self, runner: runners.Runner) -> int:
-        service = self._service(runner)
+    def _cache_blocks(self, runner: runners.Runner) -> int:
+        service = self._service_of(runner)
         if service is None or service.engine is None:
             return 0
         return service.engine.memory_tokens // prefix.TOKENS_PER_BLOCK
 
-    def _service(self, runner: runners.Runner) -> routes.Service | None:
+    def _service_of(self, runner: runners.Runner) -> routes.Service | None:
         if self._configuration is None:
             return None
         return self._configuration.services.get(runner.service)
 
 
-def _described(runner: runners.Runner, pool: str) -> models.Runner:
+def _routing_view(runner: runners.Runner, pool: str) -> models.Runner:
     return models.Runner(
         runner.runner_id,
         runner.address,
--- a/tests/steps/serving_relay.py
+++ b/tests/steps/serving_relay.py
@@ -368,7 +368,7 @@
         await world.send()
         await asyncio.sleep(seconds)
         (channel,) = world.server.channels
-        context.waiting = channel.unsent
+        context.waiting = channel.unsent_bytes
         return await world.receive()
 
     context.replies = [_run(context, late())]
