--- a/tests/serving/callers.feature
+++ b/tests/serving/callers.feature
@@ -1,32 +1,32 @@
-Feature: What callers may send
+Feature: Reading callers' requests
 
-  Scenario Outline: Malformed and oversized calls are refused and run nowhere
+  Scenario Outline: Malformed and oversized calls are rejected and do not run
     Given a route for idempotent calls with small limits
     And a runner that answers
-    When a caller sends <bytes>
+    When a caller sends <request>
     Then the status is <status>
     And no runner ran a call
 
     Examples:
-      | bytes                         | status |
-      | no HTTP                       | 400    |
-      | two lengths                   | 400    |
-      | a length and chunks           | 400    |
-      | a head that is too long       | 431    |
-      | a body that is too long       | 413    |
-      | chunks that are too long      | 413    |
-      | half a head and waits         | 408    |
+      | request                       | status |
+      | bytes that are not HTTP       | 400    |
+      | two different lengths         | 400    |
+      | a length and chunked coding   | 400    |
+      | a head over the limit         | 431    |
+      | a body length over the limit  | 413    |
+      | a chunk over the limit        | 413    |
+      | half a head and then waits    | 408    |
 
-  Scenario: A body in chunks reaches the runner whole
+  Scenario: A chunked body reaches the runner complete
     Given a route for idempotent calls
     And a runner that answers
-    When a caller sends a body in chunks
+    When a caller sends a chunked body
     Then the status is 200
-    And runner 1 read the body "hello world"
+    And runner 1 received the body "hello world"
 
-  Scenario: A VM that leaves says so on the last answer
+  Scenario: A leaving VM announces the close on its last response
     Given a route for idempotent calls
     And a runner that answers
-    When the VM leaves while a call is made
+    When the VM starts to leave while a call is in progress
     Then the status is 200
-    And the connection is closed after it
+    And the connection closes after the response
--- a/tests/serving/fuzz.feature
+++ b/tests/serving/fuzz.feature
@@ -1,30 +1,27 @@
-Feature: What callers send is read as a strict server reads it
+Feature: Callers' requests are parsed as by a strict HTTP parser
 
-  # Symptom: a call runs that no check has seen, or a check sees another call
-  # than the one that runs.
-  # Events: a caller sends two lengths, a lone line feed, a space before a
-  # colon, or bytes that are no request at all.
-  # Cause: a reader that makes the best of what two readers may understand
-  # differently.
-  Scenario: Requests that are mangled at random
-    Then 600 connections of mangled requests are read as by the strict reader
+  # Guards against request smuggling: a lenient parser accepts two lengths, a
+  # bare line feed, a space before a colon or bytes that are no request, so a
+  # call runs that no check has seen, or not as it was checked.
+  Scenario: Randomly mutated requests
+    Then 600 connections of mutated requests are parsed as by the strict parser
 
-  Scenario Outline: Requests known for smuggling
-    When a smuggler sends <trick>
+  Scenario Outline: Known request smuggling attacks are rejected
+    When the server receives <attack>
     Then no call reaches a handler and the connection is closed
 
     Examples:
-      | trick                             |
-      | a length and chunks               |
-      | two lengths                       |
+      | attack                            |
+      | a length and chunked coding       |
+      | two different lengths             |
       | two equal lengths                 |
       | a signed length                   |
-      | a coding that is not known        |
-      | chunked twice                     |
+      | an unknown transfer coding        |
+      | chunked coding twice              |
       | a space before the colon          |
       | a folded header                   |
       | a bare line feed                  |
-      | a null in a header                |
+      | a null byte in a header           |
       | a chunk size with a sign          |
       | a chunk without its line end      |
       | an absolute target                |
--- a/tests/serving/opening.feature
+++ b/tests/serving/opening.feature
@@ -1,24 +1,23 @@
-Feature: Callers who come while a process starts wait for it
+Feature: Callers that connect while a process starts
 
-  # Symptom: after all VMs lost power, callers fail with their last try although
-  # a VM is back a quarter of a second later.
-  # Events: a VM starts; callers connect while it loads its modules.
-  # Cause: the port listens only when everything is loaded.
-  Scenario: A call that comes before its server has started is answered
-    Given a port that listens before its server has started
-    When a caller sends a call, and the server starts then
-    Then the caller has its answer
+  # Guards against refused connections while a starting VM loads its modules,
+  # because the port listens too late. After a power loss of all VMs, callers
+  # then fail for good although a VM is back a quarter of a second later.
+  Scenario: A call that arrives before the server has started is answered
+    Given a listening port whose server has not started
+    When a caller sends a call and then the server starts
+    Then the caller receives its response
 
-  # Symptom: calls are refused for want of a configuration that is there three
-  # milliseconds later.
-  # Cause: connections are taken before there is an answer for them.
-  Scenario: A call that comes before the configuration waits for it
-    Given a port that listens before its server has started
-    When a caller sends a call, and the VM is informed then
-    Then the call was not read before
-    And the caller has its answer
+  # Guards against calls that are refused without a configuration, although it
+  # arrives three milliseconds later, because connections are accepted before
+  # calls can be served.
+  Scenario: A call that arrives before the configuration waits for it
+    Given a listening port whose server has not started
+    When a caller sends a call and then the VM becomes ready
+    Then the call was not read before the VM was ready
+    And the caller receives its response
 
-  Scenario: A VM that is told nothing answers all the same
-    Given a port that listens before its server has started
-    When a caller sends a call, and the VM is not informed in time
-    Then the caller has its answer
+  Scenario: A VM that does not become ready in time answers nevertheless
+    Given a listening port whose server has not started
+    When a caller sends a call and the VM does not become ready in time
+    Then the caller receives its response
--- a/tests/serving/relay.feature
+++ b/tests/serving/relay.feature
@@ -1,25 +1,25 @@
-Feature: The way of a call through an entry VM
+Feature: Relaying calls through an entry VM
 
-  Scenario: A call is answered by a runner, byte by byte
+  Scenario: A runner's response reaches the caller unchanged
     Given a route for idempotent calls
     And a runner that answers
     When a call is made
     Then the status is 200 with "from runner-1"
-    And runner 1 saw the customer "clerks" and the call's own id
+    And runner 1 received the customer "clerks" and the call's own id
 
-  Scenario: Calls on one connection are answered in order
+  Scenario: Pipelined calls on one connection are answered in order
     Given a route for idempotent calls
     And a runner that answers
-    When 3 calls are sent at once on one connection
-    Then 3 answers with status 200 come in their order
+    When 3 pipelined calls are sent on one connection
+    Then 3 responses with status 200 arrive in order
 
-  Scenario: No configuration yet
+  Scenario: Calls are refused without a configuration
     Given a runner that answers
     When a call is made
     Then the status is 503 with a time to come back
     And no runner ran a call
 
-  Scenario Outline: What the configuration does not allow
+  Scenario Outline: Calls that the configuration does not allow are refused
     Given a route for idempotent calls
     And a runner that answers
     When a call with <what> is made
@@ -37,11 +37,10 @@
     When 2 calls are made
     Then the status is 429 with a time to come back
 
-  # Symptom: a record is registered twice.
-  # Events: the runner takes the call, its connection breaks before the
-  # answer, and the call is sent to another runner.
-  # Cause: a broken connection taken for a call that has not run.
-  Scenario Outline: A call that may have run is not repeated unless it may be
+  # Guards against a non-idempotent call that runs twice, because it is sent to
+  # another runner after its connection broke before the response, although
+  # the first runner may have run it.
+  Scenario Outline: Only idempotent calls are repeated if they may have run
     Given a route for <kind> calls
     And a runner that <fault>
     And a runner that <fault>
@@ -50,14 +49,14 @@
     And runners ran <runs> calls
 
     Examples:
-      | kind           | fault                               | runs |
-      | non-idempotent | resets                              | 1    |
-      | non-idempotent | babbles                             | 1    |
-      | non-idempotent | answers unsigned                    | 1    |
-      | non-idempotent | breaks off an answer without length | 1    |
-      | idempotent     | resets                              | 2    |
-
-  Scenario: A runner's failure is tried once more where it may be
+      | kind           | fault                                   | runs |
+      | non-idempotent | resets                                  | 1    |
+      | non-idempotent | sends an invalid response               | 1    |
+      | non-idempotent | sends an unsigned response              | 1    |
+      | non-idempotent | resets within a response without length | 1    |
+      | idempotent     | resets                                  | 2    |
+
+  Scenario: An idempotent call is retried after an error response
     Given a route for idempotent calls
     And a runner that fails, then answers
     And a runner that fails, then answers
@@ -65,128 +64,122 @@
     Then the status is 500
     And runners ran 2 calls
 
-  Scenario: A runner's failure is passed on where it may not be repeated
+  Scenario: An error response to a non-idempotent call is forwarded
     Given a route for non-idempotent calls
     And a runner that fails
     When a call is made
     Then the status is 500
     And runners ran 1 calls
 
-  Scenario: A call that a runner turns away goes to another
+  Scenario: A call that a runner rejects is sent to another one
     Given a route for non-idempotent calls
-    And a runner that turns away
+    And a runner that rejects calls
     And a runner that answers
     When 4 calls are made
-    Then all answers are 200
+    Then all responses have status 200
     And runners ran 4 calls
 
-  Scenario: A call that all runners turn away is refused, and has not run
+  Scenario: A call that all runners reject is refused and has not run
     Given a route for non-idempotent calls
-    And a runner that turns away
-    And a runner that turns away
+    And a runner that rejects calls
+    And a runner that rejects calls
     When a call is made
     Then the status is 503 with a time to come back
     And no runner ran a call
 
-  # Symptom: a call runs at a service to which no route leads.
-  # Events: a runner ends, and its address goes to a runner of another service
-  # before the list says so.
-  # Cause: a runner known by its address alone.
-  Scenario: Another runner at the address turns the call away for good
+  # Guards against a call that runs at another service, when a runner ends and
+  # its address is reused before the directory is updated, because a runner is
+  # identified by its address alone.
+  Scenario: A runner whose address is reused is removed from the directory
     Given a route for non-idempotent calls
     And a runner that is another runner
     And a runner that answers
     When 4 calls are made
-    Then all answers are 200
-    And runner 1 is no longer known, if it was asked
-
-  # Symptom: a caller gets somebody else's answer.
-  # Events: a runner's answer to a former call comes late, on the connection
-  # on which the next call waits.
-  # Cause: answers matched by their order alone.
-  Scenario: An answer to another call is skipped
+    Then all responses have status 200
+    And runner 1 is removed from the directory if it received a call
+
+  # Guards against another caller's response, when a late response to an earlier
+  # call arrives on the connection on which the next call waits and responses
+  # are matched by their order alone.
+  Scenario: A response to another call is skipped
     Given a route for non-idempotent calls
-    And a runner that answers a former call first
+    And a runner that answers an earlier call first
     When a call is made
     Then the status is 200 with "for you"
 
-  # Symptom: as above.
-  # Events: the runner sends its answer twice; the second one lies on the kept
-  # connection when the next call is sent there.
-  # Cause: a connection used again although bytes had come unasked.
-  Scenario: A connection with unasked bytes is not used again
+  # Guards against another caller's response, when a runner sends a response
+  # twice and its idle connection is reused although unexpected bytes have
+  # arrived on it.
+  Scenario: A connection with unexpected bytes is not reused
     Given a route for idempotent calls
     And a runner that answers twice
     When 3 calls are made
-    Then all answers are 200
+    Then all responses have status 200
     And runner 1 had 3 connections
 
-  Scenario: A clean connection is used again
+  Scenario: A connection is reused after a complete response
     Given a route for idempotent calls
     And a runner that answers
     When 3 calls are made
-    Then all answers are 200
+    Then all responses have status 200
     And runner 1 had 1 connections
 
-  Scenario: An answer without length that ends cleanly is whole
+  Scenario: A response without length that ends by a close is complete
     Given a route for idempotent calls
-    And a runner that ends an answer without length
+    And a runner that ends a response without length
     When a call is made
     Then the status is 200 with "all of it"
 
-  Scenario: A runner that nobody listens for is passed over
+  Scenario: A runner that refuses connections is skipped
     Given a route for non-idempotent calls
-    And a runner that is not there
+    And a runner that does not listen
     And a runner that answers
     When 4 calls are made
-    Then all answers are 200
+    Then all responses have status 200
     And runners ran 4 calls
 
-  # Symptom: callers wait long after the time that the operators set.
-  # Events: a runner hangs; the call waits for the caller's own deadline.
-  # Cause: the route's timeout not kept by the entry VM.
-  Scenario: A call gets its final answer at the route's timeout
+  # Guards against a call to a hanging runner that waits for the caller's own
+  # deadline, because the entry VM does not enforce the route's timeout.
+  Scenario: A call ends at the route's timeout
     Given a route for non-idempotent calls with a timeout of 0.2 seconds
     And a runner that hangs
     When a call is made
     Then the status is 504
-    And runner 1 has seen its caller close
+    And the connection to runner 1 was closed
 
-  # Symptom: runners are busy with calls that nobody waits for.
-  # Events: callers close their connections while their calls run.
-  # Cause: the close noticed only when the answer is written.
-  Scenario: A caller that leaves stops its call
+  # Guards against runners that are busy with abandoned calls, because a
+  # caller's disconnect is noticed only when the response is written.
+  Scenario: A caller's disconnect cancels its call
     Given a route for idempotent calls
     And a runner that hangs
-    When a caller makes a call and leaves
-    Then runner 1 has seen its caller close
-
-  # Symptom: as with any lost promise, a caller is told that nothing is known.
-  # Events: the runner turns the call away and breaks its connection off
-  # before the answer's body is over.
-  # Cause: the promise in the head forgotten with the body.
-  Scenario: A promise holds although the rest of its answer is lost
+    When a caller makes a call and disconnects
+    Then the connection to runner 1 was closed
+
+  # Guards against a call that counts as possibly run, although the head of the
+  # response promised that it has not run, because the runner reset the
+  # connection before the end of the body.
+  Scenario: A rejection holds even if the rest of the response is lost
     Given a route for non-idempotent calls
-    And a runner that turns away and resets
+    And a runner that rejects calls and resets
     And a runner that answers
     When 4 calls are made
-    Then all answers are 200
+    Then all responses have status 200
     And runners ran 4 calls
 
-  # Symptom: some calls time out, day in, day out, at one runner.
-  # Events: the runner hangs on a part of its calls and answers the rest.
-  # Cause: a call that is given up counted for nothing.
-  Scenario: A runner that says nothing until the deadline has failed the call
+  # Guards against a runner that permanently hangs on a part of its calls and
+  # still counts as healthy, because calls that time out are not counted as
+  # failures.
+  Scenario: A call that times out without a response counts as a failure
     Given a route for non-idempotent calls with a timeout of 0.2 seconds
     And a runner that hangs
     When a call is made
     Then the status is 504
-    And the failure counts against runner 1
+    And the failure is counted for runner 1
 
-  # Symptom: one call takes down all runners of a service, one after the other.
-  # Events: a call crashes the runner that runs it; its caller sends it again.
-  # Cause: nobody remembers what ran where a runner ended.
-  Scenario Outline: A call that crashes runners reaches no third one
+  # Guards against a call that crashes all runners of a service one by one as
+  # its caller retries it, because no VM records which calls ran on a runner
+  # that ended.
+  Scenario Outline: A call that crashed two runners does not reach a third
     Given a route for <kind>
     And 4 runners that crash
     When 5 calls are made one after the other
@@ -199,17 +192,16 @@
       | idempotent calls     |
       | resumable streams    |
 
-  Scenario: A call whose runners break answers off may go on
+  Scenario: A call is not blocked when its runner resets but does not end
     Given a route for non-idempotent calls
     And a runner that resets, then resets, then answers
     When 3 calls are made one after the other
     Then the status is 200 with "from runner-1"
 
-  Scenario: What others let in counts for a customer that came later
-    Symptom: a new customer goes over its limit by what one VM let in.
-    Events: a peer's record tells the total of a customer whose limit this
-    VM has not heard of; then the limit comes, and the same total again.
-    Cause: a total that did not change is not looked at.
-    Given the limits of a VM that hears 50 units let in for a new customer
-    When the customer's limit of 80 units comes and the same is heard again
-    Then 40 units are refused there and 20 are let in
+  # Guards against a new customer that exceeds its limit, because a peer's total
+  # that arrived before the limit is configured and does not change afterwards
+  # is ignored.
+  Scenario: Units that a peer admitted before the limit is known are counted
+    Given a VM whose peer reports 50 admitted units of a new customer
+    When the customer's limit of 80 units is set and the peer reports the same
+    Then the VM refuses 40 units and admits 20
--- a/tests/serving/runner_standin.py
+++ b/tests/serving/runner_standin.py
@@ -1,16 +1,16 @@
-"""A runner that answers as a test tells it to."""
+"""A runner stand-in that handles calls as a test specifies."""
 
 import asyncio
 import socket
 import struct
 
-#: What a runner does with a call, by name; each gets the connection's writer
-#: and the call's headers.
+#: Coroutine functions that handle a call, by name. Their parameters are the
+#: runner, the connection's writer and the call's headers.
 BEHAVIOURS = {}
 
 
 def behaviour(name):
-    """Register a behaviour."""
+    """Register a behaviour under a name."""
 
     def decorate(function):
         BEHAVIOURS[name] = function
@@ -20,7 +20,7 @@
 
 
 def _reset(writer):
-    """Close with a reset; a plain close looks like the end of an answer."""
+    """Reset the connection; a close could mean the end of a response."""
     sock = writer.get_extra_info("socket")
     sock.setsockopt(
         socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
@@ -28,7 +28,7 @@
     writer.transport.abort()
 
 
-def _head(status, call, *more):
+def _response_head(status, call, *more):
     lines = [
         f"HTTP/1.1 {status} X",
         f"Call-Id: {call['call-id']}",
@@ -41,47 +41,52 @@
     return "\r\n".join(lines).encode()
 
 
-def _whole(status, call, body, *more):
-    return _head(status, call, f"Content-Length: {len(body)}", *more) + body
+def _response(status, call, body, *more):
+    return (
+        _response_head(status, call, f"Content-Length: {len(body)}", *more)
+        + body
+    )
 
 
-def _event(number):
+def _encode_event(number):
     return b"id: %d\ndata: piece %d\n\n" % (number, number)
 
 
-def _chunk(data):
+def _encode_chunk(data):
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
 @behaviour("answers")
 async def _answers(runner, writer, call):
-    writer.write(_whole(200, call, f"from {runner.name}".encode()))
+    writer.write(_response(200, call, f"from {runner.name}".encode()))
 
 
 @behaviour("fails")
 async def _fails(runner, writer, call):
-    writer.write(_whole(500, call, b"broken"))
+    writer.write(_response(500, call, b"broken"))
 
 
-@behaviour("turns away")
-async def _turns_away(runner, writer, call):
+@behaviour("rejects calls")
+async def _rejects(runner, writer, call):
     runner.ran.pop()
-    writer.write(_whole(503, call, b"", "Not-Run: yes"))
+    writer.write(_response(503, call, b"", "Not-Run: yes"))
 
 
-@behaviour("turns away and resets")
-async def _turns_away_and_resets(runner, writer, call):
+@behaviour("rejects calls and resets")
+async def _rejects_and_resets(runner, writer, call):
     runner.ran.pop()
-    writer.write(_head(503, call, "Not-Run: yes", "Content-Length: 50"))
+    writer.write(
+        _response_head(503, call, "Not-Run: yes", "Content-Length: 50")
+    )
     await writer.drain()
     await asyncio.sleep(0.02)
     _reset(writer)
 
 
 @behaviour("is another runner")
-async def _is_another(runner, writer, call):
+async def _is_another_runner(runner, writer, call):
     runner.ran.pop()
-    writer.write(_whole(421, call, b"", "Other-Runner: yes"))
+    writer.write(_response(421, call, b"", "Other-Runner: yes"))
 
 
 @behaviour("resets")
@@ -100,48 +105,48 @@
     await asyncio.sleep(60)
 
 
-@behaviour("babbles")
-async def _babbles(runner, writer, call):
+@behaviour("sends an invalid response")
+async def _sends_invalid_response(runner, writer, call):
     writer.write(b"this is no answer at all\r\n\r\n")
 
 
-@behaviour("answers unsigned")
-async def _unsigned(runner, writer, call):
+@behaviour("sends an unsigned response")
+async def _sends_unsigned_response(runner, writer, call):
     writer.write(b"HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\nhm")
 
 
-@behaviour("answers a former call first")
-async def _former(runner, writer, call):
+@behaviour("answers an earlier call first")
+async def _answers_earlier_call_first(runner, writer, call):
     late = {**call, "call-id": "somebody-else"}
-    writer.write(_whole(200, late, b"not for you"))
-    writer.write(_whole(200, call, b"for you"))
+    writer.write(_response(200, late, b"not for you"))
+    writer.write(_response(200, call, b"for you"))
 
 
 @behaviour("answers twice")
-async def _twice(runner, writer, call):
-    answer = _whole(200, call, f"from {runner.name}".encode())
+async def _answers_twice(runner, writer, call):
+    answer = _response(200, call, f"from {runner.name}".encode())
     writer.write(answer + answer)
 
 
-@behaviour("breaks off an answer without length")
-async def _breaks_off(runner, writer, call):
-    writer.write(_head(200, call) + b"the first hal")
+@behaviour("resets within a response without length")
+async def _resets_without_length(runner, writer, call):
+    writer.write(_response_head(200, call) + b"the first hal")
     await writer.drain()
     await asyncio.sleep(0.02)
     _reset(writer)
 
 
-@behaviour("ends an answer without length")
-async def _ends(runner, writer, call):
-    writer.write(_head(200, call) + b"all of it")
+@behaviour("ends a response without length")
+async def _ends_without_length(runner, writer, call):
+    writer.write(_response_head(200, call) + b"all of it")
     await writer.drain()
     writer.close()
 
 
-async def _events(writer, call, numbers, finish):
-    writer.write(_head(200, call, "Transfer-Encoding: chunked"))
+async def _send_events(writer, call, numbers, finish):
+    writer.write(_response_head(200, call, "Transfer-Encoding: chunked"))
     for number in numbers:
-        writer.write(_chunk(_event(number)))
+        writer.write(_encode_chunk(_encode_event(number)))
         await writer.drain()
     if finish:
         writer.write(b"0\r\n\r\n")
@@ -150,50 +155,52 @@
 @behaviour("streams")
 async def _streams(runner, writer, call):
     first = int(call.get("after", 0)) + 1
-    await _events(writer, call, range(first, 7), True)
+    await _send_events(writer, call, range(first, 7), True)
 
 
 @behaviour("streams half and resets")
-async def _half(runner, writer, call):
+async def _streams_half_and_resets(runner, writer, call):
     first = int(call.get("after", 0)) + 1
-    await _events(writer, call, range(first, 4), False)
-    writer.write(_chunk(b"id: 4\nda"))
+    await _send_events(writer, call, range(first, 4), False)
+    writer.write(_encode_chunk(b"id: 4\nda"))
     await writer.drain()
     await asyncio.sleep(0.02)
     _reset(writer)
 
 
-@behaviour("leaves an event out")
-async def _leaves_out(runner, writer, call):
-    await _events(writer, call, (1, 2, 4, 5, 6), True)
+@behaviour("omits an event")
+async def _omits_event(runner, writer, call):
+    await _send_events(writer, call, (1, 2, 4, 5, 6), True)
 
 
-@behaviour("leaves an event out later")
-async def _leaves_out_later(runner, writer, call):
-    writer.write(_head(200, call, "Transfer-Encoding: chunked"))
+@behaviour("omits a later event")
+async def _omits_later_event(runner, writer, call):
+    writer.write(_response_head(200, call, "Transfer-Encoding: chunked"))
     for number in (1, 2, 3, 4, 5, 7, 8):
-        writer.write(_chunk(_event(number)))
+        writer.write(_encode_chunk(_encode_event(number)))
         await writer.drain()
-        # Each event in a packet of its own, so that it is read by itself.
+        # The delay puts each event into a packet of its own, so that the
+        # events are read one by one.
         await asyncio.sleep(0.01)
     writer.write(b"0\r\n\r\n")
 
 
 @behaviour("streams 3000 large events")
-async def _streams_much(runner, writer, call):
-    writer.write(_head(200, call, "Transfer-Encoding: chunked"))
+async def _streams_large_events(runner, writer, call):
+    writer.write(_response_head(200, call, "Transfer-Encoding: chunked"))
     padding = b"x" * 6000
     for number in range(1, 3001):
         event = b"id: %d\ndata: %b\n\n" % (number, padding)
-        writer.write(_chunk(event))
+        writer.write(_encode_chunk(event))
         await writer.drain()
     writer.write(b"0\r\n\r\n")
 
 
 class RunnerStandin:
-    """One runner on a port of its own.
+    """A runner with a port of its own.
 
-    :param names: behaviours for its first calls; the last one goes on.
+    :param names: names of the behaviours for its calls in order; the last
+        one applies to all further calls.
     """
 
     def __init__(self, name, names):
@@ -201,18 +208,18 @@
         self.names = list(names)
         self.ran = []
         self.seen = []
-        self.closed = 0
+        self.disconnects = 0
         self.connections = 0
         self.port = 0
         self._server = None
 
     async def start(self):
-        """Listen."""
+        """Start to accept connections."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.port = self._server.sockets[0].getsockname()[1]
 
     def stop(self):
-        """Listen no more."""
+        """Stop accepting connections."""
         self._server.close()
 
     async def _serve(self, reader, writer):
@@ -233,7 +240,7 @@
                     {work, gone}, return_when=asyncio.FIRST_COMPLETED
                 )
                 if gone in done and work not in done:
-                    self.closed += 1
+                    self.disconnects += 1
                     work.cancel()
                     return
                 gone.cancel()
--- a/tests/serving/streams.feature
+++ b/tests/serving/streams.feature
@@ -1,15 +1,14 @@
 Feature: Streams through an entry VM
 
-  Scenario: Events are passed on as they are
+  Scenario: Events are forwarded unchanged
     Given a route for streams
     And a runner that streams
     When a call is made
     Then the stream has events 1 to 6 and is complete
 
-  # Symptom: half an answer that looks whole.
-  # Events: the runner ends in the middle of an event.
-  # Cause: the caller's stream ended like a whole one.
-  Scenario: A stream that may not go on elsewhere is cut after a whole event
+  # Guards against an incomplete stream that looks complete, because it is ended
+  # like a complete one after its runner failed in the middle of an event.
+  Scenario: A stream that cannot be resumed is aborted after a complete event
     Given a route for streams
     And a runner that streams half and resets
     And a runner that streams
@@ -17,10 +16,10 @@
     Then the stream has events 1 to 3 and is not complete
     And runners ran 1 calls
 
-  # Symptom: an event comes twice or is missing after a runner's crash.
-  # Events: the runner crashes within event 4; another one goes on.
-  # Cause: going on from the last byte and not from the last whole event.
-  Scenario: A stream that may go on elsewhere goes on after its last event
+  # Guards against repeated or missing events after a runner's crash within an
+  # event, when another runner resumes after the last byte instead of after the
+  # last complete event.
+  Scenario: A resumable stream is resumed after its last complete event
     Given a route for resumable streams
     And a runner that streams half and resets, then streams
     And a runner that streams half and resets, then streams
@@ -28,46 +27,45 @@
     Then the stream has events 1 to 3 and is not complete
     And runners ran 2 calls
 
-  Scenario: A stream goes on at a runner that is sound
+  Scenario: A stream is resumed at a working runner
     Given a route for resumable streams with 3 attempts
     And a runner that streams half and resets, then streams
-    When a call is made with a second sound runner behind it
+    When a call is made and a runner that streams joins after it was sent
     Then the stream has events 1 to 6 and is complete
 
-  Scenario: A caller goes on with its own last event
+  Scenario: A caller resumes a stream after its own last event
     Given a route for resumable streams
     And a runner that streams
-    When a call is made that goes on after event 4
+    When a call is made that resumes after event 4
     Then the stream has events 5 to 6 and is complete
 
-  Scenario: A stream with a gap is cut before it
+  Scenario: A stream with a missing event is aborted before the gap
     Given a route for streams
-    And a runner that leaves an event out
+    And a runner that omits an event
     When a call is made
-    Then the stream is cut before event 4
+    Then the stream is aborted before event 4
 
-  # Symptom: a gap in the middle of a stream reaches the caller.
-  # Events: events come one by one; the sixth is missing.
-  # Cause: the order is checked only of what a task reads.
-  Scenario: A stream with a gap that comes late is cut before it
+  # Guards against a gap that reaches the caller when events arrive one by one
+  # and the sixth is missing, because the order is checked only of events that
+  # a task reads and not of those that the body callback forwards.
+  Scenario: A stream with a late missing event is aborted before the gap
     Given a route for streams
-    And a runner that leaves an event out later
+    And a runner that omits a later event
     When a call is made
     Then the stream has events 1 to 5 and is not complete
 
-  # Symptom: a VM's memory grows with each caller on a slow line, or such a
-  # caller misses events.
-  # Events: 18 MB of events come at once; the caller reads nothing for 0.3 s.
-  # Cause: events are passed on without regard to the caller's pace.
-  Scenario: A caller that reads late gets all events, and little waits for it
+  # Guards against memory that grows with each slow caller, and against lost
+  # events, because events are forwarded faster than the caller reads. Here
+  # 18 MB of events arrive at once and the caller reads nothing for 0.3 s.
+  Scenario: A slow caller receives all events with little buffering in the VM
     Given a route for streams
     And a runner that streams 3000 large events
     When a call is made whose caller reads nothing for 0.3 s
     Then the stream has events 1 to 3000 and is complete
-    And at most 400000 bytes waited for the caller in the VM
+    And the VM buffered at most 400000 bytes for the caller
 
   Scenario: Usage counts a call once, when it has begun to run
     Given a route for resumable streams with 3 attempts
     And a runner that streams half and resets, then streams
-    When a call is made with a second sound runner behind it
+    When a call is made and a runner that streams joins after it was sent
     Then the usage of "clerks" is 1
--- a/tests/serving/strict_http.py
+++ b/tests/serving/strict_http.py
@@ -1,16 +1,16 @@
-"""A strict reader of HTTP/1.1 requests, plain and slow, to compare with.
+"""A simple and strict HTTP/1.1 request parser, as a reference for tests.
 
-It takes what RFC 9112 lets a server take and refuses the rest: whatever two
-readers of one connection may understand differently lets a caller smuggle a
-request past the checks made for another.
+It accepts what RFC 9112 allows a server to accept and rejects the rest.
+Bytes that two parsers may interpret differently let a caller smuggle a
+request past the checks.
 """
 
 import re
 
 TOKEN = rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+"
-#: A method that is not known is refused; nothing behind it would run it.
+#: The accepted methods. Others are rejected, as no runner would handle them.
 METHODS = rb"DELETE|GET|HEAD|OPTIONS|PATCH|POST|PUT|TRACE"
-#: Several blanks before a target are allowed (RFC 9112, section 3).
+#: Several spaces around a target are allowed (RFC 9112, section 3).
 REQUEST_LINE = re.compile(rb"(%b) +(/[\x21-\x7e]*) +HTTP/1\.([01])" % METHODS)
 HEADER = re.compile(
     rb"(%b):[ \t]*([\x21-\x7e\x80-\xff]"
@@ -22,15 +22,15 @@
 
 
 class Malformed(Exception):
-    """No strict server serves this."""
+    """The bytes are not a valid request."""
 
 
 class Incomplete(Exception):
-    """More bytes have to come."""
+    """The request is not complete yet."""
 
 
 class Request:
-    """What was read."""
+    """A parsed request."""
 
     def __init__(self, method, target, headers, body):
         self.method = method
@@ -46,19 +46,19 @@
 
     @property
     def key(self):
-        """All that has to agree."""
+        """The values that both parsers must agree on."""
         return self.method, self.target, self.headers, self.body
 
 
 def read_all(data):
-    """All requests of a connection's bytes.
+    """Parse all requests in a connection's bytes.
 
-    :returns: the requests, and whether what follows them is malformed.
+    :returns: the requests, and whether the bytes after them are malformed.
     """
     requests = []
     try:
         while data:
-            request, last, data = _read(data)
+            request, last, data = _read_request(data)
             requests.append(request)
             if last:
                 break
@@ -69,18 +69,18 @@
     return requests, False
 
 
-def _read(data):
-    # Empty lines before a request are to be skipped.
+def _read_request(data):
+    # Empty lines before a request are skipped (RFC 9112, section 2.2).
     data = data.lstrip(b"\r\n")
     if not data:
         raise Incomplete
-    line, data = _line(data)
+    line, data = _read_line(data)
     found = REQUEST_LINE.fullmatch(line)
     if not found:
         raise Malformed(line)
     method, target, minor = found.groups()
-    headers, data = _headers(data)
-    body, data = _body(headers, data)
+    headers, data = _read_headers(data)
+    body, data = _read_body(headers, data)
     tokens = [
         token.strip().lower()
         for name, value in headers
@@ -93,21 +93,21 @@
     return Request(method, target, headers, body), last, data
 
 
-def _line(data):
+def _read_line(data):
     end = data.find(b"\n")
     if end < 0:
         if b"\r" in data[:-1]:
-            raise Malformed("a lone carriage return")
+            raise Malformed("a bare carriage return")
         raise Incomplete
     if end == 0 or data[end - 1 : end] != b"\r" or b"\r" in data[: end - 1]:
-        raise Malformed("a lone line feed or carriage return")
+        raise Malformed("a bare line feed or carriage return")
     return data[: end - 1], data[end + 1 :]
 
 
-def _headers(data):
+def _read_headers(data):
     headers = []
     while True:
-        line, data = _line(data)
+        line, data = _read_line(data)
         if not line:
             return headers, data
         found = HEADER.fullmatch(line)
@@ -116,37 +116,37 @@
         headers.append((found[1].lower(), found[2]))
 
 
-def _body(headers, data):
+def _read_body(headers, data):
     lengths = [value for name, value in headers if name == b"content-length"]
     codings = [
         value for name, value in headers if name == b"transfer-encoding"
     ]
     if codings:
         if lengths or [c.lower() for c in codings] != [b"chunked"]:
-            raise Malformed("two lengths, or a coding that is not known")
-        return _chunks(data)
+            raise Malformed("two lengths or an unknown transfer coding")
+        return _read_chunked_body(data)
     if not lengths:
         return b"", data
     if len(lengths) > 1 or not DIGITS.fullmatch(lengths[0]):
-        raise Malformed("no length")
+        raise Malformed("two content lengths or an invalid one")
     length = int(lengths[0])
     if len(data) < length:
         raise Incomplete
     return data[:length], data[length:]
 
 
-def _chunks(data):
+def _read_chunked_body(data):
     body = b""
     while True:
-        line, data = _line(data)
+        line, data = _read_line(data)
         found = CHUNK_SIZE.fullmatch(line)
         if not found:
             raise Malformed(line)
         size = int(found[1], 16)
         if not size:
-            trailers, data = _headers(data)
+            trailers, data = _read_headers(data)
             if {name for name, _ in trailers} & FRAMING:
-                raise Malformed("a length after the body")
+                raise Malformed("a framing header in the trailers")
             return body, data
         if len(data) < size + 2:
             if data[size : size + 2] not in (b"", b"\r"):
--- a/tests/steps/serving_fuzz.py
+++ b/tests/steps/serving_fuzz.py
@@ -17,18 +17,20 @@
     suppress_health_check=list(hypothesis.HealthCheck),
 )
 START = b"POST /x HTTP/1.1\r\nHost: h\r\n"
-TRICKS = {
-    "a length and chunks": b"Content-Length: 3\r\n"
+ATTACKS = {
+    "a length and chunked coding": b"Content-Length: 3\r\n"
     b"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-    "two lengths": b"Content-Length: 3\r\nContent-Length: 0\r\n\r\nabc",
+    "two different lengths": b"Content-Length: 3\r\n"
+    b"Content-Length: 0\r\n\r\nabc",
     "two equal lengths": b"Content-Length: 3\r\nContent-Length: 3\r\n\r\nabc",
     "a signed length": b"Content-Length: +3\r\n\r\nabc",
-    "a coding that is not known": b"Transfer-Encoding: gzip\r\n\r\n",
-    "chunked twice": b"Transfer-Encoding: chunked, chunked\r\n\r\n0\r\n\r\n",
+    "an unknown transfer coding": b"Transfer-Encoding: gzip\r\n\r\n",
+    "chunked coding twice": b"Transfer-Encoding: chunked, chunked\r\n\r\n"
+    b"0\r\n\r\n",
     "a space before the colon": b"Content-Length : 3\r\n\r\nabc",
     "a folded header": b"A: b\r\n c\r\n\r\n",
     "a bare line feed": b"A: b\n\r\n",
-    "a null in a header": b"A: b\0c\r\n\r\n",
+    "a null byte in a header": b"A: b\0c\r\n\r\n",
     "a chunk size with a sign": b"Transfer-Encoding: chunked\r\n\r\n"
     b"+1\r\na\r\n0\r\n\r\n",
     "a chunk without its line end": b"Transfer-Encoding: chunked\r\n\r\n"
@@ -64,37 +66,37 @@
 
 
 class _Transport:
-    """A connection of which only the answers are kept."""
+    """A transport that records what the server writes."""
 
     def __init__(self):
         self.written = b""
         self.closed = False
 
     def write(self, data):
-        """What the VM answers."""
+        """Record written bytes."""
         self.written += data
 
     def close(self):
-        """The VM closes."""
+        """Record the close."""
         self.closed = True
 
     abort = close
 
     def is_closing(self):
-        """Whether it has."""
+        """Whether the server has closed the connection."""
         return self.closed
 
     def get_extra_info(self, name):
-        """There is no socket."""
+        """Return None, as there is no socket."""
 
     def set_write_buffer_limits(self, high):
-        """It never fills."""
+        """Do nothing, as the write buffer never fills."""
 
 
 async def _feed(parts):
-    """What a VM makes of a connection's bytes.
+    """Pass the bytes of a connection to a caller's channel, part by part.
 
-    :returns: the calls that reached the handler, and the connection.
+    :returns: the calls that reached the handler, and the transport.
     """
     calls = []
 
@@ -158,7 +160,10 @@
 
 @strategies.composite
 def _connections(draw):
-    """Bytes of up to three requests, changed in up to three places."""
+    """Generate up to three requests, mutated in up to three places.
+
+    The bytes are split into up to four parts.
+    """
     data = b"".join(draw(strategies.lists(REQUESTS, min_size=1, max_size=3)))
     for _ in range(draw(strategies.integers(0, 3))):
         at = draw(strategies.integers(0, len(data)))
@@ -173,10 +178,10 @@
 
 
 @then(
-    "{count:d} connections of mangled requests are read as by the strict "
-    "reader"
+    "{count:d} connections of mutated requests are parsed as by the strict "
+    "parser"
 )
-def _mangled(context, count):
+def _compare_with_strict_parser(context, count):
     @hypothesis.settings(SETTINGS, max_examples=count)
     @hypothesis.given(_connections())
     def check(parts):
@@ -190,16 +195,16 @@
     check()
 
 
-@when("a smuggler sends {trick}")
-def _trick(context, trick):
-    data = TRICKS[trick]
+@when("the server receives {attack}")
+def _receive_attack(context, attack):
+    data = ATTACKS[attack]
     if not data.startswith(b"GET "):
         data = START + data
     context.found, context.transport = _read([data])
 
 
 @then("no call reaches a handler and the connection is closed")
-def _refused(context):
+def _check_rejected(context):
     assert not context.found, context.found
     assert context.transport.closed
     assert context.transport.written.startswith(b"HTTP/1.1 4")
--- a/tests/steps/serving_opening.py
+++ b/tests/steps/serving_opening.py
@@ -12,73 +12,75 @@
 from apricotlever.serving import ports
 
 HOST = "127.0.0.1"
-CALL = b"GET /x HTTP/1.1\r\nHost: h\r\n\r\n"
-WAIT_S = 10.0
+REQUEST = b"GET /x HTTP/1.1\r\nHost: h\r\n\r\n"
+TIMEOUT_S = 10.0
 
 
-async def _answer(raw, reply):
+async def _handle(raw, reply):
     reply.whole(200, (), b"here")
 
 
-@given("a port that listens before its server has started")
-def _port(context):
+@given("a listening port whose server has not started")
+def _listen(context):
     context.sock = ports.Ports().take(addresses.Address(HOST, 0))
     context.port = context.sock.getsockname()[1]
 
 
-async def _call(context):
+async def _send_request(context):
     reader, writer = await asyncio.open_connection(HOST, context.port)
-    writer.write(CALL)
+    writer.write(REQUEST)
     await writer.drain()
     return reader, writer
 
 
-async def _play(context, start):
-    server = callers.CallerServer(_answer)
-    reader, writer = await _call(context)
+async def _call_and_start(context, start):
+    server = callers.CallerServer(_handle)
+    reader, writer = await _send_request(context)
     await start(server)
-    head = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), WAIT_S)
+    head = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), TIMEOUT_S)
     context.answer = head + await reader.readexactly(4)
     writer.close()
     server.close()
 
 
-@when("a caller sends a call, and the server starts then")
-def _starts(context):
-    asyncio.run(_play(context, lambda server: server.serve(context.sock)))
+@when("a caller sends a call and then the server starts")
+def _start_server(context):
+    asyncio.run(
+        _call_and_start(context, lambda server: server.serve(context.sock))
+    )
 
 
-@when("a caller sends a call, and the VM is informed then")
-def _informed(context):
+@when("a caller sends a call and then the VM becomes ready")
+def _become_ready(context):
     async def start(server):
         gate = opening.Opening()
         gate.add(server, context.sock)
-        serving = asyncio.ensure_future(gate.serve(WAIT_S))
+        serving = asyncio.ensure_future(gate.serve(TIMEOUT_S))
         for _ in range(5):
             await asyncio.sleep(0.01)
         context.read_before = len(server.channels)
         gate.informed()
         assert await serving
 
-    asyncio.run(_play(context, start))
+    asyncio.run(_call_and_start(context, start))
 
 
-@when("a caller sends a call, and the VM is not informed in time")
-def _not_informed(context):
+@when("a caller sends a call and the VM does not become ready in time")
+def _time_out(context):
     async def start(server):
         gate = opening.Opening()
         gate.add(server, context.sock)
         assert not await gate.serve(0.01)
 
-    asyncio.run(_play(context, start))
+    asyncio.run(_call_and_start(context, start))
 
 
-@then("the call was not read before")
-def _not_read(context):
+@then("the call was not read before the VM was ready")
+def _check_not_read(context):
     assert context.read_before == 0
 
 
-@then("the caller has its answer")
-def _has(context):
+@then("the caller receives its response")
+def _check_response(context):
     assert context.answer.startswith(b"HTTP/1.1 200"), context.answer
     assert context.answer.endswith(b"here"), context.answer
--- a/tests/steps/serving_relay.py
+++ b/tests/steps/serving_relay.py
@@ -1,4 +1,4 @@
-"""Steps for the features in tests/serving."""
+"""Steps for relay.feature, streams.feature and callers.feature."""
 
 import asyncio
 import re
@@ -19,8 +19,9 @@
     "resumable streams": (routes.CallKind.STREAM, {"resumable": True}),
 }
 WAIT_S = 10.0
-#: More than one event takes; a reader's buffer holds twice as much.
-EVENT_BYTES = 16384
+#: Buffer limit of a caller's reader in bytes: more than the size of an event.
+#: The reader buffers up to twice as many bytes.
+READER_LIMIT_BYTES = 16384
 
 
 def _run(context, work):
@@ -43,7 +44,7 @@
 
 
 @given("a route for {kind}")
-def _route(context, kind):
+def _configure_route(context, kind):
     seconds = re.search(r" with a timeout of ([0-9.]+) seconds", kind)
     attempts = re.search(r" with (\d+) attempts", kind)
     rate = re.search(r" with 1 call in (\d+) seconds", kind)
@@ -61,39 +62,39 @@
 
 
 @given("a runner that {names}")
-def _runner(context, names):
+def _add_named_runner(context, names):
     world = _world(context)
     standin = _run(context, _add(world, names))
-    if names == "is not there":
+    if names == "does not listen":
         standin.stop()
 
 
 async def _add(world, names):
     behaviours = (
-        ["answers"] if names == "is not there" else names.split(", then ")
+        ["answers"] if names == "does not listen" else names.split(", then ")
     )
     standin = await world.add_runner(behaviours)
     world.upstreams.refresh()
     return standin
 
 
-@given(
-    "the limits of a VM that hears {units:d} units let in for a new customer"
-)
-def _new_customer(context, units):
+@given("a VM whose peer reports {units:d} admitted units of a new customer")
+def _report_units(context, units):
     context.clock = clocks.ManualClock(1000.0)
     context.limits = limits.Limits(context.clock, 640.0)
     context.limits.set_members(frozenset({"vm-2#1"}))
-    # In its first second a process assumes others that it has not heard.
+    # In its first second, a process assumes that others exist of which it has
+    # not heard.
     context.clock.advance(2.0)
     context.units = float(units)
     context.limits.heard("vm-2#1", {"new": context.units})
 
 
 @when(
-    "the customer's limit of {units:d} units comes and the same is heard again"
+    "the customer's limit of {units:d} units is set and the peer reports the "
+    "same"
 )
-def _limit_comes(context, units):
+def _set_limit(context, units):
     context.customer = routes.Customer(
         "new", frozenset({"k"}), rate=0.001, burst=float(units)
     )
@@ -105,21 +106,21 @@
     context.limits.set_members(frozenset({"vm-2#1"}))
 
 
-@then("{refused:d} units are refused there and {let_in:d} are let in")
-def _some(context, refused, let_in):
+@then("the VM refuses {refused:d} units and admits {admitted:d}")
+def _check_limit(context, refused, admitted):
     rate = context.limits.of(context.customer)
     assert rate.take(float(refused)) > 0.0
-    assert rate.take(float(let_in)) == 0.0
+    assert rate.take(float(admitted)) == 0.0
 
 
 @given("{count:d} runners that crash")
-def _crashing(context, count):
+def _add_crashing(context, count):
     for _ in range(count):
         _run(context, _add(_world(context), "crashes"))
 
 
 @when("{count:d} calls are made one after the other")
-def _one_by_one(context, count):
+def _call_one_by_one(context, count):
     async def work():
         context.world.connection = None
         return await context.world.call(call_id=f"call-{number}")
@@ -130,23 +131,23 @@
 
 
 @then("the last status is {status:d} with a time to come back")
-def _last(context, status):
-    _come_back(context, status)
+def _check_last_retry_time(context, status):
+    _check_retry_time(context, status)
 
 
 @when("a call is made")
-def _call(context):
+def _make_call(context):
     context.replies = [_run(context, _world(context).call())]
 
 
-@when("a call is made that goes on after event {number:d}")
-def _after(context, number):
+@when("a call is made that resumes after event {number:d}")
+def _resume_after(context, number):
     more = f"After: {number}\r\n"
     context.replies = [_run(context, context.world.call(more=more))]
 
 
-@when("a call is made with a second sound runner behind it")
-def _second(context):
+@when("a call is made and a runner that streams joins after it was sent")
+def _call_and_add_runner(context):
     async def work():
         await context.world.send()
         await _add(context.world, "streams")
@@ -156,7 +157,7 @@
 
 
 @when("a call with {what} is made")
-def _bad_call(context, what):
+def _call_not_allowed(context, what):
     more = {
         "an unknown key": {"key": "unheard-of"},
         "another path": {"path": "/elsewhere"},
@@ -165,15 +166,15 @@
 
 
 @when("{count:d} calls are made")
-def _calls(context, count):
+def _make_calls(context, count):
     context.replies = [
         _run(context, context.world.call(call_id=f"call-{n}"))
         for n in range(count)
     ]
 
 
-@when("{count:d} calls are sent at once on one connection")
-def _pipelined(context, count):
+@when("{count:d} pipelined calls are sent on one connection")
+def _pipeline(context, count):
     async def work():
         for number in range(count):
             await context.world.send(call_id=f"call-{number}")
@@ -182,8 +183,8 @@
     context.replies = _run(context, work())
 
 
-@when("a caller makes a call and leaves")
-def _leaves(context):
+@when("a caller makes a call and disconnects")
+def _call_and_disconnect(context):
     async def work():
         await context.world.send()
         standin = context.world.standins[0]
@@ -194,45 +195,47 @@
     _run(context, work())
 
 
-@when("a caller sends a body in chunks")
-def _chunks(context):
+@when("a caller sends a chunked body")
+def _send_chunked_body(context):
     head = (
         f"POST /s/x HTTP/1.1\r\nHost: {worlds.HOST}\r\nCall-Id: c\r\n"
         f"Key: {worlds.KEY}\r\nTransfer-Encoding: chunked\r\n\r\n"
     )
-    _raw(context, head.encode() + b"6\r\nhello \r\n5\r\nworld\r\n0\r\n\r\n")
+    _send_bytes(
+        context, head.encode() + b"6\r\nhello \r\n5\r\nworld\r\n0\r\n\r\n"
+    )
 
 
-BYTES = {
-    "no HTTP": b"hello there\r\n\r\n",
-    "two lengths": (
+REQUESTS = {
+    "bytes that are not HTTP": b"hello there\r\n\r\n",
+    "two different lengths": (
         b"POST /s/x HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n"
         b"Content-Length: 6\r\n\r\nhello!"
     ),
-    "a length and chunks": (
+    "a length and chunked coding": (
         b"POST /s/x HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n"
         b"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
     ),
-    "a head that is too long": (
+    "a head over the limit": (
         b"POST /s/x HTTP/1.1\r\nHost: h\r\nX: " + b"x" * 600 + b"\r\n\r\n"
     ),
-    "a body that is too long": (
+    "a body length over the limit": (
         b"POST /s/x HTTP/1.1\r\nHost: h\r\nContent-Length: 2000\r\n\r\n"
     ),
-    "chunks that are too long": (
+    "a chunk over the limit": (
         b"POST /s/x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n"
         b"\r\n7d0\r\n" + b"x" * 2000 + b"\r\n"
     ),
-    "half a head and waits": b"POST /s/x HTTP/1.1\r\nHos",
+    "half a head and then waits": b"POST /s/x HTTP/1.1\r\nHos",
 }
 
 
 @when("a caller sends {name}")
-def _sends(context, name):
-    _raw(context, BYTES[name])
+def _send_request(context, name):
+    _send_bytes(context, REQUESTS[name])
 
 
-def _raw(context, data):
+def _send_bytes(context, data):
     async def work():
         _, writer = await context.world.connect()
         writer.write(data)
@@ -242,8 +245,8 @@
     context.replies = [_run(context, work())]
 
 
-@when("the VM leaves while a call is made")
-def _vm_leaves(context):
+@when("the VM starts to leave while a call is in progress")
+def _leave_during_call(context):
     async def work():
         await context.world.send()
         context.world.server.leave()
@@ -253,145 +256,145 @@
 
 
 @when("the VM takes no more calls and a call is made")
-def _takes_none(context):
+def _refuse_and_call(context):
     context.world.relay.stop_taking()
     context.replies = [_run(context, context.world.call())]
 
 
 @then("the status is {status:d}")
-def _status(context, status):
+def _check_status(context, status):
     assert context.replies[-1].status == status, context.replies[-1].status
 
 
 @then('the status is {status:d} with "{body}"')
-def _body(context, status, body):
+def _check_body(context, status, body):
     reply = context.replies[-1]
     assert (reply.status, reply.body.decode()) == (status, body), reply.body
 
 
 @then("the status is {status:d} with a time to come back")
-def _come_back(context, status):
+def _check_retry_time(context, status):
     reply = context.replies[-1]
     assert reply.status == status, reply.status
     assert float(reply.headers["retry-after"]) > 0
 
 
-@then("all answers are {status:d}")
-def _all(context, status):
+@then("all responses have status {status:d}")
+def _check_all(context, status):
     statuses = [reply.status for reply in context.replies]
     assert set(statuses) == {status}, statuses
 
 
-@then("{count:d} answers with status {status:d} come in their order")
-def _ordered(context, count, status):
-    _all(context, status)
+@then("{count:d} responses with status {status:d} arrive in order")
+def _check_order(context, count, status):
+    _check_all(context, status)
     ids = [reply.headers["call-id"] for reply in context.replies]
     assert ids == [f"call-{n}" for n in range(count)], ids
 
 
 @then("no runner ran a call")
-def _none(context):
-    _runs(context, 0)
+def _check_none_ran(context):
+    _check_runs(context, 0)
 
 
 @then("runners ran {count:d} calls")
-def _runs(context, count):
+def _check_runs(context, count):
     ran = [call for standin in context.world.standins for call in standin.ran]
     assert len(ran) == count, ran
 
 
-@then('runner 1 saw the customer "{name}" and the call\'s own id')
-def _saw(context, name):
+@then('runner 1 received the customer "{name}" and the call\'s own id')
+def _check_received_headers(context, name):
     (call,) = context.world.standins[0].seen
     assert call["customer"] == name
     assert call["call-id"] == "call-1"
 
 
-@then("runner 1 is no longer known, if it was asked")
-def _unknown(context):
+@then("runner 1 is removed from the directory if it received a call")
+def _check_removed(context):
     if context.world.standins[0].seen:
         assert context.world.directory.get("runner-1") is None
 
 
 @then("runner 1 had {count:d} connections")
-def _connections(context, count):
+def _check_connections(context, count):
     assert context.world.standins[0].connections == count
 
 
-@then('runner 1 read the body "{text}"')
-def _read(context, text):
+@then('runner 1 received the body "{text}"')
+def _check_received_body(context, text):
     assert context.world.standins[0].seen[0]["body"].decode() == text
 
 
-@then("runner 1 has seen its caller close")
-def _closed(context):
+@then("the connection to runner 1 was closed")
+def _check_disconnect(context):
     async def work():
-        while not context.world.standins[0].closed:
+        while not context.world.standins[0].disconnects:
             await asyncio.sleep(0.01)
 
     _run(context, work())
 
 
-@then("the connection is closed after it")
-def _ended(context):
+@then("the connection closes after the response")
+def _check_close(context):
     assert context.replies[-1].headers["connection"] == "close"
     reader, _ = context.world.connection
     assert _run(context, reader.read()) == b""
 
 
-def _numbers(reply):
+def _event_ids(reply):
     return [int(n) for n in re.findall(rb"id: (\d+)\n", reply.body)]
 
 
 @then("the stream has events {first:d} to {last:d} and is complete")
-def _complete(context, first, last):
+def _check_complete(context, first, last):
     reply = context.replies[-1]
-    assert _numbers(reply) == list(range(first, last + 1)), reply.body
+    assert _event_ids(reply) == list(range(first, last + 1)), reply.body
     assert reply.complete
 
 
 @then("the stream has events {first:d} to {last:d} and is not complete")
-def _incomplete(context, first, last):
+def _check_incomplete(context, first, last):
     reply = context.replies[-1]
-    assert _numbers(reply) == list(range(first, last + 1)), reply.body
+    assert _event_ids(reply) == list(range(first, last + 1)), reply.body
     assert not reply.complete
 
 
 @when("a call is made whose caller reads nothing for {seconds:f} s")
-def _reads_late(context, seconds):
+def _call_and_read_late(context, seconds):
     world = context.world
 
     async def late():
         world.connection = await asyncio.open_connection(
-            "127.0.0.1", world.port, limit=EVENT_BYTES
+            "127.0.0.1", world.port, limit=READER_LIMIT_BYTES
         )
         await world.send()
         await asyncio.sleep(seconds)
         (channel,) = world.server.channels
-        context.waiting = channel.unsent_bytes
+        context.unsent_bytes = channel.unsent_bytes
         return await world.receive()
 
     context.replies = [_run(context, late())]
 
 
-@then("at most {count:d} bytes waited for the caller in the VM")
-def _little_waited(context, count):
-    assert 0 < context.waiting <= count, context.waiting
+@then("the VM buffered at most {count:d} bytes for the caller")
+def _check_buffered(context, count):
+    assert 0 < context.unsent_bytes <= count, context.unsent_bytes
 
 
-@then("the stream is cut before event {number:d}")
-def _cut_before(context, number):
+@then("the stream is aborted before event {number:d}")
+def _check_abort(context, number):
     reply = context.replies[-1]
-    assert all(n < number for n in _numbers(reply)), reply.body
+    assert all(n < number for n in _event_ids(reply)), reply.body
     assert not reply.complete
 
 
 @then('the usage of "{name}" is {count:d}')
-def _usage(context, name, count):
+def _check_usage(context, name, count):
     usage = context.world.usage
     assert usage.total(usage.window) == {name: count}
 
 
-@then("the failure counts against runner 1")
-def _counts_against(context):
+@then("the failure is counted for runner 1")
+def _check_failure(context):
     assert context.world.upstreams.failures == {"runner-1": (1, 1)}
