--- a/src/apricotlever/serving/attempt.py
+++ b/src/apricotlever/serving/attempt.py
@@ -160,26 +160,28 @@
             )
 
     async def run(
-        self, channel: channels.Channel, patience_s: float | None
+        self, channel: channels.Channel, first_response_timeout_s: float | None
     ) -> AttemptOutcome:
         """Send the call and read the response.
 
-        :param patience_s: how long the response may take to begin, in
-            seconds; None for no limit.
+        :param first_response_timeout_s: how long the response may take to
+            begin, in seconds; None for no limit.
         """
         result = models.Outcome.CANCELLED
-        blamed = clean = False
-        began = asyncio.get_running_loop().time()
+        outlier_failure = reusable = False
+        started_at = asyncio.get_running_loop().time()
         self._upstreams.started(self._name, self._runner, self._query)
         try:
             channel.send(
                 self._dialect.request(self._call, self._errand),
                 self._is_own_response,
             )
-            outcome = await self._read_response(channel, patience_s)
+            outcome = await self._read_response(
+                channel, first_response_timeout_s
+            )
             result = _health_outcome(outcome)
-            blamed = outcome.status is AttemptStatus.NOT_RUN
-            clean = channel.idle
+            outlier_failure = outcome.status is AttemptStatus.NOT_RUN
+            reusable = channel.idle
         except channels.Broken as error:
             result = models.Outcome.FAILED
             outcome = AttemptOutcome(
@@ -193,33 +195,38 @@
                 AttemptStatus.BROKEN, reason=f"disorder:{error}"
             )
         except asyncio.CancelledError:
-            blamed = self._is_hung(began)
+            outlier_failure = self._is_hung(started_at)
             raise
         finally:
             self._upstreams.finished(
-                self._name, self._runner, result, blamed=blamed
+                self._name,
+                self._runner,
+                result,
+                outlier_failure=outlier_failure,
             )
-            self._return_channel(channel, clean)
+            self._return_channel(channel, reusable)
         return outcome
 
-    def _is_hung(self, began: float) -> bool:
+    def _is_hung(self, started_at: float) -> bool:
         """Whether a cancelled call counts as a hang of the runner.
 
         A runner that hangs on some calls never breaks a connection. Without
         this check it would count as healthy indefinitely.
         """
-        waited_s = asyncio.get_running_loop().time() - began
+        waited_s = asyncio.get_running_loop().time() - started_at
         objective_s = self._query.wanted_first_token_s
         return (
             self._head is None
             and waited_s > HANG_OBJECTIVE_FACTOR * objective_s
         )
 
-    def _return_channel(self, channel: channels.Channel, clean: bool) -> None:
+    def _return_channel(
+        self, channel: channels.Channel, reusable: bool
+    ) -> None:
         # The pool that the connection came from is used, as the runner may
         # have a new address and pool by now.
         head = self._head
-        if clean and head is not None:
+        if reusable and head is not None:
             self._pool.release(channel, head.closing, head.keep_alive_s)
         else:
             self._pool.discard(channel)
@@ -230,16 +237,16 @@
         return head.request_id in ("", self._call.request_id)
 
     async def _read_response(
-        self, channel: channels.Channel, patience_s: float | None
+        self, channel: channels.Channel, first_response_timeout_s: float | None
     ) -> AttemptOutcome:
         try:
-            async with asyncio.timeout(patience_s):
+            async with asyncio.timeout(first_response_timeout_s):
                 raw = await channel.read_head()
                 self._upstreams.bytes_received(self._runner)
                 head = self._dialect.head(raw.status, raw.headers)
                 self._head = head
                 if self._is_stream(head):
-                    first = await self._forward_first_event(channel, head)
+                    has_more = await self._forward_first_event(channel, head)
         except TimeoutError:
             return AttemptOutcome(
                 AttemptStatus.BROKEN, reason="no_answer_in_time"
@@ -259,7 +266,7 @@
         if not head.signed:
             return AttemptOutcome(AttemptStatus.BROKEN, reason="unsigned")
         if self._is_stream(head):
-            return await self._forward_stream(channel, head, first)
+            return await self._forward_stream(channel, head, has_more)
         self._upstreams.first_answer(self._name)
         body = await _read_body(channel)
         return AttemptOutcome(AttemptStatus.ANSWERED, head, body)
@@ -289,10 +296,13 @@
         return False
 
     async def _forward_stream(
-        self, channel: channels.Channel, head: messages.RunnerHead, more: bool
+        self,
+        channel: channels.Channel,
+        head: messages.RunnerHead,
+        has_more: bool,
     ) -> AttemptOutcome:
         assert self._sink is not None
-        while more and (data := await channel.read_chunk()) is not None:
+        while has_more and (data := await channel.read_chunk()) is not None:
             if self._failure is not None:
                 raise self._failure
             self._forward(head, data + channel.read_buffered())
--- a/src/apricotlever/serving/callers.py
+++ b/src/apricotlever/serving/callers.py
@@ -317,7 +317,10 @@
                 self._start_next_call()
 
     def _reject(self, status: int) -> None:
-        """Reject a malformed call, and close after the calls before it."""
+        """Reject an invalid or late call; close after the calls before it.
+
+        The status is sent only if no earlier call is in progress.
+        """
         if self._closing:
             return
         self._closing = True
--- a/src/apricotlever/serving/channels.py
+++ b/src/apricotlever/serving/channels.py
@@ -138,7 +138,7 @@
 
     @property
     def idle(self) -> bool:
-        """Whether the connection is open without a pending response."""
+        """Whether the channel is open, with no pending or unread response."""
         return (
             self.open and not self._awaiting_response and not self._body_chunks
         )
--- a/src/apricotlever/serving/exchange.py
+++ b/src/apricotlever/serving/exchange.py
@@ -195,7 +195,7 @@
             left_s=errand.left_s,
             attempt=self.sends + 1,
         )
-        work = attempts.Attempt(
+        attempt = attempts.Attempt(
             f"{self._call.request_id}.{self._relay.next_attempt_number()}",
             self._call,
             errand,
@@ -205,14 +205,14 @@
             self._relay.dialect.upstreams,
             self if self._route.kind is routes.CallKind.STREAM else None,
         )
-        opened = await work.connect(self._deadline - self._loop.time())
-        if not isinstance(opened, channels.Channel):
-            return opened
-        return await self._send(work, opened, runner)
+        connected = await attempt.connect(self._deadline - self._loop.time())
+        if not isinstance(connected, channels.Channel):
+            return connected
+        return await self._send(attempt, connected, runner)
 
     async def _send(
         self,
-        work: attempts.Attempt,
+        attempt: attempts.Attempt,
         channel: channels.Channel,
         runner: runners.Runner,
     ) -> attempts.AttemptOutcome:
@@ -222,7 +222,7 @@
         self.sends += 1
         ran_before, self.may_have_run = self.may_have_run, True
         self._splitter.discard_partial()
-        outcome = await work.run(channel, self._first_response_timeout_s())
+        outcome = await attempt.run(channel, self._first_response_timeout_s())
         if outcome.status is attempts.AttemptStatus.NOT_RUN:
             self.may_have_run = ran_before
         elif outcome.status is attempts.AttemptStatus.ANSWERED:
@@ -288,10 +288,12 @@
         if not self._can_repeat():
             return None
         left_s = self._deadline - self._loop.time()
-        wanted_s = FIRST_RESPONSE_OBJECTIVE_FACTOR * self._route.objective_s
-        patience_s = max(MIN_FIRST_RESPONSE_TIMEOUT_S, wanted_s)
-        most_s = FIRST_ATTEMPT_SHARE * left_s
-        return patience_s if patience_s < most_s else None
+        objective_wait_s = (
+            FIRST_RESPONSE_OBJECTIVE_FACTOR * self._route.objective_s
+        )
+        wait_s = max(MIN_FIRST_RESPONSE_TIMEOUT_S, objective_wait_s)
+        limit_s = FIRST_ATTEMPT_SHARE * left_s
+        return wait_s if wait_s < limit_s else None
 
     def _can_repeat(self) -> bool:
         return (
--- a/src/apricotlever/serving/pool.py
+++ b/src/apricotlever/serving/pool.py
@@ -189,8 +189,8 @@
 ) -> Answer:
     """Send a request and read the complete response.
 
-    :param timeout_s: for the connection and again for the response, in
-        seconds.
+    :param timeout_s: limit for the response, and up to
+        :data:`CONNECT_TIMEOUT_S` also for the connection, in seconds.
     :param fresh: open a connection even if an idle one is available.
     :param still: called just before sending; tells whether the request is
         still wanted.
--- a/src/apricotlever/serving/relay.py
+++ b/src/apricotlever/serving/relay.py
@@ -162,35 +162,35 @@
         customer = self._authenticate(configuration, route, call)
         permit = await self._apply_limit(customer, call)
         point = self._rng.random()
-        work = exchange.CallExecution(
+        execution = exchange.CallExecution(
             self, call, route, customer, route.service_at(point), reply
         )
-        await self._run_and_log(work, call, route, customer, permit)
+        await self._run_and_log(execution, call, route, customer, permit)
 
     async def _run_and_log(
         self,
-        work: exchange.CallExecution,
+        execution: exchange.CallExecution,
         call: messages.CallerCall,
         route: routes.Route,
         customer: routes.Customer | None,
         permit: limits.Permit | None,
     ) -> None:
         try:
-            await work.run()
+            await execution.run()
         except exchange.NotServed as error:
             raise Refusal(
                 error.status, error.reason, error.retry_after_s
             ) from error
         finally:
-            if not work.may_have_run and permit is not None:
+            if not execution.may_have_run and permit is not None:
                 self._limits.give_back(permit)
             took_s = asyncio.get_running_loop().time() - call.received_at
-            if work.served:
+            if execution.served:
                 self._upstreams.crashes.answered(call, customer)
                 self._observations.served(
                     customer.name if customer else "",
                     route.kind.value,
-                    work.first_s,
+                    execution.first_s,
                     took_s,
                 )
             logs.event(
@@ -199,13 +199,13 @@
                 route=route.name,
                 customer=customer.name if customer else None,
                 units=permit.units if permit else 0.0,
-                runner=work.runner_id,
-                sends=work.sends,
-                served=work.served,
-                ended=work.reason or None,
-                first_s=work.first_s,
+                runner=execution.runner_id,
+                sends=execution.sends,
+                served=execution.served,
+                ended=execution.reason or None,
+                first_s=execution.first_s,
                 objective_s=route.objective_s,
-                pause_s=work.longest_pause_s or None,
+                pause_s=execution.longest_pause_s or None,
                 took_s=took_s,
             )
 
--- a/src/apricotlever/serving/upstreams.py
+++ b/src/apricotlever/serving/upstreams.py
@@ -293,16 +293,16 @@
         self._own_in_flight[name] = self._own_in_flight.get(name, 0) + 1
         self._silence.call_sent(name)
         tokens = self._router.request_started(attempt, name, query)
-        counter = self._meter(runner.service)
+        meter = self._meter(runner.service)
         self._trials.sent(
-            attempt, runner, query.entry, tokens, counter.prefill_speed
+            attempt, runner, query.entry, tokens, meter.prefill_speed
         )
         if query.prompt_tokens:
-            counter.record_sent(tokens)
+            meter.record_sent(tokens)
             if self._on_prompt_sent is not None:
                 self._on_prompt_sent()
             now = self._clock.now()
-            self._prefills[attempt] = (counter, query, tokens, now)
+            self._prefills[attempt] = (meter, query, tokens, now)
 
     def bytes_received(self, runner: runners.Runner) -> None:
         """Record that bytes of a response came from a runner."""
@@ -312,10 +312,10 @@
         """Record the start of an attempt's response."""
         self._router.first_token(attempt)
         self._trials.first_answer(attempt)
-        reading = self._prefills.pop(attempt, None)
-        if reading is not None:
-            counter, query, tokens, since = reading
-            counter.record_first_answer(
+        prefill = self._prefills.pop(attempt, None)
+        if prefill is not None:
+            meter, query, tokens, since = prefill
+            meter.record_first_answer(
                 tokens,
                 self._clock.now() - since,
                 query.wanted_first_token_s,
@@ -327,12 +327,12 @@
         runner: runners.Runner,
         outcome: models.Outcome,
         tokens: int = NO_OUTPUT_TOKENS,
-        blamed: bool = False,
+        outlier_failure: bool = False,
     ) -> None:
         """Record the end of a call at its runner.
 
         :param tokens: output tokens of the response.
-        :param blamed: whether the runner rejected the call or did not
+        :param outlier_failure: whether the runner rejected the call or did not
             respond. An overloaded runner does so too, so this counts only in
             outlier detection, which compares the runners of a service.
         """
@@ -340,8 +340,8 @@
         self._trials.ended(attempt, outcome)
         name = runner.runner_id
         self._silence.call_ended(name)
-        if outcome is not models.Outcome.CANCELLED or blamed:
-            failed = outcome is models.Outcome.FAILED or blamed
+        if outcome is not models.Outcome.CANCELLED or outlier_failure:
+            failed = outcome is models.Outcome.FAILED or outlier_failure
             self._outliers.call_ended(name, failed)
         left = self._own_in_flight.get(name, 1) - 1
         if left > 0:
--- a/tests/serving/relay.feature
+++ b/tests/serving/relay.feature
@@ -51,7 +51,7 @@
     Examples:
       | kind           | fault                                   | runs |
       | non-idempotent | resets                                  | 1    |
-      | non-idempotent | sends an invalid response               | 1    |
+      | non-idempotent | babbles                                 | 1    |
       | non-idempotent | sends an unsigned response              | 1    |
       | non-idempotent | resets within a response without length | 1    |
       | idempotent     | resets                                  | 2    |
--- a/tests/serving/runner_standin.py
+++ b/tests/serving/runner_standin.py
@@ -105,7 +105,7 @@
     await asyncio.sleep(60)
 
 
-@behaviour("sends an invalid response")
+@behaviour("babbles")
 async def _sends_invalid_response(runner, writer, call):
     writer.write(b"this is no answer at all\r\n\r\n")
 
