--- a/src/apricotlever/serving/directory.py
+++ b/src/apricotlever/serving/directory.py
@@ -1,4 +1,4 @@
-"""Which runners the platform lists, as this VM believes."""
+"""This VM's view of the runners that the platform lists."""
 
 import typing
 
@@ -8,31 +8,34 @@
 
 from . import runners as runners_
 
-#: How long after the store came back an entry may be missing although its
-#: runner lives: entries that lapsed during an outage are written again
+#: After an outage of the store a missing entry is tolerated for this time.
+#: The entries of live runners expire during an outage and are written again
 #: within about this time.
-REAPPEAR_S = 2.0
-#: How long a removal that no notice came before is held, in seconds, to see
-#: whether it is one of many. A runner serves on for longer after its removal.
-SETTLE_S = 0.4
-#: So many removals at once, and such a part of all runners, without a notice
-#: are entries that lapsed: the store was away, and a watch that waited all
-#: the while has not shown it.
-LAPSE_LEAST = 3
-LAPSE_PART = 0.5
-#: Part of the time within which a runner that has left must get no more work
-#: for which such a lapse is waited out. Runners of a data centre that are
-#: reclaimed without a notice look the same; the rest is for the way of news.
-LAPSE_DRAIN_PART = 0.65
-#: Removed runners remembered, so that late news can't bring one back.
-MOST_TOMBSTONES = 4096
-
-
-class _Doubt:
-    """A removal that may be a lapse.
-
-    :param until: when the runner counts as gone.
-    :param revision: of the removal.
+REAPPEAR_TIMEOUT_S = 2.0
+#: Delay before a removal without a leaving notice is applied, in seconds. It
+#: shows whether the removal is one of many. A removed runner serves on for
+#: longer than this.
+REMOVAL_HOLD_S = 0.4
+#: At least this number of removals without a notice at once, and this share
+#: of the runners that accept work, count as expired entries: the store was
+#: out of service, which a watch that waited during the outage does not report.
+MASS_REMOVAL_MIN_COUNT = 3
+MASS_REMOVAL_SHARE = 0.5
+#: The delay of a mass removal as a share of the time within which a runner
+#: that has left must stop receiving work. Runners of a data centre that are
+#: reclaimed without a notice look the same as expired entries; the rest of
+#: the time is for propagating the removal.
+MASS_REMOVAL_DRAIN_SHARE = 0.65
+#: Limit on the remembered removals. They prevent a late entry from restoring
+#: a removed runner.
+MAX_TOMBSTONES = 4096
+
+
+class _PendingRemoval:
+    """A removal that is not applied yet, as the entry may have expired.
+
+    :param until: when the removal is applied, on the monotonic clock.
+    :param revision: the store's revision of the removal.
     """
 
     __slots__ = ("removed_at", "until", "revision")
@@ -44,69 +47,72 @@
 
 
 class Directory:
-    """Which runners live, and which take new work.
+    """The runners that are alive, and those that accept new work.
 
-    News comes from the store and from peers, in any order. Of two entries of
-    one name that of the later start counts, and of one incarnation's that
-    with the higher revision.
+    Updates arrive from the store and from peers in any order. Of two entries
+    with the same name the one with the later start takes precedence, and of
+    two entries of one incarnation the one with the higher revision.
 
-    :param drain_s: how soon a runner that has left must get no more work.
+    :param drain_s: the time within which a runner that has left must stop
+        receiving work, in seconds.
     """
 
     __slots__ = (
         "_by_id",
         "_checksum",
         "_clock",
-        "_doubted",
-        "_gone",
-        "_lapse_s",
-        "_lenient_until",
+        "_pending_removals",
+        "_tombstones",
+        "_mass_removal_hold_s",
+        "_grace_until",
         "_revision",
         "_runners",
     )
 
     def __init__(
-        self, clock: clocks.Clock, drain_s: float = REAPPEAR_S
+        self, clock: clocks.Clock, drain_s: float = REAPPEAR_TIMEOUT_S
     ) -> None:
         self._clock = clock
-        self._lapse_s = min(REAPPEAR_S, LAPSE_DRAIN_PART * drain_s)
-        #: By name.
+        self._mass_removal_hold_s = min(
+            REAPPEAR_TIMEOUT_S, MASS_REMOVAL_DRAIN_SHARE * drain_s
+        )
+        #: Runners by name.
         self._runners: dict[str, runners_.Runner] = {}
-        #: The same by incarnation.
+        #: The same runners by incarnation.
         self._by_id: dict[str, runners_.Runner] = {}
-        #: Names to the revision at which they were gone.
-        self._gone: dict[str, int] = {}
-        #: Names of runners that may only have lapsed.
-        self._doubted: dict[str, _Doubt] = {}
+        #: The revision of the removal, by the name of a removed runner.
+        self._tombstones: dict[str, int] = {}
+        #: Removals that are not applied yet, by the name of the runner.
+        self._pending_removals: dict[str, _PendingRemoval] = {}
         self._checksum: int | None = None
         self._revision = 0
-        self._lenient_until = float("-inf")
+        self._grace_until = float("-inf")
 
     @property
     def revision(self) -> int:
-        """The highest revision of any news."""
+        """The highest revision of all updates."""
         return self._revision
 
     @property
     def checksum(self) -> int:
-        """Equal where the same runners live and take new work.
+        """A checksum of the runners that are alive and accept new work.
 
-        Revisions alone don't show a removal that one VM holds back and then
-        makes late: its peers have been told of later revisions by then.
+        Comparing revisions does not reveal a removal that one VM delays: its
+        peers have received later revisions by the time it is applied.
         """
         if self._checksum is None:
-            states = sorted(r.believed for r in self._runners.values())
+            states = sorted(r.state_key for r in self._runners.values())
             text = " ".join(states).encode()
             self._checksum = xxhash.xxh32_intdigest(text)
         return self._checksum
 
     @property
     def runners(self) -> list[runners_.Runner]:
-        """All that live, leaving ones included."""
-        return [r for r in self._runners.values() if not r.unread]
+        """All live runners, including those that are leaving."""
+        return [r for r in self._runners.values() if not r.is_placeholder]
 
     def of_service(self, service: str) -> list[runners_.Runner]:
-        """Runners of a service that take new work."""
+        """The runners of a service that accept new work."""
         return [
             runner
             for runner in self._runners.values()
@@ -114,19 +120,20 @@
         ]
 
     def get(self, runner_id: str) -> runners_.Runner | None:
-        """An incarnation, None when it is unknown or gone."""
+        """The runner with this incarnation; None if unknown or removed."""
         return self._by_id.get(runner_id)
 
     def store_returned(self) -> None:
-        """The store answers again after an outage."""
-        self._lenient_until = self._clock.now() + REAPPEAR_S
+        """Tolerate missing entries for a while after a store outage."""
+        self._grace_until = self._clock.now() + REAPPEAR_TIMEOUT_S
 
     def listed(
         self, entries: typing.Iterable[runners_.Entry], revision: int
     ) -> list[str]:
-        """Take over the store's whole list.
+        """Apply the store's complete list of entries.
 
-        :returns: incarnations that are leaving or gone since.
+        :param revision: the store's revision of the list.
+        :returns: the incarnations that this list marks as leaving or removes.
         """
         ended = []
         present = set()
@@ -143,27 +150,28 @@
         return ended
 
     def changed(self, entry: runners_.Entry) -> list[str]:
-        """Take over one entry.
+        """Apply one entry.
 
-        :returns: incarnations that are leaving or gone since.
+        :returns: the incarnations that this entry marks as leaving or ends.
         """
-        if self._gone.get(entry.name, -1) >= entry.revision:
+        if self._tombstones.get(entry.name, -1) >= entry.revision:
             return []
         self._revision = max(self._revision, entry.revision)
         known = self._runners.get(entry.name)
-        runner = _read(known, entry)
+        runner = _resolve_entry(known, entry)
         if known is not None and not _supersedes(known, runner):
-            # Not even the same revision is a sign of life: a peer that has
-            # not heard of a removal sends what stood there before it.
+            # An entry with the known revision does not cancel a pending
+            # removal: a peer that has not received the removal sends the
+            # entry from before it.
             return []
-        self._gone.pop(entry.name, None)
-        self._doubted.pop(entry.name, None)
+        self._tombstones.pop(entry.name, None)
+        self._pending_removals.pop(entry.name, None)
         self._runners[entry.name] = runner
         self._by_id[runner.runner_id] = runner
         self._checksum = None
         ended = []
         if known is not None and known.runner_id != runner.runner_id:
-            # It started again: nothing of the incarnation before lives on.
+            # The runner restarted, so the previous incarnation has ended.
             del self._by_id[known.runner_id]
             ended.append(known.runner_id)
             known = None
@@ -172,64 +180,76 @@
         return ended
 
     def removed(self, name: str, revision: int) -> list[str]:
-        """An entry is not there any more.
+        """Apply the removal of an entry, at once or after a delay.
 
-        Just after an outage the runner may live and only have failed to
-        write; it is doubted for a while and not yet gone.
+        A leaving runner is removed at once. The removal of any other runner
+        is delayed, as the runner may be alive and its entry may have expired
+        during an outage of the store.
 
-        :returns: the incarnation that is gone now, if one is.
+        :param revision: the store's revision of the removal.
+        :returns: the incarnation that is removed now, if any.
         """
         runner = self._runners.get(name)
         if runner is None or runner.revision > revision:
-            # A peer has told of an entry that was written since.
+            # A peer has sent an entry that was written after the removal.
             return []
         if runner.leaving:
-            return self._bury(name, revision)
+            return self._remove(name, revision)
         now = self._clock.now()
-        until = max(self._lenient_until, now + SETTLE_S)
-        self._doubted.setdefault(name, _Doubt(now, until, revision))
-        self._notice_lapse()
+        until = max(self._grace_until, now + REMOVAL_HOLD_S)
+        self._pending_removals.setdefault(
+            name, _PendingRemoval(now, until, revision)
+        )
+        self._extend_mass_removal()
         return []
 
-    def _notice_lapse(self) -> None:
+    def _extend_mass_removal(self) -> None:
         ready = sum(not r.leaving for r in self._runners.values())
-        if len(self._doubted) < max(LAPSE_LEAST, LAPSE_PART * ready):
+        if len(self._pending_removals) < max(
+            MASS_REMOVAL_MIN_COUNT, MASS_REMOVAL_SHARE * ready
+        ):
             return
-        for doubt in self._doubted.values():
-            # From when each was removed: those that follow extend nothing.
-            until = doubt.removed_at + self._lapse_s
-            doubt.until = max(doubt.until, until)
+        for pending in self._pending_removals.values():
+            # Measured from each runner's own removal, so that later removals
+            # don't extend the delay of earlier ones.
+            until = pending.removed_at + self._mass_removal_hold_s
+            pending.until = max(pending.until, until)
 
     def gone(self, runner_id: str) -> list[str]:
-        """Somebody else answers at an incarnation's address."""
+        """Remove an incarnation at whose address another process answers.
+
+        :returns: the incarnation, if it was known.
+        """
         runner = self._by_id.get(runner_id)
         if runner is None:
             return []
-        return self._bury(runner.name, runner.revision)
+        return self._remove(runner.name, runner.revision)
 
     def tick(self) -> list[str]:
-        """Bury runners whose time to reappear is over.
+        """Apply the pending removals that are due.
 
-        :returns: their incarnations.
+        :returns: the removed incarnations.
         """
         now = self._clock.now()
-        late = [
-            (name, doubt.revision)
-            for name, doubt in self._doubted.items()
-            if doubt.until <= now
+        due = [
+            (name, pending.revision)
+            for name, pending in self._pending_removals.items()
+            if pending.until <= now
         ]
         return [
             runner_id
-            for name, revision in late
-            for runner_id in self._bury(name, revision)
+            for name, revision in due
+            for runner_id in self._remove(name, revision)
         ]
 
     def news_after(
         self, revision: int
     ) -> tuple[list[runners_.Runner], dict[str, int]]:
-        """Entries and removals newer than a revision, for a peer."""
+        """The entries and removals after a revision, to send to a peer."""
         entries = [r for r in self._runners.values() if r.revision > revision]
-        gone = {name: at for name, at in self._gone.items() if at > revision}
+        gone = {
+            name: at for name, at in self._tombstones.items() if at > revision
+        }
         return entries, gone
 
     def heard(
@@ -237,68 +257,74 @@
         entries: typing.Iterable[runners_.Runner],
         gone: typing.Mapping[str, int],
     ) -> list[str]:
-        """Take over a peer's news.
+        """Merge the entries and removals received from a peer.
 
-        :returns: incarnations that are leaving or gone since.
+        :param gone: the revision of each removal, by the runner's name.
+        :returns: the incarnations that are leaving or removed as a result.
         """
         ended = [name for runner in entries for name in self.changed(runner)]
         for name, revision in gone.items():
             known = self._runners.get(name)
             if known is not None and known.revision <= revision:
-                ended += self._bury(name, revision)
+                ended += self._remove(name, revision)
             elif known is None:
-                # Kept although nothing changes: this VM would else seem to
-                # be behind for ever, and ask again with each record.
-                before = self._gone.get(name, revision)
-                self._gone[name] = max(before, revision)
+                # The removal of an unknown runner is recorded, too. Otherwise
+                # this VM's revision would stay behind the peer's, and it
+                # would request the same changes after each record.
+                before = self._tombstones.get(name, revision)
+                self._tombstones[name] = max(before, revision)
                 self._revision = max(self._revision, revision)
         return ended
 
-    def _bury(self, name: str, revision: int) -> list[str]:
-        self._doubted.pop(name, None)
+    def _remove(self, name: str, revision: int) -> list[str]:
+        self._pending_removals.pop(name, None)
         runner = self._runners.pop(name, None)
         if runner is None:
             return []
         del self._by_id[runner.runner_id]
-        self._gone[name] = max(revision, runner.revision)
+        self._tombstones[name] = max(revision, runner.revision)
         self._revision = max(self._revision, revision)
         self._checksum = None
-        while len(self._gone) > MOST_TOMBSTONES:
-            self._gone.pop(next(iter(self._gone)))
+        while len(self._tombstones) > MAX_TOMBSTONES:
+            self._tombstones.pop(next(iter(self._tombstones)))
         return [runner.runner_id]
 
 
-def _read(
+def _resolve_entry(
     known: runners_.Runner | None, entry: runners_.Entry
 ) -> runners_.Runner:
-    """What an entry makes of the runner of its name."""
+    """The state of a runner after its entry has changed.
+
+    :param known: the state before; None for an unknown runner.
+    """
     if isinstance(entry, runners_.Unreadable):
         if known is None:
-            return runners_.Runner.never_read(entry.name, entry.revision)
+            return runners_.Runner.placeholder(entry.name, entry.revision)
         return known.withdraw(entry.revision)
     if known is None:
         return entry
     if entry.withdrawn or (known.born and not entry.born):
-        # Who has told its start once tells it always: somebody else wrote it.
+        # A runner that reports its start always reports it, so another
+        # program wrote this entry.
         return known.withdraw(entry.revision)
     return entry
 
 
-def _supersedes(known: runners_.Runner, news: runners_.Runner) -> bool:
-    """Whether news of a name counts more than what is known.
+def _supersedes(known: runners_.Runner, update: runners_.Runner) -> bool:
+    """Whether an update takes precedence over the known state of a runner.
 
-    The store may carry out a write long after it was sent. A late heartbeat
-    has a higher revision than what it was written over, so revisions alone
-    would bring an incarnation back that has ended, or one to work that has
-    said that it leaves.
+    The store may apply a write long after it was sent. A late heartbeat has a
+    higher revision than the entry that it overwrites. Comparing revisions
+    alone would restore an incarnation that has ended, or send work to one
+    that has announced that it is leaving.
     """
-    later = news.revision > known.revision
-    if news.withdrawn:
+    later = update.revision > known.revision
+    if update.withdrawn:
         return later
     if known.withdrawn:
-        return later and news.born >= known.born
-    if known.born != news.born:
-        return news.born > known.born if known.born else later
-    if known.leaving != news.leaving and known.sequence != news.sequence:
-        return news.sequence > known.sequence
+        return later and update.born >= known.born
+    if known.born != update.born:
+        return update.born > known.born if known.born else later
+    if known.leaving != update.leaving and known.sequence != update.sequence:
+        return update.sequence > known.sequence
     return later
--- a/src/apricotlever/serving/runner_pools.py
+++ b/src/apricotlever/serving/runner_pools.py
@@ -1,4 +1,4 @@
-"""Connections to all runners, within what each of them takes."""
+"""Connection pools to all runners, within each runner's connection limit."""
 
 import typing
 
@@ -6,13 +6,13 @@
 from . import routes
 from . import runners
 
-#: Part of a runner's connections that all VMs together open. The rest is for
-#: connections that the runner has not seen close yet.
-CONNECTION_PART = 0.85
+#: Share of a runner's connection limit that all VMs together use. The rest is
+#: for closed connections that the runner still counts as open.
+CONNECTION_SHARE = 0.85
 
 
 class _Entry:
-    """The pool of one incarnation, and the runner as it was then."""
+    """The pool of one incarnation, and the runner when it was created."""
 
     __slots__ = ("runner", "pool")
 
@@ -22,45 +22,46 @@
 
 
 class RunnerPools:
-    """The pools, by incarnation."""
+    """Connection pools by the incarnation of the runner."""
 
-    __slots__ = ("_entries", "_members", "_services")
+    __slots__ = ("_entries", "_vm_count", "_services")
 
     def __init__(self) -> None:
         self._entries: dict[str, _Entry] = {}
-        self._members = 1
+        self._vm_count = 1
         self._services: typing.Mapping[str, routes.Service] = {}
 
     @property
     def opened(self) -> int:
-        """Connections opened to the runners that are known now."""
+        """Total connections opened to the currently known runners."""
         return sum(entry.pool.opened for entry in self._entries.values())
 
     def configure(self, services: typing.Mapping[str, routes.Service]) -> None:
-        """Take over what the services' runners allow."""
+        """Set the services, whose connection limits apply to new pools."""
         self._services = services
 
     def set_members(self, count: int) -> None:
-        """Take over how many VMs share the runners' connections."""
-        self._members = max(1, count)
+        """Set the number of VMs that share the runners' connections."""
+        self._vm_count = max(1, count)
         for entry in self._entries.values():
-            entry.pool.set_limit(self._limit(entry.runner))
+            entry.pool.set_limit(self._connection_limit(entry.runner))
 
     def of(self, runner: runners.Runner) -> pools.Pool:
-        """The connections to a runner."""
+        """The connection pool of a runner, created when needed."""
         entry = self._entries.get(runner.runner_id)
         if entry is None:
-            limit = self._limit(runner)
+            limit = self._connection_limit(runner)
             entry = _Entry(runner, pools.Pool(runner.host, runner.port, limit))
             self._entries[runner.runner_id] = entry
         return entry.pool
 
     def keep_only(self, listed: typing.Sequence[runners.Runner]) -> None:
-        """Let go of connections to runners that are gone or have moved.
+        """Drop the pools of runners that were removed or changed address.
 
-        A runner that is gone from the list may serve on what it has for
-        many seconds. One that started again has lost it: its calls, which
-        would wait for a silent connection to time out, end now.
+        A removed runner may serve its calls for many more seconds, so its
+        connections stay open until these calls end. A restarted runner has
+        lost its calls: they end now rather than wait for a silent connection
+        to time out.
         """
         present = {runner.runner_id: runner for runner in listed}
         names = {runner.name for runner in listed}
@@ -75,13 +76,16 @@
                 entry.pool.retire()
 
     def sweep(self, now: float) -> None:
-        """Close connections that idled for too long."""
+        """Close connections that have been idle for too long.
+
+        :param now: the time of the event loop, in seconds.
+        """
         for entry in self._entries.values():
             entry.pool.close_old(now)
 
-    def _limit(self, runner: runners.Runner) -> int:
+    def _connection_limit(self, runner: runners.Runner) -> int:
         service = self._services.get(runner.service)
         if service is None:
             return 1
-        share = CONNECTION_PART * service.max_connections / self._members
+        share = CONNECTION_SHARE * service.max_connections / self._vm_count
         return max(1, int(share))
--- a/src/apricotlever/serving/runners.py
+++ b/src/apricotlever/serving/runners.py
@@ -1,4 +1,4 @@
-"""A runner as the platform lists it, and entries that name none."""
+"""Runners as listed in the platform's store, and unreadable entries."""
 
 import typing
 
@@ -6,15 +6,15 @@
 
 
 class Unreadable:
-    """An entry from which no runner to use can be read.
+    """An entry that does not describe a usable runner.
 
-    Another program may have written it, or it was spoiled. If a runner is
-    known by its name, that one gets no new work until its entry can be read
+    Another program may have written the entry, or it was corrupted. A known
+    runner with the same name gets no new work until its entry is readable
     again.
 
-    :param name: of the entry.
-    :param revision: the store's, of the last change of the entry.
-    :param reason: what is wrong, for the log.
+    :param name: the entry's name.
+    :param revision: the store's revision of the last change of the entry.
+    :param reason: what is wrong with the entry, for the log.
     """
 
     __slots__ = ("name", "revision", "reason")
@@ -28,16 +28,18 @@
 class Runner:
     """One incarnation of a runner.
 
-    :param name: under which it is listed; kept when it starts again.
-    :param leaving: it takes no new work.
-    :param leaves_s: how long it serves on; None if unsaid.
-    :param reclaimable: it may be taken away at short notice.
-    :param revision: the store's, of the last change of the entry.
-    :param born: when it started, in milliseconds since 1970; 0 if unsaid.
-    :param sequence: of its heartbeat; begins anew with each start.
-    :param withdrawn: its entry can't be read any more, and what was read
-        before stands here. It takes no new work; its calls go on.
-    :param version: of its software; "" if unknown.
+    :param name: the name in the store; a restarted runner keeps it.
+    :param concurrency: the number of calls that it serves at the same time.
+    :param leaving: whether it has stopped accepting new work.
+    :param leaves_s: how long it still serves, in seconds; None if unknown.
+    :param reclaimable: whether the cloud may reclaim it at short notice.
+    :param revision: the store's revision of the last change of the entry.
+    :param born: when it started, in milliseconds since 1970; 0 if unknown.
+    :param sequence: the number of its last heartbeat; each start resets it.
+    :param withdrawn: whether its entry has become unreadable. The other
+        fields are then those last read; the runner gets no new work, and its
+        calls continue.
+    :param version: the version of its software; "" if unknown.
     """
 
     __slots__ = (
@@ -89,9 +91,9 @@
         self.sequence = sequence
         self.withdrawn = withdrawn
         self.version = version
-        #: Tells incarnations apart. Whatever is kept of a runner is kept
-        #: under it: one that starts again under its name holds no cache and
-        #: none of the calls, and has none of the failures, of before.
+        #: Identifies the incarnation. All state about a runner is stored
+        #: under this key: a runner that restarts under the same name has
+        #: none of the cache, calls and failures of the previous process.
         self.runner_id = f"{name}@{born}" if born else name
 
     @property
@@ -100,20 +102,21 @@
         return f"{self.host}:{self.port}"
 
     @property
-    def unread(self) -> bool:
-        """Whether it stands for an entry that could never be read."""
+    def is_placeholder(self) -> bool:
+        """Whether this is a placeholder for an entry never readable."""
         return not self.service
 
     @property
-    def believed(self) -> str:
-        """Equal where two VMs believe the same of a runner."""
+    def state_key(self) -> str:
+        """Text that is equal on two VMs with the same state of a runner."""
         if self.withdrawn:
-            # A VM that has never read the entry knows no start.
+            # The start is left out: a VM that has never read the entry does
+            # not know it.
             return f"{self.name}!"
         return f"{self.runner_id}{int(self.leaving)}"
 
     def withdraw(self, revision: int) -> "Runner":
-        """The runner when its entry has become unreadable."""
+        """A copy of this runner after its entry has become unreadable."""
         record = self.to_record()
         known = Runner.from_record(record)
         known.leaving = known.withdrawn = True
@@ -121,26 +124,26 @@
         return known
 
     def to_record(self) -> list[typing.Any]:
-        """The fields in order, for another entry VM."""
+        """The fields in order, to send to another entry VM."""
         return [getattr(self, name) for name, _ in _FIELDS]
 
     @classmethod
     def from_record(cls, record: typing.Any) -> "Runner":
-        """The reverse of :meth:`to_record`.
+        """Create a runner from the result of :meth:`to_record`.
 
-        :raises shapes.Misshapen: when it is no such record.
+        :raises validation.Misshapen: if the record is invalid.
         """
         return cls(*validation.validate_record(_FIELDS, record))
 
     @classmethod
-    def never_read(cls, name: str, revision: int) -> "Runner":
-        """Stands for an entry that was unreadable from the first."""
+    def placeholder(cls, name: str, revision: int) -> "Runner":
+        """A placeholder for an entry that has never been readable."""
         return cls(
             name, "", "", 0, "", 0, True, revision=revision, withdrawn=True
         )
 
 
-#: What each field of a peer's record has to be, in order.
+#: The fields of a peer's record in order, each with its validation.
 _FIELDS: tuple[tuple[str, validation.Predicate], ...] = (
     ("name", validation.is_non_empty_string),
     ("service", validation.is_string),
@@ -158,5 +161,5 @@
     ("version", validation.is_string),
 )
 
-#: What an entry of the store says.
+#: The content of a runner's entry in the store.
 Entry = Runner | Unreadable
