--- a/src/apricotlever/serving/duties.py
+++ b/src/apricotlever/serving/duties.py
@@ -1,4 +1,4 @@
-"""Duties that one VM does for the fleet, under a lease in the store."""
+"""The fleet's lease on its duties, and calls to the cloud API under it."""
 
 import random
 import typing
@@ -18,53 +18,58 @@
 
 KIND = "leases"
 TICK_S = 0.1
-#: A lease lasts this many times the bound within which holders may not
-#: alternate, so that it outlives a short outage of the store.
-LEASE_BOUNDS = 1.5
-#: A field beside the lease's own that each write changes. A store may take a
-#: write that changes nothing for none and keep the revision; contenders, who
-#: see a renewal by its new revision, would then take a living lease.
-RENEWAL = "renewal"
-#: VMs that contend for a free lease; all others read nothing.
-CONTENDERS = 2
-CALL_S = 1.5
-#: Calls for the lease that fail in a row before a holder hands it over, if
-#: others follow the store: one may fail by chance.
-GIVE_UP_AFTER = 2
-#: Durations of a lease for which a holder that handed it over says so, and
-#: does not contend: holders that alternate would be as bad as none.
-GAVE_UP_PART = 2.0
+#: Duration of the lease as a multiple of the bound within which two holders
+#: must not alternate; more than 1, so that a lease outlasts a short outage of
+#: the store.
+LEASE_DURATION_FACTOR = 1.5
+#: A field that each write changes, added to the fields of the lease. A store
+#: may ignore a write that changes nothing, and keep the revision. Contenders
+#: recognize a renewal by its new revision, and would then acquire a lease
+#: that is still held.
+RENEWAL_FIELD = "renewal"
+#: Number of VMs that contend for a free lease; all others don't read it.
+MAX_CONTENDERS = 2
+CALL_TIMEOUT_S = 1.5
+#: Number of consecutive failed store calls after which the holder surrenders
+#: the lease, if other VMs reach the store. A single call may fail by chance.
+MAX_FAILED_CALLS = 2
+#: Time for which a VM announces that it surrendered the lease and does not
+#: contend, as a multiple of the lease's duration. Holders that alternate
+#: would be as bad as no holder.
+SURRENDER_FACTOR = 2.0
 
 
 def candidates(
     name: str, peers: typing.Sequence[vm_records.VmRecord]
 ) -> list[str]:
-    """Other VMs that hold a lease, or contend for it once it is free.
+    """The other VMs that hold a lease, or would contend for a free one.
 
-    :param name: of the lease.
-    :param peers: records of the other living VMs.
+    :param name: the name of the lease.
+    :param peers: the records of the other live VMs.
     """
     holders = [p.vm for p in peers if p.lease]
     ready = [p.vm for p in peers if p.ready and not p.leaving]
-    ranked = rendezvous.rank(name, ready)[:CONTENDERS]
+    ranked = rendezvous.rank(name, ready)[:MAX_CONTENDERS]
     return list(dict.fromkeys([*holders, *ranked]))
 
 
 class LeaseKeeper:
-    """Drives one lease by calls to the store.
+    """Acquires, renews and surrenders one lease by calls to the store.
 
-    :param name: of the duty.
+    :param name: the name of the lease.
+    :param vm: this VM's name.
+    :param incarnation: the incarnation of this process.
     """
 
     __slots__ = (
-        "_alive",
+        "_other_candidates",
         "_clock",
         "_contends",
         "_duration_s",
-        "_failed",
-        "_gave_up",
-        "_gave_up_until",
-        "_held",
+        "_failed_calls",
+        "_surrendered",
+        "_surrendered_until",
+        "_was_held",
         "_lease",
         "_name",
         "_others_follow",
@@ -86,57 +91,60 @@
         self._name = name
         self._vm = vm
         self._store = store_
-        self._held = False
-        #: The other VMs that may hold the lease; None before the first look.
-        self._alive: frozenset[str] | None = None
+        self._was_held = False
+        #: The other VMs that may hold the lease; None until the first update.
+        self._other_candidates: frozenset[str] | None = None
         self._contends = False
         self._renewals = 0
         self._clock = clock
-        #: Calls that failed in a row.
-        self._failed = 0
-        self._gave_up = 0
-        self._gave_up_until = leases.NEVER
-        #: Whether another VM was heard that follows the store.
+        #: Number of consecutive failed calls.
+        self._failed_calls = 0
+        self._surrendered = 0
+        self._surrendered_until = leases.NEVER
+        #: Whether another VM announces that it follows the store.
         self._others_follow = False
-        self._duration_s = LEASE_BOUNDS * bounds.lease_s
+        self._duration_s = LEASE_DURATION_FACTOR * bounds.lease_s
         self._lease = leases.Lease(
             clock,
             rng,
             name,
             vm,
             incarnation,
-            # Where nobody checks the number, a call that the holder before has
-            # under way must have come before the next one's first.
-            longest_order_s=0.0 if bounds.fencing_checked else CALL_S,
+            # If the cloud does not check fencing numbers, a call in flight
+            # from the previous holder must arrive before the first call of
+            # the next holder.
+            longest_order_s=0.0 if bounds.fencing_checked else CALL_TIMEOUT_S,
             duration_s=self._duration_s,
             durable=store_.durable,
         )
 
     @property
     def fencing(self) -> int | None:
-        """The number to act with, None when this VM may not act."""
+        """The fencing number of this VM's calls; None if it must not act."""
         return self._lease.may_order(TICK_S)
 
     @property
-    def renewed(self) -> tuple[int, int] | None:
-        """The lease's version and number while this VM holds it."""
+    def last_renewal(self) -> tuple[int, int] | None:
+        """The version and fencing number while this VM holds the lease."""
         return self._lease.last_renewal
 
     @property
-    def gave_up(self) -> int:
-        """The number that this VM handed over lately, 0 for none."""
-        recent = self._clock.now() < self._gave_up_until
-        return self._gave_up if recent else 0
+    def surrendered_fencing(self) -> int:
+        """The fencing number that this VM surrendered recently; 0 if none."""
+        is_recent = self._clock.now() < self._surrendered_until
+        return self._surrendered if is_recent else 0
 
-    def look(
+    def update_view(
         self, peers: typing.Sequence[vm_records.VmRecord], members: int
     ) -> None:
-        """Decide whether to contend, by who is alive.
+        """Decide whether to contend for the lease, from the live VMs.
 
-        A VM that hears less than half of the fleet gives the lease up: it
-        would report and order by its own small part of the work.
+        A VM that hears less than half of the fleet releases the lease: it
+        would send reports and orders based on its own small part of the work.
 
-        :param members: VMs that may be alive, this one included.
+        :param peers: the records of the other live VMs.
+        :param members: the number of VMs that may be alive, including this
+            one.
         """
         self._others_follow = any(p.follows for p in peers)
         for peer in peers:
@@ -150,39 +158,47 @@
         alive = frozenset(
             p.vm for p in peers if p.ready and not p.leaving and not p.gave_up
         )
-        if alive != self._alive:
-            self._alive = alive
+        if alive != self._other_candidates:
+            self._other_candidates = alive
             ranked = rendezvous.rank(self._name, [*alive, self._vm])
-            self._contends = self._vm in ranked[:CONTENDERS]
-        hears = 2 * (len(peers) + 1) >= members
+            self._contends = self._vm in ranked[:MAX_CONTENDERS]
+        hears_half = 2 * (len(peers) + 1) >= members
         wanted = self._lease.held or self._contends
-        self._lease.want(hears and wanted and not self.gave_up)
+        self._lease.want(
+            hears_half and wanted and not self.surrendered_fencing
+        )
+
+    def release(self) -> None:
+        """Release the lease and announce this to the other VMs.
 
-    def leave(self) -> None:
-        """Give the lease back, and say so: else others look much later."""
+        Without the announcement the other VMs would notice much later.
+        """
         if self._lease.held:
-            self._give_up()
+            self._surrender()
         self._lease.want(False)
 
-    def fenced_off(self, fencing: int) -> None:
-        """The platform has seen a higher number than the one just used."""
+    def fencing_rejected(self, fencing: int) -> None:
+        """Handle a call rejected because of a higher fencing number.
+
+        :param fencing: the rejected number.
+        """
         self._lease.fencing_rejected(fencing + 1)
 
     async def step(self) -> None:
-        """Make the call to the store that is due, if one is."""
+        """Make the store call that is due, if any."""
         action = self._lease.tick()
         if action is not None:
-            await self._carry_out(action)
+            await self._execute(action)
         held = self.fencing is not None
-        if held != self._held:
-            self._held = held
+        if held != self._was_held:
+            self._was_held = held
             logs.event(
                 "lease_taken" if held else "lease_lost",
                 duty=self._name,
                 fencing=self.fencing,
             )
 
-    async def _carry_out(self, action: lease_objects.LeaseAction) -> None:
+    async def _execute(self, action: lease_objects.LeaseAction) -> None:
         lease = self._lease
         try:
             if isinstance(action, lease_objects.WriteLease):
@@ -194,40 +210,43 @@
                     lease.read(None, None)
                 else:
                     lease.read(found.revision, _without_renewal(found.spec))
-            self._failed = 0
+            self._failed_calls = 0
         except store.Conflict:
             lease.conflict()
         except store.Unanswered as error:
             lease.ambiguous()
-            self._note_failure(error)
+            self._handle_failure(error)
         except store.StoreError as error:
             lease.failed()
-            self._note_failure(error)
+            self._handle_failure(error)
 
-    def _note_failure(self, error: store.StoreError) -> None:
-        """Hand the duty over if others can do what this VM can't.
+    def _handle_failure(self, error: store.StoreError) -> None:
+        """Surrender the lease if other VMs reach the store and this one fails.
 
-        Else nobody would do it until this holder's time is over and the
-        others', who count from when they saw its last renewal: nine seconds.
+        Otherwise the duties would be undone for nine seconds, until the lease
+        has expired for this holder and for the other VMs, which measure its
+        duration from when they observed the last renewal.
         """
         logs.event("lease_call_failed", duty=self._name, error=str(error))
-        self._failed += 1
-        if self._failed < GIVE_UP_AFTER or not self._others_follow:
+        self._failed_calls += 1
+        if self._failed_calls < MAX_FAILED_CALLS or not self._others_follow:
             return
         if self._lease.held:
-            self._give_up()
+            self._surrender()
 
-    def _give_up(self) -> None:
+    def _surrender(self) -> None:
         now = self._clock.now()
-        self._gave_up = self._lease.surrender()
-        self._gave_up_until = now + GAVE_UP_PART * self._duration_s
-        logs.event("lease_handed_over", duty=self._name, fencing=self._gave_up)
+        self._surrendered = self._lease.surrender()
+        self._surrendered_until = now + SURRENDER_FACTOR * self._duration_s
+        logs.event(
+            "lease_handed_over", duty=self._name, fencing=self._surrendered
+        )
 
     async def _write(
         self, action: lease_objects.WriteLease
     ) -> store.StoredObject:
         self._renewals += 1
-        value = {**action.value, RENEWAL: f"{self._vm}.{self._renewals}"}
+        value = {**action.value, RENEWAL_FIELD: f"{self._vm}.{self._renewals}"}
         if action.expected_version is None:
             return await self._store.create(KIND, self._name, value)
         return await self._store.replace(
@@ -238,18 +257,18 @@
 def _without_renewal(spec: store.Json) -> store.Json:
     if not isinstance(spec, dict):
         return spec
-    return {key: value for key, value in spec.items() if key != RENEWAL}
+    return {key: value for key, value in spec.items() if key != RENEWAL_FIELD}
 
 
 class CloudBusy(Exception):
-    """The call had no effect, or none that is known."""
+    """The call had no effect, or its effect is unknown."""
 
 
-class Cloud:
-    """Calls to the platform's cloud API, under a fencing number.
+class CloudClient:
+    """Calls to the platform's cloud API with a fencing number.
 
-    :param vm: the holder's name.
-    :param may_act: whether this VM may act under a number now.
+    :param vm: this VM's name, sent as the holder of the lease.
+    :param may_act: tells whether this VM may use a fencing number now.
     """
 
     __slots__ = ("_dialect", "_host", "_may_act", "_pool", "_vm", "calls")
@@ -266,25 +285,26 @@
         self._dialect = dialect
         self._host = f"{address.host}:{address.port}"
         self._pool = pools.Pool(address.host, address.port)
-        #: Calls made so far.
+        #: Number of calls made so far.
         self.calls = 0
 
     async def send(self, path: str, body: bytes, fencing: int) -> bool:
         """Send an order or a report.
 
-        :returns: whether it was taken; if not, another holder has acted
-            since, or what was ordered is not to be had.
-        :raises CloudBusy: when it may be sent again.
+        :returns: whether it was accepted. If not, another holder has acted
+            in the meantime, or the ordered capacity is unavailable.
+        :raises CloudBusy: if the call may be repeated.
         """
         headers = self._dialect.duty_headers(self._vm, fencing)
         request = pools.request_bytes("POST", path, self._host, body, headers)
         self.calls += 1
         try:
-            # A connection may take so long to open that the lease is over.
+            # The lease may expire while the connection opens, so it is
+            # checked again just before the call is sent.
             answer = await pools.call(
                 self._pool,
                 request,
-                CALL_S,
+                CALL_TIMEOUT_S,
                 still=lambda: self._may_act(fencing),
             )
         except (channels.ChannelError, TimeoutError) as error:
--- a/src/apricotlever/serving/duty_roster.py
+++ b/src/apricotlever/serving/duty_roster.py
@@ -1,4 +1,4 @@
-"""The duties that this VM does while it holds the fleet's lease."""
+"""The duties that this VM performs while it holds the fleet's lease."""
 
 import random
 import typing
@@ -21,15 +21,15 @@
 from . import upstreams
 from . import usage_duty
 
-#: One lease for all duties: it is renewed every 1.5 s, at a price each time.
+#: All duties share one lease, as the store charges for each renewal and a
+#: lease is renewed every 1.5 s.
 LEASE = "fleet"
 
 
 class DutyRoster:
-    """All duties that the settings name, under one lease.
+    """All duties enabled in the settings, under one lease.
 
-    :param work: the fleet's work, by which runners are ordered.
-    :param limits: noted in the store with the usage counts.
+    :param incarnation: the incarnation of this process.
     """
 
     __slots__ = (
@@ -57,7 +57,7 @@
             LEASE, config.vm, incarnation, clock, rng, store_, config.bounds
         )
         self._cloud = (
-            duties.Cloud(
+            duties.CloudClient(
                 config.vm,
                 dialect,
                 config.cloud,
@@ -72,28 +72,33 @@
 
     @property
     def reported(self) -> int:
-        """The newest usage window that is known to be reported."""
-        return self._usage.reported if self._usage is not None else 0
+        """The newest usage window known to be reported; 0 if none."""
+        return (
+            self._usage.last_reported_window if self._usage is not None else 0
+        )
 
     def order_runners(
         self,
-        work: runner_duty.Work,
+        workload: runner_duty.Work,
         directory: directories.Directory,
-        calls: upstreams.Upstreams,
+        upstreams_: upstreams.Upstreams,
         dialect: dialects.PlatformDialect,
     ) -> None:
-        """Take on the duty to order runners."""
+        """Add the duty to order runners.
+
+        :param workload: the fleet's workload, which determines the orders.
+        """
         if self._cloud is not None:
             self._runners = runner_duty.RunnerDuty(
                 self._clock,
-                work,
+                workload,
                 directory,
-                calls.all_in_flight,
+                upstreams_.all_in_flight,
                 self._cloud,
                 dialect,
                 self._keeper,
                 self._heartbeat_s,
-                calls.serves,
+                upstreams_.serves,
             )
 
     def report_usage(
@@ -103,7 +108,11 @@
         store_: store.Store,
         dialect: dialects.PlatformDialect,
     ) -> None:
-        """Take on the duty to report usage."""
+        """Add the duty to report usage.
+
+        :param limits_: customers' limits; what is left of them is stored
+            with the usage counts.
+        """
         if self._cloud is not None:
             self._usage = usage_duty.UsageDuty(
                 self._clock,
@@ -119,64 +128,72 @@
         self,
         controller: roll_outs_controller.RollOutController,
         store_: store.Store,
-        calls: upstreams.Upstreams,
+        upstreams_: upstreams.Upstreams,
         dialect: dialects.PlatformDialect,
         changed: typing.Callable[[], None],
     ) -> None:
-        """Take on the duty to write the status of roll-outs."""
+        """Add the duty to write the status of roll-outs.
+
+        :param changed: called when a roll-out order changed.
+        """
         self._roll_outs = roll_out_duty.RollOutDuty(
             self._clock,
             controller,
             store_,
             dialect,
             self._keeper,
-            calls.in_flight_at,
+            upstreams_.in_flight_at,
             changed,
         )
 
     def start(self, running: tasks.Tasks) -> None:
-        """Do the duties from now on."""
+        """Start the tasks of the added duties."""
         if (self._runners, self._usage, self._roll_outs) == (None, None, None):
             return
         running.every(duties.TICK_S, self._keeper.step)
         if self._runners is not None:
-            running.every(runner_duty.PAUSE_S, self._runners.step)
+            running.every(runner_duty.STEP_INTERVAL_S, self._runners.step)
         if self._usage is not None:
-            running.every(usage_duty.PAUSE_S, self._usage.step)
+            running.every(usage_duty.STEP_INTERVAL_S, self._usage.step)
         if self._roll_outs is not None:
-            running.every(roll_out_duty.PAUSE_S, self._roll_outs.step)
+            running.every(roll_out_duty.STEP_INTERVAL_S, self._roll_outs.step)
 
     def configure(self, configuration: routes.Configuration) -> None:
-        """Take over a version of the configuration."""
+        """Apply a version of the configuration."""
         if self._runners is not None:
             self._runners.configuration = configuration
 
     def heard_reported(self, window: int) -> None:
-        """Another VM knows that a window is reported."""
+        """Record that another VM knows a usage window to be reported."""
         if self._usage is not None:
-            self._usage.heard_reported(window)
+            self._usage.observe_reported_window(window)
 
     def look(
         self, peers: typing.Sequence[vm_records.VmRecord], members: int
     ) -> None:
-        """Decide whether to contend for the lease."""
-        self._keeper.look(peers, members)
+        """Decide whether to contend for the lease.
+
+        :param peers: the records of the other live VMs.
+        :param members: the number of VMs that may be alive, including this
+            one.
+        """
+        self._keeper.update_view(peers, members)
 
     @property
     def renewed(self) -> tuple[int, int] | None:
-        """The lease's version and number while this VM holds it."""
-        return self._keeper.renewed
+        """The version and fencing number while this VM holds the lease."""
+        return self._keeper.last_renewal
 
     @property
     def gave_up(self) -> int:
-        """The number of the lease that this VM handed over lately."""
-        return self._keeper.gave_up
+        """The fencing number that this VM surrendered recently; 0 if none."""
+        return self._keeper.surrendered_fencing
 
     @property
     def cloud_calls(self) -> int:
-        """Calls to the cloud API so far."""
+        """The number of calls made to the cloud API."""
         return self._cloud.calls if self._cloud is not None else 0
 
     def leave(self) -> None:
-        """Give the lease back."""
-        self._keeper.leave()
+        """Release the lease."""
+        self._keeper.release()
--- a/src/apricotlever/serving/roll_out_duty.py
+++ b/src/apricotlever/serving/roll_out_duty.py
@@ -16,7 +16,8 @@
 from . import dialects
 from . import store
 
-PAUSE_S = 0.1
+#: Interval between two steps, in seconds.
+STEP_INTERVAL_S = 0.1
 #: Delay after a failed call, in seconds.
 RETRY_S = 0.3
 #: The kind of the records of when each roll-out started. They preserve the
@@ -32,7 +33,7 @@
     )
 
 
-class Holder(typing.Protocol):
+class LeaseHolder(typing.Protocol):
     """Tells whether this VM holds the fleet's duties."""
 
     @property
@@ -54,8 +55,8 @@
         "_dialect",
         "_in_flight",
         "_keeper",
-        "_next_try",
-        "_started",
+        "_next_attempt_at",
+        "_recorded_versions",
         "_store",
         "_written",
     )
@@ -66,7 +67,7 @@
         controller: controllers.RollOutController,
         store_: store.Store,
         dialect: dialects.PlatformDialect,
-        keeper: Holder,
+        keeper: LeaseHolder,
         in_flight: typing.Callable[[frozenset[str]], int],
         changed: typing.Callable[[], None],
     ) -> None:
@@ -77,9 +78,9 @@
         self._keeper = keeper
         self._in_flight = in_flight
         self._changed = changed
-        self._next_try = float("-inf")
+        self._next_attempt_at = float("-inf")
         #: Versions whose start was recorded or read, by service.
-        self._started: dict[str, str] = {}
+        self._recorded_versions: dict[str, str] = {}
         #: The last version and state written, by service.
         self._written: dict[str, tuple[str, model.RollOutState]] = {}
 
@@ -87,16 +88,16 @@
         """Write all results that are due."""
         if self._keeper.fencing is None:
             # Another holder may write in the meantime.
-            self._started.clear()
+            self._recorded_versions.clear()
             self._written.clear()
             return
-        if self._clock.now() < self._next_try:
+        if self._clock.now() < self._next_attempt_at:
             return
         for result in self._controller.due_results(self._in_flight):
             try:
                 await self._process_result(result)
             except (store.StoreError, ValueError) as error:
-                self._next_try = self._clock.now() + RETRY_S
+                self._next_attempt_at = self._clock.now() + RETRY_S
                 logs.event(
                     "roll_out_unwritten",
                     service=result.order.service,
@@ -106,9 +107,9 @@
 
     async def _process_result(self, result: controllers.Result) -> None:
         order = result.order
-        if self._started.get(order.service) != order.version:
+        if self._recorded_versions.get(order.service) != order.version:
             await self._record_start(order)
-            self._started[order.service] = order.version
+            self._recorded_versions[order.service] = order.version
             # The recorded start may change the state that is due.
             return
         wanted = (order.version, result.state)
@@ -151,7 +152,7 @@
             self._changed()
 
     async def _record_start(self, order: model.RollOutOrder) -> None:
-        """Note when a roll-out began, or take over what is noted."""
+        """Record when a roll-out started, or restore the recorded time."""
         record = {"version": order.version, "started_at": order.started_at}
         found = await self._store.get(STARTS_KIND, order.service)
         if found is None:
--- a/src/apricotlever/serving/runner_duty.py
+++ b/src/apricotlever/serving/runner_duty.py
@@ -1,4 +1,4 @@
-"""The duty to order runners, by kind and data centre."""
+"""The duty to order runners, by data centre and capacity type."""
 
 import typing
 
@@ -14,22 +14,31 @@
 from . import routes
 from . import runners
 
-PAUSE_S = 0.5
-#: How long work must have been counted before its figures alone decide; the
-#: runners that a deployment started with are trusted until then.
-LEARNED_AFTER_S = 6.0
-#: An order that was not taken is sent again after this time.
-RETRY_S = 1.0
-#: A process orders nothing until so many heartbeats of the runners after its
-#: start. Runners that start along with it are listed one by one; a VM that
-#: took the first ones for all let eight of nine go.
-SETTLE_HEARTBEATS = 2.5
-#: An order that showed no effect is sent again after this time: its answer
-#: may have been lost, and an old holder's order may have come after it.
-REPEAT_S = 9.0
+#: Interval between two steps, in seconds.
+STEP_INTERVAL_S = 0.5
+#: Time for which the load of a service is observed before it alone determines
+#: the fleet size, in seconds. Until then the runners that the deployment
+#: started with count as required.
+MIN_OBSERVATION_S = 6.0
+#: Delay before a rejected order is sent again, in seconds.
+RETRY_ORDER_S = 1.0
+#: Delay from the start of the process to its first order, as a multiple of
+#: the runners' heartbeat interval. Runners that start together with the VM
+#: are listed one by one; a VM that takes the first of nine for the whole
+#: fleet would release the other eight.
+STARTUP_HEARTBEATS = 2.5
+#: Delay before an order without effect is sent again, in seconds. Its answer
+#: may have been lost, or an order of the previous holder may have arrived
+#: after it.
+REPEAT_ORDER_S = 9.0
 
 
 class _Order:
+    """The last order sent for a target.
+
+    :param taken: whether the cloud accepted it.
+    """
+
     __slots__ = ("count", "sent_at", "taken")
 
     def __init__(self, count: int, sent_at: float, taken: bool) -> None:
@@ -38,12 +47,19 @@
         self.taken = taken
 
 
-class _Line:
-    """What one data centre should have of one kind."""
+class _Target:
+    """The target number of runners of one capacity type in a data centre.
+
+    The capacity types are on-demand and reclaimable.
+
+    :param count: the target number of runners.
+    :param present: the number of runners that serve now.
+    :param boot_s: the time until an ordered runner serves, in seconds.
+    """
 
     __slots__ = (
         "service",
-        "place",
+        "data_centre",
         "reclaimable",
         "count",
         "present",
@@ -53,14 +69,14 @@
     def __init__(
         self,
         service: str,
-        place: str,
+        data_centre: str,
         reclaimable: bool,
         count: int,
         present: int,
         boot_s: float,
     ) -> None:
         self.service = service
-        self.place = place
+        self.data_centre = data_centre
         self.reclaimable = reclaimable
         self.count = count
         self.present = present
@@ -68,88 +84,103 @@
 
     @property
     def key(self) -> tuple[str, str, bool]:
-        """What the line is about."""
-        return (self.service, self.place, self.reclaimable)
+        """The service, the data centre and whether it is reclaimable.
+
+        Orders are tracked, and named in the log, by this key.
+        """
+        return (self.service, self.data_centre, self.reclaimable)
 
 
-class _Load:
-    """What a service has and needs.
+class _ServiceLoad:
+    """The current and the required runners of a service.
 
-    :param held: runners that serve, by data centre.
-    :param needed: runners that its load needs.
-    :param trusted: runners that count as needed until its load is known.
+    :param held: the runners that serve, by data centre.
+    :param required_runners: the number of runners that the load requires.
+    :param startup_runners: the number of runners that count as required
+        until the load is known; 0 afterwards.
     :param idle: whether there has been no work so far.
     """
 
-    __slots__ = ("held", "needed", "trusted", "idle")
+    __slots__ = ("held", "required_runners", "startup_runners", "idle")
 
     def __init__(
         self,
         held: dict[str, fleet_mix_planner.RunnerCounts],
-        needed: float,
-        trusted: float,
+        required_runners: float,
+        startup_runners: float,
         idle: bool,
     ) -> None:
         self.held = held
-        self.needed = needed
-        self.trusted = trusted
+        self.required_runners = required_runners
+        self.startup_runners = startup_runners
         self.idle = idle
 
 
 class Work:
-    """The fleet's work and plans, by service."""
+    """The load and the fleet mix planner of each service."""
 
-    __slots__ = ("_clock", "_demands", "_sizes", "_started_with")
+    __slots__ = ("_clock", "_loads", "_planners", "_initial_runners")
 
     def __init__(self, clock: clocks.Clock) -> None:
         self._clock = clock
-        self._demands: dict[str, prefill_load.PrefillLoad] = {}
-        self._sizes: dict[str, fleet_mix_planner.FleetMixPlanner] = {}
-        self._started_with: dict[str, int] = {}
+        self._loads: dict[str, prefill_load.PrefillLoad] = {}
+        self._planners: dict[str, fleet_mix_planner.FleetMixPlanner] = {}
+        self._initial_runners: dict[str, int] = {}
 
     def heard(
         self, process: str, work: typing.Mapping[str, typing.Any]
     ) -> None:
-        """Take in a VM's counters."""
+        """Merge the counters of one VM's process.
+
+        :param process: the process, which is the VM and its incarnation.
+        :param work: by service, the total tokens, the prefill speed in tokens
+            per second and the latency ratio.
+        """
         for service, (total, speed, pressure) in work.items():
-            known = self._demands.get(service)
+            known = self._loads.get(service)
             if known is None:
                 known = prefill_load.PrefillLoad(self._clock)
-                self._demands[service] = known
+                self._loads[service] = known
             known.receive_report(process, total, speed, pressure)
 
     def keep_only(self, processes: typing.Container[str]) -> None:
-        """Forget processes that have ended."""
-        for known in self._demands.values():
+        """Drop the counters of all other processes, which have ended."""
+        for known in self._loads.values():
             known.retain_processes(processes)
 
-    def size_of(self, service: str) -> fleet_mix_planner.FleetMixPlanner:
-        """The plan of a service."""
-        return self._sizes.setdefault(
+    def planner_of(self, service: str) -> fleet_mix_planner.FleetMixPlanner:
+        """The fleet mix planner of a service, created when needed."""
+        return self._planners.setdefault(
             service, fleet_mix_planner.FleetMixPlanner(self._clock)
         )
 
-    def never_worked(self, service: str) -> bool:
-        """Whether no VM has counted any work at a service's runners."""
-        known = self._demands.get(service)
+    def has_no_load(self, service: str) -> bool:
+        """Whether no VM has observed any load at a service's runners."""
+        known = self._loads.get(service)
         return known is None or not known.observed_for_s
 
-    def needed(
+    def required_runners(
         self,
         service: routes.Service,
         present: int,
         in_flight: int,
-        told: bool,
+        log_inputs: bool,
     ) -> float:
-        """Runners that a service needs now.
+        """The number of runners that a service requires now.
 
-        :param told: whether to log what it was worked out from.
+        :param present: the number of runners that serve now.
+        :param in_flight: the number of calls in flight at its runners.
+        :param log_inputs: whether to log the result and its inputs.
         """
-        self._started_with.setdefault(service.name, present)
-        known = self._demands.get(service.name)
-        places = service.engine.concurrency if service.engine else 1
-        measured = known.required_runners(in_flight, places) if known else 1.0
-        if told:
+        self._initial_runners.setdefault(service.name, present)
+        known = self._loads.get(service.name)
+        slots_per_runner = service.engine.concurrency if service.engine else 1
+        measured = (
+            known.required_runners(in_flight, slots_per_runner)
+            if known
+            else 1.0
+        )
+        if log_inputs:
             logs.event(
                 "runners_needed",
                 service=service.name,
@@ -162,21 +193,22 @@
             )
         return measured
 
-    def trusted(self, service: str) -> float:
-        """Runners that count as needed until the work is known."""
-        known = self._demands.get(service)
-        if known is None or known.observed_for_s < LEARNED_AFTER_S:
-            return float(self._started_with.get(service, 0))
+    def startup_runners(self, service: str) -> float:
+        """The number of runners assumed until the load is known; then 0."""
+        known = self._loads.get(service)
+        if known is None or known.observed_for_s < MIN_OBSERVATION_S:
+            return float(self._initial_runners.get(service, 0))
         return 0.0
 
 
 class RunnerDuty:
     """Orders runners while this VM holds the lease.
 
-    :param in_flight: calls of all VMs at a service's runners.
-    :param heartbeat_s: between two heartbeats of a runner.
-    :param serves: whether a runner takes regular calls; only these count
-        towards the fleet size.
+    :param in_flight: counts the calls of all VMs at a service's runners.
+    :param heartbeat_s: the interval between two heartbeats of a runner, in
+        seconds.
+    :param serves: tells whether a runner serves regular calls; only these
+        runners count towards the fleet size.
     """
 
     __slots__ = (
@@ -188,7 +220,7 @@
         "_keeper",
         "_orders",
         "_serves",
-        "_settled_at",
+        "_ready_at",
         "_work",
         "configuration",
     )
@@ -199,7 +231,7 @@
         work: Work,
         directory: directories.Directory,
         in_flight: typing.Callable[[str], int],
-        cloud: duties.Cloud,
+        cloud: duties.CloudClient,
         dialect: dialects.PlatformDialect,
         keeper: duties.LeaseKeeper,
         heartbeat_s: float,
@@ -207,11 +239,12 @@
     ) -> None:
         self._clock = clock
         self._serves = serves
-        # Those that follow the store begin a moment after their start.
-        settle_s = (
-            follower_selection.START_UP_S + SETTLE_HEARTBEATS * heartbeat_s
+        # The VMs that follow the store begin only some time after their
+        # start, so their delay is added.
+        startup_s = (
+            follower_selection.START_UP_S + STARTUP_HEARTBEATS * heartbeat_s
         )
-        self._settled_at = clock.now() + settle_s
+        self._ready_at = clock.now() + startup_s
         self._work = work
         self._directory = directory
         self._in_flight = in_flight
@@ -219,13 +252,13 @@
         self._dialect = dialect
         self._keeper = keeper
         self._orders: dict[tuple[str, str, bool], _Order] = {}
-        #: In force; None before the first one.
+        #: The configuration in force; None before the first one.
         self.configuration: routes.Configuration | None = None
 
     async def step(self) -> None:
-        """Order what is missing, and give back what is too much."""
+        """Order missing runners and release surplus ones."""
         configuration = self.configuration
-        if configuration is None or self._clock.now() < self._settled_at:
+        if configuration is None or self._clock.now() < self._ready_at:
             return
         holds = self._keeper.fencing is not None
         if not holds:
@@ -233,130 +266,149 @@
         for service in configuration.services.values():
             if service.scaling is None:
                 continue
-            load = self._load(service, service.scaling, told=holds)
+            load = self._load(service, service.scaling, log_inputs=holds)
             if not holds:
-                size = self._work.size_of(service.name)
-                size.observe(load.held, load.needed, load.trusted)
+                planner = self._work.planner_of(service.name)
+                planner.observe(
+                    load.held, load.required_runners, load.startup_runners
+                )
                 continue
-            for line in self._lines(service.name, service.scaling, load):
-                if not await self._order(line):
+            for target in self._targets(service.name, service.scaling, load):
+                if not await self._order_if_due(target):
                     return
 
     def _load(
         self,
         service: routes.Service,
         terms: fleet_mix_planner.ScalingTerms,
-        told: bool,
-    ) -> _Load:
-        held = self._held(service.name, terms)
+        log_inputs: bool,
+    ) -> _ServiceLoad:
+        held = self._count_runners(service.name, terms)
         present = sum(h.on_demand + h.reclaimable for h in held.values())
         in_flight = self._in_flight(service.name)
-        return _Load(
+        return _ServiceLoad(
             held,
-            self._work.needed(service, present, in_flight, told),
-            self._work.trusted(service.name),
-            not in_flight and self._work.never_worked(service.name),
+            self._work.required_runners(
+                service, present, in_flight, log_inputs
+            ),
+            self._work.startup_runners(service.name),
+            not in_flight and self._work.has_no_load(service.name),
         )
 
-    def _lines(
-        self, service: str, terms: fleet_mix_planner.ScalingTerms, load: _Load
-    ) -> list[_Line]:
+    def _targets(
+        self,
+        service: str,
+        terms: fleet_mix_planner.ScalingTerms,
+        load: _ServiceLoad,
+    ) -> list[_Target]:
         held = load.held
-        size = self._work.size_of(service)
-        plan = size.plan(terms, held, load.needed, load.idle, load.trusted)
-        lines = []
-        for place, wanted in plan.items():
-            have = held[place]
-            lines += [
-                _Line(
+        planner = self._work.planner_of(service)
+        plan = planner.plan(
+            terms, held, load.required_runners, load.idle, load.startup_runners
+        )
+        targets = []
+        for data_centre, wanted in plan.items():
+            have = held[data_centre]
+            targets += [
+                _Target(
                     service,
-                    place,
+                    data_centre,
                     False,
                     wanted.on_demand,
                     have.on_demand,
                     terms.boot_s,
                 ),
-                _Line(
+                _Target(
                     service,
-                    place,
+                    data_centre,
                     True,
                     wanted.reclaimable,
                     have.reclaimable,
                     terms.boot_s,
                 ),
             ]
-        return lines
+        return targets
 
-    def _held(
+    def _count_runners(
         self, service: str, terms: fleet_mix_planner.ScalingTerms
     ) -> dict[str, fleet_mix_planner.RunnerCounts]:
         held = {
-            place: fleet_mix_planner.RunnerCounts()
-            for place in terms.on_demand_prices
+            data_centre: fleet_mix_planner.RunnerCounts()
+            for data_centre in terms.on_demand_prices
         }
         for runner in self._directory.of_service(service):
-            holding = held.get(runner.data_centre)
-            if holding is None or not self._serves(runner):
+            counts = held.get(runner.data_centre)
+            if counts is None or not self._serves(runner):
                 continue
             if runner.reclaimable:
-                holding.reclaimable += 1
+                counts.reclaimable += 1
             else:
-                holding.on_demand += 1
+                counts.on_demand += 1
         return held
 
-    async def _order(self, line: _Line) -> bool:
-        """Send an order if one is due.
+    async def _order_if_due(self, target: _Target) -> bool:
+        """Send the order for a target if it is due.
 
-        :returns: whether to go on with others.
+        :returns: whether to continue with the other targets; false if this VM
+            has lost the lease.
         """
         now = self._clock.now()
-        last = self._orders.get(line.key)
-        if line.count == line.present and (last is None or not last.taken):
+        last = self._orders.get(target.key)
+        if target.count == target.present and (last is None or not last.taken):
             return True
-        if last is not None and last.count == line.count:
+        if last is not None and last.count == target.count:
             since = now - last.sent_at
-            if last.taken and (line.present == line.count or since < REPEAT_S):
+            if last.taken and (
+                target.present == target.count or since < REPEAT_ORDER_S
+            ):
                 return True
-            if not last.taken and since < RETRY_S:
+            if not last.taken and since < RETRY_ORDER_S:
                 return True
         if (
-            line.reclaimable
-            and line.count > line.present
-            and self._work.size_of(line.service).is_reorder_delayed
+            target.reclaimable
+            and target.count > target.present
+            and self._work.planner_of(target.service).is_reorder_delayed
         ):
-            # One data centre has just refused; the next try asks again.
+            # A data centre has just rejected an order for reclaimable
+            # runners; the planner decides when to order them again.
             return True
         fencing = self._keeper.fencing
         if fencing is None:
             return False
         path, body = self._dialect.order_call(
-            line.service, line.place, line.count, line.reclaimable
+            target.service,
+            target.data_centre,
+            target.count,
+            target.reclaimable,
         )
         taken = False
         try:
             taken = await self._cloud.send(path, body, fencing)
         except duties.CloudBusy as error:
-            logs.event("order_failed", order=str(line.key), error=str(error))
+            logs.event("order_failed", order=str(target.key), error=str(error))
         else:
-            self._note(line, taken)
-        self._orders[line.key] = _Order(line.count, now, taken)
+            self._record_answer(target, taken)
+        self._orders[target.key] = _Order(target.count, now, taken)
         logs.event(
             "runners_ordered",
-            service=line.service,
-            data_centre=line.place,
-            reclaimable=line.reclaimable,
-            count=line.count,
-            present=line.present,
+            service=target.service,
+            data_centre=target.data_centre,
+            reclaimable=target.reclaimable,
+            count=target.count,
+            present=target.present,
             fencing=fencing,
             taken=taken,
         )
         return True
 
-    def _note(self, line: _Line, taken: bool) -> None:
-        size = self._work.size_of(line.service)
+    def _record_answer(self, target: _Target, taken: bool) -> None:
+        planner = self._work.planner_of(target.service)
         if taken:
-            size.record_accepted_order(
-                line.place, line.reclaimable, line.count, line.boot_s
+            planner.record_accepted_order(
+                target.data_centre,
+                target.reclaimable,
+                target.count,
+                target.boot_s,
             )
-        elif line.reclaimable:
-            size.record_refusal(line.place)
+        elif target.reclaimable:
+            planner.record_refusal(target.data_centre)
--- a/src/apricotlever/serving/usage_duty.py
+++ b/src/apricotlever/serving/usage_duty.py
@@ -1,9 +1,10 @@
-"""The duty to report each window's usage, exactly once.
+"""The duty to report the usage of each window exactly once.
 
 The counts of a window are fixed in the store before they are first sent, so
-that a second holder, or the same one after a restart, can only send the same
-counts again. Between reports the holder writes what it has heard to the
-store, so that the counts of VMs that died do not die with all who heard them.
+that another holder, or the same one after a restart, can only send the same
+counts again. Between reports the holder writes a checkpoint of all received
+counts to the store, so that the counts of failed VMs are not lost when all
+VMs that received them fail, too.
 """
 
 import contextlib
@@ -19,23 +20,25 @@
 from . import store
 
 KIND = notes.KIND
-#: How long after a window's end its counts are fixed: calls that began in
-#: it have been counted, and told to all, by then.
-SETTLE_S = 2.5
-#: Between two checkpoints, in seconds.
-CHECKPOINT_S = 1.0
-#: Windows reported after a takeover, back from the newest that is due.
-LOOK_BACK = 3
-#: Reports kept in the store, by window.
-KEPT_REPORTS = 12
-PAUSE_S = 0.2
+#: Delay from the end of a window until its counts are fixed. By then the
+#: calls that began in the window are counted and known to all VMs.
+FIX_DELAY_S = 2.5
+#: Interval between two checkpoints, in seconds.
+CHECKPOINT_INTERVAL_S = 1.0
+#: Limit on the past windows that are reported; a new holder reports none from
+#: before.
+MAX_BACKLOG_WINDOWS = 3
+#: Number of windows whose fixed counts are kept in the store.
+MAX_KEPT_WINDOWS = 12
+#: Interval between two steps, also the delay after a failed step, in seconds.
+STEP_INTERVAL_S = 0.2
 
 
 class UsageDuty:
     """Reports usage while this VM holds the lease.
 
-    :param windows: what this VM counted and heard.
-    :param levels: what is left of each customer's limit.
+    :param windows: the counts of this VM and those received from others.
+    :param levels: returns what is left of each customer's limit.
     """
 
     __slots__ = (
@@ -43,12 +46,12 @@
         "_clock",
         "_cloud",
         "_dialect",
-        "_fixed",
+        "_fixed_counts",
         "_keeper",
         "_levels",
-        "_next_try",
+        "_next_attempt_at",
         "_recovered",
-        "_reported",
+        "_last_reported",
         "_store",
         "_windows",
     )
@@ -58,7 +61,7 @@
         clock: clocks.Clock,
         windows: usage_windows.UsageWindows,
         store_: store.Store,
-        cloud: duties.Cloud,
+        cloud: duties.CloudClient,
         dialect: dialects.PlatformDialect,
         keeper: duties.LeaseKeeper,
         levels: typing.Callable[[], typing.Mapping[str, float]],
@@ -70,45 +73,45 @@
         self._dialect = dialect
         self._keeper = keeper
         self._levels = levels
-        self._fixed: dict[int, usage_windows.CallCounts] = {}
-        self._reported = 0
+        self._fixed_counts: dict[int, usage_windows.CallCounts] = {}
+        self._last_reported = 0
         self._recovered = False
         self._checkpoint_at = float("-inf")
-        self._next_try = float("-inf")
+        self._next_attempt_at = float("-inf")
 
     @property
-    def reported(self) -> int:
-        """The newest window that is known to be reported."""
-        return self._reported
+    def last_reported_window(self) -> int:
+        """The newest window known to be reported; 0 if none."""
+        return self._last_reported
 
-    def heard_reported(self, window: int) -> None:
-        """Another VM knows that a window is reported."""
-        self._reported = max(self._reported, window)
+    def observe_reported_window(self, window: int) -> None:
+        """Record that another VM knows a window to be reported."""
+        self._last_reported = max(self._last_reported, window)
 
     async def step(self) -> None:
-        """Do what is due."""
+        """Send the reports and write the checkpoint that are due."""
         if self._keeper.fencing is None:
             self._recovered = False
             return
         now = self._clock.now()
-        if now < self._next_try:
+        if now < self._next_attempt_at:
             return
         try:
             if not self._recovered:
                 await self._recover()
             await self._report_due()
             if now >= self._checkpoint_at:
-                self._checkpoint_at = now + CHECKPOINT_S
-                await self._checkpoint()
+                self._checkpoint_at = now + CHECKPOINT_INTERVAL_S
+                await self._write_checkpoint()
         except (store.StoreError, duties.CloudBusy, ValueError) as error:
-            self._next_try = self._clock.now() + PAUSE_S
+            self._next_attempt_at = self._clock.now() + STEP_INTERVAL_S
             logs.event(
                 "usage_report_delayed",
                 error=f"{type(error).__name__}: {error}",
             )
 
     async def _recover(self) -> None:
-        """Read what the former holder wrote down."""
+        """Merge the counts from the checkpoint of the previous holder."""
         found = await self._store.get(KIND, notes.NAME)
         if found is not None:
             for window, table in notes.counts(found.spec).items():
@@ -119,45 +122,48 @@
     async def _report_due(self) -> None:
         wall = self._clock.wall()
         current = self._windows.window
-        first = max(self._reported + 1, current - LOOK_BACK)
+        first = max(self._last_reported + 1, current - MAX_BACKLOG_WINDOWS)
         for window in range(first, current):
-            if self._windows.window_end_s(window) + SETTLE_S <= wall:
+            if self._windows.window_end_s(window) + FIX_DELAY_S <= wall:
                 await self._report(window)
 
     async def _report(self, window: int) -> None:
-        counts = self._fixed.get(window)
+        counts = self._fixed_counts.get(window)
         if counts is None:
-            counts = await self._fix(window)
+            counts = await self._fix_counts(window)
             if counts is None:
-                # To report other counts than a holder before may have done
-                # is worse than to report none; the next windows go on.
-                self._reported = max(self._reported, window)
+                # A previous holder may have reported the unreadable counts.
+                # Reporting different ones is worse than reporting none, so
+                # this window is skipped.
+                self._last_reported = max(self._last_reported, window)
                 logs.event("stored_refused", kind=KIND, object=f"w{window}")
                 return
-            self._fixed[window] = counts
+            self._fixed_counts[window] = counts
         fencing = self._keeper.fencing
         if fencing is None:
             return
         path, body = self._dialect.report_call(window, counts)
         if not await self._cloud.send(path, body, fencing):
             logs.event("report_fenced_off", window=window, fencing=fencing)
-            self._keeper.fenced_off(fencing)
+            self._keeper.fencing_rejected(fencing)
             return
-        self._reported = max(self._reported, window)
-        self._fixed.pop(window, None)
+        self._last_reported = max(self._last_reported, window)
+        self._fixed_counts.pop(window, None)
         logs.event(
             "usage_reported",
             window=window,
             fencing=fencing,
             requests=sum(counts.values()),
         )
-        if self._reported % KEPT_REPORTS == 0:
-            await self._forget_old()
+        if self._last_reported % MAX_KEPT_WINDOWS == 0:
+            await self._delete_old_counts()
 
-    async def _fix(self, window: int) -> usage_windows.CallCounts | None:
-        """Agree on a window's counts by a conditional create.
+    async def _fix_counts(
+        self, window: int
+    ) -> usage_windows.CallCounts | None:
+        """Fix a window's counts by creating an object only if none exists.
 
-        :returns: None when what was agreed on can't be read.
+        :returns: the fixed counts; None if the stored ones are unreadable.
         """
         name = f"w{window}"
         counts = self._windows.total(window)
@@ -165,17 +171,18 @@
             await self._store.create(KIND, name, counts)
             return counts
         except (store.Conflict, store.Unanswered):
-            # Another holder was first, or the create took effect unseen.
+            # Another holder has fixed the counts, or the object was created
+            # and the answer lost.
             found = await self._store.get(KIND, name)
             if found is None:
                 raise store.Unanswered(name) from None
             return notes.fixed_counts(found.spec)
 
-    async def _checkpoint(self) -> None:
+    async def _write_checkpoint(self) -> None:
         table: dict[str, typing.Any] = {
             str(window): processes
             for window, processes in self._windows.all_counts().items()
-            if window > self._reported
+            if window > self._last_reported
         }
         spec = notes.compose(table, self._levels(), self._clock.wall())
         try:
@@ -183,11 +190,11 @@
         except store.NotFound:
             await self._store.create(KIND, notes.NAME, spec)
 
-    async def _forget_old(self) -> None:
+    async def _delete_old_counts(self) -> None:
         for stored in (await self._store.list_all(KIND, True)).objects:
             number = stored.name.removeprefix("w")
             if number.isdigit() and int(number) < (
-                self._reported - KEPT_REPORTS
+                self._last_reported - MAX_KEPT_WINDOWS
             ):
                 with contextlib.suppress(store.NotFound):
                     await self._store.delete(KIND, stored.name)
--- a/tests/steps/serving_duties.py
+++ b/tests/steps/serving_duties.py
@@ -76,8 +76,8 @@
             ready=True,
             leaving=self.leaving,
             follows=not self.way.cut,
-            gave_up=self.keeper.gave_up,
-            lease=self.keeper.renewed,
+            gave_up=self.keeper.surrendered_fencing,
+            lease=self.keeper.last_renewal,
         )
 
 
@@ -112,7 +112,7 @@
             for vm in alive:
                 others = [r for r in known if r.vm != vm.name]
                 if not vm.leaving:
-                    vm.keeper.look(others, len(known))
+                    vm.keeper.update_view(others, len(known))
                 asyncio.run(vm.keeper.step())
             now = [vm.name for vm in alive if vm.keeper.fencing is not None]
             self.holders += now
@@ -143,7 +143,7 @@
 def _both_silent(context):
     world = context.contest
     ranked = rendezvous.rank("fleet", [vm.name for vm in world.vms])
-    contenders = ranked[: duties.CONTENDERS]
+    contenders = ranked[: duties.MAX_CONTENDERS]
     assert world.holder.name in contenders
     context.silent_since = len(world.held)
     for vm in world.vms:
@@ -200,7 +200,7 @@
     )
     context.third = Contender(contest, "vm-3")
     # It hears nobody else, contends, and reads whose the lease is.
-    context.third.keeper.look([], 1)
+    context.third.keeper.update_view([], 1)
     contest.clock.advance(STEP_S)
     asyncio.run(context.third.keeper.step())
 
@@ -225,7 +225,7 @@
         12, "vm-2", 3, 2
     )
     context.heard = [_digest("vm-2", 3, (12, 2)), _digest("vm-1", 9)]
-    context.third.keeper.look(context.heard, 3)
+    context.third.keeper.update_view(context.heard, 3)
 
 
 @then("it leaves the lease to vm-2 for {seconds:d} seconds")
@@ -234,7 +234,7 @@
     for _ in range(round(seconds / STEP_S)):
         context.contest.clock.advance(STEP_S)
         # Alone it would contend, whatever the names of the others rank it.
-        keeper.look([], 1)
+        keeper.update_view([], 1)
         asyncio.run(keeper.step())
         assert keeper.fencing is None
     kept = context.contest.store.objects[duties.KIND, "fleet"]
@@ -261,7 +261,7 @@
     async def play():
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        cloud = duties.Cloud(
+        cloud = duties.CloudClient(
             "vm-1",
             _Headers(),
             settings.Address("127.0.0.1", port),
@@ -316,7 +316,7 @@
 @when("the holder hears nobody of {members:d}")
 def _nobody(context, members):
     context.first = context.contest.holder
-    context.first.keeper.look([], members)
+    context.first.keeper.update_view([], members)
 
 
 def _start_again(context, vms):
@@ -342,7 +342,7 @@
     context.number = leaving.keeper.fencing
     context.contest.held.clear()
     leaving.leaving = leaving.way.cut = True
-    leaving.keeper.leave()
+    leaving.keeper.release()
 
 
 @then("a VM holds it within {seconds:g} seconds with a higher number")
@@ -420,7 +420,7 @@
 
     fencing = 4
 
-    def fenced_off(self, fencing):
+    def fencing_rejected(self, fencing):
         """Nothing changes."""
 
 
@@ -477,8 +477,8 @@
 
 @when("{seconds:d} seconds pass at the holder")
 def _at_holder(context, seconds):
-    for _ in range(round(seconds / usage_duty.PAUSE_S)):
-        context.clock.advance(usage_duty.PAUSE_S)
+    for _ in range(round(seconds / usage_duty.STEP_INTERVAL_S)):
+        context.clock.advance(usage_duty.STEP_INTERVAL_S)
         asyncio.run(context.duty.step())
 
 
--- a/tests/steps/serving_roll_outs.py
+++ b/tests/steps/serving_roll_outs.py
@@ -117,7 +117,7 @@
     def step(self, count=12):
         """Run the duty several times."""
         for _ in range(count):
-            self.clock.advance(roll_out_duty.PAUSE_S)
+            self.clock.advance(roll_out_duty.STEP_INTERVAL_S)
             asyncio.run(self.duty.step())
 
     @property
--- a/tests/steps/serving_runner_duty.py
+++ b/tests/steps/serving_runner_duty.py
@@ -101,9 +101,9 @@
 
     def run(self, seconds):
         """Let time pass."""
-        for _ in range(round(seconds / runner_duty.PAUSE_S)):
-            self.clock.advance(runner_duty.PAUSE_S)
-            self.done += self.per_s * runner_duty.PAUSE_S
+        for _ in range(round(seconds / runner_duty.STEP_INTERVAL_S)):
+            self.clock.advance(runner_duty.STEP_INTERVAL_S)
+            self.done += self.per_s * runner_duty.STEP_INTERVAL_S
             if self.per_s:
                 work = {SERVICE: (int(self.done), SPEED, 0.3)}
                 self.work.heard("vm#1", work)
