--- a/src/apricotlever/serving/crash_watch.py
+++ b/src/apricotlever/serving/crash_watch.py
@@ -1,4 +1,4 @@
-"""Notices crashes of runners, and keeps calls away that may cause more."""
+"""Detects crashes of runners, and delays the calls that may cause more."""
 
 import collections
 import typing
@@ -14,50 +14,50 @@
 from . import routes
 from . import runners
 
-#: Between two looks at a runner that breaks answers off, in seconds. All of
-#: its connections break at once when it ends.
-CHECK_EVERY_S = 0.5
-#: How long it may take to refuse or take a connection, in seconds: a round
-#: trip and some.
-CHECK_S = 0.1
+#: Interval between two connection checks of a runner that breaks off answers,
+#: in seconds. A runner that ends breaks all its connections at once.
+CHECK_INTERVAL_S = 0.5
+#: Timeout of a connection check, in seconds: slightly more than a round trip.
+CHECK_TIMEOUT_S = 0.1
 
 
 class CrashWatch:
-    """Tells :class:`..runners.culprits.Culprits` what this VM sees.
+    """Reports what this VM observes to a crash blocklist.
 
-    Fingerprints are worked out only while there is a crash on record, so
-    calls pay for none on other days.
+    The blocklist is a :class:`..runners.crash_blocklist.CrashBlocklist`.
+    Calls are fingerprinted only when one breaks off or while the blocklist is
+    active, so that other calls don't bear the cost.
 
     :param vm: this VM's name.
     """
 
-    __slots__ = ("_checked", "_clock", "_culprits", "_listed")
+    __slots__ = ("_checked_at", "_clock", "_blocklist", "_runners")
 
     def __init__(self, clock: clocks.Clock, vm: str) -> None:
         self._clock = clock
-        self._culprits = crash_blocklist.CrashBlocklist(clock, vm)
-        #: When a runner was last looked at.
-        self._checked: dict[str, float] = {}
-        #: Runners as they were listed last.
-        self._listed: dict[str, runners.Runner] = {}
+        self._blocklist = crash_blocklist.CrashBlocklist(clock, vm)
+        #: When each runner was last checked, by incarnation.
+        self._checked_at: dict[str, float] = {}
+        #: The runners in the last list, by incarnation.
+        self._runners: dict[str, runners.Runner] = {}
 
     def listed(self, present: typing.Iterable[runners.Runner]) -> None:
-        """Take over the list; who is not on it any more has ended."""
+        """Apply the list of runners; one missing from it has ended."""
         now = {runner.runner_id: runner for runner in present}
-        gone = [r for name, r in self._listed.items() if name not in now]
-        self._listed = now
-        self._checked = {
-            name: at for name, at in self._checked.items() if name in now
+        gone = [r for name, r in self._runners.items() if name not in now]
+        self._runners = now
+        self._checked_at = {
+            name: at for name, at in self._checked_at.items() if name in now
         }
-        self._culprits.set_sizes(
+        self._blocklist.set_sizes(
             collections.Counter(r.data_centre for r in now.values())
         )
         for runner in gone:
             self.lost(runner)
 
     def lost(self, runner: runners.Runner) -> None:
-        """A runner takes no connection, or is not listed any more."""
-        charged = self._culprits.runner_crashed(
+        """Handle a runner that refuses connections or is no longer listed."""
+        charged = self._blocklist.runner_crashed(
             runner.runner_id, runner.data_centre, runner.leaving
         )
         if charged:
@@ -75,26 +75,27 @@
         call: messages.CallerCall,
         customer: routes.Customer | None,
     ) -> None:
-        """A runner's side ended a call's connection before its answer."""
-        self._culprits.connection_broken(
+        """Handle a connection that the runner closed before its answer."""
+        self._blocklist.connection_broken(
             runner.runner_id, fingerprint(call, customer)
         )
 
     async def refuses(self, runner: runners.Runner, pool: pools.Pool) -> bool:
-        """Whether a runner that broke an answer off takes no connection.
+        """Whether a runner that broke off an answer refuses connections.
 
-        One that has ended refuses at once. Else its end shows by its entry
-        only, four seconds later, and a call that crashes runners may have
-        taken two more by then. It is looked at once in a while. A connection
-        that opens too late tells nothing: a busy runner's does, too.
+        A runner that has ended refuses them at once. Without this check its
+        entry shows the end only four seconds later, and a call that crashes
+        runners may have crashed two more by then. Checks are rate-limited; a
+        skipped check returns false. A connection that opens late tells
+        nothing, as a busy runner opens it late, too.
         """
         now = self._clock.now()
-        last = self._checked.get(runner.runner_id)
-        if last is not None and now - last < CHECK_EVERY_S:
+        last = self._checked_at.get(runner.runner_id)
+        if last is not None and now - last < CHECK_INTERVAL_S:
             return False
-        self._checked[runner.runner_id] = now
+        self._checked_at[runner.runner_id] = now
         try:
-            channel = await pool.acquire(CHECK_S, fresh=True)
+            channel = await pool.acquire(CHECK_TIMEOUT_S, fresh=True)
         except pools.PoolFull:
             return False
         except channels.NotConnected as error:
@@ -105,39 +106,43 @@
     def answered(
         self, call: messages.CallerCall, customer: routes.Customer | None
     ) -> None:
-        """A call was answered in full."""
-        if self._culprits.active:
-            self._culprits.answered(fingerprint(call, customer))
+        """Handle a complete answer to a call."""
+        if self._blocklist.active:
+            self._blocklist.answered(fingerprint(call, customer))
 
     def kept_away_s(
         self, call: messages.CallerCall, customer: routes.Customer | None
     ) -> float | None:
-        """For how long a call may not run; None if it may."""
-        if not self._culprits.active:
+        """The time until a call may run, in seconds; None if at once."""
+        if not self._blocklist.active:
             return None
-        return self._culprits.retry_after_s(fingerprint(call, customer))
+        return self._blocklist.retry_after_s(fingerprint(call, customer))
 
     def tick(self) -> None:
-        """Forget what is too old to matter."""
-        self._culprits.tick()
+        """Remove expired records."""
+        self._blocklist.tick()
 
     def told(self, whole: bool) -> crash_blocklist.CrashRecord | None:
-        """What the next record tells of crashes.
+        """The crashes to include in this VM's next record.
 
-        :param whole: whether it tells what may be a second old, too.
+        :param whole: whether to include the blocked calls. Peers may receive
+            these a second late, so that only some records include them.
         """
-        return self._culprits.next_record(whole)
+        return self._blocklist.next_record(whole)
 
     def heard(self, vm: str, told: crash_blocklist.CrashRecord | None) -> None:
-        """Take in what a peer's record tells of crashes."""
+        """Merge the crashes in a peer's record.
+
+        :param vm: the peer's name.
+        """
         if told is not None:
-            self._culprits.merge_record(vm, told)
+            self._blocklist.merge_record(vm, told)
 
 
 def fingerprint(
     call: messages.CallerCall, customer: routes.Customer | None
 ) -> str:
-    """What a call has in common with the same call sent again."""
+    """A fingerprint that a call shares with its repetitions."""
     return quarantine.fingerprint(
         "",
         customer.name if customer is not None else "",
--- a/src/apricotlever/serving/observations.py
+++ b/src/apricotlever/serving/observations.py
@@ -1,7 +1,6 @@
-"""Counters and latency histograms, shown as text to metrics readers.
+"""Call counters and latency histograms, in the Prometheus text format.
 
-The text is in the format of Prometheus: one line a value, its labels in
-braces.
+Each value has a line of its own, with its labels in braces.
 """
 
 import typing
@@ -9,18 +8,20 @@
 if typing.TYPE_CHECKING:
     from .. import histograms
 
-#: Pairs of customer and kind of call that have histograms of their own, twice.
-#: Without a bound they would grow with the customers.
-MOST_HISTOGRAMS = 48
+#: Limit on the histograms of single customers. Each pair of customer and kind
+#: of call uses two of them, one per measure. Without a limit their number
+#: would grow with that of the customers.
+MAX_HISTOGRAMS = 48
 QUANTILES = (0.5, 0.9, 0.99)
 PREFIX = "apricotlever"
 
-#: Values by the name of a metric with its label, and by the label's value.
-Families = typing.Mapping[tuple[str, str], typing.Mapping[str, float]]
+#: Metrics with a label: the values by the label's value, by the names of the
+#: metric and the label.
+LabelledMetrics = typing.Mapping[tuple[str, str], typing.Mapping[str, float]]
 
 
 class Observations:
-    """What this process counts of its calls."""
+    """Counters and histograms of the calls that this process handled."""
 
     __slots__ = ("_histograms", "_refused", "_served")
 
@@ -30,10 +31,10 @@
         self._served: dict[str, int] = {}
 
     def refused(self, reason: str) -> None:
-        """A call ended without a runner's answer.
+        """Record a call that ended without an answer from a runner.
 
-        :param reason: its first word is the label; a label for each runner's
-            words would make a new counter for each failure.
+        :param reason: the part before the first colon is the label. The rest
+            may differ for each failure, and would add a counter for each.
         """
         kind = reason.partition(":")[0]
         self._refused[kind] = self._refused.get(kind, 0) + 1
@@ -45,14 +46,20 @@
         first_s: float | None,
         whole_s: float,
     ) -> None:
-        """A call was answered with success."""
-        # Loaded with the first answer and not before it: that takes about a
-        # tenth of a start, and callers are waiting then.
+        """Record a call that was answered successfully.
+
+        :param kind: the kind of call, such as a stream.
+        :param first_s: the time to the first token, in seconds; None if not
+            measured.
+        :param whole_s: the time to the end of the answer, in seconds.
+        """
+        # Imported at the first answer, as the import takes about a tenth of
+        # the start of a process, when callers are waiting.
         from .. import histograms
 
         self._served[customer] = self._served.get(customer, 0) + 1
         if self._histograms is None:
-            self._histograms = histograms.Histograms(MOST_HISTOGRAMS)
+            self._histograms = histograms.Histograms(MAX_HISTOGRAMS)
         record = self._histograms.record
         record(histograms.WHOLE_ANSWER, customer, kind, whole_s)
         if first_s is not None:
@@ -61,47 +68,50 @@
     def text(
         self,
         gauges: typing.Mapping[str, float],
-        families: Families,
+        labelled: LabelledMetrics,
     ) -> str:
-        """All that is known, one value a line.
+        """All metrics, one value a line.
 
-        :param gauges: further values by name.
-        :param families: further values that have a label.
+        :param gauges: further values without a label, by name.
+        :param labelled: further values with a label.
         """
         lines = [
-            f"{PREFIX}_{name} {_shown(value)}"
+            f"{PREFIX}_{name} {_format_value(value)}"
             for name, value in gauges.items()
         ]
-        lines += _labelled("served_total", "customer", self._served)
-        lines += _labelled("refused_total", "reason", self._refused)
-        for (name, label), values in families.items():
-            lines += _labelled(name, label, values)
+        lines += _format_labelled("served_total", "customer", self._served)
+        lines += _format_labelled("refused_total", "reason", self._refused)
+        for (name, label), values in labelled.items():
+            lines += _format_labelled(name, label, values)
         if self._histograms is not None:
-            for found in self._histograms.distributions():
-                lines += _quantiles(found)
+            for latency in self._histograms.distributions():
+                lines += _format_quantiles(latency)
         return "\n".join([*lines, ""])
 
 
-def _shown(value: float) -> str:
-    """All digits of a count: six make steps of ten of a count of millions."""
+def _format_value(value: float) -> str:
+    """Format a value, an integer with all its digits.
+
+    Six significant digits would round a count in the millions to tens.
+    """
     return str(int(value)) if value == int(value) else f"{value:.6g}"
 
 
-def _labelled(
+def _format_labelled(
     name: str, label: str, values: typing.Mapping[str, float]
 ) -> list[str]:
     return [
-        f'{PREFIX}_{name}{{{label}="{key}"}} {_shown(value)}'
+        f'{PREFIX}_{name}{{{label}="{key}"}} {_format_value(value)}'
         for key, value in sorted(values.items())
     ]
 
 
-def _quantiles(found: "histograms.Distribution") -> list[str]:
-    name = f"{PREFIX}_{found.measure}_seconds"
-    labels = f'customer="{found.customer}",kind="{found.service_class}"'
+def _format_quantiles(latency: "histograms.Distribution") -> list[str]:
+    name = f"{PREFIX}_{latency.measure}_seconds"
+    labels = f'customer="{latency.customer}",kind="{latency.service_class}"'
     lines = [
         f'{name}{{{labels},quantile="{quantile:g}"}} '
-        f"{found.percentile(100.0 * quantile):.6g}"
+        f"{latency.percentile(100.0 * quantile):.6g}"
         for quantile in QUANTILES
     ]
-    return [*lines, f"{name}_count{{{labels}}} {found.count}"]
+    return [*lines, f"{name}_count{{{labels}}} {latency.count}"]
--- a/src/apricotlever/serving/roll_out_orders.py
+++ b/src/apricotlever/serving/roll_out_orders.py
@@ -18,7 +18,13 @@
     :param changed: called when an order changed.
     """
 
-    __slots__ = ("_changed", "_clock", "_controller", "_platform", "_refusals")
+    __slots__ = (
+        "_changed",
+        "_clock",
+        "_controller",
+        "_platform",
+        "_log_limit",
+    )
 
     def __init__(
         self,
@@ -31,7 +37,7 @@
         self._controller = controller
         self._platform = platform
         self._changed = changed
-        self._refusals = log_limit.LogLimit(clock)
+        self._log_limit = log_limit.LogLimit(clock)
 
     def listed(self, page: store.Page) -> None:
         """Handle a complete list of the orders."""
@@ -42,47 +48,47 @@
             for known in self._controller.orders
             if known.service not in present and known.revision <= page.revision
         ]
-        self._take(filter(None, orders), missing, page.revision)
+        self._merge(filter(None, orders), missing, page.revision)
 
     def changed(self, changes: store.Changes) -> None:
         """Handle created, changed and deleted orders."""
         last = {c.stored.name: c for c in changes.changes}.values()
         orders = [self._read(c.stored) for c in last if not c.deleted]
-        gone = [c.stored.name for c in last if c.deleted]
-        self._take(filter(None, orders), gone, changes.revision)
+        deleted = [c.stored.name for c in last if c.deleted]
+        self._merge(filter(None, orders), deleted, changes.revision)
 
     def store_returned(self) -> None:
         """Do nothing, as orders don't expire."""
 
     def heard(self, records: typing.Iterable[list[typing.Any]]) -> None:
         """Handle orders received from another VM."""
-        self._take(map(model.RollOutOrder.from_record, records))
+        self._merge(map(model.RollOutOrder.from_record, records))
 
-    def _take(
+    def _merge(
         self,
         orders: typing.Iterable[model.RollOutOrder],
         withdrawn: typing.Iterable[str] = (),
         revision: int = 0,
     ) -> None:
-        news = [self._controller.merge_order(order) for order in orders]
-        news += [
+        changed = [self._controller.merge_order(order) for order in orders]
+        changed += [
             self._controller.withdraw_order(s, revision) for s in withdrawn
         ]
-        if any(news):
+        if any(changed):
             self._changed()
 
     def _read(self, stored: store.StoredObject) -> model.RollOutOrder | None:
         try:
             order = self._platform.roll_out(stored, self._clock.wall())
         except ValueError as error:
-            if self._refusals.allows(stored.name):
+            if self._log_limit.allows(stored.name):
                 logs.event(
                     "roll_out_refused", order=stored.name, error=str(error)
                 )
             return None
         if order.service != stored.name:
             # Its status would be written to another service's order.
-            if self._refusals.allows(stored.name):
+            if self._log_limit.allows(stored.name):
                 logs.event(
                     "roll_out_refused",
                     order=stored.name,
--- a/src/apricotlever/serving/store.py
+++ b/src/apricotlever/serving/store.py
@@ -7,12 +7,13 @@
 
 Json = typing.Any
 
-#: The store answers in milliseconds; one that takes so long is not there.
-CALL_S = 1.2
-#: How much later than it should a watch may end before its connection
-#: counts as silent.
-WATCH_MARGIN_S = 0.7
-WATCH_S = 4.0
+#: Timeout of a call, in seconds. A working store answers in milliseconds.
+CALL_TIMEOUT_S = 1.2
+#: Time after the end of the wait of a watch call until its connection counts
+#: as dead, in seconds.
+WATCH_TIMEOUT_MARGIN_S = 0.7
+#: Default time that a watch call waits for changes, in seconds.
+WATCH_WAIT_S = 4.0
 
 
 class StoreError(Exception):
@@ -20,15 +21,15 @@
 
 
 class NotDone(StoreError):
-    """The call had no effect and never will."""
+    """The call had no effect and will never have one."""
 
 
 class NotFound(NotDone):
-    """There is no such object to change."""
+    """The object to change does not exist."""
 
 
 class Unanswered(StoreError):
-    """The call may have had its effect, or may have it later."""
+    """The effect of the call is unknown; it may still take effect."""
 
 
 class Conflict(StoreError):
@@ -36,13 +37,13 @@
 
 
 class HistoryGone(StoreError):
-    """The store no longer knows the changes since a revision."""
+    """The store no longer has the changes after the given revision."""
 
 
 class StoredObject:
-    """One object.
+    """An object in the store.
 
-    :param revision: of its last change.
+    :param revision: the store's revision of the object's last change.
     """
 
     __slots__ = ("name", "revision", "spec", "status")
@@ -57,11 +58,12 @@
 
 
 class Page:
-    """A part of a list.
+    """One page of a list of objects.
 
-    :param more: whether the list goes on after the last object.
-    :param revision: of the whole store when the list was read.
-    :param unreadable: objects of it that can't be read, names included.
+    :param more: whether more objects follow the last one.
+    :param revision: the revision of the whole store when the list was read.
+    :param unreadable: the number of objects that can't be read, not even
+        their names.
     """
 
     __slots__ = ("objects", "more", "revision", "unreadable")
@@ -80,7 +82,10 @@
 
 
 class Change:
-    """What a watch brings of one object."""
+    """A change of one object, received from a watch.
+
+    :param stored: the object; before the removal if it was deleted.
+    """
 
     __slots__ = ("stored", "deleted")
 
@@ -90,10 +95,10 @@
 
 
 class Changes:
-    """An answer to a watch.
+    """The answer to a watch call.
 
-    :param revision: from which the watch goes on.
-    :param unreadable: changes of which it can't be read what they are.
+    :param revision: the revision from which the next watch call continues.
+    :param unreadable: the number of changes that can't be read.
     """
 
     __slots__ = ("changes", "revision", "unreadable")
@@ -107,7 +112,7 @@
 
 
 class Call:
-    """A call to the store as it goes over the wire."""
+    """The HTTP request of a call to the store."""
 
     __slots__ = ("method", "target", "body")
 
@@ -118,17 +123,28 @@
 
 
 class Codec(typing.Protocol):
-    """How calls to the store look."""
+    """Encodes calls to the store and decodes its answers.
+
+    The decoding methods raise :class:`ValueError` for unreadable bodies.
+    """
 
     @property
     def durable(self) -> bool:
-        """Whether the store keeps whatever it has acknowledged."""
+        """Whether the store keeps every acknowledged write."""
 
     def list_call(self, kind: str, after: str | None, stale: bool) -> Call:
-        """List a kind, from after a name on."""
+        """List the objects of a kind.
+
+        :param after: the name after which the page starts; None for the first
+            page.
+        :param stale: whether the list may be slightly out of date.
+        """
 
     def watch_call(self, kind: str, revision: int, wait_s: float) -> Call:
-        """Wait for changes of a kind after a revision."""
+        """Wait for changes of a kind after a revision.
+
+        :param wait_s: the time to wait if there are none, in seconds.
+        """
 
     def get_call(self, kind: str, name: str) -> Call:
         """Read one object."""
@@ -139,30 +155,33 @@
     def replace_call(
         self, kind: str, name: str, spec: Json, revision: int | None
     ) -> Call:
-        """Replace an object's value, only at a revision if one is given."""
+        """Replace an object's value.
+
+        :param revision: the revision that the object must have; None for any.
+        """
 
     def status_call(
         self, kind: str, name: str, status: Json, revision: int
     ) -> Call:
-        """Replace an object's status if it is at the given revision."""
+        """Replace an object's status if it has the given revision."""
 
     def delete_call(self, kind: str, name: str) -> Call:
-        """Remove an object."""
+        """Delete an object."""
 
     def page(self, body: bytes) -> Page:
-        """Read a list."""
+        """Decode a page of a list."""
 
     def changes(self, body: bytes) -> Changes:
-        """Read the answer to a watch."""
+        """Decode the answer to a watch call."""
 
     def stored(self, body: bytes) -> StoredObject:
-        """Read one object."""
+        """Decode one object."""
 
 
 class Store:
-    """Calls to the store; each gets an answer or a typed error.
+    """Calls to the store; each returns an answer or raises a `StoreError`.
 
-    :param codec: how the calls look.
+    :param codec: the encoding of the calls and the answers.
     """
 
     __slots__ = ("_codec", "_host", "_port", "_pool", "_watches", "calls")
@@ -173,16 +192,19 @@
         self._port = port
         self._pool = pools.Pool(host, port)
         self._watches: dict[str, pools.Pool] = {}
-        #: Calls made so far.
+        #: Number of calls made so far.
         self.calls = 0
 
     @property
     def durable(self) -> bool:
-        """Whether the store keeps whatever it has acknowledged."""
+        """Whether the store keeps every acknowledged write."""
         return self._codec.durable
 
     async def list_all(self, kind: str, stale: bool = False) -> Page:
-        """All objects of a kind, page by page."""
+        """Get all objects of a kind, page by page.
+
+        :param stale: whether the list may be slightly out of date.
+        """
         objects: list[StoredObject] = []
         unreadable = 0
         after: str | None = None
@@ -196,21 +218,22 @@
             after = page.objects[-1].name
 
     async def watch(
-        self, kind: str, revision: int, wait_s: float = WATCH_S
+        self, kind: str, revision: int, wait_s: float = WATCH_WAIT_S
     ) -> Changes:
-        """Wait for changes of a kind.
+        """Wait for changes of a kind after a revision.
 
-        :raises HistoryGone: when the list has to be read anew.
+        :param wait_s: the time to wait if there are none, in seconds.
+        :raises HistoryGone: if the list has to be read again.
         """
         pool = self._watches.setdefault(
             kind, pools.Pool(self._host, self._port)
         )
         call = self._codec.watch_call(kind, revision, wait_s)
-        answer = await self._call(call, pool, wait_s + WATCH_MARGIN_S)
+        answer = await self._call(call, pool, wait_s + WATCH_TIMEOUT_MARGIN_S)
         return _read(self._codec.changes, answer)
 
     async def get(self, kind: str, name: str) -> StoredObject | None:
-        """One object, None if there is none."""
+        """Get one object; None if it does not exist."""
         answer = await self._call(self._codec.get_call(kind, name))
         if answer.status == 404:
             return None
@@ -219,7 +242,7 @@
     async def create(self, kind: str, name: str, spec: Json) -> StoredObject:
         """Create an object.
 
-        :raises Conflict: when there is one.
+        :raises Conflict: if it exists already.
         """
         call = self._codec.create_call(kind, name, spec)
         return _read(self._codec.stored, await self._call(call))
@@ -229,7 +252,9 @@
     ) -> StoredObject:
         """Replace an object's value.
 
-        :raises Conflict: when it is at another revision.
+        :param revision: the revision that the object must have; None for any.
+        :raises Conflict: if it has another revision.
+        :raises NotFound: if it does not exist.
         """
         call = self._codec.replace_call(kind, name, spec, revision)
         return _read(self._codec.stored, await self._call(call))
@@ -239,20 +264,25 @@
     ) -> StoredObject:
         """Replace an object's status.
 
-        :raises Conflict: when it is at another revision.
+        :param revision: the revision that the object must have.
+        :raises Conflict: if it has another revision.
+        :raises NotFound: if it does not exist.
         """
         call = self._codec.status_call(kind, name, status, revision)
         return _read(self._codec.stored, await self._call(call))
 
     async def delete(self, kind: str, name: str) -> None:
-        """Remove an object; one that is not there is no error."""
+        """Delete an object.
+
+        :raises NotFound: if it does not exist.
+        """
         await self._call(self._codec.delete_call(kind, name))
 
     async def _call(
         self,
         call: Call,
         pool: pools.Pool | None = None,
-        timeout_s: float = CALL_S,
+        timeout_s: float = CALL_TIMEOUT_S,
     ) -> pools.Answer:
         request = pools.request_bytes(
             call.method, call.target, f"{self._host}:{self._port}", call.body
@@ -263,7 +293,7 @@
         except channels.NotConnected as error:
             raise NotDone("not connected") from error
         except (channels.ChannelError, TimeoutError) as error:
-            # After a silence the other kept connections may be silent too.
+            # The pool's other idle connections may be dead as well.
             (pool or self._pool).close()
             raise Unanswered(type(error).__name__) from error
         if answer.status in (429, 503):
@@ -285,10 +315,10 @@
 def _read(
     decode: typing.Callable[[bytes], _Found], answer: pools.Answer
 ) -> _Found:
-    """What an answer says.
+    """Decode an answer.
 
-    :raises Unanswered: when it can't be read: a write has had its effect,
-        but nothing tells which.
+    :raises Unanswered: if the answer is unreadable: a write took effect, but
+        its result, such as the new revision, is unknown.
     """
     try:
         return decode(answer.body)
--- a/src/apricotlever/serving/store_watch.py
+++ b/src/apricotlever/serving/store_watch.py
@@ -1,4 +1,4 @@
-"""Follows one kind of objects of the platform's store."""
+"""Follows one kind of objects in the platform's store."""
 
 import asyncio
 import random
@@ -10,37 +10,41 @@
 from . import log_limit
 from . import store
 
-FIRST_PAUSE_S = 0.1
-LONGEST_PAUSE_S = 0.8
-#: How long a watch waits after a failure, to see soon that the store is back.
-RETURN_WATCH_S = 0.05
-#: Failures in a row for longer than this count as an outage.
-OUTAGE_S = 0.4
-#: Between two looks whether a watch is wanted, in seconds.
-UNWANTED_S = 0.2
+#: Bounds of the delay after a failed call, in seconds.
+MIN_RETRY_DELAY_S = 0.1
+MAX_RETRY_DELAY_S = 0.8
+#: Wait of the first watch call after a failure, in seconds; short, so that it
+#: soon shows that the store has recovered.
+RECOVERY_WATCH_WAIT_S = 0.05
+#: Consecutive failures for longer than this count as an outage, in seconds.
+MIN_OUTAGE_S = 0.4
+#: Interval between two checks whether a watch is wanted, in seconds.
+WANTED_CHECK_INTERVAL_S = 0.2
 
 
 class Listener(typing.Protocol):
-    """Takes what a watch brings."""
+    """Receives the lists and the changes that a watcher reads."""
 
     def listed(self, page: store.Page) -> None:
-        """The whole list was read."""
+        """Handle the complete list of the objects."""
 
     def changed(self, changes: store.Changes) -> None:
-        """Objects changed."""
+        """Handle created, changed and deleted objects."""
 
     def store_returned(self) -> None:
-        """The store answers again after an outage."""
+        """Handle the end of an outage of the store."""
 
 
 class Watcher:
-    """Follows one kind of objects for ever.
-
-    :param listener: called on the loop with what comes.
-    :param wanted: whether this VM has to follow the store itself, or hears
-        the same from its peers.
-    :param gather_s: pause after news. Changes come in series, and each call
-        that ends for one of them has its price.
+    """Follows one kind of objects until it is cancelled.
+
+    :param kind: the kind of the objects.
+    :param listener: called in the event loop with lists and changes.
+    :param wanted: returns whether this VM has to follow the store itself;
+        otherwise it receives the same updates from its peers.
+    :param gather_s: the delay after a watch call that returned changes, in
+        seconds. Changes come in series, and the store charges for each call,
+        so that one call should return several of them.
     :param list_when_unwanted: whether to read the list at the start and
         whenever it is outdated, even if `wanted` returns false.
     """
@@ -51,7 +55,7 @@
         "_kind",
         "_list_when_unwanted",
         "_listener",
-        "_refusals",
+        "_log_limit",
         "_revision",
         "_rng",
         "_store",
@@ -77,7 +81,7 @@
         self._wanted = wanted
         self._gather_s = gather_s
         self._watching = False
-        self._refusals = log_limit.LogLimit(clocks.SystemClock())
+        self._log_limit = log_limit.LogLimit(clocks.SystemClock())
         self._revision: int | None = None
         self._failing_since: float | None = None
 
@@ -87,19 +91,19 @@
         return self._watching and self._failing_since is None
 
     def doubt(self) -> None:
-        """Read the list anew at the next chance."""
+        """Discard the known revision, so that the list is read again."""
         self._revision = None
 
     @property
     def kind(self) -> str:
-        """The kind of objects that is followed."""
+        """The kind of the objects that this watcher follows."""
         return self._kind
 
     async def run(self) -> None:
-        """Follow for ever; an error of the listener is passed on.
+        """Follow the store until cancelled; errors of the listener propagate.
 
-        Started again it reads the list anew: what the listener did not take
-        would else be missing until it changes.
+        After a restart the list is read again: an object that the listener
+        failed to handle would otherwise be missing until its next change.
         """
         self.doubt()
         try:
@@ -109,55 +113,55 @@
 
     async def _follow(self) -> None:
         loop = asyncio.get_running_loop()
-        pause_s = FIRST_PAUSE_S
+        delay_s = MIN_RETRY_DELAY_S
         while True:
             list_due = self._revision is None and self._list_when_unwanted
             if not list_due and not self._wanted():
                 self._watching = False
-                await asyncio.sleep(UNWANTED_S)
+                await asyncio.sleep(WANTED_CHECK_INTERVAL_S)
                 continue
             try:
                 await self._step(loop)
                 self._watching = True
-                pause_s = FIRST_PAUSE_S
+                delay_s = MIN_RETRY_DELAY_S
             except store.HistoryGone:
                 logs.event("watch_restarted", kind=self._kind)
                 self._revision = None
             except (store.StoreError, ValueError) as error:
-                self._failed(loop.time(), error)
-                await asyncio.sleep(pause_s * self._rng.uniform(0.5, 1.0))
-                pause_s = min(LONGEST_PAUSE_S, 2.0 * pause_s)
+                self._record_failure(loop.time(), error)
+                await asyncio.sleep(delay_s * self._rng.uniform(0.5, 1.0))
+                delay_s = min(MAX_RETRY_DELAY_S, 2.0 * delay_s)
 
     async def _step(self, loop: asyncio.AbstractEventLoop) -> None:
         if self._revision is None:
             page = await self._store.list_all(self._kind)
-            self._answered(loop.time())
-            self._note_unreadable(page.unreadable)
+            self._record_success(loop.time())
+            self._log_unreadable(page.unreadable)
             self._listener.listed(page)
             self._revision = page.revision
             return
         wait_s = (
-            RETURN_WATCH_S
+            RECOVERY_WATCH_WAIT_S
             if self._failing_since is not None
-            else store.WATCH_S
+            else store.WATCH_WAIT_S
         )
         changes = await self._store.watch(self._kind, self._revision, wait_s)
-        self._answered(loop.time())
+        self._record_success(loop.time())
         self._listener.changed(changes)
         if self._revision is not None:
             self._revision = changes.revision
         if changes.unreadable:
-            # What changed shows in the list, if it can be read there.
-            self._note_unreadable(changes.unreadable)
+            # The list shows the changed objects if they are readable there.
+            self._log_unreadable(changes.unreadable)
             self.doubt()
         if changes.changes and self._gather_s:
             await asyncio.sleep(self._gather_s)
 
-    def _note_unreadable(self, count: int) -> None:
-        if count and self._refusals.allows(self._kind):
+    def _log_unreadable(self, count: int) -> None:
+        if count and self._log_limit.allows(self._kind):
             logs.event("stored_refused", kind=self._kind, count=count)
 
-    def _failed(self, now: float, error: Exception) -> None:
+    def _record_failure(self, now: float, error: Exception) -> None:
         if self._failing_since is None:
             self._failing_since = now
             logs.event(
@@ -167,7 +171,7 @@
                 error=f"{type(error).__name__}: {error}",
             )
 
-    def _answered(self, now: float) -> None:
+    def _record_success(self, now: float) -> None:
         since, self._failing_since = self._failing_since, None
         if since is None:
             return
@@ -177,5 +181,5 @@
             kind=self._kind,
             away_s=now - since,
         )
-        if now - since > OUTAGE_S:
+        if now - since > MIN_OUTAGE_S:
             self._listener.store_returned()
--- a/src/apricotlever/serving/trials.py
+++ b/src/apricotlever/serving/trials.py
@@ -1,4 +1,4 @@
-"""Records the outcomes of calls during a roll-out."""
+"""Records the latencies and outcomes of calls during a roll-out."""
 
 from .. import clock as clocks
 from ..roll_outs import controller as controllers
@@ -22,16 +22,21 @@
 }
 
 
-def pool_name(service: str, arm: roll_outs_model.RunnerRole) -> str:
-    """The pool of a service's runners in a role; "" for none."""
-    suffix = _SUFFIXES.get(arm)
+def pool_name(service: str, role: roll_outs_model.RunnerRole) -> str:
+    """The name of the pool of a service's runners in a role.
+
+    :returns: the name; "" if runners in this role get no calls.
+    """
+    suffix = _SUFFIXES.get(role)
     return "" if suffix is None else service + suffix
 
 
-class _Trial:
+class _SampledCall:
     """A recorded call in flight.
 
-    :param expected_s: expected time to the first byte.
+    :param sample: the sample to which the call's results are added.
+    :param sent_at: when the call was sent, on the monotonic clock.
+    :param expected_s: expected time to the first byte, in seconds.
     """
 
     __slots__ = ("sample", "sent_at", "expected_s", "answered")
@@ -55,7 +60,7 @@
     ) -> None:
         self._clock = clock
         self._controller = controller
-        self._by_attempt: dict[str, _Trial] = {}
+        self._by_attempt: dict[str, _SampledCall] = {}
 
     def sent(
         self,
@@ -67,6 +72,7 @@
     ) -> None:
         """Record the start of a call.
 
+        :param attempt: identifies the attempt of the call.
         :param tokens: prompt tokens that the runner has to read.
         :param speed: reading speed of the service's runners, in tokens per
             second; 0 if unknown.
@@ -74,32 +80,32 @@
         sample = self._controller.record_sent(runner, route)
         if sample is not None:
             expected_s = ANSWER_OVERHEAD_S + tokens / (speed or ASSUMED_SPEED)
-            self._by_attempt[attempt] = _Trial(
+            self._by_attempt[attempt] = _SampledCall(
                 sample, self._clock.now(), expected_s
             )
 
     def first_answer(self, attempt: str) -> None:
         """Record the first byte of an answer."""
-        trial = self._by_attempt.get(attempt)
-        if trial is not None and not trial.answered:
-            trial.answered = True
-            took_s = self._clock.now() - trial.sent_at
-            trial.sample.first_byte.add(took_s / trial.expected_s)
+        call = self._by_attempt.get(attempt)
+        if call is not None and not call.answered:
+            call.answered = True
+            took_s = self._clock.now() - call.sent_at
+            call.sample.first_byte.add(took_s / call.expected_s)
 
     def ended(self, attempt: str, outcome: models.Outcome) -> None:
         """Record the end of a call.
 
         Cancelled and rejected calls count only as slow, if at all.
         """
-        trial = self._by_attempt.pop(attempt, None)
-        if trial is None:
+        call = self._by_attempt.pop(attempt, None)
+        if call is None:
             return
-        sample = trial.sample
-        took_s = self._clock.now() - trial.sent_at
+        sample = call.sample
+        took_s = self._clock.now() - call.sent_at
         if outcome is models.Outcome.CANCELLED:
-            slow = took_s > SLOW_FACTOR * trial.expected_s
-            if slow and not trial.answered:
-                sample.first_byte.add(took_s / trial.expected_s)
+            slow = took_s > SLOW_FACTOR * call.expected_s
+            if slow and not call.answered:
+                sample.first_byte.add(took_s / call.expected_s)
             return
         sample.ended += 1
         if outcome is models.Outcome.FAILED:
