--- a/tests/serving/fleet_of_directories.py
+++ b/tests/serving/fleet_of_directories.py
@@ -1,4 +1,7 @@
-"""VMs' directories, a store's history, and news that travels at random."""
+"""A simulated fleet of VMs' runner directories, which follow one store.
+
+Changes in the store are random, as are the times when VMs receive them.
+"""
 
 import random
 
@@ -9,15 +12,17 @@
 from apricotlever.serving import store
 
 STEP_S = 0.1
-#: How long two directories differ before one reads all of the other's.
-DIFFERENT_S = 0.3
-EVERYTHING = -1
+#: How long two directories differ before one fetches all changes of the
+#: other, in seconds.
+MISMATCH_S = 0.3
+#: The revision from which all changes are fetched.
+ALL_REVISIONS = -1
 
 
-class Said:
-    """What a runner's entry says.
+class EntryState:
+    """The state of a runner in its entry.
 
-    :param readable: whether the runner wrote it, and nobody spoiled it.
+    :param readable: false if another program has overwritten the entry.
     """
 
     def __init__(self, leaving, born, sequence, readable=True):
@@ -28,77 +33,79 @@
 
 
 class History:
-    """What a store wrote down, by revision."""
+    """The entries in the store, and all changes by revision."""
 
     def __init__(self):
         self.revision = 0
         self.entries = {}
         self.changes = []
-        #: What the runner that lives under a name says of itself.
-        self.living = {}
+        #: The latest state of the runner that now runs under each name.
+        self.current = {}
 
     def write(self, name, leaving=False):
-        """Write an entry."""
-        before = self.living.get(name, Said(False, 1, 0))
-        self._say(name, Said(leaving, before.born, before.sequence + 1))
+        """Write an entry with the next sequence number."""
+        before = self.current.get(name, EntryState(False, 1, 0))
+        self._update(
+            name, EntryState(leaving, before.born, before.sequence + 1)
+        )
 
     def restart(self, name):
-        """A runner starts again under its name."""
-        self._say(name, Said(False, self.living[name].born + 1, 1))
+        """Restart a runner under its name."""
+        self._update(name, EntryState(False, self.current[name].born + 1, 1))
 
-    def spoil(self, name):
-        """Somebody writes over an entry what can't be read."""
-        said = self.living[name]
-        self._put(name, Said(False, said.born, 0, readable=False))
+    def corrupt(self, name):
+        """Overwrite an entry with unreadable content."""
+        state = self.current[name]
+        self._put(name, EntryState(False, state.born, 0, readable=False))
 
-    def write_late(self, name, said):
-        """A heartbeat is carried out long after it was sent."""
-        self._put(name, said)
+    def write_late(self, name, state):
+        """Apply a heartbeat long after it was sent."""
+        self._put(name, state)
 
-    def _say(self, name, said):
-        self.living[name] = said
-        self._put(name, said)
+    def _update(self, name, state):
+        self.current[name] = state
+        self._put(name, state)
 
-    def _put(self, name, said):
+    def _put(self, name, state):
         self.revision += 1
-        self.entries[name] = said
-        self.changes.append((self.revision, name, said, False))
+        self.entries[name] = state
+        self.changes.append((self.revision, name, state, False))
 
     def remove(self, name):
         """Remove an entry; the change names the entry's last revision."""
         self.revision += 1
-        said = self.entries.pop(name)
-        self.changes.append((self.revision, name, said, True))
+        state = self.entries.pop(name)
+        self.changes.append((self.revision, name, state, True))
 
     def after(self, revision):
-        """What a watch brings."""
+        """The changes after a revision, as a watch returns them."""
         found = []
         last = {}
-        for at, name, said, deleted in self.changes:
+        for at, name, state, deleted in self.changes:
             shown = last.get(name, at) if deleted else at
             last[name] = at
             if at > revision:
-                stored = store.StoredObject(name, shown, said, None)
+                stored = store.StoredObject(name, shown, state, None)
                 found.append(store.Change(stored, deleted))
         return store.Changes(found, self.revision)
 
 
 class Platform:
-    """Reads entries.
+    """A dialect of the platform that decodes entries of runners.
 
-    :param naive: take a runner for the same one as long as its name is.
+    :param naive: whether to identify a runner by its name alone.
     """
 
     def __init__(self, naive=False):
         self._naive = naive
-        #: The true start of each entry that was read, by name and revision.
+        #: The true start in each entry that was read, by name and revision.
         self.born = {}
 
     def runner(self, stored):
-        """The runner of an entry."""
-        said = stored.spec
-        self.born[stored.name, stored.revision] = said.born
-        if not said.readable:
+        """Decode the runner of an entry."""
+        state = stored.spec
+        self.born[stored.name, stored.revision] = state.born
+        if not state.readable:
             return runners.Unreadable(stored.name, stored.revision, "spoiled")
         return runners.Runner(
             stored.name,
@@ -107,15 +114,15 @@
             80,
             "dc",
             4,
-            said.leaving,
+            state.leaving,
             revision=stored.revision,
-            born=0 if self._naive else said.born,
-            sequence=0 if self._naive else said.sequence,
+            born=0 if self._naive else state.born,
+            sequence=0 if self._naive else state.sequence,
         )
 
 
 class Vm:
-    """One VM's directory, its watch, and when it differed from others'."""
+    """One VM's directory and its watch of the store."""
 
     def __init__(self, clock, history, platform):
         self.directory = directories.Directory(clock)
@@ -123,52 +130,56 @@
         self._entries = listeners.Entries(
             self.directory, self._platform, lambda ended: None, clock
         )
-        #: What is kept of each incarnation, made when it was first seen: the
-        #: start of the process that it is about.
-        self.kept = {}
+        #: State that the VM creates for a runner when it first sees it, by
+        #: incarnation: here the true start of the runner's process.
+        self.incarnation_states = {}
         self._history = history
         self._revision = 0
-        self._differed = {}
+        #: When the directory began to differ from that of another VM.
+        self._differs_since = {}
 
     def read(self):
-        """Read what the watch has."""
+        """Read the changes from the store's watch."""
         self._entries.changed(self._history.after(self._revision))
         self._revision = self._history.revision
 
-    def keep(self):
-        """Make what is kept of new runners, drop what is of gone ones."""
+    def update_states(self):
+        """Create state for new runners, and drop that of removed ones."""
         listed = {r.runner_id: r for r in self.directory.runners}
-        self.kept = {
-            runner_id: self.kept.get(
+        self.incarnation_states = {
+            runner_id: self.incarnation_states.get(
                 runner_id, self._platform.born[runner.name, runner.revision]
             )
             for runner_id, runner in listed.items()
         }
 
-    def hear(self, other, now):
-        """Hear another VM's record, and fetch what is missing."""
+    def receive(self, other, now):
+        """Receive another VM's record, and fetch missing changes."""
         mine, theirs = self.directory, other.directory
         if theirs.revision > mine.revision:
             mine.heard(*theirs.news_after(mine.revision))
         if theirs.checksum == mine.checksum:
-            self._differed.pop(other, None)
-        elif now - self._differed.setdefault(other, now) >= DIFFERENT_S:
-            del self._differed[other]
-            mine.heard(*theirs.news_after(EVERYTHING))
+            self._differs_since.pop(other, None)
+        elif now - self._differs_since.setdefault(other, now) >= MISMATCH_S:
+            del self._differs_since[other]
+            mine.heard(*theirs.news_after(ALL_REVISIONS))
 
 
 class Fleet:
-    """The VMs, and random news.
+    """The VMs and the store.
 
-    :param seed: of the news and of its ways.
-    :param platform: reads the entries.
-    :param restarts: whether runners start again under their names, too.
+    :param seed: determines the random changes and when VMs receive them.
+    :param vms: the number of VMs.
+    :param count: the number of runners at the start.
+    :param platform: decodes the entries.
+    :param restarts: whether runners also restart under their names.
     """
 
     def __init__(self, seed, vms, count, platform=None, restarts=False):
         self._restarts = random.Random(seed) if restarts else None
         platform = platform or Platform()
-        self._late = []
+        #: Delayed heartbeats: when they are applied, the name and the state.
+        self._late_heartbeats = []
         self._rng = random.Random(seed)
         self._clock = clocks.ManualClock()
         self.history = History()
@@ -180,85 +191,92 @@
         ]
         for vm in self.vms:
             vm.read()
-        #: VMs whose watch waits, to when it brings what it has.
-        self._away = {}
-        self._lapsed = []
+        #: When the watch of a VM that receives no changes resumes.
+        self._resumes_at = {}
+        #: Runners whose entries have expired and will be written again.
+        self._expired = []
 
-    def run(self, seconds, random_news):
-        """Let time pass."""
+    def run(self, seconds, random_changes):
+        """Advance the time, with or without random changes in the store."""
         for _ in range(round(seconds / STEP_S)):
             self._clock.advance(STEP_S)
-            if random_news:
-                self._happen()
-                self._start_again()
-            self._travel(random_news)
+            if random_changes:
+                self._apply_random_change()
+                self._restart_runners()
+            self._deliver(random_changes)
             for vm in self.vms:
-                vm.keep()
+                vm.update_states()
 
-    def _happen(self):
+    def _apply_random_change(self):
         entries, rng = self.history.entries, self._rng
-        for name in [n for n in self._lapsed if rng.random() < 0.2]:
-            self._lapsed.remove(name)
+        for name in [n for n in self._expired if rng.random() < 0.2]:
+            self._expired.remove(name)
             self.history.write(name)
-        drawn = rng.random()
-        if drawn < 0.03:
+        draw = rng.random()
+        if draw < 0.03:
             self.history.write(f"r{self._next}")
             self._next += 1
-        elif drawn < 0.06 and entries:
+        elif draw < 0.06 and entries:
             self.history.write(rng.choice(sorted(entries)), leaving=True)
-        elif drawn < 0.09 and entries:
+        elif draw < 0.09 and entries:
             self.history.remove(rng.choice(sorted(entries)))
-        elif drawn < 0.10:
-            for name in [n for n, said in entries.items() if not said.leaving]:
+        elif draw < 0.10:
+            for name in [
+                n for n, state in entries.items() if not state.leaving
+            ]:
                 self.history.remove(name)
-                self._lapsed.append(name)
-        elif drawn < 0.12:
+                self._expired.append(name)
+        elif draw < 0.12:
             vm = rng.choice(self.vms)
-            self._away[vm] = self._clock.now() + rng.uniform(0.5, 6.0)
+            self._resumes_at[vm] = self._clock.now() + rng.uniform(0.5, 6.0)
 
-    def _start_again(self):
-        """Runners start again, some twice; their last heartbeats come late.
+    def _restart_runners(self):
+        """Restart runners, some twice, and corrupt some entries.
 
-        Entries are spoiled in between.
+        The last heartbeat of a restarted runner may be applied late.
         """
         rng, history = self._restarts, self.history
         if rng is None:
             return
         now = self._clock.now()
-        due = [late for late in self._late if late[0] <= now]
-        for late in due:
-            self._late.remove(late)
-            _, name, said = late
+        due = [
+            heartbeat
+            for heartbeat in self._late_heartbeats
+            if heartbeat[0] <= now
+        ]
+        for heartbeat in due:
+            self._late_heartbeats.remove(heartbeat)
+            _, name, state = heartbeat
             if name in history.entries:
-                history.write_late(name, said)
+                history.write_late(name, state)
         listed = sorted(history.entries)
         if listed and rng.random() < 0.08:
             name = rng.choice(listed)
             if rng.random() < 0.5:
                 at = now + rng.uniform(0.1, 2.0)
-                self._late.append((at, name, history.living[name]))
+                self._late_heartbeats.append((at, name, history.current[name]))
             for _ in range(rng.choice((1, 1, 2))):
                 history.restart(name)
         if listed and rng.random() < 0.04:
-            history.spoil(rng.choice(listed))
+            history.corrupt(rng.choice(listed))
 
-    def _travel(self, random_news):
+    def _deliver(self, random_changes):
         now, rng = self._clock.now(), self._rng
         for vm in self.vms:
-            away = random_news and self._away.get(vm, 0.0) > now
-            if not away and rng.random() < 0.6:
+            is_paused = random_changes and self._resumes_at.get(vm, 0.0) > now
+            if not is_paused and rng.random() < 0.6:
                 vm.read()
             others = [other for other in self.vms if other is not vm]
-            vm.hear(rng.choice(others), now)
+            vm.receive(rng.choice(others), now)
             vm.directory.tick()
 
     def settle(self):
-        """End what is under way in the store: lapsed entries come back."""
-        for name in self._lapsed:
+        """Restore expired and outdated entries, and drop late heartbeats."""
+        for name in self._expired:
             self.history.write(name)
-        self._lapsed.clear()
-        self._late.clear()
-        for name, said in self.history.entries.items():
-            if said is not self.history.living[name]:
-                # The living one's next heartbeat.
-                self.history.write(name, self.history.living[name].leaving)
+        self._expired.clear()
+        self._late_heartbeats.clear()
+        for name, state in self.history.entries.items():
+            if state is not self.history.current[name]:
+                # The next heartbeat of the current process.
+                self.history.write(name, self.history.current[name].leaving)
--- a/tests/serving/memory_store.py
+++ b/tests/serving/memory_store.py
@@ -1,30 +1,32 @@
-"""A store in memory, with the faults of a real one."""
+"""An in-memory store with injectable faults, and a recording cloud API."""
 
 from apricotlever.serving import duties
 from apricotlever.serving import store
 
 
 class MemoryStore:
-    """Objects by kind and name; all VMs of a test share it."""
+    """Stores objects by kind and name; all VMs of a test share it."""
 
     def __init__(self, durable=True):
         self.durable = durable
         self.objects = {}
         self.revision = 10
         self.writes = 0
-        #: Errors for the next calls, oldest first; None lets one through.
+        #: Errors for the next calls in order; with None a call succeeds.
         self.errors = []
-        #: Whether a call that fails as unanswered takes effect all the same.
-        self.late = False
+        #: Whether a write that fails with `store.Unanswered` takes effect.
+        self.applies_unanswered = False
 
     def _check(self):
         error = self.errors.pop(0) if self.errors else None
-        if error is not None and not (self.late and error is store.Unanswered):
-            raise error("a fault of the test")
+        if error is not None and not (
+            self.applies_unanswered and error is store.Unanswered
+        ):
+            raise error("injected fault")
         return error
 
     async def get(self, kind, name):
-        """One object."""
+        """Get an object; None if it does not exist."""
         self._check()
         return self.objects.get((kind, name))
 
@@ -36,7 +38,7 @@
         return self._put(kind, name, spec, error)
 
     async def replace(self, kind, name, spec, revision):
-        """Replace an object; one that does not change keeps its revision."""
+        """Replace an object; an unchanged object keeps its revision."""
         error = self._check()
         known = self.objects.get((kind, name))
         if known is None:
@@ -48,12 +50,12 @@
         return self._put(kind, name, spec, error)
 
     async def list_all(self, kind, stale=False):
-        """All of a kind."""
+        """List all objects of a kind."""
         found = [o for (k, _), o in self.objects.items() if k == kind]
         return store.Page(found, False, self.revision)
 
     async def delete(self, kind, name):
-        """Remove an object."""
+        """Delete an object."""
         self.objects.pop((kind, name), None)
 
     def _put(self, kind, name, spec, error):
@@ -62,12 +64,15 @@
         stored = store.StoredObject(name, self.revision, spec, None)
         self.objects[kind, name] = stored
         if error is not None:
-            raise error("the answer is lost")
+            raise error("answer lost")
         return stored
 
 
 class MemoryCloud:
-    """Takes reports and remembers them."""
+    """Accepts reports and records them.
+
+    Calls with a fencing number below the highest one so far are rejected.
+    """
 
     def __init__(self):
         self.sent = []
@@ -75,10 +80,10 @@
         self.busy = 0
 
     async def send(self, path, body, fencing):
-        """Take a report under a fencing number."""
+        """Accept a report if its fencing number is not outdated."""
         if self.busy:
             self.busy -= 1
-            raise duties.CloudBusy("a fault of the test")
+            raise duties.CloudBusy("injected fault")
         if fencing < self.highest:
             return False
         self.highest = fencing
@@ -87,8 +92,8 @@
 
 
 class PlainDocuments:
-    """Reports as they are."""
+    """A dialect that sends reports without encoding them."""
 
     def report_call(self, window, counts):
-        """Path and body of a report."""
+        """The path and the body of a report."""
         return f"/report/{window}", dict(counts)
--- a/tests/serving/roll_outs.feature
+++ b/tests/serving/roll_outs.feature
@@ -45,7 +45,7 @@
 
   Scenario: An order deleted from the store is withdrawn
     Given the holder of the duties knows an order of 20 seconds
-    And the order is gone from the store
+    And the order is deleted from the store
     When the new version is found bad
     Then the holder knows that it is withdrawn
 
--- a/tests/steps/serving_directory.py
+++ b/tests/steps/serving_directory.py
@@ -35,51 +35,51 @@
     context.directory.removed("r1", 6)
 
 
-@step("the store comes back without r1")
-def _back(context):
+@step("the store recovers without r1")
+def _recovers_without(context):
     context.directory.store_returned()
     context.directory.listed([_runner("r2", 2)], 9)
 
 
 @step("the entry of r1 is written again")
-def _again(context):
+def _rewrite(context):
     context.directory.changed(_runner("r1", 10))
 
 
-@step("a peer tells its old news of r1")
-def _old(context):
+@step("a peer sends its outdated entry of r1")
+def _outdated_entry(context):
     context.directory.heard([_runner("r1", 1)], {})
 
 
-@when("a peer tells that r1 is gone and r3 has come")
-def _peer(context):
+@when("a peer sends the removal of r1 and the entry of r3")
+def _peer_changes(context):
     context.directory.heard([_runner("r3", 8)], {"r1": 7})
 
 
 @step("new work goes to {names} alone")
-def _alone(context, names):
-    _goes(context, names)
+def _work_goes_to_one(context, names):
+    _assert_available(context, names)
 
 
 @step("new work goes to {first} and {second}")
-def _two(context, first, second):
-    _goes(context, f"{first} {second}")
+def _work_goes_to_two(context, first, second):
+    _assert_available(context, f"{first} {second}")
 
 
 @then("after {seconds:f} seconds new work goes to {first} and {second}")
-def _later_two(context, seconds, first, second):
+def _work_later_goes_to_two(context, seconds, first, second):
     _wait(context, seconds)
-    _goes(context, f"{first} {second}")
+    _assert_available(context, f"{first} {second}")
 
 
 @step("after {seconds:f} seconds new work goes to {name} alone")
-def _later(context, seconds, name):
+def _work_later_goes_to_one(context, seconds, name):
     _wait(context, seconds)
-    _goes(context, name)
+    _assert_available(context, name)
 
 
-@then("r1 is gone")
-def _gone(context):
+@then("r1 is removed")
+def _removed(context):
     assert context.directory.get("r1") is None
 
 
@@ -88,7 +88,7 @@
     context.directory.tick()
 
 
-def _goes(context, names):
+def _assert_available(context, names):
     found = [r.runner_id for r in context.directory.of_service("s")]
     assert sorted(found) == sorted(names.split()), found
 
@@ -103,27 +103,27 @@
         directory.listed([_runner("r1", 1), _runner("r2", 2)], 2)
 
 
-@when("the watch of one brings the removal of r1")
-def _watch(context):
+@when("the watch of one delivers the removal of r1")
+def _one_reads_removal(context):
     entries = listeners.Entries(context.one, None, lambda ended: None)
     removed = store.Change(store.StoredObject("r1", 1, {}, None), True)
     entries.changed(store.Changes([removed], 7))
 
 
-@step("a peer tells that r1 was written again")
-def _written_again(context):
+@step("a peer sends the rewritten entry of r1")
+def _rewritten_entry(context):
     context.directory.heard([_runner("r1", 8)], {})
 
 
 class Platform:
-    """Reads entries of runners."""
+    """A dialect of the platform that decodes entries of runners."""
 
     def runner(self, stored):
         """The runner of an entry."""
         return _runner(stored.name, stored.revision)
 
 
-def _bring(context, changes, revision):
+def _deliver(context, changes, revision):
     entries = listeners.Entries(
         context.directory, Platform(), lambda ended: None
     )
@@ -138,55 +138,55 @@
     )
 
 
-@step("a watch brings the removal of r1 and that it was written again")
+@step("a watch delivers the removal of r1 and its rewritten entry")
 def _removal_and_entry(context):
-    _bring(context, [(1, True), (8, False)], 9)
+    _deliver(context, [(1, True), (8, False)], 9)
 
 
-@step("a watch brings the removal of r1 alone")
+@step("a watch delivers the removal of r1 alone")
 def _old_removal(context):
-    _bring(context, [(1, True)], 5)
+    _deliver(context, [(1, True)], 5)
 
 
-@step("a watch brings that r1 was written again and its removal")
+@step("a watch delivers the rewritten entry of r1 and its removal")
 def _entry_and_removal(context):
-    _bring(context, [(8, False), (8, True)], 9)
+    _deliver(context, [(8, False), (8, True)], 9)
 
 
-@then("the other sees that it is behind, and learns that r1 is gone")
-def _behind(context):
+@then("the other has an older revision, and learns that r1 is removed")
+def _other_catches_up(context):
     assert context.one.revision > context.other.revision
     context.other.heard(*context.one.news_after(context.other.revision))
     assert context.other.get("r1") is None
 
 
-@then("neither seems to be behind any more")
-def _level(context):
+@then("both have the same revision afterwards")
+def _same_revision(context):
     assert context.one.revision == context.other.revision
     context.one.heard(*context.other.news_after(0))
     assert context.one.revision == context.other.revision
 
 
-@when("one doubts the removal of r1 and tells that r3 has come")
-def _doubts(context):
+@when("one delays the removal of r1 and sends the entry of r3")
+def _delays(context):
     context.one.store_returned()
     assert context.one.removed("r1", 7) == []
     context.one.changed(_runner("r3", 9))
     context.other.heard(*context.one.news_after(context.other.revision))
 
 
-@when("one buries r1 after {seconds:f} seconds")
-def _buries(context, seconds):
+@when("one removes r1 after {seconds:f} seconds")
+def _removes_later(context, seconds):
     context.clock.advance(seconds)
     assert context.one.tick() == ["r1"]
 
 
 @then("the other's runners are those of one")
-def _same(context):
+def _same_checksum(context):
     assert context.one.checksum == context.other.checksum
 
 
-@then("both differ from a third that knows of the removal")
+@then("both differ from a third that has applied the removal")
 def _third(context):
     context.third = directories.Directory(context.clock)
     context.third.listed([_runner("r1", 1), _runner("r2", 2)], 2)
@@ -198,20 +198,20 @@
     assert context.third.checksum != context.other.checksum
 
 
-@then("with all of the third's news both know it too")
-def _both(context):
+@then("with all changes from the third both apply it, too")
+def _both_apply(context):
     for directory in (context.one, context.other):
         directory.heard(*context.third.news_after(-1))
         assert directory.checksum == context.third.checksum
 
 
-@then("one tells the removal at its revision {revision:d}")
-def _told(context, revision):
+@then("one sends the removal with its revision {revision:d}")
+def _sends_removal(context, revision):
     assert context.one.news_after(-1)[1] == {"r1": revision}
 
 
 @given("a directory with {count:d} more runners")
-def _more(context, count):
+def _more_runners(context, count):
     _directory(context)
     for number in range(count):
         context.directory.changed(_runner(f"m{number}", 3 + number))
@@ -224,12 +224,12 @@
 
 
 @then("after {seconds:f} seconds {count:d} runners take new work")
-def _take(context, seconds, count):
+def _available_count(context, seconds, count):
     _wait(context, seconds)
     assert len(context.directory.of_service("s")) == count
 
 
 @when("{seconds:f} seconds pass at the directory and the store removes r2")
-def _one_more(context, seconds):
+def _removes_one_more(context, seconds):
     _wait(context, seconds)
     context.directory.removed("r2", 80)
--- a/tests/steps/serving_directory_fuzz.py
+++ b/tests/steps/serving_directory_fuzz.py
@@ -13,25 +13,26 @@
 
 
 @when(
-    "{seconds:d} seconds of random news pass, from seed {first:d} to {last:d}"
+    "{seconds:d} seconds of random changes pass, from seed {first:d} to "
+    "{last:d}"
 )
-def _pass(context, seconds, first, last):
+def _random_changes(context, seconds, first, last):
     context.fleets = {
         seed: fleet_of_directories.Fleet(seed, *context.sizes)
         for seed in range(first, last + 1)
     }
     for fleet in context.fleets.values():
-        fleet.run(seconds, random_news=True)
+        fleet.run(seconds, random_changes=True)
 
 
 @then("{seconds:d} seconds later each VM's runners are those of the store")
-def _same(context, seconds):
+def _converged(context, seconds):
     wrong = {}
     for seed, fleet in context.fleets.items():
         fleet.settle()
-        fleet.run(seconds, random_news=False)
+        fleet.run(seconds, random_changes=False)
         entries = fleet.history.entries
-        wanted = {name: said.leaving for name, said in entries.items()}
+        wanted = {name: state.leaving for name, state in entries.items()}
         for number, vm in enumerate(fleet.vms):
             found = {r.name: r.leaving for r in vm.directory.runners}
             if found != wanted:
@@ -42,10 +43,10 @@
 
 
 @when(
-    "{seconds:d} seconds of news with restarts pass, from seed {first:d} to "
-    "{last:d}, read {how}"
+    "{seconds:d} seconds of changes with restarts pass, from seed {first:d} "
+    "to {last:d}, read {how}"
 )
-def _restarts(context, seconds, first, last, how):
+def _changes_with_restarts(context, seconds, first, last, how):
     context.fleets = {
         seed: fleet_of_directories.Fleet(
             seed,
@@ -56,28 +57,31 @@
         for seed in range(first, last + 1)
     }
     for fleet in context.fleets.values():
-        fleet.run(seconds, random_news=True)
+        fleet.run(seconds, random_changes=True)
 
 
-def _strangers(fleet):
-    """What VMs keep of incarnations that have ended, at the end."""
+def _outdated_states(fleet):
+    """The states of ended incarnations that VMs keep after convergence.
+
+    :returns: pairs of the VM's number and the runner's name.
+    """
     fleet.settle()
-    fleet.run(4, random_news=False)
-    living = fleet.history.living
+    fleet.run(4, random_changes=False)
+    current = fleet.history.current
     return [
         (number, runner.name)
         for number, vm in enumerate(fleet.vms)
         for runner in vm.directory.runners
-        if vm.kept[runner.runner_id] != living[runner.name].born
+        if vm.incarnation_states[runner.runner_id] != current[runner.name].born
     ]
 
 
-@then("no VM keeps anything of an incarnation before")
-def _nothing_of_before(context):
-    wrong = {s: _strangers(f) for s, f in context.fleets.items()}
+@then("no VM keeps state of a previous incarnation")
+def _no_outdated_state(context):
+    wrong = {s: _outdated_states(f) for s, f in context.fleets.items()}
     assert not any(wrong.values()), wrong
 
 
-@then("some VM keeps something of an incarnation before")
-def _something(context):
-    assert any(_strangers(fleet) for fleet in context.fleets.values())
+@then("some VM keeps state of a previous incarnation")
+def _some_outdated_state(context):
+    assert any(_outdated_states(fleet) for fleet in context.fleets.values())
--- a/tests/steps/serving_duties.py
+++ b/tests/steps/serving_duties.py
@@ -463,7 +463,7 @@
 
 @step("the store loses answers of writes that take effect")
 def _loses(context):
-    context.store.late = True
+    context.store.applies_unanswered = True
     context.store.errors = [None] + 6 * [store.Unanswered, None]
 
 
--- a/tests/steps/serving_roll_outs.py
+++ b/tests/steps/serving_roll_outs.py
@@ -24,6 +24,7 @@
 
 SERVICE = "service"
 SPEC = {"service": SERVICE, "to": "v2", "duration_s": 20}
+#: The error of a write, and whether the write takes effect all the same.
 FAULTS = {
     "refuses": (store.NotDone, False),
     "loses the answers of": (store.Unanswered, True),
@@ -73,7 +74,7 @@
         stored = store.StoredObject(name, self.revision, known.spec, status)
         self.objects[kind, name] = stored
         if error is not None:
-            raise error("the answer is lost")
+            raise error("answer lost")
         return stored
 
 
@@ -128,7 +129,7 @@
 
 @given("the holder of the duties knows an order of {seconds:d} seconds")
 def step_holder(context, seconds):
-    """Start with an order in the store."""
+    """Start a holder of the lease with an order in the store."""
     context.store = Store()
     context.store.put({**SPEC, "duration_s": seconds})
     context.holder = Holder(context.store, clocks.ManualClock())
@@ -136,7 +137,7 @@
 
 @given("a VM without the duties knows an order of {seconds:d} seconds")
 def step_no_holder(context, seconds):
-    """Start with an order in the store."""
+    """Start a VM without the lease and with an order in the store."""
     context.store = Store()
     context.store.put({**SPEC, "duration_s": seconds})
     context.holder = Holder(context.store, clocks.ManualClock(), None)
@@ -145,9 +146,9 @@
 @given("the store {fails} the next {count:d} calls")
 def step_fails(context, fails, count):
     """Make calls to the store fail."""
-    error, late = FAULTS[fails]
+    error, applies_unanswered = FAULTS[fails]
     context.store.errors = [None, None, *[error] * count]
-    context.store.late = late
+    context.store.applies_unanswered = applies_unanswered
 
 
 @given("another holder has written the status completed")
@@ -162,8 +163,8 @@
     context.store.put({**SPEC, "to": "v3"})
 
 
-@given("the order is gone from the store")
-def step_gone(context):
+@given("the order is deleted from the store")
+def step_deleted(context):
     """Delete the order from the store."""
     context.store.objects.clear()
 
@@ -207,7 +208,7 @@
 
 
 @then("the order's status is {state}")
-def step_stands(context, state):
+def step_status(context, state):
     """Compare the status in the store."""
     stored = context.store.objects["rollouts", SERVICE]
     wanted = None if state == "nothing" else {"state": state, "to": "v2"}
@@ -215,7 +216,7 @@
 
 
 @then("the other version has status {state}")
-def step_other_stands(context, state):
+def step_other_status(context, state):
     """Compare the status in the store."""
     stored = context.store.objects["rollouts", SERVICE]
     assert stored.status == {"state": state, "to": "v3"}, stored.status
@@ -223,7 +224,7 @@
 
 @then("the store was called at most {most:d} times")
 def step_calls(context, most):
-    """Compare the number with the limits."""
+    """Compare the number of calls with the limit."""
     assert context.store.calls <= most, context.store.calls
 
 
@@ -244,16 +245,16 @@
 def step_restarted(context, seconds):
     """Start a new holder with the same store."""
     clock = context.holder.clock
-    context.began_at = context.holder.order.started_at
-    clock.advance(context.began_at + seconds - clock.now())
+    context.started_at = context.holder.order.started_at
+    clock.advance(context.started_at + seconds - clock.now())
     context.holder = Holder(context.store, clock)
     context.holder.step(2)
 
 
 @then("{seconds:d} seconds of the roll-out have passed for the new holder")
-def step_began(context, seconds):
+def step_elapsed(context, seconds):
     """Check the order of the holder."""
-    assert context.holder.order.started_at == context.began_at
+    assert context.holder.order.started_at == context.started_at
 
 
 @when("an order {form} is read from the store")
