--- a/tests/serving/crash_watch.feature
+++ b/tests/serving/crash_watch.feature
@@ -1,17 +1,16 @@
-Feature: A runner that broke an answer off is looked at once
+Feature: A runner that breaks off an answer is checked at once
 
-  Scenario Outline: What its port does tells whether it has ended
-    Symptom: calls are kept away as if they crashed runners, on a day on
-    which no runner ended.
-    Events: a runner breaks an answer off; its port <does> then.
-    Cause: a connection that opened too late counts like a refused one.
+  # Guards against blocking calls as causes of crashes when no runner has
+  # ended: after a runner breaks off an answer, a connection that opens late
+  # must not count as a refused one.
+  Scenario Outline: Only a refused connection shows that a runner has ended
     Given a watch on crashes
     When a runner breaks off an answer and its port <does>
-    Then the runner is taken to have <ended>
+    Then the runner counts as <ended>
 
     Examples:
-      | does                  | ended     |
-      | refuses               | ended     |
-      | takes a connection    | not ended |
-      | opens nothing in time | not ended |
-      | has no room left      | not ended |
+      | does                               | ended     |
+      | refuses                            | ended     |
+      | accepts a connection               | not ended |
+      | opens no connection in time        | not ended |
+      | has no free connection in the pool | not ended |
--- a/tests/serving/observations.feature
+++ b/tests/serving/observations.feature
@@ -1,6 +1,6 @@
 Feature: Metrics as text
 
-  Scenario: Counters and quantiles have a line each
+  Scenario: Each counter and each quantile has a line of its own
     When two calls are served and one fails with a long reason
     Then the metrics hold
       """
@@ -13,11 +13,11 @@
       apricotlever_whole_seconds_count{customer="clerks",kind="stream"} 2
       """
 
-  Scenario: Histograms stay few, however many customers there are
+  Scenario: The number of histograms is bounded for any number of customers
     When calls of 500 customers are served
     Then at most 60 histograms are kept
 
-  Scenario: What a VM counts on, and whom it calls, can be read
+  Scenario: Limits, runner calls and task restarts are included
     Given a route for idempotent calls
     And a runner that answers
     When a call is made
--- a/tests/serving/runner_duty.feature
+++ b/tests/serving/runner_duty.feature
@@ -1,58 +1,50 @@
 Feature: The duty to order runners
 
-  # Symptom: one on-demand runner is left of nine, and calls are late for the
-  # first five seconds.
-  # Events: runners and VMs start together; the holder of the duty looks
-  # before the first runner is listed, takes the fleet to be empty, and orders
-  # for one.
-  # Cause: the runners listed so far taken for all.
-  Scenario: Runners that start along with the VMs are waited for
+  # Guards against a fleet reduced from nine on-demand runners to one, and late
+  # calls for the first five seconds: runners and VMs start together, and the
+  # holder orders for an empty fleet before the first runner is listed.
+  Scenario: No order precedes the listing of runners that start with the VMs
     Given a holder that orders runners, in a fleet without any
     When 2 seconds pass and 9 on-demand runners are listed
-    Then nothing was ordered so far
+    Then nothing has been ordered
     When 3 seconds pass at the holder of the orders
-    Then 0 on-demand and 15 reclaimable runners are ordered in the end
+    Then 0 on-demand and 15 reclaimable runners are ordered at the end
 
-  # Symptom: a fleet of 69 meets a burst in its first seconds with 15 of the
-  # 24 runners that it should have.
-  # Events: runners write their entries, a few VMs begin to follow the store a
-  # second after the start, and tell the holder, which had counted ten of 16.
-  Scenario: Runners of which the holder hears by others are waited for
+  # Guards against 15 of 24 runners during a burst at the start of 69 VMs: a
+  # few VMs begin to follow the store a second after the start and inform the
+  # holder, which must not order while it knows only ten of 16 runners.
+  Scenario: No order precedes the updates from the VMs that follow the store
     Given a holder that orders runners, in a fleet without any
     When 3.5 seconds pass and 9 on-demand runners are listed
-    Then nothing was ordered so far
+    Then nothing has been ordered
     When 2 seconds pass at the holder of the orders
-    Then 0 on-demand and 15 reclaimable runners are ordered in the end
+    Then 0 on-demand and 15 reclaimable runners are ordered at the end
 
-  Scenario: Runners that the work needs are not given back
+  Scenario: Runners that the load requires are not released
     Given a holder that orders runners, in a fleet without any
     When 2 seconds pass and 9 on-demand runners are listed
-    And the fleet has as much work as 8 runners do
+    And the fleet has a load for 8 runners
     And 10 seconds pass at the holder of the orders
     Then at least 8 on-demand runners are held while no others serve
 
-  Scenario: A refused order is made again soon
-    Symptom: the fleet pays on-demand runners for seconds after cheaper ones
-    are to be had again.
-    Events: reclaimable runners are refused for a while, then to be had.
-    Cause: the next try comes late.
+  # Guards against paying for on-demand runners for seconds after cheaper
+  # reclaimable ones are available again: the next order for these must not
+  # come late.
+  Scenario: A rejected order is repeated soon
     Given a holder that orders runners, in a fleet without any
-    And reclaimable runners are not to be had for 10 seconds
+    And reclaimable runners are unavailable for 10 seconds
     When 2 seconds pass and 9 on-demand runners are listed
     And 7 seconds pass at the holder of the orders
-    Then at most 2 seconds later reclaimable ones are ordered
+    Then at most 2 seconds later reclaimable runners are ordered
 
-  # Symptom: eleven on-demand runners are paid for four seconds where five are
-  # needed.
-  # Events: until its work is known a deployment's nine runners count as
-  # needed; it becomes known, and reclaimable runners are not to be had, for
-  # which half as many more are held as are needed.
-  # Cause: what was only trusted kept among what had been measured.
-  Scenario: The runners of the start count until the work is known, and no longer
+  # Guards against paying for eleven on-demand runners for four seconds where
+  # five are required: the nine initial runners must not count as measured
+  # need, to which half is added while reclaimable runners are unavailable.
+  Scenario: The initial runners count only until the load is known
     Given a holder that orders runners, in a fleet without any
-    And reclaimable runners are not to be had for 60 seconds
+    And reclaimable runners are unavailable for 60 seconds
     When 2 seconds pass and 9 on-demand runners are listed
-    And the fleet has as much work as 3 runners do
+    And the fleet has a load for 3 runners
     And 5 seconds pass at the holder of the orders
     Then at least 9 on-demand runners are held while no others serve
     When 3 seconds pass at the holder of the orders
--- a/tests/steps/serving_crash_watch.py
+++ b/tests/steps/serving_crash_watch.py
@@ -12,18 +12,21 @@
 from apricotlever.serving import pool as pools
 from apricotlever.serving import runners
 
-ENDS = {
+#: The error when connecting to a port, by what the port does.
+CONNECT_ERRORS = {
     "refuses": channels.NotConnected("ConnectionRefusedError", refused=True),
-    "takes a connection": None,
-    "opens nothing in time": channels.NotConnected("TimeoutError"),
-    "has no room left": pools.PoolFull("too many connections are open"),
+    "accepts a connection": None,
+    "opens no connection in time": channels.NotConnected("TimeoutError"),
+    "has no free connection in the pool": pools.PoolFull(
+        "too many connections are open"
+    ),
 }
 
 
 class _Pool:
-    """Connections to a port that does one thing.
+    """A connection pool whose connections all end the same way.
 
-    :param error: raised for each connection; None opens it.
+    :param error: the error raised for each connection; None opens it.
     """
 
     __slots__ = ("_error", "released")
@@ -50,10 +53,10 @@
 @when("a runner breaks off an answer and its port {does}")
 def _breaks(context, does):
     runner = runners.Runner("r-1", "llm", "127.0.0.1", 1, "dc-a", 4)
-    context.pool = _Pool(ENDS[does])
+    context.pool = _Pool(CONNECT_ERRORS[does])
     context.ended = asyncio.run(context.watch.refuses(runner, context.pool))
 
 
-@then("the runner is taken to have {ended}")
-def _taken(context, ended):
+@then("the runner counts as {ended}")
+def _counts_as(context, ended):
     assert context.ended == (ended == "ended"), context.ended
--- a/tests/steps/serving_duties.py
+++ b/tests/steps/serving_duties.py
@@ -22,8 +22,8 @@
 STEP_S = 0.1
 
 
-class Way:
-    """A VM's way to the store, which can be cut."""
+class CuttableStore:
+    """A VM's connection to the store, which can be cut."""
 
     def __init__(self, store_):
         self._store = store_
@@ -46,12 +46,12 @@
         self.name = name
         self.silent = False
         self.leaving = False
-        self.way = Way(world.store)
+        self.store = CuttableStore(world.store)
         self.incarnation = 0
         self.start(world)
 
     def start(self, world):
-        """Start its process, once more."""
+        """Start or restart the VM's process."""
         self.incarnation += 1
         self.keeper = duties.LeaseKeeper(
             "fleet",
@@ -59,13 +59,13 @@
             self.incarnation,
             world.clock,
             random.Random(self.name),
-            self.way,
+            self.store,
             settings.Bounds(lease_s=3.0, fencing_checked=world.checked),
         )
 
     @property
-    def digest(self):
-        """Its record."""
+    def record(self):
+        """The VM's record."""
         return vm_records.VmRecord(
             self.name,
             self.incarnation,
@@ -75,38 +75,39 @@
             "dc",
             ready=True,
             leaving=self.leaving,
-            follows=not self.way.cut,
+            follows=not self.store.cut,
             gave_up=self.keeper.surrendered_fencing,
             lease=self.keeper.last_renewal,
         )
 
 
 class World:
-    """VMs, the store and time."""
+    """The VMs, the store and the clock."""
 
     def __init__(self, durable=True, count=2, checked=True):
         self.checked = checked
         self.clock = clocks.ManualClock()
         self.store = memory_store.MemoryStore(durable)
-        #: How long a VM that fell silent is still heard.
+        #: How long the record of a VM that fell silent is known, in seconds.
         self.heard_s = 0.0
-        #: Records of VMs, and until when they are heard.
-        self.heard = {}
+        #: The VMs' records, and until when they are known.
+        self.records = {}
         self.vms = [Contender(self, f"vm-{i + 1}") for i in range(count)]
+        #: The holders' names in all steps, one after the other.
         self.holders = []
-        #: Who held it, by step.
+        #: The holders' names by step.
         self.held = []
 
     def run(self, seconds):
-        """Let time pass."""
+        """Advance the time by steps, in each of which all live VMs act."""
         for _ in range(round(seconds / STEP_S)):
             self.clock.advance(STEP_S)
             alive = [vm for vm in self.vms if not vm.silent]
             until = self.clock.now() + self.heard_s
-            self.heard.update({vm.name: (vm.digest, until) for vm in alive})
+            self.records.update({vm.name: (vm.record, until) for vm in alive})
             known = [
                 record
-                for record, until in self.heard.values()
+                for record, until in self.records.values()
                 if until >= self.clock.now()
             ]
             for vm in alive:
@@ -120,14 +121,14 @@
 
     @property
     def holder(self):
-        """The VM that may act now."""
+        """The one VM that may act now."""
         (vm,) = (vm for vm in self.vms if vm.keeper.fencing is not None)
         return vm
 
 
 @given("{count:d} VMs that contend for a duty")
 def _several(context, count):
-    context.contest = World(count=count)
+    context.world = World(count=count)
 
 
 @given(
@@ -135,13 +136,13 @@
     "{heard_s:g} seconds after its end"
 )
 def _heard_on(context, count, heard_s):
-    context.contest = World(count=count)
-    context.contest.heard_s = heard_s
+    context.world = World(count=count)
+    context.world.heard_s = heard_s
 
 
 @when("the holder and the other contender fall silent")
 def _both_silent(context):
-    world = context.contest
+    world = context.world
     ranked = rendezvous.rank("fleet", [vm.name for vm in world.vms])
     contenders = ranked[: duties.MAX_CONTENDERS]
     assert world.holder.name in contenders
@@ -151,11 +152,11 @@
 
 
 @then(
-    "another VM holds the duty at most {most_s:g} seconds after the last "
+    "another VM holds the lease at most {most_s:g} seconds after the last "
     "renewal"
 )
 def _taken_over(context, most_s):
-    held = context.contest.held[context.silent_since :]
+    held = context.world.held[context.silent_since :]
     first = next((n for n, names in enumerate(held) if names), None)
     assert first is not None, "nobody took over"
     assert first * STEP_S <= most_s, first * STEP_S
@@ -165,12 +166,12 @@
     "{count:d} VMs that contend for a duty, on a platform that checks {what}"
 )
 def _checks(context, count, what):
-    context.contest = World(count=count, checked=what != "nothing")
+    context.world = World(count=count, checked=what != "nothing")
 
 
-@then("at least {least:f} seconds lie between the two holders' times")
-def _between(context, least):
-    held = context.contest.held
+@then("at least {least:f} seconds lie between the two holders' leases")
+def _gap_between_holders(context, least):
+    held = context.world.held
     first = next(names for names in held if names)
     last_of_first = max(n for n, names in enumerate(held) if names == first)
     later = [n for n, names in enumerate(held) if names and names != first]
@@ -178,7 +179,7 @@
     assert (later[0] - last_of_first) * STEP_S >= least, held
 
 
-def _digest(vm, incarnation, lease=None):
+def _record(vm, incarnation, lease=None):
     return vm_records.VmRecord(
         vm,
         incarnation,
@@ -192,16 +193,14 @@
     )
 
 
-@given("a VM that knows the lease of vm-1")
-def _knows_lease(context):
-    contest = context.contest = World(count=0)
-    contest.store.objects[duties.KIND, "fleet"] = _lease_object(
-        11, "vm-1", 5, 1
-    )
-    context.third = Contender(contest, "vm-3")
-    # It hears nobody else, contends, and reads whose the lease is.
+@given("a VM that has read the lease of vm-1")
+def _has_read_lease(context):
+    world = context.world = World(count=0)
+    world.store.objects[duties.KIND, "fleet"] = _lease_object(11, "vm-1", 5, 1)
+    context.third = Contender(world, "vm-3")
+    # It hears no other VM, so it contends and reads the lease.
     context.third.keeper.update_view([], 1)
-    contest.clock.advance(STEP_S)
+    world.clock.advance(STEP_S)
     asyncio.run(context.third.keeper.step())
 
 
@@ -216,43 +215,41 @@
 
 
 @when(
-    "it hears in one look that vm-2 holds the lease and that vm-1 has a new "
-    "process"
+    "it learns in one update that vm-2 holds the lease and that vm-1 has a "
+    "new process"
 )
-def _one_look(context):
-    contest = context.contest
-    contest.store.objects[duties.KIND, "fleet"] = _lease_object(
-        12, "vm-2", 3, 2
-    )
-    context.heard = [_digest("vm-2", 3, (12, 2)), _digest("vm-1", 9)]
+def _one_update(context):
+    world = context.world
+    world.store.objects[duties.KIND, "fleet"] = _lease_object(12, "vm-2", 3, 2)
+    context.heard = [_record("vm-2", 3, (12, 2)), _record("vm-1", 9)]
     context.third.keeper.update_view(context.heard, 3)
 
 
-@then("it leaves the lease to vm-2 for {seconds:d} seconds")
-def _leaves_it(context, seconds):
+@then("it does not acquire the lease of vm-2 for {seconds:d} seconds")
+def _not_acquired(context, seconds):
     keeper = context.third.keeper
     for _ in range(round(seconds / STEP_S)):
-        context.contest.clock.advance(STEP_S)
-        # Alone it would contend, whatever the names of the others rank it.
+        context.world.clock.advance(STEP_S)
+        # Without other VMs it contends whatever its rank.
         keeper.update_view([], 1)
         asyncio.run(keeper.step())
         assert keeper.fencing is None
-    kept = context.contest.store.objects[duties.KIND, "fleet"]
+    kept = context.world.store.objects[duties.KIND, "fleet"]
     assert kept.revision == 12, kept.spec
 
 
-@given("a cloud that notes what it is sent")
-def _noting_cloud(context):
+@given("a cloud that records what it receives")
+def _recording_cloud(context):
     context.sent = []
 
 
 class _Headers:
     def duty_headers(self, holder, fencing):
-        """None."""
+        """No headers."""
         return []
 
 
-@when("a holder calls it whose lease ends while the connection opens")
+@when("a holder calls it whose lease expires while the connection opens")
 def _calls_late(context):
     async def serve(reader, writer):
         context.sent.append(await reader.read(1000))
@@ -279,149 +276,149 @@
     asyncio.run(play())
 
 
-@then("the call failed, and the cloud was sent nothing")
+@then("the call failed, and the cloud received nothing")
 def _not_sent(context):
     assert context.not_taken
     assert not any(context.sent), context.sent
 
 
-@given("2 VMs that contend for a duty in a store that may forget")
-def _forgetful(context):
-    context.contest = World(durable=False)
+@given("2 VMs that contend for a duty in a store that may lose writes")
+def _not_durable(context):
+    context.world = World(durable=False)
 
 
 @then("a VM holds the lease")
 def _held(context):
-    assert context.contest.holder
+    assert context.world.holder
 
 
 @then("no VM holds the lease")
 def _unheld(context):
-    assert not context.contest.holders, context.contest.holders
+    assert not context.world.holders, context.world.holders
 
 
 @step("the contest goes on for {seconds:d} seconds")
 def _pass(context, seconds):
-    context.contest.run(seconds)
+    context.world.run(seconds)
 
 
 @when("the holder falls silent and {seconds:d} seconds pass")
 def _silent(context, seconds):
-    context.first = context.contest.holder
+    context.first = context.world.holder
     context.number = context.first.keeper.fencing
     context.first.silent = True
-    context.contest.run(seconds)
+    context.world.run(seconds)
 
 
-@when("the holder hears nobody of {members:d}")
-def _nobody(context, members):
-    context.first = context.contest.holder
+@when("the holder hears none of {members:d} VMs")
+def _hears_none(context, members):
+    context.first = context.world.holder
     context.first.keeper.update_view([], members)
 
 
 def _start_again(context, vms):
-    context.number = context.contest.holder.keeper.fencing
-    context.contest.held.clear()
+    context.number = context.world.holder.keeper.fencing
+    context.world.held.clear()
     for vm in vms:
-        vm.start(context.contest)
+        vm.start(context.world)
 
 
-@when("all processes start again")
+@when("all processes restart")
 def _all_start(context):
-    _start_again(context, context.contest.vms)
+    _start_again(context, context.world.vms)
 
 
-@when("the holder's process starts again")
+@when("the holder's process restarts")
 def _holder_starts(context):
-    _start_again(context, [context.contest.holder])
+    _start_again(context, [context.world.holder])
 
 
 @when("the holder leaves without reaching the store")
 def _leaves(context):
-    leaving = context.contest.holder
+    leaving = context.world.holder
     context.number = leaving.keeper.fencing
-    context.contest.held.clear()
-    leaving.leaving = leaving.way.cut = True
+    context.world.held.clear()
+    leaving.leaving = leaving.store.cut = True
     leaving.keeper.release()
 
 
-@then("a VM holds it within {seconds:g} seconds with a higher number")
+@then("a VM holds the lease within {seconds:g} seconds with a higher number")
 def _soon(context, seconds):
-    context.contest.run(seconds)
-    assert context.contest.holder.keeper.fencing > context.number
+    context.world.run(seconds)
+    assert context.world.holder.keeper.fencing > context.number
 
 
 def _cut(context, vms, seconds):
-    context.contest.held.clear()
+    context.world.held.clear()
     for vm in vms:
-        vm.way.cut = True
-    context.contest.run(seconds)
+        vm.store.cut = True
+    context.world.run(seconds)
     for vm in vms:
-        vm.way.cut = False
+        vm.store.cut = False
 
 
 @when("the holder alone is cut off from the store for {seconds:d} seconds")
 def _cut_off(context, seconds):
-    context.first = context.contest.holder
+    context.first = context.world.holder
     _cut(context, [context.first], seconds)
 
 
 @when("all are cut off from the store for {seconds:d} seconds")
 def _all_cut_off(context, seconds):
-    _cut(context, context.contest.vms, seconds)
+    _cut(context, context.world.vms, seconds)
 
 
-@then("another VM held it at most {seconds:g} seconds after the cut")
-def _counted_from_before(context, seconds):
+@then("another VM held the lease at most {seconds:g} seconds after the cut")
+def _replaced_after_cut(context, seconds):
     first = context.first.name
-    steps = [i for i, now in enumerate(context.contest.held) if now]
-    taken = [i for i in steps if context.contest.held[i] != [first]]
+    steps = [i for i, now in enumerate(context.world.held) if now]
+    taken = [i for i in steps if context.world.held[i] != [first]]
     assert taken and taken[0] * STEP_S <= seconds, taken[:1]
 
 
-@then("no two VMs held it at the same time")
-def _alone(context):
-    assert max(map(len, context.contest.held)) == 1
+@then("no two VMs held the lease at the same time")
+def _one_at_a_time(context):
+    assert max(map(len, context.world.held)) == 1
 
 
-@then("the first holder does not take it back within {seconds:d} seconds")
-def _not_back(context, seconds):
-    context.contest.held.clear()
-    context.contest.run(seconds)
-    holders = {name for now in context.contest.held for name in now}
+@then("the first holder does not acquire it again within {seconds:d} seconds")
+def _not_acquired_again(context, seconds):
+    context.world.held.clear()
+    context.world.run(seconds)
+    holders = {name for now in context.world.held for name in now}
     assert holders and context.first.name not in holders, holders
 
 
-@then("the same VM held it all the while")
+@then("the same VM held the lease all the time")
 def _same(context):
-    assert len(set(context.contest.holders)) == 1
-    assert len(context.contest.holders) > 200
+    assert len(set(context.world.holders)) == 1
+    assert len(context.world.holders) > 200
 
 
 @then("the store has written the lease at least {count:d} times")
 def _written(context, count):
-    assert context.contest.store.writes >= count
+    assert context.world.store.writes >= count
 
 
-@then("the other VM holds it with a higher number")
+@then("the other VM holds the lease with a higher number")
 def _other(context):
-    others = [v for v in context.contest.vms if v is not context.first]
+    others = [v for v in context.world.vms if v is not context.first]
     numbers = [vm.keeper.fencing for vm in others if vm.keeper.fencing]
     assert len(numbers) == 1 and numbers[0] > context.number, numbers
 
 
-@then("it may not act")
-def _may_not(context):
+@then("it must not act")
+def _must_not_act(context):
     assert context.first.keeper.fencing is None
 
 
 class FixedKeeper:
-    """A lease that is always held."""
+    """A keeper of a lease that is always held."""
 
     fencing = 4
 
     def fencing_rejected(self, fencing):
-        """Nothing changes."""
+        """Ignore the rejection."""
 
 
 @given("a holder of the usage duty that counted {count:d} calls in a window")
@@ -467,7 +464,7 @@
     context.store.errors = [None] + 6 * [store.Unanswered, None]
 
 
-@step("the checkpoint has {count:d} calls of a process that died")
+@step("the checkpoint has {count:d} calls of an ended process")
 def _checkpoint(context, count):
     table = {str(context.window): {"vm#0": {"customer": count}}}
     context.store.objects[notes.KIND, notes.NAME] = _stored(
@@ -495,8 +492,11 @@
     assert context.store.objects[usage_duty.KIND, name].spec == {"customer": 7}
 
 
-@then("a process that starts {seconds:d} seconds later learns {units:d} left")
-def _learns(context, seconds, units):
+@then(
+    "a process that starts {seconds:d} seconds later reads {units:d} units "
+    "left"
+)
+def _reads_levels(context, seconds, units):
     context.clock.advance(seconds)
     levels = asyncio.run(notes.read_levels(context.store, context.clock))
     assert levels == ({"customer": units} if units else {}), levels
--- a/tests/steps/serving_observations.py
+++ b/tests/steps/serving_observations.py
@@ -23,14 +23,14 @@
 
 
 @then("the metrics hold")
-def _hold(context):
+def _metrics_hold(context):
     lines = context.metrics.splitlines()
     missing = [x for x in context.text.splitlines() if x not in lines]
     assert not missing, (missing, lines)
 
 
 @when("calls of {count:d} customers are served")
-def _many(context, count):
+def _many_customers(context, count):
     observed = observations.Observations()
     for number in range(count):
         observed.served(f"customer-{number}", "stream", 0.1, 0.5)
@@ -38,13 +38,13 @@
 
 
 @then("at most {count:d} histograms are kept")
-def _few(context, count):
+def _histograms_bounded(context, count):
     lines = context.metrics.splitlines()
     assert sum("_count{" in line for line in lines) <= count
 
 
 @when("the VM's metrics are read")
-def _read(context):
+def _read_metrics(context):
     world = context.world
     context.metrics = metrics.text(
         world.relay,
--- a/tests/steps/serving_runner_duty.py
+++ b/tests/steps/serving_runner_duty.py
@@ -15,52 +15,58 @@
 from apricotlever.serving import runners
 
 SERVICE = "llm"
-PLACES = ("a", "b", "c")
+DATA_CENTRES = ("a", "b", "c")
 HEARTBEAT_S = 1.2
 SPEED = 10_000.0
 TERMS = fleet_mix_planner.ScalingTerms(
-    1, 6, 4.0, 0.22, dict(zip(PLACES, (0.85, 1.2, 1.0), strict=True))
+    1, 6, 4.0, 0.22, dict(zip(DATA_CENTRES, (0.85, 1.2, 1.0), strict=True))
 )
 
 
 class Keeper:
-    """A lease that is always held."""
+    """A keeper of a lease that is always held."""
 
     fencing = 1
 
 
 class Orders:
-    """The cloud and its dialect: notes what is ordered."""
+    """A cloud and its dialect, which record the orders."""
 
     def __init__(self, clock):
         self.clock = clock
-        self.dry_until = float("-inf")
+        self.unavailable_until = float("-inf")
         self.taken = {}
         self.log = []
 
     def order_call(self, service, data_centre, count, reclaimable):
-        """Path and body are the order itself here."""
+        """The order itself as path and body."""
         return (data_centre, reclaimable), count
 
     async def send(self, path, body, fencing):
-        """Take an order, or refuse it."""
-        place, reclaimable = path
-        had = self.taken.get(path, 0)
-        if reclaimable and body > had and self.clock.now() < self.dry_until:
+        """Accept an order, or reject one for unavailable runners."""
+        data_centre, reclaimable = path
+        before = self.taken.get(path, 0)
+        if (
+            reclaimable
+            and body > before
+            and self.clock.now() < self.unavailable_until
+        ):
             return False
         self.taken[path] = body
-        self.log.append((self.clock.now(), place, reclaimable, body))
+        self.log.append((self.clock.now(), data_centre, reclaimable, body))
         return True
 
     def total(self, reclaimable):
-        """Runners ordered of one kind, in all data centres."""
+        """The ordered runners of one capacity type in all data centres."""
         return sum(
-            n for (_, kind), n in self.taken.items() if kind is reclaimable
+            count
+            for (_, is_reclaimable), count in self.taken.items()
+            if is_reclaimable is reclaimable
         )
 
 
 class Holder:
-    """A VM that holds the duty, and the runners that it sees."""
+    """A VM that holds the lease, and the runners that it knows."""
 
     def __init__(self):
         self.clock = clocks.ManualClock(1000.0)
@@ -68,8 +74,8 @@
         self.work = runner_duty.Work(self.clock)
         self.orders = Orders(self.clock)
         self.in_flight = 0
-        self.per_s = 0.0
-        self.done = 0.0
+        self.tokens_per_s = 0.0
+        self.tokens = 0.0
         self.least = None
         self.duty = runner_duty.RunnerDuty(
             self.clock,
@@ -85,7 +91,7 @@
         self.duty.configuration = _Configuration(service)
 
     def list_runners(self):
-        """Three on-demand runners in each data centre."""
+        """List three on-demand runners in each data centre."""
         for number in range(9):
             self.directory.changed(
                 runners.Runner(
@@ -93,19 +99,19 @@
                     SERVICE,
                     "10.0.0.1",
                     number,
-                    PLACES[number % 3],
+                    DATA_CENTRES[number % 3],
                     16,
                     revision=number + 1,
                 )
             )
 
     def run(self, seconds):
-        """Let time pass."""
+        """Advance the time, and run the duty at each step."""
         for _ in range(round(seconds / runner_duty.STEP_INTERVAL_S)):
             self.clock.advance(runner_duty.STEP_INTERVAL_S)
-            self.done += self.per_s * runner_duty.STEP_INTERVAL_S
-            if self.per_s:
-                work = {SERVICE: (int(self.done), SPEED, 0.3)}
+            self.tokens += self.tokens_per_s * runner_duty.STEP_INTERVAL_S
+            if self.tokens_per_s:
+                work = {SERVICE: (int(self.tokens), SPEED, 0.3)}
                 self.work.heard("vm#1", work)
             asyncio.run(self.duty.step())
 
@@ -120,10 +126,10 @@
     context.holder = Holder()
 
 
-@given("reclaimable runners are not to be had for {seconds:d} seconds")
-def _dry(context, seconds):
+@given("reclaimable runners are unavailable for {seconds:d} seconds")
+def _unavailable(context, seconds):
     holder = context.holder
-    holder.orders.dry_until = holder.clock.now() + seconds
+    holder.orders.unavailable_until = holder.clock.now() + seconds
 
 
 @when("{seconds:g} seconds pass and 9 on-demand runners are listed")
@@ -132,9 +138,9 @@
     context.holder.list_runners()
 
 
-@step("the fleet has as much work as {count:d} runners do")
-def _work(context, count):
-    context.holder.per_s = count * SPEED
+@step("the fleet has a load for {count:d} runners")
+def _load(context, count):
+    context.holder.tokens_per_s = count * SPEED
     context.holder.in_flight = count
 
 
@@ -143,14 +149,14 @@
     context.holder.run(seconds)
 
 
-@then("nothing was ordered so far")
+@then("nothing has been ordered")
 def _nothing(context):
     assert not context.holder.orders.log, context.holder.orders.log
 
 
 @then(
     "{on_demand:d} on-demand and {reclaimable:d} reclaimable runners are "
-    "ordered in the end"
+    "ordered at the end"
 )
 def _ordered(context, on_demand, reclaimable):
     orders = context.holder.orders
@@ -159,13 +165,15 @@
 
 
 @then("at least {count:d} on-demand runners are held while no others serve")
-def _kept(context, count):
+def _not_released(context, count):
     taken = context.holder.orders.taken
-    held = sum(taken.get((place, False), 3) for place in PLACES)
+    held = sum(
+        taken.get((data_centre, False), 3) for data_centre in DATA_CENTRES
+    )
     assert held >= count, taken
 
 
-@then("at most {seconds:d} seconds later reclaimable ones are ordered")
+@then("at most {seconds:d} seconds later reclaimable runners are ordered")
 def _soon(context, seconds):
     holder = context.holder
     assert not holder.orders.total(True), holder.orders.log
@@ -174,7 +182,9 @@
 
 
 @then("at most {count:d} on-demand runners are held while no others serve")
-def _given_back(context, count):
+def _released(context, count):
     taken = context.holder.orders.taken
-    held = sum(taken.get((place, False), 3) for place in PLACES)
+    held = sum(
+        taken.get((data_centre, False), 3) for data_centre in DATA_CENTRES
+    )
     assert held <= count, taken
