--- a/src/apricotlever/serving/usage_duty.py
+++ b/src/apricotlever/serving/usage_duty.py
@@ -25,8 +25,9 @@
 FIX_DELAY_S = 2.5
 #: Interval between two checkpoints, in seconds.
 CHECKPOINT_INTERVAL_S = 1.0
-#: Limit on the past windows that are reported; a new holder reports none from
-#: before.
+#: Number of the latest past windows that are reported. Older windows are
+#: skipped, such as by a new holder that does not know whether they are
+#: reported.
 MAX_BACKLOG_WINDOWS = 3
 #: Number of windows whose fixed counts are kept in the store.
 MAX_KEPT_WINDOWS = 12
--- a/tests/steps/serving_crash_watch.py
+++ b/tests/steps/serving_crash_watch.py
@@ -46,12 +46,12 @@
 
 
 @given("a watch on crashes")
-def _watch(context):
+def _crash_watch(context):
     context.watch = crash_watch.CrashWatch(clocks.ManualClock(), "vm-1")
 
 
 @when("a runner breaks off an answer and its port {does}")
-def _breaks(context, does):
+def _breaks_off(context, does):
     runner = runners.Runner("r-1", "llm", "127.0.0.1", 1, "dc-a", 4)
     context.pool = _Pool(CONNECT_ERRORS[does])
     context.ended = asyncio.run(context.watch.refuses(runner, context.pool))
--- a/tests/steps/serving_directory.py
+++ b/tests/steps/serving_directory.py
@@ -26,12 +26,12 @@
 
 
 @when("the store says that r1 is leaving")
-def _leaving(context):
+def _store_lists_as_leaving(context):
     assert context.directory.changed(_runner("r1", 5, True)) == ["r1"]
 
 
 @when("the store removes the entry of r1")
-def _removes(context):
+def _store_removes(context):
     context.directory.removed("r1", 6)
 
 
@@ -42,7 +42,7 @@
 
 
 @step("the entry of r1 is written again")
-def _rewrite(context):
+def _entry_rewritten(context):
     context.directory.changed(_runner("r1", 10))
 
 
@@ -168,7 +168,7 @@
 
 
 @when("one delays the removal of r1 and sends the entry of r3")
-def _delays(context):
+def _one_delays_removal(context):
     context.one.store_returned()
     assert context.one.removed("r1", 7) == []
     context.one.changed(_runner("r3", 9))
@@ -187,7 +187,7 @@
 
 
 @then("both differ from a third that has applied the removal")
-def _third(context):
+def _third_differs(context):
     context.third = directories.Directory(context.clock)
     context.third.listed([_runner("r1", 1), _runner("r2", 2)], 2)
     context.third.removed("r1", 7)
--- a/tests/steps/serving_duties.py
+++ b/tests/steps/serving_duties.py
@@ -127,7 +127,7 @@
 
 
 @given("{count:d} VMs that contend for a duty")
-def _several(context, count):
+def _contending_vms(context, count):
     context.world = World(count=count)
 
 
@@ -135,7 +135,7 @@
     "{count:d} VMs that contend for a duty, of which each is heard for "
     "{heard_s:g} seconds after its end"
 )
-def _heard_on(context, count, heard_s):
+def _known_after_end(context, count, heard_s):
     context.world = World(count=count)
     context.world.heard_s = heard_s
 
@@ -155,7 +155,7 @@
     "another VM holds the lease at most {most_s:g} seconds after the last "
     "renewal"
 )
-def _taken_over(context, most_s):
+def _replaced_after_renewal(context, most_s):
     held = context.world.held[context.silent_since :]
     first = next((n for n, names in enumerate(held) if names), None)
     assert first is not None, "nobody took over"
@@ -165,7 +165,7 @@
 @given(
     "{count:d} VMs that contend for a duty, on a platform that checks {what}"
 )
-def _checks(context, count, what):
+def _platform_checks(context, count, what):
     context.world = World(count=count, checked=what != "nothing")
 
 
@@ -196,7 +196,7 @@
 @given("a VM that has read the lease of vm-1")
 def _has_read_lease(context):
     world = context.world = World(count=0)
-    world.store.objects[duties.KIND, "fleet"] = _lease_object(11, "vm-1", 5, 1)
+    world.store.objects[duties.KIND, "fleet"] = _stored_lease(11, "vm-1", 5, 1)
     context.third = Contender(world, "vm-3")
     # It hears no other VM, so it contends and reads the lease.
     context.third.keeper.update_view([], 1)
@@ -204,7 +204,7 @@
     asyncio.run(context.third.keeper.step())
 
 
-def _lease_object(revision, holder, incarnation, fencing):
+def _stored_lease(revision, holder, incarnation, fencing):
     spec = {
         "holder": holder,
         "incarnation": incarnation,
@@ -220,9 +220,9 @@
 )
 def _one_update(context):
     world = context.world
-    world.store.objects[duties.KIND, "fleet"] = _lease_object(12, "vm-2", 3, 2)
-    context.heard = [_record("vm-2", 3, (12, 2)), _record("vm-1", 9)]
-    context.third.keeper.update_view(context.heard, 3)
+    world.store.objects[duties.KIND, "fleet"] = _stored_lease(12, "vm-2", 3, 2)
+    context.records = [_record("vm-2", 3, (12, 2)), _record("vm-1", 9)]
+    context.third.keeper.update_view(context.records, 3)
 
 
 @then("it does not acquire the lease of vm-2 for {seconds:d} seconds")
@@ -250,7 +250,7 @@
 
 
 @when("a holder calls it whose lease expires while the connection opens")
-def _calls_late(context):
+def _lease_expires_while_connecting(context):
     async def serve(reader, writer):
         context.sent.append(await reader.read(1000))
         writer.close()
@@ -277,7 +277,7 @@
 
 
 @then("the call failed, and the cloud received nothing")
-def _not_sent(context):
+def _nothing_received(context):
     assert context.not_taken
     assert not any(context.sent), context.sent
 
@@ -288,22 +288,22 @@
 
 
 @then("a VM holds the lease")
-def _held(context):
+def _some_vm_holds(context):
     assert context.world.holder
 
 
 @then("no VM holds the lease")
-def _unheld(context):
+def _no_vm_holds(context):
     assert not context.world.holders, context.world.holders
 
 
 @step("the contest goes on for {seconds:d} seconds")
-def _pass(context, seconds):
+def _contest_goes_on(context, seconds):
     context.world.run(seconds)
 
 
 @when("the holder falls silent and {seconds:d} seconds pass")
-def _silent(context, seconds):
+def _holder_falls_silent(context, seconds):
     context.first = context.world.holder
     context.number = context.first.keeper.fencing
     context.first.silent = True
@@ -316,7 +316,7 @@
     context.first.keeper.update_view([], members)
 
 
-def _start_again(context, vms):
+def _restart(context, vms):
     context.number = context.world.holder.keeper.fencing
     context.world.held.clear()
     for vm in vms:
@@ -324,17 +324,17 @@
 
 
 @when("all processes restart")
-def _all_start(context):
-    _start_again(context, context.world.vms)
+def _all_restart(context):
+    _restart(context, context.world.vms)
 
 
 @when("the holder's process restarts")
-def _holder_starts(context):
-    _start_again(context, [context.world.holder])
+def _holder_restarts(context):
+    _restart(context, [context.world.holder])
 
 
 @when("the holder leaves without reaching the store")
-def _leaves(context):
+def _holder_leaves(context):
     leaving = context.world.holder
     context.number = leaving.keeper.fencing
     context.world.held.clear()
@@ -343,12 +343,12 @@
 
 
 @then("a VM holds the lease within {seconds:g} seconds with a higher number")
-def _soon(context, seconds):
+def _held_within(context, seconds):
     context.world.run(seconds)
     assert context.world.holder.keeper.fencing > context.number
 
 
-def _cut(context, vms, seconds):
+def _cut_off_vms(context, vms, seconds):
     context.world.held.clear()
     for vm in vms:
         vm.store.cut = True
@@ -360,12 +360,12 @@
 @when("the holder alone is cut off from the store for {seconds:d} seconds")
 def _cut_off(context, seconds):
     context.first = context.world.holder
-    _cut(context, [context.first], seconds)
+    _cut_off_vms(context, [context.first], seconds)
 
 
 @when("all are cut off from the store for {seconds:d} seconds")
 def _all_cut_off(context, seconds):
-    _cut(context, context.world.vms, seconds)
+    _cut_off_vms(context, context.world.vms, seconds)
 
 
 @then("another VM held the lease at most {seconds:g} seconds after the cut")
@@ -390,18 +390,18 @@
 
 
 @then("the same VM held the lease all the time")
-def _same(context):
+def _same_holder(context):
     assert len(set(context.world.holders)) == 1
     assert len(context.world.holders) > 200
 
 
 @then("the store has written the lease at least {count:d} times")
-def _written(context, count):
+def _writes_at_least(context, count):
     assert context.world.store.writes >= count
 
 
 @then("the other VM holds the lease with a higher number")
-def _other(context):
+def _other_vm_holds(context):
     others = [v for v in context.world.vms if v is not context.first]
     numbers = [vm.keeper.fencing for vm in others if vm.keeper.fencing]
     assert len(numbers) == 1 and numbers[0] > context.number, numbers
@@ -422,7 +422,7 @@
 
 
 @given("a holder of the usage duty that counted {count:d} calls in a window")
-def _holder(context, count):
+def _usage_holder(context, count):
     context.clock = clocks.ManualClock(1000.0)
     context.windows = usage_windows.UsageWindows(context.clock, "vm#1", 5.0)
     context.window = context.windows.window
@@ -446,7 +446,7 @@
 
 
 @step("the store already has {count:d} calls for that window")
-def _already(context, count):
+def _counts_already_fixed(context, count):
     name = f"w{context.window}"
     context.store.objects[usage_duty.KIND, name] = _stored(
         name, {"customer": count}
@@ -454,18 +454,18 @@
 
 
 @step("the cloud is busy for {count:d} calls")
-def _busy(context, count):
+def _cloud_is_busy(context, count):
     context.cloud.busy = count
 
 
 @step("the store loses answers of writes that take effect")
-def _loses(context):
+def _store_loses_answers(context):
     context.store.applies_unanswered = True
     context.store.errors = [None] + 6 * [store.Unanswered, None]
 
 
 @step("the checkpoint has {count:d} calls of an ended process")
-def _checkpoint(context, count):
+def _checkpoint_of_ended_process(context, count):
     table = {str(context.window): {"vm#0": {"customer": count}}}
     context.store.objects[notes.KIND, notes.NAME] = _stored(
         notes.NAME, notes.compose(table, {}, 0.0)
@@ -480,7 +480,7 @@
 
 
 @then("the window was reported as {count:d} calls, once")
-def _reported(context, count):
+def _reported_once(context, count):
     path = f"/report/{context.window}"
     found = [body for sent, body, _ in context.cloud.sent if sent == path]
     assert found == [{"customer": count}], found
--- a/tests/steps/serving_observations.py
+++ b/tests/steps/serving_observations.py
@@ -8,7 +8,7 @@
 
 
 @when("two calls are served and one fails with a long reason")
-def _calls(context):
+def _served_and_failed_calls(context):
     observed = observations.Observations()
     observed.served("clerks", "stream", 0.1, 0.5)
     observed.served("clerks", "stream", 0.3, 0.9)
--- a/tests/steps/serving_runner_duty.py
+++ b/tests/steps/serving_runner_duty.py
@@ -122,7 +122,7 @@
 
 
 @given("a holder that orders runners, in a fleet without any")
-def _holder(context):
+def _holder_of_orders(context):
     context.holder = Holder()
 
 
@@ -133,7 +133,7 @@
 
 
 @when("{seconds:g} seconds pass and 9 on-demand runners are listed")
-def _listed(context, seconds):
+def _runners_listed(context, seconds):
     context.holder.run(seconds)
     context.holder.list_runners()
 
@@ -145,12 +145,12 @@
 
 
 @step("{seconds:d} seconds pass at the holder of the orders")
-def _pass(context, seconds):
+def _time_passes(context, seconds):
     context.holder.run(seconds)
 
 
 @then("nothing has been ordered")
-def _nothing(context):
+def _nothing_ordered(context):
     assert not context.holder.orders.log, context.holder.orders.log
 
 
@@ -158,7 +158,7 @@
     "{on_demand:d} on-demand and {reclaimable:d} reclaimable runners are "
     "ordered at the end"
 )
-def _ordered(context, on_demand, reclaimable):
+def _ordered_at_end(context, on_demand, reclaimable):
     orders = context.holder.orders
     found = orders.total(False), orders.total(True)
     assert found == (on_demand, reclaimable), orders.log
@@ -174,7 +174,7 @@
 
 
 @then("at most {seconds:d} seconds later reclaimable runners are ordered")
-def _soon(context, seconds):
+def _ordered_within(context, seconds):
     holder = context.holder
     assert not holder.orders.total(True), holder.orders.log
     holder.run(seconds)
