--- a/src/apricotlever/serving/datagrams.py
+++ b/src/apricotlever/serving/datagrams.py
@@ -18,34 +18,34 @@
 READ_S = 0.05
 #: Records read at one look. A VM is sent six between two, and 120 a second;
 #: more must not keep callers waiting.
-MOST_READ = 300
-MOST_BYTES = 65535
+MAX_DATAGRAMS_PER_READ = 300
+MAX_DATAGRAM_BYTES = 65535
 #: A message of an aggregator goes to many: it pays to pack it well.
-COMPRESSION = 6
+COMPRESSION_LEVEL = 6
 #: A message that becomes longer is refused: a few bytes could fill the memory.
-MOST_UNPACKED = 1 << 20
+MAX_UNPACKED_BYTES = 1 << 20
 #: Malformed records logged for each one that is.
-MOST_BAD_LOGGED = 20
+MAX_REFUSALS_LOGGED = 20
 
 
-_Reader = typing.Callable[[typing.Any], record_exchange.Message]
+_Decoder = typing.Callable[[typing.Any], record_exchange.Message]
 #: Kinds of messages beside records, the first field of each.
 AGGREGATE = 1
 TALLY = 2
-_READERS: dict[int, _Reader] = {
+_DECODERS: dict[int, _Decoder] = {
     AGGREGATE: aggregates.Aggregate.from_record,
     TALLY: aggregates.Tally.from_record,
 }
-_KINDS = {aggregates.Aggregate: AGGREGATE, aggregates.Tally: TALLY}
+_KIND_BY_TYPE = {aggregates.Aggregate: AGGREGATE, aggregates.Tally: TALLY}
 
 
 def pack(message: record_exchange.Message) -> bytes:
     """A message as it is sent; a record has no kind before its fields."""
     fields: list[typing.Any] = message.to_record()
-    kind = _KINDS.get(type(message))
+    kind = _KIND_BY_TYPE.get(type(message))
     if kind is not None:
         fields = [kind, fields]
-    return zlib.compress(msgpack.packb(fields), COMPRESSION)
+    return zlib.compress(msgpack.packb(fields), COMPRESSION_LEVEL)
 
 
 def unpack(data: bytes) -> record_exchange.Message:
@@ -55,38 +55,38 @@
     :raises ValueError: when it is cut short, too long, or has other fields.
     """
     decompressor = zlib.decompressobj()
-    packed = decompressor.decompress(data, MOST_UNPACKED)
+    packed = decompressor.decompress(data, MAX_UNPACKED_BYTES)
     if not decompressor.eof:
         raise ValueError("a message is cut short or too long")
     fields = msgpack.unpackb(packed, strict_map_key=False)
     if isinstance(fields, list) and len(fields) == 2:
         kind, fields = fields
-        reader = _READERS.get(kind) if isinstance(kind, int) else None
+        reader = _DECODERS.get(kind) if isinstance(kind, int) else None
         if reader is None:
             raise ValueError("no such kind of message")
         return reader(fields)
     return vm_records.VmRecord.from_record(fields)
 
 
-class Inbox(typing.Protocol):
+class MessageReceiver(typing.Protocol):
     """Takes what peers say."""
 
-    def message(self, message: record_exchange.Message) -> None:
+    def receive_message(self, message: record_exchange.Message) -> None:
         """A message of another VM came."""
 
 
-class Datagrams:
+class PeerSocket:
     """Sends and receives messages.
 
     :param inbox: takes those that are well formed.
     """
 
-    __slots__ = ("_bad", "_inbox", "_socket")
+    __slots__ = ("_refused_count", "_receiver", "_socket")
 
-    def __init__(self, inbox: Inbox) -> None:
-        self._inbox = inbox
+    def __init__(self, inbox: MessageReceiver) -> None:
+        self._receiver = inbox
         self._socket: socket.socket | None = None
-        self._bad = 0
+        self._refused_count = 0
 
     @property
     def port(self) -> int:
@@ -99,18 +99,18 @@
         self._socket.setblocking(False)
         self._socket.bind((host, port))
 
-    def read(self) -> None:
+    def receive_pending(self) -> None:
         """Take in what has come since the last look."""
-        for data, (host, _) in self._waiting():
+        for data, (host, _) in self._pending_datagrams():
             self._take(data, host)
 
-    def drop(self) -> None:
+    def discard_pending(self) -> None:
         """Throw away what has come.
 
         What waited while the process stood still is as old as that: it
         would show VMs as alive that ended meanwhile.
         """
-        for _ in self._waiting():
+        for _ in self._pending_datagrams():
             pass
 
     def send(
@@ -135,12 +135,14 @@
             self._socket.close()
             self._socket = None
 
-    def _waiting(self) -> typing.Iterator[tuple[bytes, tuple[str, int]]]:
+    def _pending_datagrams(
+        self,
+    ) -> typing.Iterator[tuple[bytes, tuple[str, int]]]:
         if self._socket is None:
             return
-        for _ in range(MOST_READ):
+        for _ in range(MAX_DATAGRAMS_PER_READ):
             try:
-                yield self._socket.recvfrom(MOST_BYTES)
+                yield self._socket.recvfrom(MAX_DATAGRAM_BYTES)
             except OSError:
                 return
 
@@ -149,15 +151,15 @@
             message = unpack(data)
             sender = message.peer_address.rpartition(":")[0]
         except (ValueError, TypeError, AttributeError, zlib.error) as error:
-            self._refused(host, type(error).__name__)
+            self._log_refusal(host, type(error).__name__)
             return
         if sender != host:
             # A message has to come from the address that it names.
-            self._refused(host, "foreign_address")
+            self._log_refusal(host, "foreign_address")
             return
-        self._inbox.message(message)
+        self._receiver.receive_message(message)
 
-    def _refused(self, host: str, reason: str) -> None:
-        self._bad += 1
-        if self._bad <= MOST_BAD_LOGGED:
+    def _log_refusal(self, host: str, reason: str) -> None:
+        self._refused_count += 1
+        if self._refused_count <= MAX_REFUSALS_LOGGED:
             logs.event("peer_refused", peer=host, reason=reason)
--- a/src/apricotlever/serving/fleet_link.py
+++ b/src/apricotlever/serving/fleet_link.py
@@ -24,27 +24,27 @@
 
 #: How long the store may take to bring what a peer has, in seconds, before
 #: it is fetched from the peer.
-PEER_LEAD_S = 0.15
+STORE_GRACE_S = 0.15
 #: How long the directories of two VMs may differ, in seconds, before one
 #: reads all of the other's: news of the same change comes to both meanwhile.
-DIFFERENT_S = 0.3
+DIRECTORY_MISMATCH_S = 0.3
 #: How long a VM of a large fleet waits for news by its aggregator, in seconds,
 #: before it asks whoever has them: all would else ask the few that are first.
-AGGREGATOR_LEAD_S = 1.0
+AGGREGATOR_GRACE_S = 1.0
 #: Between two records of which one is sent for news, in seconds.
-LEAST_TELL_S = 0.03
+MIN_NEWS_INTERVAL_S = 0.03
 #: News that comes within this time is told by one record, in seconds: calls
 #: come in clumps.
-GATHER_NEWS_S = 0.01
-EVERYTHING = -1
+NEWS_BATCH_S = 0.01
+ALL_REVISIONS = -1
 #: How long a VM must have followed the store without interruption to count
 #: as a stable follower, in seconds.
 STABLE_FOLLOWER_S = 2.0
 #: Between two tallies of an aggregator, in seconds.
-TALLY_S = 1.0
+TALLY_INTERVAL_S = 1.0
 
 
-class Local(typing.Protocol):
+class LocalVm(typing.Protocol):
     """What the link asks of this VM, and tells it."""
 
     @property
@@ -56,24 +56,26 @@
     ) -> vm_records.VmRecord:
         """This VM's next record, as :class:`fleet_news.Source` has it."""
 
-    def take(self, digest: vm_records.VmRecord) -> None:
+    def receive_record(self, digest: vm_records.VmRecord) -> None:
         """A peer's record came."""
 
-    def take_used(self, process: str, used: dict[str, float]) -> None:
+    def receive_relayed_totals(
+        self, process: str, used: dict[str, float]
+    ) -> None:
         """Units that a process has let in came, by an aggregator."""
 
-    def take_counts(
+    def merge_counts(
         self, counts: dict[str, tuple[typing.Any, typing.Any]]
     ) -> None:
         """Usage and work of many processes came."""
 
-    def present(self, processes: typing.Iterable[str]) -> None:
+    def record_contact(self, processes: typing.Iterable[str]) -> None:
         """Processes were heard by an aggregator."""
 
-    def duty_holders(self) -> typing.Iterable[str]:
+    def duty_candidates(self) -> typing.Iterable[str]:
         """Names of the VMs that do the fleet's duties, or may soon."""
 
-    def observe(self, loads: peer_loads.PeerLoads) -> None:
+    def observe_loads(self, loads: peer_loads.PeerLoads) -> None:
         """Loads of the other VMs came."""
 
     def configure(self, spec: store.Json) -> bool:
@@ -99,13 +101,13 @@
         "_fetching",
         "_followers",
         "_following_since",
-        "_leads",
+        "_catch_up_timers",
         "_local",
-        "_news",
-        "_news_due",
+        "_record_exchange",
+        "_publish_scheduled",
         "_table",
         "_tasks",
-        "_told_at",
+        "_published_at",
         "_vm",
     )
 
@@ -114,7 +116,7 @@
         clock: clocks.Clock,
         rng: random.Random,
         config: settings.NodeSettings,
-        local: Local,
+        local: LocalVm,
         directory: directories.Directory,
         running: tasks.Tasks,
     ) -> None:
@@ -126,21 +128,21 @@
         self._table = peer_table.PeerTable(
             clock, rng, config.vm, str(config.peers), config.seeds
         )
-        self._news = record_exchange.RecordExchange(
+        self._record_exchange = record_exchange.RecordExchange(
             clock, rng, config.vm, config.data_centre, self._table, local
         )
-        self._datagrams = datagrams.Datagrams(self)
+        self._datagrams = datagrams.PeerSocket(self)
         self._client = peers.PeerClient()
-        self._leads = catch_up.CatchUpTimers(clock)
+        self._catch_up_timers = catch_up.CatchUpTimers(clock)
         self._fetching: set[str] = set()
         self._alive: set[str] = set()
         self._followers = follower_selection.FollowerSelection(
             clock, config.vm
         )
         self._following_since: float | None = None
-        self._told_at = float("-inf")
+        self._published_at = float("-inf")
         #: Whether a record is about to be sent for news.
-        self._news_due = False
+        self._publish_scheduled = False
 
     @property
     def alive(self) -> list[vm_records.VmRecord]:
@@ -177,27 +179,31 @@
         return self._clock.now() - since >= STABLE_FOLLOWER_S
 
     @property
-    def between_s(self) -> float:
+    def mean_sign_of_life_interval_s(self) -> float:
         """Mean seconds between two signs of life of one VM."""
         return self._table.mean_sign_of_life_interval_s
 
     @property
     def loads(self) -> peer_loads.PeerLoads:
         """What the other VMs do at the runners."""
-        return self._news.loads
+        return self._record_exchange.loads
 
     @property
     def aggregator(self) -> str:
         """The VM that tells the others of this one; "" for itself alone."""
-        return self._news.aggregator
+        return self._record_exchange.aggregator
 
     def listen(self, address: settings.Address) -> None:
         """Open the socket; from now on records are read and sent."""
         self._datagrams.listen(address.host, address.port)
-        self._tasks.every(datagrams.READ_S, self._read)
-        self._tasks.every(vm_records.RECORD_INTERVAL_S, self._look)
-        self._tasks.every(record_aggregation.AGGREGATE_INTERVAL_S, self._flush)
-        self._tasks.every(TALLY_S, self._tally)
+        self._tasks.every(datagrams.READ_S, self._receive_pending)
+        self._tasks.every(
+            vm_records.RECORD_INTERVAL_S, self._publish_periodically
+        )
+        self._tasks.every(
+            record_aggregation.AGGREGATE_INTERVAL_S, self._publish_aggregates
+        )
+        self._tasks.every(TALLY_INTERVAL_S, self._publish_tally)
 
     def close(self) -> None:
         """Close the socket."""
@@ -211,29 +217,30 @@
         """Whether an IP number is a member's."""
         return self._table.is_member(host)
 
-    def stood_still(self) -> None:
+    def handle_stall(self) -> None:
         """Nobody was heard while the process stood still."""
-        self._datagrams.drop()
+        self._datagrams.discard_pending()
         self._table.mark_all_silent()
 
     def tell(self) -> None:
         """Send this VM's record now."""
-        self._told_at = self._clock.now()
-        self._send(self._news.publish_change())
-        if self._news.is_aggregator:
-            self._send(self._flushed())
+        self._published_at = self._clock.now()
+        self._send(self._record_exchange.publish_change())
+        if self._record_exchange.is_aggregator:
+            self._send(self._pending_aggregates())
 
-    def news(self) -> None:
+    def publish_soon(self) -> None:
         """Tell the others of news soon, but not too often."""
-        if self._news_due:
+        if self._publish_scheduled:
             return
-        self._news_due = True
-        since_s = self._clock.now() - self._told_at
+        self._publish_scheduled = True
+        since_s = self._clock.now() - self._published_at
         asyncio.get_running_loop().call_later(
-            max(GATHER_NEWS_S, LEAST_TELL_S - since_s), self._tell_news
+            max(NEWS_BATCH_S, MIN_NEWS_INTERVAL_S - since_s),
+            self._publish_news,
         )
 
-    def note_members(self) -> None:
+    def update_members(self) -> None:
         """Log who was lost and who came; find out who follows the store."""
         alive = self._table.alive()
         names = {digest.vm for digest in alive}
@@ -242,47 +249,49 @@
         for vm in sorted(self._alive - names):
             logs.event("member_dead", member=vm, alive=len(names) + 1)
         self._alive = names
-        if self._news.directory_sources is not None:
+        if self._record_exchange.directory_sources is not None:
             # Records that change nothing come rarely in a large fleet.
             for digest in alive:
-                self._note_behind(digest)
+                self._check_for_missing_news(digest)
         self._followers.update(alive)
         if not self._followers.follows:
             self._following_since = None
         elif self._following_since is None:
             self._following_since = self._clock.now()
 
-    def message(self, message: record_exchange.Message) -> None:
+    def receive_message(self, message: record_exchange.Message) -> None:
         """A message of another VM came."""
         if isinstance(message, vm_records.VmRecord):
-            self._heard(message)
-            self._send(self._news.receive_record(message))
+            self._receive_record(message)
+            self._send(self._record_exchange.receive_record(message))
         elif isinstance(message, aggregates.Aggregate):
-            self._heard_aggregate(message)
+            self._receive_aggregate(message)
         else:
-            self._local.take_counts(message.counts)
+            self._local.merge_counts(message.counts)
 
-    def _heard(self, digest: vm_records.VmRecord, age_s: float = 0.0) -> None:
+    def _receive_record(
+        self, digest: vm_records.VmRecord, age_s: float = 0.0
+    ) -> None:
         former = self._table.receive_record(digest, age_s)
         if former is not None:
             logs.event("member_restarted", member=digest.vm)
-        self._local.take(digest)
-        self._note_behind(digest)
+        self._local.receive_record(digest)
+        self._check_for_missing_news(digest)
 
-    def _heard_aggregate(self, aggregate: aggregates.Aggregate) -> None:
+    def _receive_aggregate(self, aggregate: aggregates.Aggregate) -> None:
         for entry in aggregate.entries:
             if entry.vm != self._vm:
                 used, entry.used = entry.used, {}
-                self._heard(entry, aggregate.ages.get(entry.vm, 0.0))
-                self._local.take_used(entry.process, used)
+                self._receive_record(entry, aggregate.ages.get(entry.vm, 0.0))
+                self._local.receive_relayed_totals(entry.process, used)
         for vm, age_s in aggregate.ages.items():
             self._table.note_heard(vm, age_s)
-        self._local.present(self._table.processes(aggregate.ages))
+        self._local.record_contact(self._table.processes(aggregate.ages))
         for process, used in aggregate.used.items():
-            self._local.take_used(process, used)
-        self._send(self._news.receive_aggregate(aggregate))
-        if self._news.takes_loads_from(aggregate):
-            self._local.observe(self._news.loads)
+            self._local.receive_relayed_totals(process, used)
+        self._send(self._record_exchange.receive_aggregate(aggregate))
+        if self._record_exchange.takes_loads_from(aggregate):
+            self._local.observe_loads(self._record_exchange.loads)
 
     def _send(
         self, outgoing: typing.Iterable[record_exchange.OutgoingMessage]
@@ -290,73 +299,75 @@
         for each in outgoing:
             self._datagrams.send(each.message, each.receivers)
 
-    def _flushed(self) -> list[record_exchange.OutgoingMessage]:
+    def _pending_aggregates(self) -> list[record_exchange.OutgoingMessage]:
         runners = {r.runner_id for r in self._directory.runners}
-        return self._news.publish_aggregates(runners)
-
-    def _tell_news(self) -> None:
-        self._news_due = False
-        self._told_at = self._clock.now()
-        self._send(self._news.publish_change())
-
-    async def _look(self) -> None:
-        self._told_at = self._clock.now()
-        before = self._news.aggregator
-        self._send(self._news.tick())
-        if self._news.aggregator != before:
+        return self._record_exchange.publish_aggregates(runners)
+
+    def _publish_news(self) -> None:
+        self._publish_scheduled = False
+        self._published_at = self._clock.now()
+        self._send(self._record_exchange.publish_change())
+
+    async def _publish_periodically(self) -> None:
+        self._published_at = self._clock.now()
+        before = self._record_exchange.aggregator
+        self._send(self._record_exchange.tick())
+        if self._record_exchange.aggregator != before:
             logs.event(
                 "aggregator_changed",
-                aggregator=self._news.aggregator,
+                aggregator=self._record_exchange.aggregator,
                 before=before,
                 members=len(self._table.alive()) + 1,
             )
 
-    async def _flush(self) -> None:
-        if self._news.is_aggregator:
+    async def _publish_aggregates(self) -> None:
+        if self._record_exchange.is_aggregator:
             # What came since the last look belongs to what is told now.
-            self._datagrams.read()
-        self._send(self._flushed())
-        if self._news.is_aggregator:
-            self._local.observe(self._news.loads)
-
-    async def _tally(self) -> None:
-        self._send(self._news.publish_tally(self._local.duty_holders()))
+            self._datagrams.receive_pending()
+        self._send(self._pending_aggregates())
+        if self._record_exchange.is_aggregator:
+            self._local.observe_loads(self._record_exchange.loads)
+
+    async def _publish_tally(self) -> None:
+        self._send(
+            self._record_exchange.publish_tally(self._local.duty_candidates())
+        )
 
-    async def _read(self) -> None:
-        self._datagrams.read()
+    async def _receive_pending(self) -> None:
+        self._datagrams.receive_pending()
 
-    def _note_behind(self, digest: vm_records.VmRecord) -> None:
+    def _check_for_missing_news(self, digest: vm_records.VmRecord) -> None:
         """Fetch from a peer what the store does not bring in time."""
-        lead_s = PEER_LEAD_S if self.follows else 0.0
-        sources = self._news.directory_sources
+        lead_s = STORE_GRACE_S if self.follows else 0.0
+        sources = self._record_exchange.directory_sources
         compared = sources is None or digest.vm in sources
         if not compared:
-            lead_s = AGGREGATOR_LEAD_S
+            lead_s = AGGREGATOR_GRACE_S
         directory = self._directory
-        self._fetch_if(
+        self._fetch_when_due(
             digest.configuration > self._local.version,
             "configuration",
             digest,
             lead_s,
         )
-        self._fetch_if(
+        self._fetch_when_due(
             digest.directory > directory.revision, "runners", digest, lead_s
         )
-        self._fetch_if(
+        self._fetch_when_due(
             compared and digest.runners != directory.checksum,
             "all_runners",
             digest,
-            DIFFERENT_S,
+            DIRECTORY_MISMATCH_S,
         )
 
-    def _fetch_if(
+    def _fetch_when_due(
         self,
         behind: bool,
         what: str,
         digest: vm_records.VmRecord,
         lead_s: float,
     ) -> None:
-        due = self._leads.should_ask(what, digest.vm, behind, lead_s)
+        due = self._catch_up_timers.should_ask(what, digest.vm, behind, lead_s)
         if due and what not in self._fetching:
             self._fetching.add(what)
             self._tasks.spawn(self._fetch(what, digest.peer_address))
@@ -368,7 +379,8 @@
             else:
                 whole = what == "all_runners"
                 await self._fetch_runners(
-                    address, EVERYTHING if whole else self._directory.revision
+                    address,
+                    ALL_REVISIONS if whole else self._directory.revision,
                 )
         finally:
             self._fetching.discard(what)
--- a/src/apricotlever/serving/limit_calls.py
+++ b/src/apricotlever/serving/limit_calls.py
@@ -17,14 +17,14 @@
 
 #: How long an answer is waited for, in seconds: some times the way there and
 #: back, and less than callers notice.
-ASK_S = 0.02
+ANSWER_TIMEOUT_S = 0.02
 #: Answers that come later than that are still understood for so long.
-EXPIRED_S = 2.0
+LATE_ANSWER_S = 2.0
 #: Kinds of messages, the first field of each.
 ASK = 0
 ANSWER = 1
-GIVE_BACK = 2
-COUNTED = 3
+REFUND = 2
+LOCAL_TOTAL = 3
 
 _IS_ASK = validation.is_tuple_of(
     validation.is_non_negative_int,
@@ -37,22 +37,22 @@
     validation.is_non_negative_int,
     validation.is_none_or(validation.is_non_negative_number),
 )
-_IS_GIVE_BACK = validation.is_tuple_of(
+_IS_REFUND = validation.is_tuple_of(
     validation.is_non_negative_int,
     validation.is_non_empty_string,
     validation.is_non_negative_number,
 )
-_IS_COUNTED = validation.is_tuple_of(
+_IS_LOCAL_TOTAL = validation.is_tuple_of(
     validation.is_non_negative_int,
     validation.is_non_empty_string,
     validation.is_non_empty_string,
     validation.is_non_negative_number,
 )
-_FORMS = {
+_VALIDATORS = {
     ASK: _IS_ASK,
     ANSWER: _IS_ANSWER,
-    GIVE_BACK: _IS_GIVE_BACK,
-    COUNTED: _IS_COUNTED,
+    REFUND: _IS_REFUND,
+    LOCAL_TOTAL: _IS_LOCAL_TOTAL,
 }
 
 Address = tuple[str, int]
@@ -75,7 +75,7 @@
         """Another VM has counted calls by itself."""
 
 
-class _Question:
+class _PendingRequest:
     __slots__ = ("answer", "asked_at", "customer", "units")
 
     def __init__(
@@ -102,11 +102,11 @@
         "_is_peer",
         "_keeper",
         "_numbers",
-        "_open",
+        "_pending",
         "_refusals",
         "_transport",
-        "asked",
-        "unanswered",
+        "request_count",
+        "timeout_count",
     )
 
     def __init__(
@@ -121,10 +121,10 @@
         self._transport: asyncio.DatagramTransport | None = None
         self._numbers = itertools.count()
         #: Questions by number, until it is too late for an answer.
-        self._open: dict[int, _Question] = {}
+        self._pending: dict[int, _PendingRequest] = {}
         #: Questions so far, and those without an answer in time.
-        self.asked = 0
-        self.unanswered = 0
+        self.request_count = 0
+        self.timeout_count = 0
 
     @property
     def port(self) -> int:
@@ -155,28 +155,30 @@
         :raises TimeoutError: when none came in time.
         """
         loop = asyncio.get_running_loop()
-        self._forget(loop.time())
+        self._discard_expired(loop.time())
         number = next(self._numbers)
-        question = _Question(
+        question = _PendingRequest(
             customer, units, loop.time(), loop.create_future()
         )
-        self._open[number] = question
-        self.asked += 1
+        self._pending[number] = question
+        self.request_count += 1
         self._send([ASK, number, customer, units], address)
         try:
-            async with asyncio.timeout(ASK_S):
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 wait_s = await question.answer
         except TimeoutError:
-            self.unanswered += 1
+            self.timeout_count += 1
             raise
-        self._open.pop(number, None)
+        self._pending.pop(number, None)
         return wait_s
 
-    def give_back(self, address: Address, customer: str, units: float) -> None:
+    def send_refund(
+        self, address: Address, customer: str, units: float
+    ) -> None:
         """Tell a keeper that a call which it let in did not run."""
-        self._send([GIVE_BACK, customer, units], address)
+        self._send([REFUND, customer, units], address)
 
-    def counted(
+    def send_local_total(
         self, address: Address, process: str, customer: str, total: float
     ) -> None:
         """Tell a keeper what this VM has counted by itself.
@@ -186,7 +188,7 @@
 
         :param total: units of the customer since this process started.
         """
-        self._send([COUNTED, process, customer, total], address)
+        self._send([LOCAL_TOTAL, process, customer, total], address)
 
     # What asyncio calls.
 
@@ -197,54 +199,54 @@
     def datagram_received(self, data: bytes, addr: Address) -> None:
         """A message of another VM."""
         if not self._is_peer(addr[0]):
-            self._refused(addr[0], "stranger")
+            self._log_refusal(addr[0], "stranger")
             return
         try:
             message = msgpack.unpackb(data)
         except (ValueError, TypeError) as error:
-            self._refused(addr[0], type(error).__name__)
+            self._log_refusal(addr[0], type(error).__name__)
             return
         kind = message[0] if isinstance(message, list) and message else None
-        form = _FORMS.get(kind) if isinstance(kind, int) else None
+        form = _VALIDATORS.get(kind) if isinstance(kind, int) else None
         if form is None or not form(message):
-            self._refused(addr[0], "no_such_message")
+            self._log_refusal(addr[0], "no_such_message")
         elif kind == ASK:
             _, number, customer, units = message
             wait_s = self._keeper.take_for(customer, units)
             self._send([ANSWER, number, wait_s], addr)
         elif kind == ANSWER:
-            self._answered(message[1], message[2], addr)
-        elif kind == GIVE_BACK:
+            self._receive_answer(message[1], message[2], addr)
+        elif kind == REFUND:
             self._keeper.given_back(message[1], message[2])
         else:
             self._keeper.heard_total(*message[1:])
 
-    def _answered(
+    def _receive_answer(
         self, number: int, wait_s: float | None, address: Address
     ) -> None:
-        question = self._open.get(number)
+        question = self._pending.get(number)
         if question is None:
             return
         if not question.answer.done():
             question.answer.set_result(wait_s)
             return
-        del self._open[number]
+        del self._pending[number]
         if wait_s == 0.0:
             # Too late: this VM has counted the call itself meanwhile.
-            self.give_back(address, question.customer, question.units)
+            self.send_refund(address, question.customer, question.units)
 
-    def _forget(self, now: float) -> None:
+    def _discard_expired(self, now: float) -> None:
         """Drop questions to which no answer comes any more."""
-        while self._open:
-            number = next(iter(self._open))
-            if now - self._open[number].asked_at < EXPIRED_S:
+        while self._pending:
+            number = next(iter(self._pending))
+            if now - self._pending[number].asked_at < LATE_ANSWER_S:
                 return
-            del self._open[number]
+            del self._pending[number]
 
     def _send(self, message: list[typing.Any], address: Address) -> None:
         if self._transport is not None:
             self._transport.sendto(msgpack.packb(message), address)
 
-    def _refused(self, host: str, reason: str) -> None:
+    def _log_refusal(self, host: str, reason: str) -> None:
         if self._refusals.allows(host):
             logs.event("peer_refused", peer=host, reason=reason)
--- a/src/apricotlever/serving/limits.py
+++ b/src/apricotlever/serving/limits.py
@@ -40,16 +40,16 @@
 
     __slots__ = (
         "_addresses",
-        "_calls",
+        "_protocol",
         "_clock",
-        "_heard",
+        "_last_totals",
         "_keepers",
         "_overshoot",
-        "_presence",
+        "_liveness",
         "_process",
         "_rates",
         "_spare",
-        "_told",
+        "_initial_levels",
     )
 
     def __init__(
@@ -65,21 +65,21 @@
         self._keepers = limit_keepers.LimitKeepers(clock, vm)
         #: Where the other VMs that may be keepers are asked.
         self._addresses: dict[str, limit_calls.Address] = {}
-        self._calls: limit_calls.LimitCalls | None = None
+        self._protocol: limit_calls.LimitCalls | None = None
         self._spare = spare
         self._overshoot = overshoot
-        self._presence = fleet_rate_limit.MemberLiveness(clock)
+        self._liveness = fleet_rate_limit.MemberLiveness(clock)
         #: The totals that each process told last.
-        self._heard: dict[str, typing.Mapping[str, float]] = {}
+        self._last_totals: dict[str, typing.Mapping[str, float]] = {}
         self._rates: dict[str, fleet_rate_limit.FleetRateLimit] = {}
         #: Levels that came before their customers' limits did.
-        self._told: dict[str, float] = {}
+        self._initial_levels: dict[str, float] = {}
 
     @property
-    def used(self) -> dict[str, float]:
+    def admitted_units(self) -> dict[str, float]:
         """What this VM let in, by customer."""
         return {
-            name: _short(rate.admitted_units)
+            name: _compact_number(rate.admitted_units)
             for name, rate in self._rates.items()
         }
 
@@ -93,15 +93,15 @@
         }
 
     @property
-    def parts(self) -> dict[str, float]:
+    def usable_fractions(self) -> dict[str, float]:
         """The part of each limit that this VM may count on."""
         return {
             name: rate.usable_fraction for name, rate in self._rates.items()
         }
 
-    def learn(self, levels: typing.Mapping[str, float]) -> None:
+    def initialize_levels(self, levels: typing.Mapping[str, float]) -> None:
         """Take over what is left of each limit, if it is not known yet."""
-        self._told.update(levels)
+        self._initial_levels.update(levels)
         for name, level in levels.items():
             if name in self._rates:
                 self._rates[name].initialize_level(level)
@@ -118,15 +118,15 @@
                 customer.rate,
                 customer.burst,
                 self._spare,
-                self._presence,
+                self._liveness,
                 self._overshoot,
             )
             rate.tick()
             self._rates[name] = rate
             # It has heard no total yet, however old the others' are.
-            self._heard.clear()
-            if name in self._told:
-                rate.initialize_level(self._told[name])
+            self._last_totals.clear()
+            if name in self._initial_levels:
+                rate.initialize_level(self._initial_levels[name])
 
     def set_members(
         self, processes: frozenset[str], between_s: float = 0.0
@@ -135,39 +135,43 @@
 
         :param between_s: between two records of one of them.
         """
-        gone = self._presence.members - processes
-        self._presence.set_members(processes, between_s)
+        gone = self._liveness.members - processes
+        self._liveness.set_members(processes, between_s)
         for process in gone:
-            self._heard.pop(process, None)
-        silent = self._presence.silent_count
+            self._last_totals.pop(process, None)
+        silent = self._liveness.silent_count
         for rate in self._rates.values():
             rate.tick(silent)
             for process in gone:
                 rate.remove_member(process)
 
-    def heard(self, process: str, used: typing.Mapping[str, float]) -> None:
+    def receive_totals(
+        self, process: str, used: typing.Mapping[str, float]
+    ) -> None:
         """Take in what another VM let in."""
-        self._presence.heard(process)
-        before = self._heard.get(process, {})
-        self._heard[process] = used
+        self._liveness.heard(process)
+        before = self._last_totals.get(process, {})
+        self._last_totals[process] = used
         for name, total in used.items():
             if before.get(name) != total and name in self._rates:
                 self._rates[name].receive_total(process, total)
 
-    def told_on(self, process: str, used: typing.Mapping[str, float]) -> None:
+    def receive_relayed_totals(
+        self, process: str, used: typing.Mapping[str, float]
+    ) -> None:
         """Take in what another VM let in as a third one tells it."""
         for name, total in used.items():
             if name in self._rates:
                 self._rates[name].receive_relayed_total(process, total)
 
-    def present(self, processes: typing.Iterable[str]) -> None:
+    def record_contact(self, processes: typing.Iterable[str]) -> None:
         """Other VMs' processes were heard, by whomever."""
         for process in processes:
-            self._presence.heard(process)
+            self._liveness.heard(process)
 
-    def ask_by(self, calls: limit_calls.LimitCalls) -> None:
+    def enable_keepers(self, calls: limit_calls.LimitCalls) -> None:
         """Ask keepers of limits from now on."""
-        self._calls = calls
+        self._protocol = calls
 
     def set_keepers(
         self, others: typing.Mapping[str, limit_calls.Address]
@@ -179,41 +183,43 @@
     async def let_in(self, customer: str, units: float) -> Permit:
         """Let a call in if the customer's limit allows it."""
         rate = self._rates[customer]
-        if self._calls is None or not rate.is_limited:
+        if self._protocol is None or not rate.is_limited:
             return Permit(customer, units, rate.take(units))
         keeper = self._keepers.keeper(customer)
         address = self._addresses.get(keeper)
         if address is None:
             return Permit(customer, units, rate.take(units, for_all=True))
         try:
-            kept_s = await self._calls.take(address, customer, units)
+            kept_s = await self._protocol.take(address, customer, units)
         except TimeoutError:
             self._keepers.record_timeout(keeper)
             kept_s = None
         if kept_s is not None:
             return Permit(customer, units, kept_s, keeper)
         wait_s = rate.take(units)
-        self._tell_keeper(customer)
+        self._report_total(customer)
         return Permit(customer, units, wait_s)
 
-    def _tell_keeper(self, customer: str) -> None:
+    def _report_total(self, customer: str) -> None:
         """Tell what this VM has counted without the keeper's word.
 
         Records tell it, too, but late: the keeper would let calls in for
         which there is no room.
         """
         address = self._addresses.get(self._keepers.keeper(customer))
-        if address is not None and self._calls is not None:
+        if address is not None and self._protocol is not None:
             used = self._rates[customer].admitted_units
-            self._calls.counted(address, self._process, customer, used)
+            self._protocol.send_local_total(
+                address, self._process, customer, used
+            )
 
     def give_back(self, permit: Permit) -> None:
         """A call that was let in did not run."""
         address = self._addresses.get(permit.keeper)
         if not permit.keeper:
             self.given_back(permit.customer, permit.units)
-        elif address is not None and self._calls is not None:
-            self._calls.give_back(address, permit.customer, permit.units)
+        elif address is not None and self._protocol is not None:
+            self._protocol.send_refund(address, permit.customer, permit.units)
 
     def take_for(self, customer: str, units: float) -> float | None:
         """Let a call of another VM in, as the keeper of its limit.
@@ -241,6 +247,6 @@
         return self._rates[customer.name]
 
 
-def _short(units: float) -> float:
+def _compact_number(units: float) -> float:
     """Whole units as a whole number: three bytes of a record, not nine."""
     return int(units) if units == int(units) else units
--- a/src/apricotlever/serving/listeners.py
+++ b/src/apricotlever/serving/listeners.py
@@ -15,10 +15,10 @@
 
 #: Changes of runners that come within this time, in seconds, are read by one
 #: call. It is a tenth of the shortest time in which a runner has to be left.
-GATHER_S = 0.2
+RUNNER_BATCH_S = 0.2
 
 
-class Configurations:
+class ConfigurationListener:
     """Hands on each version of the configuration.
 
     :param name: of the configuration's object.
@@ -120,10 +120,10 @@
         return entry
 
 
-def watchers(
+def create_watchers(
     store_: store.Store,
     platform: dialects.PlatformDialect,
-    configurations: Configurations,
+    configurations: ConfigurationListener,
     entries: Entries,
     orders: store_watch.Listener | None,
     rng: random.Random,
@@ -140,7 +140,7 @@
     """
     kinds: tuple[tuple[str, store_watch.Listener, float], ...] = (
         (platform.configuration_kind, configurations, 0.0),
-        (platform.runners_kind, entries, GATHER_S),
+        (platform.runners_kind, entries, RUNNER_BATCH_S),
     )
     created = [
         store_watch.Watcher(store_, kind, listener, rng, wanted, gather_s)
--- a/src/apricotlever/serving/main.py
+++ b/src/apricotlever/serving/main.py
@@ -20,7 +20,7 @@
 
 def run(
     dialect: str,
-    read_settings: settings.Reader,
+    read_settings: settings.SettingsReader,
     listening: ports.Ports | None = None,
 ) -> int:
     """Serve until told to stop.
--- a/src/apricotlever/serving/metrics.py
+++ b/src/apricotlever/serving/metrics.py
@@ -40,6 +40,6 @@
                 for service in services
             },
             ("limit_left", "customer"): limits_.levels,
-            ("limit_part", "customer"): limits_.parts,
+            ("limit_part", "customer"): limits_.usable_fractions,
         },
     )
--- a/src/apricotlever/serving/node.py
+++ b/src/apricotlever/serving/node.py
@@ -46,9 +46,9 @@
 TICK_S = 0.1
 #: A process contends for no duty before it has run for so long, in seconds: it
 #: knows few others, and of a fleet that starts at once each VM would.
-SETTLE_S = 1.0
+MIN_UPTIME_FOR_DUTIES_S = 1.0
 #: A tick that is so late, in seconds, shows that the process stood still.
-PAUSE_S = 1.0
+STALL_THRESHOLD_S = 1.0
 
 
 class Node:
@@ -61,7 +61,7 @@
 
     def __init__(
         self,
-        read_settings: settings.Reader,
+        read_settings: settings.SettingsReader,
         dialect: dialects.Dialect,
         clock: clocks.Clock,
         rng: random.Random,
@@ -70,10 +70,10 @@
         self._dialect = dialect
         self._clock = clock
         self._rng = rng
-        self._reloading = reloading.Reloading(
+        self._reloader = reloading.SettingsReloader(
             read_settings, lambda seeds: self._fleet.set_seeds(seeds)
         )
-        self._settings = config = self._reloading.settings
+        self._settings = config = self._reloader.settings
         self._incarnation = time.time_ns() // 1_000_000
         self._process = f"{config.vm}#{self._incarnation}"
         self._configuration: routes.Configuration | None = None
@@ -94,7 +94,7 @@
             config.data_centre,
             self._directory,
             self._process,
-            lambda: self._fleet.news(),
+            lambda: self._fleet.publish_soon(),
             self._roll_outs,
         )
         self._limits = limits.Limits(
@@ -107,7 +107,7 @@
         self._limit_calls = limit_calls.LimitCalls(
             self._limits, self.is_peer, log_limit.LogLimit(clock)
         )
-        self._budget = retry_allowance.RetryAllowance(
+        self._retry_allowance = retry_allowance.RetryAllowance(
             clock,
             config.bounds.retry_ratio,
             config.bounds.retry_least,
@@ -120,7 +120,7 @@
             dialect,
             self._upstreams,
             self._limits,
-            self._budget,
+            self._retry_allowance,
             self._usage,
             rng,
         )
@@ -147,7 +147,7 @@
         self._leaving_since: float | None = None
         self._started_at = clock.now()
         self._ticked_at: float | None = None
-        self._ended = asyncio.Event()
+        self._stopped = asyncio.Event()
 
     @property
     def ready(self) -> bool:
@@ -155,7 +155,7 @@
         return self._configuration is not None and self._leaving_since is None
 
     @property
-    def _follows_store(self) -> bool:
+    def _is_following_store(self) -> bool:
         """Whether all watchers but that of roll-out orders are in touch."""
         orders = self._dialect.platform.roll_outs_kind
         return all(
@@ -172,16 +172,16 @@
     async def run(self) -> None:
         """Serve until told to stop."""
         loop = asyncio.get_running_loop()
-        loop.add_signal_handler(signal.SIGTERM, self.leave)
-        loop.add_signal_handler(signal.SIGHUP, self._reloading.reload)
+        loop.add_signal_handler(signal.SIGTERM, self.begin_shutdown)
+        loop.add_signal_handler(signal.SIGHUP, self._reloader.reload)
         await self._listen()
         self._start_duties()
-        self._follow()
+        self._start_watchers()
         spawn = self._tasks.spawn
-        spawn(self._remember())
-        self._tasks.every(reloading.RELOAD_S, self._reloading.look)
+        spawn(self._restore_limit_levels())
+        self._tasks.every(reloading.RELOAD_INTERVAL_S, self._reloader.poll)
         self._tasks.every(TICK_S, self._tick)
-        self._servers.sweep(self._tasks)
+        self._servers.start_idle_sweeps(self._tasks)
         informed = await self._servers.serve_callers()
         logs.event(
             "started",
@@ -189,22 +189,22 @@
             callers=str(self._settings.callers),
             informed=informed,
         )
-        await self._ended.wait()
+        await self._stopped.wait()
         self._fleet.close()
         self._limit_calls.close()
         self._servers.close()
         logs.event("stopped")
 
-    def leave(self) -> None:
+    def begin_shutdown(self) -> None:
         """Begin a graceful shutdown."""
         if self._leaving_since is not None:
             return
         self._leaving_since = self._clock.now()
         logs.event("stopping", busy=self._servers.busy)
-        self._servers.leave()
+        self._servers.drain()
         self._duties.leave()
         self._fleet.tell()
-        self._tasks.spawn(self._end_when_quiet())
+        self._tasks.spawn(self._stop_when_idle())
 
     def configure(self, spec: store.Json) -> bool:
         """Take over a version, if it is newer than the one in force."""
@@ -224,16 +224,16 @@
         self._duties.configure(configuration)
         self._servers.set_limits(configuration.limits)
         logs.event("configuration_in_force", version=self.version)
-        self._fleet.news()
-        self._note_informed()
+        self._fleet.publish_soon()
+        self._check_informed()
         return True
 
     def runners_changed(self, ended: list[str]) -> None:
         """Runners came, changed or went."""
         self._upstreams.refresh()
-        self._note_informed()
+        self._check_informed()
         if ended:
-            self._fleet.news()
+            self._fleet.publish_soon()
         for runner_id in ended:
             runner = self._directory.get(runner_id)
             logs.event(
@@ -246,7 +246,7 @@
         self._upstreams.refresh()
         self._fleet.tell()
 
-    async def _remember(self) -> None:
+    async def _restore_limit_levels(self) -> None:
         """Read what the fleet wrote down of its limits before this start.
 
         When all processes were killed at once, nobody is left to ask.
@@ -256,7 +256,7 @@
         except (store.StoreError, ValueError) as error:
             logs.event("notes_unread", error=type(error).__name__)
         else:
-            self._limits.learn(levels)
+            self._limits.initialize_levels(levels)
 
     def record(
         self, number: int, known: list[str], whole: bool, aggregator: str
@@ -274,13 +274,13 @@
             config.data_centre,
             ready=self.ready,
             leaving=self._leaving_since is not None,
-            follows=self._follows_store,
+            follows=self._is_following_store,
             configuration=self.version,
             directory=self._directory.revision,
             runners=self._directory.checksum,
             in_flight=calls.in_flight,
             pending=calls.pending,
-            used=self._limits.used,
+            used=self._limits.admitted_units,
             # What may be a second old would make each record half as long
             # again.
             levels=self._limits.levels if whole else None,
@@ -303,10 +303,10 @@
             trials=self._roll_outs.own_samples,
         )
 
-    def take(self, digest: vm_records.VmRecord) -> None:
+    def receive_record(self, digest: vm_records.VmRecord) -> None:
         """A record of another VM came."""
-        self._limits.learn(digest.levels)
-        self._limits.heard(digest.process, digest.used)
+        self._limits.initialize_levels(digest.levels)
+        self._limits.receive_totals(digest.process, digest.used)
         self._usage.merge_counts(digest.process, digest.usage)
         self._work.heard(digest.process, digest.work)
         self._duties.heard_reported(digest.reported)
@@ -314,11 +314,13 @@
         if digest.roll_outs:
             self._orders.heard(digest.roll_outs)
 
-    def take_used(self, process: str, used: dict[str, float]) -> None:
+    def receive_relayed_totals(
+        self, process: str, used: dict[str, float]
+    ) -> None:
         """Units that a process has let in came, by an aggregator."""
-        self._limits.told_on(process, used)
+        self._limits.receive_relayed_totals(process, used)
 
-    def take_counts(
+    def merge_counts(
         self, counts: dict[str, tuple[typing.Any, typing.Any]]
     ) -> None:
         """Usage and work of many processes came."""
@@ -326,24 +328,24 @@
             self._usage.merge_counts(process, usage)
             self._work.heard(process, work)
 
-    def present(self, processes: typing.Iterable[str]) -> None:
+    def record_contact(self, processes: typing.Iterable[str]) -> None:
         """Processes were heard by an aggregator."""
-        self._limits.present(processes)
+        self._limits.record_contact(processes)
 
-    def duty_holders(self) -> list[str]:
+    def duty_candidates(self) -> list[str]:
         """Names of the VMs that do the fleet's duties, or may soon."""
         return duties.candidates(duty_roster.LEASE, self._fleet.alive)
 
-    def observe(self, loads: peer_loads.PeerLoads) -> None:
+    def observe_loads(self, loads: peer_loads.PeerLoads) -> None:
         """Loads of the other VMs came."""
         self._upstreams.observe_peers(loads)
         self._roll_outs.update_fleet_counts(loads.trials, loads.from_aggregate)
 
-    def configuration_above(self, version: int) -> store.Json | None:
+    def configuration_after(self, version: int) -> store.Json | None:
         """The configuration, None if it is not newer."""
         return self._configuration_spec if self.version > version else None
 
-    def runners_above(
+    def runners_after(
         self, revision: int
     ) -> tuple[list[runners.Runner], dict[str, int]]:
         """News of runners after a revision."""
@@ -353,7 +355,7 @@
         """Whether an IP number is a member's."""
         return self._fleet.is_peer(host)
 
-    def lookup(self) -> list[str]:
+    def caller_addresses(self) -> list[str]:
         """Addresses for callers, this VM's own first."""
         alive = [
             peer.caller_address
@@ -372,8 +374,8 @@
             "configuration_version": self.version,
             "callers_busy": self._servers.busy,
             "cloud_calls_total": self._duties.cloud_calls,
-            "limit_asks_total": self._limit_calls.asked,
-            "limit_asks_unanswered_total": self._limit_calls.unanswered,
+            "limit_asks_total": self._limit_calls.request_count,
+            "limit_asks_unanswered_total": self._limit_calls.timeout_count,
         }
         return metrics.text(
             self._relay,
@@ -385,7 +387,7 @@
 
     async def _listen(self) -> None:
         config = self._settings
-        checks = node_checks.Checks(self, self._dialect.callers)
+        checks = node_checks.StatusHandlers(self, self._dialect.callers)
         peer_server = peers.PeerServer(self)
         for name, address, handler in (
             ("callers", config.callers, self._relay.answer),
@@ -400,18 +402,18 @@
             await self._limit_calls.listen(
                 config.limits.host, config.limits.port
             )
-            self._limits.ask_by(self._limit_calls)
+            self._limits.enable_keepers(self._limit_calls)
 
-    def _note_informed(self) -> None:
+    def _check_informed(self) -> None:
         if self._configuration is not None and self._directory.runners:
             self._servers.informed()
 
-    def _follow(self) -> None:
+    def _start_watchers(self) -> None:
         """Follow the store's kinds, as long as it is wanted."""
-        self._watchers = listeners.watchers(
+        self._watchers = listeners.create_watchers(
             self._store,
             self._dialect.platform,
-            listeners.Configurations(
+            listeners.ConfigurationListener(
                 self._dialect.platform.configuration_name, self.configure
             ),
             listeners.Entries(
@@ -451,14 +453,14 @@
         self._ticked_at = now
         if last is None:
             return
-        if now - last > PAUSE_S:
-            self._stood_still(now - last)
+        if now - last > STALL_THRESHOLD_S:
+            self._handle_stall(now - last)
         self._look()
 
-    def _stood_still(self, for_s: float) -> None:
+    def _handle_stall(self, for_s: float) -> None:
         """Doubt all that may have changed while the process stood still."""
         logs.event("paused", for_s=for_s)
-        self._fleet.stood_still()
+        self._fleet.handle_stall()
         for watcher in self._watchers:
             watcher.doubt()
 
@@ -468,29 +470,33 @@
             self.runners_changed(ended)
         alive = self._fleet.alive
         members = self._fleet.members
-        self._fleet.note_members()
+        self._fleet.update_members()
         processes = frozenset(m.process for m in members)
-        self._limits.set_members(processes, self._fleet.between_s)
+        self._limits.set_members(
+            processes, self._fleet.mean_sign_of_life_interval_s
+        )
         self._limits.set_keepers(self._fleet.limit_keepers)
         self._work.heard(self._process, self._upstreams.work)
         self._work.keep_only(processes | {self._process})
-        self._budget.set_members(len(members) + 1)
+        self._retry_allowance.set_members(len(members) + 1)
         self._upstreams.set_members(len(members) + 1)
         if not self._fleet.aggregator:
-            self.observe(self._fleet.loads)
+            self.observe_loads(self._fleet.loads)
         if self._roll_outs.tick():
             self._roll_outs_changed()
         self._upstreams.sweep(asyncio.get_running_loop().time())
-        settled = self._clock.now() - self._started_at >= SETTLE_S
+        settled = (
+            self._clock.now() - self._started_at >= MIN_UPTIME_FOR_DUTIES_S
+        )
         if settled and self._leaving_since is None:
             self._duties.look(alive, len(members) + 1)
 
-    async def _end_when_quiet(self) -> None:
+    async def _stop_when_idle(self) -> None:
         shutdown_s = self._settings.bounds.shutdown_s
-        await drain.until_quiet(
+        await drain.wait_until_idle(
             self._clock,
             lambda: self._servers.busy,
             shutdown_s,
             self._relay.stop_taking,
         )
-        self._ended.set()
+        self._stopped.set()
--- a/src/apricotlever/serving/node_checks.py
+++ b/src/apricotlever/serving/node_checks.py
@@ -11,21 +11,21 @@
 LOOKUP_TTL_S = 1.0
 
 
-class CheckedNode(typing.Protocol):
+class NodeStatus(typing.Protocol):
     """What the checks ask a node."""
 
     @property
     def ready(self) -> bool:
         """Whether callers may be sent here."""
 
-    def lookup(self) -> list[str]:
+    def caller_addresses(self) -> list[str]:
         """Addresses for callers."""
 
     def metrics(self) -> str:
         """All metrics as text."""
 
 
-class Checks:
+class StatusHandlers:
     """Handlers of the small servers.
 
     :param node: what is asked.
@@ -34,7 +34,7 @@
     __slots__ = ("_dialect", "_node")
 
     def __init__(
-        self, node: CheckedNode, dialect: dialects.CallerDialect
+        self, node: NodeStatus, dialect: dialects.CallerDialect
     ) -> None:
         self._node = node
         self._dialect = dialect
@@ -51,7 +51,7 @@
         if raw.target.partition("?")[0] != self._dialect.lookup_path:
             reply.whole(404, ())
             return
-        addresses = self._node.lookup()
+        addresses = self._node.caller_addresses()
         if not addresses:
             reply.whole(503, ())
             return
--- a/src/apricotlever/serving/notes.py
+++ b/src/apricotlever/serving/notes.py
@@ -18,7 +18,7 @@
 LEVELS = "levels"
 WRITTEN_AT = "written_at"
 #: Notes that are older tell nothing of limits, in seconds.
-OLD_S = 30.0
+MAX_LEVEL_AGE_S = 30.0
 
 
 def compose(
@@ -76,4 +76,8 @@
     ):
         logs.event("stored_refused", kind=KIND, object=NAME, part=LEVELS)
         return {}
-    return dict(levels) if abs(clock.wall() - written_at) <= OLD_S else {}
+    return (
+        dict(levels)
+        if abs(clock.wall() - written_at) <= MAX_LEVEL_AGE_S
+        else {}
+    )
--- a/src/apricotlever/serving/pace.py
+++ b/src/apricotlever/serving/pace.py
@@ -14,16 +14,18 @@
 PHASE_S = random.random()
 #: The least part of a pause: a step that took long is not followed at once
 #: by the next.
-LEAST_PART = 0.5
+MIN_PAUSE_FRACTION = 0.5
 
 
-def until_next(now: float, pause_s: float, phase_s: float = PHASE_S) -> float:
+def seconds_until_tick(
+    now: float, pause_s: float, phase_s: float = PHASE_S
+) -> float:
     """Seconds from now to the end of a pause, half to one and a half of it.
 
     :param now: of a clock that never goes back.
     :param pause_s: of the repeated work.
     """
-    steps = math.floor((now - phase_s) / pause_s + LEAST_PART) + 1
+    steps = math.floor((now - phase_s) / pause_s + MIN_PAUSE_FRACTION) + 1
     return phase_s + steps * pause_s - now
 
 
@@ -33,4 +35,4 @@
     :param pause_s: how often the work is repeated, in seconds.
     """
     now = asyncio.get_running_loop().time()
-    await asyncio.sleep(until_next(now, pause_s))
+    await asyncio.sleep(seconds_until_tick(now, pause_s))
--- a/src/apricotlever/serving/peers.py
+++ b/src/apricotlever/serving/peers.py
@@ -16,12 +16,12 @@
 
 from . import pool as pools
 
-FETCH_S = 0.8
+FETCH_TIMEOUT_S = 0.8
 #: The same for a configuration: one of thousands of routes takes most of a
 #: second on a slow link, even without others.
-FETCH_CONFIGURATION_S = 2.0
+CONFIGURATION_FETCH_TIMEOUT_S = 2.0
 #: The fastest: the usual level saves little more.
-COMPRESSION = 1
+COMPRESSION_LEVEL = 1
 #: Named after its form: a peer that knows no compressed one answers 404.
 CONFIGURATION_PATH = "/configuration.msgpack.z"
 #: Named so that a peer that tells no incarnations answers 404.
@@ -52,22 +52,26 @@
         :returns: None when it has no newer one, or can't be reached.
         """
         body = await self._fetch(
-            address, f"{CONFIGURATION_PATH}?{above}", FETCH_CONFIGURATION_S
+            address,
+            f"{CONFIGURATION_PATH}?{above}",
+            CONFIGURATION_FETCH_TIMEOUT_S,
         )
         if not body:
             return None
-        return self._unpacked(unpack_configuration, body, address)
+        return self._unpack(unpack_configuration, body, address)
 
     async def runners(
         self, address: str, above: int
     ) -> tuple[list[runners.Runner], dict[str, int]] | None:
         """A peer's news of runners after a revision."""
-        body = await self._fetch(address, f"{RUNNERS_PATH}?{above}", FETCH_S)
+        body = await self._fetch(
+            address, f"{RUNNERS_PATH}?{above}", FETCH_TIMEOUT_S
+        )
         if not body:
             return None
-        return self._unpacked(unpack_runners, body, address)
+        return self._unpack(unpack_runners, body, address)
 
-    def _unpacked(
+    def _unpack(
         self,
         unpack: typing.Callable[[bytes], _News],
         body: bytes,
@@ -102,7 +106,7 @@
     :raises ValueError: when it can't be read.
     """
     try:
-        return _decoded(zlib.decompress(body))
+        return _decode(zlib.decompress(body))
     except zlib.error as error:
         raise ValueError(str(error)) from error
 
@@ -114,14 +118,14 @@
 
     :raises ValueError: when they can't be read.
     """
-    news = _decoded(body)
+    news = _decode(body)
     if not _IS_NEWS(news):
         raise validation.Misshapen("news of runners", news)
     entries, gone = news
     return [runners.Runner.from_record(record) for record in entries], gone
 
 
-def _decoded(body: bytes) -> typing.Any:
+def _decode(body: bytes) -> typing.Any:
     try:
         return msgpack.unpackb(body, strict_map_key=False)
     except TypeError as error:
@@ -129,17 +133,17 @@
         raise ValueError(str(error)) from error
 
 
-class Source(typing.Protocol):
+class NewsSource(typing.Protocol):
     """What a VM has to tell its peers."""
 
     @property
     def version(self) -> int:
         """Of the configuration in force, 0 for none."""
 
-    def configuration_above(self, version: int) -> store.Json | None:
+    def configuration_after(self, version: int) -> store.Json | None:
         """The configuration, None if it is not newer."""
 
-    def runners_above(
+    def runners_after(
         self, revision: int
     ) -> tuple[list[runners.Runner], dict[str, int]]:
         """News of runners after a revision."""
@@ -153,7 +157,7 @@
 
     __slots__ = ("_packed", "_source")
 
-    def __init__(self, source: Source) -> None:
+    def __init__(self, source: NewsSource) -> None:
         self._source = source
         #: The version that was packed last, with its bytes: all other VMs
         #: ask for the same one within a second.
@@ -174,7 +178,7 @@
         if path == CONFIGURATION_PATH:
             reply.whole(200, (), self._configuration(int(above)))
         elif path == RUNNERS_PATH:
-            entries, gone = self._source.runners_above(int(above))
+            entries, gone = self._source.runners_after(int(above))
             news = [[r.to_record() for r in entries], gone]
             reply.whole(200, (), msgpack.packb(news))
         else:
@@ -182,11 +186,11 @@
 
     def _configuration(self, above: int) -> bytes:
         """The configuration as it is sent, empty if it is not newer."""
-        spec = self._source.configuration_above(above)
+        spec = self._source.configuration_after(above)
         if spec is None:
             return b""
         version, packed = self._packed
         if version != self._source.version:
-            packed = zlib.compress(msgpack.packb(spec), COMPRESSION)
+            packed = zlib.compress(msgpack.packb(spec), COMPRESSION_LEVEL)
             self._packed = (self._source.version, packed)
         return packed
--- a/src/apricotlever/serving/ports.py
+++ b/src/apricotlever/serving/ports.py
@@ -33,17 +33,19 @@
         """
         for address in wanted:
             if address is not None and address.port:
-                self._sockets[str(address)] = _listen(address)
+                self._sockets[str(address)] = _open_listening_socket(address)
 
     def take(self, address: addresses.Address) -> socket.socket:
         """The socket of an address, opened now if it was not before.
 
         :raises OSError: when it can't be had.
         """
-        return self._sockets.pop(str(address), None) or _listen(address)
+        return self._sockets.pop(str(address), None) or _open_listening_socket(
+            address
+        )
 
 
-def _listen(address: addresses.Address) -> socket.socket:
+def _open_listening_socket(address: addresses.Address) -> socket.socket:
     family = socket.AF_INET6 if ":" in address.host else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_STREAM)
     try:
--- a/src/apricotlever/serving/reloading.py
+++ b/src/apricotlever/serving/reloading.py
@@ -8,10 +8,10 @@
 
 #: Between two looks at the settings file, in seconds. It may change without
 #: a signal, and a VM that starts meanwhile is found by others anyway.
-RELOAD_S = 5.0
+RELOAD_INTERVAL_S = 5.0
 
 
-class Reloading:
+class SettingsReloader:
     """Reads the settings at the start, and what may change in one life.
 
     :param read: reads the settings file.
@@ -25,7 +25,7 @@
 
     def __init__(
         self,
-        read: settings.Reader,
+        read: settings.SettingsReader,
         on_seeds: typing.Callable[[typing.Sequence[str]], None],
     ) -> None:
         self._read = read
@@ -50,6 +50,6 @@
             self._on_seeds(seeds)
             logs.event("reloaded", seeds=len(seeds))
 
-    async def look(self) -> None:
+    async def poll(self) -> None:
         """Read a file that may have changed without a signal."""
         self.reload()
--- a/src/apricotlever/serving/servers.py
+++ b/src/apricotlever/serving/servers.py
@@ -8,7 +8,7 @@
 from . import tasks
 
 #: Servers that wait until there is an answer for their callers.
-ASKED_BY_CALLERS = ("callers", "lookups")
+CALLER_FACING = ("callers", "lookups")
 
 
 class Servers:
@@ -45,7 +45,7 @@
             return
         server = self._servers[name] = callers.CallerServer(handler)
         sock = self._ports.take(address)
-        if name in ASKED_BY_CALLERS:
+        if name in CALLER_FACING:
             self._opening.add(server, sock)
         else:
             await server.serve(sock)
@@ -65,14 +65,14 @@
         """Take over what callers may send."""
         self._servers["callers"].limits = limits
 
-    def sweep(self, running: tasks.Tasks) -> None:
+    def start_idle_sweeps(self, running: tasks.Tasks) -> None:
         """Close idle connections from now on."""
         for server in self._servers.values():
             running.spawn(server.sweep_forever())
 
-    def leave(self) -> None:
+    def drain(self) -> None:
         """Send callers elsewhere after the answers that they wait for."""
-        for name in self._servers.keys() & set(ASKED_BY_CALLERS):
+        for name in self._servers.keys() & set(CALLER_FACING):
             self._servers[name].leave()
 
     def close(self) -> None:
--- a/src/apricotlever/serving/settings.py
+++ b/src/apricotlever/serving/settings.py
@@ -156,4 +156,4 @@
         return (self.callers, self.lookups, self.checks)
 
 
-Reader = typing.Callable[[], NodeSettings]
+SettingsReader = typing.Callable[[], NodeSettings]
--- a/src/apricotlever/serving/tasks.py
+++ b/src/apricotlever/serving/tasks.py
@@ -8,10 +8,10 @@
 from . import pace
 
 #: Before a task that failed starts again, in seconds; doubled each time.
-FIRST_PAUSE_S = 0.1
-LONGEST_PAUSE_S = 5.0
+INITIAL_RESTART_DELAY_S = 0.1
+MAX_RESTART_DELAY_S = 5.0
 #: A task that ran for so long before it failed starts again soon.
-SOUND_S = 10.0
+HEALTHY_RUN_S = 10.0
 
 
 class Tasks:
@@ -39,7 +39,7 @@
         """Start a task."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_done)
 
     def every(
         self, pause_s: float, step: typing.Callable[[], typing.Awaitable[None]]
@@ -55,13 +55,13 @@
         :param name: for the log and the metrics.
         """
         self._restarts[name] = 0
-        self.spawn(self._run_again(name, start))
+        self.spawn(self._restart_forever(name, start))
 
-    async def _run_again(
+    async def _restart_forever(
         self, name: str, start: typing.Callable[[], typing.Awaitable[None]]
     ) -> None:
         loop = asyncio.get_running_loop()
-        pause_s = FIRST_PAUSE_S
+        pause_s = INITIAL_RESTART_DELAY_S
         while True:
             began = loop.time()
             reason = "returned"
@@ -70,16 +70,16 @@
             except Exception as error:
                 # Whatever it is, what the task did must not stop for good.
                 reason = repr(error)
-            if loop.time() - began > SOUND_S:
-                pause_s = FIRST_PAUSE_S
+            if loop.time() - began > HEALTHY_RUN_S:
+                pause_s = INITIAL_RESTART_DELAY_S
             self._restarts[name] += 1
             logs.event(
                 "task_restarts", task=name, error=reason, pause_s=pause_s
             )
             await asyncio.sleep(pause_s)
-            pause_s = min(LONGEST_PAUSE_S, 2.0 * pause_s)
+            pause_s = min(MAX_RESTART_DELAY_S, 2.0 * pause_s)
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _on_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             logs.event("task_failed", error=repr(task.exception()))
--- a/tests/steps/serving_datagrams.py
+++ b/tests/steps/serving_datagrams.py
@@ -27,23 +27,23 @@
 POLL_S = 0.001
 
 
-class Inbox:
+class Receiver:
     """Keeps what it takes."""
 
     def __init__(self):
         self.taken = []
 
-    def message(self, message):
+    def receive_message(self, message):
         """A message of another VM came."""
         self.taken.append(message)
 
 
-class Local:
+class LocalVm:
     """A VM that has nothing to tell."""
 
     version = 0
 
-    def take(self, digest):
+    def receive_record(self, record):
         """A peer's record came."""
 
     def record(self, number, known, whole, aggregator):
@@ -67,9 +67,9 @@
 def _look(context, count):
     """Look until so many came: a datagram may still be on its way."""
     until = time.monotonic() + ARRIVED_S
-    taken = context.inbox.taken
+    taken = context.message_receiver.taken
     while len(taken) < count and time.monotonic() < until:
-        context.datagrams.read()
+        context.datagrams.receive_pending()
         time.sleep(POLL_S)
     return taken
 
@@ -88,8 +88,8 @@
 
 @given("a VM that hears records")
 def _vm(context):
-    context.inbox = Inbox()
-    context.datagrams = datagrams.Datagrams(context.inbox)
+    context.message_receiver = Receiver()
+    context.datagrams = datagrams.PeerSocket(context.message_receiver)
     context.datagrams.listen(HOST, 0)
     context.port = context.datagrams.port
     context.closers.append(context.datagrams.close)
@@ -109,9 +109,9 @@
 
 @then("none at the one after")
 def _none(context):
-    before = len(context.inbox.taken)
-    context.datagrams.read()
-    assert len(context.inbox.taken) == before
+    before = len(context.message_receiver.taken)
+    context.datagrams.receive_pending()
+    assert len(context.message_receiver.taken) == before
 
 
 @when("a record comes that is {bad}")
@@ -122,7 +122,7 @@
         "cut short": whole[:-3],
         "not compressed": msgpack.packb(_record().to_record()),
         "not a record": zlib.compress(msgpack.packb(["vm"])),
-        "too long": zlib.compress(bytes(4 * datagrams.MOST_UNPACKED)),
+        "too long": zlib.compress(bytes(4 * datagrams.MAX_UNPACKED_BYTES)),
     }[bad]
     context.logged = []
     logs.setup_writer("vm-0", lambda name, text: context.logged.append(text))
@@ -134,10 +134,10 @@
 def _refused(context, reason):
     until = time.monotonic() + ARRIVED_S
     while not context.logged and time.monotonic() < until:
-        context.datagrams.read()
+        context.datagrams.receive_pending()
         time.sleep(POLL_S)
     assert any(f"reason={reason}" in x for x in context.logged), context.logged
-    assert not context.inbox.taken
+    assert not context.message_receiver.taken
 
 
 @when("it takes in a flood of records that never ends")
@@ -154,12 +154,14 @@
 
     context.datagrams.close()
     context.datagrams._socket = Endless()
-    context.datagrams.read()
+    context.datagrams.receive_pending()
 
 
 @then("one look ends after {count:d} of them")
 def _ends(context, count):
-    assert len(context.inbox.taken) == count, len(context.inbox.taken)
+    assert len(context.message_receiver.taken) == count, len(
+        context.message_receiver.taken
+    )
 
 
 def _node_settings():
@@ -189,7 +191,7 @@
         clock,
         random.Random(1),
         _node_settings(),
-        Local(),
+        LocalVm(),
         directories.Directory(clock),
         tasks.Tasks(),
     )
@@ -205,7 +207,7 @@
     for number in range(1, count + 1):
         context.link._table.heard(_record(number, f"10.0.0.{number}"))
     # The first look finds out who aggregates.
-    context.link._news.look()
+    context.link._record_exchange.look()
 
     def send(message, receivers):
         context.sent.append(receivers)
@@ -219,7 +221,7 @@
 def _prompts(context, count):
     async def give():
         for _ in range(count):
-            context.link.news()
+            context.link.publish_soon()
         # Timers fire in their order, so however slow the machine is, the
         # record's comes before the end of this pause.
         await asyncio.sleep(0.1)
@@ -240,12 +242,12 @@
         _send(context, _packed(_record(number)))
     # Loopback hands datagrams over as they are sent, so all are there.
     _arrived(context)
-    context.link.stood_still()
+    context.link.handle_stall()
 
 
 @then("it hears nobody after it woke")
 def _nobody(context):
-    asyncio.run(context.link._read())
+    asyncio.run(context.link._receive_pending())
     assert not context.link.alive, [d.vm for d in context.link.alive]
 
 
@@ -261,7 +263,7 @@
 
 @then("the one that is has it")
 def _has(context):
-    data = context.receiver.recv(datagrams.MOST_BYTES)
+    data = context.receiver.recv(datagrams.MAX_DATAGRAM_BYTES)
     assert data == _packed(_record())
 
 
--- a/tests/steps/serving_drain.py
+++ b/tests/steps/serving_drain.py
@@ -34,7 +34,7 @@
     def run(self):
         """Wait for the end."""
         asyncio.run(
-            drain.until_quiet(
+            drain.wait_until_idle(
                 self.clock, self.busy, self.shutdown_s, self.stop_taking, 0.0
             )
         )
--- a/tests/steps/serving_limit_calls.py
+++ b/tests/steps/serving_limit_calls.py
@@ -66,7 +66,7 @@
     @property
     def counted(self):
         """Units that this VM let in."""
-        return self.limits.used["clerks"]
+        return self.limits.admitted_units["clerks"]
 
 
 def _keeper_of(names):
@@ -90,13 +90,13 @@
 def _learn(context, left):
     """Both know what is left, and hear another VM."""
     for vm in (context.keeper, context.asker):
-        vm.limits.learn({"clerks": left})
+        vm.limits.initialize_levels({"clerks": left})
         vm.limits.set_members(frozenset({"other#1"}))
-        vm.limits.heard("other#1", {})
+        vm.limits.receive_totals("other#1", {})
     # In its first second a process counts on a part of the limit only.
     context.clock.advance(2.0)
     for vm in (context.keeper, context.asker):
-        vm.limits.heard("other#1", {})
+        vm.limits.receive_totals("other#1", {})
         vm.limits.set_members(frozenset({"other#1"}))
 
 
@@ -105,7 +105,7 @@
         keeper, asker = context.keeper, context.asker
         for vm in (keeper, asker):
             await vm.calls.listen(HOST, 0)
-            vm.limits.ask_by(vm.calls)
+            vm.limits.enable_keepers(vm.calls)
         asker.limits.set_keepers({keeper.name: (HOST, keeper.calls.port)})
         try:
             await work()
@@ -185,7 +185,7 @@
 
 @then("it asks another one next time")
 def _another(context):
-    assert context.asker.calls.asked == 1 and not context.again.keeper
+    assert context.asker.calls.request_count == 1 and not context.again.keeper
 
 
 @when("the keeper has just started and a call of {units:d} units comes")
--- a/tests/steps/serving_log_writer.py
+++ b/tests/steps/serving_log_writer.py
@@ -65,7 +65,9 @@
 
 @then("no write has waited, and at most {most:d} bytes are held")
 def _bounded(context, most):
-    assert context.pipe.writer.held <= most, context.pipe.writer.held
+    assert (
+        context.pipe.writer.buffered_bytes <= most
+    ), context.pipe.writer.buffered_bytes
 
 
 @then("when the reader reads again it is told how many lines are missing")
--- a/tests/steps/serving_pace.py
+++ b/tests/steps/serving_pace.py
@@ -22,7 +22,7 @@
     now = BEGAN_S
     begun = []
     while now < BEGAN_S + for_s:
-        now += pace.until_next(now, pause_s, PHASE_S)
+        now += pace.seconds_until_tick(now, pause_s, PHASE_S)
         begun.append(now)
         now += takes_s
     return begun
--- a/tests/steps/serving_peers.py
+++ b/tests/steps/serving_peers.py
@@ -16,7 +16,7 @@
 WAIT_S = 20.0
 
 
-class Source:
+class NewsSource:
     """A VM with a configuration."""
 
     version = VERSION
@@ -28,7 +28,7 @@
             "routes": [_route(rng) for _ in range(routes)],
         }
 
-    def configuration_above(self, version):
+    def configuration_after(self, version):
         """The configuration, None if it is not newer."""
         return self.spec if self.version > version else None
 
@@ -69,7 +69,7 @@
 
 @given("a VM with a configuration of {routes:d} routes")
 def _vm(context, routes):
-    context.source = Source(routes)
+    context.source = NewsSource(routes)
     context.server = peers.PeerServer(context.source)
 
 
@@ -103,7 +103,7 @@
 
 @then("a fetch of it may take {seconds:d} seconds")
 def _seconds(context, seconds):
-    assert peers.FETCH_CONFIGURATION_S >= seconds
+    assert peers.CONFIGURATION_FETCH_TIMEOUT_S >= seconds
 
 
 @then("it gets none")
--- a/tests/steps/serving_reloading.py
+++ b/tests/steps/serving_reloading.py
@@ -36,7 +36,7 @@
 def _started(context, seeds):
     context.file = _File(_seeds(seeds))
     context.taken = []
-    context.reloading = reloading.Reloading(
+    context.reloading = reloading.SettingsReloader(
         context.file.read, context.taken.append
     )
 
