--- a/src/apricotlever/serving/datagrams.py
+++ b/src/apricotlever/serving/datagrams.py
@@ -1,4 +1,4 @@
-"""What peers tell each other, as datagrams."""
+"""Messages between entry VMs, sent and received as UDP datagrams."""
 
 import socket
 import typing
@@ -11,25 +11,27 @@
 from ..vms import record_exchange
 from ..vms import vm_records
 
-#: Between two looks at what has come, in seconds. Were each record read as
-#: it comes, the process would be woken for each, in a large fleet more than
-#: a hundred times a second, which is most of what an idle VM does. Records are
-#: told less often than they are read, so they grow little older by it.
+#: Time between two reads of the socket, in seconds. Reading each record on
+#: arrival would wake the process more than a hundred times a second in a large
+#: fleet, which would be most of the work of an idle VM. Records are sent less
+#: often than the socket is read, so waiting adds little to their age.
 READ_S = 0.05
-#: Records read at one look. A VM is sent six between two, and 120 a second;
-#: more must not keep callers waiting.
+#: Maximum number of datagrams in one read. A VM receives about six between two
+#: reads, 120 a second. A flood of datagrams must not delay callers.
 MAX_DATAGRAMS_PER_READ = 300
 MAX_DATAGRAM_BYTES = 65535
-#: A message of an aggregator goes to many: it pays to pack it well.
+#: zlib level. An aggregator sends a message to many VMs, so the time spent on
+#: good compression pays off.
 COMPRESSION_LEVEL = 6
-#: A message that becomes longer is refused: a few bytes could fill the memory.
+#: Messages that are longer when decompressed are refused. Otherwise a datagram
+#: of a few bytes could fill the memory.
 MAX_UNPACKED_BYTES = 1 << 20
-#: Malformed records logged for each one that is.
+#: Number of refused messages that a process logs; later ones are not logged.
 MAX_REFUSALS_LOGGED = 20
 
 
 _Decoder = typing.Callable[[typing.Any], record_exchange.Message]
-#: Kinds of messages beside records, the first field of each.
+#: Kinds of messages, the first field of each message that is not a record.
 AGGREGATE = 1
 TALLY = 2
 _DECODERS: dict[int, _Decoder] = {
@@ -40,7 +42,10 @@
 
 
 def pack(message: record_exchange.Message) -> bytes:
-    """A message as it is sent; a record has no kind before its fields."""
+    """Encode a message as a datagram.
+
+    A record is encoded without a kind before its fields.
+    """
     fields: list[typing.Any] = message.to_record()
     kind = _KIND_BY_TYPE.get(type(message))
     if kind is not None:
@@ -49,48 +54,48 @@
 
 
 def unpack(data: bytes) -> record_exchange.Message:
-    """The reverse of :func:`pack`.
+    """Decode a message encoded by :func:`pack`.
 
-    :raises zlib.error: when it is no compressed message.
-    :raises ValueError: when it is cut short, too long, or has other fields.
+    :raises zlib.error: if the data is not compressed.
+    :raises ValueError: if the message is truncated, too long or malformed.
     """
     decompressor = zlib.decompressobj()
     packed = decompressor.decompress(data, MAX_UNPACKED_BYTES)
     if not decompressor.eof:
-        raise ValueError("a message is cut short or too long")
+        raise ValueError("peer message is truncated or too long")
     fields = msgpack.unpackb(packed, strict_map_key=False)
     if isinstance(fields, list) and len(fields) == 2:
         kind, fields = fields
-        reader = _DECODERS.get(kind) if isinstance(kind, int) else None
-        if reader is None:
-            raise ValueError("no such kind of message")
-        return reader(fields)
+        decode = _DECODERS.get(kind) if isinstance(kind, int) else None
+        if decode is None:
+            raise ValueError("peer message has an unknown kind")
+        return decode(fields)
     return vm_records.VmRecord.from_record(fields)
 
 
 class MessageReceiver(typing.Protocol):
-    """Takes what peers say."""
+    """Processes messages of other VMs."""
 
     def receive_message(self, message: record_exchange.Message) -> None:
-        """A message of another VM came."""
+        """Process a message of another VM."""
 
 
 class PeerSocket:
-    """Sends and receives messages.
+    """UDP socket for messages between VMs.
 
-    :param inbox: takes those that are well formed.
+    :param receiver: processes the valid messages.
     """
 
     __slots__ = ("_refused_count", "_receiver", "_socket")
 
-    def __init__(self, inbox: MessageReceiver) -> None:
-        self._receiver = inbox
+    def __init__(self, receiver: MessageReceiver) -> None:
+        self._receiver = receiver
         self._socket: socket.socket | None = None
         self._refused_count = 0
 
     @property
     def port(self) -> int:
-        """Where it hears the others, 0 for nowhere."""
+        """Local port of the socket, 0 while the socket is closed."""
         return self._socket.getsockname()[1] if self._socket else 0
 
     def listen(self, host: str, port: int) -> None:
@@ -100,15 +105,15 @@
         self._socket.bind((host, port))
 
     def receive_pending(self) -> None:
-        """Take in what has come since the last look."""
+        """Process the messages that have arrived since the last read."""
         for data, (host, _) in self._pending_datagrams():
             self._take(data, host)
 
     def discard_pending(self) -> None:
-        """Throw away what has come.
+        """Discard the messages that have arrived since the last read.
 
-        What waited while the process stood still is as old as that: it
-        would show VMs as alive that ended meanwhile.
+        After a suspension of the process, waiting messages may be as old as
+        the suspension. They would show VMs as alive that have ended since.
         """
         for _ in self._pending_datagrams():
             pass
@@ -116,7 +121,10 @@
     def send(
         self, message: record_exchange.Message, receivers: typing.Sequence[str]
     ) -> None:
-        """Send a message to many."""
+        """Send a message to several VMs.
+
+        :param receivers: peer addresses as ``host:port``.
+        """
         if self._socket is None or not receivers:
             return
         data = pack(message)
@@ -125,8 +133,8 @@
             try:
                 self._socket.sendto(data, (host, int(port)))
             except OSError:
-                # One that can't be sent is lost like one on the way; the
-                # next one tells the same.
+                # A datagram that can't be sent counts as lost on the network.
+                # The next record repeats its contents.
                 continue
 
     def close(self) -> None:
@@ -154,7 +162,7 @@
             self._log_refusal(host, type(error).__name__)
             return
         if sender != host:
-            # A message has to come from the address that it names.
+            # A message must come from the host that it names as its sender.
             self._log_refusal(host, "foreign_address")
             return
         self._receiver.receive_message(message)
--- a/src/apricotlever/serving/fleet_link.py
+++ b/src/apricotlever/serving/fleet_link.py
@@ -1,4 +1,8 @@
-"""This VM's link to the fleet: records, who is alive, news that is missing."""
+"""Exchange of records between this VM and the other VMs of the fleet.
+
+The link sends and receives records, tracks which VMs are alive, and fetches
+configurations and runner entries that this VM is missing from its peers.
+"""
 
 import asyncio
 import random
@@ -22,74 +26,96 @@
 from . import store
 from . import tasks
 
-#: How long the store may take to bring what a peer has, in seconds, before
-#: it is fetched from the peer.
+#: How long this VM waits for the store to deliver news that a peer already
+#: has, in seconds, before it fetches the news from the peer.
 STORE_GRACE_S = 0.15
-#: How long the directories of two VMs may differ, in seconds, before one
-#: reads all of the other's: news of the same change comes to both meanwhile.
+#: How long the runner directories of two VMs may differ, in seconds, before
+#: one VM fetches the whole directory of the other. In less time, the same
+#: change usually reaches both.
 DIRECTORY_MISMATCH_S = 0.3
-#: How long a VM of a large fleet waits for news by its aggregator, in seconds,
-#: before it asks whoever has them: all would else ask the few that are first.
+#: How long a VM of a large fleet waits for VMs that it compares directories
+#: with, such as its aggregator, to have news, in seconds, before it fetches
+#: them from any VM. Otherwise all VMs would ask the few that have them first.
 AGGREGATOR_GRACE_S = 1.0
-#: Between two records of which one is sent for news, in seconds.
+#: Minimum time between a record and the next one that is sent because of a
+#: change, in seconds.
 MIN_NEWS_INTERVAL_S = 0.03
-#: News that comes within this time is told by one record, in seconds: calls
-#: come in clumps.
+#: How long changes are collected into one record, in seconds. Calls arrive in
+#: bursts, and each call changes this VM's record.
 NEWS_BATCH_S = 0.01
+#: A revision before the first one: requests the whole runner directory.
 ALL_REVISIONS = -1
 #: How long a VM must have followed the store without interruption to count
 #: as a stable follower, in seconds.
 STABLE_FOLLOWER_S = 2.0
-#: Between two tallies of an aggregator, in seconds.
+#: Time between two tallies of an aggregator, in seconds.
 TALLY_INTERVAL_S = 1.0
 
 
 class LocalVm(typing.Protocol):
-    """What the link asks of this VM, and tells it."""
+    """This VM, as the link reads and updates it."""
 
     @property
     def version(self) -> int:
-        """Of the configuration in force, 0 for none."""
+        """Version of the active configuration, 0 without one."""
 
     def record(
         self, number: int, known: list[str], whole: bool, aggregator: str
     ) -> vm_records.VmRecord:
-        """This VM's next record, as :class:`fleet_news.Source` has it."""
+        """Create this VM's next record.
+
+        The parameters are those of
+        :meth:`record_exchange.RecordSource.record`.
+        """
 
-    def receive_record(self, digest: vm_records.VmRecord) -> None:
-        """A peer's record came."""
+    def receive_record(self, record: vm_records.VmRecord) -> None:
+        """Apply a record of another VM."""
 
     def receive_relayed_totals(
         self, process: str, used: dict[str, float]
     ) -> None:
-        """Units that a process has let in came, by an aggregator."""
+        """Apply the units admitted by a process, as an aggregator relays them.
+
+        :param used: total units by customer since the process started.
+        """
 
     def merge_counts(
         self, counts: dict[str, tuple[typing.Any, typing.Any]]
     ) -> None:
-        """Usage and work of many processes came."""
+        """Merge usage and work counts of many processes.
+
+        :param counts: usage and work by process.
+        """
 
     def record_contact(self, processes: typing.Iterable[str]) -> None:
-        """Processes were heard by an aggregator."""
+        """Record that an aggregator has heard from these processes."""
 
     def duty_candidates(self) -> typing.Iterable[str]:
-        """Names of the VMs that do the fleet's duties, or may soon."""
+        """Names of the VMs that hold duties or may take them over."""
 
     def observe_loads(self, loads: peer_loads.PeerLoads) -> None:
-        """Loads of the other VMs came."""
+        """Apply the loads that the other VMs put on runners."""
 
     def configure(self, spec: store.Json) -> bool:
-        """Take over a configuration, if it is newer."""
+        """Activate a configuration if it is newer than the active one.
+
+        :returns: whether the configuration was activated.
+        """
 
     def runners_changed(self, ended: list[str]) -> None:
-        """Runners came, changed or went."""
+        """Apply changes of the runner directory.
+
+        :param ended: IDs of runners that are leaving or were removed.
+        """
 
 
 class FleetLink:
-    """Tells the other VMs and hears them.
+    """Sends this VM's records to the other VMs and receives theirs.
 
+    :param config: this VM's settings.
     :param local: this VM.
-    :param directory: its runners.
+    :param directory: this VM's runner directory.
+    :param running: runs the periodic tasks of the link.
     """
 
     __slots__ = (
@@ -141,22 +167,22 @@
         )
         self._following_since: float | None = None
         self._published_at = float("-inf")
-        #: Whether a record is about to be sent for news.
+        #: Whether a record is scheduled because of a change.
         self._publish_scheduled = False
 
     @property
     def alive(self) -> list[vm_records.VmRecord]:
-        """Records of the VMs that were heard just now."""
+        """Records of the VMs that have shown a sign of life recently."""
         return self._table.alive()
 
     @property
     def members(self) -> list[vm_records.VmRecord]:
-        """Records of the VMs that may be alive, heard or not."""
+        """Records of the VMs that may be alive, including silent ones."""
         return self._table.members()
 
     @property
     def limit_keepers(self) -> dict[str, tuple[str, int]]:
-        """The other VMs that may be asked of limits, and where."""
+        """Addresses of the other VMs that may keep limits, by name."""
         return {
             peer.vm: address
             for peer in self.alive
@@ -180,21 +206,24 @@
 
     @property
     def mean_sign_of_life_interval_s(self) -> float:
-        """Mean seconds between two signs of life of one VM."""
+        """Mean time between two signs of life of a VM, in seconds."""
         return self._table.mean_sign_of_life_interval_s
 
     @property
     def loads(self) -> peer_loads.PeerLoads:
-        """What the other VMs do at the runners."""
+        """Loads that the other VMs put on the runners."""
         return self._record_exchange.loads
 
     @property
     def aggregator(self) -> str:
-        """The VM that tells the others of this one; "" for itself alone."""
+        """Name of the VM that relays this VM's records.
+
+        It is "" while this VM sends its records to the other VMs itself.
+        """
         return self._record_exchange.aggregator
 
     def listen(self, address: settings.Address) -> None:
-        """Open the socket; from now on records are read and sent."""
+        """Open the socket and start sending and receiving records."""
         self._datagrams.listen(address.host, address.port)
         self._tasks.every(datagrams.READ_S, self._receive_pending)
         self._tasks.every(
@@ -210,27 +239,36 @@
         self._datagrams.close()
 
     def set_seeds(self, seeds: typing.Iterable[str]) -> None:
-        """Take over changed settings."""
+        """Replace the seed addresses."""
         self._table.set_seeds(seeds)
 
     def is_peer(self, host: str) -> bool:
-        """Whether an IP number is a member's."""
+        """Whether an IP address belongs to a member of the fleet."""
         return self._table.is_member(host)
 
     def handle_stall(self) -> None:
-        """Nobody was heard while the process stood still."""
+        """Discard stale records after the process was suspended.
+
+        All peers count as silent until they send new records.
+        """
         self._datagrams.discard_pending()
         self._table.mark_all_silent()
 
     def tell(self) -> None:
-        """Send this VM's record now."""
+        """Send this VM's record immediately.
+
+        An aggregator also sends its aggregates.
+        """
         self._published_at = self._clock.now()
         self._send(self._record_exchange.publish_change())
         if self._record_exchange.is_aggregator:
             self._send(self._pending_aggregates())
 
     def publish_soon(self) -> None:
-        """Tell the others of news soon, but not too often."""
+        """Schedule a record because of a change.
+
+        Changes in quick succession share one record.
+        """
         if self._publish_scheduled:
             return
         self._publish_scheduled = True
@@ -241,18 +279,19 @@
         )
 
     def update_members(self) -> None:
-        """Log who was lost and who came; find out who follows the store."""
+        """Log joined and lost members, and reselect the store's followers."""
         alive = self._table.alive()
-        names = {digest.vm for digest in alive}
+        names = {record.vm for record in alive}
         for vm in sorted(names - self._alive):
             logs.event("member_joined", member=vm, alive=len(names) + 1)
         for vm in sorted(self._alive - names):
             logs.event("member_dead", member=vm, alive=len(names) + 1)
         self._alive = names
         if self._record_exchange.directory_sources is not None:
-            # Records that change nothing come rarely in a large fleet.
-            for digest in alive:
-                self._check_for_missing_news(digest)
+            # In a large fleet, records without changes arrive rarely, so that
+            # differences must be looked for between records.
+            for record in alive:
+                self._check_for_missing_news(record)
         self._followers.update(alive)
         if not self._followers.follows:
             self._following_since = None
@@ -260,7 +299,7 @@
             self._following_since = self._clock.now()
 
     def receive_message(self, message: record_exchange.Message) -> None:
-        """A message of another VM came."""
+        """Process a message of another VM."""
         if isinstance(message, vm_records.VmRecord):
             self._receive_record(message)
             self._send(self._record_exchange.receive_record(message))
@@ -270,13 +309,13 @@
             self._local.merge_counts(message.counts)
 
     def _receive_record(
-        self, digest: vm_records.VmRecord, age_s: float = 0.0
+        self, record: vm_records.VmRecord, age_s: float = 0.0
     ) -> None:
-        former = self._table.receive_record(digest, age_s)
+        former = self._table.receive_record(record, age_s)
         if former is not None:
-            logs.event("member_restarted", member=digest.vm)
-        self._local.receive_record(digest)
-        self._check_for_missing_news(digest)
+            logs.event("member_restarted", member=record.vm)
+        self._local.receive_record(record)
+        self._check_for_missing_news(record)
 
     def _receive_aggregate(self, aggregate: aggregates.Aggregate) -> None:
         for entry in aggregate.entries:
@@ -322,7 +361,8 @@
 
     async def _publish_aggregates(self) -> None:
         if self._record_exchange.is_aggregator:
-            # What came since the last look belongs to what is told now.
+            # The aggregates should include records that arrived since the
+            # socket was last read.
             self._datagrams.receive_pending()
         self._send(self._pending_aggregates())
         if self._record_exchange.is_aggregator:
@@ -336,54 +376,56 @@
     async def _receive_pending(self) -> None:
         self._datagrams.receive_pending()
 
-    def _check_for_missing_news(self, digest: vm_records.VmRecord) -> None:
-        """Fetch from a peer what the store does not bring in time."""
-        lead_s = STORE_GRACE_S if self.follows else 0.0
+    def _check_for_missing_news(self, record: vm_records.VmRecord) -> None:
+        """Fetch news that a peer has and the store did not deliver in time."""
+        grace_s = STORE_GRACE_S if self.follows else 0.0
         sources = self._record_exchange.directory_sources
-        compared = sources is None or digest.vm in sources
+        compared = sources is None or record.vm in sources
         if not compared:
-            lead_s = AGGREGATOR_GRACE_S
+            grace_s = AGGREGATOR_GRACE_S
         directory = self._directory
         self._fetch_when_due(
-            digest.configuration > self._local.version,
+            record.configuration > self._local.version,
             "configuration",
-            digest,
-            lead_s,
+            record,
+            grace_s,
         )
         self._fetch_when_due(
-            digest.directory > directory.revision, "runners", digest, lead_s
+            record.directory > directory.revision, "runners", record, grace_s
         )
         self._fetch_when_due(
-            compared and digest.runners != directory.checksum,
+            compared and record.runners != directory.checksum,
             "all_runners",
-            digest,
+            record,
             DIRECTORY_MISMATCH_S,
         )
 
     def _fetch_when_due(
         self,
-        behind: bool,
-        what: str,
-        digest: vm_records.VmRecord,
-        lead_s: float,
+        is_behind: bool,
+        subject: str,
+        record: vm_records.VmRecord,
+        grace_s: float,
     ) -> None:
-        due = self._catch_up_timers.should_ask(what, digest.vm, behind, lead_s)
-        if due and what not in self._fetching:
-            self._fetching.add(what)
-            self._tasks.spawn(self._fetch(what, digest.peer_address))
+        due = self._catch_up_timers.should_ask(
+            subject, record.vm, is_behind, grace_s
+        )
+        if due and subject not in self._fetching:
+            self._fetching.add(subject)
+            self._tasks.spawn(self._fetch(subject, record.peer_address))
 
-    async def _fetch(self, what: str, address: str) -> None:
+    async def _fetch(self, subject: str, address: str) -> None:
         try:
-            if what == "configuration":
+            if subject == "configuration":
                 await self._fetch_configuration(address)
             else:
-                whole = what == "all_runners"
+                fetch_all = subject == "all_runners"
                 await self._fetch_runners(
                     address,
-                    ALL_REVISIONS if whole else self._directory.revision,
+                    ALL_REVISIONS if fetch_all else self._directory.revision,
                 )
         finally:
-            self._fetching.discard(what)
+            self._fetching.discard(subject)
 
     async def _fetch_configuration(self, address: str) -> None:
         version = self._local.version
@@ -392,6 +434,6 @@
             logs.event("fetched_from_peer", what="configuration", peer=address)
 
     async def _fetch_runners(self, address: str, above: int) -> None:
-        news = await self._client.runners(address, above)
-        if news is not None:
-            self._local.runners_changed(self._directory.heard(*news))
+        changes = await self._client.runners(address, above)
+        if changes is not None:
+            self._local.runners_changed(self._directory.heard(*changes))
--- a/src/apricotlever/serving/limit_calls.py
+++ b/src/apricotlever/serving/limit_calls.py
@@ -1,7 +1,7 @@
-"""What VMs ask each other of limits, by datagrams.
+"""Protocol by which VMs ask the keeper of a limit to admit calls, over UDP.
 
-A datagram that is lost costs a caller nothing but the wait for its answer:
-the VM that asked decides by itself then.
+If a datagram is lost, the asking VM decides by itself. The caller's only cost
+is the wait for the answer.
 """
 
 import asyncio
@@ -15,12 +15,14 @@
 
 from . import log_limit
 
-#: How long an answer is waited for, in seconds: some times the way there and
-#: back, and less than callers notice.
+#: How long a VM waits for an answer, in seconds: several round trips, and less
+#: than callers notice.
 ANSWER_TIMEOUT_S = 0.02
-#: Answers that come later than that are still understood for so long.
+#: How long after its request an answer is still processed, in seconds. An
+#: answer after the timeout may admit a call that was counted already, and its
+#: units must be refunded.
 LATE_ANSWER_S = 2.0
-#: Kinds of messages, the first field of each.
+#: Kinds of messages, the first field of each message.
 ASK = 0
 ANSWER = 1
 REFUND = 2
@@ -59,20 +61,24 @@
 
 
 class Keeper(typing.Protocol):
-    """Decides for other VMs."""
+    """Counts calls of other VMs against the limits that it keeps."""
 
     def take_for(self, customer: str, units: float) -> float | None:
-        """Let a call of another VM in.
+        """Admit a call of another VM if the customer's limit allows it.
 
-        :returns: 0 if it was let in, else the seconds until it may be; None
-            when this VM can't tell.
+        :returns: 0 if the call was admitted, else the seconds until it may
+            be; None if this VM does not know the level of the limit.
         """
 
     def given_back(self, customer: str, units: float) -> None:
-        """A call that was let in did not run."""
+        """Refund the units of an admitted call that did not run."""
 
     def heard_total(self, process: str, customer: str, total: float) -> None:
-        """Another VM has counted calls by itself."""
+        """Receive the units that another VM has counted by itself.
+
+        :param process: the other VM's process.
+        :param total: units of the customer since that process started.
+        """
 
 
 class _PendingRequest:
@@ -92,10 +98,11 @@
 
 
 class LimitCalls(asyncio.DatagramProtocol):
-    """Asks other VMs, and answers them.
+    """Sends requests to keepers of limits, and answers those of other VMs.
 
-    :param keeper: this VM's counts.
-    :param is_peer: whether an IP number is a member's.
+    :param keeper: admits calls of other VMs on this VM.
+    :param is_peer: whether an IP address belongs to a member of the fleet.
+    :param refusals: limits the log lines about refused messages.
     """
 
     __slots__ = (
@@ -120,15 +127,15 @@
         self._refusals = refusals
         self._transport: asyncio.DatagramTransport | None = None
         self._numbers = itertools.count()
-        #: Questions by number, until it is too late for an answer.
+        #: Requests by number, until LATE_ANSWER_S have passed.
         self._pending: dict[int, _PendingRequest] = {}
-        #: Questions so far, and those without an answer in time.
+        #: Requests sent, and those that were not answered in time.
         self.request_count = 0
         self.timeout_count = 0
 
     @property
     def port(self) -> int:
-        """Where the others ask, 0 for nowhere."""
+        """Local port of the socket, 0 while the socket is closed."""
         if self._transport is None:
             return 0
         return int(self._transport.get_extra_info("sockname")[1])
@@ -149,23 +156,24 @@
     async def take(
         self, address: Address, customer: str, units: float
     ) -> float | None:
-        """Ask a keeper to let a call in.
+        """Ask a keeper to admit a call.
 
-        :returns: as :meth:`Keeper.take_for`; None also without an answer.
-        :raises TimeoutError: when none came in time.
+        :param address: the keeper's address.
+        :returns: as :meth:`Keeper.admit_for_peer`.
+        :raises TimeoutError: if the keeper did not answer in time.
         """
         loop = asyncio.get_running_loop()
         self._discard_expired(loop.time())
         number = next(self._numbers)
-        question = _PendingRequest(
+        request = _PendingRequest(
             customer, units, loop.time(), loop.create_future()
         )
-        self._pending[number] = question
+        self._pending[number] = request
         self.request_count += 1
         self._send([ASK, number, customer, units], address)
         try:
             async with asyncio.timeout(ANSWER_TIMEOUT_S):
-                wait_s = await question.answer
+                wait_s = await request.answer
         except TimeoutError:
             self.timeout_count += 1
             raise
@@ -175,29 +183,30 @@
     def send_refund(
         self, address: Address, customer: str, units: float
     ) -> None:
-        """Tell a keeper that a call which it let in did not run."""
+        """Tell a keeper that a call which it admitted did not run."""
         self._send([REFUND, customer, units], address)
 
     def send_local_total(
         self, address: Address, process: str, customer: str, total: float
     ) -> None:
-        """Tell a keeper what this VM has counted by itself.
+        """Tell a keeper the units that this VM has counted by itself.
 
-        Records tell it too, but late: until then the keeper would let calls
-        in for which there is no room.
+        Records contain the total, too, but arrive later. Until then the keeper
+        would admit calls for which the limit has no room.
 
+        :param process: this VM's process.
         :param total: units of the customer since this process started.
         """
         self._send([LOCAL_TOTAL, process, customer, total], address)
 
-    # What asyncio calls.
+    # Methods of asyncio.DatagramProtocol.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The socket is open."""
+        """Keep the transport of the open socket."""
         self._transport = typing.cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        """A message of another VM."""
+        """Process a message of another VM."""
         if not self._is_peer(addr[0]):
             self._log_refusal(addr[0], "stranger")
             return
@@ -207,8 +216,8 @@
             self._log_refusal(addr[0], type(error).__name__)
             return
         kind = message[0] if isinstance(message, list) and message else None
-        form = _VALIDATORS.get(kind) if isinstance(kind, int) else None
-        if form is None or not form(message):
+        is_valid = _VALIDATORS.get(kind) if isinstance(kind, int) else None
+        if is_valid is None or not is_valid(message):
             self._log_refusal(addr[0], "no_such_message")
         elif kind == ASK:
             _, number, customer, units = message
@@ -224,19 +233,20 @@
     def _receive_answer(
         self, number: int, wait_s: float | None, address: Address
     ) -> None:
-        question = self._pending.get(number)
-        if question is None:
+        request = self._pending.get(number)
+        if request is None:
             return
-        if not question.answer.done():
-            question.answer.set_result(wait_s)
+        if not request.answer.done():
+            request.answer.set_result(wait_s)
             return
         del self._pending[number]
         if wait_s == 0.0:
-            # Too late: this VM has counted the call itself meanwhile.
-            self.send_refund(address, question.customer, question.units)
+            # After the timeout, this VM counted the call itself. Without the
+            # refund, the call would count twice.
+            self.send_refund(address, request.customer, request.units)
 
     def _discard_expired(self, now: float) -> None:
-        """Drop questions to which no answer comes any more."""
+        """Drop requests whose answers would no longer be processed."""
         while self._pending:
             number = next(iter(self._pending))
             if now - self._pending[number].asked_at < LATE_ANSWER_S:
--- a/src/apricotlever/serving/limits.py
+++ b/src/apricotlever/serving/limits.py
@@ -1,4 +1,4 @@
-"""The limits of all customers, which the VMs keep together."""
+"""Rate limits of all customers, enforced by all VMs of the fleet together."""
 
 import typing
 
@@ -11,10 +11,12 @@
 
 
 class Permit:
-    """What came of asking to let a call in.
+    """The decision of a customer's limit on one call.
 
-    :param wait_s: 0 if it was let in, else the seconds until it may be.
-    :param keeper: the VM that counted it; "" for this one.
+    :param units: the units of the call.
+    :param wait_s: 0 if the call was admitted, else the seconds until it may
+        be.
+    :param keeper: name of the VM that counted the call; "" for this VM.
     """
 
     __slots__ = ("customer", "units", "wait_s", "keeper")
@@ -31,10 +33,11 @@
 class Limits:
     """The fleet-wide limits of all customers.
 
-    :param clock: of the buckets.
+    :param clock: the time source of the token buckets.
     :param spare: units by which a limit may be exceeded for a while.
-    :param overshoot: part of a limit by which it may be exceeded.
-    :param process: names this VM's process.
+    :param overshoot: fraction of a limit by which it may be exceeded at all
+        times.
+    :param process: the name of this VM's process.
     :param vm: this VM's name.
     """
 
@@ -63,21 +66,22 @@
         self._process = process
         self._clock = clock
         self._keepers = limit_keepers.LimitKeepers(clock, vm)
-        #: Where the other VMs that may be keepers are asked.
+        #: Addresses of the other VMs that may be keepers, by name.
         self._addresses: dict[str, limit_calls.Address] = {}
         self._protocol: limit_calls.LimitCalls | None = None
         self._spare = spare
         self._overshoot = overshoot
         self._liveness = fleet_rate_limit.MemberLiveness(clock)
-        #: The totals that each process told last.
+        #: The latest totals of each process, by customer.
         self._last_totals: dict[str, typing.Mapping[str, float]] = {}
         self._rates: dict[str, fleet_rate_limit.FleetRateLimit] = {}
-        #: Levels that came before their customers' limits did.
+        #: Levels received from other processes, kept for customers whose
+        #: limits are not configured yet.
         self._initial_levels: dict[str, float] = {}
 
     @property
     def admitted_units(self) -> dict[str, float]:
-        """What this VM let in, by customer."""
+        """Units that this VM has admitted since it started, by customer."""
         return {
             name: _compact_number(rate.admitted_units)
             for name, rate in self._rates.items()
@@ -85,7 +89,7 @@
 
     @property
     def levels(self) -> dict[str, float]:
-        """What is left of each limit, as far as this process knows."""
+        """Units left of each limit, without limits of unknown level."""
         return {
             name: level
             for name, rate in self._rates.items()
@@ -94,20 +98,23 @@
 
     @property
     def usable_fractions(self) -> dict[str, float]:
-        """The part of each limit that this VM may count on."""
+        """The fraction of each limit that this VM may use, by customer."""
         return {
             name: rate.usable_fraction for name, rate in self._rates.items()
         }
 
     def initialize_levels(self, levels: typing.Mapping[str, float]) -> None:
-        """Take over what is left of each limit, if it is not known yet."""
+        """Set the levels of limits whose level is not known yet.
+
+        :param levels: units left, by customer.
+        """
         self._initial_levels.update(levels)
         for name, level in levels.items():
             if name in self._rates:
                 self._rates[name].initialize_level(level)
 
     def configure(self, configuration: routes.Configuration) -> None:
-        """Take over the limits of a version."""
+        """Apply the customers' limits of a configuration."""
         for name, customer in configuration.customers.items():
             rate = self._rates.get(name)
             if rate is not None:
@@ -123,7 +130,8 @@
             )
             rate.tick()
             self._rates[name] = rate
-            # It has heard no total yet, however old the others' are.
+            # The new limit has received no totals yet. Totals that other
+            # processes sent before must not count as unchanged.
             self._last_totals.clear()
             if name in self._initial_levels:
                 rate.initialize_level(self._initial_levels[name])
@@ -131,9 +139,10 @@
     def set_members(
         self, processes: frozenset[str], between_s: float = 0.0
     ) -> None:
-        """Take over which other processes may let calls in.
+        """Set which other processes may admit calls.
 
-        :param between_s: between two records of one of them.
+        :param between_s: mean time between two records of one process, in
+            seconds.
         """
         gone = self._liveness.members - processes
         self._liveness.set_members(processes, between_s)
@@ -148,7 +157,10 @@
     def receive_totals(
         self, process: str, used: typing.Mapping[str, float]
     ) -> None:
-        """Take in what another VM let in."""
+        """Apply the totals of another VM's process.
+
+        :param used: admitted units by customer since the process started.
+        """
         self._liveness.heard(process)
         before = self._last_totals.get(process, {})
         self._last_totals[process] = used
@@ -159,29 +171,38 @@
     def receive_relayed_totals(
         self, process: str, used: typing.Mapping[str, float]
     ) -> None:
-        """Take in what another VM let in as a third one tells it."""
+        """Apply the totals of another VM's process that a third VM relays.
+
+        :param used: admitted units by customer since the process started.
+        """
         for name, total in used.items():
             if name in self._rates:
                 self._rates[name].receive_relayed_total(process, total)
 
     def record_contact(self, processes: typing.Iterable[str]) -> None:
-        """Other VMs' processes were heard, by whomever."""
+        """Record that some VM has heard from these processes."""
         for process in processes:
             self._liveness.heard(process)
 
-    def enable_keepers(self, calls: limit_calls.LimitCalls) -> None:
-        """Ask keepers of limits from now on."""
-        self._protocol = calls
+    def enable_keepers(self, protocol: limit_calls.LimitCalls) -> None:
+        """Ask keepers of limits from now on, by this protocol."""
+        self._protocol = protocol
 
     def set_keepers(
         self, others: typing.Mapping[str, limit_calls.Address]
     ) -> None:
-        """Take over which other VMs may be keepers, and where they are."""
+        """Set which other VMs may be keepers.
+
+        :param others: the VMs' addresses by name.
+        """
         self._addresses = dict(others)
         self._keepers.set_other_vms(others)
 
     async def let_in(self, customer: str, units: float) -> Permit:
-        """Let a call in if the customer's limit allows it."""
+        """Admit a call if the customer's limit allows it.
+
+        The limit's keeper decides. If it can't, this VM decides by itself.
+        """
         rate = self._rates[customer]
         if self._protocol is None or not rate.is_limited:
             return Permit(customer, units, rate.take(units))
@@ -190,21 +211,21 @@
         if address is None:
             return Permit(customer, units, rate.take(units, for_all=True))
         try:
-            kept_s = await self._protocol.take(address, customer, units)
+            keeper_wait_s = await self._protocol.take(address, customer, units)
         except TimeoutError:
             self._keepers.record_timeout(keeper)
-            kept_s = None
-        if kept_s is not None:
-            return Permit(customer, units, kept_s, keeper)
+            keeper_wait_s = None
+        if keeper_wait_s is not None:
+            return Permit(customer, units, keeper_wait_s, keeper)
         wait_s = rate.take(units)
         self._report_total(customer)
         return Permit(customer, units, wait_s)
 
     def _report_total(self, customer: str) -> None:
-        """Tell what this VM has counted without the keeper's word.
+        """Tell the keeper the total that this VM has admitted.
 
-        Records tell it, too, but late: the keeper would let calls in for
-        which there is no room.
+        Records contain the total, too, but arrive later. Until then the keeper
+        would admit calls for which the limit has no room.
         """
         address = self._addresses.get(self._keepers.keeper(customer))
         if address is not None and self._protocol is not None:
@@ -214,7 +235,7 @@
             )
 
     def give_back(self, permit: Permit) -> None:
-        """A call that was let in did not run."""
+        """Refund the units of an admitted call that did not run."""
         address = self._addresses.get(permit.keeper)
         if not permit.keeper:
             self.given_back(permit.customer, permit.units)
@@ -222,10 +243,10 @@
             self._protocol.send_refund(address, permit.customer, permit.units)
 
     def take_for(self, customer: str, units: float) -> float | None:
-        """Let a call of another VM in, as the keeper of its limit.
+        """Decide on a call of another VM, as the keeper of the limit.
 
-        :returns: 0 if it was let in, else the seconds until it may be; None
-            when this process does not know what is left.
+        :returns: 0 if the call was admitted, else the seconds until it may
+            be; None if this process does not know the limit's level.
         """
         rate = self._rates.get(customer)
         if rate is None or rate.level is None:
@@ -233,12 +254,16 @@
         return rate.take(units, for_all=True)
 
     def given_back(self, customer: str, units: float) -> None:
-        """A call that this VM counted did not run."""
+        """Refund the units of a call that this VM counted and did not run."""
         if customer in self._rates:
             self._rates[customer].refund(units)
 
     def heard_total(self, process: str, customer: str, total: float) -> None:
-        """Take in what another VM has counted of one customer."""
+        """Apply another VM's total that arrives ahead of the VM's records.
+
+        :param process: the other VM's process.
+        :param total: units of the customer since that process started.
+        """
         if customer in self._rates:
             self._rates[customer].receive_early_total(process, total)
 
@@ -248,5 +273,8 @@
 
 
 def _compact_number(units: float) -> float:
-    """Whole units as a whole number: three bytes of a record, not nine."""
+    """Convert a whole number to an integer.
+
+    In a record, an integer takes three bytes instead of nine.
+    """
     return int(units) if units == int(units) else units
--- a/src/apricotlever/serving/node.py
+++ b/src/apricotlever/serving/node.py
@@ -1,4 +1,4 @@
-"""One entry VM: everything wired together on one event loop."""
+"""Connects all components of one entry VM on one event loop."""
 
 import asyncio
 import random
@@ -44,19 +44,24 @@
 from . import upstreams
 
 TICK_S = 0.1
-#: A process contends for no duty before it has run for so long, in seconds: it
-#: knows few others, and of a fleet that starts at once each VM would.
+#: How long a process must have run before it competes for a duty, in seconds.
+#: A new process knows few other VMs: when a whole fleet starts at once, each
+#: VM would compete for every duty.
 MIN_UPTIME_FOR_DUTIES_S = 1.0
-#: A tick that is so late, in seconds, shows that the process stood still.
+#: Time between two ticks, in seconds, above which the process is taken to have
+#: been suspended.
 STALL_THRESHOLD_S = 1.0
 
 
 class Node:
     """One entry VM.
 
-    :param read_settings: reads the settings file, now and on a change.
-    :param dialect: what is spoken at the edges.
-    :param listening: ports that were opened before, for :meth:`run`.
+    :param read_settings: reads the settings file, at the start and at each
+        reload.
+    :param dialect: the protocols of callers, runners and platform.
+    :param rng: the source of randomness of all components.
+    :param listening: listening sockets that are already open, for
+        :meth:`run`.
     """
 
     def __init__(
@@ -151,12 +156,15 @@
 
     @property
     def ready(self) -> bool:
-        """Whether callers may be sent here."""
+        """Whether this VM can answer callers."""
         return self._configuration is not None and self._leaving_since is None
 
     @property
     def _is_following_store(self) -> bool:
-        """Whether all watchers but that of roll-out orders are in touch."""
+        """Whether all watchers are connected to the store.
+
+        The watcher of roll-out orders is ignored.
+        """
         orders = self._dialect.platform.roll_outs_kind
         return all(
             watcher.in_touch
@@ -166,11 +174,11 @@
 
     @property
     def version(self) -> int:
-        """Of the configuration in force, 0 for none."""
+        """Version of the active configuration, 0 without one."""
         return self._configuration.version if self._configuration else 0
 
     async def run(self) -> None:
-        """Serve until told to stop."""
+        """Serve calls until the shutdown has ended."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self.begin_shutdown)
         loop.add_signal_handler(signal.SIGHUP, self._reloader.reload)
@@ -196,7 +204,7 @@
         logs.event("stopped")
 
     def begin_shutdown(self) -> None:
-        """Begin a graceful shutdown."""
+        """Begin a graceful shutdown; later calls do nothing."""
         if self._leaving_since is not None:
             return
         self._leaving_since = self._clock.now()
@@ -207,7 +215,12 @@
         self._tasks.spawn(self._stop_when_idle())
 
     def configure(self, spec: store.Json) -> bool:
-        """Take over a version, if it is newer than the one in force."""
+        """Activate a configuration if it is newer than the active one.
+
+        :param spec: the configuration document.
+        :returns: whether the configuration was activated. An invalid one is
+            logged and ignored.
+        """
         try:
             configuration = self._dialect.platform.configuration(spec)
         except ValueError as error:
@@ -229,7 +242,10 @@
         return True
 
     def runners_changed(self, ended: list[str]) -> None:
-        """Runners came, changed or went."""
+        """Apply changes of the runner directory.
+
+        :param ended: IDs of runners that are leaving or were removed.
+        """
         self._upstreams.refresh()
         self._check_informed()
         if ended:
@@ -242,14 +258,14 @@
             )
 
     def _roll_outs_changed(self) -> None:
-        """Apply changed roles of runners in roll-outs."""
+        """Apply changed roles of runners in roll-outs and tell the fleet."""
         self._upstreams.refresh()
         self._fleet.tell()
 
     async def _restore_limit_levels(self) -> None:
-        """Read what the fleet wrote down of its limits before this start.
+        """Restore the levels of the limits from the checkpoint in the store.
 
-        When all processes were killed at once, nobody is left to ask.
+        If all processes were killed at once, no running VM knows the levels.
         """
         try:
             levels = await notes.read_levels(self._store, self._clock)
@@ -261,9 +277,17 @@
     def record(
         self, number: int, known: list[str], whole: bool, aggregator: str
     ) -> vm_records.VmRecord:
-        """This VM's next record for its peers."""
+        """Create this VM's next record for its peers.
+
+        :param number: the record's sequence number.
+        :param known: peer addresses that this VM knows.
+        :param whole: whether to include the fields that may be a second old.
+        :param aggregator: name of the VM that is to relay the record; "" when
+            it is sent to all peers.
+        """
         config, calls = self._settings, self._upstreams
-        # An aggregator passes counts on more rarely than records come.
+        # An aggregator relays usage and work counts less often than records
+        # are sent to it, so only whole records to it contain them.
         counts = whole or not aggregator
         return vm_records.VmRecord(
             config.vm,
@@ -281,8 +305,8 @@
             in_flight=calls.in_flight,
             pending=calls.pending,
             used=self._limits.admitted_units,
-            # What may be a second old would make each record half as long
-            # again.
+            # Levels may be a second old. In each record, they would make it
+            # half as long again.
             levels=self._limits.levels if whole else None,
             usage=(
                 self._usage.own_counts(self._duties.reported)
@@ -303,60 +327,69 @@
             trials=self._roll_outs.own_samples,
         )
 
-    def receive_record(self, digest: vm_records.VmRecord) -> None:
-        """A record of another VM came."""
-        self._limits.initialize_levels(digest.levels)
-        self._limits.receive_totals(digest.process, digest.used)
-        self._usage.merge_counts(digest.process, digest.usage)
-        self._work.heard(digest.process, digest.work)
-        self._duties.heard_reported(digest.reported)
-        self._upstreams.crashes.heard(digest.vm, digest.crashes)
-        if digest.roll_outs:
-            self._orders.heard(digest.roll_outs)
+    def receive_record(self, record: vm_records.VmRecord) -> None:
+        """Apply a record of another VM."""
+        self._limits.initialize_levels(record.levels)
+        self._limits.receive_totals(record.process, record.used)
+        self._usage.merge_counts(record.process, record.usage)
+        self._work.heard(record.process, record.work)
+        self._duties.heard_reported(record.reported)
+        self._upstreams.crashes.heard(record.vm, record.crashes)
+        if record.roll_outs:
+            self._orders.heard(record.roll_outs)
 
     def receive_relayed_totals(
         self, process: str, used: dict[str, float]
     ) -> None:
-        """Units that a process has let in came, by an aggregator."""
+        """Apply the units admitted by a process, as an aggregator relays them.
+
+        :param used: total units by customer since the process started.
+        """
         self._limits.receive_relayed_totals(process, used)
 
     def merge_counts(
         self, counts: dict[str, tuple[typing.Any, typing.Any]]
     ) -> None:
-        """Usage and work of many processes came."""
+        """Merge usage and work counts of many processes.
+
+        :param counts: usage and work by process.
+        """
         for process, (usage, work) in counts.items():
             self._usage.merge_counts(process, usage)
             self._work.heard(process, work)
 
     def record_contact(self, processes: typing.Iterable[str]) -> None:
-        """Processes were heard by an aggregator."""
+        """Record that an aggregator has heard from these processes."""
         self._limits.record_contact(processes)
 
     def duty_candidates(self) -> list[str]:
-        """Names of the VMs that do the fleet's duties, or may soon."""
+        """Names of the VMs that hold duties or may take them over."""
         return duties.candidates(duty_roster.LEASE, self._fleet.alive)
 
     def observe_loads(self, loads: peer_loads.PeerLoads) -> None:
-        """Loads of the other VMs came."""
+        """Apply the loads that the other VMs put on runners."""
         self._upstreams.observe_peers(loads)
         self._roll_outs.update_fleet_counts(loads.trials, loads.from_aggregate)
 
     def configuration_after(self, version: int) -> store.Json | None:
-        """The configuration, None if it is not newer."""
+        """The configuration document; None unless newer than a version."""
         return self._configuration_spec if self.version > version else None
 
     def runners_after(
         self, revision: int
     ) -> tuple[list[runners.Runner], dict[str, int]]:
-        """News of runners after a revision."""
+        """Changes of the runner directory since a store revision.
+
+        :returns: entries, and the revisions of removals by runner ID.
+        """
         return self._directory.news_after(revision)
 
     def is_peer(self, host: str) -> bool:
-        """Whether an IP number is a member's."""
+        """Whether an IP address belongs to a member of the fleet."""
         return self._fleet.is_peer(host)
 
     def caller_addresses(self) -> list[str]:
-        """Addresses for callers, this VM's own first."""
+        """Addresses of the VMs that serve callers, this VM's own first."""
         alive = [
             peer.caller_address
             for peer in self._fleet.alive
@@ -366,7 +399,7 @@
         return own + sorted(alive)
 
     def metrics(self) -> str:
-        """All metrics as text."""
+        """All metrics in the text format of Prometheus."""
         gauges = {
             "store_calls_total": self._store.calls,
             "runner_connections_total": self._upstreams.opened,
@@ -409,7 +442,7 @@
             self._servers.informed()
 
     def _start_watchers(self) -> None:
-        """Follow the store's kinds, as long as it is wanted."""
+        """Start the watchers of the store, one for each kind of object."""
         self._watchers = listeners.create_watchers(
             self._store,
             self._dialect.platform,
@@ -458,7 +491,10 @@
         self._look()
 
     def _handle_stall(self, for_s: float) -> None:
-        """Doubt all that may have changed while the process stood still."""
+        """Discard knowledge that a suspension of the process made stale.
+
+        :param for_s: how long the process was suspended, in seconds.
+        """
         logs.event("paused", for_s=for_s)
         self._fleet.handle_stall()
         for watcher in self._watchers:
