--- a/src/apricotlever/serving/__init__.py
+++ b/src/apricotlever/serving/__init__.py
@@ -1,8 +1,8 @@
-"""The path of requests through an entry VM, on one event loop.
+"""The request path of an entry VM, on one event loop.
 
-Callers' calls come in by :mod:`.callers`, go through :mod:`.relay` and leave
-by :mod:`.channels`. What is spoken on either side, and with the platform, is
-a dialect that registers in :mod:`.dialects`; nothing here knows the names of
-any platform. The decisions that the path asks are pure classes elsewhere in
-the package.
+Calls arrive at :mod:`.callers`, pass through :mod:`.relay` and are sent to
+runners by :mod:`.channels`. The protocols of callers, runners and platform are
+dialects, which register in :mod:`.dialects`. No module here depends on a
+particular platform. Decisions, such as the choice of a runner, are made by
+classes without input or output in other packages.
 """
--- a/src/apricotlever/serving/drain.py
+++ b/src/apricotlever/serving/drain.py
@@ -1,4 +1,4 @@
-"""How long a VM that was told to stop goes on serving."""
+"""Decides how long a stopping VM continues to serve callers."""
 
 import asyncio
 import typing
@@ -6,17 +6,18 @@
 from .. import clock as clocks
 from .. import logs
 
-#: How long callers keep the list of VMs, in seconds: those who asked just
-#: before the drain still come.
+#: How long callers keep a list of VMs, in seconds. Callers that looked up the
+#: list just before the drain still connect to this VM.
 CALLER_LIST_MAX_AGE_S = 1.0
-#: A leaving VM ends after this time without a call, in seconds.
+#: Time without a call, in seconds, after which a leaving VM ends.
 IDLE_PERIOD_S = 0.8
-#: Part of the grace time after which calls are cut off.
+#: Fraction of the shutdown time after which open calls are cut off.
 GRACE_FRACTION = 0.95
+#: Time between two checks for open calls, in seconds.
 POLL_INTERVAL_S = 0.05
-#: Calls that come later than this after the signal, in seconds, are refused.
-#: Most callers have another list by then; what is begun for the others would
-#: be cut off when the grace time is over.
+#: Time after the stop signal, in seconds, from which new calls are refused.
+#: Most callers have a newer list of VMs by then. Calls of the others might be
+#: cut off at the end of the shutdown time.
 ACCEPT_PERIOD_S = 3.0
 
 
@@ -27,12 +28,15 @@
     stop_taking: typing.Callable[[], None],
     step_s: float = POLL_INTERVAL_S,
 ) -> None:
-    """Wait until callers know of the drain and no call is left.
+    """Wait until callers know of the drain and no call is open.
 
-    :param busy: how many calls are being answered.
-    :param shutdown_s: from the signal until the process is killed.
+    The wait ends before the process would be killed, even with open calls.
+
+    :param busy: returns the number of calls that are being answered.
+    :param shutdown_s: time from the stop signal until the process is killed,
+        in seconds.
     :param stop_taking: called once, when it is too late for new calls.
-    :param step_s: between two looks.
+    :param step_s: time between two checks for open calls, in seconds.
     """
     began = quiet_since = clock.now()
     last = began + GRACE_FRACTION * shutdown_s
--- a/src/apricotlever/serving/listeners.py
+++ b/src/apricotlever/serving/listeners.py
@@ -1,4 +1,4 @@
-"""Take what the store's watches bring, for the rest of the process."""
+"""Listeners of the store's watchers, which pass changes on to the process."""
 
 import random
 import typing
@@ -13,16 +13,18 @@
 from . import store
 from . import store_watch
 
-#: Changes of runners that come within this time, in seconds, are read by one
-#: call. It is a tenth of the shortest time in which a runner has to be left.
+#: How long changes of runners are collected, in seconds, before one call to
+#: the store reads them. This is a tenth of the shortest time within which
+#: calls to a leaving runner must stop.
 RUNNER_BATCH_S = 0.2
 
 
 class ConfigurationListener:
-    """Hands on each version of the configuration.
+    """Passes on each stored version of the configuration.
 
-    :param name: of the configuration's object.
-    :param adopt: takes the document; it decides whether it is newer.
+    :param name: name of the configuration's object in the store.
+    :param adopt: receives the document, and decides whether it is newer than
+        the active one.
     """
 
     __slots__ = ("_adopt", "_name")
@@ -34,18 +36,18 @@
         self._adopt = adopt
 
     def listed(self, page: store.Page) -> None:
-        """The whole list was read."""
+        """Process a complete list of objects."""
         for stored in page.objects:
             self._take(stored)
 
     def changed(self, changes: store.Changes) -> None:
-        """Objects changed."""
+        """Process changes of objects."""
         for change in changes.changes:
             if not change.deleted:
                 self._take(change.stored)
 
     def store_returned(self) -> None:
-        """Nothing lapses in this kind."""
+        """Do nothing, as objects of this kind do not expire."""
 
     def _take(self, stored: store.StoredObject) -> None:
         if stored.name == self._name:
@@ -53,11 +55,14 @@
 
 
 class Entries:
-    """Keeps the directory of runners up to the store.
+    """Updates the runner directory from the store.
 
-    An entry from which no runner can be read takes nothing from the others.
+    An unreadable entry does not affect the other entries.
 
-    :param tell: called with the runners that are leaving or gone since.
+    :param directory: the directory to update.
+    :param platform: decodes the stored entries.
+    :param tell: called after each update with the IDs of runners that are
+        leaving or were removed.
     """
 
     __slots__ = ("_directory", "_platform", "_refusals", "_tell")
@@ -75,21 +80,21 @@
         self._refusals = log_limit.LogLimit(clock or clocks.SystemClock())
 
     def listed(self, page: store.Page) -> None:
-        """The whole list was read."""
+        """Process a complete list of entries."""
         entries = [self._read(stored) for stored in page.objects]
         self._tell(self._directory.listed(entries, page.revision))
 
     def changed(self, changes: store.Changes) -> None:
-        """Entries came, changed or went.
+        """Process added, changed and removed entries.
 
-        A removal bears the revision up to which the watch has told, not that
-        of the entry, which is the one of its last change. Peers compare
-        revisions: with the old one they would take the removal for news that
-        they had, and go on sending to a runner that has left.
+        A removal gets the revision that the watch has reached. The revision
+        of the entry itself is that of its last change. Peers compare
+        revisions: with the entry's revision, they would take the removal for
+        known and continue to send calls to a runner that has left.
 
-        Only the last change of each entry counts. A removal that is followed
-        by the entry, written again, would bear the later revision of the two,
-        and an entry that peers have told before would not undo it.
+        Only the last change of each entry counts. If an entry was removed and
+        written again, its removal would get the later revision of the two, and
+        an entry already received from peers would not undo the removal.
         """
         ended = []
         last = {change.stored.name: change for change in changes.changes}
@@ -104,7 +109,7 @@
             self._tell(ended)
 
     def store_returned(self) -> None:
-        """Entries that lapsed meanwhile may come back."""
+        """Allow entries that expired during the outage to reappear."""
         self._directory.store_returned()
 
     def _read(self, stored: store.StoredObject) -> runners.Entry:
--- a/src/apricotlever/serving/log_limit.py
+++ b/src/apricotlever/serving/log_limit.py
@@ -1,16 +1,16 @@
-"""Keeps repeated log lines about one thing few."""
+"""Limits the rate of repeated log lines about the same subject."""
 
 from .. import clock as clocks
 
-#: Between two lines about the same thing, in seconds.
+#: Minimum time between two lines about the same subject, in seconds.
 MIN_INTERVAL_S = 10.0
-#: Things that had a line lately, at most. Of more, the next ones have none: a
-#: store of spoiled entries must not turn into as many lines.
+#: Maximum number of subjects logged within MIN_INTERVAL_S; further ones are
+#: not logged. A store full of corrupt entries must not cause a line for each.
 MAX_SUBJECTS = 64
 
 
 class LogLimit:
-    """Tells whether a line about a thing is due."""
+    """Decides whether a line about a subject may be logged."""
 
     __slots__ = ("_clock", "_logged_at")
 
@@ -18,15 +18,15 @@
         self._clock = clock
         self._logged_at: dict[str, float] = {}
 
-    def allows(self, thing: str) -> bool:
-        """Whether to log it now; counted as logged if so."""
+    def allows(self, subject: str) -> bool:
+        """Whether a line may be logged now; if so, it counts as logged."""
         now = self._clock.now()
         self._logged_at = {
             name: at
             for name, at in self._logged_at.items()
             if now - at < MIN_INTERVAL_S
         }
-        if thing in self._logged_at or len(self._logged_at) >= MAX_SUBJECTS:
+        if subject in self._logged_at or len(self._logged_at) >= MAX_SUBJECTS:
             return False
-        self._logged_at[thing] = now
+        self._logged_at[subject] = now
         return True
--- a/src/apricotlever/serving/log_writer.py
+++ b/src/apricotlever/serving/log_writer.py
@@ -1,4 +1,4 @@
-"""Writes log lines in bounded volume, without ever waiting for a reader."""
+"""Writes log lines in bounded volume, without blocking on a slow reader."""
 
 import asyncio
 import os
@@ -9,24 +9,26 @@
 from . import pace
 
 STANDARD_OUTPUT = 1
-#: Between two writes, in seconds: lines of one moment go out together, for
-#: one system call instead of one each.
+#: Time between two writes, in seconds. Lines are collected, so that one system
+#: call writes many of them.
 FLUSH_INTERVAL_S = 0.1
-#: Lines of one kind of event in a second. A fault that hits every call would
-#: otherwise spend the processor on telling of it.
+#: Maximum number of lines of one event name in a period. A fault that affects
+#: every call would otherwise use up the processor for its log lines.
 MAX_LINES_PER_EVENT = 100
-#: Bytes that wait for a reader that does not read.
+#: Number of unwritten bytes above which lines are dropped.
 MAX_BUFFERED_BYTES = 1_000_000
+#: Period over which lines are counted, in seconds.
 PERIOD_S = 1.0
 
 
 class LogWriter:
-    """Gathers lines and writes them to a file descriptor.
+    """Collects lines and writes them to a file descriptor.
 
-    What is left out, as there are too many of a kind or nobody reads, is
-    counted and told in a line of its own.
+    Lines are dropped if there are too many of one event or the reader does not
+    read. The dropped lines are counted, and their count is logged.
 
-    :param descriptor: made non-blocking.
+    :param descriptor: the file descriptor, which is made non-blocking.
+    :param now: the time source, in seconds; the event loop's clock by default.
     """
 
     __slots__ = (
@@ -57,11 +59,15 @@
 
     @property
     def buffered_bytes(self) -> int:
-        """Bytes that wait for the reader."""
+        """Number of bytes that are not written yet."""
         return self._bytes
 
     def write(self, name: str, text: str) -> None:
-        """Take a line of an event; it is written soon."""
+        """Buffer a line for the next write.
+
+        :param name: name of the event.
+        :param text: the line without a line break.
+        """
         self._start_period_if_due()
         count = self._counts.get(name, 0) + 1
         self._counts[name] = count
@@ -72,7 +78,7 @@
         self._bytes += len(text)
 
     def flush(self) -> None:
-        """Write what the reader takes now."""
+        """Write as much as the descriptor accepts without blocking."""
         if self._lines:
             self._unwritten += ("\n".join(self._lines) + "\n").encode()
             self._lines.clear()
@@ -83,13 +89,13 @@
         except BlockingIOError:
             written = 0
         except OSError:
-            # Nobody will ever read; there is nowhere to tell it.
+            # The reader is gone, and there is no other place to log to.
             written = len(self._unwritten)
         self._unwritten = self._unwritten[written:]
         self._bytes = len(self._unwritten)
 
     async def run(self) -> None:
-        """Write again and again."""
+        """Flush the buffer periodically, until cancelled."""
         while True:
             await pace.pause(FLUSH_INTERVAL_S)
             self._start_period_if_due()
@@ -102,6 +108,6 @@
             return
         self._period = period
         self._counts.clear()
-        left_out, self._dropped = self._dropped, {}
-        for name, count in left_out.items():
+        dropped, self._dropped = self._dropped, {}
+        for name, count in dropped.items():
             logs.event("lines_left_out", of=name, count=count)
--- a/src/apricotlever/serving/main.py
+++ b/src/apricotlever/serving/main.py
@@ -1,4 +1,4 @@
-"""Starts one entry VM's process."""
+"""Starts the process of one entry VM."""
 
 import asyncio
 import gc
@@ -13,8 +13,9 @@
 from . import ports
 from . import settings
 
-#: Objects between two collections of the youngest generation. The default
-#: of 700 collects many times a second although requests leave no cycles.
+#: Number of new objects that triggers a collection of the youngest generation.
+#: With the default of 700, collections run many times a second, although
+#: requests create no reference cycles.
 GC_THRESHOLD = 20000
 
 
@@ -23,10 +24,11 @@
     read_settings: settings.SettingsReader,
     listening: ports.Ports | None = None,
 ) -> int:
-    """Serve until told to stop.
+    """Serve calls until a signal stops the process.
 
-    :param dialect: the registered name of what is spoken at the edges.
-    :param listening: ports that were opened before.
+    :param dialect: the registered name of the dialect.
+    :param read_settings: reads the settings file.
+    :param listening: listening sockets that are already open.
     :returns: the exit code.
     """
     config = read_settings()
--- a/src/apricotlever/serving/messages.py
+++ b/src/apricotlever/serving/messages.py
@@ -1,4 +1,4 @@
-"""A caller's call, and what a runner says to it, in the product's types."""
+"""Calls and responses as data types, in terms of no particular protocol."""
 
 import typing
 
@@ -8,7 +8,8 @@
 class PromptPart:
     """A part of a prompt that other calls may share.
 
-    :param part_id: equal for equal text.
+    :param part_id: identifier that is equal for equal text.
+    :param tokens: length of the part in tokens.
     """
 
     __slots__ = ("part_id", "tokens")
@@ -19,12 +20,12 @@
 
 
 class Prompt:
-    """What a call declares of the work it asks of a language model.
+    """Work for a language model, as a call declares it.
 
-    :param tokens_in: tokens of the prompt.
-    :param tokens_out: the most tokens that may be generated.
-    :param parts: the prompt's parts in order; the last one is the call's
-        own.
+    :param tokens_in: length of the prompt in tokens.
+    :param tokens_out: maximum number of generated tokens.
+    :param parts: the prompt's parts in order; the last one belongs to this
+        call only.
     """
 
     __slots__ = ("tokens_in", "tokens_out", "parts")
@@ -41,21 +42,24 @@
 
     @property
     def shared_key(self) -> str:
-        """The deepest part that other calls share; "" when none does."""
+        """ID of the last part that other calls may share; "" without one."""
         return self.parts[-2].part_id if len(self.parts) > 1 else ""
 
 
 class CallerCall:
-    """One call of a caller, read whole.
+    """One complete call of a caller.
 
     :param target: path and query as sent.
-    :param headers: as sent, without those of one connection.
-    :param request_id: the caller's name for this attempt.
-    :param patience_s: how long the caller will wait; None if unsaid.
-    :param key: the API key, "" when none came.
-    :param last_event_id: the stream goes on after this event; None for a
-        call from the start.
-    :param received_at: on the loop's clock, when the first byte came.
+    :param host: the host that the caller addresses.
+    :param headers: headers as sent, without hop-by-hop headers.
+    :param request_id: the caller's identifier of this attempt.
+    :param patience_s: how long the caller waits, in seconds; None if it does
+        not say.
+    :param key: the API key, "" without one.
+    :param prompt: the declared work for a language model; None without one.
+    :param last_event_id: the event after which a stream is to be resumed; None
+        for a new call.
+    :param received_at: time of the first byte, on the event loop's clock.
     """
 
     __slots__ = (
@@ -105,15 +109,18 @@
 
 
 class Errand:
-    """What is sent to a runner beside the caller's call.
-
-    :param runner: the name of the runner that is meant.
-    :param customer: whose key the call bore; None for a public route.
-    :param left_s: how long the runner may work.
-    :param priority: of the engine's queue, 0 first; None for plain ones.
-    :param resume_after: the last event that the caller has; None to start.
+    """Parameters that are sent to a runner in addition to the caller's call.
+
+    :param runner: name of the intended runner.
+    :param customer: the customer whose key the call has; None for a public
+        route.
+    :param left_s: how long the runner may work on the call, in seconds.
+    :param priority: priority in the engine's queue, 0 first; None if the call
+        declares no prompt.
+    :param resume_after: the last event that the caller has received; None for
+        a new stream.
     :param copy_from: ``host:port`` of a runner whose cached tokens of the
-        prompt the runner may copy; None to read all itself.
+        prompt the runner may copy; None to compute all of them.
     """
 
     __slots__ = (
@@ -143,15 +150,19 @@
 
 
 class RunnerHead:
-    """Status and headers of a runner's answer.
-
-    :param not_run: the runner promises that the call has not run there.
-    :param other_runner: another runner has the address by now.
-    :param signed: whether the answer bears the mark of a runner.
-    :param request_id: which call it answers; "" if unsaid.
-    :param closing: the runner closes the connection after the answer.
-    :param keep_alive_s: how long it keeps the connection; None if unsaid.
-    :param retry_after_s: when to come back; None if unsaid.
+    """Status and headers of a runner's response.
+
+    :param not_run: whether the runner guarantees that it did not run the call.
+    :param other_runner: whether another runner now uses the address.
+    :param signed: whether the response has the header by which runners mark
+        their responses.
+    :param request_id: identifier of the call that is answered; "" if not sent.
+    :param closing: whether the runner closes the connection after the
+        response.
+    :param keep_alive_s: how long the runner keeps an idle connection, in
+        seconds; None if not sent.
+    :param retry_after_s: time until the call may be repeated, in seconds; None
+        if not sent.
     """
 
     __slots__ = (
--- a/src/apricotlever/serving/metrics.py
+++ b/src/apricotlever/serving/metrics.py
@@ -1,4 +1,4 @@
-"""All metrics of one entry VM as text."""
+"""Metrics of one entry VM in the text format of Prometheus."""
 
 import typing
 
@@ -14,11 +14,13 @@
     gauges: typing.Mapping[str, float],
     restarts: typing.Mapping[str, int],
 ) -> str:
-    """One value a line, as Prometheus reads it.
+    """Format all metrics in the text format of Prometheus.
 
-    :param configuration: the version in force.
-    :param gauges: of the rest of the process, by name.
-    :param restarts: of tasks that ended and were started again, by name.
+    :param relay_: the request path, with its own metrics.
+    :param limits_: the customers' limits.
+    :param configuration: the active configuration; None without one.
+    :param gauges: metrics of the rest of the process, by name.
+    :param restarts: number of restarts of each supervised task, by name.
     """
     upstreams = relay_.upstreams
     calls = upstreams.failures
--- a/src/apricotlever/serving/node.py
+++ b/src/apricotlever/serving/node.py
@@ -156,7 +156,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether this VM can answer callers."""
+        """Whether callers should be sent to this VM."""
         return self._configuration is not None and self._leaving_since is None
 
     @property
--- a/src/apricotlever/serving/node_checks.py
+++ b/src/apricotlever/serving/node_checks.py
@@ -1,4 +1,4 @@
-"""Answers the platform's checks, callers' lookups and metrics readers."""
+"""HTTP handlers for readiness checks, lookups of VMs and metrics."""
 
 import typing
 
@@ -6,29 +6,30 @@
 from . import dialects
 from . import replies
 
-#: How long callers keep the list of VMs, in seconds. The shorter it is, the
-#: sooner they leave a VM that is gone; a lookup costs little.
+#: How long callers may cache the list of VMs, in seconds. With a short time,
+#: they soon stop using a VM that has ended. Lookups are cheap.
 LOOKUP_TTL_S = 1.0
 
 
 class NodeStatus(typing.Protocol):
-    """What the checks ask a node."""
+    """Status of a node, as the handlers report it."""
 
     @property
     def ready(self) -> bool:
-        """Whether callers may be sent here."""
+        """Whether callers should be sent to this VM."""
 
     def caller_addresses(self) -> list[str]:
-        """Addresses for callers."""
+        """Addresses of the VMs that serve callers."""
 
     def metrics(self) -> str:
-        """All metrics as text."""
+        """All metrics in the text format of Prometheus."""
 
 
 class StatusHandlers:
-    """Handlers of the small servers.
+    """Handlers of the servers for the platform and for lookups.
 
-    :param node: what is asked.
+    :param node: the node whose status is reported.
+    :param dialect: the paths and formats of the answers.
     """
 
     __slots__ = ("_dialect", "_node")
@@ -40,14 +41,14 @@
         self._dialect = dialect
 
     async def ready(self, raw: callers.RawCall, reply: replies.Reply) -> None:
-        """Whether callers may be sent here."""
+        """Answer a readiness check."""
         if raw.target.partition("?")[0] != self._dialect.ready_path:
             reply.whole(404, ())
             return
         reply.whole(200 if self._node.ready else 503, ())
 
     async def lookup(self, raw: callers.RawCall, reply: replies.Reply) -> None:
-        """Which VMs a caller should use."""
+        """Answer a lookup of the VMs that a caller should use."""
         if raw.target.partition("?")[0] != self._dialect.lookup_path:
             reply.whole(404, ())
             return
@@ -61,6 +62,6 @@
     async def metrics(
         self, raw: callers.RawCall, reply: replies.Reply
     ) -> None:
-        """All metrics as text."""
+        """Answer a request for the metrics."""
         body = self._node.metrics().encode()
         reply.whole(200, [(b"Content-Type", b"text/plain")], body)
--- a/src/apricotlever/serving/notes.py
+++ b/src/apricotlever/serving/notes.py
@@ -1,7 +1,7 @@
-"""What the holder of the duties writes down in the store for all.
+"""Checkpoint that the holder of the usage duty writes to the store.
 
-One object holds counts that are not reported yet and what is left of each
-customer's limit, so that neither dies with the processes that knew it.
+One object holds the usage counts that are not reported yet and the level of
+each customer's limit. Both survive the end of all processes that knew them.
 """
 
 import typing
@@ -17,16 +17,18 @@
 COUNTS = "counts"
 LEVELS = "levels"
 WRITTEN_AT = "written_at"
-#: Notes that are older tell nothing of limits, in seconds.
+#: Maximum age of a checkpoint, in seconds, for its levels to be used.
 MAX_LEVEL_AGE_S = 30.0
 
 
 def compose(
     counts: store.Json, levels: typing.Mapping[str, float], wall: float
 ) -> store.Json:
-    """The notes as they are stored.
+    """Build the checkpoint document.
 
-    :param wall: the time of day, in seconds.
+    :param counts: usage counts by window, process and customer.
+    :param levels: units left of each limit, by customer.
+    :param wall: the wall clock time, in seconds.
     """
     return {COUNTS: counts, LEVELS: dict(levels), WRITTEN_AT: wall}
 
@@ -44,7 +46,11 @@
 
 
 def counts(spec: store.Json) -> dict[int, dict[str, dict[str, int]]]:
-    """Usage counts by window, process and customer; none if unreadable."""
+    """Read the usage counts of a checkpoint.
+
+    :returns: counts by window, process and customer; empty if the checkpoint
+        is malformed.
+    """
     found: store.Json = {}
     if isinstance(spec, dict):
         found = spec.get(COUNTS, {})
@@ -55,16 +61,21 @@
 
 
 def fixed_counts(spec: store.Json) -> dict[str, int] | None:
-    """The counts of a window as they were fixed; None if unreadable."""
+    """Read the final counts of a window, as stored before its report.
+
+    :returns: counts by customer; None if the stored object is malformed.
+    """
     return dict(spec) if _IS_COUNTS(spec) else None
 
 
 async def read_levels(
     store_: store.Store, clock: clocks.Clock
 ) -> dict[str, float]:
-    """What is left of each limit, by the notes.
+    """Read the levels of all limits from the checkpoint.
 
-    :raises store.StoreError: when they can't be read.
+    :returns: units left, by customer; empty if the checkpoint is missing, too
+        old or malformed.
+    :raises store.StoreError: if the store can't be read.
     """
     found = await store_.get(KIND, NAME)
     if found is None:
--- a/src/apricotlever/serving/pace.py
+++ b/src/apricotlever/serving/pace.py
@@ -1,38 +1,40 @@
-"""Pauses of a process's repeated work, so placed that they end together.
+"""Timers of periodic tasks, aligned so that they expire together.
 
-Each wake-up of the process costs about as much as the work that it is for:
-with a timer each, ten kinds of repeated work woke an idle VM 75 times a
-second. Pauses that end on one grid need 20.
+Each wake-up of the process costs about as much as the task that it runs. With
+independent timers, ten periodic tasks wake an idle VM 75 times a second.
+Timers that expire on a common grid wake it 20 times.
 """
 
 import asyncio
 import math
 import random
 
-#: Where the grid of this process begins, in seconds: VMs that started at once
-#: must not all tell each other and ask the store at the same moment.
+#: Random offset of this process's grid, in seconds. Without it, VMs that start
+#: together would all send records and call the store at the same moments.
 PHASE_S = random.random()
-#: The least part of a pause: a step that took long is not followed at once
-#: by the next.
+#: Minimum pause between two steps, as a fraction of the period. It prevents a
+#: step that took long from being followed by the next one at once.
 MIN_PAUSE_FRACTION = 0.5
 
 
 def seconds_until_tick(
     now: float, pause_s: float, phase_s: float = PHASE_S
 ) -> float:
-    """Seconds from now to the end of a pause, half to one and a half of it.
+    """Compute the time until the next suitable tick of the grid.
 
-    :param now: of a clock that never goes back.
-    :param pause_s: of the repeated work.
+    :param now: the time on a monotonic clock, in seconds.
+    :param pause_s: period of the task, in seconds.
+    :param phase_s: offset of the grid, in seconds.
+    :returns: seconds to wait, between 0.5 and 1.5 periods.
     """
     steps = math.floor((now - phase_s) / pause_s + MIN_PAUSE_FRACTION) + 1
     return phase_s + steps * pause_s - now
 
 
 async def pause(pause_s: float) -> None:
-    """Wait for the end of a pause.
+    """Wait for the next suitable tick of the grid.
 
-    :param pause_s: how often the work is repeated, in seconds.
+    :param pause_s: period of the task, in seconds.
     """
     now = asyncio.get_running_loop().time()
     await asyncio.sleep(seconds_until_tick(now, pause_s))
--- a/src/apricotlever/serving/peers.py
+++ b/src/apricotlever/serving/peers.py
@@ -1,4 +1,8 @@
-"""What entry VMs fetch from each other, over HTTP."""
+"""Client and server by which entry VMs fetch news from each other over HTTP.
+
+A VM fetches configurations and runner entries that the store did not deliver
+in time.
+"""
 
 import typing
 import zlib
@@ -16,18 +20,22 @@
 
 from . import pool as pools
 
+#: Timeout of a fetch of runner entries, in seconds.
 FETCH_TIMEOUT_S = 0.8
-#: The same for a configuration: one of thousands of routes takes most of a
-#: second on a slow link, even without others.
+#: Timeout of a fetch of a configuration, in seconds. The transfer of one with
+#: thousands of routes takes most of a second on a slow link, even without
+#: concurrent transfers.
 CONFIGURATION_FETCH_TIMEOUT_S = 2.0
-#: The fastest: the usual level saves little more.
+#: The fastest zlib level; the default level saves little more.
 COMPRESSION_LEVEL = 1
-#: Named after its form: a peer that knows no compressed one answers 404.
+#: The path names the format, so that a peer without support for compression
+#: answers 404.
 CONFIGURATION_PATH = "/configuration.msgpack.z"
-#: Named so that a peer that tells no incarnations answers 404.
+#: The path names the contents, so that a peer whose runner entries have no
+#: incarnations answers 404.
 RUNNERS_PATH = "/incarnations"
 
-_IS_NEWS = validation.is_tuple_of(
+_IS_RUNNER_CHANGES = validation.is_tuple_of(
     validation.is_list_of(validation.is_list_of(lambda value: True)),
     validation.is_map_of(
         validation.is_non_empty_string, validation.is_non_negative_int
@@ -37,7 +45,7 @@
 
 
 class PeerClient:
-    """Fetches from other VMs what the store did not bring."""
+    """Fetches from other VMs what the store did not deliver."""
 
     __slots__ = ("_pools",)
 
@@ -47,9 +55,12 @@
     async def configuration(
         self, address: str, above: int
     ) -> store.Json | None:
-        """The configuration of a peer, as the operators wrote it.
+        """Fetch a peer's configuration document.
 
-        :returns: None when it has no newer one, or can't be reached.
+        :param address: the peer's address as ``host:port``.
+        :param above: the version that the document must exceed.
+        :returns: the document as the operators wrote it; None if the peer has
+            no newer one or the fetch failed.
         """
         body = await self._fetch(
             address,
@@ -63,7 +74,12 @@
     async def runners(
         self, address: str, above: int
     ) -> tuple[list[runners.Runner], dict[str, int]] | None:
-        """A peer's news of runners after a revision."""
+        """Fetch the changes of a peer's runner directory since a revision.
+
+        :param address: the peer's address as ``host:port``.
+        :returns: entries, and the revisions of removals by runner ID; None if
+            the fetch failed.
+        """
         body = await self._fetch(
             address, f"{RUNNERS_PATH}?{above}", FETCH_TIMEOUT_S
         )
@@ -101,9 +117,9 @@
 
 
 def unpack_configuration(body: bytes) -> store.Json:
-    """A configuration as a peer sends it.
+    """Decode a configuration document that a peer sent.
 
-    :raises ValueError: when it can't be read.
+    :raises ValueError: if the data is malformed.
     """
     try:
         return _decode(zlib.decompress(body))
@@ -114,57 +130,61 @@
 def unpack_runners(
     body: bytes,
 ) -> tuple[list[runners.Runner], dict[str, int]]:
-    """Entries and removals of runners as a peer sends them.
+    """Decode runner entries and removals that a peer sent.
 
-    :raises ValueError: when they can't be read.
+    :returns: entries, and the revisions of removals by runner ID.
+    :raises ValueError: if the data is malformed.
     """
-    news = _decode(body)
-    if not _IS_NEWS(news):
-        raise validation.Misshapen("news of runners", news)
-    entries, gone = news
-    return [runners.Runner.from_record(record) for record in entries], gone
+    changes = _decode(body)
+    if not _IS_RUNNER_CHANGES(changes):
+        raise validation.Misshapen("runner changes from a peer", changes)
+    entries, removals = changes
+    return [runners.Runner.from_record(record) for record in entries], removals
 
 
 def _decode(body: bytes) -> typing.Any:
     try:
         return msgpack.unpackb(body, strict_map_key=False)
     except TypeError as error:
-        # A map in it has a key that can't be one.
+        # msgpack raises TypeError for a map with an unhashable key.
         raise ValueError(str(error)) from error
 
 
 class NewsSource(typing.Protocol):
-    """What a VM has to tell its peers."""
+    """A VM's configuration and runner directory, served to peers."""
 
     @property
     def version(self) -> int:
-        """Of the configuration in force, 0 for none."""
+        """Version of the active configuration, 0 without one."""
 
     def configuration_after(self, version: int) -> store.Json | None:
-        """The configuration, None if it is not newer."""
+        """The configuration document; None unless newer than a version."""
 
     def runners_after(
         self, revision: int
     ) -> tuple[list[runners.Runner], dict[str, int]]:
-        """News of runners after a revision."""
+        """Changes of the runner directory since a store revision.
+
+        :returns: entries, and the revisions of removals by runner ID.
+        """
 
     def is_peer(self, host: str) -> bool:
-        """Whether an IP number is a member's."""
+        """Whether an IP address belongs to a member of the fleet."""
 
 
 class PeerServer:
-    """Answers what :class:`PeerClient` asks."""
+    """Answers the requests of :class:`PeerClient`."""
 
     __slots__ = ("_packed", "_source")
 
     def __init__(self, source: NewsSource) -> None:
         self._source = source
-        #: The version that was packed last, with its bytes: all other VMs
-        #: ask for the same one within a second.
+        #: The last encoded version and its data. All other VMs request the
+        #: same version within a second.
         self._packed: tuple[int, bytes] = (0, b"")
 
     async def answer(self, raw: callers.RawCall, reply: replies.Reply) -> None:
-        """Answer one fetch; strangers get nothing."""
+        """Answer one fetch; hosts outside the fleet get status 403."""
         if not self._source.is_peer(reply.caller_host):
             logs.event(
                 "peer_refused", peer=reply.caller_host, reason="stranger"
@@ -178,14 +198,14 @@
         if path == CONFIGURATION_PATH:
             reply.whole(200, (), self._configuration(int(above)))
         elif path == RUNNERS_PATH:
-            entries, gone = self._source.runners_after(int(above))
-            news = [[r.to_record() for r in entries], gone]
-            reply.whole(200, (), msgpack.packb(news))
+            entries, removals = self._source.runners_after(int(above))
+            changes = [[r.to_record() for r in entries], removals]
+            reply.whole(200, (), msgpack.packb(changes))
         else:
             reply.whole(404, ())
 
     def _configuration(self, above: int) -> bytes:
-        """The configuration as it is sent, empty if it is not newer."""
+        """The encoded configuration; empty if it is not newer."""
         spec = self._source.configuration_after(above)
         if spec is None:
             return b""
--- a/src/apricotlever/serving/ports.py
+++ b/src/apricotlever/serving/ports.py
@@ -1,11 +1,11 @@
-"""Ports that listen while the process that serves them still starts.
+"""Listening sockets that are opened before the rest of the process starts.
 
-Loading the modules takes longer than all else at a start. Callers who connect
-meanwhile are turned away by a port on which nobody listens, and most of them
-try only once more. On a port that listens already, their calls wait for the
-moment until they are read.
+Importing modules is the longest part of a start. Without a listening socket,
+connections of callers are refused in this time, and most callers retry only
+once. On a socket that listens already, calls wait until the process reads
+them.
 
-Nothing but the socket module is loaded here.
+So that sockets open early, this module imports nothing heavier than socket.
 """
 
 import socket
@@ -13,8 +13,8 @@
 
 from .. import addresses
 
-#: Connections that wait to be taken. Callers of a whole fleet come back at
-#: the same moment when its power does.
+#: Maximum number of connections that wait to be accepted. After a power
+#: outage, the callers of a whole fleet reconnect at the same moment.
 BACKLOG = 1024
 
 
@@ -27,18 +27,18 @@
         self._sockets: dict[str, socket.socket] = {}
 
     def open(self, wanted: typing.Iterable[addresses.Address | None]) -> None:
-        """Listen at addresses; None stands for nowhere.
+        """Open sockets at addresses in advance; None entries are skipped.
 
-        :raises OSError: when one of them can't be had.
+        :raises OSError: if an address can't be bound.
         """
         for address in wanted:
             if address is not None and address.port:
                 self._sockets[str(address)] = _open_listening_socket(address)
 
     def take(self, address: addresses.Address) -> socket.socket:
-        """The socket of an address, opened now if it was not before.
+        """Hand over the socket of an address, opening it if necessary.
 
-        :raises OSError: when it can't be had.
+        :raises OSError: if the address can't be bound.
         """
         return self._sockets.pop(str(address), None) or _open_listening_socket(
             address
--- a/src/apricotlever/serving/reloading.py
+++ b/src/apricotlever/serving/reloading.py
@@ -1,4 +1,4 @@
-"""The settings of a process, read again while it runs."""
+"""Reloads the settings of a process while it runs."""
 
 import typing
 
@@ -6,19 +6,20 @@
 
 from . import settings
 
-#: Between two looks at the settings file, in seconds. It may change without
-#: a signal, and a VM that starts meanwhile is found by others anyway.
+#: Time between two reads of the settings file, in seconds. The file may change
+#: without a signal. A VM that starts between two reads is found through other
+#: VMs anyway.
 RELOAD_INTERVAL_S = 5.0
 
 
 class SettingsReloader:
-    """Reads the settings at the start, and what may change in one life.
+    """Reads the settings at the start, and later the seeds again.
 
     :param read: reads the settings file.
-    :param on_seeds: takes over other seeds, the only setting that may change
-        without a new process.
-    :raises OSError: when the file can't be read at the start.
-    :raises ValueError: when it is invalid then.
+    :param on_seeds: called with changed seeds. They are the only setting that
+        may change without a restart of the process.
+    :raises OSError: if the file can't be read at the start.
+    :raises ValueError: if the file is invalid at the start.
     """
 
     __slots__ = ("_on_seeds", "_read", "_seeds", "_settings")
@@ -35,11 +36,11 @@
 
     @property
     def settings(self) -> settings.NodeSettings:
-        """As they were at the start."""
+        """The settings as read at the start."""
         return self._settings
 
     def reload(self) -> None:
-        """Read the file again; one that is invalid changes nothing."""
+        """Read the file again; an invalid file changes nothing."""
         try:
             seeds = self._read().seeds
         except (OSError, ValueError, KeyError) as error:
@@ -51,5 +52,5 @@
             logs.event("reloaded", seeds=len(seeds))
 
     async def poll(self) -> None:
-        """Read a file that may have changed without a signal."""
+        """Reload the file, which may have changed without a signal."""
         self.reload()
--- a/src/apricotlever/serving/servers.py
+++ b/src/apricotlever/serving/servers.py
@@ -1,4 +1,4 @@
-"""The servers of one process, by what asks there."""
+"""The HTTP servers of one process."""
 
 from . import callers
 from . import opening
@@ -7,14 +7,15 @@
 from . import settings
 from . import tasks
 
-#: Servers that wait until there is an answer for their callers.
+#: Names of the servers that callers use. They accept connections only when
+#: this VM can answer.
 CALLER_FACING = ("callers", "lookups")
 
 
 class Servers:
-    """Takes calls at all addresses of a process.
+    """Serves calls at all addresses of a process.
 
-    :param listening: ports that were opened before.
+    :param listening: listening sockets that are already open.
     """
 
     __slots__ = ("_opening", "_ports", "_servers")
@@ -26,7 +27,7 @@
 
     @property
     def busy(self) -> int:
-        """Callers' calls that are being answered."""
+        """Number of callers' calls that are being answered."""
         server = self._servers.get("callers")
         return server.busy if server else 0
 
@@ -36,10 +37,12 @@
         address: settings.Address | None,
         handler: callers.Handler,
     ) -> None:
-        """Serve at an address; None stands for nowhere.
+        """Serve at an address; None starts no server.
 
-        :param name: of who asks there. Callers are answered only from
-            :meth:`serve_callers` on.
+        A server in :data:`CALLER_FACING` accepts connections only after
+        :meth:`serve_callers`.
+
+        :param name: name of the server.
         """
         if address is None:
             return
@@ -51,31 +54,33 @@
             await server.serve(sock)
 
     def informed(self) -> None:
-        """This VM knows what to serve, and where."""
+        """Note that this VM has a configuration and runners."""
         self._opening.informed()
 
     async def serve_callers(self) -> bool:
-        """Answer callers, as soon as there is an answer.
+        """Accept callers' connections once this VM can answer.
+
+        After a timeout, connections are accepted in any case.
 
-        :returns: whether this VM was informed in time.
+        :returns: whether :meth:`informed` was called before the timeout.
         """
         return await self._opening.serve()
 
     def set_limits(self, limits: routes.CallerLimits) -> None:
-        """Take over what callers may send."""
+        """Set the limits on the size and timing of callers' calls."""
         self._servers["callers"].limits = limits
 
     def start_idle_sweeps(self, running: tasks.Tasks) -> None:
-        """Close idle connections from now on."""
+        """Start closing idle connections."""
         for server in self._servers.values():
             running.spawn(server.sweep_forever())
 
     def drain(self) -> None:
-        """Send callers elsewhere after the answers that they wait for."""
+        """Send callers to other VMs after their pending calls are answered."""
         for name in self._servers.keys() & set(CALLER_FACING):
             self._servers[name].leave()
 
     def close(self) -> None:
-        """Take no more connections and close all that are open."""
+        """Stop accepting connections, and close all open ones."""
         for server in self._servers.values():
             server.close()
--- a/src/apricotlever/serving/settings.py
+++ b/src/apricotlever/serving/settings.py
@@ -1,4 +1,4 @@
-"""What one process has to know to start; a dialect reads it."""
+"""Settings of one entry VM's process, as a platform's dialect reads them."""
 
 import typing
 
@@ -9,24 +9,27 @@
 
 
 class Bounds:
-    """The promises that the fleet keeps; all times in seconds.
-
-    :param drain_s: how soon a runner that has left must get no more work.
-    :param shutdown_s: from the signal until the process is killed.
-    :param retry_ratio: retries for each request.
-    :param retry_least: retries that the fleet may make besides.
-    :param retry_window_s: over which they are counted.
+    """Bounds that the fleet guarantees; all times are in seconds.
+
+    :param drain_s: time after a runner has left within which calls to it must
+        stop.
+    :param shutdown_s: time from the stop signal until the process is killed.
+    :param retry_ratio: maximum number of retries for each request.
+    :param retry_least: retries that the fleet may make in addition.
+    :param retry_window_s: period over which retries are counted.
     :param limit_spare: units by which a customer's limit may be exceeded
         for a while.
-    :param limit_overshoot: part of a limit by which it may be exceeded.
-    :param fencing_checked: whether the platform refuses calls under a number
-        that is lower than one it has seen.
-    :param lease_s: how long a holder of a duty may act after it was last
-        confirmed.
-    :param usage_window_s: the length of a window of usage reports.
-    :param usage_due_s: how long after its end a report is due.
-    :param resolve_ttl_s: the longest that callers keep a list of VMs.
-    :param runner_heartbeat_s: between two heartbeats of a runner.
+    :param limit_overshoot: fraction of a limit by which it may be exceeded at
+        all times.
+    :param fencing_checked: whether the platform refuses calls with a fencing
+        number lower than one that it has seen.
+    :param lease_s: how long the holder of a duty may act after its lease was
+        last confirmed.
+    :param usage_window_s: length of a window of usage reports.
+    :param usage_due_s: time after the end of a window at which its report is
+        due.
+    :param resolve_ttl_s: maximum time for which callers keep a list of VMs.
+    :param runner_heartbeat_s: time between two heartbeats of a runner.
     :param roll_outs: limits on the exposure to a bad version; None if
         roll-outs are disabled.
     """
@@ -82,20 +85,23 @@
 
 
 class NodeSettings:
-    """One process's place in the fleet.
-
-    :param callers: where it takes callers' calls.
-    :param checks: where it tells whether it is ready.
-    :param lookups: where callers ask which VMs to use.
-    :param peers: where it hears the other VMs, by TCP and UDP.
-    :param limits: where they ask it of limits, by UDP; None for nowhere.
-    :param metrics: where it shows its metrics; None for nowhere.
+    """Identity, addresses and duties of one process.
+
+    :param vm: the VM's name.
+    :param data_centre: the VM's data centre.
+    :param data_centres: names of all data centres.
+    :param callers: address at which the process serves callers.
+    :param checks: address of the readiness check; None if disabled.
+    :param lookups: address at which callers look up VMs; None if disabled.
+    :param peers: address for other VMs, by TCP and UDP.
+    :param limits: address for other VMs' requests about limits, by UDP; None
+        if disabled.
+    :param metrics: address at which metrics are served; None if disabled.
     :param seeds: peer addresses of some VMs; they may be stale.
-    :param data_centres: all of them.
-    :param store: the platform's object store.
-    :param cloud: the platform's cloud API; None when there is none.
-    :param reports_usage: whether usage reports are a duty.
-    :param orders_runners: whether ordering runners is a duty.
+    :param store: address of the platform's object store.
+    :param cloud: address of the platform's cloud API; None without one.
+    :param reports_usage: whether this fleet reports usage.
+    :param orders_runners: whether this fleet orders runners.
     """
 
     __slots__ = (
@@ -152,7 +158,7 @@
 
     @property
     def asked_at(self) -> tuple[Address | None, ...]:
-        """Where callers and the platform connect."""
+        """Addresses at which callers and the platform connect."""
         return (self.callers, self.lookups, self.checks)
 
 
--- a/src/apricotlever/serving/tasks.py
+++ b/src/apricotlever/serving/tasks.py
@@ -1,4 +1,4 @@
-"""Tasks of one process that run until it ends."""
+"""Supervision of the tasks that run for the lifetime of the process."""
 
 import asyncio
 import typing
@@ -7,19 +7,21 @@
 
 from . import pace
 
-#: Before a task that failed starts again, in seconds; doubled each time.
+#: Delay before the first restart of a failed task, in seconds. It doubles with
+#: each further restart, up to MAX_RESTART_DELAY_S.
 INITIAL_RESTART_DELAY_S = 0.1
 MAX_RESTART_DELAY_S = 5.0
-#: A task that ran for so long before it failed starts again soon.
+#: How long a task must have run, in seconds, for the delay to return to
+#: INITIAL_RESTART_DELAY_S.
 HEALTHY_RUN_S = 10.0
 
 
 class Tasks:
-    """Keeps tasks alive and tells of those that failed.
+    """Keeps references to tasks, and logs their failures.
 
-    A task that nobody holds may be collected, and one whose error nobody
-    reads fails without a word: in both cases a part of the process would
-    silently stop.
+    A task without references may be garbage-collected, and an exception that
+    is never retrieved goes unnoticed. In both cases, a part of the process
+    would stop silently.
     """
 
     __slots__ = ("_restarts", "_tasks")
@@ -30,13 +32,13 @@
 
     @property
     def restarts(self) -> dict[str, int]:
-        """How often each supervised task ended and was started again."""
+        """Number of restarts of each supervised task, by name."""
         return self._restarts
 
     def spawn(
         self, work: typing.Coroutine[typing.Any, typing.Any, None]
     ) -> None:
-        """Start a task."""
+        """Start a task that is not restarted when it ends."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._on_done)
@@ -44,15 +46,18 @@
     def every(
         self, pause_s: float, step: typing.Callable[[], typing.Awaitable[None]]
     ) -> None:
-        """Repeat a step for ever, also after it has failed."""
+        """Repeat a step periodically, even if it fails.
+
+        :param pause_s: period of the step, in seconds.
+        """
         self.spawn(_repeat(pause_s, step))
 
     def supervise(
         self, name: str, start: typing.Callable[[], typing.Awaitable[None]]
     ) -> None:
-        """Run a task for ever: started again whenever it ends.
+        """Run a task, and restart it whenever it ends.
 
-        :param name: for the log and the metrics.
+        :param name: name of the task in the log and the metrics.
         """
         self._restarts[name] = 0
         self.spawn(self._restart_forever(name, start))
@@ -68,7 +73,7 @@
             try:
                 await start()
             except Exception as error:
-                # Whatever it is, what the task did must not stop for good.
+                # The task must be restarted whatever the error is.
                 reason = repr(error)
             if loop.time() - began > HEALTHY_RUN_S:
                 pause_s = INITIAL_RESTART_DELAY_S
@@ -92,6 +97,7 @@
         try:
             await step()
         except Exception as error:
-            # A duty that ended here would silently never be done again.
+            # Without this handler, one error would end the repetition for
+            # good.
             logs.event("task_failed", error=repr(error))
         await pace.pause(pause_s)
