--- a/tests/serving/log_writer.feature
+++ b/tests/serving/log_writer.feature
@@ -1,16 +1,15 @@
-Feature: Log lines never hold the process up
+Feature: Writing log lines never blocks the process
 
-  # Symptom: all calls stand still for minutes.
-  # Events: the reader of standard output stops; the pipe fills.
-  # Cause: a write that waits for its reader.
-  Scenario: A reader that stops
-    Given a log writer whose reader reads nothing
-    When 100 seconds of 50 lines each are logged
-    Then no write has waited, and at most 1100000 bytes are held
-    And when the reader reads again it is told how many lines are missing
+  # Guards against all calls hanging for minutes: the reader of standard output
+  # stops, the pipe fills, and a blocking write waits for the reader.
+  Scenario: A reader that stops reading
+    Given a log writer whose reader does not read
+    When 50 lines are logged in each of 100 seconds
+    Then no write has blocked, and at most 1100000 bytes are buffered
+    And a reader that reads again finds the number of dropped lines
 
-  Scenario: A flood of one event leaves room for the others
-    Given a log writer whose reader reads all
+  Scenario: A flood of one event leaves room for other events
+    Given a log writer whose reader reads all lines
     When 5000 lines of one event and one of another are logged in a second
-    Then the reader has 100 lines of the one, 1 of the other
-    And the next second tells that 4900 are missing
+    Then the reader gets 100 lines of the one event and 1 of the other
+    And a line in the next second says that 4900 are missing
--- a/tests/steps/serving_datagrams.py
+++ b/tests/steps/serving_datagrams.py
@@ -23,31 +23,31 @@
 from apricotlever.vms import vm_records
 
 HOST = "127.0.0.1"
-ARRIVED_S = 10.0
+ARRIVAL_TIMEOUT_S = 10.0
 POLL_S = 0.001
 
 
 class Receiver:
-    """Keeps what it takes."""
+    """Keeps the messages that it receives."""
 
     def __init__(self):
-        self.taken = []
+        self.received = []
 
     def receive_message(self, message):
-        """A message of another VM came."""
-        self.taken.append(message)
+        """Keep a message."""
+        self.received.append(message)
 
 
 class LocalVm:
-    """A VM that has nothing to tell."""
+    """A VM whose records are empty."""
 
     version = 0
 
     def receive_record(self, record):
-        """A peer's record came."""
+        """Ignore a peer's record."""
 
     def record(self, number, known, whole, aggregator):
-        """This VM's next record."""
+        """Create an empty record."""
         return _record()
 
 
@@ -64,29 +64,29 @@
 _packed = datagrams.pack
 
 
-def _look(context, count):
-    """Look until so many came: a datagram may still be on its way."""
-    until = time.monotonic() + ARRIVED_S
-    taken = context.message_receiver.taken
-    while len(taken) < count and time.monotonic() < until:
+def _read_until(context, count):
+    """Read until so many records arrived; datagrams may be in transit."""
+    until = time.monotonic() + ARRIVAL_TIMEOUT_S
+    received = context.message_receiver.received
+    while len(received) < count and time.monotonic() < until:
         context.datagrams.receive_pending()
         time.sleep(POLL_S)
-    return taken
+    return received
 
 
-def _arrived(context):
-    """Wait until a datagram lies at the socket, unread."""
+def _wait_for_datagram(context):
+    """Wait until the socket has an unread datagram."""
     opened = context.link._datagrams._socket
-    until = time.monotonic() + ARRIVED_S
+    until = time.monotonic() + ARRIVAL_TIMEOUT_S
     while time.monotonic() < until:
         try:
             return opened.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
             time.sleep(POLL_S)
-    raise AssertionError("no datagram came")
+    raise AssertionError("no datagram arrived")
 
 
-@given("a VM that hears records")
+@given("a VM that receives records")
 def _vm(context):
     context.message_receiver = Receiver()
     context.datagrams = datagrams.PeerSocket(context.message_receiver)
@@ -95,33 +95,35 @@
     context.closers.append(context.datagrams.close)
 
 
-@when("{count:d} records come from their own address")
-def _come(context, count):
+@when("{count:d} records arrive from the addresses that they name")
+def _arrive(context, count):
     for number in range(count):
         _send(context, _packed(_record(number)))
 
 
-@then("{count:d} records are taken in at the next look")
-def _taken(context, count):
-    taken = _look(context, count)
-    assert {d.vm for d in taken} == {f"vm-{i}" for i in range(count)}, taken
+@then("{count:d} records are processed by the next read")
+def _processed(context, count):
+    received = _read_until(context, count)
+    assert {d.vm for d in received} == {
+        f"vm-{i}" for i in range(count)
+    }, received
 
 
-@then("none at the one after")
+@then("the read after that processes none")
 def _none(context):
-    before = len(context.message_receiver.taken)
+    before = len(context.message_receiver.received)
     context.datagrams.receive_pending()
-    assert len(context.message_receiver.taken) == before
+    assert len(context.message_receiver.received) == before
 
 
-@when("a record comes that is {bad}")
+@when("a record arrives that is {bad}")
 def _bad(context, bad):
     whole = _packed(_record())
     data = {
-        "of another VM's address": _packed(_record(host="127.0.0.2")),
-        "cut short": whole[:-3],
+        "from another VM's address": _packed(_record(host="127.0.0.2")),
+        "truncated": whole[:-3],
         "not compressed": msgpack.packb(_record().to_record()),
-        "not a record": zlib.compress(msgpack.packb(["vm"])),
+        "malformed": zlib.compress(msgpack.packb(["vm"])),
         "too long": zlib.compress(bytes(4 * datagrams.MAX_UNPACKED_BYTES)),
     }[bad]
     context.logged = []
@@ -130,37 +132,37 @@
     _send(context, data)
 
 
-@then('no record is taken in and "{reason}" is logged')
+@then('no record is processed and "{reason}" is logged')
 def _refused(context, reason):
-    until = time.monotonic() + ARRIVED_S
+    until = time.monotonic() + ARRIVAL_TIMEOUT_S
     while not context.logged and time.monotonic() < until:
         context.datagrams.receive_pending()
         time.sleep(POLL_S)
     assert any(f"reason={reason}" in x for x in context.logged), context.logged
-    assert not context.message_receiver.taken
+    assert not context.message_receiver.received
 
 
-@when("it takes in a flood of records that never ends")
+@when("it reads an endless flood of records")
 def _flood(context):
     class Endless:
-        """A socket at which there is always one more."""
+        """A socket that always has another datagram."""
 
-        def recvfrom(self, most):
-            """One more."""
+        def recvfrom(self, size):
+            """Return a datagram."""
             return _packed(_record()), (HOST, 9)
 
         def close(self):
-            """Nothing to close."""
+            """Do nothing."""
 
     context.datagrams.close()
     context.datagrams._socket = Endless()
     context.datagrams.receive_pending()
 
 
-@then("one look ends after {count:d} of them")
+@then("one read ends after {count:d} of them")
 def _ends(context, count):
-    assert len(context.message_receiver.taken) == count, len(
-        context.message_receiver.taken
+    assert len(context.message_receiver.received) == count, len(
+        context.message_receiver.received
     )
 
 
@@ -184,7 +186,7 @@
     )
 
 
-@given("a fleet's VM that hears records")
+@given("a VM with a fleet link")
 def _fleet_vm(context):
     clock = clocks.ManualClock()
     context.link = fleet_link.FleetLink(
@@ -200,13 +202,13 @@
     context.closers.append(context.link.close)
 
 
-@given("a fleet's VM that hears {count:d} others")
-def _hears(context, count):
+@given("a VM whose fleet link has received records of {count:d} other VMs")
+def _received(context, count):
     _fleet_vm(context)
     context.sent = []
     for number in range(1, count + 1):
         context.link._table.heard(_record(number, f"10.0.0.{number}"))
-    # The first look finds out who aggregates.
+    # The first tick selects the aggregators.
     context.link._record_exchange.look()
 
     def send(message, receivers):
@@ -217,64 +219,65 @@
     )
 
 
-@when("runners are given {count:d} prompts at once")
+@when("{count:d} prompts are sent to runners at once")
 def _prompts(context, count):
-    async def give():
+    async def publish():
         for _ in range(count):
             context.link.publish_soon()
-        # Timers fire in their order, so however slow the machine is, the
-        # record's comes before the end of this pause.
+        # Timers fire in the order of their times. So the record is sent before
+        # this sleep ends, however slow the machine is.
         await asyncio.sleep(0.1)
 
-    asyncio.run(give())
+    asyncio.run(publish())
 
 
-@then("{count:d} record is sent within 0.1 seconds to {receivers:d} others")
+@then("{count:d} record is sent within 0.1 seconds to {receivers:d} receivers")
 def _sent(context, count, receivers):
     assert [len(each) for each in context.sent] == [
         receivers
     ] * count, context.sent
 
 
-@when("{count:d} records wait until it sees that it was frozen")
-def _still(context, count):
+@when("{count:d} records wait until the VM detects that it was suspended")
+def _suspended(context, count):
     for number in range(1, count + 1):
         _send(context, _packed(_record(number)))
-    # Loopback hands datagrams over as they are sent, so all are there.
-    _arrived(context)
+    # Loopback delivers datagrams in order and at once, so that all have
+    # arrived when one has.
+    _wait_for_datagram(context)
     context.link.handle_stall()
 
 
-@then("it hears nobody after it woke")
+@then("no peer counts as alive afterwards")
 def _nobody(context):
     asyncio.run(context.link._receive_pending())
     assert not context.link.alive, [d.vm for d in context.link.alive]
 
 
-@when("it sends a record to a receiver that can't be and then to one that is")
+@when("it sends a record to an unreachable receiver and a reachable one")
 def _sends(context):
     context.receiver = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     context.receiver.bind((HOST, 0))
-    context.receiver.settimeout(ARRIVED_S)
+    context.receiver.settimeout(ARRIVAL_TIMEOUT_S)
     context.closers.append(context.receiver.close)
     port = context.receiver.getsockname()[1]
     context.datagrams.send(_record(), ["255.255.255.255:9", f"{HOST}:{port}"])
 
 
-@then("the one that is has it")
+@then("the reachable receiver gets the record")
 def _has(context):
     data = context.receiver.recv(datagrams.MAX_DATAGRAM_BYTES)
     assert data == _packed(_record())
 
 
-def _name(rng):
+def _random_name(rng):
     return "".join(rng.choices("abcdefgh", k=4)) + str(rng.randrange(9999))
 
 
 @given("a record of a VM with {customers:d} customers and {count:d} runners")
 def _busy(context, customers, count):
     rng = random.Random(count)
-    names = [_name(rng) for _ in range(customers)]
+    names = [_random_name(rng) for _ in range(customers)]
     busy = [f"i-{rng.getrandbits(40):010x}" for _ in range(count)]
     context.record = _record()
     context.record.used = {name: rng.randrange(10**6) for name in names}
@@ -289,17 +292,17 @@
     ]
 
 
-@then("it is sent in less than {part:g} of its length")
+@then("it is sent in less than {part:g} of its uncompressed length")
 def _short(context, part):
     whole = len(msgpack.packb(context.record.to_record()))
     sent = len(datagrams.pack(context.record))
     assert sent < part * whole, (sent, whole)
 
 
-@then("it comes as it was")
-def _as_it_was(context):
-    came = datagrams.unpack(datagrams.pack(context.record))
-    wanted = msgpack.unpackb(
+@then("it is the same after decoding")
+def _decoded(context):
+    decoded = datagrams.unpack(datagrams.pack(context.record))
+    expected = msgpack.unpackb(
         msgpack.packb(context.record.to_record()), strict_map_key=False
     )
-    assert came.to_record() == wanted
+    assert decoded.to_record() == expected
--- a/tests/steps/serving_limit_calls.py
+++ b/tests/steps/serving_limit_calls.py
@@ -16,20 +16,21 @@
 from apricotlever.serving import routes
 
 HOST = "127.0.0.1"
-#: Units a second and burst; so slow that nothing is refilled meanwhile.
+#: The limit in units per second and its burst in units. The rate is so low
+#: that no units are refilled during a scenario.
 RATE = 0.001
 BURST = 100000.0
 BAD = {
-    "bytes of no form": b"\xc1\xff",
-    "a list of other things": msgpack.packb([0, "x", 3, 4]),
-    "units below zero": msgpack.packb([0, 1, "clerks", -5.0]),
-    "an unknown kind": msgpack.packb([9, 1, "clerks", 5.0]),
-    "a question of a stranger": msgpack.packb([0, 1, "clerks", 5.0]),
+    "malformed bytes": b"\xc1\xff",
+    "a list with wrong types": msgpack.packb([0, "x", 3, 4]),
+    "negative units": msgpack.packb([0, 1, "clerks", -5.0]),
+    "an unknown kind of message": msgpack.packb([9, 1, "clerks", 5.0]),
+    "a request of a stranger": msgpack.packb([0, 1, "clerks", 5.0]),
 }
 
 
 class _Vm:
-    """One VM's limits, and what asks and answers for it."""
+    """One VM's limits and protocol."""
 
     def __init__(self, name, clock):
         self.name = name
@@ -39,7 +40,7 @@
         )
         self.silent = False
         self.late = None
-        self.peers = True
+        self.accepts_peers = True
         customer = routes.Customer(
             "clerks", frozenset({"k"}), rate=RATE, burst=BURST
         )
@@ -48,29 +49,29 @@
         )
 
     def take_for(self, customer, units):
-        """Let a call of another VM in."""
+        """Admit a call of another VM."""
         return self.limits.take_for(customer, units)
 
     def given_back(self, customer, units):
-        """A call did not run."""
+        """Refund the units of a call."""
         self.limits.given_back(customer, units)
 
     def heard_total(self, process, customer, total):
-        """Another VM has counted calls."""
+        """Receive another VM's total."""
         self.limits.heard_total(process, customer, total)
 
     def is_peer(self, host):
-        """Whether it may ask."""
-        return self.peers
+        """Whether messages of a host are accepted."""
+        return self.accepts_peers
 
     @property
     def counted(self):
-        """Units that this VM let in."""
+        """Units that this VM has admitted."""
         return self.limits.admitted_units["clerks"]
 
 
 def _keeper_of(names):
-    """Who keeps the customer's limit."""
+    """Name of the VM that keeps the customer's limit."""
     found = limits.limit_keepers.LimitKeepers(clocks.ManualClock(), names[0])
     found.set_other_vms(names[1:])
     return found.keeper("clerks")
@@ -84,24 +85,24 @@
     asker = next(name for name in names if name != keeper)
     context.keeper = _Vm(keeper, context.clock)
     context.asker = _Vm(asker, context.clock)
-    _learn(context, 50000.0)
+    _initialize(context, 50000.0)
 
 
-def _learn(context, left):
-    """Both know what is left, and hear another VM."""
+def _initialize(context, left):
+    """Let both VMs know the limit's level and hear from a third VM."""
     for vm in (context.keeper, context.asker):
         vm.limits.initialize_levels({"clerks": left})
         vm.limits.set_members(frozenset({"other#1"}))
         vm.limits.receive_totals("other#1", {})
-    # In its first second a process counts on a part of the limit only.
+    # In its first second, a process uses only a fraction of the limit.
     context.clock.advance(2.0)
     for vm in (context.keeper, context.asker):
         vm.limits.receive_totals("other#1", {})
         vm.limits.set_members(frozenset({"other#1"}))
 
 
-def _play(context, work):
-    async def play():
+def _run(context, work):
+    async def run():
         keeper, asker = context.keeper, context.asker
         for vm in (keeper, asker):
             await vm.calls.listen(HOST, 0)
@@ -115,17 +116,17 @@
             keeper.calls.close()
             asker.calls.close()
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
-@when("{count:d} calls of {units:d} units come where the limit has {room}")
-def _come(context, count, units, room):
+@when("{count:d} calls of {units:d} units arrive where the limit has {room}")
+def _arrive(context, count, units, room):
     if room == "room":
         names = context.keeper.name, context.asker.name
         context.keeper, context.asker = (
             _Vm(name, context.clock) for name in names
         )
-        _learn(context, BURST)
+        _initialize(context, BURST)
     context.before = 0.0
     context.level = context.keeper.limits.of(_customer()).level
 
@@ -134,14 +135,14 @@
             permit = await context.asker.limits.let_in("clerks", float(units))
             assert permit.wait_s == 0.0, permit.wait_s
 
-    _play(context, work)
+    _run(context, work)
 
 
 def _customer():
     return routes.Customer("clerks", frozenset({"k"}), rate=RATE, burst=BURST)
 
 
-@when("a call that the keeper let in did not run")
+@when("a call that the keeper admitted did not run")
 def _not_run(context):
     context.before = 0.0
 
@@ -150,15 +151,15 @@
         assert permit.keeper == context.keeper.name
         context.asker.limits.give_back(permit)
 
-    _play(context, work)
+    _run(context, work)
 
 
-@then("the keeper has counted {kept:d} units and the VM that asked none")
+@then("the keeper has counted {kept:d} units and the asking VM none")
 def _kept(context, kept):
     _counted(context, kept, 0)
 
 
-@then("the keeper has counted {kept:d} units and the VM that asked {own:d}")
+@then("the keeper has counted {kept:d} units and the asking VM {own:d}")
 def _counted(context, kept, own):
     found = (
         context.keeper.counted,
@@ -167,28 +168,28 @@
     assert found == (kept, own), found
 
 
-@then("the VM that asked has counted {own:d} units")
+@then("the asking VM has counted {own:d} units")
 def _own(context, own):
     assert context.asker.counted == own, context.asker.counted
 
 
-@when("the keeper says nothing and a call of {units:d} units comes")
-def _nothing(context, units):
+@when("a call of {units:d} units arrives while the keeper does not answer")
+def _no_answer(context, units):
     async def work():
-        context.keeper.peers = False
+        context.keeper.accepts_peers = False
         permit = await context.asker.limits.let_in("clerks", float(units))
         assert permit.wait_s == 0.0 and not permit.keeper
         context.again = await context.asker.limits.let_in("clerks", 0.0)
 
-    _play(context, work)
+    _run(context, work)
 
 
-@then("it asks another one next time")
+@then("it asks another VM next time")
 def _another(context):
     assert context.asker.calls.request_count == 1 and not context.again.keeper
 
 
-@when("the keeper has just started and a call of {units:d} units comes")
+@when("a call of {units:d} units arrives while the keeper has just started")
 def _started(context, units):
     context.keeper.limits = limits.Limits(
         context.clock, 0.0, 0.0, "new#2", context.keeper.name
@@ -200,47 +201,47 @@
         permit = await context.asker.limits.let_in("clerks", float(units))
         assert not permit.keeper
 
-    _play(context, work)
+    _run(context, work)
 
 
-@when("the keeper's answer comes late")
+@when("the keeper's answer arrives late")
 def _late(context):
     context.before = 0.0
 
     async def work():
         keeper, asker = context.keeper, context.asker
-        keeper.peers = False
+        keeper.accepts_peers = False
         permit = await asker.limits.let_in("clerks", 100.0)
         assert not permit.keeper
-        keeper.peers = True
-        question = msgpack.packb([limit_calls.ASK, 0, "clerks", 100.0])
-        keeper.calls.datagram_received(question, (HOST, asker.calls.port))
+        keeper.accepts_peers = True
+        request = msgpack.packb([limit_calls.ASK, 0, "clerks", 100.0])
+        keeper.calls.datagram_received(request, (HOST, asker.calls.port))
 
-    _play(context, work)
+    _run(context, work)
 
 
 @when("the keeper is sent {what}")
 def _sent(context, what):
     async def work():
-        context.keeper.peers = what != "a question of a stranger"
+        context.keeper.accepts_peers = what != "a request of a stranger"
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             sock.sendto(BAD[what], (HOST, context.keeper.calls.port))
         for _ in range(10):
             await asyncio.sleep(0.005)
-        context.wrongly = context.keeper.counted
-        context.keeper.peers = True
+        context.counted_for_invalid = context.keeper.counted
+        context.keeper.accepts_peers = True
         context.permit = await context.asker.limits.let_in("clerks", 100.0)
 
-    _play(context, work)
+    _run(context, work)
 
 
-@then("it has counted nothing and goes on answering")
-def _goes_on(context):
-    assert context.wrongly == 0.0
+@then("it has counted nothing and still answers valid requests")
+def _still_answers(context):
+    assert context.counted_for_invalid == 0.0
     assert context.permit.keeper == context.keeper.name
 
 
-@then("the keeper is told of the {units:d} before any record comes")
+@then("the keeper is told of the {units:d} units before any record arrives")
 def _told(context, units):
     context.keeper.calls._keeper.heard_total.assert_called_once_with(
         f"{context.asker.name}#1", "clerks", units
--- a/tests/steps/serving_log_writer.py
+++ b/tests/steps/serving_log_writer.py
@@ -13,7 +13,7 @@
 
 
 class Pipe:
-    """A pipe with a log writer at one end and a clock."""
+    """A pipe with a log writer at one end, and a manual clock."""
 
     def __init__(self, context):
         self.now = 10.0
@@ -28,7 +28,7 @@
         ]
 
     def read(self):
-        """Lines that are there."""
+        """Return all lines that can be read."""
         data = b""
         while True:
             self.writer.flush()
@@ -39,20 +39,20 @@
             data += part
 
 
-@given("a log writer whose reader reads nothing")
-@given("a log writer whose reader reads all")
+@given("a log writer whose reader does not read")
+@given("a log writer whose reader reads all lines")
 def _writer(context):
     context.pipe = Pipe(context)
 
 
-@when("{seconds:d} seconds of {lines:d} lines each are logged")
+@when("{lines:d} lines are logged in each of {seconds:d} seconds")
 def _seconds(context, seconds, lines):
     pipe = context.pipe
     for _ in range(seconds):
         pipe.now += 1.0
         for _ in range(lines):
             logs.event("request_ended", text="x" * 1000)
-        # Would not return if a write waited.
+        # A blocking write would never return.
         pipe.writer.flush()
 
 
@@ -63,15 +63,15 @@
     logs.event("lease_lost")
 
 
-@then("no write has waited, and at most {most:d} bytes are held")
+@then("no write has blocked, and at most {most:d} bytes are buffered")
 def _bounded(context, most):
     assert (
         context.pipe.writer.buffered_bytes <= most
     ), context.pipe.writer.buffered_bytes
 
 
-@then("when the reader reads again it is told how many lines are missing")
-def _told(context):
+@then("a reader that reads again finds the number of dropped lines")
+def _dropped(context):
     pipe = context.pipe
     pipe.read()
     pipe.now += 1.0
@@ -82,14 +82,16 @@
     ), lines
 
 
-@then("the reader has {many:d} lines of the one, {few:d} of the other")
+@then(
+    "the reader gets {many:d} lines of the one event and {few:d} of the other"
+)
 def _has(context, many, few):
     lines = context.pipe.read()
     assert sum("event=request_ended" in x for x in lines) == many
     assert sum("event=lease_lost" in x for x in lines) == few
 
 
-@then("the next second tells that {count:d} are missing")
+@then("a line in the next second says that {count:d} are missing")
 def _missing(context, count):
     context.pipe.now += 1.0
     logs.event("stopping")
--- a/tests/steps/serving_pace.py
+++ b/tests/steps/serving_pace.py
@@ -10,43 +10,44 @@
 from apricotlever.serving import tasks
 
 PHASE_S = 0.0371
-BEGAN_S = 5000.0123
-#: Moments nearer than this are one wake-up of an event loop.
-SAME_S = 1e-6
-SHORT_S = 0.002
-WAIT_S = 10.0
+START_S = 5000.0123
+#: Times closer than this are one wake-up of an event loop, in seconds.
+TOLERANCE_S = 1e-6
+PERIOD_S = 0.002
+TIMEOUT_S = 10.0
 
 
 def _steps(pause_s, for_s, takes_s=0.0):
-    """When the steps of one kind of work begin."""
-    now = BEGAN_S
+    """Return when the steps of one task begin."""
+    now = START_S
     begun = []
-    while now < BEGAN_S + for_s:
+    while now < START_S + for_s:
         now += pace.seconds_until_tick(now, pause_s, PHASE_S)
         begun.append(now)
         now += takes_s
     return begun
 
 
-@when("work is repeated each {paces} s for {for_s:g} seconds")
-def _repeated(context, paces, for_s):
+@when("tasks run every {periods} s for {for_s:g} seconds")
+def _repeated(context, periods, for_s):
     context.for_s = for_s
     context.steps = {
         float(each): _steps(float(each), for_s)
-        for each in paces.replace(" and", ",").split(",")
+        for each in periods.replace(" and", ",").split(",")
         if each.strip()
     }
 
 
 @when(
-    "work each {pause_s:g} s takes {takes_s:g} s a step for {for_s:g} seconds"
+    "a task with a period of {pause_s:g} s takes {takes_s:g} s a step for "
+    "{for_s:g} seconds"
 )
 def _long(context, pause_s, takes_s, for_s):
     context.takes_s = takes_s
     context.begun = _steps(pause_s, for_s, takes_s)
 
 
-@then("each is done as often as its pace says")
+@then("each task runs as often as its period says")
 def _often(context):
     for pause_s, begun in context.steps.items():
         wanted = context.for_s / pause_s
@@ -57,7 +58,8 @@
 def _woken(context, count):
     moments = sorted(at for begun in context.steps.values() for at in begun)
     woken = 1 + sum(
-        later - sooner > SAME_S for sooner, later in zip(moments, moments[1:])
+        later - sooner > TOLERANCE_S
+        for sooner, later in zip(moments, moments[1:])
     )
     assert woken <= count, woken
 
@@ -68,10 +70,10 @@
         later - sooner - context.takes_s
         for sooner, later in zip(context.begun, context.begun[1:])
     ]
-    assert min(pauses) >= seconds - SAME_S, min(pauses)
+    assert min(pauses) >= seconds - TOLERANCE_S, min(pauses)
 
 
-@when("repeated work fails at its first two steps")
+@when("a periodic task fails at its first two steps")
 def _fails(context):
     context.done = 0
     context.logged = []
@@ -86,16 +88,16 @@
             if context.done == 3:
                 over.set()
             if context.done < 3:
-                raise TypeError("a field of another form")
+                raise TypeError("field has an unexpected type")
 
         running = tasks.Tasks()
-        running.every(SHORT_S, step)
-        await asyncio.wait_for(over.wait(), WAIT_S)
+        running.every(PERIOD_S, step)
+        await asyncio.wait_for(over.wait(), TIMEOUT_S)
 
     asyncio.run(work())
 
 
-@then("it is done a third time, and {count:d} failures are logged")
+@then("it runs a third time, and {count:d} failures are logged")
 def _third(context, count):
     assert context.done >= 3
     assert context.logged.count("task_failed") == count, context.logged
