--- a/tests/serving/reloading.feature
+++ b/tests/serving/reloading.feature
@@ -1,21 +1,20 @@
-Feature: Settings read again while a process runs
+Feature: Reloading of the settings while a process runs
 
-  Scenario: Other seeds are taken over, once
+  Scenario: Changed seeds are applied once
     Given a process that was started with seeds "a, b"
-    When its file says seeds "a, c" and is read 2 times
-    Then it took over "a, c" 1 times
+    When its settings file has seeds "a, c" and is read 2 times
+    Then the seeds "a, c" were applied 1 times
 
-  Scenario: A file that says the same changes nothing
+  Scenario: An unchanged file changes nothing
     Given a process that was started with seeds "a, b"
-    When its file says seeds "a, b" and is read 2 times
-    Then it took over nothing
+    When its settings file has seeds "a, b" and is read 2 times
+    Then no seeds were applied
 
-  # Symptom: a VM forgets its seeds, or ends, while operators edit its settings.
-  # Events: the file is written in place and read when half of it is there.
-  # Cause: a file taken for whole because it was for its first reading.
-  Scenario: An invalid file changes nothing, and a whole one later does
+  # Guards against a VM that loses its seeds or ends while operators edit its
+  # settings: the file is written in place and read while it is incomplete.
+  Scenario: An invalid file changes nothing, and a later valid one is applied
     Given a process that was started with seeds "a, b"
-    When its file is cut short and is read 1 times
-    Then it took over nothing
-    When its file says seeds "c" and is read 1 times
-    Then it took over "c" 1 times
+    When its settings file is truncated and is read 1 times
+    Then no seeds were applied
+    When its settings file has seeds "c" and is read 1 times
+    Then the seeds "c" were applied 1 times
--- a/tests/serving/tasks.feature
+++ b/tests/serving/tasks.feature
@@ -1,18 +1,17 @@
-Feature: A task that a process can't do without goes on
+Feature: Essential tasks of a process are restarted
 
-  # Symptom: a VM follows the store no more, and nothing says so.
-  # Events: the task that follows it meets an error that it does not expect.
-  # Cause: a task that fails ends for good.
-  Scenario: A supervised task starts again, ever later
-    Given a supervised task that fails 6 times and then goes on
+  # Guards against a VM that silently stops following the store, after its task
+  # ended with an unexpected error.
+  Scenario: A supervised task is restarted with increasing delays
+    Given a supervised task that fails 6 times and then continues
     When 10 seconds of the loop pass
-    Then it was started 7 times, with pauses that grow
-    And its ends are in the log and in the metrics
+    Then it was started 7 times, with increasing delays
+    And its restarts are in the log and in the metrics
 
-  Scenario: A watch whose listener fails reads the list anew
+  Scenario: A watch whose listener fails reads the list again
     Given a watch whose listener fails at the first list
     When 1 seconds of the loop pass
-    Then the list was read twice and the watch is in touch
+    Then the list was read twice and the watch is connected
 
   # Guards against every VM listing roll-out orders when a fleet starts, or
   # when its followers briefly lose the store.
@@ -21,4 +20,4 @@
     When 2 seconds of the loop pass
     Then the list was not read
     When 4 seconds of the loop pass
-    Then the list was read once and the watch is in touch
+    Then the list was read once and the watch is connected
--- a/tests/serving/world.py
+++ b/tests/serving/world.py
@@ -1,4 +1,4 @@
-"""One entry VM's request path with runner stand-ins, on one event loop."""
+"""The request path of one entry VM with fake runners, on one event loop."""
 
 import asyncio
 import random
@@ -22,7 +22,10 @@
 
 
 class Reply:
-    """What a caller read."""
+    """A response as its caller received it.
+
+    :param complete: whether the whole response was received.
+    """
 
     def __init__(self, status, headers, body, complete):
         self.status = status
@@ -38,7 +41,7 @@
 
 
 class World:
-    """The path, its runners and a caller's side."""
+    """The request path, its fake runners and a caller."""
 
     def __init__(self):
         self.clock = clocks.ManualClock()
@@ -73,12 +76,15 @@
         self.connection = None
 
     async def start(self):
-        """Listen for callers."""
+        """Start the server for callers."""
         self.port = await self.server.listen("127.0.0.1", 0)
         self.sweeper = asyncio.ensure_future(self.server.sweep_forever())
 
     async def add_runner(self, names):
-        """Start a runner with behaviours."""
+        """Start a fake runner.
+
+        :param names: names of the runner's behaviours.
+        """
         name = f"runner-{len(self.standins) + 1}"
         standin = runner_standin.RunnerStandin(name, names)
         await standin.start()
@@ -91,7 +97,7 @@
         return standin
 
     def configure(self, kind, limits=None, rate=0.0, **more):
-        """Put a configuration with one route in force."""
+        """Activate a configuration with one route."""
         self.configuration = configuration = routes.Configuration(
             1,
             [_route(kind, **more)],
@@ -121,7 +127,7 @@
         await writer.drain()
 
     async def receive(self):
-        """Read one answer."""
+        """Read one response."""
         reader, _ = self.connection
         try:
             return await self._read(reader)
@@ -131,7 +137,7 @@
             return Reply(0, {}, partial, False)
 
     async def call(self, **more):
-        """One call and its answer."""
+        """Send a call and read its response."""
         await self.send(**more)
         return await self.receive()
 
@@ -164,7 +170,7 @@
             return bytes(body), False
 
     async def stop(self):
-        """Close everything."""
+        """Stop the server and all fake runners."""
         self.sweeper.cancel()
         self.server.close()
         for standin in self.standins:
--- a/tests/steps/serving_drain.py
+++ b/tests/steps/serving_drain.py
@@ -13,26 +13,26 @@
 
 
 class Draining:
-    """A VM whose time passes each time that it is asked for its calls."""
+    """A stopping VM whose clock advances at each check for open calls."""
 
     def __init__(self, shutdown_s):
         self.clock = clocks.ManualClock(0.0)
         self.shutdown_s = shutdown_s
         self.busy_until = 0.0
-        self.stopped_taking_at = None
+        self.refusing_since = None
 
     def busy(self):
-        """Calls being answered; time passes."""
+        """Advance the clock, and return the number of open calls."""
         now = self.clock.advance(STEP_S)
         return int(now < self.busy_until)
 
     def stop_taking(self):
-        """No more calls."""
-        assert self.stopped_taking_at is None
-        self.stopped_taking_at = self.clock.now()
+        """Record when new calls began to be refused."""
+        assert self.refusing_since is None
+        self.refusing_since = self.clock.now()
 
     def run(self):
-        """Wait for the end."""
+        """Wait until the VM may end."""
         asyncio.run(
             drain.wait_until_idle(
                 self.clock, self.busy, self.shutdown_s, self.stop_taking, 0.0
@@ -45,7 +45,7 @@
     context.draining = Draining(seconds)
 
 
-@when("it has no calls")
+@when("it has no calls to answer")
 def _no_calls(context):
     context.draining.run()
 
@@ -62,17 +62,17 @@
     ), context.draining.clock.now()
 
 
-@then("it ends within {least:f} to {most:f} seconds, still taking calls")
-def _taking(context, least, most):
+@then("it ends within {least:f} to {most:f} seconds, still accepting calls")
+def _accepting(context, least, most):
     _ended(context, least, most)
-    assert context.draining.stopped_taking_at is None
+    assert context.draining.refusing_since is None
 
 
 @then(
-    "it ends within {least:f} to {most:f} seconds, taking no calls after "
+    "it ends within {least:f} to {most:f} seconds, refusing calls after "
     "{seconds:d} seconds"
 )
-def _not_taking(context, least, most, seconds):
+def _refusing(context, least, most, seconds):
     _ended(context, least, most)
-    at = context.draining.stopped_taking_at
+    at = context.draining.refusing_since
     assert seconds <= at <= seconds + 2 * STEP_S, at
--- a/tests/steps/serving_peers.py
+++ b/tests/steps/serving_peers.py
@@ -13,11 +13,11 @@
 from apricotlever.serving import peers
 
 VERSION = 9
-WAIT_S = 20.0
+TIMEOUT_S = 20.0
 
 
 class NewsSource:
-    """A VM with a configuration."""
+    """A VM with a configuration of so many routes."""
 
     version = VERSION
 
@@ -29,11 +29,11 @@
         }
 
     def configuration_after(self, version):
-        """The configuration, None if it is not newer."""
+        """The configuration document; None unless newer than a version."""
         return self.spec if self.version > version else None
 
     def is_peer(self, host):
-        """Everybody is."""
+        """Accept every host."""
         return True
 
 
@@ -78,34 +78,34 @@
     with mock.patch.object(
         peers.msgpack, "packb", side_effect=msgpack.packb
     ) as packb:
-        work = asyncio.wait_for(_fetch(context, count, 0), WAIT_S)
-        context.found = asyncio.run(work)
-    context.packed = packb.call_count
+        work = asyncio.wait_for(_fetch(context, count, 0), TIMEOUT_S)
+        context.fetched = asyncio.run(work)
+    context.encode_count = packb.call_count
 
 
 @when("a VM that has the same version fetches it")
 def _same(context):
-    work = asyncio.wait_for(_fetch(context, 1, VERSION), WAIT_S)
-    context.found = asyncio.run(work)
+    work = asyncio.wait_for(_fetch(context, 1, VERSION), TIMEOUT_S)
+    context.fetched = asyncio.run(work)
 
 
-@then("each has it as it was written")
+@then("each of them gets it unchanged")
 def _each(context):
-    assert all(spec == context.source.spec for spec in context.found)
+    assert all(spec == context.source.spec for spec in context.fetched)
 
 
-@then("it was packed once, into less than a quarter of its length")
+@then("it was encoded once, into less than a quarter of its length")
 def _once(context):
-    assert context.packed == 1, context.packed
+    assert context.encode_count == 1, context.encode_count
     sent = len(context.server._configuration(0))
     assert sent < len(msgpack.packb(context.source.spec)) / 4, sent
 
 
-@then("a fetch of it may take {seconds:d} seconds")
+@then("the timeout of its fetch is at least {seconds:d} seconds")
 def _seconds(context, seconds):
     assert peers.CONFIGURATION_FETCH_TIMEOUT_S >= seconds
 
 
-@then("it gets none")
+@then("no configuration is returned")
 def _none(context):
-    assert context.found == [None]
+    assert context.fetched == [None]
--- a/tests/steps/serving_reloading.py
+++ b/tests/steps/serving_reloading.py
@@ -13,18 +13,18 @@
 
 
 class _File:
-    """A settings file that may be cut short."""
+    """A settings file that may be truncated."""
 
     def __init__(self, seeds):
         self.seeds = seeds
 
     def read(self):
-        """Its settings.
+        """Return the settings in the file.
 
-        :raises ValueError: when it is cut short.
+        :raises ValueError: if the file is truncated.
         """
         if self.seeds is None:
-            raise ValueError("cut short")
+            raise ValueError("settings file is truncated")
         return _Settings(self.seeds)
 
 
@@ -35,31 +35,31 @@
 @given('a process that was started with seeds "{seeds}"')
 def _started(context, seeds):
     context.file = _File(_seeds(seeds))
-    context.taken = []
-    context.reloading = reloading.SettingsReloader(
-        context.file.read, context.taken.append
+    context.applied = []
+    context.reloader = reloading.SettingsReloader(
+        context.file.read, context.applied.append
     )
 
 
-@when('its file says seeds "{seeds}" and is read {times:d} times')
-def _says(context, seeds, times):
+@when('its settings file has seeds "{seeds}" and is read {times:d} times')
+def _has(context, seeds, times):
     context.file.seeds = _seeds(seeds)
     for _ in range(times):
-        context.reloading.reload()
+        context.reloader.reload()
 
 
-@when("its file is cut short and is read {times:d} times")
-def _cut_short(context, times):
+@when("its settings file is truncated and is read {times:d} times")
+def _truncated(context, times):
     context.file.seeds = None
     for _ in range(times):
-        context.reloading.reload()
+        context.reloader.reload()
 
 
-@then('it took over "{seeds}" {times:d} times')
-def _took(context, seeds, times):
-    assert context.taken == [_seeds(seeds)] * times, context.taken
+@then('the seeds "{seeds}" were applied {times:d} times')
+def _applied(context, seeds, times):
+    assert context.applied == [_seeds(seeds)] * times, context.applied
 
 
-@then("it took over nothing")
+@then("no seeds were applied")
 def _nothing(context):
-    assert not context.taken, context.taken
+    assert not context.applied, context.applied
--- a/tests/steps/serving_restarts.py
+++ b/tests/steps/serving_restarts.py
@@ -34,7 +34,7 @@
 def _waits(context):
     world = context.world
     first, second = world.standins
-    # The second one leaves for a moment: the first gets the call.
+    # The second runner leaves for a moment, so that the first gets the call.
     world.directory.changed(_started(first, "runner-1", 2, BORN))
     world.directory.changed(
         runners.Runner(
@@ -54,8 +54,8 @@
     world.upstreams.refresh()
 
 
-@when("runner 1 starts again at {place}")
-def _again(context, place):
+@when("runner 1 restarts at {place}")
+def _restarts(context, place):
     world = context.world
     first = world.standins[0]
     standin = first
@@ -88,8 +88,8 @@
     assert ran == count, [s.ran for s in context.world.standins]
 
 
-@then("nothing counts against runner 1, and no connection to it is kept")
-def _nothing(context):
+@then("runner 1 has no recorded failures and no open connection")
+def _no_failures(context):
     upstreams = context.world.upstreams
     (runner,) = context.world.directory.runners
     assert context.ended == ["runner-1"], context.ended
@@ -98,7 +98,7 @@
     assert upstreams.pool(runner).open == 0
 
 
-@then("the next call names it by its name")
+@then("the next call is addressed to runner 1 by its name")
 def _names(context):
     world = context.world
     _run(context, world.call(call_id="call-2"))
@@ -112,7 +112,7 @@
     )
 
 
-@when("a call breaks off at a runner that then starts again, twice")
+@when("a call breaks off at a runner that then restarts, twice")
 def _twice(context):
     watch: crash_watch.CrashWatch = context.watch
     context.customer = routes.Customer("c", frozenset({"k"}))
@@ -129,7 +129,7 @@
     watch.listed([again])
 
 
-@then("that call is kept away")
-def _kept(context):
+@then("the call is blocked")
+def _blocked(context):
     kept_s = context.watch.kept_away_s(context.poison, context.customer)
     assert kept_s, kept_s
--- a/tests/steps/serving_tasks.py
+++ b/tests/steps/serving_tasks.py
@@ -15,14 +15,14 @@
 
 
 class _Loop(asyncio.SelectorEventLoop):
-    """A loop on which waiting takes no time."""
+    """An event loop whose clock skips waiting times."""
 
     def __init__(self):
         super().__init__()
         self._now = 0.0
 
     def time(self):
-        """Seconds since the start."""
+        """Return the seconds since the start."""
         return self._now
 
     def _run_once(self):
@@ -31,7 +31,7 @@
         super()._run_once()
 
 
-@given("a supervised task that fails {count:d} times and then goes on")
+@given("a supervised task that fails {count:d} times and then continues")
 def _fails(context, count):
     context.starts = []
 
@@ -47,26 +47,26 @@
 @given("a watch whose listener fails at the first list")
 def _watch(context):
     class Store:
-        """Lists nothing, and no change comes."""
+        """An empty store without changes, which counts its lists."""
 
         lists = 0
 
         async def list_all(self, kind):
-            """The list."""
+            """Return an empty list."""
             self.lists += 1
             return store.Page([], False, 5)
 
         async def watch(self, kind, revision, wait_s):
-            """Nothing."""
+            """Wait without reporting a change."""
             await asyncio.sleep(1000)
 
     class Listener:
-        """Fails once."""
+        """Fails at the first list."""
 
         failed = False
 
         def listed(self, page):
-            """Take the list."""
+            """Accept the list, except the first one."""
             if not self.failed:
                 self.failed = True
                 raise AttributeError("an error of the test")
@@ -100,7 +100,7 @@
         """Accepts every list."""
 
         def listed(self, page):
-            """Take the list."""
+            """Accept the list."""
 
     context.store = Store()
     context.watcher = store_watch.Watcher(
@@ -119,7 +119,7 @@
     assert not context.store.lists and not context.in_touch
 
 
-@then("the list was read once and the watch is in touch")
+@then("the list was read once and the watch is connected")
 def _list_read_once(context):
     assert context.store.lists == 1 and context.in_touch
 
@@ -143,20 +143,20 @@
         logs.teardown()
 
 
-@then("it was started {count:d} times, with pauses that grow")
+@then("it was started {count:d} times, with increasing delays")
 def _started(context, count):
     assert len(context.starts) == count, context.starts
     pauses = [b - a for a, b in itertools.pairwise(context.starts)]
     assert pauses == sorted(pauses) and pauses[-1] > 4 * pauses[0], pauses
 
 
-@then("its ends are in the log and in the metrics")
-def _told(context):
-    told = [line for line in context.logged if "task_restarts" in line]
-    assert len(told) == 6 and "KeyError" in told[0], context.logged
+@then("its restarts are in the log and in the metrics")
+def _logged(context):
+    lines = [line for line in context.logged if "task_restarts" in line]
+    assert len(lines) == 6 and "KeyError" in lines[0], context.logged
     assert context.running.restarts == {"watch": 6}
 
 
-@then("the list was read twice and the watch is in touch")
+@then("the list was read twice and the watch is connected")
 def _in_touch(context):
     assert context.store.lists == 2 and context.in_touch
