--- a/src/apricotlever/serving/limit_calls.py
+++ b/src/apricotlever/serving/limit_calls.py
@@ -1,7 +1,7 @@
-"""What VMs ask each other of limits, by datagrams.
+"""Protocol by which VMs ask the keeper of a limit to admit calls, over UDP.
 
-A datagram that is lost costs a caller nothing but the wait for its answer:
-the VM that asked decides by itself then.
+If a datagram is lost, the asking VM decides by itself. The caller's only cost
+is the wait for the answer.
 """
 
 import asyncio
@@ -15,16 +15,18 @@
 
 from . import log_limit
 
-#: How long an answer is waited for, in seconds: some times the way there and
-#: back, and less than callers notice.
-ASK_S = 0.02
-#: Answers that come later than that are still understood for so long.
-EXPIRED_S = 2.0
-#: Kinds of messages, the first field of each.
+#: How long a VM waits for an answer, in seconds: several round trips, and less
+#: than callers notice.
+ANSWER_TIMEOUT_S = 0.02
+#: How long after its request an answer is still processed, in seconds. An
+#: answer after the timeout may admit a call that was counted already, and its
+#: units must be refunded.
+LATE_ANSWER_S = 2.0
+#: Kinds of messages, the first field of each message.
 ASK = 0
 ANSWER = 1
-GIVE_BACK = 2
-COUNTED = 3
+REFUND = 2
+LOCAL_TOTAL = 3
 
 _IS_ASK = validation.is_tuple_of(
     validation.is_non_negative_int,
@@ -37,45 +39,49 @@
     validation.is_non_negative_int,
     validation.is_none_or(validation.is_non_negative_number),
 )
-_IS_GIVE_BACK = validation.is_tuple_of(
+_IS_REFUND = validation.is_tuple_of(
     validation.is_non_negative_int,
     validation.is_non_empty_string,
     validation.is_non_negative_number,
 )
-_IS_COUNTED = validation.is_tuple_of(
+_IS_LOCAL_TOTAL = validation.is_tuple_of(
     validation.is_non_negative_int,
     validation.is_non_empty_string,
     validation.is_non_empty_string,
     validation.is_non_negative_number,
 )
-_FORMS = {
+_VALIDATORS = {
     ASK: _IS_ASK,
     ANSWER: _IS_ANSWER,
-    GIVE_BACK: _IS_GIVE_BACK,
-    COUNTED: _IS_COUNTED,
+    REFUND: _IS_REFUND,
+    LOCAL_TOTAL: _IS_LOCAL_TOTAL,
 }
 
 Address = tuple[str, int]
 
 
 class Keeper(typing.Protocol):
-    """Decides for other VMs."""
+    """Counts calls of other VMs against the limits that it keeps."""
 
     def take_for(self, customer: str, units: float) -> float | None:
-        """Let a call of another VM in.
+        """Admit a call of another VM if the customer's limit allows it.
 
-        :returns: 0 if it was let in, else the seconds until it may be; None
-            when this VM can't tell.
+        :returns: 0 if the call was admitted, else the seconds until it may
+            be; None if this VM does not know the level of the limit.
         """
 
     def given_back(self, customer: str, units: float) -> None:
-        """A call that was let in did not run."""
+        """Refund the units of an admitted call that did not run."""
 
     def heard_total(self, process: str, customer: str, total: float) -> None:
-        """Another VM has counted calls by itself."""
+        """Receive the units that another VM has counted by itself.
+
+        :param process: the other VM's process.
+        :param total: units of the customer since that process started.
+        """
 
 
-class _Question:
+class _PendingRequest:
     __slots__ = ("answer", "asked_at", "customer", "units")
 
     def __init__(
@@ -92,21 +98,22 @@
 
 
 class LimitCalls(asyncio.DatagramProtocol):
-    """Asks other VMs, and answers them.
+    """Sends requests to keepers of limits, and answers those of other VMs.
 
-    :param keeper: this VM's counts.
-    :param is_peer: whether an IP number is a member's.
+    :param keeper: admits calls of other VMs on this VM.
+    :param is_peer: whether an IP address belongs to a member of the fleet.
+    :param refusals: limits the log lines about refused messages.
     """
 
     __slots__ = (
         "_is_peer",
         "_keeper",
         "_numbers",
-        "_open",
+        "_pending",
         "_refusals",
         "_transport",
-        "asked",
-        "unanswered",
+        "request_count",
+        "timeout_count",
     )
 
     def __init__(
@@ -120,15 +127,15 @@
         self._refusals = refusals
         self._transport: asyncio.DatagramTransport | None = None
         self._numbers = itertools.count()
-        #: Questions by number, until it is too late for an answer.
-        self._open: dict[int, _Question] = {}
-        #: Questions so far, and those without an answer in time.
-        self.asked = 0
-        self.unanswered = 0
+        #: Requests by number, until LATE_ANSWER_S have passed.
+        self._pending: dict[int, _PendingRequest] = {}
+        #: Requests sent, and those that were not answered in time.
+        self.request_count = 0
+        self.timeout_count = 0
 
     @property
     def port(self) -> int:
-        """Where the others ask, 0 for nowhere."""
+        """Local port of the socket, 0 while the socket is closed."""
         if self._transport is None:
             return 0
         return int(self._transport.get_extra_info("sockname")[1])
@@ -149,102 +156,107 @@
     async def take(
         self, address: Address, customer: str, units: float
     ) -> float | None:
-        """Ask a keeper to let a call in.
+        """Ask a keeper to admit a call.
 
-        :returns: as :meth:`Keeper.take_for`; None also without an answer.
-        :raises TimeoutError: when none came in time.
+        :param address: the keeper's address.
+        :returns: as :meth:`Keeper.admit_for_peer`.
+        :raises TimeoutError: if the keeper did not answer in time.
         """
         loop = asyncio.get_running_loop()
-        self._forget(loop.time())
+        self._discard_expired(loop.time())
         number = next(self._numbers)
-        question = _Question(
+        request = _PendingRequest(
             customer, units, loop.time(), loop.create_future()
         )
-        self._open[number] = question
-        self.asked += 1
+        self._pending[number] = request
+        self.request_count += 1
         self._send([ASK, number, customer, units], address)
         try:
-            async with asyncio.timeout(ASK_S):
-                wait_s = await question.answer
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
+                wait_s = await request.answer
         except TimeoutError:
-            self.unanswered += 1
+            self.timeout_count += 1
             raise
-        self._open.pop(number, None)
+        self._pending.pop(number, None)
         return wait_s
 
-    def give_back(self, address: Address, customer: str, units: float) -> None:
-        """Tell a keeper that a call which it let in did not run."""
-        self._send([GIVE_BACK, customer, units], address)
+    def send_refund(
+        self, address: Address, customer: str, units: float
+    ) -> None:
+        """Tell a keeper that a call which it admitted did not run."""
+        self._send([REFUND, customer, units], address)
 
-    def counted(
+    def send_local_total(
         self, address: Address, process: str, customer: str, total: float
     ) -> None:
-        """Tell a keeper what this VM has counted by itself.
+        """Tell a keeper the units that this VM has counted by itself.
 
-        Records tell it too, but late: until then the keeper would let calls
-        in for which there is no room.
+        Records contain the total, too, but arrive later. Until then the keeper
+        would admit calls for which the limit has no room.
 
+        :param process: this VM's process.
         :param total: units of the customer since this process started.
         """
-        self._send([COUNTED, process, customer, total], address)
+        self._send([LOCAL_TOTAL, process, customer, total], address)
 
-    # What asyncio calls.
+    # Methods of asyncio.DatagramProtocol.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The socket is open."""
+        """Keep the transport of the open socket."""
         self._transport = typing.cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        """A message of another VM."""
+        """Process a message of another VM."""
         if not self._is_peer(addr[0]):
-            self._refused(addr[0], "stranger")
+            self._log_refusal(addr[0], "stranger")
             return
         try:
             message = msgpack.unpackb(data)
         except (ValueError, TypeError) as error:
-            self._refused(addr[0], type(error).__name__)
+            self._log_refusal(addr[0], type(error).__name__)
             return
         kind = message[0] if isinstance(message, list) and message else None
-        form = _FORMS.get(kind) if isinstance(kind, int) else None
-        if form is None or not form(message):
-            self._refused(addr[0], "no_such_message")
+        is_valid = _VALIDATORS.get(kind) if isinstance(kind, int) else None
+        if is_valid is None or not is_valid(message):
+            self._log_refusal(addr[0], "no_such_message")
         elif kind == ASK:
             _, number, customer, units = message
             wait_s = self._keeper.take_for(customer, units)
             self._send([ANSWER, number, wait_s], addr)
         elif kind == ANSWER:
-            self._answered(message[1], message[2], addr)
-        elif kind == GIVE_BACK:
+            self._receive_answer(message[1], message[2], addr)
+        elif kind == REFUND:
             self._keeper.given_back(message[1], message[2])
         else:
             self._keeper.heard_total(*message[1:])
 
-    def _answered(
+    def _receive_answer(
         self, number: int, wait_s: float | None, address: Address
     ) -> None:
-        question = self._open.get(number)
-        if question is None:
+        request = self._pending.get(number)
+        if request is None:
             return
-        if not question.answer.done():
-            question.answer.set_result(wait_s)
+        if not request.answer.done():
+            request.answer.set_result(wait_s)
             return
-        del self._open[number]
+        del self._pending[number]
         if wait_s == 0.0:
-            # Too late: this VM has counted the call itself meanwhile.
-            self.give_back(address, question.customer, question.units)
-
-    def _forget(self, now: float) -> None:
-        """Drop questions to which no answer comes any more."""
-        while self._open:
-            number = next(iter(self._open))
-            if now - self._open[number].asked_at < EXPIRED_S:
+            # After the timeout, this VM counted the call itself. Without the
+            # refund, the call would count twice.
+            self.send_refund(address, request.customer, request.units)
+
+    def _discard_expired(self, now: float) -> None:
+        """Drop requests whose answers would no longer be processed."""
+        while self._pending:
+            number = next(iter(self._pending))
+            if now - self._pending[number].asked_at < LATE_ANSWER_S:
                 return
-            del self._open[number]
+            del self._pending[number]
 
     def _send(self, message: list[typing.Any], address: Address) -> None:
         if self._transport is not None:
             self._transport.sendto(msgpack.packb(message), address)
 
-    def _refused(self, host: str, reason: str) -> None:
+    def _log_refusal(self, host: str, reason: str) -> None:
         if self._refusals.allows(host):
             logs.event("peer_refused", peer=host, reason=reason)
--- a/src/apricotlever/serving/log_writer.py
+++ b/src/apricotlever/serving/log_writer.py
@@ -1,4 +1,4 @@
-"""Writes log lines in bounded volume, without ever waiting for a reader."""
+"""Writes log lines in bounded volume, without blocking on a slow reader."""
 
 import asyncio
 import os
@@ -9,34 +9,36 @@
 from . import pace
 
 STANDARD_OUTPUT = 1
-#: Between two writes, in seconds: lines of one moment go out together, for
-#: one system call instead of one each.
-FLUSH_S = 0.1
-#: Lines of one kind of event in a second. A fault that hits every call would
-#: otherwise spend the processor on telling of it.
-MOST_LINES = 100
-#: Bytes that wait for a reader that does not read.
-MOST_BYTES = 1_000_000
+#: Time between two writes, in seconds. Lines are collected, so that one system
+#: call writes many of them.
+FLUSH_INTERVAL_S = 0.1
+#: Maximum number of lines of one event name in a period. A fault that affects
+#: every call would otherwise use up the processor for its log lines.
+MAX_LINES_PER_EVENT = 100
+#: Number of unwritten bytes above which lines are dropped.
+MAX_BUFFERED_BYTES = 1_000_000
+#: Period over which lines are counted, in seconds.
 PERIOD_S = 1.0
 
 
 class LogWriter:
-    """Gathers lines and writes them to a file descriptor.
+    """Collects lines and writes them to a file descriptor.
 
-    What is left out, as there are too many of a kind or nobody reads, is
-    counted and told in a line of its own.
+    Lines are dropped if there are too many of one event or the reader does not
+    read. The dropped lines are counted, and their count is logged.
 
-    :param descriptor: made non-blocking.
+    :param descriptor: the file descriptor, which is made non-blocking.
+    :param now: the time source, in seconds; the event loop's clock by default.
     """
 
     __slots__ = (
         "_bytes",
         "_counts",
         "_descriptor",
-        "_left_out",
+        "_dropped",
         "_lines",
         "_period",
-        "_rest",
+        "_unwritten",
         "_now",
     )
 
@@ -50,58 +52,62 @@
         self._now = now
         self._lines: list[str] = []
         self._bytes = 0
-        self._rest = b""
+        self._unwritten = b""
         self._counts: dict[str, int] = {}
-        self._left_out: dict[str, int] = {}
+        self._dropped: dict[str, int] = {}
         self._period = 0
 
     @property
-    def held(self) -> int:
-        """Bytes that wait for the reader."""
+    def buffered_bytes(self) -> int:
+        """Number of bytes that are not written yet."""
         return self._bytes
 
     def write(self, name: str, text: str) -> None:
-        """Take a line of an event; it is written soon."""
-        self._turn_period()
+        """Buffer a line for the next write.
+
+        :param name: name of the event.
+        :param text: the line without a line break.
+        """
+        self._start_period_if_due()
         count = self._counts.get(name, 0) + 1
         self._counts[name] = count
-        if count > MOST_LINES or self._bytes > MOST_BYTES:
-            self._left_out[name] = self._left_out.get(name, 0) + 1
+        if count > MAX_LINES_PER_EVENT or self._bytes > MAX_BUFFERED_BYTES:
+            self._dropped[name] = self._dropped.get(name, 0) + 1
             return
         self._lines.append(text)
         self._bytes += len(text)
 
     def flush(self) -> None:
-        """Write what the reader takes now."""
+        """Write as much as the descriptor accepts without blocking."""
         if self._lines:
-            self._rest += ("\n".join(self._lines) + "\n").encode()
+            self._unwritten += ("\n".join(self._lines) + "\n").encode()
             self._lines.clear()
-        if not self._rest:
+        if not self._unwritten:
             return
         try:
-            written = os.write(self._descriptor, self._rest)
+            written = os.write(self._descriptor, self._unwritten)
         except BlockingIOError:
             written = 0
         except OSError:
-            # Nobody will ever read; there is nowhere to tell it.
-            written = len(self._rest)
-        self._rest = self._rest[written:]
-        self._bytes = len(self._rest)
+            # The reader is gone, and there is no other place to log to.
+            written = len(self._unwritten)
+        self._unwritten = self._unwritten[written:]
+        self._bytes = len(self._unwritten)
 
     async def run(self) -> None:
-        """Write again and again."""
+        """Flush the buffer periodically, until cancelled."""
         while True:
-            await pace.pause(FLUSH_S)
-            self._turn_period()
+            await pace.pause(FLUSH_INTERVAL_S)
+            self._start_period_if_due()
             self.flush()
 
-    def _turn_period(self) -> None:
+    def _start_period_if_due(self) -> None:
         now = self._now or asyncio.get_running_loop().time
         period = int(now() / PERIOD_S)
         if period == self._period:
             return
         self._period = period
         self._counts.clear()
-        left_out, self._left_out = self._left_out, {}
-        for name, count in left_out.items():
+        dropped, self._dropped = self._dropped, {}
+        for name, count in dropped.items():
             logs.event("lines_left_out", of=name, count=count)
--- a/src/apricotlever/serving/node.py
+++ b/src/apricotlever/serving/node.py
@@ -1,4 +1,4 @@
-"""One entry VM: everything wired together on one event loop."""
+"""Connects all components of one entry VM on one event loop."""
 
 import asyncio
 import random
@@ -44,24 +44,29 @@
 from . import upstreams
 
 TICK_S = 0.1
-#: A process contends for no duty before it has run for so long, in seconds: it
-#: knows few others, and of a fleet that starts at once each VM would.
-SETTLE_S = 1.0
-#: A tick that is so late, in seconds, shows that the process stood still.
-PAUSE_S = 1.0
+#: How long a process must have run before it competes for a duty, in seconds.
+#: A new process knows few other VMs: when a whole fleet starts at once, each
+#: VM would compete for every duty.
+MIN_UPTIME_FOR_DUTIES_S = 1.0
+#: Time between two ticks, in seconds, above which the process is taken to have
+#: been suspended.
+STALL_THRESHOLD_S = 1.0
 
 
 class Node:
     """One entry VM.
 
-    :param read_settings: reads the settings file, now and on a change.
-    :param dialect: what is spoken at the edges.
-    :param listening: ports that were opened before, for :meth:`run`.
+    :param read_settings: reads the settings file, at the start and at each
+        reload.
+    :param dialect: the protocols of callers, runners and platform.
+    :param rng: the source of randomness of all components.
+    :param listening: listening sockets that are already open, for
+        :meth:`run`.
     """
 
     def __init__(
         self,
-        read_settings: settings.Reader,
+        read_settings: settings.SettingsReader,
         dialect: dialects.Dialect,
         clock: clocks.Clock,
         rng: random.Random,
@@ -70,10 +75,10 @@
         self._dialect = dialect
         self._clock = clock
         self._rng = rng
-        self._reloading = reloading.Reloading(
+        self._reloader = reloading.SettingsReloader(
             read_settings, lambda seeds: self._fleet.set_seeds(seeds)
         )
-        self._settings = config = self._reloading.settings
+        self._settings = config = self._reloader.settings
         self._incarnation = time.time_ns() // 1_000_000
         self._process = f"{config.vm}#{self._incarnation}"
         self._configuration: routes.Configuration | None = None
@@ -94,7 +99,7 @@
             config.data_centre,
             self._directory,
             self._process,
-            lambda: self._fleet.news(),
+            lambda: self._fleet.publish_soon(),
             self._roll_outs,
         )
         self._limits = limits.Limits(
@@ -107,7 +112,7 @@
         self._limit_calls = limit_calls.LimitCalls(
             self._limits, self.is_peer, log_limit.LogLimit(clock)
         )
-        self._budget = retry_allowance.RetryAllowance(
+        self._retry_allowance = retry_allowance.RetryAllowance(
             clock,
             config.bounds.retry_ratio,
             config.bounds.retry_least,
@@ -120,7 +125,7 @@
             dialect,
             self._upstreams,
             self._limits,
-            self._budget,
+            self._retry_allowance,
             self._usage,
             rng,
         )
@@ -147,16 +152,19 @@
         self._leaving_since: float | None = None
         self._started_at = clock.now()
         self._ticked_at: float | None = None
-        self._ended = asyncio.Event()
+        self._stopped = asyncio.Event()
 
     @property
     def ready(self) -> bool:
-        """Whether callers may be sent here."""
+        """Whether callers should be sent to this VM."""
         return self._configuration is not None and self._leaving_since is None
 
     @property
-    def _follows_store(self) -> bool:
-        """Whether all watchers but that of roll-out orders are in touch."""
+    def _is_following_store(self) -> bool:
+        """Whether all watchers are connected to the store.
+
+        The watcher of roll-out orders is ignored.
+        """
         orders = self._dialect.platform.roll_outs_kind
         return all(
             watcher.in_touch
@@ -166,22 +174,22 @@
 
     @property
     def version(self) -> int:
-        """Of the configuration in force, 0 for none."""
+        """Version of the active configuration, 0 without one."""
         return self._configuration.version if self._configuration else 0
 
     async def run(self) -> None:
-        """Serve until told to stop."""
+        """Serve calls until the shutdown has ended."""
         loop = asyncio.get_running_loop()
-        loop.add_signal_handler(signal.SIGTERM, self.leave)
-        loop.add_signal_handler(signal.SIGHUP, self._reloading.reload)
+        loop.add_signal_handler(signal.SIGTERM, self.begin_shutdown)
+        loop.add_signal_handler(signal.SIGHUP, self._reloader.reload)
         await self._listen()
         self._start_duties()
-        self._follow()
+        self._start_watchers()
         spawn = self._tasks.spawn
-        spawn(self._remember())
-        self._tasks.every(reloading.RELOAD_S, self._reloading.look)
+        spawn(self._restore_limit_levels())
+        self._tasks.every(reloading.RELOAD_INTERVAL_S, self._reloader.poll)
         self._tasks.every(TICK_S, self._tick)
-        self._servers.sweep(self._tasks)
+        self._servers.start_idle_sweeps(self._tasks)
         informed = await self._servers.serve_callers()
         logs.event(
             "started",
@@ -189,25 +197,30 @@
             callers=str(self._settings.callers),
             informed=informed,
         )
-        await self._ended.wait()
+        await self._stopped.wait()
         self._fleet.close()
         self._limit_calls.close()
         self._servers.close()
         logs.event("stopped")
 
-    def leave(self) -> None:
-        """Begin a graceful shutdown."""
+    def begin_shutdown(self) -> None:
+        """Begin a graceful shutdown; later calls do nothing."""
         if self._leaving_since is not None:
             return
         self._leaving_since = self._clock.now()
         logs.event("stopping", busy=self._servers.busy)
-        self._servers.leave()
+        self._servers.drain()
         self._duties.leave()
         self._fleet.tell()
-        self._tasks.spawn(self._end_when_quiet())
+        self._tasks.spawn(self._stop_when_idle())
 
     def configure(self, spec: store.Json) -> bool:
-        """Take over a version, if it is newer than the one in force."""
+        """Activate a configuration if it is newer than the active one.
+
+        :param spec: the configuration document.
+        :returns: whether the configuration was activated. An invalid one is
+            logged and ignored.
+        """
         try:
             configuration = self._dialect.platform.configuration(spec)
         except ValueError as error:
@@ -224,16 +237,19 @@
         self._duties.configure(configuration)
         self._servers.set_limits(configuration.limits)
         logs.event("configuration_in_force", version=self.version)
-        self._fleet.news()
-        self._note_informed()
+        self._fleet.publish_soon()
+        self._check_informed()
         return True
 
     def runners_changed(self, ended: list[str]) -> None:
-        """Runners came, changed or went."""
+        """Apply changes of the runner directory.
+
+        :param ended: IDs of runners that are leaving or were removed.
+        """
         self._upstreams.refresh()
-        self._note_informed()
+        self._check_informed()
         if ended:
-            self._fleet.news()
+            self._fleet.publish_soon()
         for runner_id in ended:
             runner = self._directory.get(runner_id)
             logs.event(
@@ -242,28 +258,36 @@
             )
 
     def _roll_outs_changed(self) -> None:
-        """Apply changed roles of runners in roll-outs."""
+        """Apply changed roles of runners in roll-outs and tell the fleet."""
         self._upstreams.refresh()
         self._fleet.tell()
 
-    async def _remember(self) -> None:
-        """Read what the fleet wrote down of its limits before this start.
+    async def _restore_limit_levels(self) -> None:
+        """Restore the levels of the limits from the checkpoint in the store.
 
-        When all processes were killed at once, nobody is left to ask.
+        If all processes were killed at once, no running VM knows the levels.
         """
         try:
             levels = await notes.read_levels(self._store, self._clock)
         except (store.StoreError, ValueError) as error:
             logs.event("notes_unread", error=type(error).__name__)
         else:
-            self._limits.learn(levels)
+            self._limits.initialize_levels(levels)
 
     def record(
         self, number: int, known: list[str], whole: bool, aggregator: str
     ) -> vm_records.VmRecord:
-        """This VM's next record for its peers."""
+        """Create this VM's next record for its peers.
+
+        :param number: the record's sequence number.
+        :param known: peer addresses that this VM knows.
+        :param whole: whether to include the fields that may be a second old.
+        :param aggregator: name of the VM that is to relay the record; "" when
+            it is sent to all peers.
+        """
         config, calls = self._settings, self._upstreams
-        # An aggregator passes counts on more rarely than records come.
+        # An aggregator relays usage and work counts less often than records
+        # are sent to it, so only whole records to it contain them.
         counts = whole or not aggregator
         return vm_records.VmRecord(
             config.vm,
@@ -274,15 +298,15 @@
             config.data_centre,
             ready=self.ready,
             leaving=self._leaving_since is not None,
-            follows=self._follows_store,
+            follows=self._is_following_store,
             configuration=self.version,
             directory=self._directory.revision,
             runners=self._directory.checksum,
             in_flight=calls.in_flight,
             pending=calls.pending,
-            used=self._limits.used,
-            # What may be a second old would make each record half as long
-            # again.
+            used=self._limits.admitted_units,
+            # Levels may be a second old. In each record, they would make it
+            # half as long again.
             levels=self._limits.levels if whole else None,
             usage=(
                 self._usage.own_counts(self._duties.reported)
@@ -303,58 +327,69 @@
             trials=self._roll_outs.own_samples,
         )
 
-    def take(self, digest: vm_records.VmRecord) -> None:
-        """A record of another VM came."""
-        self._limits.learn(digest.levels)
-        self._limits.heard(digest.process, digest.used)
-        self._usage.merge_counts(digest.process, digest.usage)
-        self._work.heard(digest.process, digest.work)
-        self._duties.heard_reported(digest.reported)
-        self._upstreams.crashes.heard(digest.vm, digest.crashes)
-        if digest.roll_outs:
-            self._orders.heard(digest.roll_outs)
-
-    def take_used(self, process: str, used: dict[str, float]) -> None:
-        """Units that a process has let in came, by an aggregator."""
-        self._limits.told_on(process, used)
-
-    def take_counts(
+    def receive_record(self, record: vm_records.VmRecord) -> None:
+        """Apply a record of another VM."""
+        self._limits.initialize_levels(record.levels)
+        self._limits.receive_totals(record.process, record.used)
+        self._usage.merge_counts(record.process, record.usage)
+        self._work.heard(record.process, record.work)
+        self._duties.heard_reported(record.reported)
+        self._upstreams.crashes.heard(record.vm, record.crashes)
+        if record.roll_outs:
+            self._orders.heard(record.roll_outs)
+
+    def receive_relayed_totals(
+        self, process: str, used: dict[str, float]
+    ) -> None:
+        """Apply the units admitted by a process, as an aggregator relays them.
+
+        :param used: total units by customer since the process started.
+        """
+        self._limits.receive_relayed_totals(process, used)
+
+    def merge_counts(
         self, counts: dict[str, tuple[typing.Any, typing.Any]]
     ) -> None:
-        """Usage and work of many processes came."""
+        """Merge usage and work counts of many processes.
+
+        :param counts: usage and work by process.
+        """
         for process, (usage, work) in counts.items():
             self._usage.merge_counts(process, usage)
             self._work.heard(process, work)
 
-    def present(self, processes: typing.Iterable[str]) -> None:
-        """Processes were heard by an aggregator."""
-        self._limits.present(processes)
+    def record_contact(self, processes: typing.Iterable[str]) -> None:
+        """Record that an aggregator has heard from these processes."""
+        self._limits.record_contact(processes)
 
-    def duty_holders(self) -> list[str]:
-        """Names of the VMs that do the fleet's duties, or may soon."""
+    def duty_candidates(self) -> list[str]:
+        """Names of the VMs that hold duties or may take them over."""
         return duties.candidates(duty_roster.LEASE, self._fleet.alive)
 
-    def observe(self, loads: peer_loads.PeerLoads) -> None:
-        """Loads of the other VMs came."""
+    def observe_loads(self, loads: peer_loads.PeerLoads) -> None:
+        """Apply the loads that the other VMs put on runners."""
         self._upstreams.observe_peers(loads)
         self._roll_outs.update_fleet_counts(loads.trials, loads.from_aggregate)
 
-    def configuration_above(self, version: int) -> store.Json | None:
-        """The configuration, None if it is not newer."""
+    def configuration_after(self, version: int) -> store.Json | None:
+        """The configuration document; None unless newer than a version."""
         return self._configuration_spec if self.version > version else None
 
-    def runners_above(
+    def runners_after(
         self, revision: int
     ) -> tuple[list[runners.Runner], dict[str, int]]:
-        """News of runners after a revision."""
+        """Changes of the runner directory since a store revision.
+
+        :returns: entries, and the revisions of removals by runner ID.
+        """
         return self._directory.news_after(revision)
 
     def is_peer(self, host: str) -> bool:
-        """Whether an IP number is a member's."""
+        """Whether an IP address belongs to a member of the fleet."""
         return self._fleet.is_peer(host)
 
-    def lookup(self) -> list[str]:
-        """Addresses for callers, this VM's own first."""
+    def caller_addresses(self) -> list[str]:
+        """Addresses of the VMs that serve callers, this VM's own first."""
         alive = [
             peer.caller_address
             for peer in self._fleet.alive
@@ -364,7 +399,7 @@
         return own + sorted(alive)
 
     def metrics(self) -> str:
-        """All metrics as text."""
+        """All metrics in the text format of Prometheus."""
         gauges = {
             "store_calls_total": self._store.calls,
             "runner_connections_total": self._upstreams.opened,
@@ -372,8 +407,8 @@
             "configuration_version": self.version,
             "callers_busy": self._servers.busy,
             "cloud_calls_total": self._duties.cloud_calls,
-            "limit_asks_total": self._limit_calls.asked,
-            "limit_asks_unanswered_total": self._limit_calls.unanswered,
+            "limit_asks_total": self._limit_calls.request_count,
+            "limit_asks_unanswered_total": self._limit_calls.timeout_count,
         }
         return metrics.text(
             self._relay,
@@ -385,7 +420,7 @@
 
     async def _listen(self) -> None:
         config = self._settings
-        checks = node_checks.Checks(self, self._dialect.callers)
+        checks = node_checks.StatusHandlers(self, self._dialect.callers)
         peer_server = peers.PeerServer(self)
         for name, address, handler in (
             ("callers", config.callers, self._relay.answer),
@@ -400,18 +435,18 @@
             await self._limit_calls.listen(
                 config.limits.host, config.limits.port
             )
-            self._limits.ask_by(self._limit_calls)
+            self._limits.enable_keepers(self._limit_calls)
 
-    def _note_informed(self) -> None:
+    def _check_informed(self) -> None:
         if self._configuration is not None and self._directory.runners:
             self._servers.informed()
 
-    def _follow(self) -> None:
-        """Follow the store's kinds, as long as it is wanted."""
-        self._watchers = listeners.watchers(
+    def _start_watchers(self) -> None:
+        """Start the watchers of the store, one for each kind of object."""
+        self._watchers = listeners.create_watchers(
             self._store,
             self._dialect.platform,
-            listeners.Configurations(
+            listeners.ConfigurationListener(
                 self._dialect.platform.configuration_name, self.configure
             ),
             listeners.Entries(
@@ -451,14 +486,17 @@
         self._ticked_at = now
         if last is None:
             return
-        if now - last > PAUSE_S:
-            self._stood_still(now - last)
+        if now - last > STALL_THRESHOLD_S:
+            self._handle_stall(now - last)
         self._look()
 
-    def _stood_still(self, for_s: float) -> None:
-        """Doubt all that may have changed while the process stood still."""
+    def _handle_stall(self, for_s: float) -> None:
+        """Discard knowledge that a suspension of the process made stale.
+
+        :param for_s: how long the process was suspended, in seconds.
+        """
         logs.event("paused", for_s=for_s)
-        self._fleet.stood_still()
+        self._fleet.handle_stall()
         for watcher in self._watchers:
             watcher.doubt()
 
@@ -468,29 +506,33 @@
             self.runners_changed(ended)
         alive = self._fleet.alive
         members = self._fleet.members
-        self._fleet.note_members()
+        self._fleet.update_members()
         processes = frozenset(m.process for m in members)
-        self._limits.set_members(processes, self._fleet.between_s)
+        self._limits.set_members(
+            processes, self._fleet.mean_sign_of_life_interval_s
+        )
         self._limits.set_keepers(self._fleet.limit_keepers)
         self._work.heard(self._process, self._upstreams.work)
         self._work.keep_only(processes | {self._process})
-        self._budget.set_members(len(members) + 1)
+        self._retry_allowance.set_members(len(members) + 1)
         self._upstreams.set_members(len(members) + 1)
         if not self._fleet.aggregator:
-            self.observe(self._fleet.loads)
+            self.observe_loads(self._fleet.loads)
         if self._roll_outs.tick():
             self._roll_outs_changed()
         self._upstreams.sweep(asyncio.get_running_loop().time())
-        settled = self._clock.now() - self._started_at >= SETTLE_S
+        settled = (
+            self._clock.now() - self._started_at >= MIN_UPTIME_FOR_DUTIES_S
+        )
         if settled and self._leaving_since is None:
             self._duties.look(alive, len(members) + 1)
 
-    async def _end_when_quiet(self) -> None:
+    async def _stop_when_idle(self) -> None:
         shutdown_s = self._settings.bounds.shutdown_s
-        await drain.until_quiet(
+        await drain.wait_until_idle(
             self._clock,
             lambda: self._servers.busy,
             shutdown_s,
             self._relay.stop_taking,
         )
-        self._ended.set()
+        self._stopped.set()
--- a/src/apricotlever/serving/tasks.py
+++ b/src/apricotlever/serving/tasks.py
@@ -1,4 +1,4 @@
-"""Tasks of one process that run until it ends."""
+"""Supervision of the tasks that run for the lifetime of the process."""
 
 import asyncio
 import typing
@@ -7,19 +7,21 @@
 
 from . import pace
 
-#: Before a task that failed starts again, in seconds; doubled each time.
-FIRST_PAUSE_S = 0.1
-LONGEST_PAUSE_S = 5.0
-#: A task that ran for so long before it failed starts again soon.
-SOUND_S = 10.0
+#: Delay before the first restart of a failed task, in seconds. It doubles with
+#: each further restart, up to MAX_RESTART_DELAY_S.
+INITIAL_RESTART_DELAY_S = 0.1
+MAX_RESTART_DELAY_S = 5.0
+#: How long a task must have run, in seconds, for the delay to return to
+#: INITIAL_RESTART_DELAY_S.
+HEALTHY_RUN_S = 10.0
 
 
 class Tasks:
-    """Keeps tasks alive and tells of those that failed.
+    """Keeps references to tasks, and logs their failures.
 
-    A task that nobody holds may be collected, and one whose error nobody
-    reads fails without a word: in both cases a part of the process would
-    silently stop.
+    A task without references may be garbage-collected, and an exception that
+    is never retrieved goes unnoticed. In both cases, a part of the process
+    would stop silently.
     """
 
     __slots__ = ("_restarts", "_tasks")
@@ -30,56 +32,59 @@
 
     @property
     def restarts(self) -> dict[str, int]:
-        """How often each supervised task ended and was started again."""
+        """Number of restarts of each supervised task, by name."""
         return self._restarts
 
     def spawn(
         self, work: typing.Coroutine[typing.Any, typing.Any, None]
     ) -> None:
-        """Start a task."""
+        """Start a task that is not restarted when it ends."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_done)
 
     def every(
         self, pause_s: float, step: typing.Callable[[], typing.Awaitable[None]]
     ) -> None:
-        """Repeat a step for ever, also after it has failed."""
+        """Repeat a step periodically, even if it fails.
+
+        :param pause_s: period of the step, in seconds.
+        """
         self.spawn(_repeat(pause_s, step))
 
     def supervise(
         self, name: str, start: typing.Callable[[], typing.Awaitable[None]]
     ) -> None:
-        """Run a task for ever: started again whenever it ends.
+        """Run a task, and restart it whenever it ends.
 
-        :param name: for the log and the metrics.
+        :param name: name of the task in the log and the metrics.
         """
         self._restarts[name] = 0
-        self.spawn(self._run_again(name, start))
+        self.spawn(self._restart_forever(name, start))
 
-    async def _run_again(
+    async def _restart_forever(
         self, name: str, start: typing.Callable[[], typing.Awaitable[None]]
     ) -> None:
         loop = asyncio.get_running_loop()
-        pause_s = FIRST_PAUSE_S
+        pause_s = INITIAL_RESTART_DELAY_S
         while True:
             began = loop.time()
             reason = "returned"
             try:
                 await start()
             except Exception as error:
-                # Whatever it is, what the task did must not stop for good.
+                # The task must be restarted whatever the error is.
                 reason = repr(error)
-            if loop.time() - began > SOUND_S:
-                pause_s = FIRST_PAUSE_S
+            if loop.time() - began > HEALTHY_RUN_S:
+                pause_s = INITIAL_RESTART_DELAY_S
             self._restarts[name] += 1
             logs.event(
                 "task_restarts", task=name, error=reason, pause_s=pause_s
             )
             await asyncio.sleep(pause_s)
-            pause_s = min(LONGEST_PAUSE_S, 2.0 * pause_s)
+            pause_s = min(MAX_RESTART_DELAY_S, 2.0 * pause_s)
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _on_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             logs.event("task_failed", error=repr(task.exception()))
@@ -92,6 +97,7 @@
         try:
             await step()
         except Exception as error:
-            # A duty that ended here would silently never be done again.
+            # Without this handler, one error would end the repetition for
+            # good.
             logs.event("task_failed", error=repr(error))
         await pace.pause(pause_s)
