--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,1 +1,1 @@
-"""Real processes, callers and links for tests and the demo."""
+"""Processes, clients and network faults for tests, demo and benchmarks."""
--- a/tests/support/answers.py
+++ b/tests/support/answers.py
@@ -1,4 +1,7 @@
-"""What a caller saw of one request, and how it reads a stream."""
+"""Records what a client received for one request, over all its connections.
+
+Also parses server-sent events and the status codes that precede a stream.
+"""
 
 import http.client
 import json
@@ -7,18 +10,26 @@
 
 from standins import _tokens
 
-MOVED = "moved"
-RESUME = "resume"
+MOVED_EVENT = "moved"
+RESUME_EVENT = "resume"
 RESUME_HEADER = "Apricotlever-Resume"
-ERROR = "error"
-END = "[DONE]"
-REDIRECTED = 303
-REQUEST_HEADER = "Apricotlever-Request"
+ERROR_EVENT = "error"
+DONE_MARKER = "[DONE]"
+SEE_OTHER = 303
+REQUEST_ID_HEADER = "Apricotlever-Request"
 EXECUTED_HEADER = "Apricotlever-Executed"
 
 
 class Answer:
-    """What a caller saw of one request, over all its connections."""
+    """What a client received for one request, over all its connections.
+
+    Times are in seconds: ``first_token_s``, ``last_token_s`` and ``total_s``
+    count from the sending of the request, and ``token_gaps_s`` are the pauses
+    between tokens. ``moves`` counts redirects to another entry VM,
+    ``disconnects`` the connections that failed.
+
+    :param expected_tokens: the correct tokens; None if they are not checked.
+    """
 
     __slots__ = (
         "request_id",
@@ -33,14 +44,14 @@
         "last_token_s",
         "moves",
         "breaks",
-        "expected",
+        "expected_tokens",
         "payload",
         "retry_after_s",
         "whole_s",
         "resume_token",
     )
 
-    def __init__(self, expected: list[str] | None = None) -> None:
+    def __init__(self, expected_tokens: list[str] | None = None) -> None:
         self.request_id = ""
         self.status = 0
         self.executed = ""
@@ -53,7 +64,7 @@
         self.last_token_s = 0.0
         self.moves = 0
         self.breaks = 0
-        self.expected = expected
+        self.expected_tokens = expected_tokens
         self.payload: typing.Any = None
         self.retry_after_s: float | None = None
         self.whole_s = 0.0
@@ -61,35 +72,41 @@
 
     @property
     def problem(self) -> str:
-        """What is wrong with the answer; empty when it is whole."""
+        """What is wrong with the result; empty if it is complete and right."""
         if not self.done:
             return f"not whole: status {self.status}, error {self.error}"
         if self.ids != list(range(len(self.ids))):
-            return f"ids out of order, lost or doubled: {self.ids}"
-        if self.expected is not None and self.tokens != self.expected:
-            return f"tokens differ: {self.tokens} != {self.expected}"
+            return f"event IDs out of order, missing or duplicated: {self.ids}"
+        if (
+            self.expected_tokens is not None
+            and self.tokens != self.expected_tokens
+        ):
+            return f"tokens differ: {self.tokens} != {self.expected_tokens}"
         return ""
 
     @property
     def refused(self) -> bool:
-        """Whether it was refused and promised not to have been run."""
+        """Whether the request was refused and reported as not executed."""
         return self.status >= 400 and self.executed == "no"
 
 
 class Ended(Exception):
-    """Nothing more will come for this request."""
+    """The request has ended; no more events will follow."""
 
 
-class Moved(Exception):
-    """The entry VM named another that goes on with the stream."""
+class StreamMoved(Exception):
+    """The entry VM named another one that continues the stream.
+
+    :param address: ``host:port`` of that entry VM; may be empty.
+    """
 
     def __init__(self, address: str) -> None:
         super().__init__(address)
         self.address = address
 
 
-class _Event:
-    """One SSE event."""
+class _SseEvent:
+    """One server-sent event."""
 
     __slots__ = ("name", "event_id", "data")
 
@@ -101,8 +118,8 @@
 
 def events_of(
     response: http.client.HTTPResponse,
-) -> typing.Iterator[_Event]:
-    """The events of a stream until the connection ends."""
+) -> typing.Iterator[_SseEvent]:
+    """Yield the events of a stream until the connection closes."""
     fields: dict[str, str] = {}
     while raw := response.readline():
         line = raw.decode().rstrip("\r\n")
@@ -110,7 +127,7 @@
             name, _, value = line.partition(":")
             fields[name] = value.removeprefix(" ")
         elif fields:
-            yield _Event(
+            yield _SseEvent(
                 fields.get("event", ""),
                 fields.get("id", ""),
                 fields.get("data", ""),
@@ -118,20 +135,24 @@
             fields = {}
 
 
-def check(
+def require_stream(
     answer: Answer, response: http.client.HTTPResponse, resuming: bool
 ) -> None:
-    """Note the headers; raise unless a stream follows.
+    """Record the status and headers, and raise unless a stream follows.
 
-    :param resuming: whether another entry VM may still know the stream.
+    :param resuming: whether the request was sent before, so that another
+        entry VM may still have its stream.
+    :raises StreamMoved: when the response redirects to another entry VM.
+    :raises OSError: when a resumed stream is not available here.
+    :raises StreamEnded: when the response has any other status but 200.
     """
     if response.status == 200:
         note_headers(answer, 200, response.headers)
         return
     content = response.read().decode(errors="replace")
-    if response.status == REDIRECTED:
-        answer.request_id = response.headers[REQUEST_HEADER]
-        raise Moved(json.loads(content)["entry"])
+    if response.status == SEE_OTHER:
+        answer.request_id = response.headers[REQUEST_ID_HEADER]
+        raise StreamMoved(json.loads(content)["entry"])
     if resuming and response.status in (404, 429, 502, 503, 504):
         raise OSError(f"no stream to resume: {response.status} {content}")
     note_headers(answer, response.status, response.headers)
@@ -142,38 +163,42 @@
 def note_headers(
     answer: Answer, status: int, headers: http.client.HTTPMessage
 ) -> None:
-    """Take over what an answer's status and headers tell."""
+    """Record the status and the project's headers of a response.
+
+    A header that is missing keeps the value from an earlier response.
+    ``Retry-After`` alone is cleared.
+    """
     answer.status = status
-    answer.request_id = headers.get(REQUEST_HEADER, answer.request_id)
+    answer.request_id = headers.get(REQUEST_ID_HEADER, answer.request_id)
     answer.executed = headers.get(EXECUTED_HEADER, answer.executed)
     answer.resume_token = headers.get(RESUME_HEADER, answer.resume_token)
     retry_after = headers.get("Retry-After")
     answer.retry_after_s = float(retry_after) if retry_after else None
 
 
-def take(answer: Answer, event: _Event, began: float) -> None:
-    """Add one event to an answer.
+def take(answer: Answer, event: _SseEvent, started_at: float) -> None:
+    """Add one event to a request's result.
 
-    :param began: when the request was sent, on the monotonic clock.
-    :raises Ended: after the last event.
-    :raises Moved: when another entry VM goes on with the stream.
+    :param started_at: when the request was sent, in monotonic seconds.
+    :raises StreamEnded: after the last event.
+    :raises StreamMoved: when another entry VM continues the stream.
     """
-    if event.name == MOVED:
-        raise Moved(json.loads(event.data)["entry"])
-    if event.name == RESUME:
+    if event.name == MOVED_EVENT:
+        raise StreamMoved(json.loads(event.data)["entry"])
+    if event.name == RESUME_EVENT:
         answer.resume_token = event.data
         return
-    if event.name == ERROR:
+    if event.name == ERROR_EVENT:
         answer.error = json.loads(event.data)["error"]
         answer.executed = answer.error["executed"]
         raise Ended
-    if event.data == END:
+    if event.data == DONE_MARKER:
         answer.done = True
         answer.error = None
         raise Ended
     if not event.event_id:
         return
-    now = time.monotonic() - began
+    now = time.monotonic() - started_at
     if answer.first_token_s is None:
         answer.first_token_s = now
     else:
@@ -185,8 +210,8 @@
     answer.ids.append(int(event.event_id))
 
 
-def expected_of(body: dict[str, typing.Any]) -> list[str]:
-    """The tokens that every engine gives to a body."""
+def expected_tokens_for(body: dict[str, typing.Any]) -> list[str]:
+    """The tokens that every engine stand-in generates for a request body."""
     return _tokens.expected_answer(
         _tokens.prompt_of(body),
         body.get("seed", 0),
--- a/tests/support/caller.py
+++ b/tests/support/caller.py
@@ -1,7 +1,8 @@
-"""A caller that follows its answer wherever the entry VMs move it.
+"""A client of the entry VMs that follows redirects and resumes streams.
 
-It checks what a customer would see: each token once, in order, the whole
-answer, and the headers that tell whether a refused request was run.
+It collects what a customer would see: each token and its event ID, the end
+of the answer, and the headers that tell whether a refused request was
+executed.
 """
 
 import http.client
@@ -15,9 +16,9 @@
 from tests.support import answers
 from tests.support import http as calls
 
-GAP_TIMEOUT_S = 10.0
-WHOLE_TIMEOUT_S = 60.0
-RETRY_PAUSE_S = 0.1
+IDLE_TIMEOUT_S = 10.0
+TOTAL_TIMEOUT_S = 60.0
+RETRY_DELAY_S = 0.1
 BROKEN = (OSError, http.client.HTTPException)
 KEY_HEADER = "Idempotency-Key"
 
@@ -25,51 +26,53 @@
 class Caller:
     """Makes requests as one customer.
 
-    :param addresses: some entry VMs' addresses to begin with.
-    :param bearer_key: the customer's key.
-    :param gap_timeout_s: silence after which a connection is given up.
-    :param whole_timeout_s: after which the caller gives up altogether.
+    :param addresses: ``host:port`` of some entry VMs to start with.
+    :param bearer_key: the customer's API key.
+    :param gap_timeout_s: seconds without data after which a connection is
+        given up.
+    :param total_timeout_s: seconds after which a request is no longer
+        retried or followed.
     """
 
     def __init__(
         self,
         addresses: typing.Iterable[str],
         bearer_key: str,
-        gap_timeout_s: float = GAP_TIMEOUT_S,
-        whole_timeout_s: float = WHOLE_TIMEOUT_S,
+        gap_timeout_s: float = IDLE_TIMEOUT_S,
+        total_timeout_s: float = TOTAL_TIMEOUT_S,
     ) -> None:
         self._addresses = list(addresses)
-        self._known = list(self._addresses)
+        self._known_addresses = list(self._addresses)
         self._bearer_key = bearer_key
-        self._gap_timeout_s = gap_timeout_s
-        self._whole_timeout_s = whole_timeout_s
-        self._turn = itertools.count()
+        self._idle_timeout_s = gap_timeout_s
+        self._total_timeout_s = total_timeout_s
+        self._rotation = itertools.count()
         self._lock = threading.Lock()
-        self._fresh_until = 0.0
+        self._addresses_expire_at = 0.0
 
     @property
     def addresses(self) -> list[str]:
-        """The entry VMs used for new work."""
+        """The addresses of the entry VMs used for new requests."""
         return list(self._addresses)
 
-    def refresh(self) -> list[str]:
-        """Ask any entry VM which ones take new work.
+    def refresh_addresses(self) -> list[str]:
+        """Ask the known entry VMs in turn which ones take new requests.
 
-        :returns: their addresses; the old ones if nobody answers.
+        :returns: the addresses; unchanged if no entry VM responds.
         """
-        for address in [*self._addresses, *self._known]:
+        for address in [*self._addresses, *self._known_addresses]:
             try:
                 reply = self._call(address, "GET", "/v1/entries")
             except BROKEN:
                 continue
             if reply.status == 200:
-                return self._adopt(reply.payload)
+                return self._update_addresses(reply.payload)
         return self.addresses
 
     def chat(
         self, entry: str, content: str, max_tokens: int, seed: int = 0
     ) -> answers.Answer:
-        """A streamed chat completion of one user's message."""
+        """Stream a chat completion of one user message."""
         message = {"role": "user", "content": content}
         body = {
             "model": entry,
@@ -83,7 +86,7 @@
     def complete(
         self, entry: str, prompt: str, max_tokens: int, seed: int = 0
     ) -> answers.Answer:
-        """A streamed completion of a prompt."""
+        """Stream a completion of a prompt."""
         body = {
             "model": entry,
             "prompt": prompt,
@@ -100,42 +103,45 @@
         address: str = "",
         headers: dict[str, str] | None = None,
     ) -> answers.Answer:
-        """Stream an answer to its end, through moves and broken streams.
+        """Read a stream to its end, across redirects and broken connections.
 
-        :param address: the entry VM to begin at; by turns if empty.
+        :param address: the entry VM to start at; the next one in rotation if
+            empty.
         """
-        answer = answers.Answer(answers.expected_of(body))
-        began = time.monotonic()
-        until = began + self._whole_timeout_s
+        answer = answers.Answer(answers.expected_tokens_for(body))
+        started_at = time.monotonic()
+        deadline = started_at + self._total_timeout_s
         target = address or self.next_address()
         try:
-            self._follow(answer, target, path, body, headers or {}, until)
+            self._follow_stream(
+                answer, target, path, body, headers or {}, deadline
+            )
         except answers.Ended:
             pass
-        answer.whole_s = time.monotonic() - began
+        answer.whole_s = time.monotonic() - started_at
         return answer
 
     def whole(
         self, path: str, body: dict[str, typing.Any], address: str = ""
     ) -> answers.Answer:
-        """A completion without a stream, in one answer."""
-        answer = answers.Answer(answers.expected_of(body))
-        began = time.monotonic()
-        self._plain(
+        """Request a completion without a stream and wait for its outcome."""
+        answer = answers.Answer(answers.expected_tokens_for(body))
+        started_at = time.monotonic()
+        self._send_unstreamed(
             answer, address or self.next_address(), "POST", path, body, {}
         )
-        if answer.status == answers.REDIRECTED:
+        if answer.status == answers.SEE_OTHER:
             answer.moves += 1
-            until = began + self._whole_timeout_s
-            self._await_outcome(answer, answer.payload["entry"], until)
-        answer.whole_s = time.monotonic() - began
+            deadline = started_at + self._total_timeout_s
+            self._await_outcome(answer, answer.payload["entry"], deadline)
+        answer.whole_s = time.monotonic() - started_at
         if answer.done:
-            answer.tokens = _tokens_of(answer.payload)
+            answer.tokens = _tokens_in(answer.payload)
             answer.ids = list(range(len(answer.tokens)))
         return answer
 
     def mint_keys(self, count: int = 1, address: str = "") -> list[str]:
-        """Idempotency keys bound to one entry VM's ledger."""
+        """Mint idempotency keys that are bound to one entry VM's ledger."""
         target = address or self.next_address()
         body = {"count": count}
         reply = self._call(target, "POST", "/v1/keys", body)
@@ -151,21 +157,21 @@
         key: str = "",
         address: str = "",
     ) -> answers.Answer:
-        """One call of a plain service, sent once.
+        """Call a plain service once, without a retry.
 
-        :param path: what follows ``/v1/services/ENTRY``.
-        :param key: an idempotency key, minted or made up.
+        :param path: the part after ``/v1/services/ENTRY``.
+        :param key: an idempotency key, minted or invented; none if empty.
         """
         answer = answers.Answer()
-        began = time.monotonic()
+        started_at = time.monotonic()
         headers = {KEY_HEADER: key} if key else {}
-        whole_path = f"/v1/services/{entry}{path}"
+        full_path = f"/v1/services/{entry}{path}"
         target = address or self.next_address()
-        self._plain(answer, target, method, whole_path, body, headers)
-        answer.whole_s = time.monotonic() - began
+        self._send_unstreamed(answer, target, method, full_path, body, headers)
+        answer.whole_s = time.monotonic() - started_at
         return answer
 
-    def service_until_told(
+    def call_service_until_settled(
         self,
         entry: str,
         method: str,
@@ -173,57 +179,63 @@
         body: typing.Any,
         key: str,
     ) -> answers.Answer:
-        """Repeat a keyed call at each entry VM in turn until one tells.
+        """Retry a call with a key at the entry VMs in turn until it settles.
 
-        :returns: an answer that is a success, or that says ``unknown``, or
-            the last one when the time is over.
+        :returns: the first result that is a success or whose execution is
+            ``unknown``, or the last one at the total timeout.
         """
-        until = time.monotonic() + self._whole_timeout_s
+        deadline = time.monotonic() + self._total_timeout_s
         breaks = 0
         while True:
             answer = self.service(entry, method, path, body, key)
-            told = answer.done or answer.executed == "unknown"
-            if told or time.monotonic() > until:
+            settled = answer.done or answer.executed == "unknown"
+            if settled or time.monotonic() > deadline:
                 answer.breaks = breaks
                 return answer
             breaks += 1
-            time.sleep(answer.retry_after_s or RETRY_PAUSE_S)
+            time.sleep(answer.retry_after_s or RETRY_DELAY_S)
 
-    def outcome(self, request_id: str, address: str = "") -> calls.Reply:
-        """GET /v1/requests/ID without a stream."""
+    def get_outcome(self, request_id: str, address: str = "") -> calls.Reply:
+        """Fetch ``/v1/requests/ID`` without a stream."""
         path = f"/v1/requests/{request_id}"
         return self._call(address or self.next_address(), "GET", path)
 
     def next_address(self) -> str:
-        """The next entry VM by turns, asking for them when it is time."""
-        if time.monotonic() > self._fresh_until:
+        """The next entry VM in rotation; refreshes an expired list first."""
+        if time.monotonic() > self._addresses_expire_at:
             with self._lock:
-                if time.monotonic() > self._fresh_until:
-                    self._fresh_until = time.monotonic() + RETRY_PAUSE_S
-                    self.refresh()
-        return self._addresses[next(self._turn) % len(self._addresses)]
+                if time.monotonic() > self._addresses_expire_at:
+                    self._addresses_expire_at = (
+                        time.monotonic() + RETRY_DELAY_S
+                    )
+                    self.refresh_addresses()
+        return self._addresses[next(self._rotation) % len(self._addresses)]
 
     def _await_outcome(
-        self, answer: answers.Answer, address: str, until: float
+        self, answer: answers.Answer, address: str, deadline: float
     ) -> None:
-        """Ask the entry VM that has the request until it has ended."""
+        """Poll the entry VM that holds the request until it has an outcome."""
         answer.done = False
-        while not answer.done and time.monotonic() < until:
-            reply = self.outcome(answer.request_id, address)
+        while not answer.done and time.monotonic() < deadline:
+            reply = self.get_outcome(answer.request_id, address)
             answer.payload = reply.payload
             answer.done = reply.status == 200 and "text" in reply.payload
             if not answer.done:
-                time.sleep(RETRY_PAUSE_S)
+                time.sleep(RETRY_DELAY_S)
 
-    def _adopt(self, payload: dict[str, typing.Any]) -> list[str]:
-        found = [entry["address"] for entry in payload["entries"]]
-        self._addresses = found or self._addresses
-        self._known = list(dict.fromkeys([*self._known, *found]))
-        self._fresh_until = time.monotonic() + payload.get("ttl_s", 1.0)
+    def _update_addresses(self, payload: dict[str, typing.Any]) -> list[str]:
+        addresses = [entry["address"] for entry in payload["entries"]]
+        self._addresses = addresses or self._addresses
+        self._known_addresses = list(
+            dict.fromkeys([*self._known_addresses, *addresses])
+        )
+        self._addresses_expire_at = time.monotonic() + payload.get(
+            "ttl_s", 1.0
+        )
         return self.addresses
 
-    def _headers(self, extra: dict[str, str]) -> dict[str, str]:
-        return {"Authorization": f"Bearer {self._bearer_key}", **extra}
+    def _headers(self, extra_headers: dict[str, str]) -> dict[str, str]:
+        return {"Authorization": f"Bearer {self._bearer_key}", **extra_headers}
 
     def _call(
         self,
@@ -231,13 +243,13 @@
         method: str,
         path: str,
         body: typing.Any = None,
-        extra: dict[str, str] | None = None,
+        extra_headers: dict[str, str] | None = None,
     ) -> calls.Reply:
-        headers = self._headers(extra or {})
-        timeout_s = self._gap_timeout_s
+        headers = self._headers(extra_headers or {})
+        timeout_s = self._idle_timeout_s
         return calls.call(address, method, path, body, headers, timeout_s)
 
-    def _plain(
+    def _send_unstreamed(
         self,
         answer: answers.Answer,
         address: str,
@@ -256,83 +268,101 @@
         answer.done = reply.status < 400
         answer.error = None if answer.done else reply.payload
 
-    def _follow(
+    def _follow_stream(
         self,
         answer: answers.Answer,
         address: str,
         path: str,
         body: dict[str, typing.Any],
         headers: dict[str, str],
-        until: float,
+        deadline: float,
     ) -> None:
-        began = time.monotonic()
+        started_at = time.monotonic()
         method = "POST"
         content: bytes | None = json.dumps(body).encode()
-        extra = {"Content-Type": "application/json", **headers}
-        while time.monotonic() < until:
+        extra_headers = {"Content-Type": "application/json", **headers}
+        while time.monotonic() < deadline:
             try:
-                self._read(
-                    answer, address, method, path, content, extra, began
+                self._read_connection(
+                    answer,
+                    address,
+                    method,
+                    path,
+                    content,
+                    extra_headers,
+                    started_at,
                 )
-            except answers.Moved as moved:
+            except answers.StreamMoved as moved:
                 answer.moves += 1
                 address = moved.address or self.next_address()
             except BROKEN as error:
                 answer.breaks += 1
                 answer.error = f"{type(error).__name__}: {error}"
-                time.sleep(RETRY_PAUSE_S)
-                address = self._another(address)
+                time.sleep(RETRY_DELAY_S)
+                address = self._other_address(address)
                 if not answer.request_id:
-                    _check_not_sent(error)
+                    _require_never_sent(error)
                     continue
             method, content = "GET", None
             path = f"/v1/requests/{answer.request_id}"
-            last = {"Last-Event-ID": str(answer.ids[-1])} if answer.ids else {}
-            extra = {"Accept": "text/event-stream", **last}
+            resume_headers = (
+                {"Last-Event-ID": str(answer.ids[-1])} if answer.ids else {}
+            )
+            extra_headers = {"Accept": "text/event-stream", **resume_headers}
             if answer.resume_token:
-                extra[answers.RESUME_HEADER] = answer.resume_token
+                extra_headers[answers.RESUME_HEADER] = answer.resume_token
 
-    def _another(self, address: str) -> str:
-        others = [known for known in self._addresses if known != address]
-        others = others or [known for known in self._known if known != address]
+    def _other_address(self, address: str) -> str:
+        others = [other for other in self._addresses if other != address]
+        others = others or [
+            other for other in self._known_addresses if other != address
+        ]
         if not others:
             return address
-        return others[next(self._turn) % len(others)]
+        return others[next(self._rotation) % len(others)]
 
-    def _read(
+    def _read_connection(
         self,
         answer: answers.Answer,
         address: str,
         method: str,
         path: str,
         content: bytes | None,
-        extra: dict[str, str],
-        began: float,
+        extra_headers: dict[str, str],
+        started_at: float,
     ) -> None:
         connection = http.client.HTTPConnection(
-            address, timeout=self._gap_timeout_s
+            address, timeout=self._idle_timeout_s
         )
         try:
             connection.request(
-                method, parse.quote(path), content, self._headers(extra)
+                method,
+                parse.quote(path),
+                content,
+                self._headers(extra_headers),
             )
             response = connection.getresponse()
-            answers.check(answer, response, resuming=method == "GET")
+            answers.require_stream(answer, response, resuming=method == "GET")
             for event in answers.events_of(response):
-                answers.take(answer, event, began)
+                answers.take(answer, event, started_at)
         finally:
             connection.close()
+        # The connection closed before the last event of the stream.
         raise http.client.IncompleteRead(b"")
 
 
-def _check_not_sent(error: Exception) -> None:
-    """End the request unless it certainly reached nobody."""
+def _require_never_sent(error: Exception) -> None:
+    """Give the request up unless it certainly reached no entry VM.
+
+    :raises StreamEnded: unless the connection was refused; the request may
+        have been executed, so sending it again could execute it twice.
+    """
     if not isinstance(error, ConnectionRefusedError):
         raise answers.Ended from error
 
 
-def _tokens_of(payload: dict[str, typing.Any]) -> list[str]:
-    """The tokens in a whole answer, or in an outcome's text."""
+def _tokens_in(payload: dict[str, typing.Any]) -> list[str]:
+    """The tokens of a response without a stream, or of an outcome's text."""
     choice = payload.get("choices", [payload])[0]
     text = choice.get("text") or choice["message"]["content"]
     return [f" {word}" for word in text.split()]
--- a/tests/support/cuttable.py
+++ b/tests/support/cuttable.py
@@ -1,7 +1,7 @@
-"""A TCP relay whose connections can go silent, be cut or be refused.
+"""A TCP relay whose connections can be black-holed, reset or refused.
 
-Put it between a daemon and a runner: register the relay's address in the
-runner's place.
+It simulates network faults between a daemon and a runner: the test registers
+the relay's address in place of the runner's.
 """
 
 import socket
@@ -13,58 +13,67 @@
 HOST = "127.0.0.1"
 CHUNK_BYTES = 65536
 BACKLOG = 128
-RESET = struct.pack("ii", 1, 0)
+# SO_LINGER with a timeout of 0 s: closing sends RST instead of FIN.
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
-class _Pair:
-    """Both halves of one relayed connection."""
+class _RelayedConnection:
+    """The two sockets of one relayed connection.
 
-    __slots__ = ("near", "far", "silent")
+    :param client_socket: the connection that the relay accepted.
+    :param target_socket: the connection to the relay's target.
+    """
+
+    __slots__ = ("client_socket", "target_socket", "blackholed")
 
-    def __init__(self, near: socket.socket, far: socket.socket) -> None:
-        self.near = near
-        self.far = far
-        self.silent = False
+    def __init__(
+        self, client_socket: socket.socket, target_socket: socket.socket
+    ) -> None:
+        self.client_socket = client_socket
+        self.target_socket = target_socket
+        self.blackholed = False
 
-    def pump(self, source: socket.socket, target: socket.socket) -> None:
-        """Copy one way until either end closes.
+    def forward(self, source: socket.socket, target: socket.socket) -> None:
+        """Copy data in one direction until either end closes.
 
-        While silent, what arrives is read and dropped, and a close is not
-        passed on either: the other end can't tell that anything happened.
+        While the connection is black-holed, data is read and dropped and a
+        close is not forwarded, so the other end can't detect the fault.
         """
         try:
             while chunk := source.recv(CHUNK_BYTES):
-                if not self.silent:
+                if not self.blackholed:
                     target.sendall(chunk)
-            if not self.silent:
+            if not self.blackholed:
                 target.shutdown(socket.SHUT_WR)
         except OSError:
-            if not self.silent:
+            if not self.blackholed:
                 self.close()
 
     def close(self) -> None:
-        """Reset both halves."""
-        for half in (self.near, self.far):
+        """Reset both sockets."""
+        for end in (self.client_socket, self.target_socket):
             try:
-                half.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
-                half.shutdown(socket.SHUT_RDWR)
+                end.setsockopt(
+                    socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE
+                )
+                end.shutdown(socket.SHUT_RDWR)
             except OSError:
                 pass
-            half.close()
+            end.close()
 
 
 class Relay:
-    """Relays connections to one address.
+    """Relays TCP connections to one address.
 
-    :param target: ``host:port``.
+    :param target: ``host:port`` that connections are relayed to.
     """
 
     __slots__ = (
         "_target",
         "_listener",
-        "_pairs",
+        "_connections",
         "_lock",
-        "_silent_new",
+        "_blackhole_new",
         "_port",
         "_ports",
         "_accepted",
@@ -73,71 +82,73 @@
     def __init__(self, target: str) -> None:
         host, _, port = target.rpartition(":")
         self._target = (host, int(port))
-        self._pairs: list[_Pair] = []
+        self._connections: list[_RelayedConnection] = []
         self._lock = threading.Lock()
-        self._silent_new = False
+        self._blackhole_new = False
         self._accepted = 0
         self._listener: socket.socket | None = None
-        # Kept while the relay refuses: the port would be anybody's until
-        # :meth:`restore` wants it back.
+        # The port stays reserved while the relay refuses connections;
+        # otherwise another process could bind it before
+        # :meth:`accept_connections` does.
         self._ports = ports.Reservations()
         self._port = self._ports.reserve()
         self._listen()
 
     @property
     def address(self) -> str:
-        """``host:port`` of the relay."""
+        """``host:port`` where the relay listens."""
         return f"{HOST}:{self._port}"
 
     @property
     def accepted(self) -> int:
-        """Connections accepted so far."""
+        """The number of connections relayed so far."""
         return self._accepted
 
     @property
     def open(self) -> int:
-        """Connections that are neither closed nor silent."""
+        """The number of open connections that are not black-holed."""
         with self._lock:
             return sum(
-                not pair.silent and pair.near.fileno() >= 0
-                for pair in self._pairs
+                not connection.blackholed
+                and connection.client_socket.fileno() >= 0
+                for connection in self._connections
             )
 
     def silence(self, new_too: bool = False) -> int:
-        """Swallow everything on the open connections, for good.
+        """Drop all data on the open connections from now on.
 
-        :param new_too: whether later connections are swallowed as well,
-            until :meth:`restore`.
-        :returns: how many connections went silent.
+        :param new_too: whether later connections are black-holed as well,
+            until :meth:`accept_connections`.
+        :returns: the number of black-holed connections.
         """
         with self._lock:
-            self._silent_new = new_too
-            for pair in self._pairs:
-                pair.silent = True
-            return len(self._pairs)
+            self._blackhole_new = new_too
+            for connection in self._connections:
+                connection.blackholed = True
+            return len(self._connections)
 
     def cut(self) -> None:
         """Reset the open connections."""
         with self._lock:
-            pairs, self._pairs = self._pairs, []
-        for pair in pairs:
-            pair.close()
+            connections, self._connections = self._connections, []
+        for connection in connections:
+            connection.close()
 
     def refuse(self) -> None:
-        """Refuse new connections until :meth:`restore`."""
+        """Refuse new connections until :meth:`accept_connections`."""
         if self._listener is not None:
             self._listener.shutdown(socket.SHUT_RDWR)
             self._listener.close()
             self._listener = None
 
     def restore(self) -> None:
-        """Relay new connections again; silent ones stay silent."""
-        self._silent_new = False
+        """Relay new connections again; black-holed ones stay black-holed."""
+        self._blackhole_new = False
         if self._listener is None:
             self._listen()
 
     def close(self) -> None:
-        """Stop listening and reset each connection."""
+        """Stop listening, reset all connections and release the port."""
         self.refuse()
         self.cut()
         self._ports.close()
@@ -148,44 +159,46 @@
         listener.bind((HOST, self._port))
         listener.listen(BACKLOG)
         self._listener = listener
-        _spawn(self._accept, listener)
+        _start_thread(self._accept, listener)
 
     def _accept(self, listener: socket.socket) -> None:
         while True:
             try:
-                near, _ = listener.accept()
+                client_socket, _ = listener.accept()
             except OSError:
                 return
-            _spawn(self._connect, near)
+            _start_thread(self._connect, client_socket)
 
-    def _connect(self, near: socket.socket) -> None:
+    def _connect(self, client_socket: socket.socket) -> None:
         try:
-            far = socket.create_connection(self._target)
+            target_socket = socket.create_connection(self._target)
         except OSError:
-            near.close()
+            client_socket.close()
             return
-        for half in (near, far):
-            half.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        pair = _Pair(near, far)
+        for end in (client_socket, target_socket):
+            end.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        connection = _RelayedConnection(client_socket, target_socket)
         with self._lock:
-            pair.silent = self._silent_new
-            self._pairs.append(pair)
+            connection.blackholed = self._blackhole_new
+            self._connections.append(connection)
             self._accepted += 1
-        back = _spawn(pair.pump, far, near)
-        pair.pump(near, far)
-        back.join()
-        if not pair.silent:
-            self._forget(pair)
-
-    def _forget(self, pair: _Pair) -> None:
+        responses = _start_thread(
+            connection.forward, target_socket, client_socket
+        )
+        connection.forward(client_socket, target_socket)
+        responses.join()
+        if not connection.blackholed:
+            self._remove(connection)
+
+    def _remove(self, connection: _RelayedConnection) -> None:
         with self._lock:
-            if pair in self._pairs:
-                self._pairs.remove(pair)
-        pair.near.close()
-        pair.far.close()
+            if connection in self._connections:
+                self._connections.remove(connection)
+        connection.client_socket.close()
+        connection.target_socket.close()
 
 
-def _spawn(target, *arguments) -> threading.Thread:
+def _start_thread(target, *arguments) -> threading.Thread:
     thread = threading.Thread(target=target, args=arguments, daemon=True)
     thread.start()
     return thread
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -1,10 +1,12 @@
-"""A fleet of real processes whose parts can fail in every way.
+"""A fleet of real processes with injectable faults.
 
-with fleet.Fleet() as running:
-    running.start_platform()
-    running.start_engines(["e1", "e2"], pool="llm")
-    running.put_catalogue(document)
-    running.start_daemons({"vm-1": "dc-a", "vm-2": "dc-b"})
+Example::
+
+    with fleet.Fleet() as running:
+        running.start_platform()
+        running.start_engines(["e1", "e2"], pool="llm")
+        running.put_catalogue(document)
+        running.start_daemons({"vm-1": "dc-a", "vm-2": "dc-b"})
 """
 
 import itertools
@@ -17,11 +19,11 @@
 from tests.support import launcher
 from tests.support import processes
 
-WAIT_S = 30.0
+WAIT_TIMEOUT_S = 30.0
 
 
 class Fleet(launcher.Launcher):
-    """Starts processes, reads their counts and makes them fail.
+    """Starts processes, reads their counters and injects faults.
 
     The parameters are those of :class:`launcher.Launcher`.
     """
@@ -39,31 +41,34 @@
         return self
 
     def faults(self, name: str, **faults: typing.Any) -> None:
-        """Set faults of a stand-in."""
+        """Set the fault settings of a stand-in."""
         self.control(name, "faults", faults)
 
     def counts(self, name: str) -> dict[str, typing.Any]:
-        """What a stand-in has counted."""
+        """Fetch the counters of a stand-in."""
         return self.control(name, "counts")
 
     def journal(self, name: str) -> dict[str, int]:
-        """Executions or runs of a runner, also of a killed one."""
+        """Executions by request, or runs by key, of a runner.
+
+        The journal file holds them, so they outlive a killed process.
+        """
         return dict(_journal.read(str(self.journal_path(name))))
 
     def journals(self) -> dict[str, int]:
-        """Executions and runs of all runners together, by name."""
+        """The execution counts of all runners, added up by request or key."""
         total: dict[str, int] = {}
-        pairs = itertools.chain.from_iterable(
+        counts = itertools.chain.from_iterable(
             self.journal(name).items() for name in self.names
         )
-        for name, count in pairs:
+        for name, count in counts:
             total[name] = total.get(name, 0) + count
         return total
 
     def put_object(self, name: str, value: typing.Any) -> int:
-        """Write an object whatever its version is.
+        """Write an object regardless of its current version.
 
-        :returns: its new version.
+        :returns: the new version.
         """
         reply = http.call(
             self.address("objects"),
@@ -75,7 +80,10 @@
         return reply.payload["version"]
 
     def put_catalogue(self, document: dict[str, typing.Any]) -> int:
-        """Put a catalogue in force without the operators' client."""
+        """Activate a catalogue without the operators' client.
+
+        :returns: the catalogue object's new version.
+        """
         return self.put_object("catalogue/current", document)
 
     def reclaim(
@@ -84,7 +92,11 @@
         notice_s: float,
         kill: bool = True,
     ) -> None:
-        """Announce a reclaim and end the processes at its deadline."""
+        """Announce a reclaim of VMs and kill their processes at the deadline.
+
+        :param notice_s: seconds from the notice to the deadline.
+        :param kill: whether the processes are killed at the deadline.
+        """
         self.control(
             "cloud", "reclaim", {"vms": list(names), "notice_s": notice_s}
         )
@@ -95,50 +107,58 @@
             self._timers.append(timer)
 
     def vanish(self, names: typing.Sequence[str]) -> None:
-        """End processes without a notice; the list tells it late."""
+        """Kill processes without a notice.
+
+        The cloud's VM list drops their VMs after its configured lag.
+        """
         for name in names:
             self.process(name).kill()
         self.control("cloud", "gone", {"vms": list(names)})
 
     def kill(self, name: str) -> None:
-        """End a process at once; the cloud is not told."""
+        """Kill a process and leave its VM on the cloud's list."""
         self.process(name).kill()
 
     def pause(self, name: str) -> None:
-        """Stop a process where it stands."""
+        """Suspend a process with SIGSTOP."""
         self.process(name).pause()
 
     def resume(self, name: str) -> None:
-        """Let a paused process go on."""
+        """Continue a suspended process."""
         self.process(name).resume()
 
     def terminate(self, name: str, timeout_s: float | None = None) -> None:
-        """Ask a process for a graceful shutdown.
+        """Request a graceful shutdown with SIGTERM.
 
-        :param timeout_s: how long to wait for its end; None not to.
+        :param timeout_s: seconds to wait for the exit; None does not wait.
+        :raises subprocess.TimeoutExpired: if the process still runs then.
         """
         self.process(name).terminate()
         if timeout_s is not None:
             self.process(name).wait(timeout_s)
 
     def close(self) -> None:
-        """End each process and each reclaim under way."""
+        """Cancel the pending reclaims and end all processes."""
         for timer in self._timers:
             timer.cancel()
         super().close()
 
 
 def wait_for(
-    ready: typing.Callable[[], typing.Any], timeout_s: float = WAIT_S
+    condition: typing.Callable[[], typing.Any],
+    timeout_s: float = WAIT_TIMEOUT_S,
 ) -> typing.Any:
-    """Poll until ``ready`` gives something.
+    """Poll until a condition returns a truthy value.
 
-    :raises AssertionError: when the time is over.
+    :param condition: polled every ``processes.POLL_INTERVAL_S`` seconds.
+    :param timeout_s: seconds after which polling stops.
+    :returns: that value.
+    :raises AssertionError: when the timeout has passed.
     """
-    until = time.monotonic() + timeout_s
-    while time.monotonic() < until:
-        found = ready()
+    deadline = time.monotonic() + timeout_s
+    while time.monotonic() < deadline:
+        found = condition()
         if found:
             return found
-        time.sleep(processes.POLL_S)
-    raise AssertionError(f"still waiting after {timeout_s} s")
+        time.sleep(processes.POLL_INTERVAL_S)
+    raise AssertionError(f"condition not met within {timeout_s} s")
--- a/tests/support/http.py
+++ b/tests/support/http.py
@@ -1,4 +1,4 @@
-"""One JSON call over a fresh connection."""
+"""A JSON client that opens one connection per request."""
 
 import http.client
 import json
@@ -9,7 +9,11 @@
 
 
 class Reply:
-    """An answer's status, headers and JSON."""
+    """A response: its status, its headers and its decoded body.
+
+    :param payload: the JSON value; the text if the body is not JSON, None if
+        the body is empty.
+    """
 
     __slots__ = ("status", "headers", "payload")
 
@@ -32,29 +36,31 @@
     headers: dict[str, str] | None = None,
     timeout_s: float = TIMEOUT_S,
 ) -> Reply:
-    """Make a call.
+    """Send a request and read its response.
 
     :param address: ``host:port``.
-    :raises OSError: when there is no connection or no answer in time.
-    :raises http.client.HTTPException: when the answer is cut off.
+    :param body: sent as JSON; no body if None.
+    :param timeout_s: seconds for the connection and for each read.
+    :raises OSError: when no connection or no response comes in time.
+    :raises http.client.HTTPException: when the response is cut off.
     """
     connection = http.client.HTTPConnection(address, timeout=timeout_s)
     content = None if body is None else json.dumps(body).encode()
-    kind = {} if body is None else {"Content-Type": "application/json"}
+    content_type = {} if body is None else {"Content-Type": "application/json"}
     try:
         connection.request(
             method,
             parse.quote(path, "/?&=%"),
             content,
-            {**kind, **(headers or {})},
+            {**content_type, **(headers or {})},
         )
         response = connection.getresponse()
-        return Reply(response.status, response.headers, _json(response))
+        return Reply(response.status, response.headers, _decode_body(response))
     finally:
         connection.close()
 
 
-def _json(response: http.client.HTTPResponse) -> typing.Any:
+def _decode_body(response: http.client.HTTPResponse) -> typing.Any:
     content = response.read()
     try:
         return json.loads(content) if content else None
--- a/tests/support/launcher.py
+++ b/tests/support/launcher.py
@@ -1,6 +1,6 @@
-"""Starts stand-ins and daemons as real processes, and ends them.
+"""Starts stand-ins and daemons as real processes and stops them.
 
-Each process is ended by its own process ID when the launcher is closed.
+Closing the launcher kills each process by its own process ID.
 """
 
 import itertools
@@ -15,43 +15,50 @@
 from tests.support import processes
 
 HOST = ports.HOST
-READY_S = 30.0
-SEEDS = 3
-PLATFORM = {
+READY_TIMEOUT_S = 30.0
+MAX_SEEDS = 3
+PLATFORM_MODULES = {
     "objects": "object_api",
     "cloud": "cloud_api",
     "weights": "weight_store",
 }
 DEFAULT_MACHINE = "small"
-RUNNER = "runner"
-ENTRY = "entry"
-DAEMON = "apricotlever.daemon.main"
+RUNNER_ROLE = "runner"
+ENTRY_ROLE = "entry"
+DAEMON_MODULE = "apricotlever.daemon.main"
 
 
 class Node:
-    """A process with the addresses that it serves."""
+    """A process with the addresses that it serves.
 
-    __slots__ = ("process", "address", "control", "peers")
+    :param process: the child process.
+    :param address: ``host:port`` for callers.
+    :param control_address: ``host:port`` for fault settings and counters of a
+        stand-in.
+    :param peers: ``host:port`` for the peers of an entry VM; empty for others.
+    """
+
+    __slots__ = ("process", "address", "control_address", "peers")
 
     def __init__(
         self,
         process: processes.Process,
         address: str,
-        control: str = "",
+        control_address: str = "",
         peers: str = "",
     ) -> None:
         self.process = process
         self.address = address
-        self.control = control
+        self.control_address = control_address
         self.peers = peers
 
 
 class Launcher:
-    """Processes by name, with their folder of settings and logs.
+    """Starts processes by name in a folder of settings and logs.
 
-    :param timing: the daemons' settings of that name.
-    :param sizes: likewise.
-    :param region: of each daemon.
+    :param timing: the ``timing`` part of each daemon's settings.
+    :param sizes: the ``sizes`` part of each daemon's settings.
+    :param region: the region of each daemon.
     """
 
     def __init__(
@@ -60,40 +67,45 @@
         sizes: dict[str, typing.Any] | None = None,
         region: str = "here",
     ) -> None:
-        self._temporary = tempfile.TemporaryDirectory(prefix="fleet-")
-        self._folder = pathlib.Path(self._temporary.name)
+        self._temporary_folder = tempfile.TemporaryDirectory(prefix="fleet-")
+        self._folder = pathlib.Path(self._temporary_folder.name)
         self._nodes: dict[str, Node] = {}
         self._timing = timing or {}
         self._sizes = sizes or {}
         self._region = region
         self._daemons: list[str] = []
-        self._daemon_module = DAEMON
+        self._daemon_module = DAEMON_MODULE
         self._ports = ports.Reservations()
 
     @property
     def folder(self) -> pathlib.Path:
-        """Where settings, logs and journals are, until the end."""
+        """The folder of settings, logs and journals.
+
+        :meth:`close` removes it.
+        """
         return self._folder
 
     @property
     def names(self) -> list[str]:
-        """The names of all processes started so far."""
+        """The names of all processes, in the order of their start."""
         return list(self._nodes)
 
     @property
     def daemons(self) -> list[str]:
-        """The names of the entry VMs started so far."""
+        """The names of the entry VMs, in the order of their start."""
         return list(self._daemons)
 
     @property
     def entries(self) -> list[str]:
-        """Their addresses for callers."""
+        """The entry VMs' addresses for callers, as ``host:port``."""
         return [self._nodes[name].address for name in self._daemons]
 
     @property
     def platform_urls(self) -> dict[str, str]:
-        """The ``platform`` part of a daemon's settings."""
-        return {name: f"http://{self.address(name)}" for name in PLATFORM}
+        """The ``platform`` part of a daemon's settings: URLs by service."""
+        return {
+            name: f"http://{self.address(name)}" for name in PLATFORM_MODULES
+        }
 
     def __enter__(self) -> "Launcher":
         return self
@@ -102,33 +114,36 @@
         self.close()
 
     def node(self, name: str) -> Node:
-        """A process with its addresses."""
+        """The process of a name, with its addresses."""
         return self._nodes[name]
 
     def process(self, name: str) -> processes.Process:
-        """A process; see :class:`processes.Process`."""
+        """The child process of a name."""
         return self._nodes[name].process
 
     def address(self, name: str) -> str:
-        """``host:port`` of a service, or of a daemon's callers."""
+        """The ``host:port`` at which a process serves its callers."""
         return self._nodes[name].address
 
     def log(self, name: str) -> str:
-        """What a process printed since its latest start."""
+        """The output of a process since its latest start."""
         return self.process(name).log
 
     def use_daemon(self, module: str) -> None:
-        """Run another program as the daemons started from now on."""
+        """Set the module of the daemons that :meth:`start_daemons` starts next.
+
+        :param module: the module's full name, for ``python -m``.
+        """
         self._daemon_module = module
 
     def start_platform(self) -> None:
         """Start the object API, the cloud API and the weight store."""
         started = [
             self._launch_standin(name, module, [])
-            for name, module in PLATFORM.items()
+            for name, module in PLATFORM_MODULES.items()
         ]
         for name in started:
-            self._standin_ready(name)
+            self._await_standin(name)
 
     def start_engines(
         self,
@@ -139,10 +154,12 @@
         flags: typing.Sequence[str] = (),
         register: bool = True,
     ) -> None:
-        """Start engines, spread over data centres in turn.
+        """Start engine stand-ins, distributed over data centres in rotation.
 
-        :param flags: of ``standins.engine``, the same for each.
-        :param register: whether the cloud lists them at once.
+        :param pool: the pool that the engines belong to.
+        :param market: the market that the VMs are bought in.
+        :param flags: further arguments of ``standins.engine``, for each one.
+        :param register: whether the cloud lists the VMs at once.
         """
         self._start_runners(
             "engine", names, pool, data_centres, market, flags, register
@@ -157,34 +174,38 @@
         flags: typing.Sequence[str] = (),
         register: bool = True,
     ) -> None:
-        """Start plain services, spread over data centres in turn."""
+        """Start plain services, distributed over data centres in rotation.
+
+        The parameters are those of :meth:`start_engines`.
+        """
         self._start_runners(
             "plain_service", names, pool, data_centres, market, flags, register
         )
 
-    def start_daemons(self, places: dict[str, str]) -> None:
-        """Start entry VMs that know some of one another as seeds.
+    def start_daemons(self, data_centre_by_vm: dict[str, str]) -> None:
+        """Start entry VMs that have some of the others as seeds.
 
-        :param places: the data centre of each VM's name.
+        :param data_centre_by_vm: the data centre of each VM to start, by name.
         """
-        for name in places:
+        for name in data_centre_by_vm:
             self._nodes[name] = Node(
                 self._daemon_process(name),
                 f"{HOST}:{self._ports.reserve()}",
                 peers=f"{HOST}:{self._ports.reserve()}",
             )
-        self._daemons += places
-        for name, data_centre in places.items():
+        self._daemons += data_centre_by_vm
+        for name, data_centre in data_centre_by_vm.items():
             self._write_settings(name, data_centre)
             self._register_entry(name, data_centre)
             self.process(name).start()
-        for name in places:
-            self._daemon_ready(name)
+        for name in data_centre_by_vm:
+            self._await_daemon(name)
 
     def register(self, name: str, **fields: str) -> None:
-        """Put a VM on the cloud's list.
+        """Add a VM to the cloud's list.
 
-        :param fields: of the list; address and state have defaults.
+        :param fields: further fields of the list's entry; the address and
+            the state have defaults.
         """
         node = self._nodes[name]
         address = node.peers or node.address
@@ -199,22 +220,26 @@
         market: str = "reclaimable",
         address: str = "",
     ) -> None:
-        """Put a runner on the cloud's list.
+        """Add a runner to the cloud's list.
 
-        :param address: of a relay in front of the runner, if any.
+        :param address: ``host:port`` of a relay in front of the runner; the
+            runner's own address if empty.
         """
         self.register(
             name,
             address=address or self.address(name),
             data_centre=data_centre,
-            role=RUNNER,
+            role=RUNNER_ROLE,
             pool=pool,
             machine=DEFAULT_MACHINE,
             market=market,
         )
 
     def offer(self, names: typing.Iterable[str], pool: str) -> None:
-        """Let the cloud sell runners that run but are not registered."""
+        """Let the cloud sell running runners that are not on its list.
+
+        :param pool: the pool that the runners belong to.
+        """
         spares = [
             {"vm": name, "address": self.address(name), "pool": pool}
             for name in names
@@ -224,35 +249,36 @@
     def control(
         self, name: str, path: str, body: typing.Any = None
     ) -> typing.Any:
-        """Call a stand-in's control; a GET without a body.
+        """Call a stand-in's control interface: POST with a body, else GET.
 
-        :param path: what follows ``/control/``.
+        :param path: the part after ``/control/``.
+        :returns: the decoded response.
         """
         method = "GET" if body is None else "POST"
-        address = self._nodes[name].control
+        address = self._nodes[name].control_address
         reply = http.call(address, method, f"/control/{path}", body)
         assert reply.status == 200, (name, path, reply.status, reply.payload)
         return reply.payload
 
     def restart(self, name: str) -> None:
-        """Start an ended process again, at its old addresses."""
+        """Kill a process if it runs, and start it at the same addresses."""
         self.process(name).kill()
         if name in self._daemons:
             self.process(name).start()
-            self._daemon_ready(name)
+            self._await_daemon(name)
             return
         self.process(name).start()
-        self._standin_ready(name)
+        self._await_standin(name)
 
     def close(self) -> None:
-        """End each process that was started, and remove the folder."""
+        """Kill all processes, release their ports and remove the folder."""
         for node in self._nodes.values():
             node.process.resume()
             node.process.signal(9)
         for node in self._nodes.values():
             node.process.kill()
         self._ports.close()
-        self._temporary.cleanup()
+        self._temporary_folder.cleanup()
 
     def _start_runners(
         self,
@@ -273,26 +299,32 @@
             for name in names
         ]
         for name, data_centre in zip(started, itertools.cycle(data_centres)):
-            self._standin_ready(name)
+            self._await_standin(name)
             if register:
                 self.register_runner(name, pool, data_centre, market)
 
     def _launch_standin(
         self, name: str, module: str, flags: typing.Sequence[str]
     ) -> str:
-        port = ("--port", str(self._ports.reserve()))
-        command = [sys.executable, "-m", f"standins.{module}", *flags, *port]
+        port_flags = ("--port", str(self._ports.reserve()))
+        command = [
+            sys.executable,
+            "-m",
+            f"standins.{module}",
+            *flags,
+            *port_flags,
+        ]
         log_path = self._folder / f"{name}.log"
         process = processes.Process(name, command, log_path)
         self._nodes[name] = Node(process, "")
         process.start()
         return name
 
-    def _standin_ready(self, name: str) -> None:
+    def _await_standin(self, name: str) -> None:
         node = self._nodes[name]
-        port, control = node.process.wait_listening(READY_S)
+        port, control_port = node.process.wait_listening(READY_TIMEOUT_S)
         node.address = f"{HOST}:{port}"
-        node.control = f"{HOST}:{control}"
+        node.control_address = f"{HOST}:{control_port}"
 
     def _daemon_process(self, name: str) -> processes.Process:
         settings = str(self.settings_path(name))
@@ -301,17 +333,17 @@
         log_path = self._folder / f"{name}.log"
         return processes.Process(name, command, log_path)
 
-    def _daemon_ready(self, name: str) -> None:
+    def _await_daemon(self, name: str) -> None:
         node = self._nodes[name]
         node.process.wait_until(
-            lambda: _answers(node.address), READY_S, "answering"
+            lambda: _is_answering(node.address), READY_TIMEOUT_S, "answering"
         )
 
     def _register_entry(self, name: str, data_centre: str) -> None:
         self.register(
             name,
             data_centre=data_centre,
-            role=ENTRY,
+            role=ENTRY_ROLE,
             pool="",
             machine=DEFAULT_MACHINE,
             market="reclaimable",
@@ -319,7 +351,7 @@
 
     def _write_settings(self, name: str, data_centre: str) -> None:
         node = self._nodes[name]
-        others = [vm for vm in self._daemons if vm != name][:SEEDS]
+        others = [vm for vm in self._daemons if vm != name][:MAX_SEEDS]
         settings = {
             "vm": name,
             "data_centre": data_centre,
@@ -337,15 +369,15 @@
         self.settings_path(name).write_text(json.dumps(settings, indent=2))
 
     def settings_path(self, name: str) -> pathlib.Path:
-        """The settings of an entry VM."""
+        """The path of an entry VM's settings file."""
         return self._folder / f"{name}.json"
 
     def journal_path(self, name: str) -> pathlib.Path:
-        """Where a runner keeps its counts across restarts."""
+        """The path of the file that holds a runner's counts after a kill."""
         return self._folder / f"{name}.journal"
 
 
-def _answers(address: str) -> bool:
+def _is_answering(address: str) -> bool:
     try:
         return http.call(address, "GET", "/v1/entries").status < 500
     except OSError:
--- a/tests/support/pages.py
+++ b/tests/support/pages.py
@@ -1,4 +1,7 @@
-"""Tables of the operators' pages, and what they must equal."""
+"""Reads the tables of the operators' pages and derives them from schemas.
+
+Tests compare both, so that the pages can't fall behind the code.
+"""
 
 import pathlib
 import re
@@ -6,49 +9,57 @@
 
 Json = typing.Any
 
-PAGES = pathlib.Path("docs/operators")
-ANY_NAME = "NAME"
+OPERATOR_DOCS_FOLDER = pathlib.Path("docs/operators")
+NAME_PLACEHOLDER = "NAME"
 
 
 def rows(page: str, heading: str) -> list[tuple[str, ...]]:
-    """The cells of the table under a heading, without its heading.
+    """The cells of the table under a heading, without its header row.
 
     :param page: the page's file name.
-    :param heading: a second-level heading.
+    :param heading: the text of a second-level heading.
     """
-    text = (PAGES / page).read_text()
+    text = (OPERATOR_DOCS_FOLDER / page).read_text()
     section = text.split(f"\n## {heading}\n", 1)[1].split("\n## ", 1)[0]
     lines = re.findall(r"^\| (.+) \|$", section, re.MULTILINE)
     return [tuple(line.split(" | ")) for line in lines[1:]]
 
 
 def fields(schema: Json) -> list[tuple[str, ...]]:
-    """Each field of a schema: name, whether needed or default, meaning."""
-    return list(_fields(schema, schema, ""))
+    """The table rows that describe a JSON schema, one per field.
+
+    :returns: for each field its path, ``required``, ``optional`` or the
+        default, and its description.
+    """
+    return list(_iter_schema_field_rows(schema, schema, ""))
 
 
-def _fields(
+def _iter_schema_field_rows(
     schema: Json, root: Json, path: str
 ) -> typing.Iterator[tuple[str, ...]]:
     required = schema.get("required", ())
     for name, part in schema.get("properties", {}).items():
-        target = _resolved(part, root)
+        target = _resolve_reference(part, root)
         field = f"{path}{name}"
         if "description" in part:
-            needed = "required" if name in required else _default(part)
-            yield f"`{field}`", needed, part["description"]
-        yield from _fields(target, root, f"{field}.")
-        inner = target.get("additionalProperties")
-        if isinstance(inner, dict):
-            inner = _resolved(inner, root)
-            yield from _fields(inner, root, f"{field}.{ANY_NAME}.")
+            requirement = (
+                "required" if name in required else _default_text(part)
+            )
+            yield f"`{field}`", requirement, part["description"]
+        yield from _iter_schema_field_rows(target, root, f"{field}.")
+        values = target.get("additionalProperties")
+        if isinstance(values, dict):
+            values = _resolve_reference(values, root)
+            yield from _iter_schema_field_rows(
+                values, root, f"{field}.{NAME_PLACEHOLDER}."
+            )
 
 
-def _default(part: Json) -> str:
+def _default_text(part: Json) -> str:
     return f"`{part['default']}`" if "default" in part else "optional"
 
 
-def _resolved(part: Json, root: Json) -> Json:
+def _resolve_reference(part: Json, root: Json) -> Json:
     reference = part.get("$ref")
     if reference is None:
         return part
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -1,4 +1,4 @@
-"""One child process of a test: its start, its log and its end."""
+"""Runs a child process of a test: starts it, reads its log and stops it."""
 
 import os
 import pathlib
@@ -9,24 +9,26 @@
 import typing
 
 ROOT = pathlib.Path(__file__).resolve().parents[2]
-POLL_S = 0.02
-KILLED_S = 10.0
-LISTENING = re.compile(r"listening host=(\S+) port=(\d+)(?: control=(\d+))?")
+POLL_INTERVAL_S = 0.02
+KILL_TIMEOUT_S = 10.0
+LISTENING_LINE = re.compile(
+    r"listening host=(\S+) port=(\d+)(?: control=(\d+))?"
+)
 
 
-class NotReady(Exception):
-    """A process ended or stayed silent before it was ready."""
+class ProcessNotReady(Exception):
+    """A process exited, or timed out, before it was ready."""
 
 
 class Process:
-    """A child that can be killed, paused and started again.
+    """A child process that can be killed, suspended and restarted.
 
-    :param name: of its log file as well.
+    :param name: used in error messages.
     :param arguments: the command line.
-    :param log_path: where stdout and stderr go, appended at a restart.
+    :param log_path: the file for stdout and stderr; a restart appends to it.
     """
 
-    __slots__ = ("_name", "_arguments", "_log_path", "_child", "_logged")
+    __slots__ = ("_name", "_arguments", "_log_path", "_child", "_log_start")
 
     def __init__(
         self, name: str, arguments: list[str], log_path: pathlib.Path
@@ -35,11 +37,11 @@
         self._arguments = arguments
         self._log_path = log_path
         self._child: subprocess.Popen[bytes] | None = None
-        self._logged = 0
+        self._log_start = 0
 
     @property
     def name(self) -> str:
-        """The name given at construction."""
+        """The name of the process in error messages."""
         return self._name
 
     @property
@@ -50,36 +52,39 @@
 
     @property
     def exit_code(self) -> int | None:
-        """How it ended; None while it runs."""
+        """The exit code; None while the process runs or before its start."""
         return None if self._child is None else self._child.poll()
 
     @property
     def running(self) -> bool:
-        """Whether it was started and has not ended."""
+        """Whether the process was started and has not exited."""
         return self._child is not None and self._child.poll() is None
 
     @property
     def log(self) -> str:
-        """What it has printed since its latest start."""
-        return self._log_path.read_text(errors="replace")[self._logged :]
+        """The output since the latest start."""
+        return self._log_path.read_text(errors="replace")[self._log_start :]
 
     @property
     def cpu_s(self) -> float:
-        """Processor seconds used so far, as user and system together."""
+        """User and system CPU time used so far, in seconds."""
         stat = pathlib.Path(f"/proc/{self.pid}/stat").read_text()
         fields = stat.rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
     @property
     def rss_bytes(self) -> int:
-        """Resident memory."""
+        """Resident memory in bytes."""
         statm = pathlib.Path(f"/proc/{self.pid}/statm").read_text()
         return int(statm.split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
     def start(self, extra: typing.Sequence[str] = ()) -> None:
-        """Start the command, with extra arguments for this start only."""
+        """Start the command.
+
+        :param extra: further arguments for this start only.
+        """
         if self._log_path.exists():
-            self._logged = len(self._log_path.read_text(errors="replace"))
+            self._log_start = len(self._log_path.read_text(errors="replace"))
         environment = {**os.environ, "PYTHONUNBUFFERED": "1"}
         with self._log_path.open("ab") as log:
             self._child = subprocess.Popen(
@@ -92,66 +97,73 @@
             )
 
     def wait_listening(self, timeout_s: float) -> tuple[int, int]:
-        """Wait for the line that tells the ports.
+        """Wait for the log line that names the ports.
 
-        :returns: the port of the service and that of its control.
-        :raises NotReady: with the log.
+        :returns: the service's port and its control port; the same one twice
+            if the process has no control port of its own.
+        :raises ProcessNotReady: if the process exits or the timeout passes;
+            the message contains the log.
         """
         found = self.wait_until(
-            lambda: LISTENING.search(self.log), timeout_s, "listening"
+            lambda: LISTENING_LINE.search(self.log), timeout_s, "listening"
         )
         port = int(found.group(2))
         return port, int(found.group(3) or port)
 
     def wait_until(
         self,
-        ready: typing.Callable[[], typing.Any],
+        condition: typing.Callable[[], typing.Any],
         timeout_s: float,
-        wanted: str,
+        wanted_state: str,
     ) -> typing.Any:
-        """Wait for something that ``ready`` gives while the child runs.
+        """Poll until a condition returns a truthy value.
 
-        :raises NotReady: with the log.
+        :param timeout_s: seconds after which polling stops.
+        :param wanted_state: named in the error message.
+        :returns: that value.
+        :raises ProcessNotReady: if the process exits or the timeout passes;
+            the message contains the log.
         """
-        until = time.monotonic() + timeout_s
-        while time.monotonic() < until and self.running:
-            found = ready()
+        deadline = time.monotonic() + timeout_s
+        while time.monotonic() < deadline and self.running:
+            found = condition()
             if found:
                 return found
-            time.sleep(POLL_S)
-        raise NotReady(
-            f"{self._name}: not {wanted}, exit code {self.exit_code}:\n"
+            time.sleep(POLL_INTERVAL_S)
+        raise ProcessNotReady(
+            f"{self._name}: not {wanted_state}, exit code {self.exit_code}:\n"
             f"{self.log}"
         )
 
-    def signal(self, number: int) -> None:
-        """Send a signal to this child, if it still runs."""
+    def signal(self, signal_number: int) -> None:
+        """Send a signal to the process if it still runs."""
         if self._child is not None and self.running:
-            self._child.send_signal(number)
+            self._child.send_signal(signal_number)
 
     def kill(self) -> None:
-        """End it at once and wait for its end."""
+        """Kill the process (SIGKILL) and wait for its exit."""
         self.signal(signal.SIGKILL)
         if self._child is not None:
-            self._child.wait(KILLED_S)
+            self._child.wait(KILL_TIMEOUT_S)
 
     def pause(self) -> None:
-        """Stop it where it stands (SIGSTOP)."""
+        """Suspend the process (SIGSTOP)."""
         self.signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let it go on after a pause (SIGCONT)."""
+        """Continue the process after :meth:`pause` (SIGCONT)."""
         self.signal(signal.SIGCONT)
 
     def terminate(self) -> None:
-        """Ask it for a graceful shutdown (SIGTERM)."""
+        """Request a graceful shutdown (SIGTERM)."""
         self.signal(signal.SIGTERM)
 
     def wait(self, timeout_s: float) -> int:
-        """Wait for its end.
+        """Wait for the exit.
 
+        :param timeout_s: seconds to wait.
         :returns: the exit code.
-        :raises subprocess.TimeoutExpired: if it still runs.
+        :raises subprocess.TimeoutExpired: if the process still runs then.
         """
         assert self._child is not None
         return self._child.wait(timeout_s)
