--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests, laid out like the package."""
+"""Tests in the layout of the package ``apricotlever``."""
--- a/tests/environment.py
+++ b/tests/environment.py
@@ -1,14 +1,14 @@
-"""Hooks that behave runs around the scenarios."""
+"""Behave hooks that run before and after each scenario."""
 
 import typing
 
 
 def before_scenario(context: typing.Any, scenario: typing.Any) -> None:
-    """Give each scenario a list of things to close at its end."""
+    """Give each scenario a list of functions to call at its end."""
     context.closers = []
 
 
 def after_scenario(context: typing.Any, scenario: typing.Any) -> None:
-    """Close what the scenario opened, the newest first."""
+    """Close the scenario's resources, the newest first."""
     for close in reversed(context.closers):
         close()
--- a/tests/steps/run.py
+++ b/tests/steps/run.py
@@ -11,66 +11,73 @@
 
 from tests import run
 
-KNOWN = "tests/daemon/quarantine.feature:33"
-OTHER = "tests/somewhere.feature:3"
+KNOWN_LOCATION = "tests/daemon/quarantine.feature:33"
+NEW_LOCATION = "tests/somewhere.feature:3"
 CAUSE = "ASSERT FAILED: three engines"
 OUTPUTS = {
-    "all passed": (0, [], "5 passed, 0 failed"),
-    "a known one failed": (1, [KNOWN], "4 passed, 1 failed"),
-    "another one failed": (1, [OTHER], "4 passed, 1 failed"),
-    "a known and another": (1, [KNOWN, OTHER], "3 passed, 2 failed"),
-    "nothing that counts": (1, [], "Traceback"),
+    "no failure": (0, [], "5 passed, 0 failed"),
+    "a known failure": (1, [KNOWN_LOCATION], "4 passed, 1 failed"),
+    "a new failure": (1, [NEW_LOCATION], "4 passed, 1 failed"),
+    "a known and a new failure": (
+        1,
+        [KNOWN_LOCATION, NEW_LOCATION],
+        "3 passed, 2 failed",
+    ),
+    "no totals": (1, [], "Traceback"),
 }
 
 
-@given("a feature whose process printed {name}")
-def _printed(context, name):
-    code, failed, last = OUTPUTS[name]
-    lines = [f"{run.FAILED_LINE}{location}" for location in failed]
+@given("the output of a feature with {name}")
+def _feature_output(context, name):
+    code, failed, last_line = OUTPUTS[name]
+    lines = [f"{run.FAILED_SCENARIO_PREFIX}{location}" for location in failed]
     if failed:
         lines.insert(0, CAUSE)
-    output = "\n".join([*lines, last, ""])
-    context.result = run.Result(
-        "a.feature", code, output, 1.0, frozenset({KNOWN})
+    output = "\n".join([*lines, last_line, ""])
+    context.result = run.FeatureResult(
+        "a.feature", code, output, 1.0, frozenset({KNOWN_LOCATION})
     )
 
 
-@then("it counts {passed:d} passed, {failed:d} failed and {known:d} known red")
-def _counts(context, passed, failed, known):
+@then(
+    "the result counts {passed:d} passed, {failed:d} failed and "
+    "{known:d} known failures"
+)
+def _check_counts(context, passed, failed, known):
     result = context.result
-    found = (result.passed, result.failed, len(result.known))
-    assert found == (passed, failed, known), found
+    counts = (result.passed, result.failed, len(result.known_failures))
+    assert counts == (passed, failed, known), counts
 
 
 @when("a feature with a failing scenario is run")
-def _run(context):
+def _run_failing_feature(context):
     with tempfile.TemporaryDirectory(dir="tests") as folder:
         context.feature = pathlib.Path(folder, "red.feature")
         context.feature.write_text(
             "Feature: Red\n\n  Scenario: Red\n    Given no such step\n"
         )
-        done = subprocess.run(
+        process = subprocess.run(
             [sys.executable, "-m", "tests.run", str(context.feature)],
             capture_output=True,
             text=True,
         )
-    context.output = done.stdout
+    context.output = process.stdout
 
 
-@then("its name and line are printed")
-def _named(context):
-    line = f"{run.FAILED_LINE}{context.feature}:3"
+@then("the scenario's file and line are printed")
+def _location_printed(context):
+    line = f"{run.FAILED_SCENARIO_PREFIX}{context.feature}:3"
     assert line in context.output.splitlines(), context.output
 
 
-@then('the end of the run names "{location}" and its cause')
-def _complains(context, location):
-    assert context.result.complaints[1:] == [
+@then('the failure summary names the cause and "{location}"')
+def _summary_names(context, location):
+    assert context.result.failure_summary[1:] == [
         CAUSE,
-        f"{run.FAILED_LINE}{location}",
-    ], context.result.complaints
+        f"{run.FAILED_SCENARIO_PREFIX}{location}",
+    ], context.result.failure_summary
 
 
-@then("the end of the run says nothing of it")
-def _silent(context):
-    assert not context.result.complaints
+@then("the failure summary is empty")
+def _summary_is_empty(context):
+    assert not context.result.failure_summary
