--- a/tests/support/launcher.py
+++ b/tests/support/launcher.py
@@ -130,7 +130,7 @@
         return self.process(name).log
 
     def use_daemon(self, module: str) -> None:
-        """Set the module of the daemons that :meth:`start_daemons` starts next.
+        """Set the module that :meth:`start_daemons` runs from now on.
 
         :param module: the module's full name, for ``python -m``.
         """
