--- a/src/apricotlever/runners/quarantine.py
+++ b/src/apricotlever/runners/quarantine.py
@@ -26,7 +26,7 @@
 TRIAL_RETRY_S = 0.5
 #: How long the judge waits after a crash before it grants a trial, in
 #: seconds. Copies of the suspect at other runners have crashed those too by
-#: then, and the reports have arrived: this takes 3 to 30 ms on one machine
+#: then, and the reports have arrived: the delay is 3 to 30 ms on one machine
 #: with all its cores busy. An earlier trial would crash a third runner.
 CRASH_PROPAGATION_S = 0.3
 #: Fields of a body that do not affect what an engine computes.
