--- a/bench/_load_work.py
+++ b/bench/_load_work.py
@@ -8,7 +8,7 @@
 import random
 import typing
 
-from standins import _tokens
+from standins import _deterministic_tokens
 
 PROCURADOR = ("chiado", "belem", "alfama", "lumiar", "arroios")
 PROCURADOR_WEIGHTS = (4, 3, 1, 1, 1)
@@ -193,8 +193,10 @@
         chat.messages.append({"role": "user", "content": asked})
         body = self._body("concierge-chat", 40, 120)
         body["messages"] = list(chat.messages)
-        answer = _tokens.expected_answer(
-            _tokens.prompt_of(body), body["seed"], body["max_tokens"]
+        answer = _deterministic_tokens.expected_answer(
+            _deterministic_tokens.prompt_from_body(body),
+            body["seed"],
+            body["max_tokens"],
         )
         reply = {"role": "assistant", "content": "".join(answer)}
         chat.messages.append(reply)
--- a/bench/_news_world.py
+++ b/bench/_news_world.py
@@ -5,7 +5,7 @@
 import random
 
 from apricotlever import clock as clocks
-from apricotlever.serving import datagrams
+from apricotlever.serving import peer_datagrams
 from apricotlever.vms import peer_table
 from apricotlever.vms import record_aggregation
 from apricotlever.vms import record_exchange
@@ -128,7 +128,7 @@
         if self.told_soon_at is not None and self.told_soon_at <= now:
             self.told_soon_at = None
             self.send(self.news.news())
-        if self._due(datagrams.READ_S, now, before):
+        if self._due(peer_datagrams.READ_INTERVAL_S, now, before):
             self.read()
         if self._due(record_aggregation.AGGREGATE_INTERVAL_S, now, before):
             self.read()
@@ -140,7 +140,7 @@
         """Take in what has come."""
         waiting, self.inbox = self.inbox, []
         for message in waiting:
-            self.take(datagrams.unpack(message))
+            self.take(peer_datagrams.unpack(message))
 
     def take(self, message):
         """Take a message in, as a VM's link does."""
@@ -167,7 +167,7 @@
         """Give messages to the network."""
         for each in outgoing:
             if each.receivers:
-                data = datagrams.pack(each.message)
+                data = peer_datagrams.pack(each.message)
                 for receiver in each.receivers:
                     self.world.carry(self, receiver, data)
 
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -11,7 +11,7 @@
 import time
 import typing
 
-from apricotlever.client import bars
+from apricotlever.client import terminal_format
 
 from . import _demo_report
 from . import _load_drive
@@ -132,7 +132,7 @@
 
 
 def _text(report: Document) -> str:
-    works = bars.table(report["works"])
+    works = terminal_format.format_table(report["works"])
     figures = {
         "recomputed tokens": report["recomputed_tokens"],
         "generated tokens": report["generated_tokens"],
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -19,8 +19,8 @@
 from apricotlever.contracts import fleet_rate_limit
 from apricotlever.contracts import limit_keepers
 from apricotlever.contracts import token_bucket
-from apricotlever.serving import limit_calls
-from apricotlever.serving import log_limit
+from apricotlever.serving import limit_protocol
+from apricotlever.serving import log_rate_limiter
 
 #: Tokens a second of the limit, and its burst.
 RATE = 150000.0
@@ -236,21 +236,21 @@
 class _Yes:
     """A keeper that lets everything in."""
 
-    def take_for(self, customer: str, units: float) -> float | None:
+    def admit_for_peer(self, customer: str, units: float) -> float | None:
         """Let a call in."""
         return 0.0
 
-    def given_back(self, customer: str, units: float) -> None:
+    def refund_units(self, customer: str, units: float) -> None:
         """Nothing is counted."""
 
-    def heard_total(self, process: str, customer: str, total: float) -> None:
+    def receive_early_total(self, process: str, customer: str, total: float) -> None:
         """Nothing is counted."""
 
 
 async def _ask(count: int) -> float:
-    refusals = log_limit.LogLimit(clocks.SystemClock())
+    refusals = log_rate_limiter.LogRateLimiter(clocks.SystemClock())
     asker, keeper = (
-        limit_calls.LimitCalls(_Yes(), lambda host: True, refusals)
+        limit_protocol.LimitProtocol(_Yes(), lambda host: True, refusals)
         for _ in range(2)
     )
     for end in (asker, keeper):
--- a/bench/load.py
+++ b/bench/load.py
@@ -12,7 +12,7 @@
 import sys
 import typing
 
-from apricotlever.client import bars
+from apricotlever.client import terminal_format
 
 from . import _load_drive
 from . import _load_faults
@@ -171,7 +171,11 @@
 def _compare(before_path: str, after_path: str) -> int:
     before = _load_summary.read(before_path)
     after = _load_summary.read(after_path)
-    print(bars.table(_load_summary.compared_outcomes(before, after)))
+    print(
+        terminal_format.format_table(
+            _load_summary.compared_outcomes(before, after)
+        )
+    )
     print()
-    print(bars.table(_load_summary.compared(before, after)))
+    print(terminal_format.format_table(_load_summary.compared(before, after)))
     return 0
--- a/bench/records.py
+++ b/bench/records.py
@@ -16,10 +16,10 @@
 
 from apricotlever import clock as clocks
 from apricotlever.contracts import usage_windows
-from apricotlever.serving import datagrams as datagrams_
+from apricotlever.serving import configuration_model
 from apricotlever.serving import dialects
 from apricotlever.serving import node
-from apricotlever.serving import routes
+from apricotlever.serving import peer_datagrams as datagrams_
 from apricotlever.serving import runners
 from apricotlever.serving import settings
 from apricotlever.vms import peer_table
@@ -53,19 +53,23 @@
         None,
         False,
         False,
-        settings.Bounds(),
+        settings.FleetBounds(),
     )
 
 
-def _configuration(customers: int) -> routes.Configuration:
+def _configuration(customers: int) -> configuration_model.Configuration:
     named = [
-        routes.Customer(
+        configuration_model.Customer(
             f"customer-{i}", frozenset({f"key-{i}"}), None, 5e3, 9e3
         )
         for i in range(customers)
     ]
-    return routes.Configuration(
-        1, [], [routes.Service("llm", 64)], named, routes.CallerLimits()
+    return configuration_model.Configuration(
+        1,
+        [],
+        [configuration_model.Service("llm", 64)],
+        named,
+        configuration_model.CallerLimits(),
     )
 
 
@@ -214,7 +218,7 @@
     member._servers = mock.MagicMock(busy=0)
     member.configure({})
     for number in range(count):
-        member._directory.changed(
+        member._directory.apply_entry(
             runners.Runner(
                 f"i-{number:010x}",
                 "llm",
@@ -250,11 +254,11 @@
             )
             data = datagrams_.pack(record)
             size.append(len(data))
-            heard(datagrams._take, data, peer.address[0])
-        sent(member._fleet.tell)
+            heard(datagrams._receive, data, peer.address[0])
+        sent(member._fleet.publish_now)
         for _ in range(round(vm_records.RECORD_INTERVAL_S / node.TICK_S)):
             clock.advance(node.TICK_S)
-            tick(member._look)
+            tick(member._update)
     return Costs(
         heard.median_us,
         sent.median_us,
--- a/soak/dialect.py
+++ b/soak/dialect.py
@@ -4,8 +4,8 @@
 import typing
 import urllib.parse
 
+from apricotlever.serving import configuration_model
 from apricotlever.serving import dialects
-from apricotlever.serving import routes
 from apricotlever.serving import runners
 from apricotlever.serving import store
 from apricotlever import validation
@@ -42,24 +42,31 @@
     configuration_name = CONFIGURATION_NAME
     runners_kind = RUNNERS_KIND
 
-    def configuration(self, spec: store.Json) -> routes.Configuration:
+    def configuration(
+        self, spec: store.Json
+    ) -> configuration_model.Configuration:
         """Decode a configuration."""
-        return routes.Configuration(
+        return configuration_model.Configuration(
             spec["version"],
             [_route(each) for each in spec["routes"]],
-            [routes.Service(name, 200) for name in spec["services"]],
             [
-                routes.Customer(name, frozenset(keys))
+                configuration_model.Service(name, 200)
+                for name in spec["services"]
+            ],
+            [
+                configuration_model.Customer(name, frozenset(keys))
                 for name, keys in spec["customers"].items()
             ],
-            routes.CallerLimits(),
+            configuration_model.CallerLimits(),
         )
 
-    def runner(self, stored: store.StoredObject) -> runners.Entry:
+    def runner(self, stored: store.StoredObject) -> runners.RunnerEntry:
         """Decode the entry of a runner; an invalid one is unreadable."""
         spec = stored.spec
         if not _is_valid_entry(spec):
-            return runners.Unreadable(stored.name, stored.revision, "spoiled")
+            return runners.UnreadableEntry(
+                stored.name, stored.revision, "spoiled"
+            )
         return runners.Runner(
             stored.name,
             spec["service"],
@@ -93,13 +100,13 @@
         raise NotImplementedError
 
 
-def _route(document: dict[str, typing.Any]) -> routes.Route:
-    return routes.Route(
+def _route(document: dict[str, typing.Any]) -> configuration_model.Route:
+    return configuration_model.Route(
         document["name"],
         document["host"],
         document["prefix"],
         ((document["service"], 1.0),),
-        routes.CallKind(document["kind"]),
+        configuration_model.CallKind(document["kind"]),
         resumable=document.get("resumable", False),
         timeout_s=document["timeout_s"],
         objective_s=document["objective_s"],
@@ -188,11 +195,11 @@
     )
 
 
-@dialects.register("soak")
+@dialects.register_dialect("soak")
 def make() -> dialects.Dialect:
     """Make the dialect of the soak test."""
     return dialects.Dialect(
-        plain_dialect.PlainCallers(),
-        plain_dialect.PlainRunners(),
+        plain_dialect.PlainCallerDialect(),
+        plain_dialect.PlainRunnerDialect(),
         Documents(),
     )
--- a/soak/vm.py
+++ b/soak/vm.py
@@ -39,7 +39,7 @@
         None,
         False,
         False,
-        settings.Bounds(shutdown_s=SHUTDOWN_S),
+        settings.FleetBounds(shutdown_s=SHUTDOWN_S),
         settings.Address(HOST, 0),
     )
 
--- a/src/apricotlever/client/catalogue_commands.py
+++ b/src/apricotlever/client/catalogue_commands.py
@@ -10,7 +10,7 @@
 from ..catalogue import difference
 from ..catalogue import edit
 from . import catalogue_store
-from . import command
+from . import command_registry
 from . import errors
 
 Json = typing.Any
@@ -78,8 +78,12 @@
     )
 
 
-@command.command("catalogue", "validate", arguments=_add_file_argument)
-def validate(invocation: command.Invocation) -> command.Report:
+@command_registry.command(
+    "catalogue", "validate", arguments=_add_file_argument
+)
+def validate(
+    invocation: command_registry.Invocation,
+) -> command_registry.Report:
     """Validate a file without connecting to the platform."""
     document = invocation.load_document()
     parsed = catalogue.parse(document, 0)
@@ -89,11 +93,11 @@
         "customers": len(parsed.customers),
     }
     text = " ".join(f"{name}={count}" for name, count in counts.items())
-    return command.Report({"valid": True, **counts}, f"valid {text}")
+    return command_registry.Report({"valid": True, **counts}, f"valid {text}")
 
 
-@command.command("catalogue", "apply", arguments=_add_apply_arguments)
-def apply(invocation: command.Invocation) -> command.Report:
+@command_registry.command("catalogue", "apply", arguments=_add_apply_arguments)
+def apply(invocation: command_registry.Invocation) -> command_registry.Report:
     """Put a file in force, unless a concurrent edit came first."""
     document = invocation.load_document()
     options = invocation.options
@@ -108,8 +112,10 @@
     return _edit_report(invocation.store().replace(document, expected))
 
 
-@command.command("catalogue", "delete", arguments=_add_delete_arguments)
-def delete(invocation: command.Invocation) -> command.Report:
+@command_registry.command(
+    "catalogue", "delete", arguments=_add_delete_arguments
+)
+def delete(invocation: command_registry.Invocation) -> command_registry.Report:
     """Delete an entry from the catalogue in force."""
     options = invocation.options
 
@@ -121,8 +127,8 @@
     return _edit_report(invocation.store().update(transform, options.expect))
 
 
-@command.command("catalogue", "show", arguments=_add_show_arguments)
-def show(invocation: command.Invocation) -> command.Report:
+@command_registry.command("catalogue", "show", arguments=_add_show_arguments)
+def show(invocation: command_registry.Invocation) -> command_registry.Report:
     """Print the catalogue in force, ready to edit and apply."""
     store = invocation.store()
     wanted = invocation.options.version
@@ -130,11 +136,13 @@
     document = edit.editable_document(version)
     text = json.dumps(document, indent=2)
     report = {"version": version.version, "document": version.document}
-    return command.Report(report, text)
+    return command_registry.Report(report, text)
 
 
-@command.command("catalogue", "list")
-def list_entries(invocation: command.Invocation) -> command.Report:
+@command_registry.command("catalogue", "list")
+def list_entries(
+    invocation: command_registry.Invocation,
+) -> command_registry.Report:
     """List the entries in force."""
     version = invocation.store().current()
     entries = version.document.get("entries", {})
@@ -142,11 +150,11 @@
     lines = [f"version={version.version} entries={len(rows)}"]
     lines += [" ".join(f"{k}={v}" for k, v in row.items()) for row in rows]
     report = {"version": version.version, "entries": rows}
-    return command.Report(report, "\n".join(lines))
+    return command_registry.Report(report, "\n".join(lines))
 
 
-@command.command("catalogue", "diff", arguments=_add_diff_arguments)
-def diff(invocation: command.Invocation) -> command.Report:
+@command_registry.command("catalogue", "diff", arguments=_add_diff_arguments)
+def diff(invocation: command_registry.Invocation) -> command_registry.Report:
     """Show what applying a file or an older version would change."""
     options = invocation.options
     store = invocation.store()
@@ -163,11 +171,15 @@
         "version": before.version,
         "changes": [change.document for change in changes],
     }
-    return command.Report(report, format_changes(changes) or "no difference")
+    return command_registry.Report(
+        report, format_changes(changes) or "no difference"
+    )
 
 
-@command.command("catalogue", "history")
-def history(invocation: command.Invocation) -> command.Report:
+@command_registry.command("catalogue", "history")
+def history(
+    invocation: command_registry.Invocation,
+) -> command_registry.Report:
     """List the versions in the history, newest first."""
     stamps = invocation.store().history()
     lines = [
@@ -176,11 +188,15 @@
         for stamp in stamps
     ]
     report = {"versions": [stamp.document for stamp in stamps]}
-    return command.Report(report, "\n".join(lines) or "no version yet")
+    return command_registry.Report(
+        report, "\n".join(lines) or "no version yet"
+    )
 
 
 def _merge_overlay(
-    invocation: command.Invocation, overlay: Json, expected: int | None
+    invocation: command_registry.Invocation,
+    overlay: Json,
+    expected: int | None,
 ) -> catalogue_store.EditResult:
     invalid = [
         section
@@ -194,7 +210,9 @@
     )
 
 
-def _edit_report(edited: catalogue_store.EditResult) -> command.Report:
+def _edit_report(
+    edited: catalogue_store.EditResult,
+) -> command_registry.Report:
     changes = edited.changes
     lines = [format_changes(changes), f"version={edited.version}"]
     if not changes:
@@ -203,7 +221,7 @@
         "version": edited.version,
         "changes": [change.document for change in changes],
     }
-    return command.Report(report, "\n".join(lines))
+    return command_registry.Report(report, "\n".join(lines))
 
 
 def _entry_row(name: str, entry: Json) -> dict[str, Json]:
--- a/src/apricotlever/client/catalogue_store.py
+++ b/src/apricotlever/client/catalogue_store.py
@@ -126,7 +126,7 @@
             mine = transform(base.document)
             try:
                 return self._write_version(base, mine)
-            except errors.EditLost:
+            except errors.EditConflict:
                 if expected is not None:
                     raise
             theirs = self.current()
@@ -230,12 +230,12 @@
 
 def _edit_conflict(
     current: edit.StoredVersion, document: Json
-) -> errors.EditLost:
+) -> errors.EditConflict:
     changes = difference.changes(
         catalogue.filled_in(current.document),
         catalogue.filled_in(edit.without_edit(document)),
     )
-    return errors.EditLost(
+    return errors.EditConflict(
         f"version {current.version} is in force, another edit came first; "
         "nothing was changed",
         current.version,
--- a/src/apricotlever/client/errors.py
+++ b/src/apricotlever/client/errors.py
@@ -23,7 +23,7 @@
     exit_code = exit_codes.INVALID_INPUT
 
 
-class EditLost(CommandError):
+class EditConflict(CommandError):
     """A concurrent edit came first.
 
     :param version: the version in force.
--- a/src/apricotlever/client/fleet_commands.py
+++ b/src/apricotlever/client/fleet_commands.py
@@ -7,11 +7,11 @@
 import typing
 
 from .. import histograms as latency
-from . import bars
-from . import command
+from . import command_registry
 from . import fleet
 from ..links import entry_api
-from . import versions
+from . import terminal_format
+from . import version_status
 
 Json = typing.Any
 
@@ -34,11 +34,13 @@
     )
 
 
-@command.command("in-force", arguments=_add_in_force_arguments)
-def in_force(invocation: command.Invocation) -> command.Report:
+@command_registry.command("in-force", arguments=_add_in_force_arguments)
+def in_force(
+    invocation: command_registry.Invocation,
+) -> command_registry.Report:
     """Show the catalogue version at every live entry VM."""
     options = invocation.options
-    version_query = versions.VersionQuery(
+    version_query = version_status.VersionQuery(
         invocation.fleet(), invocation.optional_store()
     )
     fleet_versions = (
@@ -51,30 +53,36 @@
         "store": fleet_versions.store_problem,
     }
     lines = [
-        bars.table(fleet_versions.rows),
+        terminal_format.format_table(fleet_versions.rows),
         *filter(None, [fleet_versions.store_problem]),
     ]
-    return command.Report(document, "\n".join(lines))
+    return command_registry.Report(document, "\n".join(lines))
 
 
-@command.command("status")
-def status(invocation: command.Invocation) -> command.Report:
+@command_registry.command("status")
+def status(invocation: command_registry.Invocation) -> command_registry.Report:
     """Show the status of one entry VM."""
     document = invocation.fleet().query_any(entry_api.EntryApi.status)
-    return command.Report(document, json.dumps(document, indent=2))
+    return command_registry.Report(document, json.dumps(document, indent=2))
 
 
-@command.command("entries")
-def entries(invocation: command.Invocation) -> command.Report:
+@command_registry.command("entries")
+def entries(
+    invocation: command_registry.Invocation,
+) -> command_registry.Report:
     """List the entry VMs that are announced to callers."""
     document = invocation.fleet().query_any(entry_api.EntryApi.entries)
     rows = document.get("entries", [])
-    text = f"ttl_s={document.get('ttl_s')}\n{bars.table(rows)}"
-    return command.Report(document, text)
+    text = (
+        f"ttl_s={document.get('ttl_s')}\n{terminal_format.format_table(rows)}"
+    )
+    return command_registry.Report(document, text)
 
 
-@command.command("histograms")
-def histograms(invocation: command.Invocation) -> command.Report:
+@command_registry.command("histograms")
+def histograms(
+    invocation: command_registry.Invocation,
+) -> command_registry.Report:
     """Show latency histograms of the fleet by customer and class."""
     replies = invocation.fleet().query_all(entry_api.EntryApi.histograms)
     encoded = itertools.chain.from_iterable(
@@ -87,7 +95,7 @@
     report = {
         "histograms": [
             {
-                **bars.summarize_distribution(found),
+                **terminal_format.summarize_distribution(found),
                 "histogram": found.encoded["histogram"],
             }
             for found in merged
@@ -95,20 +103,22 @@
         "missing": unanswered,
     }
     texts = [
-        *map(bars.format_histogram, merged),
+        *map(terminal_format.format_histogram, merged),
         *_unanswered_lines(unanswered),
     ]
-    return command.Report(report, "\n".join(texts) or "no values yet")
+    return command_registry.Report(report, "\n".join(texts) or "no values yet")
 
 
-@command.command("cost")
-def cost(invocation: command.Invocation) -> command.Report:
+@command_registry.command("cost")
+def cost(invocation: command_registry.Invocation) -> command_registry.Report:
     """Show the cost of entries and customers, summed over the fleet."""
     replies = invocation.fleet().query_all(entry_api.EntryApi.status)
     rows = _sum_costs(replies)
     unanswered = _unanswered_vms(replies)
-    text = "\n".join([bars.table(rows), *_unanswered_lines(unanswered)])
-    return command.Report({"cost": rows, "missing": unanswered}, text)
+    text = "\n".join(
+        [terminal_format.format_table(rows), *_unanswered_lines(unanswered)]
+    )
+    return command_registry.Report({"cost": rows, "missing": unanswered}, text)
 
 
 def _unanswered_vms(replies: tuple[fleet.Reply, ...]) -> list[str]:
--- a/src/apricotlever/client/log_commands.py
+++ b/src/apricotlever/client/log_commands.py
@@ -10,10 +10,10 @@
 from .. import log_parser
 from .. import logs
 
-from . import command
-from . import day
+from . import command_registry
 from . import errors
-from . import stories
+from . import log_summary
+from . import request_timeline
 
 STDIN_NAME = "-"
 LOG_FILE_PATTERN = "*.log"
@@ -31,20 +31,22 @@
     )
 
 
-@command.command("explain", arguments=_add_explain_arguments)
-def explain(invocation: command.Invocation) -> command.Report:
+@command_registry.command("explain", arguments=_add_explain_arguments)
+def explain(
+    invocation: command_registry.Invocation,
+) -> command_registry.Report:
     """Explain how one request ended, from the logs of entry VMs."""
     options = invocation.options
     lines = log_parser.parse_all(_read_all_lines(options.files))
     if not lines:
         raise errors.InvalidInput("no log line in the input")
-    timeline = stories.build_timeline(options.request, lines)
+    timeline = request_timeline.build_timeline(options.request, lines)
     if timeline is None:
         raise errors.InvalidInput(
             f"no line names the request {options.request!r}; "
             f"{len(lines)} lines were read"
         )
-    return command.Report(
+    return command_registry.Report(
         _timeline_document(timeline), _timeline_text(timeline)
     )
 
@@ -61,8 +63,8 @@
     )
 
 
-@command.command("report", arguments=_add_report_arguments)
-def report(invocation: command.Invocation) -> command.Report:
+@command_registry.command("report", arguments=_add_report_arguments)
+def report(invocation: command_registry.Invocation) -> command_registry.Report:
     """Write a page of plots from the logs in a directory."""
     options = invocation.options
     files = sorted(pathlib.Path(options.directory).glob(LOG_FILE_PATTERN))
@@ -70,7 +72,7 @@
         raise errors.InvalidInput(
             f"{options.directory}: no file is named {LOG_FILE_PATTERN}"
         )
-    summary = day.summarize(
+    summary = log_summary.summarize(
         log_parser.parse_all(_read_all_lines(map(str, files)))
     )
     if not summary.results:
@@ -79,7 +81,7 @@
         )
     _write_file(options.output, _load_plots().render_page(summary))
     document = {**summary.document, "page": options.output}
-    return command.Report(document, _report_text(document))
+    return command_registry.Report(document, _report_text(document))
 
 
 def _load_plots() -> typing.Any:
@@ -131,7 +133,7 @@
 
 
 def _timeline_document(
-    timeline: stories.RequestTimeline,
+    timeline: request_timeline.RequestTimeline,
 ) -> dict[str, typing.Any]:
     return {
         "request": timeline.request_id,
@@ -150,7 +152,7 @@
     }
 
 
-def _timeline_text(timeline: stories.RequestTimeline) -> str:
+def _timeline_text(timeline: request_timeline.RequestTimeline) -> str:
     lines = [f"request {timeline.request_id}: {timeline.cause}", ""]
     marked = [(x.time, "  ", x) for x in timeline.lines]
     marked += [(x.time, "- ", x) for x in timeline.background]
--- a/src/apricotlever/client/day_plots.py
+++ b/src/apricotlever/client/log_summary_plots.py
@@ -10,7 +10,7 @@
 from matplotlib import axes
 from matplotlib import figure
 
-from . import day
+from . import log_summary
 from . import losses
 
 matplotlib.use("svg")
@@ -22,7 +22,7 @@
 MAX_BARS = 40
 
 
-def render_page(summary: day.LogSummary) -> str:
+def render_page(summary: log_summary.LogSummary) -> str:
     """Render an HTML page with the plots and the counts."""
     document = html.escape(json.dumps(summary.document, indent=2))
     svg = _render_svg(summary)
@@ -32,7 +32,7 @@
     )
 
 
-def _render_svg(summary: day.LogSummary) -> str:
+def _render_svg(summary: log_summary.LogSummary) -> str:
     drawn = figure.Figure(figsize=(14, 16), layout="constrained")
     plots = drawn.subplots(4, 2)
     _plot_latency_over_time(plots[0][0], summary)
@@ -48,7 +48,9 @@
     return text.getvalue()
 
 
-def _plot_latency_over_time(plot: axes.Axes, summary: day.LogSummary) -> None:
+def _plot_latency_over_time(
+    plot: axes.Axes, summary: log_summary.LogSummary
+) -> None:
     width_s = _bin_width_s(summary)
     bins: dict[int, list[float]] = collections.defaultdict(list)
     for result in _served_results(summary):
@@ -64,11 +66,15 @@
     plot.set(title="latency of whole answers", xlabel="s", ylabel="s")
 
 
-def _plot_outcomes(plot: axes.Axes, summary: day.LogSummary) -> None:
+def _plot_outcomes(plot: axes.Axes, summary: log_summary.LogSummary) -> None:
     width_s = _bin_width_s(summary)
     bottom = [0] * (TIME_BINS + 1)
     at = [n * width_s for n in range(TIME_BINS + 1)]
-    for outcome in (day.SERVED, day.REFUSED, day.FAILED):
+    for outcome in (
+        log_summary.SERVED,
+        log_summary.REFUSED,
+        log_summary.FAILED,
+    ):
         counts = [0] * (TIME_BINS + 1)
         for result in summary.results:
             if result.outcome == outcome:
@@ -80,7 +86,9 @@
     plot.legend()
 
 
-def _plot_latency_by_route(plot: axes.Axes, summary: day.LogSummary) -> None:
+def _plot_latency_by_route(
+    plot: axes.Axes, summary: log_summary.LogSummary
+) -> None:
     routes: dict[str, list[float]] = collections.defaultdict(list)
     for result in _served_results(summary):
         routes[result.route].append(result.took_s or 0.0)
@@ -96,7 +104,7 @@
     plot.legend()
 
 
-def _plot_reasons(plot: axes.Axes, summary: day.LogSummary) -> None:
+def _plot_reasons(plot: axes.Axes, summary: log_summary.LogSummary) -> None:
     counts = collections.Counter(
         result.reason for result in summary.results if result.reason
     )
@@ -105,23 +113,29 @@
     plot.set(title="requests not served, by reason")
 
 
-def _plot_requests_by_runner(plot: axes.Axes, summary: day.LogSummary) -> None:
+def _plot_requests_by_runner(
+    plot: axes.Axes, summary: log_summary.LogSummary
+) -> None:
     counts = collections.Counter(
         result.runner for result in summary.results if result.runner
     )
     _plot_bars(plot, counts, "requests by runner")
 
 
-def _plot_failures_by_runner(plot: axes.Axes, summary: day.LogSummary) -> None:
+def _plot_failures_by_runner(
+    plot: axes.Axes, summary: log_summary.LogSummary
+) -> None:
     counts = collections.Counter(
         result.runner
         for result in summary.results
-        if result.runner and result.outcome == day.FAILED
+        if result.runner and result.outcome == log_summary.FAILED
     )
     _plot_bars(plot, counts, "failed requests by runner")
 
 
-def _plot_losses_over_time(plot: axes.Axes, summary: day.LogSummary) -> None:
+def _plot_losses_over_time(
+    plot: axes.Axes, summary: log_summary.LogSummary
+) -> None:
     by_reason: dict[str, list[float]] = collections.defaultdict(list)
     for result in summary.losses.results:
         by_reason[losses.loss_reason(result)].append(result.at_s)
@@ -138,7 +152,9 @@
     plot.set(title="lost or late requests by reason", xlabel="s")
 
 
-def _plot_losses_by_route(plot: axes.Axes, summary: day.LogSummary) -> None:
+def _plot_losses_by_route(
+    plot: axes.Axes, summary: log_summary.LogSummary
+) -> None:
     counts = collections.Counter(
         result.route for result in summary.losses.results
     )
@@ -155,20 +171,24 @@
     plot.set(title=title)
 
 
-def _draw_fleet_events(plot: axes.Axes, summary: day.LogSummary) -> None:
+def _draw_fleet_events(
+    plot: axes.Axes, summary: log_summary.LogSummary
+) -> None:
     for event in summary.fleet_events:
         plot.axvline(event.at_s, color="black", linestyle=":", linewidth=0.5)
 
 
 def _served_results(
-    summary: day.LogSummary,
-) -> typing.Iterator[day.RequestResult]:
+    summary: log_summary.LogSummary,
+) -> typing.Iterator[log_summary.RequestResult]:
     return (
-        result for result in summary.results if result.outcome == day.SERVED
+        result
+        for result in summary.results
+        if result.outcome == log_summary.SERVED
     )
 
 
-def _bin_width_s(summary: day.LogSummary) -> float:
+def _bin_width_s(summary: log_summary.LogSummary) -> float:
     return (
         max((result.at_s for result in summary.results), default=1.0)
         / TIME_BINS
--- a/src/apricotlever/client/main.py
+++ b/src/apricotlever/client/main.py
@@ -11,7 +11,7 @@
 from .. import errors as root_errors
 from .. import settings
 from . import catalogue_commands
-from . import command
+from . import command_registry
 from . import errors
 from . import exit_codes
 from . import fleet_commands
@@ -33,7 +33,9 @@
     """
     options = _build_parser().parse_args(arguments)
     try:
-        report = options.registered_command.run(command.Invocation(options))
+        report = options.registered_command.run(
+            command_registry.Invocation(options)
+        )
     except root_errors.ApricotleverError as error:
         return _print_failure(error, options.json)
     print(json.dumps(report.document) if options.json else report.text)
@@ -42,7 +44,7 @@
 
 def _print_failure(error: root_errors.ApricotleverError, as_json: bool) -> int:
     code = _exit_code(error)
-    changes = error.changes if isinstance(error, errors.EditLost) else ()
+    changes = error.changes if isinstance(error, errors.EditConflict) else ()
     if as_json:
         document = {
             "error": error.message,
@@ -76,13 +78,14 @@
     )
     commands = parser.add_subparsers(required=True, metavar="COMMAND")
     groups: dict[tuple[str, ...], typing.Any] = {(): commands}
-    for registered in command.COMMANDS:
+    for registered in command_registry.COMMANDS:
         _add_command(groups, registered)
     return parser
 
 
 def _add_command(
-    groups: dict[tuple[str, ...], typing.Any], registered: command.Command
+    groups: dict[tuple[str, ...], typing.Any],
+    registered: command_registry.Command,
 ) -> None:
     parent = registered.path[:-1]
     if parent not in groups:
--- a/src/apricotlever/client/bars.py
+++ b/src/apricotlever/client/terminal_format.py
@@ -77,7 +77,7 @@
     return "\n".join([title, *bars])
 
 
-def table(rows: collections.abc.Sequence[dict[str, Json]]) -> str:
+def format_table(rows: collections.abc.Sequence[dict[str, Json]]) -> str:
     """Format rows as aligned columns under a heading.
 
     :param rows: fields by name; a missing field is shown as ``-``.
--- a/src/apricotlever/serving/pace.py
+++ b/src/apricotlever/serving/aligned_timer.py
@@ -31,7 +31,7 @@
     return phase_s + steps * pause_s - now
 
 
-async def pause(pause_s: float) -> None:
+async def sleep_until_tick(pause_s: float) -> None:
     """Wait for the next suitable tick of the grid.
 
     :param pause_s: period of the task, in seconds.
--- a/src/apricotlever/serving/exchange.py
+++ b/src/apricotlever/serving/call_execution.py
@@ -6,17 +6,17 @@
 from .. import logs
 from ..runners import engine_priority
 
-from . import attempt as attempts
-from . import channels
+from . import client_channel
+from . import configuration_model
 from . import crash_watch
-from . import events
+from . import event_splitter
 from . import messages
-from . import replies
-from . import routes
+from . import reply_writer
+from . import runner_attempt as attempts
 from . import runners
 
 if typing.TYPE_CHECKING:
-    from . import relay
+    from . import call_relay
 
 #: Runners that may be unreachable or reject the call before the call is
 #: refused.
@@ -88,12 +88,12 @@
 
     def __init__(
         self,
-        relay_: "relay.Relay",
+        relay_: "call_relay.CallRelay",
         call: messages.CallerCall,
-        route: routes.Route,
-        customer: routes.Customer | None,
+        route: configuration_model.Route,
+        customer: configuration_model.Customer | None,
         service: str,
-        reply: replies.Reply,
+        reply: reply_writer.ReplyWriter,
     ) -> None:
         self._relay = relay_
         self._call = call
@@ -103,10 +103,10 @@
         self._reply = reply
         self._loop = asyncio.get_running_loop()
         wait_s = route.timeout_s
-        if call.patience_s is not None:
-            wait_s = min(wait_s, call.patience_s)
+        if call.caller_timeout_s is not None:
+            wait_s = min(wait_s, call.caller_timeout_s)
         self._deadline = call.received_at + wait_s
-        self._splitter = events.EventSplitter(call.last_event_id)
+        self._splitter = event_splitter.EventSplitter(call.last_event_id)
         self._tried_runners: set[str] = set()
         self._rejections = 0
         self._usage_recorded = False
@@ -127,7 +127,7 @@
         self.served = False
 
     @property
-    def splitter(self) -> events.EventSplitter:
+    def splitter(self) -> event_splitter.EventSplitter:
         """Checks the order of the events, over all attempts."""
         return self._splitter
 
@@ -192,7 +192,7 @@
             in_flight=upstreams.in_flight.get(runner.runner_id, 0),
             revision=runner.revision,
             copy_from=errand.copy_from,
-            left_s=errand.left_s,
+            left_s=errand.remaining_s,
             attempt=self.sends + 1,
         )
         attempt = attempts.Attempt(
@@ -203,17 +203,21 @@
             query,
             upstreams,
             self._relay.dialect.upstreams,
-            self if self._route.kind is routes.CallKind.STREAM else None,
+            (
+                self
+                if self._route.kind is configuration_model.CallKind.STREAM
+                else None
+            ),
         )
         connected = await attempt.connect(self._deadline - self._loop.time())
-        if not isinstance(connected, channels.Channel):
+        if not isinstance(connected, client_channel.Channel):
             return connected
         return await self._send(attempt, connected, runner)
 
     async def _send(
         self,
         attempt: attempts.Attempt,
-        channel: channels.Channel,
+        channel: client_channel.Channel,
         runner: runners.Runner,
     ) -> attempts.AttemptOutcome:
         if self.sends and not self._relay.budget.try_acquire(self._service):
@@ -229,7 +233,9 @@
             self.mark_started()
         if outcome.reset:
             upstreams = self._relay.upstreams
-            upstreams.crashes.broke(runner, self._call, self._customer)
+            upstreams.crashes.connection_broken(
+                runner, self._call, self._customer
+            )
             # Awaited here so that a crash is recorded before the caller learns
             # of the failure and retries the call.
             await upstreams.check_runner_crash(runner)
@@ -243,7 +249,7 @@
 
         :raises NotServed: when the call is blocked.
         """
-        wait_s = crashes.kept_away_s(self._call, self._customer)
+        wait_s = crashes.retry_after_s(self._call, self._customer)
         if wait_s is None:
             return
         error = self._not_served("crashes_runners")
@@ -253,11 +259,11 @@
 
     def _errand(
         self, runner: runners.Runner, copy_from: str | None
-    ) -> messages.Errand:
+    ) -> messages.RunnerCallParameters:
         left_s = (
             self._deadline - self._loop.time() - attempts.RESPONSE_MARGIN_S
         )
-        return messages.Errand(
+        return messages.RunnerCallParameters(
             runner.name,
             self._customer.name if self._customer else None,
             max(MIN_RUNNER_TIME_S, left_s),
@@ -297,7 +303,7 @@
 
     def _can_repeat(self) -> bool:
         return (
-            self._route.repeatable
+            self._route.is_repeatable
             and self.sends < self._route.max_attempts
             and self._relay.budget.remaining(self._service) >= 1.0
         )
@@ -342,13 +348,13 @@
             self.served = True
             return
         headers = self._relay.dialect.callers.answer_headers(outcome.head)
-        self._reply.whole(outcome.head.status, headers, outcome.body)
+        self._reply.send_whole(outcome.head.status, headers, outcome.body)
         self.served = 200 <= outcome.head.status < 300
 
     # Methods of attempt.EventSink.
 
     def write_events(
-        self, head: messages.RunnerHead, data: bytes, count: int
+        self, head: messages.RunnerResponseHead, data: bytes, count: int
     ) -> bool:
         """Write complete events to the caller.
 
--- a/src/apricotlever/serving/observations.py
+++ b/src/apricotlever/serving/call_metrics.py
@@ -20,7 +20,7 @@
 LabelledMetrics = typing.Mapping[tuple[str, str], typing.Mapping[str, float]]
 
 
-class Observations:
+class CallMetrics:
     """Counters and histograms of the calls that this process handled."""
 
     __slots__ = ("_histograms", "_refused", "_served")
@@ -30,7 +30,7 @@
         self._refused: dict[str, int] = {}
         self._served: dict[str, int] = {}
 
-    def refused(self, reason: str) -> None:
+    def record_refused(self, reason: str) -> None:
         """Record a call that ended without an answer from a runner.
 
         :param reason: the part before the first colon is the label. The rest
@@ -39,7 +39,7 @@
         kind = reason.partition(":")[0]
         self._refused[kind] = self._refused.get(kind, 0) + 1
 
-    def served(
+    def record_served(
         self,
         customer: str,
         kind: str,
@@ -65,7 +65,7 @@
         if first_s is not None:
             record(histograms.FIRST_TOKEN, customer, kind, first_s)
 
-    def text(
+    def format_text(
         self,
         gauges: typing.Mapping[str, float],
         labelled: LabelledMetrics,
--- a/src/apricotlever/serving/relay.py
+++ b/src/apricotlever/serving/call_relay.py
@@ -8,14 +8,14 @@
 from ..contracts import retry_allowance
 from ..contracts import usage_windows
 
-from . import callers
+from . import call_execution
+from . import call_metrics
+from . import caller_server
+from . import configuration_model
+from . import customer_limits
 from . import dialects
-from . import exchange
-from . import limits
 from . import messages
-from . import observations
-from . import replies
-from . import routes
+from . import reply_writer
 from . import upstreams
 
 #: ``Retry-After`` of a call refused without a configuration, in seconds. The
@@ -54,7 +54,7 @@
         self.inputs = inputs
 
 
-class Relay:
+class CallRelay:
     """Handles each call that this VM receives.
 
     :param dialect: the protocols of callers and runners.
@@ -77,7 +77,7 @@
         self,
         dialect: dialects.Dialect,
         upstreams_: upstreams.Upstreams,
-        limits_: limits.Limits,
+        limits_: customer_limits.CustomerLimits,
         budget: retry_allowance.RetryAllowance,
         usage: usage_windows.UsageWindows,
         rng: random.Random,
@@ -88,10 +88,10 @@
         self._budget = budget
         self._usage = usage
         self._rng = rng
-        self._configuration: routes.Configuration | None = None
+        self._configuration: configuration_model.Configuration | None = None
         self._last_attempt_number = 0
         self._accepts_calls = True
-        self._observations = observations.Observations()
+        self._observations = call_metrics.CallMetrics()
 
     @property
     def upstreams(self) -> upstreams.Upstreams:
@@ -109,7 +109,7 @@
         return self._usage
 
     @property
-    def observations(self) -> observations.Observations:
+    def observations(self) -> call_metrics.CallMetrics:
         """Counters and latencies of this VM's calls."""
         return self._observations
 
@@ -118,11 +118,13 @@
         """The protocols of callers and runners."""
         return self._dialect
 
-    def stop_taking(self) -> None:
+    def refuse_new_calls(self) -> None:
         """Refuse new calls with 503, so that callers retry at another VM."""
         self._accepts_calls = False
 
-    def configure(self, configuration: routes.Configuration) -> None:
+    def configure(
+        self, configuration: configuration_model.Configuration
+    ) -> None:
         """Apply a version of the configuration."""
         self._configuration = configuration
 
@@ -131,7 +133,9 @@
         self._last_attempt_number += 1
         return self._last_attempt_number
 
-    async def answer(self, raw: callers.RawCall, reply: replies.Reply) -> None:
+    async def answer(
+        self, raw: caller_server.RawRequest, reply: reply_writer.ReplyWriter
+    ) -> None:
         """Handle one call, whatever its outcome."""
         call: messages.CallerCall | None = None
         try:
@@ -140,7 +144,7 @@
         except Refusal as refusal:
             self._send_refusal(call, reply, refusal)
 
-    def _parse(self, raw: callers.RawCall) -> messages.CallerCall:
+    def _parse(self, raw: caller_server.RawRequest) -> messages.CallerCall:
         try:
             return self._dialect.callers.read(
                 raw.method, raw.target, raw.headers, raw.body, raw.received_at
@@ -149,45 +153,45 @@
             raise Refusal(400, f"malformed: {error}") from error
 
     async def _serve(
-        self, call: messages.CallerCall, reply: replies.Reply
+        self, call: messages.CallerCall, reply: reply_writer.ReplyWriter
     ) -> None:
         configuration = self._configuration
         if not self._accepts_calls:
             raise Refusal(503, "leaving", MIN_RETRY_AFTER_S)
         if configuration is None:
             raise Refusal(503, "no_configuration", NOT_READY_RETRY_AFTER_S)
-        route = configuration.route_of(call.host, call.path)
+        route = configuration.find_route(call.host, call.path)
         if route is None:
             raise Refusal(404, "no_route")
         customer = self._authenticate(configuration, route, call)
         permit = await self._apply_limit(customer, call)
         point = self._rng.random()
-        execution = exchange.CallExecution(
-            self, call, route, customer, route.service_at(point), reply
+        execution = call_execution.CallExecution(
+            self, call, route, customer, route.select_service(point), reply
         )
         await self._run_and_log(execution, call, route, customer, permit)
 
     async def _run_and_log(
         self,
-        execution: exchange.CallExecution,
+        execution: call_execution.CallExecution,
         call: messages.CallerCall,
-        route: routes.Route,
-        customer: routes.Customer | None,
-        permit: limits.Permit | None,
+        route: configuration_model.Route,
+        customer: configuration_model.Customer | None,
+        permit: customer_limits.AdmissionResult | None,
     ) -> None:
         try:
             await execution.run()
-        except exchange.NotServed as error:
+        except call_execution.NotServed as error:
             raise Refusal(
                 error.status, error.reason, error.retry_after_s
             ) from error
         finally:
             if not execution.may_have_run and permit is not None:
-                self._limits.give_back(permit)
+                self._limits.refund(permit)
             took_s = asyncio.get_running_loop().time() - call.received_at
             if execution.served:
-                self._upstreams.crashes.answered(call, customer)
-                self._observations.served(
+                self._upstreams.crashes.call_answered(call, customer)
+                self._observations.record_served(
                     customer.name if customer else "",
                     route.kind.value,
                     execution.first_s,
@@ -211,20 +215,22 @@
 
     def _authenticate(
         self,
-        configuration: routes.Configuration,
-        route: routes.Route,
+        configuration: configuration_model.Configuration,
+        route: configuration_model.Route,
         call: messages.CallerCall,
-    ) -> routes.Customer | None:
-        if route.public or not configuration.keyed:
+    ) -> configuration_model.Customer | None:
+        if route.public or not configuration.requires_key:
             return None
-        customer = configuration.customer_of(call.key)
+        customer = configuration.find_customer(call.key)
         if customer is None:
             raise Refusal(401, "unknown_key")
         return customer
 
     async def _apply_limit(
-        self, customer: routes.Customer | None, call: messages.CallerCall
-    ) -> limits.Permit | None:
+        self,
+        customer: configuration_model.Customer | None,
+        call: messages.CallerCall,
+    ) -> customer_limits.AdmissionResult | None:
         if customer is None:
             return None
         units = 1.0
@@ -244,7 +250,7 @@
                 customer=customer.name,
                 units=units,
                 rate=customer.rate,
-                part=self._limits.of(customer).usable_fraction,
+                part=self._limits.rate_limit(customer).usable_fraction,
                 keeper=permit.keeper or None,
             )
         return permit
@@ -252,10 +258,10 @@
     def _send_refusal(
         self,
         call: messages.CallerCall | None,
-        reply: replies.Reply,
+        reply: reply_writer.ReplyWriter,
         refusal: Refusal,
     ) -> None:
-        self._observations.refused(refusal.reason)
+        self._observations.record_refused(refusal.reason)
         logs.event(
             "request_refused",
             request=call.request_id if call else None,
@@ -278,4 +284,4 @@
                     b"%.2f" % max(MIN_RETRY_AFTER_S, refusal.retry_after_s),
                 )
             )
-        reply.whole(refusal.status, headers)
+        reply.send_whole(refusal.status, headers)
--- a/src/apricotlever/serving/trials.py
+++ b/src/apricotlever/serving/call_sampling.py
@@ -50,7 +50,7 @@
         self.answered = False
 
 
-class Trials:
+class CallSampler:
     """Tracks the calls in flight to services with a roll-out."""
 
     __slots__ = ("_by_attempt", "_clock", "_controller")
@@ -62,7 +62,7 @@
         self._controller = controller
         self._by_attempt: dict[str, _SampledCall] = {}
 
-    def sent(
+    def record_sent(
         self,
         attempt: str,
         runner: runners.Runner,
@@ -84,7 +84,7 @@
                 sample, self._clock.now(), expected_s
             )
 
-    def first_answer(self, attempt: str) -> None:
+    def record_first_byte(self, attempt: str) -> None:
         """Record the first byte of an answer."""
         call = self._by_attempt.get(attempt)
         if call is not None and not call.answered:
@@ -92,7 +92,7 @@
             took_s = self._clock.now() - call.sent_at
             call.sample.first_byte.add(took_s / call.expected_s)
 
-    def ended(self, attempt: str, outcome: models.Outcome) -> None:
+    def record_end(self, attempt: str, outcome: models.Outcome) -> None:
         """Record the end of a call.
 
         Cancelled and rejected calls count only as slow, if at all.
--- a/src/apricotlever/serving/callers.py
+++ b/src/apricotlever/serving/caller_server.py
@@ -9,11 +9,11 @@
 
 from .. import addresses
 
-from . import framing
-from . import pace
-from . import ports
-from . import replies
-from . import routes
+from . import aligned_timer
+from . import configuration_model
+from . import listening_sockets
+from . import reply_writer
+from . import request_checks
 
 #: Write buffer limit of a connection, in bytes. Above it, the task that writes
 #: a response to a slow caller waits.
@@ -25,7 +25,7 @@
 SWEEP_INTERVAL_S = 0.5
 
 
-class RawCall:
+class RawRequest:
     """An HTTP request as read from the connection.
 
     :param received_at: when its first byte came, on the event loop's clock in
@@ -42,7 +42,9 @@
         self.received_at = received_at
 
 
-Handler = typing.Callable[[RawCall, replies.Reply], typing.Awaitable[None]]
+RequestHandler = typing.Callable[
+    [RawRequest, reply_writer.ReplyWriter], typing.Awaitable[None]
+]
 
 
 class CallerChannel(asyncio.Protocol):
@@ -74,8 +76,10 @@
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
-        self._current_call: RawCall | None = None
-        self._pending_calls: collections.deque[RawCall] = collections.deque()
+        self._current_call: RawRequest | None = None
+        self._pending_calls: collections.deque[RawRequest] = (
+            collections.deque()
+        )
         self._body: list[bytes] = []
         self._body_bytes = 0
         self._head_bytes = 0
@@ -91,7 +95,7 @@
     @property
     def closing(self) -> bool:
         """Whether the connection closes after the current response."""
-        return self._closing or self._server.leaving
+        return self._closing or self._server.keep_alive_disabled
 
     @property
     def host(self) -> str:
@@ -123,7 +127,7 @@
         :raises replies.CallerGone: when the connection is closed.
         """
         if self._transport is None or self._transport.is_closing():
-            raise replies.CallerGone()
+            raise reply_writer.CallerGone()
         self._transport.write(data)
 
     async def drain(self) -> None:
@@ -140,7 +144,7 @@
                 await self._drain_waiter
         except TimeoutError as error:
             self.close()
-            raise replies.CallerGone() from error
+            raise reply_writer.CallerGone() from error
         finally:
             self._drain_waiter = None
 
@@ -149,7 +153,9 @@
         if self._transport is not None:
             self._transport.abort()
 
-    def sweep(self, now: float, limits: routes.CallerLimits) -> None:
+    def sweep(
+        self, now: float, limits: configuration_model.CallerLimits
+    ) -> None:
         """Close the connection if it is idle or its caller sends too slowly.
 
         :param now: on the event loop's clock, in seconds.
@@ -192,10 +198,10 @@
             refusal = error.__context__
             self._reject(
                 refusal.status
-                if isinstance(refusal, framing.RequestRejected)
+                if isinstance(refusal, request_checks.RequestRejected)
                 else 400
             )
-        except framing.RequestRejected as refusal:
+        except request_checks.RequestRejected as refusal:
             self._reject(refusal.status)
         if self._reading_head and self._current_call is not None:
             if self._head_bytes > self._server.limits.header_bytes:
@@ -214,7 +220,7 @@
         self._closing = True
         self._pending_calls.clear()
         if self._drain_waiter is not None and not self._drain_waiter.done():
-            self._drain_waiter.set_exception(replies.CallerGone())
+            self._drain_waiter.set_exception(reply_writer.CallerGone())
         if self._task is not None:
             self._task.cancel()
 
@@ -232,7 +238,7 @@
 
     def on_message_begin(self) -> None:
         """Start a new call."""
-        self._current_call = RawCall(self._loop.time())
+        self._current_call = RawRequest(self._loop.time())
         self._body = []
         self._body_bytes = 0
         self._reading_head = True
@@ -258,7 +264,7 @@
         call = self._current_call
         if call is None:
             return
-        framing.check_request_head(
+        request_checks.check_request_head(
             self._parser.get_http_version(),
             call.target,
             call.headers,
@@ -277,7 +283,7 @@
         """
         self._body_bytes += len(data)
         if self._body_bytes > self._server.limits.body_bytes:
-            raise framing.RequestRejected(413)
+            raise request_checks.RequestRejected(413)
         self._body.append(data)
 
     def on_message_complete(self) -> None:
@@ -300,11 +306,11 @@
             call = self._pending_calls.popleft()
             self._task = self._loop.create_task(self._handle(call))
 
-    async def _handle(self, call: RawCall) -> None:
-        reply = replies.Reply(self)
+    async def _handle(self, call: RawRequest) -> None:
+        reply = reply_writer.ReplyWriter(self)
         try:
             await self._server.handler(call, reply)
-        except replies.CallerGone:
+        except reply_writer.CallerGone:
             self.close()
         finally:
             self._task = None
@@ -328,8 +334,8 @@
         if self.busy:
             return
         try:
-            replies.Reply(self).whole(status, ())
-        except replies.CallerGone:
+            reply_writer.ReplyWriter(self).send_whole(status, ())
+        except reply_writer.CallerGone:
             return
         self._close_after_flush()
 
@@ -348,15 +354,15 @@
 
     __slots__ = ("handler", "limits", "channels", "_leaving", "_server")
 
-    def __init__(self, handler: Handler) -> None:
+    def __init__(self, handler: RequestHandler) -> None:
         self.handler = handler
-        self.limits = routes.CallerLimits()
+        self.limits = configuration_model.CallerLimits()
         self.channels: set[CallerChannel] = set()
         self._leaving = False
         self._server: asyncio.Server | None = None
 
     @property
-    def leaving(self) -> bool:
+    def keep_alive_disabled(self) -> bool:
         """Whether each connection closes after its current response."""
         return self._leaving
 
@@ -371,7 +377,9 @@
         :returns: the port; differs from the argument if that is 0.
         """
         address = addresses.Address(host, port)
-        return await self.serve(ports.Ports().take(address))
+        return await self.serve(
+            listening_sockets.ListeningSockets().take(address)
+        )
 
     async def serve(self, sock: socket.socket) -> int:
         """Accept connections from a listening socket.
@@ -380,11 +388,13 @@
         """
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
-            lambda: CallerChannel(self), sock=sock, backlog=ports.BACKLOG
+            lambda: CallerChannel(self),
+            sock=sock,
+            backlog=listening_sockets.BACKLOG,
         )
         return int(sock.getsockname()[1])
 
-    def leave(self) -> None:
+    def disable_keep_alive(self) -> None:
         """Close each connection after its current response."""
         self._leaving = True
 
@@ -392,7 +402,7 @@
         """Close idle and slow connections periodically, until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
-            await pace.pause(SWEEP_INTERVAL_S)
+            await aligned_timer.sleep_until_tick(SWEEP_INTERVAL_S)
             now = loop.time()
             for channel in list(self.channels):
                 channel.sweep(now, self.limits)
--- a/src/apricotlever/serving/notes.py
+++ b/src/apricotlever/serving/checkpoint.py
@@ -21,7 +21,7 @@
 MAX_LEVEL_AGE_S = 30.0
 
 
-def compose(
+def compose_checkpoint(
     counts: store.Json, levels: typing.Mapping[str, float], wall: float
 ) -> store.Json:
     """Build the checkpoint document.
@@ -45,7 +45,7 @@
 )
 
 
-def counts(spec: store.Json) -> dict[int, dict[str, dict[str, int]]]:
+def parse_counts(spec: store.Json) -> dict[int, dict[str, dict[str, int]]]:
     """Read the usage counts of a checkpoint.
 
     :returns: counts by window, process and customer; empty if the checkpoint
@@ -60,7 +60,7 @@
     return {int(window): table for window, table in found.items()}
 
 
-def fixed_counts(spec: store.Json) -> dict[str, int] | None:
+def parse_fixed_counts(spec: store.Json) -> dict[str, int] | None:
     """Read the final counts of a window, as stored before its report.
 
     :returns: counts by customer; None if the stored object is malformed.
--- a/src/apricotlever/serving/routes.py
+++ b/src/apricotlever/serving/configuration_model.py
@@ -78,13 +78,13 @@
         self.public = public
 
     @property
-    def repeatable(self) -> bool:
+    def is_repeatable(self) -> bool:
         """Whether a call that may have run may be sent again."""
         if self.kind is CallKind.STREAM:
             return self.resumable
         return self.kind is CallKind.IDEMPOTENT
 
-    def service_at(self, point: float) -> str:
+    def select_service(self, point: float) -> str:
         """The service at a point of the weighted split.
 
         :param point: uniformly random in [0, 1).
@@ -144,14 +144,14 @@
     :param copies: whether a runner can copy another runner's cached tokens.
     """
 
-    __slots__ = ("concurrency", "memory_tokens", "copies")
+    __slots__ = ("concurrency", "cache_tokens", "can_copy_cache")
 
     def __init__(
         self, concurrency: int, memory_tokens: int, copies: bool = False
     ) -> None:
         self.concurrency = concurrency
-        self.memory_tokens = memory_tokens
-        self.copies = copies
+        self.cache_tokens = memory_tokens
+        self.can_copy_cache = copies
 
 
 class Service:
@@ -243,16 +243,16 @@
             for key in customer.keys
         }
 
-    def route_of(self, host: str, path: str) -> Route | None:
+    def find_route(self, host: str, path: str) -> Route | None:
         """The route with the longest prefix of a path, None without one."""
         candidates = self._by_host.get(host, ())
         return next((r for r in candidates if path.startswith(r.prefix)), None)
 
-    def customer_of(self, key: str) -> Customer | None:
+    def find_customer(self, key: str) -> Customer | None:
         """The customer of an API key, None if the key is unknown."""
         return self._by_key.get(key)
 
     @property
-    def keyed(self) -> bool:
+    def requires_key(self) -> bool:
         """Whether calls to non-public routes need an API key."""
         return bool(self.customers)
--- a/src/apricotlever/serving/pool.py
+++ b/src/apricotlever/serving/connection_pool.py
@@ -3,7 +3,7 @@
 import asyncio
 import typing
 
-from . import channels
+from . import client_channel
 
 #: Idle time after which a connection is not reused if the peer announced no
 #: keep-alive timeout, in seconds. ``Keep-Alive`` has a resolution of a second,
@@ -19,11 +19,11 @@
 DEFAULT_KEEP_ALIVE_S = 5.0
 
 
-class PoolFull(channels.ChannelError):
+class PoolFull(client_channel.ChannelError):
     """The pool's connection limit is reached; nothing was sent."""
 
 
-class Pool:
+class ConnectionPool:
     """Connections to one address; the most recently used one is reused first.
 
     :param limit: maximum number of open connections.
@@ -43,8 +43,8 @@
         self._host = host
         self._port = port
         self._limit = limit
-        self._idle: list[channels.Channel] = []
-        self._open: set[channels.Channel] = set()
+        self._idle: list[client_channel.Channel] = []
+        self._open: set[client_channel.Channel] = set()
         self._opened = 0
         self._retired = False
 
@@ -54,12 +54,12 @@
         return f"{self._host}:{self._port}"
 
     @property
-    def open(self) -> int:
+    def open_count(self) -> int:
         """The number of open connections."""
         return len(self._open)
 
     @property
-    def opened(self) -> int:
+    def opened_count(self) -> int:
         """The number of connections ever opened."""
         return self._opened
 
@@ -67,7 +67,7 @@
         """Change the connection limit; open connections stay open."""
         self._limit = limit
 
-    def take_idle(self) -> channels.Channel | None:
+    def take_idle(self) -> client_channel.Channel | None:
         """Take an idle connection that may be reused, if there is one."""
         now = asyncio.get_running_loop().time()
         while self._idle:
@@ -79,7 +79,7 @@
 
     async def acquire(
         self, timeout_s: float = CONNECT_TIMEOUT_S, fresh: bool = False
-    ) -> channels.Channel:
+    ) -> client_channel.Channel:
         """Take an idle connection or open one, for one request.
 
         :param fresh: open a connection even if an idle one is available.
@@ -91,7 +91,7 @@
             return kept
         if len(self._open) >= self._limit:
             raise PoolFull("too many connections are open")
-        channel = await channels.connect(
+        channel = await client_channel.connect(
             self._host, self._port, timeout_s, self._on_channel_end
         )
         self._opened += 1
@@ -100,7 +100,7 @@
 
     def release(
         self,
-        channel: channels.Channel,
+        channel: client_channel.Channel,
         closing: bool,
         keep_alive_s: float | None,
     ) -> None:
@@ -121,29 +121,29 @@
         channel.reusable_until = channel.idle_since + kept_s
         self._idle.append(channel)
 
-    def discard(self, channel: channels.Channel) -> None:
+    def discard(self, channel: client_channel.Channel) -> None:
         """Close a connection whose response did not end cleanly."""
         self._close_channel(channel)
 
-    def close(self) -> None:
+    def close_idle(self) -> None:
         """Close the idle connections; those in use stay open."""
         idle, self._idle = self._idle, []
         for channel in idle:
             self._close_channel(channel)
 
-    def retire(self) -> None:
+    def disable_reuse(self) -> None:
         """Close idle connections now and those in use when released."""
         self._retired = True
-        self.close()
+        self.close_idle()
 
-    def other_side_ended(self) -> None:
+    def abort_all(self) -> None:
         """Abort all connections, as if the peer had reset them."""
         self._retired = True
         while self._open:
             self._open.pop().fail_as_reset()
         self._idle.clear()
 
-    def close_old(self, now: float) -> None:
+    def close_expired(self, now: float) -> None:
         """Close idle connections that may no longer be reused.
 
         :param now: on the event loop's clock, in seconds.
@@ -155,38 +155,38 @@
             self._idle.remove(channel)
             self._close_channel(channel)
 
-    def _close_channel(self, channel: channels.Channel) -> None:
+    def _close_channel(self, channel: client_channel.Channel) -> None:
         self._open.discard(channel)
         channel.close()
 
-    def _on_channel_end(self, channel: channels.Channel) -> None:
+    def _on_channel_end(self, channel: client_channel.Channel) -> None:
         self._open.discard(channel)
         if channel in self._idle:
             self._idle.remove(channel)
 
 
-class Answer:
+class HttpResponse:
     """A complete response."""
 
     __slots__ = ("status", "headers", "body")
 
-    def __init__(self, head: channels.ResponseHead, body: bytes) -> None:
+    def __init__(self, head: client_channel.ResponseHead, body: bytes) -> None:
         self.status = head.status
         self.headers = head.headers
         self.body = body
 
 
-class NotWanted(channels.ChannelError):
+class NotWanted(client_channel.ChannelError):
     """A request was no longer wanted once connected; nothing was sent."""
 
 
-async def call(
-    pool: Pool,
+async def exchange(
+    pool: ConnectionPool,
     request: bytes,
     timeout_s: float,
     fresh: bool = False,
     still: typing.Callable[[], bool] = lambda: True,
-) -> Answer:
+) -> HttpResponse:
     """Send a request and read the complete response.
 
     :param timeout_s: limit for the response, and up to
@@ -215,32 +215,32 @@
     pool.release(
         channel, _announces_close(head), _announced_keep_alive_s(head)
     )
-    return Answer(head, body)
+    return HttpResponse(head, body)
 
 
-async def _read_body(channel: channels.Channel) -> bytes:
+async def _read_body(channel: client_channel.Channel) -> bytes:
     parts = []
     while (part := await channel.read_chunk()) is not None:
         parts.append(part)
     return b"".join(parts)
 
 
-def _announces_close(head: channels.ResponseHead) -> bool:
+def _announces_close(head: client_channel.ResponseHead) -> bool:
     return any(
         name.lower() == b"connection" and b"close" in value.lower()
         for name, value in head.headers
     )
 
 
-def _announced_keep_alive_s(head: channels.ResponseHead) -> float | None:
+def _announced_keep_alive_s(head: client_channel.ResponseHead) -> float | None:
     """The keep-alive timeout of a head in seconds, or the default."""
     for name, value in head.headers:
         if name.lower() == b"keep-alive":
-            return keep_alive_s(value)
+            return parse_keep_alive_s(value)
     return DEFAULT_KEEP_ALIVE_S
 
 
-def keep_alive_s(value: bytes) -> float | None:
+def parse_keep_alive_s(value: bytes) -> float | None:
     """The timeout of a ``Keep-Alive`` header in seconds, None if absent."""
     for part in value.split(b","):
         key, _, number = part.strip().partition(b"=")
@@ -249,7 +249,7 @@
     return None
 
 
-def request_bytes(
+def encode_request(
     method: str,
     target: str,
     host: str,
--- a/src/apricotlever/serving/crash_watch.py
+++ b/src/apricotlever/serving/crash_watch.py
@@ -8,10 +8,10 @@
 from ..runners import crash_blocklist
 from ..runners import quarantine
 
-from . import channels
+from . import client_channel
+from . import configuration_model
+from . import connection_pool as pools
 from . import messages
-from . import pool as pools
-from . import routes
 from . import runners
 
 #: Interval between two connection checks of a runner that breaks off answers,
@@ -41,7 +41,7 @@
         #: The runners in the last list, by incarnation.
         self._runners: dict[str, runners.Runner] = {}
 
-    def listed(self, present: typing.Iterable[runners.Runner]) -> None:
+    def update_runners(self, present: typing.Iterable[runners.Runner]) -> None:
         """Apply the list of runners; one missing from it has ended."""
         now = {runner.runner_id: runner for runner in present}
         gone = [r for name, r in self._runners.items() if name not in now]
@@ -53,9 +53,9 @@
             collections.Counter(r.data_centre for r in now.values())
         )
         for runner in gone:
-            self.lost(runner)
+            self.runner_lost(runner)
 
-    def lost(self, runner: runners.Runner) -> None:
+    def runner_lost(self, runner: runners.Runner) -> None:
         """Handle a runner that refuses connections or is no longer listed."""
         charged = self._blocklist.runner_crashed(
             runner.runner_id, runner.data_centre, runner.leaving
@@ -69,18 +69,20 @@
                 charged=charged,
             )
 
-    def broke(
+    def connection_broken(
         self,
         runner: runners.Runner,
         call: messages.CallerCall,
-        customer: routes.Customer | None,
+        customer: configuration_model.Customer | None,
     ) -> None:
         """Handle a connection that the runner closed before its answer."""
         self._blocklist.connection_broken(
             runner.runner_id, fingerprint(call, customer)
         )
 
-    async def refuses(self, runner: runners.Runner, pool: pools.Pool) -> bool:
+    async def refuses(
+        self, runner: runners.Runner, pool: pools.ConnectionPool
+    ) -> bool:
         """Whether a runner that broke off an answer refuses connections.
 
         A runner that has ended refuses them at once. Without this check its
@@ -98,20 +100,24 @@
             channel = await pool.acquire(CHECK_TIMEOUT_S, fresh=True)
         except pools.PoolFull:
             return False
-        except channels.NotConnected as error:
+        except client_channel.NotConnected as error:
             return error.refused
         pool.release(channel, closing=False, keep_alive_s=None)
         return False
 
-    def answered(
-        self, call: messages.CallerCall, customer: routes.Customer | None
+    def call_answered(
+        self,
+        call: messages.CallerCall,
+        customer: configuration_model.Customer | None,
     ) -> None:
         """Handle a complete answer to a call."""
         if self._blocklist.active:
             self._blocklist.answered(fingerprint(call, customer))
 
-    def kept_away_s(
-        self, call: messages.CallerCall, customer: routes.Customer | None
+    def retry_after_s(
+        self,
+        call: messages.CallerCall,
+        customer: configuration_model.Customer | None,
     ) -> float | None:
         """The time until a call may run, in seconds; None if at once."""
         if not self._blocklist.active:
@@ -122,7 +128,7 @@
         """Remove expired records."""
         self._blocklist.tick()
 
-    def told(self, whole: bool) -> crash_blocklist.CrashRecord | None:
+    def next_record(self, whole: bool) -> crash_blocklist.CrashRecord | None:
         """The crashes to include in this VM's next record.
 
         :param whole: whether to include the blocked calls. Peers may receive
@@ -130,7 +136,9 @@
         """
         return self._blocklist.next_record(whole)
 
-    def heard(self, vm: str, told: crash_blocklist.CrashRecord | None) -> None:
+    def merge_record(
+        self, vm: str, told: crash_blocklist.CrashRecord | None
+    ) -> None:
         """Merge the crashes in a peer's record.
 
         :param vm: the peer's name.
@@ -140,7 +148,7 @@
 
 
 def fingerprint(
-    call: messages.CallerCall, customer: routes.Customer | None
+    call: messages.CallerCall, customer: configuration_model.Customer | None
 ) -> str:
     """A fingerprint that a call shares with its repetitions."""
     return quarantine.fingerprint(
--- a/src/apricotlever/serving/limits.py
+++ b/src/apricotlever/serving/customer_limits.py
@@ -6,11 +6,11 @@
 from ..contracts import fleet_rate_limit
 from ..contracts import limit_keepers
 
-from . import limit_calls
-from . import routes
+from . import configuration_model
+from . import limit_protocol
 
 
-class Permit:
+class AdmissionResult:
     """The decision of a customer's limit on one call.
 
     :param units: the units of the call.
@@ -30,7 +30,7 @@
         self.keeper = keeper
 
 
-class Limits:
+class CustomerLimits:
     """The fleet-wide limits of all customers.
 
     :param clock: the time source of the token buckets.
@@ -67,8 +67,8 @@
         self._clock = clock
         self._keepers = limit_keepers.LimitKeepers(clock, vm)
         #: Addresses of the other VMs that may be keepers, by name.
-        self._addresses: dict[str, limit_calls.Address] = {}
-        self._protocol: limit_calls.LimitCalls | None = None
+        self._addresses: dict[str, limit_protocol.Address] = {}
+        self._protocol: limit_protocol.LimitProtocol | None = None
         self._spare = spare
         self._overshoot = overshoot
         self._liveness = fleet_rate_limit.MemberLiveness(clock)
@@ -113,7 +113,9 @@
             if name in self._rates:
                 self._rates[name].initialize_level(level)
 
-    def configure(self, configuration: routes.Configuration) -> None:
+    def configure(
+        self, configuration: configuration_model.Configuration
+    ) -> None:
         """Apply the customers' limits of a configuration."""
         for name, customer in configuration.customers.items():
             rate = self._rates.get(name)
@@ -184,12 +186,12 @@
         for process in processes:
             self._liveness.heard(process)
 
-    def enable_keepers(self, protocol: limit_calls.LimitCalls) -> None:
+    def enable_keepers(self, protocol: limit_protocol.LimitProtocol) -> None:
         """Ask keepers of limits from now on, by this protocol."""
         self._protocol = protocol
 
     def set_keepers(
-        self, others: typing.Mapping[str, limit_calls.Address]
+        self, others: typing.Mapping[str, limit_protocol.Address]
     ) -> None:
         """Set which other VMs may be keepers.
 
@@ -198,28 +200,30 @@
         self._addresses = dict(others)
         self._keepers.set_other_vms(others)
 
-    async def let_in(self, customer: str, units: float) -> Permit:
+    async def let_in(self, customer: str, units: float) -> AdmissionResult:
         """Admit a call if the customer's limit allows it.
 
         The limit's keeper decides. If it can't, this VM decides by itself.
         """
         rate = self._rates[customer]
         if self._protocol is None or not rate.is_limited:
-            return Permit(customer, units, rate.take(units))
+            return AdmissionResult(customer, units, rate.take(units))
         keeper = self._keepers.keeper(customer)
         address = self._addresses.get(keeper)
         if address is None:
-            return Permit(customer, units, rate.take(units, for_all=True))
+            return AdmissionResult(
+                customer, units, rate.take(units, for_all=True)
+            )
         try:
             keeper_wait_s = await self._protocol.take(address, customer, units)
         except TimeoutError:
             self._keepers.record_timeout(keeper)
             keeper_wait_s = None
         if keeper_wait_s is not None:
-            return Permit(customer, units, keeper_wait_s, keeper)
+            return AdmissionResult(customer, units, keeper_wait_s, keeper)
         wait_s = rate.take(units)
         self._report_total(customer)
-        return Permit(customer, units, wait_s)
+        return AdmissionResult(customer, units, wait_s)
 
     def _report_total(self, customer: str) -> None:
         """Tell the keeper the total that this VM has admitted.
@@ -234,15 +238,15 @@
                 address, self._process, customer, used
             )
 
-    def give_back(self, permit: Permit) -> None:
+    def refund(self, permit: AdmissionResult) -> None:
         """Refund the units of an admitted call that did not run."""
         address = self._addresses.get(permit.keeper)
         if not permit.keeper:
-            self.given_back(permit.customer, permit.units)
+            self.refund_units(permit.customer, permit.units)
         elif address is not None and self._protocol is not None:
             self._protocol.send_refund(address, permit.customer, permit.units)
 
-    def take_for(self, customer: str, units: float) -> float | None:
+    def admit_for_peer(self, customer: str, units: float) -> float | None:
         """Decide on a call of another VM, as the keeper of the limit.
 
         :returns: 0 if the call was admitted, else the seconds until it may
@@ -253,12 +257,14 @@
             return None
         return rate.take(units, for_all=True)
 
-    def given_back(self, customer: str, units: float) -> None:
+    def refund_units(self, customer: str, units: float) -> None:
         """Refund the units of a call that this VM counted and did not run."""
         if customer in self._rates:
             self._rates[customer].refund(units)
 
-    def heard_total(self, process: str, customer: str, total: float) -> None:
+    def receive_early_total(
+        self, process: str, customer: str, total: float
+    ) -> None:
         """Apply another VM's total that arrives ahead of the VM's records.
 
         :param process: the other VM's process.
@@ -267,7 +273,9 @@
         if customer in self._rates:
             self._rates[customer].receive_early_total(process, total)
 
-    def of(self, customer: routes.Customer) -> fleet_rate_limit.FleetRateLimit:
+    def rate_limit(
+        self, customer: configuration_model.Customer
+    ) -> fleet_rate_limit.FleetRateLimit:
         """The limit of a customer."""
         return self._rates[customer.name]
 
--- a/src/apricotlever/serving/dialects.py
+++ b/src/apricotlever/serving/dialects.py
@@ -8,8 +8,8 @@
 
 from ..roll_outs import model as roll_outs_model
 
+from . import configuration_model
 from . import messages
-from . import routes
 from . import runners
 from . import store
 
@@ -62,7 +62,7 @@
         """Headers of a response that does not come from a runner."""
 
     def answer_headers(
-        self, head: messages.RunnerHead
+        self, head: messages.RunnerResponseHead
     ) -> list[tuple[bytes, bytes]]:
         """Headers of a runner's response that are forwarded to the caller."""
 
@@ -71,13 +71,13 @@
     """The protocol of runners."""
 
     def request(
-        self, call: messages.CallerCall, errand: messages.Errand
+        self, call: messages.CallerCall, errand: messages.RunnerCallParameters
     ) -> bytes:
         """The complete request to a runner."""
 
     def head(
         self, status: int, headers: messages.Headers
-    ) -> messages.RunnerHead:
+    ) -> messages.RunnerResponseHead:
         """Translate the head of a runner's response."""
 
 
@@ -116,13 +116,15 @@
     ) -> store.Json:
         """The status document of a roll-out order."""
 
-    def configuration(self, spec: store.Json) -> routes.Configuration:
+    def configuration(
+        self, spec: store.Json
+    ) -> configuration_model.Configuration:
         """Translate a configuration.
 
         :raises ValueError: when the configuration is invalid.
         """
 
-    def runner(self, stored: store.StoredObject) -> runners.Entry:
+    def runner(self, stored: store.StoredObject) -> runners.RunnerEntry:
         """Translate a runner's entry; never raises, even if it is invalid."""
 
     def store_codec(self) -> store.Codec:
@@ -168,7 +170,7 @@
 _DIALECTS: dict[str, typing.Callable[[], Dialect]] = {}
 
 
-def register(
+def register_dialect(
     name: str,
 ) -> typing.Callable[
     [typing.Callable[[], Dialect]], typing.Callable[[], Dialect]
@@ -184,7 +186,7 @@
     return decorate
 
 
-def dialect(name: str) -> Dialect:
+def create_dialect(name: str) -> Dialect:
     """Create the dialect that is registered under a name.
 
     :raises UnknownDialectError: when no dialect is registered under it.
--- a/src/apricotlever/serving/duties.py
+++ b/src/apricotlever/serving/duty_lease.py
@@ -10,9 +10,9 @@
 from ..vms import rendezvous
 from ..vms import vm_records
 
-from . import channels
+from . import client_channel
+from . import connection_pool as pools
 from . import dialects
-from . import pool as pools
 from . import settings
 from . import store
 
@@ -39,7 +39,7 @@
 SURRENDER_FACTOR = 2.0
 
 
-def candidates(
+def possible_holders(
     name: str, peers: typing.Sequence[vm_records.VmRecord]
 ) -> list[str]:
     """The other VMs that hold a lease, or would contend for a free one.
@@ -86,7 +86,7 @@
         clock: clocks.Clock,
         rng: random.Random,
         store_: store.Store,
-        bounds: settings.Bounds,
+        bounds: settings.FleetBounds,
     ) -> None:
         self._name = name
         self._vm = vm
@@ -284,7 +284,7 @@
         self._vm = vm
         self._dialect = dialect
         self._host = f"{address.host}:{address.port}"
-        self._pool = pools.Pool(address.host, address.port)
+        self._pool = pools.ConnectionPool(address.host, address.port)
         #: Number of calls made so far.
         self.calls = 0
 
@@ -296,19 +296,19 @@
         :raises CloudBusy: if the call may be repeated.
         """
         headers = self._dialect.duty_headers(self._vm, fencing)
-        request = pools.request_bytes("POST", path, self._host, body, headers)
+        request = pools.encode_request("POST", path, self._host, body, headers)
         self.calls += 1
         try:
             # The lease may expire while the connection opens, so it is
             # checked again just before the call is sent.
-            answer = await pools.call(
+            answer = await pools.exchange(
                 self._pool,
                 request,
                 CALL_TIMEOUT_S,
                 still=lambda: self._may_act(fencing),
             )
-        except (channels.ChannelError, TimeoutError) as error:
-            self._pool.close()
+        except (client_channel.ChannelError, TimeoutError) as error:
+            self._pool.close_idle()
             raise CloudBusy(type(error).__name__) from error
         if answer.status == 409:
             return False
--- a/src/apricotlever/serving/duty_roster.py
+++ b/src/apricotlever/serving/duty_roster.py
@@ -8,22 +8,22 @@
 from ..roll_outs import controller as roll_outs_controller
 from ..vms import vm_records
 
+from . import configuration_model
+from . import customer_limits
 from . import dialects
-from . import directory as directories
-from . import duties
-from . import limits
+from . import duty_lease
 from . import roll_out_duty
-from . import routes
+from . import runner_directory as directories
 from . import runner_duty
 from . import settings
 from . import store
-from . import tasks
+from . import task_supervisor
 from . import upstreams
 from . import usage_duty
 
 #: All duties share one lease, as the store charges for each renewal and a
 #: lease is renewed every 1.5 s.
-LEASE = "fleet"
+LEASE_NAME = "fleet"
 
 
 class DutyRoster:
@@ -53,11 +53,17 @@
     ) -> None:
         self._clock = clock
         self._heartbeat_s = config.bounds.runner_heartbeat_s
-        self._keeper = keeper = duties.LeaseKeeper(
-            LEASE, config.vm, incarnation, clock, rng, store_, config.bounds
+        self._keeper = keeper = duty_lease.LeaseKeeper(
+            LEASE_NAME,
+            config.vm,
+            incarnation,
+            clock,
+            rng,
+            store_,
+            config.bounds,
         )
         self._cloud = (
-            duties.CloudClient(
+            duty_lease.CloudClient(
                 config.vm,
                 dialect,
                 config.cloud,
@@ -71,16 +77,16 @@
         self._roll_outs: roll_out_duty.RollOutDuty | None = None
 
     @property
-    def reported(self) -> int:
+    def last_reported_window(self) -> int:
         """The newest usage window known to be reported; 0 if none."""
         return (
             self._usage.last_reported_window if self._usage is not None else 0
         )
 
-    def order_runners(
+    def add_runner_duty(
         self,
-        workload: runner_duty.Work,
-        directory: directories.Directory,
+        workload: runner_duty.FleetWorkload,
+        directory: directories.RunnerDirectory,
         upstreams_: upstreams.Upstreams,
         dialect: dialects.PlatformDialect,
     ) -> None:
@@ -98,13 +104,13 @@
                 dialect,
                 self._keeper,
                 self._heartbeat_s,
-                upstreams_.serves,
+                upstreams_.takes_regular_calls,
             )
 
-    def report_usage(
+    def add_usage_duty(
         self,
         windows: usage_windows.UsageWindows,
-        limits_: limits.Limits,
+        limits_: customer_limits.CustomerLimits,
         store_: store.Store,
         dialect: dialects.PlatformDialect,
     ) -> None:
@@ -124,7 +130,7 @@
                 lambda: limits_.levels,
             )
 
-    def write_roll_outs(
+    def add_roll_out_duty(
         self,
         controller: roll_outs_controller.RollOutController,
         store_: store.Store,
@@ -146,29 +152,31 @@
             changed,
         )
 
-    def start(self, running: tasks.Tasks) -> None:
+    def start(self, running: task_supervisor.TaskSupervisor) -> None:
         """Start the tasks of the added duties."""
         if (self._runners, self._usage, self._roll_outs) == (None, None, None):
             return
-        running.every(duties.TICK_S, self._keeper.step)
+        running.repeat(duty_lease.TICK_S, self._keeper.step)
         if self._runners is not None:
-            running.every(runner_duty.STEP_INTERVAL_S, self._runners.step)
+            running.repeat(runner_duty.STEP_INTERVAL_S, self._runners.step)
         if self._usage is not None:
-            running.every(usage_duty.STEP_INTERVAL_S, self._usage.step)
+            running.repeat(usage_duty.STEP_INTERVAL_S, self._usage.step)
         if self._roll_outs is not None:
-            running.every(roll_out_duty.STEP_INTERVAL_S, self._roll_outs.step)
+            running.repeat(roll_out_duty.STEP_INTERVAL_S, self._roll_outs.step)
 
-    def configure(self, configuration: routes.Configuration) -> None:
+    def configure(
+        self, configuration: configuration_model.Configuration
+    ) -> None:
         """Apply a version of the configuration."""
         if self._runners is not None:
             self._runners.configuration = configuration
 
-    def heard_reported(self, window: int) -> None:
+    def observe_reported_window(self, window: int) -> None:
         """Record that another VM knows a usage window to be reported."""
         if self._usage is not None:
             self._usage.observe_reported_window(window)
 
-    def look(
+    def update_view(
         self, peers: typing.Sequence[vm_records.VmRecord], members: int
     ) -> None:
         """Decide whether to contend for the lease.
@@ -180,12 +188,12 @@
         self._keeper.update_view(peers, members)
 
     @property
-    def renewed(self) -> tuple[int, int] | None:
+    def last_renewal(self) -> tuple[int, int] | None:
         """The version and fencing number while this VM holds the lease."""
         return self._keeper.last_renewal
 
     @property
-    def gave_up(self) -> int:
+    def surrendered_fencing(self) -> int:
         """The fencing number that this VM surrendered recently; 0 if none."""
         return self._keeper.surrendered_fencing
 
@@ -194,6 +202,6 @@
         """The number of calls made to the cloud API."""
         return self._cloud.calls if self._cloud is not None else 0
 
-    def leave(self) -> None:
+    def release_lease(self) -> None:
         """Release the lease."""
         self._keeper.release()
--- a/src/apricotlever/serving/fleet_link.py
+++ b/src/apricotlever/serving/fleet_link.py
@@ -19,12 +19,12 @@
 from ..vms import record_exchange
 from ..vms import vm_records
 
-from . import datagrams
-from . import directory as directories
-from . import peers
+from . import peer_datagrams
+from . import peer_http
+from . import runner_directory as directories
 from . import settings
 from . import store
-from . import tasks
+from . import task_supervisor
 
 #: How long this VM waits for the store to deliver news that a peer already
 #: has, in seconds, before it fetches the news from the peer.
@@ -143,8 +143,8 @@
         rng: random.Random,
         config: settings.NodeSettings,
         local: LocalVm,
-        directory: directories.Directory,
-        running: tasks.Tasks,
+        directory: directories.RunnerDirectory,
+        running: task_supervisor.TaskSupervisor,
     ) -> None:
         self._clock = clock
         self._vm = config.vm
@@ -157,8 +157,8 @@
         self._record_exchange = record_exchange.RecordExchange(
             clock, rng, config.vm, config.data_centre, self._table, local
         )
-        self._datagrams = datagrams.PeerSocket(self)
-        self._client = peers.PeerClient()
+        self._datagrams = peer_datagrams.PeerSocket(self)
+        self._client = peer_http.PeerClient()
         self._catch_up_timers = catch_up.CatchUpTimers(clock)
         self._fetching: set[str] = set()
         self._alive: set[str] = set()
@@ -225,14 +225,16 @@
     def listen(self, address: settings.Address) -> None:
         """Open the socket and start sending and receiving records."""
         self._datagrams.listen(address.host, address.port)
-        self._tasks.every(datagrams.READ_S, self._receive_pending)
-        self._tasks.every(
+        self._tasks.repeat(
+            peer_datagrams.READ_INTERVAL_S, self._receive_pending
+        )
+        self._tasks.repeat(
             vm_records.RECORD_INTERVAL_S, self._publish_periodically
         )
-        self._tasks.every(
+        self._tasks.repeat(
             record_aggregation.AGGREGATE_INTERVAL_S, self._publish_aggregates
         )
-        self._tasks.every(TALLY_INTERVAL_S, self._publish_tally)
+        self._tasks.repeat(TALLY_INTERVAL_S, self._publish_tally)
 
     def close(self) -> None:
         """Close the socket."""
@@ -254,7 +256,7 @@
         self._datagrams.discard_pending()
         self._table.mark_all_silent()
 
-    def tell(self) -> None:
+    def publish_now(self) -> None:
         """Send this VM's record immediately.
 
         An aggregator also sends its aggregates.
@@ -436,4 +438,6 @@
     async def _fetch_runners(self, address: str, above: int) -> None:
         changes = await self._client.runners(address, above)
         if changes is not None:
-            self._local.runners_changed(self._directory.heard(*changes))
+            self._local.runners_changed(
+                self._directory.merge_changes(*changes)
+            )
--- a/src/apricotlever/serving/limit_calls.py
+++ b/src/apricotlever/serving/limit_protocol.py
@@ -13,7 +13,7 @@
 from .. import logs
 from .. import validation
 
-from . import log_limit
+from . import log_rate_limiter
 
 #: How long a VM waits for an answer, in seconds: several round trips, and less
 #: than callers notice.
@@ -63,17 +63,19 @@
 class Keeper(typing.Protocol):
     """Counts calls of other VMs against the limits that it keeps."""
 
-    def take_for(self, customer: str, units: float) -> float | None:
+    def admit_for_peer(self, customer: str, units: float) -> float | None:
         """Admit a call of another VM if the customer's limit allows it.
 
         :returns: 0 if the call was admitted, else the seconds until it may
             be; None if this VM does not know the level of the limit.
         """
 
-    def given_back(self, customer: str, units: float) -> None:
+    def refund_units(self, customer: str, units: float) -> None:
         """Refund the units of an admitted call that did not run."""
 
-    def heard_total(self, process: str, customer: str, total: float) -> None:
+    def receive_early_total(
+        self, process: str, customer: str, total: float
+    ) -> None:
         """Receive the units that another VM has counted by itself.
 
         :param process: the other VM's process.
@@ -97,7 +99,7 @@
         self.answer = answer
 
 
-class LimitCalls(asyncio.DatagramProtocol):
+class LimitProtocol(asyncio.DatagramProtocol):
     """Sends requests to keepers of limits, and answers those of other VMs.
 
     :param keeper: admits calls of other VMs on this VM.
@@ -120,7 +122,7 @@
         self,
         keeper: Keeper,
         is_peer: typing.Callable[[str], bool],
-        refusals: log_limit.LogLimit,
+        refusals: log_rate_limiter.LogRateLimiter,
     ) -> None:
         self._keeper = keeper
         self._is_peer = is_peer
@@ -221,14 +223,14 @@
             self._log_refusal(addr[0], "no_such_message")
         elif kind == ASK:
             _, number, customer, units = message
-            wait_s = self._keeper.take_for(customer, units)
+            wait_s = self._keeper.admit_for_peer(customer, units)
             self._send([ANSWER, number, wait_s], addr)
         elif kind == ANSWER:
             self._receive_answer(message[1], message[2], addr)
         elif kind == REFUND:
-            self._keeper.given_back(message[1], message[2])
+            self._keeper.refund_units(message[1], message[2])
         else:
-            self._keeper.heard_total(*message[1:])
+            self._keeper.receive_early_total(*message[1:])
 
     def _receive_answer(
         self, number: int, wait_s: float | None, address: Address
--- a/src/apricotlever/serving/ports.py
+++ b/src/apricotlever/serving/listening_sockets.py
@@ -18,7 +18,7 @@
 BACKLOG = 1024
 
 
-class Ports:
+class ListeningSockets:
     """Listening sockets by address."""
 
     __slots__ = ("_sockets",)
--- a/src/apricotlever/serving/log_limit.py
+++ b/src/apricotlever/serving/log_rate_limiter.py
@@ -9,7 +9,7 @@
 MAX_SUBJECTS = 64
 
 
-class LogLimit:
+class LogRateLimiter:
     """Decides whether a line about a subject may be logged."""
 
     __slots__ = ("_clock", "_logged_at")
--- a/src/apricotlever/serving/log_writer.py
+++ b/src/apricotlever/serving/log_writer.py
@@ -6,7 +6,7 @@
 
 from .. import logs
 
-from . import pace
+from . import aligned_timer
 
 STANDARD_OUTPUT = 1
 #: Time between two writes, in seconds. Lines are collected, so that one system
@@ -97,7 +97,7 @@
     async def run(self) -> None:
         """Flush the buffer periodically, until cancelled."""
         while True:
-            await pace.pause(FLUSH_INTERVAL_S)
+            await aligned_timer.sleep_until_tick(FLUSH_INTERVAL_S)
             self._start_period_if_due()
             self.flush()
 
--- a/src/apricotlever/serving/main.py
+++ b/src/apricotlever/serving/main.py
@@ -8,9 +8,9 @@
 from .. import logs
 
 from . import dialects
+from . import listening_sockets
 from . import log_writer
 from . import node
-from . import ports
 from . import settings
 
 #: Number of new objects that triggers a collection of the youngest generation.
@@ -22,7 +22,7 @@
 def run(
     dialect: str,
     read_settings: settings.SettingsReader,
-    listening: ports.Ports | None = None,
+    listening: listening_sockets.ListeningSockets | None = None,
 ) -> int:
     """Serve calls until a signal stops the process.
 
@@ -39,10 +39,10 @@
     gc.enable()
     member = node.Node(
         read_settings,
-        dialects.dialect(dialect),
+        dialects.create_dialect(dialect),
         clocks.SystemClock(),
         random.Random(),
-        listening or ports.Ports(),
+        listening or listening_sockets.ListeningSockets(),
     )
     asyncio.run(_serve(member, writer))
     return 0
--- a/src/apricotlever/serving/messages.py
+++ b/src/apricotlever/serving/messages.py
@@ -41,7 +41,7 @@
         self.parts = parts
 
     @property
-    def shared_key(self) -> str:
+    def shared_part_id(self) -> str:
         """ID of the last part that other calls may share; "" without one."""
         return self.parts[-2].part_id if len(self.parts) > 1 else ""
 
@@ -69,7 +69,7 @@
         "headers",
         "body",
         "request_id",
-        "patience_s",
+        "caller_timeout_s",
         "key",
         "prompt",
         "last_event_id",
@@ -84,7 +84,7 @@
         headers: Headers,
         body: bytes,
         request_id: str,
-        patience_s: float | None,
+        caller_timeout_s: float | None,
         key: str,
         prompt: Prompt | None,
         last_event_id: int | None,
@@ -96,7 +96,7 @@
         self.headers = headers
         self.body = body
         self.request_id = request_id
-        self.patience_s = patience_s
+        self.caller_timeout_s = caller_timeout_s
         self.key = key
         self.prompt = prompt
         self.last_event_id = last_event_id
@@ -108,7 +108,7 @@
         return self.target.partition("?")[0]
 
 
-class Errand:
+class RunnerCallParameters:
     """Parameters that are sent to a runner in addition to the caller's call.
 
     :param runner: name of the intended runner.
@@ -126,7 +126,7 @@
     __slots__ = (
         "runner",
         "customer",
-        "left_s",
+        "remaining_s",
         "priority",
         "resume_after",
         "copy_from",
@@ -136,20 +136,20 @@
         self,
         runner: str,
         customer: str | None,
-        left_s: float,
+        remaining_s: float,
         priority: int | None,
         resume_after: int | None,
         copy_from: str | None = None,
     ) -> None:
         self.runner = runner
         self.customer = customer
-        self.left_s = left_s
+        self.remaining_s = remaining_s
         self.priority = priority
         self.resume_after = resume_after
         self.copy_from = copy_from
 
 
-class RunnerHead:
+class RunnerResponseHead:
     """Status and headers of a runner's response.
 
     :param not_run: whether the runner guarantees that it did not run the call.
--- a/src/apricotlever/serving/metrics.py
+++ b/src/apricotlever/serving/metrics.py
@@ -2,15 +2,15 @@
 
 import typing
 
-from . import limits
-from . import relay
-from . import routes
+from . import call_relay
+from . import configuration_model
+from . import customer_limits
 
 
-def text(
-    relay_: relay.Relay,
-    limits_: limits.Limits,
-    configuration: routes.Configuration | None,
+def format_metrics(
+    relay_: call_relay.CallRelay,
+    limits_: customer_limits.CustomerLimits,
+    configuration: configuration_model.Configuration | None,
     gauges: typing.Mapping[str, float],
     restarts: typing.Mapping[str, int],
 ) -> str:
@@ -23,14 +23,14 @@
     :param restarts: number of restarts of each supervised task, by name.
     """
     upstreams = relay_.upstreams
-    calls = upstreams.failures
+    calls = upstreams.outcome_counts
     services = configuration.services if configuration else ()
-    return relay_.observations.text(
+    return relay_.observations.format_text(
         gauges,
         {
             ("task_restarts_total", "task"): restarts,
             ("in_flight", "runner"): upstreams.in_flight,
-            ("waiting_tokens", "runner"): upstreams.pending,
+            ("waiting_tokens", "runner"): upstreams.pending_tokens,
             ("runner_calls_total", "runner"): {
                 runner: total for runner, (_, total) in calls.items()
             },
--- a/src/apricotlever/serving/node.py
+++ b/src/apricotlever/serving/node.py
@@ -15,32 +15,32 @@
 from ..vms import peer_loads
 from ..vms import vm_records
 
+from . import call_relay
+from . import checkpoint
+from . import configuration_model
+from . import customer_limits
 from . import dialects
-from . import directory as directories
 from . import drain
-from . import duties
+from . import duty_lease
 from . import duty_roster
 from . import fleet_link
-from . import limit_calls
-from . import limits
-from . import listeners
-from . import log_limit
+from . import limit_protocol
+from . import listening_sockets
+from . import log_rate_limiter
 from . import metrics
-from . import node_checks
-from . import notes
-from . import peers
-from . import ports
-from . import relay
-from . import reloading
+from . import peer_http
 from . import roll_out_orders
-from . import routes
+from . import runner_directory as directories
 from . import runner_duty
 from . import runners
 from . import servers
 from . import settings
+from . import settings_reloader
+from . import status_handlers
 from . import store
+from . import store_listeners
 from . import store_watch
-from . import tasks
+from . import task_supervisor
 from . import upstreams
 
 TICK_S = 0.1
@@ -70,26 +70,28 @@
         dialect: dialects.Dialect,
         clock: clocks.Clock,
         rng: random.Random,
-        listening: ports.Ports,
+        listening: listening_sockets.ListeningSockets,
     ) -> None:
         self._dialect = dialect
         self._clock = clock
         self._rng = rng
-        self._reloader = reloading.SettingsReloader(
+        self._reloader = settings_reloader.SettingsReloader(
             read_settings, lambda seeds: self._fleet.set_seeds(seeds)
         )
         self._settings = config = self._reloader.settings
         self._incarnation = time.time_ns() // 1_000_000
         self._process = f"{config.vm}#{self._incarnation}"
-        self._configuration: routes.Configuration | None = None
+        self._configuration: configuration_model.Configuration | None = None
         self._configuration_spec: store.Json = None
-        self._directory = directories.Directory(clock, config.bounds.drain_s)
+        self._directory = directories.RunnerDirectory(
+            clock, config.bounds.drain_s
+        )
         self._roll_outs = roll_outs_controller.RollOutController(
             clock,
             rng,
             config.bounds.roll_outs or roll_outs_model.RollOutLimits(),
         )
-        self._orders = roll_out_orders.Orders(
+        self._orders = roll_out_orders.RollOutOrders(
             clock, self._roll_outs, dialect.platform, self._roll_outs_changed
         )
         self._upstreams = upstreams.Upstreams(
@@ -102,26 +104,26 @@
             lambda: self._fleet.publish_soon(),
             self._roll_outs,
         )
-        self._limits = limits.Limits(
+        self._limits = customer_limits.CustomerLimits(
             clock,
-            config.bounds.limit_spare,
+            config.bounds.limit_slack,
             config.bounds.limit_overshoot,
             self._process,
             config.vm,
         )
-        self._limit_calls = limit_calls.LimitCalls(
-            self._limits, self.is_peer, log_limit.LogLimit(clock)
+        self._limit_calls = limit_protocol.LimitProtocol(
+            self._limits, self.is_peer, log_rate_limiter.LogRateLimiter(clock)
         )
         self._retry_allowance = retry_allowance.RetryAllowance(
             clock,
             config.bounds.retry_ratio,
-            config.bounds.retry_least,
+            config.bounds.retry_min,
             config.bounds.retry_window_s,
         )
         self._usage = usage_windows.UsageWindows(
             clock, self._process, config.bounds.usage_window_s
         )
-        self._relay = relay.Relay(
+        self._relay = call_relay.CallRelay(
             dialect,
             self._upstreams,
             self._limits,
@@ -129,7 +131,7 @@
             self._usage,
             rng,
         )
-        self._tasks = tasks.Tasks()
+        self._tasks = task_supervisor.TaskSupervisor()
         self._fleet = fleet_link.FleetLink(
             clock, rng, config, self, self._directory, self._tasks
         )
@@ -147,7 +149,7 @@
             self._store,
             dialect.platform,
         )
-        self._work = runner_duty.Work(clock)
+        self._work = runner_duty.FleetWorkload(clock)
         self._watchers: list[store_watch.Watcher] = []
         self._leaving_since: float | None = None
         self._started_at = clock.now()
@@ -167,7 +169,7 @@
         """
         orders = self._dialect.platform.roll_outs_kind
         return all(
-            watcher.in_touch
+            watcher.is_connected
             for watcher in self._watchers
             if watcher.kind != orders
         )
@@ -187,8 +189,10 @@
         self._start_watchers()
         spawn = self._tasks.spawn
         spawn(self._restore_limit_levels())
-        self._tasks.every(reloading.RELOAD_INTERVAL_S, self._reloader.poll)
-        self._tasks.every(TICK_S, self._tick)
+        self._tasks.repeat(
+            settings_reloader.RELOAD_INTERVAL_S, self._reloader.poll
+        )
+        self._tasks.repeat(TICK_S, self._tick)
         self._servers.start_idle_sweeps(self._tasks)
         informed = await self._servers.serve_callers()
         logs.event(
@@ -210,8 +214,8 @@
         self._leaving_since = self._clock.now()
         logs.event("stopping", busy=self._servers.busy)
         self._servers.drain()
-        self._duties.leave()
-        self._fleet.tell()
+        self._duties.release_lease()
+        self._fleet.publish_now()
         self._tasks.spawn(self._stop_when_idle())
 
     def configure(self, spec: store.Json) -> bool:
@@ -260,7 +264,7 @@
     def _roll_outs_changed(self) -> None:
         """Apply changed roles of runners in roll-outs and tell the fleet."""
         self._upstreams.refresh()
-        self._fleet.tell()
+        self._fleet.publish_now()
 
     async def _restore_limit_levels(self) -> None:
         """Restore the levels of the limits from the checkpoint in the store.
@@ -268,7 +272,7 @@
         If all processes were killed at once, no running VM knows the levels.
         """
         try:
-            levels = await notes.read_levels(self._store, self._clock)
+            levels = await checkpoint.read_levels(self._store, self._clock)
         except (store.StoreError, ValueError) as error:
             logs.event("notes_unread", error=type(error).__name__)
         else:
@@ -303,24 +307,24 @@
             directory=self._directory.revision,
             runners=self._directory.checksum,
             in_flight=calls.in_flight,
-            pending=calls.pending,
+            pending=calls.pending_tokens,
             used=self._limits.admitted_units,
             # Levels may be a second old. In each record, they would make it
             # half as long again.
             levels=self._limits.levels if whole else None,
             usage=(
-                self._usage.own_counts(self._duties.reported)
+                self._usage.own_counts(self._duties.last_reported_window)
                 if counts
                 else None
             ),
-            work=calls.work if counts else None,
-            silent=calls.silent,
-            failures=calls.failures if whole else None,
-            reported=self._duties.reported,
+            work=calls.prefill_meters if counts else None,
+            silent=calls.silent_runners,
+            failures=calls.outcome_counts if whole else None,
+            reported=self._duties.last_reported_window,
             known=known if whole else None,
-            crashes=calls.crashes.told(whole),
-            gave_up=self._duties.gave_up,
-            lease=self._duties.renewed,
+            crashes=calls.crashes.next_record(whole),
+            gave_up=self._duties.surrendered_fencing,
+            lease=self._duties.last_renewal,
             limits_port=self._limit_calls.port,
             aggregator=aggregator,
             roll_outs=[order.to_record() for order in self._roll_outs.orders],
@@ -332,11 +336,11 @@
         self._limits.initialize_levels(record.levels)
         self._limits.receive_totals(record.process, record.used)
         self._usage.merge_counts(record.process, record.usage)
-        self._work.heard(record.process, record.work)
-        self._duties.heard_reported(record.reported)
-        self._upstreams.crashes.heard(record.vm, record.crashes)
+        self._work.merge_counters(record.process, record.work)
+        self._duties.observe_reported_window(record.reported)
+        self._upstreams.crashes.merge_record(record.vm, record.crashes)
         if record.roll_outs:
-            self._orders.heard(record.roll_outs)
+            self._orders.merge_records(record.roll_outs)
 
     def receive_relayed_totals(
         self, process: str, used: dict[str, float]
@@ -356,7 +360,7 @@
         """
         for process, (usage, work) in counts.items():
             self._usage.merge_counts(process, usage)
-            self._work.heard(process, work)
+            self._work.merge_counters(process, work)
 
     def record_contact(self, processes: typing.Iterable[str]) -> None:
         """Record that an aggregator has heard from these processes."""
@@ -364,11 +368,13 @@
 
     def duty_candidates(self) -> list[str]:
         """Names of the VMs that hold duties or may take them over."""
-        return duties.candidates(duty_roster.LEASE, self._fleet.alive)
+        return duty_lease.possible_holders(
+            duty_roster.LEASE_NAME, self._fleet.alive
+        )
 
     def observe_loads(self, loads: peer_loads.PeerLoads) -> None:
         """Apply the loads that the other VMs put on runners."""
-        self._upstreams.observe_peers(loads)
+        self._upstreams.update_peer_loads(loads)
         self._roll_outs.update_fleet_counts(loads.trials, loads.from_aggregate)
 
     def configuration_after(self, version: int) -> store.Json | None:
@@ -382,7 +388,7 @@
 
         :returns: entries, and the revisions of removals by runner ID.
         """
-        return self._directory.news_after(revision)
+        return self._directory.changes_after(revision)
 
     def is_peer(self, host: str) -> bool:
         """Whether an IP address belongs to a member of the fleet."""
@@ -402,7 +408,7 @@
         """All metrics in the text format of Prometheus."""
         gauges = {
             "store_calls_total": self._store.calls,
-            "runner_connections_total": self._upstreams.opened,
+            "runner_connections_total": self._upstreams.connections_opened,
             "members": len(self._fleet.alive) + 1,
             "configuration_version": self.version,
             "callers_busy": self._servers.busy,
@@ -410,7 +416,7 @@
             "limit_asks_total": self._limit_calls.request_count,
             "limit_asks_unanswered_total": self._limit_calls.timeout_count,
         }
-        return metrics.text(
+        return metrics.format_metrics(
             self._relay,
             self._limits,
             self._configuration,
@@ -420,8 +426,8 @@
 
     async def _listen(self) -> None:
         config = self._settings
-        checks = node_checks.StatusHandlers(self, self._dialect.callers)
-        peer_server = peers.PeerServer(self)
+        checks = status_handlers.StatusHandlers(self, self._dialect.callers)
+        peer_server = peer_http.PeerServer(self)
         for name, address, handler in (
             ("callers", config.callers, self._relay.answer),
             ("checks", config.checks, checks.ready),
@@ -443,13 +449,13 @@
 
     def _start_watchers(self) -> None:
         """Start the watchers of the store, one for each kind of object."""
-        self._watchers = listeners.create_watchers(
+        self._watchers = store_listeners.create_watchers(
             self._store,
             self._dialect.platform,
-            listeners.ConfigurationListener(
+            store_listeners.ConfigurationListener(
                 self._dialect.platform.configuration_name, self.configure
             ),
-            listeners.Entries(
+            store_listeners.RunnerEntryListener(
                 self._directory, self._dialect.platform, self.runners_changed
             ),
             self._orders if self._settings.bounds.roll_outs else None,
@@ -464,15 +470,15 @@
         config = self._settings
         platform = self._dialect.platform
         if config.orders_runners:
-            self._duties.order_runners(
+            self._duties.add_runner_duty(
                 self._work, self._directory, self._upstreams, platform
             )
         if config.reports_usage:
-            self._duties.report_usage(
+            self._duties.add_usage_duty(
                 self._usage, self._limits, self._store, platform
             )
         if config.bounds.roll_outs is not None:
-            self._duties.write_roll_outs(
+            self._duties.add_roll_out_duty(
                 self._roll_outs,
                 self._store,
                 self._upstreams,
@@ -488,7 +494,7 @@
             return
         if now - last > STALL_THRESHOLD_S:
             self._handle_stall(now - last)
-        self._look()
+        self._update()
 
     def _handle_stall(self, for_s: float) -> None:
         """Discard knowledge that a suspension of the process made stale.
@@ -498,9 +504,9 @@
         logs.event("paused", for_s=for_s)
         self._fleet.handle_stall()
         for watcher in self._watchers:
-            watcher.doubt()
+            watcher.invalidate()
 
-    def _look(self) -> None:
+    def _update(self) -> None:
         ended = self._directory.tick()
         if ended:
             self.runners_changed(ended)
@@ -512,10 +518,12 @@
             processes, self._fleet.mean_sign_of_life_interval_s
         )
         self._limits.set_keepers(self._fleet.limit_keepers)
-        self._work.heard(self._process, self._upstreams.work)
-        self._work.keep_only(processes | {self._process})
+        self._work.merge_counters(
+            self._process, self._upstreams.prefill_meters
+        )
+        self._work.retain_processes(processes | {self._process})
         self._retry_allowance.set_members(len(members) + 1)
-        self._upstreams.set_members(len(members) + 1)
+        self._upstreams.set_fleet_size(len(members) + 1)
         if not self._fleet.aggregator:
             self.observe_loads(self._fleet.loads)
         if self._roll_outs.tick():
@@ -525,7 +533,7 @@
             self._clock.now() - self._started_at >= MIN_UPTIME_FOR_DUTIES_S
         )
         if settled and self._leaving_since is None:
-            self._duties.look(alive, len(members) + 1)
+            self._duties.update_view(alive, len(members) + 1)
 
     async def _stop_when_idle(self) -> None:
         shutdown_s = self._settings.bounds.shutdown_s
@@ -533,6 +541,6 @@
             self._clock,
             lambda: self._servers.busy,
             shutdown_s,
-            self._relay.stop_taking,
+            self._relay.refuse_new_calls,
         )
         self._stopped.set()
--- a/src/apricotlever/serving/datagrams.py
+++ b/src/apricotlever/serving/peer_datagrams.py
@@ -15,7 +15,7 @@
 #: arrival would wake the process more than a hundred times a second in a large
 #: fleet, which would be most of the work of an idle VM. Records are sent less
 #: often than the socket is read, so waiting adds little to their age.
-READ_S = 0.05
+READ_INTERVAL_S = 0.05
 #: Maximum number of datagrams in one read. A VM receives about six between two
 #: reads, 120 a second. A flood of datagrams must not delay callers.
 MAX_DATAGRAMS_PER_READ = 300
@@ -107,7 +107,7 @@
     def receive_pending(self) -> None:
         """Process the messages that have arrived since the last read."""
         for data, (host, _) in self._pending_datagrams():
-            self._take(data, host)
+            self._receive(data, host)
 
     def discard_pending(self) -> None:
         """Discard the messages that have arrived since the last read.
@@ -154,7 +154,7 @@
             except OSError:
                 return
 
-    def _take(self, data: bytes, host: str) -> None:
+    def _receive(self, data: bytes, host: str) -> None:
         try:
             message = unpack(data)
             sender = message.peer_address.rpartition(":")[0]
--- a/src/apricotlever/serving/peers.py
+++ b/src/apricotlever/serving/peer_http.py
@@ -12,13 +12,13 @@
 from .. import logs
 from .. import validation
 
-from . import callers
-from . import channels
-from . import replies
+from . import caller_server
+from . import client_channel
+from . import reply_writer
 from . import runners
 from . import store
 
-from . import pool as pools
+from . import connection_pool as pools
 
 #: Timeout of a fetch of runner entries, in seconds.
 FETCH_TIMEOUT_S = 0.8
@@ -50,7 +50,7 @@
     __slots__ = ("_pools",)
 
     def __init__(self) -> None:
-        self._pools: dict[str, pools.Pool] = {}
+        self._pools: dict[str, pools.ConnectionPool] = {}
 
     async def configuration(
         self, address: str, above: int
@@ -103,12 +103,14 @@
         self, address: str, target: str, timeout_s: float
     ) -> bytes | None:
         host, _, port = address.rpartition(":")
-        pool = self._pools.setdefault(address, pools.Pool(host, int(port), 2))
-        request = pools.request_bytes("GET", target, address)
+        pool = self._pools.setdefault(
+            address, pools.ConnectionPool(host, int(port), 2)
+        )
+        request = pools.encode_request("GET", target, address)
         try:
-            answer = await pools.call(pool, request, timeout_s)
-        except (channels.ChannelError, TimeoutError) as error:
-            pool.close()
+            answer = await pools.exchange(pool, request, timeout_s)
+        except (client_channel.ChannelError, TimeoutError) as error:
+            pool.close_idle()
             logs.event(
                 "peer_call_failed", peer=address, error=type(error).__name__
             )
@@ -183,26 +185,28 @@
         #: same version within a second.
         self._packed: tuple[int, bytes] = (0, b"")
 
-    async def answer(self, raw: callers.RawCall, reply: replies.Reply) -> None:
+    async def answer(
+        self, raw: caller_server.RawRequest, reply: reply_writer.ReplyWriter
+    ) -> None:
         """Answer one fetch; hosts outside the fleet get status 403."""
         if not self._source.is_peer(reply.caller_host):
             logs.event(
                 "peer_refused", peer=reply.caller_host, reason="stranger"
             )
-            reply.whole(403, ())
+            reply.send_whole(403, ())
             return
         path, _, above = raw.target.partition("?")
         if not above.lstrip("-").isdigit():
-            reply.whole(400, ())
+            reply.send_whole(400, ())
             return
         if path == CONFIGURATION_PATH:
-            reply.whole(200, (), self._configuration(int(above)))
+            reply.send_whole(200, (), self._configuration(int(above)))
         elif path == RUNNERS_PATH:
             entries, removals = self._source.runners_after(int(above))
             changes = [[r.to_record() for r in entries], removals]
-            reply.whole(200, (), msgpack.packb(changes))
+            reply.send_whole(200, (), msgpack.packb(changes))
         else:
-            reply.whole(404, ())
+            reply.send_whole(404, ())
 
     def _configuration(self, above: int) -> bytes:
         """The encoded configuration; empty if it is not newer."""
--- a/src/apricotlever/serving/replies.py
+++ b/src/apricotlever/serving/reply_writer.py
@@ -53,7 +53,7 @@
     """The caller's connection is closed or timed out."""
 
 
-class Reply:
+class ReplyWriter:
     """Writes the response to one call.
 
     The response is either written by :meth:`whole`, or by
@@ -85,7 +85,7 @@
         """The caller's IP address."""
         return self._channel.host
 
-    def whole(
+    def send_whole(
         self,
         status: int,
         headers: typing.Iterable[tuple[bytes, bytes]],
--- a/src/apricotlever/serving/framing.py
+++ b/src/apricotlever/serving/request_checks.py
@@ -4,8 +4,8 @@
 the host of a request elsewhere, a caller can smuggle a request past checks.
 """
 
+from . import configuration_model
 from . import messages
-from . import routes
 
 #: Accepted versions. The parser treats a request without a version as HTTP/0.9
 #: and the next line as a new request.
@@ -27,7 +27,7 @@
     version: str,
     target: str,
     headers: messages.Headers,
-    limits: routes.CallerLimits,
+    limits: configuration_model.CallerLimits,
 ) -> None:
     """Check a request's head and its announced body length.
 
--- a/src/apricotlever/serving/roll_out_orders.py
+++ b/src/apricotlever/serving/roll_out_orders.py
@@ -8,11 +8,11 @@
 from ..roll_outs import model
 
 from . import dialects
-from . import log_limit
+from . import log_rate_limiter
 from . import store
 
 
-class Orders:
+class RollOutOrders:
     """Passes orders from the store and from other VMs to the controller.
 
     :param changed: called when an order changed.
@@ -37,7 +37,7 @@
         self._controller = controller
         self._platform = platform
         self._changed = changed
-        self._log_limit = log_limit.LogLimit(clock)
+        self._log_limit = log_rate_limiter.LogRateLimiter(clock)
 
     def listed(self, page: store.Page) -> None:
         """Handle a complete list of the orders."""
@@ -60,7 +60,9 @@
     def store_returned(self) -> None:
         """Do nothing, as orders don't expire."""
 
-    def heard(self, records: typing.Iterable[list[typing.Any]]) -> None:
+    def merge_records(
+        self, records: typing.Iterable[list[typing.Any]]
+    ) -> None:
         """Handle orders received from another VM."""
         self._merge(map(model.RollOutOrder.from_record, records))
 
--- a/src/apricotlever/serving/attempt.py
+++ b/src/apricotlever/serving/runner_attempt.py
@@ -8,12 +8,12 @@
 
 from ..runners import model as models
 
-from . import channels
+from . import client_channel
+from . import connection_pool as pools
 from . import dialects
-from . import events
+from . import event_splitter
 from . import messages
-from . import pool as pools
-from . import replies
+from . import reply_writer
 from . import runners
 from . import upstreams
 
@@ -59,7 +59,7 @@
     def __init__(
         self,
         status: AttemptStatus,
-        head: messages.RunnerHead | None = None,
+        head: messages.RunnerResponseHead | None = None,
         body: bytes = b"",
         reason: str = "",
         retry_after_s: float | None = None,
@@ -77,11 +77,11 @@
     """Receives the events of a stream."""
 
     @property
-    def splitter(self) -> events.EventSplitter:
+    def splitter(self) -> event_splitter.EventSplitter:
         """Checks the order of the events across all attempts."""
 
     def write_events(
-        self, head: messages.RunnerHead, data: bytes, count: int
+        self, head: messages.RunnerResponseHead, data: bytes, count: int
     ) -> bool:
         """Write complete events to the caller.
 
@@ -123,7 +123,7 @@
         self,
         name: str,
         call: messages.CallerCall,
-        errand: messages.Errand,
+        errand: messages.RunnerCallParameters,
         runner: runners.Runner,
         query: models.Query,
         upstreams_: upstreams.Upstreams,
@@ -139,13 +139,13 @@
         self._dialect = dialect
         self._sink = sink
         self._pool = upstreams_.pool(runner)
-        self._head: messages.RunnerHead | None = None
+        self._head: messages.RunnerResponseHead | None = None
         #: Exception raised in the body callback, to be raised in the task.
         self._failure: Exception | None = None
 
     async def connect(
         self, timeout_s: float
-    ) -> channels.Channel | AttemptOutcome:
+    ) -> client_channel.Channel | AttemptOutcome:
         """Open a connection, or return the outcome if that fails."""
         try:
             return await self._pool.acquire(min(CONNECT_TIMEOUT_S, timeout_s))
@@ -153,14 +153,16 @@
             return AttemptOutcome(
                 AttemptStatus.NOT_SENT, reason="connections_used_up"
             )
-        except channels.NotConnected as error:
+        except client_channel.NotConnected as error:
             self._upstreams.connect_failed(self._runner)
             return AttemptOutcome(
                 AttemptStatus.NOT_SENT, reason=f"unreachable:{error}"
             )
 
     async def run(
-        self, channel: channels.Channel, first_response_timeout_s: float | None
+        self,
+        channel: client_channel.Channel,
+        first_response_timeout_s: float | None,
     ) -> AttemptOutcome:
         """Send the call and read the response.
 
@@ -170,7 +172,7 @@
         result = models.Outcome.CANCELLED
         outlier_failure = reusable = False
         started_at = asyncio.get_running_loop().time()
-        self._upstreams.started(self._name, self._runner, self._query)
+        self._upstreams.call_started(self._name, self._runner, self._query)
         try:
             channel.send(
                 self._dialect.request(self._call, self._errand),
@@ -182,14 +184,14 @@
             result = _health_outcome(outcome)
             outlier_failure = outcome.status is AttemptStatus.NOT_RUN
             reusable = channel.idle
-        except channels.Broken as error:
+        except client_channel.Broken as error:
             result = models.Outcome.FAILED
             outcome = AttemptOutcome(
                 AttemptStatus.BROKEN,
                 reason=f"broken:{error}",
                 reset=error.reset,
             )
-        except events.EventOrderError as error:
+        except event_splitter.EventOrderError as error:
             result = models.Outcome.FAILED
             outcome = AttemptOutcome(
                 AttemptStatus.BROKEN, reason=f"disorder:{error}"
@@ -198,7 +200,7 @@
             outlier_failure = self._is_hung(started_at)
             raise
         finally:
-            self._upstreams.finished(
+            self._upstreams.call_finished(
                 self._name,
                 self._runner,
                 result,
@@ -221,7 +223,7 @@
         )
 
     def _return_channel(
-        self, channel: channels.Channel, reusable: bool
+        self, channel: client_channel.Channel, reusable: bool
     ) -> None:
         # The pool that the connection came from is used, as the runner may
         # have a new address and pool by now.
@@ -237,7 +239,9 @@
         return head.request_id in ("", self._call.request_id)
 
     async def _read_response(
-        self, channel: channels.Channel, first_response_timeout_s: float | None
+        self,
+        channel: client_channel.Channel,
+        first_response_timeout_s: float | None,
     ) -> AttemptOutcome:
         try:
             async with asyncio.timeout(first_response_timeout_s):
@@ -254,7 +258,7 @@
         if head.other_runner or head.not_run:
             # The head alone promises that the call has not run; the promise
             # holds even if the body is lost.
-            with contextlib.suppress(channels.Broken):
+            with contextlib.suppress(client_channel.Broken):
                 await _read_body(channel)
             if head.other_runner:
                 self._upstreams.runner_replaced(self._runner)
@@ -267,11 +271,11 @@
             return AttemptOutcome(AttemptStatus.BROKEN, reason="unsigned")
         if self._is_stream(head):
             return await self._forward_stream(channel, head, has_more)
-        self._upstreams.first_answer(self._name)
+        self._upstreams.response_started(self._name)
         body = await _read_body(channel)
         return AttemptOutcome(AttemptStatus.ANSWERED, head, body)
 
-    def _is_stream(self, head: messages.RunnerHead) -> bool:
+    def _is_stream(self, head: messages.RunnerResponseHead) -> bool:
         return (
             self._sink is not None
             and 200 <= head.status < 300
@@ -280,7 +284,9 @@
         )
 
     async def _forward_first_event(
-        self, channel: channels.Channel, head: messages.RunnerHead
+        self,
+        channel: client_channel.Channel,
+        head: messages.RunnerResponseHead,
     ) -> bool:
         """Forward the first complete events.
 
@@ -291,14 +297,14 @@
             before = self._sink.splitter.last_id
             self._forward(head, data)
             if self._sink.splitter.last_id != before:
-                self._upstreams.first_answer(self._name)
+                self._upstreams.response_started(self._name)
                 return True
         return False
 
     async def _forward_stream(
         self,
-        channel: channels.Channel,
-        head: messages.RunnerHead,
+        channel: client_channel.Channel,
+        head: messages.RunnerResponseHead,
         has_more: bool,
     ) -> AttemptOutcome:
         assert self._sink is not None
@@ -316,34 +322,39 @@
             )
         return AttemptOutcome(AttemptStatus.ANSWERED, head)
 
-    def _on_body_bytes(self, head: messages.RunnerHead, data: bytes) -> bool:
+    def _on_body_bytes(
+        self, head: messages.RunnerResponseHead, data: bytes
+    ) -> bool:
         """Forward bytes as they arrive.
 
         :returns: False when the task has to go on reading instead.
         """
         try:
             return self._forward(head, data)
-        except (events.EventOrderError, replies.CallerGone) as error:
+        except (
+            event_splitter.EventOrderError,
+            reply_writer.CallerGone,
+        ) as error:
             # This method runs as a callback of the connection, so the error
             # is kept and raised again in the task.
             self._failure = error
             return False
 
-    def _forward(self, head: messages.RunnerHead, data: bytes) -> bool:
+    def _forward(self, head: messages.RunnerResponseHead, data: bytes) -> bool:
         assert self._sink is not None
         self._upstreams.bytes_received(self._runner)
         whole, count = self._sink.splitter.feed(data)
         return not count or self._sink.write_events(head, whole, count)
 
 
-async def _read_body(channel: channels.Channel) -> bytes:
+async def _read_body(channel: client_channel.Channel) -> bytes:
     parts: list[bytes] = []
     size = 0
     while (data := await channel.read_chunk()) is not None:
         parts.append(data)
         size += len(data)
         if size > MAX_BODY_BYTES:
-            raise channels.Broken("the response body is too large")
+            raise client_channel.Broken("the response body is too large")
     return b"".join(parts)
 
 
--- a/src/apricotlever/serving/directory.py
+++ b/src/apricotlever/serving/runner_directory.py
@@ -46,7 +46,7 @@
         self.revision = revision
 
 
-class Directory:
+class RunnerDirectory:
     """The runners that are alive, and those that accept new work.
 
     Updates arrive from the store and from peers in any order. Of two entries
@@ -111,7 +111,7 @@
         """All live runners, including those that are leaving."""
         return [r for r in self._runners.values() if not r.is_placeholder]
 
-    def of_service(self, service: str) -> list[runners_.Runner]:
+    def available_runners(self, service: str) -> list[runners_.Runner]:
         """The runners of a service that accept new work."""
         return [
             runner
@@ -123,12 +123,12 @@
         """The runner with this incarnation; None if unknown or removed."""
         return self._by_id.get(runner_id)
 
-    def store_returned(self) -> None:
+    def extend_removal_grace(self) -> None:
         """Tolerate missing entries for a while after a store outage."""
         self._grace_until = self._clock.now() + REAPPEAR_TIMEOUT_S
 
-    def listed(
-        self, entries: typing.Iterable[runners_.Entry], revision: int
+    def apply_list(
+        self, entries: typing.Iterable[runners_.RunnerEntry], revision: int
     ) -> list[str]:
         """Apply the store's complete list of entries.
 
@@ -139,17 +139,17 @@
         present = set()
         for entry in entries:
             present.add(entry.name)
-            ended += self.changed(entry)
+            ended += self.apply_entry(entry)
         missing = [
             name
             for name, runner in self._runners.items()
             if name not in present and runner.revision <= revision
         ]
         for name in missing:
-            ended += self.removed(name, revision)
+            ended += self.apply_removal(name, revision)
         return ended
 
-    def changed(self, entry: runners_.Entry) -> list[str]:
+    def apply_entry(self, entry: runners_.RunnerEntry) -> list[str]:
         """Apply one entry.
 
         :returns: the incarnations that this entry marks as leaving or ends.
@@ -179,7 +179,7 @@
             ended.append(runner.runner_id)
         return ended
 
-    def removed(self, name: str, revision: int) -> list[str]:
+    def apply_removal(self, name: str, revision: int) -> list[str]:
         """Apply the removal of an entry, at once or after a delay.
 
         A leaving runner is removed at once. The removal of any other runner
@@ -215,7 +215,7 @@
             until = pending.removed_at + self._mass_removal_hold_s
             pending.until = max(pending.until, until)
 
-    def gone(self, runner_id: str) -> list[str]:
+    def mark_ended(self, runner_id: str) -> list[str]:
         """Remove an incarnation at whose address another process answers.
 
         :returns: the incarnation, if it was known.
@@ -242,7 +242,7 @@
             for runner_id in self._remove(name, revision)
         ]
 
-    def news_after(
+    def changes_after(
         self, revision: int
     ) -> tuple[list[runners_.Runner], dict[str, int]]:
         """The entries and removals after a revision, to send to a peer."""
@@ -252,7 +252,7 @@
         }
         return entries, gone
 
-    def heard(
+    def merge_changes(
         self,
         entries: typing.Iterable[runners_.Runner],
         gone: typing.Mapping[str, int],
@@ -262,7 +262,9 @@
         :param gone: the revision of each removal, by the runner's name.
         :returns: the incarnations that are leaving or removed as a result.
         """
-        ended = [name for runner in entries for name in self.changed(runner)]
+        ended = [
+            name for runner in entries for name in self.apply_entry(runner)
+        ]
         for name, revision in gone.items():
             known = self._runners.get(name)
             if known is not None and known.revision <= revision:
@@ -291,13 +293,13 @@
 
 
 def _resolve_entry(
-    known: runners_.Runner | None, entry: runners_.Entry
+    known: runners_.Runner | None, entry: runners_.RunnerEntry
 ) -> runners_.Runner:
     """The state of a runner after its entry has changed.
 
     :param known: the state before; None for an unknown runner.
     """
-    if isinstance(entry, runners_.Unreadable):
+    if isinstance(entry, runners_.UnreadableEntry):
         if known is None:
             return runners_.Runner.placeholder(entry.name, entry.revision)
         return known.withdraw(entry.revision)
--- a/src/apricotlever/serving/runner_duty.py
+++ b/src/apricotlever/serving/runner_duty.py
@@ -8,10 +8,10 @@
 from ..data_centres import prefill_load
 from ..vms import follower_selection
 
+from . import configuration_model
 from . import dialects
-from . import directory as directories
-from . import duties
-from . import routes
+from . import duty_lease
+from . import runner_directory as directories
 from . import runners
 
 #: Interval between two steps, in seconds.
@@ -116,7 +116,7 @@
         self.idle = idle
 
 
-class Work:
+class FleetWorkload:
     """The load and the fleet mix planner of each service."""
 
     __slots__ = ("_clock", "_loads", "_planners", "_initial_runners")
@@ -127,7 +127,7 @@
         self._planners: dict[str, fleet_mix_planner.FleetMixPlanner] = {}
         self._initial_runners: dict[str, int] = {}
 
-    def heard(
+    def merge_counters(
         self, process: str, work: typing.Mapping[str, typing.Any]
     ) -> None:
         """Merge the counters of one VM's process.
@@ -143,7 +143,7 @@
                 self._loads[service] = known
             known.receive_report(process, total, speed, pressure)
 
-    def keep_only(self, processes: typing.Container[str]) -> None:
+    def retain_processes(self, processes: typing.Container[str]) -> None:
         """Drop the counters of all other processes, which have ended."""
         for known in self._loads.values():
             known.retain_processes(processes)
@@ -161,7 +161,7 @@
 
     def required_runners(
         self,
-        service: routes.Service,
+        service: configuration_model.Service,
         present: int,
         in_flight: int,
         log_inputs: bool,
@@ -228,12 +228,12 @@
     def __init__(
         self,
         clock: clocks.Clock,
-        work: Work,
-        directory: directories.Directory,
+        work: FleetWorkload,
+        directory: directories.RunnerDirectory,
         in_flight: typing.Callable[[str], int],
-        cloud: duties.CloudClient,
+        cloud: duty_lease.CloudClient,
         dialect: dialects.PlatformDialect,
-        keeper: duties.LeaseKeeper,
+        keeper: duty_lease.LeaseKeeper,
         heartbeat_s: float,
         serves: typing.Callable[[runners.Runner], bool] = lambda runner: True,
     ) -> None:
@@ -253,7 +253,7 @@
         self._keeper = keeper
         self._orders: dict[tuple[str, str, bool], _Order] = {}
         #: The configuration in force; None before the first one.
-        self.configuration: routes.Configuration | None = None
+        self.configuration: configuration_model.Configuration | None = None
 
     async def step(self) -> None:
         """Order missing runners and release surplus ones."""
@@ -279,7 +279,7 @@
 
     def _load(
         self,
-        service: routes.Service,
+        service: configuration_model.Service,
         terms: fleet_mix_planner.ScalingTerms,
         log_inputs: bool,
     ) -> _ServiceLoad:
@@ -336,7 +336,7 @@
             data_centre: fleet_mix_planner.RunnerCounts()
             for data_centre in terms.on_demand_prices
         }
-        for runner in self._directory.of_service(service):
+        for runner in self._directory.available_runners(service):
             counts = held.get(runner.data_centre)
             if counts is None or not self._serves(runner):
                 continue
@@ -384,7 +384,7 @@
         taken = False
         try:
             taken = await self._cloud.send(path, body, fencing)
-        except duties.CloudBusy as error:
+        except duty_lease.CloudBusy as error:
             logs.event("order_failed", order=str(target.key), error=str(error))
         else:
             self._record_answer(target, taken)
--- a/src/apricotlever/serving/runner_pools.py
+++ b/src/apricotlever/serving/runner_pools.py
@@ -2,8 +2,8 @@
 
 import typing
 
-from . import pool as pools
-from . import routes
+from . import configuration_model
+from . import connection_pool as pools
 from . import runners
 
 #: Share of a runner's connection limit that all VMs together use. The rest is
@@ -16,7 +16,9 @@
 
     __slots__ = ("runner", "pool")
 
-    def __init__(self, runner: runners.Runner, pool: pools.Pool) -> None:
+    def __init__(
+        self, runner: runners.Runner, pool: pools.ConnectionPool
+    ) -> None:
         self.runner = runner
         self.pool = pool
 
@@ -29,14 +31,16 @@
     def __init__(self) -> None:
         self._entries: dict[str, _Entry] = {}
         self._vm_count = 1
-        self._services: typing.Mapping[str, routes.Service] = {}
+        self._services: typing.Mapping[str, configuration_model.Service] = {}
 
     @property
-    def opened(self) -> int:
+    def opened_connections(self) -> int:
         """Total connections opened to the currently known runners."""
-        return sum(entry.pool.opened for entry in self._entries.values())
+        return sum(entry.pool.opened_count for entry in self._entries.values())
 
-    def configure(self, services: typing.Mapping[str, routes.Service]) -> None:
+    def configure(
+        self, services: typing.Mapping[str, configuration_model.Service]
+    ) -> None:
         """Set the services, whose connection limits apply to new pools."""
         self._services = services
 
@@ -46,16 +50,18 @@
         for entry in self._entries.values():
             entry.pool.set_limit(self._connection_limit(entry.runner))
 
-    def of(self, runner: runners.Runner) -> pools.Pool:
+    def pool_of(self, runner: runners.Runner) -> pools.ConnectionPool:
         """The connection pool of a runner, created when needed."""
         entry = self._entries.get(runner.runner_id)
         if entry is None:
             limit = self._connection_limit(runner)
-            entry = _Entry(runner, pools.Pool(runner.host, runner.port, limit))
+            entry = _Entry(
+                runner, pools.ConnectionPool(runner.host, runner.port, limit)
+            )
             self._entries[runner.runner_id] = entry
         return entry.pool
 
-    def keep_only(self, listed: typing.Sequence[runners.Runner]) -> None:
+    def retain_runners(self, listed: typing.Sequence[runners.Runner]) -> None:
         """Drop the pools of runners that were removed or changed address.
 
         A removed runner may serve its calls for many more seconds, so its
@@ -71,17 +77,17 @@
                 continue
             del self._entries[runner_id]
             if runner is None and entry.runner.name in names:
-                entry.pool.other_side_ended()
+                entry.pool.abort_all()
             else:
-                entry.pool.retire()
+                entry.pool.disable_reuse()
 
-    def sweep(self, now: float) -> None:
+    def close_idle(self, now: float) -> None:
         """Close connections that have been idle for too long.
 
         :param now: the time of the event loop, in seconds.
         """
         for entry in self._entries.values():
-            entry.pool.close_old(now)
+            entry.pool.close_expired(now)
 
     def _connection_limit(self, runner: runners.Runner) -> int:
         service = self._services.get(runner.service)
--- a/src/apricotlever/serving/runners.py
+++ b/src/apricotlever/serving/runners.py
@@ -5,7 +5,7 @@
 from .. import validation
 
 
-class Unreadable:
+class UnreadableEntry:
     """An entry that does not describe a usable runner.
 
     Another program may have written the entry, or it was corrupted. A known
@@ -162,4 +162,4 @@
 )
 
 #: The content of a runner's entry in the store.
-Entry = Runner | Unreadable
+RunnerEntry = Runner | UnreadableEntry
--- a/src/apricotlever/serving/servers.py
+++ b/src/apricotlever/serving/servers.py
@@ -1,11 +1,11 @@
 """The HTTP servers of one process."""
 
-from . import callers
-from . import opening
-from . import ports
-from . import routes
+from . import caller_server
+from . import configuration_model
+from . import listening_sockets
 from . import settings
-from . import tasks
+from . import start_gate
+from . import task_supervisor
 
 #: Names of the servers that callers use. They accept connections only when
 #: this VM can answer.
@@ -20,10 +20,10 @@
 
     __slots__ = ("_opening", "_ports", "_servers")
 
-    def __init__(self, listening: ports.Ports) -> None:
+    def __init__(self, listening: listening_sockets.ListeningSockets) -> None:
         self._ports = listening
-        self._servers: dict[str, callers.CallerServer] = {}
-        self._opening = opening.Opening()
+        self._servers: dict[str, caller_server.CallerServer] = {}
+        self._opening = start_gate.StartGate()
 
     @property
     def busy(self) -> int:
@@ -35,7 +35,7 @@
         self,
         name: str,
         address: settings.Address | None,
-        handler: callers.Handler,
+        handler: caller_server.RequestHandler,
     ) -> None:
         """Serve at an address; None starts no server.
 
@@ -46,7 +46,7 @@
         """
         if address is None:
             return
-        server = self._servers[name] = callers.CallerServer(handler)
+        server = self._servers[name] = caller_server.CallerServer(handler)
         sock = self._ports.take(address)
         if name in CALLER_FACING:
             self._opening.add(server, sock)
@@ -55,7 +55,7 @@
 
     def informed(self) -> None:
         """Note that this VM has a configuration and runners."""
-        self._opening.informed()
+        self._opening.set_ready()
 
     async def serve_callers(self) -> bool:
         """Accept callers' connections once this VM can answer.
@@ -66,11 +66,13 @@
         """
         return await self._opening.serve()
 
-    def set_limits(self, limits: routes.CallerLimits) -> None:
+    def set_limits(self, limits: configuration_model.CallerLimits) -> None:
         """Set the limits on the size and timing of callers' calls."""
         self._servers["callers"].limits = limits
 
-    def start_idle_sweeps(self, running: tasks.Tasks) -> None:
+    def start_idle_sweeps(
+        self, running: task_supervisor.TaskSupervisor
+    ) -> None:
         """Start closing idle connections."""
         for server in self._servers.values():
             running.spawn(server.sweep_forever())
@@ -78,7 +80,7 @@
     def drain(self) -> None:
         """Send callers to other VMs after their pending calls are answered."""
         for name in self._servers.keys() & set(CALLER_FACING):
-            self._servers[name].leave()
+            self._servers[name].disable_keep_alive()
 
     def close(self) -> None:
         """Stop accepting connections, and close all open ones."""
--- a/src/apricotlever/serving/settings.py
+++ b/src/apricotlever/serving/settings.py
@@ -8,7 +8,7 @@
 Address = addresses.Address
 
 
-class Bounds:
+class FleetBounds:
     """Bounds that the fleet guarantees; all times are in seconds.
 
     :param drain_s: time after a runner has left within which calls to it must
@@ -38,9 +38,9 @@
         "drain_s",
         "shutdown_s",
         "retry_ratio",
-        "retry_least",
+        "retry_min",
         "retry_window_s",
-        "limit_spare",
+        "limit_slack",
         "limit_overshoot",
         "fencing_checked",
         "lease_s",
@@ -55,9 +55,9 @@
         self,
         shutdown_s: float = 8.0,
         retry_ratio: float = 0.2,
-        retry_least: float = 10.0,
+        retry_min: float = 10.0,
         retry_window_s: float = 10.0,
-        limit_spare: float = 0.0,
+        limit_slack: float = 0.0,
         lease_s: float = 3.0,
         usage_window_s: float = 5.0,
         usage_due_s: float = 10.0,
@@ -74,9 +74,9 @@
         self.runner_heartbeat_s = runner_heartbeat_s
         self.shutdown_s = shutdown_s
         self.retry_ratio = retry_ratio
-        self.retry_least = retry_least
+        self.retry_min = retry_min
         self.retry_window_s = retry_window_s
-        self.limit_spare = limit_spare
+        self.limit_slack = limit_slack
         self.limit_overshoot = limit_overshoot
         self.lease_s = lease_s
         self.usage_window_s = usage_window_s
@@ -137,7 +137,7 @@
         cloud: Address | None,
         reports_usage: bool,
         orders_runners: bool,
-        bounds: Bounds,
+        bounds: FleetBounds,
         limits: Address | None = None,
     ) -> None:
         self.limits = limits
@@ -157,7 +157,7 @@
         self.bounds = bounds
 
     @property
-    def asked_at(self) -> tuple[Address | None, ...]:
+    def public_addresses(self) -> tuple[Address | None, ...]:
         """Addresses at which callers and the platform connect."""
         return (self.callers, self.lookups, self.checks)
 
--- a/src/apricotlever/serving/opening.py
+++ b/src/apricotlever/serving/start_gate.py
@@ -3,7 +3,7 @@
 import asyncio
 import socket
 
-from . import callers
+from . import caller_server
 
 #: How long callers' connections wait for the first configuration and the first
 #: runners, in seconds. Peers deliver them within this time if the store does
@@ -12,7 +12,7 @@
 READY_TIMEOUT_S = 0.4
 
 
-class Opening:
+class StartGate:
     """Leaves callers' connections unaccepted until calls can be served.
 
     A VM reads its configuration and runners within milliseconds of its start.
@@ -25,14 +25,16 @@
     def __init__(self) -> None:
         self._ready = asyncio.Event()
         self._waiting_servers: list[
-            tuple[callers.CallerServer, socket.socket]
+            tuple[caller_server.CallerServer, socket.socket]
         ] = []
 
-    def add(self, server: callers.CallerServer, sock: socket.socket) -> None:
+    def add(
+        self, server: caller_server.CallerServer, sock: socket.socket
+    ) -> None:
         """Register a server and its listening socket."""
         self._waiting_servers.append((server, sock))
 
-    def informed(self) -> None:
+    def set_ready(self) -> None:
         """Record that this VM has a configuration and runners."""
         self._ready.set()
 
--- a/src/apricotlever/serving/node_checks.py
+++ b/src/apricotlever/serving/status_handlers.py
@@ -2,9 +2,9 @@
 
 import typing
 
-from . import callers
+from . import caller_server
 from . import dialects
-from . import replies
+from . import reply_writer
 
 #: How long callers may cache the list of VMs, in seconds. With a short time,
 #: they soon stop using a VM that has ended. Lookups are cheap.
@@ -40,28 +40,32 @@
         self._node = node
         self._dialect = dialect
 
-    async def ready(self, raw: callers.RawCall, reply: replies.Reply) -> None:
+    async def ready(
+        self, raw: caller_server.RawRequest, reply: reply_writer.ReplyWriter
+    ) -> None:
         """Answer a readiness check."""
         if raw.target.partition("?")[0] != self._dialect.ready_path:
-            reply.whole(404, ())
+            reply.send_whole(404, ())
             return
-        reply.whole(200 if self._node.ready else 503, ())
+        reply.send_whole(200 if self._node.ready else 503, ())
 
-    async def lookup(self, raw: callers.RawCall, reply: replies.Reply) -> None:
+    async def lookup(
+        self, raw: caller_server.RawRequest, reply: reply_writer.ReplyWriter
+    ) -> None:
         """Answer a lookup of the VMs that a caller should use."""
         if raw.target.partition("?")[0] != self._dialect.lookup_path:
-            reply.whole(404, ())
+            reply.send_whole(404, ())
             return
         addresses = self._node.caller_addresses()
         if not addresses:
-            reply.whole(503, ())
+            reply.send_whole(503, ())
             return
         body = self._dialect.lookup_answer(addresses, LOOKUP_TTL_S)
-        reply.whole(200, [(b"Content-Type", b"application/json")], body)
+        reply.send_whole(200, [(b"Content-Type", b"application/json")], body)
 
     async def metrics(
-        self, raw: callers.RawCall, reply: replies.Reply
+        self, raw: caller_server.RawRequest, reply: reply_writer.ReplyWriter
     ) -> None:
         """Answer a request for the metrics."""
         body = self._node.metrics().encode()
-        reply.whole(200, [(b"Content-Type", b"text/plain")], body)
+        reply.send_whole(200, [(b"Content-Type", b"text/plain")], body)
--- a/src/apricotlever/serving/store.py
+++ b/src/apricotlever/serving/store.py
@@ -2,8 +2,8 @@
 
 import typing
 
-from . import channels
-from . import pool as pools
+from . import client_channel
+from . import connection_pool as pools
 
 Json = typing.Any
 
@@ -190,8 +190,8 @@
         self._codec = codec
         self._host = host
         self._port = port
-        self._pool = pools.Pool(host, port)
-        self._watches: dict[str, pools.Pool] = {}
+        self._pool = pools.ConnectionPool(host, port)
+        self._watches: dict[str, pools.ConnectionPool] = {}
         #: Number of calls made so far.
         self.calls = 0
 
@@ -226,7 +226,7 @@
         :raises HistoryGone: if the list has to be read again.
         """
         pool = self._watches.setdefault(
-            kind, pools.Pool(self._host, self._port)
+            kind, pools.ConnectionPool(self._host, self._port)
         )
         call = self._codec.watch_call(kind, revision, wait_s)
         answer = await self._call(call, pool, wait_s + WATCH_TIMEOUT_MARGIN_S)
@@ -281,20 +281,22 @@
     async def _call(
         self,
         call: Call,
-        pool: pools.Pool | None = None,
+        pool: pools.ConnectionPool | None = None,
         timeout_s: float = CALL_TIMEOUT_S,
-    ) -> pools.Answer:
-        request = pools.request_bytes(
+    ) -> pools.HttpResponse:
+        request = pools.encode_request(
             call.method, call.target, f"{self._host}:{self._port}", call.body
         )
         self.calls += 1
         try:
-            answer = await pools.call(pool or self._pool, request, timeout_s)
-        except channels.NotConnected as error:
+            answer = await pools.exchange(
+                pool or self._pool, request, timeout_s
+            )
+        except client_channel.NotConnected as error:
             raise NotDone("not connected") from error
-        except (channels.ChannelError, TimeoutError) as error:
+        except (client_channel.ChannelError, TimeoutError) as error:
             # The pool's other idle connections may be dead as well.
-            (pool or self._pool).close()
+            (pool or self._pool).close_idle()
             raise Unanswered(type(error).__name__) from error
         if answer.status in (429, 503):
             raise NotDone(f"status {answer.status}")
@@ -313,7 +315,7 @@
 
 
 def _read(
-    decode: typing.Callable[[bytes], _Found], answer: pools.Answer
+    decode: typing.Callable[[bytes], _Found], answer: pools.HttpResponse
 ) -> _Found:
     """Decode an answer.
 
--- a/src/apricotlever/serving/listeners.py
+++ b/src/apricotlever/serving/store_listeners.py
@@ -7,8 +7,8 @@
 from .. import logs
 
 from . import dialects
-from . import directory as directories
-from . import log_limit
+from . import log_rate_limiter
+from . import runner_directory as directories
 from . import runners
 from . import store
 from . import store_watch
@@ -54,7 +54,7 @@
             self._adopt(stored.spec)
 
 
-class Entries:
+class RunnerEntryListener:
     """Updates the runner directory from the store.
 
     An unreadable entry does not affect the other entries.
@@ -69,7 +69,7 @@
 
     def __init__(
         self,
-        directory: directories.Directory,
+        directory: directories.RunnerDirectory,
         platform: dialects.PlatformDialect,
         tell: typing.Callable[[list[str]], None],
         clock: clocks.Clock | None = None,
@@ -77,12 +77,14 @@
         self._directory = directory
         self._platform = platform
         self._tell = tell
-        self._refusals = log_limit.LogLimit(clock or clocks.SystemClock())
+        self._refusals = log_rate_limiter.LogRateLimiter(
+            clock or clocks.SystemClock()
+        )
 
     def listed(self, page: store.Page) -> None:
         """Process a complete list of entries."""
         entries = [self._read(stored) for stored in page.objects]
-        self._tell(self._directory.listed(entries, page.revision))
+        self._tell(self._directory.apply_list(entries, page.revision))
 
     def changed(self, changes: store.Changes) -> None:
         """Process added, changed and removed entries.
@@ -100,21 +102,21 @@
         last = {change.stored.name: change for change in changes.changes}
         for change in last.values():
             if change.deleted:
-                ended += self._directory.removed(
+                ended += self._directory.apply_removal(
                     change.stored.name, changes.revision
                 )
                 continue
-            ended += self._directory.changed(self._read(change.stored))
+            ended += self._directory.apply_entry(self._read(change.stored))
         if changes.changes:
             self._tell(ended)
 
     def store_returned(self) -> None:
         """Allow entries that expired during the outage to reappear."""
-        self._directory.store_returned()
+        self._directory.extend_removal_grace()
 
-    def _read(self, stored: store.StoredObject) -> runners.Entry:
+    def _read(self, stored: store.StoredObject) -> runners.RunnerEntry:
         entry = self._platform.runner(stored)
-        if isinstance(entry, runners.Unreadable):
+        if isinstance(entry, runners.UnreadableEntry):
             if self._refusals.allows(entry.name):
                 logs.event(
                     "entry_refused",
@@ -129,7 +131,7 @@
     store_: store.Store,
     platform: dialects.PlatformDialect,
     configurations: ConfigurationListener,
-    entries: Entries,
+    entries: RunnerEntryListener,
     orders: store_watch.Listener | None,
     rng: random.Random,
     wanted: typing.Callable[[], bool],
--- a/src/apricotlever/serving/store_watch.py
+++ b/src/apricotlever/serving/store_watch.py
@@ -7,7 +7,7 @@
 from .. import clock as clocks
 from .. import logs
 
-from . import log_limit
+from . import log_rate_limiter
 from . import store
 
 #: Bounds of the delay after a failed call, in seconds.
@@ -81,16 +81,16 @@
         self._wanted = wanted
         self._gather_s = gather_s
         self._watching = False
-        self._log_limit = log_limit.LogLimit(clocks.SystemClock())
+        self._log_limit = log_rate_limiter.LogRateLimiter(clocks.SystemClock())
         self._revision: int | None = None
         self._failing_since: float | None = None
 
     @property
-    def in_touch(self) -> bool:
+    def is_connected(self) -> bool:
         """Whether this VM follows the store, and the last call succeeded."""
         return self._watching and self._failing_since is None
 
-    def doubt(self) -> None:
+    def invalidate(self) -> None:
         """Discard the known revision, so that the list is read again."""
         self._revision = None
 
@@ -105,7 +105,7 @@
         After a restart the list is read again: an object that the listener
         failed to handle would otherwise be missing until its next change.
         """
-        self.doubt()
+        self.invalidate()
         try:
             await self._follow()
         finally:
@@ -153,7 +153,7 @@
         if changes.unreadable:
             # The list shows the changed objects if they are readable there.
             self._log_unreadable(changes.unreadable)
-            self.doubt()
+            self.invalidate()
         if changes.changes and self._gather_s:
             await asyncio.sleep(self._gather_s)
 
--- a/src/apricotlever/serving/tasks.py
+++ b/src/apricotlever/serving/task_supervisor.py
@@ -5,7 +5,7 @@
 
 from .. import logs
 
-from . import pace
+from . import aligned_timer
 
 #: Delay before the first restart of a failed task, in seconds. It doubles with
 #: each further restart, up to MAX_RESTART_DELAY_S.
@@ -16,7 +16,7 @@
 HEALTHY_RUN_S = 10.0
 
 
-class Tasks:
+class TaskSupervisor:
     """Keeps references to tasks, and logs their failures.
 
     A task without references may be garbage-collected, and an exception that
@@ -43,7 +43,7 @@
         self._tasks.add(task)
         task.add_done_callback(self._on_done)
 
-    def every(
+    def repeat(
         self, pause_s: float, step: typing.Callable[[], typing.Awaitable[None]]
     ) -> None:
         """Repeat a step periodically, even if it fails.
@@ -100,4 +100,4 @@
             # Without this handler, one error would end the repetition for
             # good.
             logs.event("task_failed", error=repr(error))
-        await pace.pause(pause_s)
+        await aligned_timer.sleep_until_tick(pause_s)
--- a/src/apricotlever/serving/upstreams.py
+++ b/src/apricotlever/serving/upstreams.py
@@ -15,14 +15,14 @@
 from ..runners import silence_detector
 from ..vms import peer_loads
 
+from . import call_sampling
+from . import configuration_model
+from . import connection_pool as pools
 from . import crash_watch
-from . import directory as directories
 from . import messages
-from . import pool as pools
-from . import routes
+from . import runner_directory as directories
 from . import runner_pools
 from . import runners
-from . import trials
 
 #: Output tokens reported for a response whose tokens are not counted.
 NO_OUTPUT_TOKENS = 0
@@ -61,7 +61,7 @@
         rng: random.Random,
         vm: str,
         data_centre: str,
-        directory: directories.Directory,
+        directory: directories.RunnerDirectory,
         process: str = "",
         news: typing.Callable[[], None] | None = None,
         roll_outs: roll_outs_controller.RollOutController | None = None,
@@ -71,7 +71,7 @@
         self._roll_outs = roll_outs or roll_outs_controller.RollOutController(
             clock, rng, roll_outs_model.RollOutLimits()
         )
-        self._trials = trials.Trials(clock, self._roll_outs)
+        self._trials = call_sampling.CallSampler(clock, self._roll_outs)
         self._outliers = outlier_detector.OutlierDetector(clock, process)
         self._crashes = crash_watch.CrashWatch(clock, vm)
         self._directory = directory
@@ -79,7 +79,7 @@
             clock, rng, vm, data_centre, "home_or_faster"
         )
         self._pools = runner_pools.RunnerPools()
-        self._configuration: routes.Configuration | None = None
+        self._configuration: configuration_model.Configuration | None = None
         self._own_in_flight: dict[str, int] = {}
         self._silence = silence_detector.SilenceDetector(clock)
         self._peer_in_flight: dict[str, int] = {}
@@ -91,7 +91,7 @@
         ] = {}
 
     @property
-    def directory(self) -> directories.Directory:
+    def directory(self) -> directories.RunnerDirectory:
         """The known runners."""
         return self._directory
 
@@ -108,22 +108,22 @@
         }
 
     @property
-    def silent(self) -> list[str]:
+    def silent_runners(self) -> list[str]:
         """Runners that this VM observes as silent."""
         return self._silence.silent_here
 
     @property
-    def failures(self) -> outlier_detector.Counts:
+    def outcome_counts(self) -> outlier_detector.Counts:
         """This VM's counts of failed and of all calls, by runner."""
         return self._outliers.own_counts
 
     @property
-    def pending(self) -> dict[str, int]:
+    def pending_tokens(self) -> dict[str, int]:
         """Prompt tokens of this VM that await a first token, by runner."""
         return self._router.pending_tokens()
 
     @property
-    def work(self) -> dict[str, tuple[int, float, float]]:
+    def prefill_meters(self) -> dict[str, tuple[int, float, float]]:
         """Prompt processing by service.
 
         :returns: uncached prompt tokens sent since the start, a runner's
@@ -144,11 +144,13 @@
         )
 
     @property
-    def opened(self) -> int:
+    def connections_opened(self) -> int:
         """The number of connections ever opened to the known runners."""
-        return self._pools.opened
+        return self._pools.opened_connections
 
-    def configure(self, configuration: routes.Configuration) -> None:
+    def configure(
+        self, configuration: configuration_model.Configuration
+    ) -> None:
         """Apply a version of the configuration."""
         self._configuration = configuration
         self._pools.configure(configuration.services)
@@ -163,17 +165,17 @@
             for runner in listed
             if not runner.leaving and (pool := self._routing_pool(runner))
         )
-        self._crashes.listed(listed)
+        self._crashes.update_runners(listed)
         present = {runner.runner_id for runner in listed}
         self._silence.keep_only(present)
         self._outliers.keep_only(present)
-        self._pools.keep_only(listed)
+        self._pools.retain_runners(listed)
 
-    def set_members(self, count: int) -> None:
+    def set_fleet_size(self, count: int) -> None:
         """Set how many VMs share each runner's connection limit."""
         self._pools.set_members(count)
 
-    def observe_peers(self, loads: peer_loads.PeerLoads) -> None:
+    def update_peer_loads(self, loads: peer_loads.PeerLoads) -> None:
         """Apply what the other VMs report of each runner."""
         self._silence.set_peer_counts(loads.silent)
         for source, counts in loads.failures.items():
@@ -196,7 +198,7 @@
     def query(
         self,
         call: messages.CallerCall,
-        route: routes.Route,
+        route: configuration_model.Route,
         service: str,
         excluded: frozenset[str],
     ) -> models.Query:
@@ -252,7 +254,7 @@
         if self._roll_outs.should_use_new_version(
             service, query.entry, repeated
         ):
-            query.pool = trials.pool_name(
+            query.pool = call_sampling.pool_name(
                 service, roll_outs_model.RunnerRole.CANARY
             )
             choice = self._choose_healthy(query)
@@ -267,7 +269,7 @@
             return None
         return self._directory.get(choice.runner.name)
 
-    def serves(self, runner: runners.Runner) -> bool:
+    def takes_regular_calls(self, runner: runners.Runner) -> bool:
         """Whether a runner takes its service's regular calls."""
         return (
             self._roll_outs.role(runner) is roll_outs_model.RunnerRole.SERVING
@@ -281,11 +283,11 @@
             for name in names
         )
 
-    def pool(self, runner: runners.Runner) -> pools.Pool:
+    def pool(self, runner: runners.Runner) -> pools.ConnectionPool:
         """The connection pool of a runner."""
-        return self._pools.of(runner)
+        return self._pools.pool_of(runner)
 
-    def started(
+    def call_started(
         self, attempt: str, runner: runners.Runner, query: models.Query
     ) -> None:
         """Record that a call was sent to a runner."""
@@ -294,7 +296,7 @@
         self._silence.call_sent(name)
         tokens = self._router.request_started(attempt, name, query)
         meter = self._meter(runner.service)
-        self._trials.sent(
+        self._trials.record_sent(
             attempt, runner, query.entry, tokens, meter.prefill_speed
         )
         if query.prompt_tokens:
@@ -308,10 +310,10 @@
         """Record that bytes of a response came from a runner."""
         self._silence.bytes_received(runner.runner_id)
 
-    def first_answer(self, attempt: str) -> None:
+    def response_started(self, attempt: str) -> None:
         """Record the start of an attempt's response."""
         self._router.first_token(attempt)
-        self._trials.first_answer(attempt)
+        self._trials.record_first_byte(attempt)
         prefill = self._prefills.pop(attempt, None)
         if prefill is not None:
             meter, query, tokens, since = prefill
@@ -321,7 +323,7 @@
                 query.wanted_first_token_s,
             )
 
-    def finished(
+    def call_finished(
         self,
         attempt: str,
         runner: runners.Runner,
@@ -337,7 +339,7 @@
             outlier detection, which compares the runners of a service.
         """
         self._prefills.pop(attempt, None)
-        self._trials.ended(attempt, outcome)
+        self._trials.record_end(attempt, outcome)
         name = runner.runner_id
         self._silence.call_ended(name)
         if outcome is not models.Outcome.CANCELLED or outlier_failure:
@@ -353,7 +355,7 @@
     def connect_failed(self, runner: runners.Runner) -> None:
         """Record that no connection to a runner could be opened."""
         self._router.record_failure(runner.runner_id)
-        self._crashes.lost(runner)
+        self._crashes.runner_lost(runner)
 
     async def check_runner_crash(self, runner: runners.Runner) -> None:
         """Check whether a runner that broke a connection has crashed."""
@@ -365,7 +367,7 @@
 
     def runner_replaced(self, runner: runners.Runner) -> None:
         """Remove a runner whose address now belongs to another runner."""
-        self._directory.gone(runner.runner_id)
+        self._directory.mark_ended(runner.runner_id)
         self.refresh()
 
     def sweep(self, now: float) -> None:
@@ -373,7 +375,7 @@
 
         :param now: on the event loop's clock, in seconds.
         """
-        self._pools.sweep(now)
+        self._pools.close_idle(now)
         self._crashes.tick()
 
     def _detect_outliers(self) -> None:
@@ -404,12 +406,16 @@
         Each version has its own pool, so that prompts are neither placed nor
         copied across versions.
         """
-        return trials.pool_name(runner.service, self._roll_outs.role(runner))
+        return call_sampling.pool_name(
+            runner.service, self._roll_outs.role(runner)
+        )
 
     def _can_copy(self, name: str) -> bool:
         configuration = self._configuration
         service = configuration and configuration.services.get(name)
-        return bool(service and service.engine and service.engine.copies)
+        return bool(
+            service and service.engine and service.engine.can_copy_cache
+        )
 
     def _meter(self, service: str) -> prefill_load.PrefillMeter:
         return self._meters.setdefault(service, prefill_load.PrefillMeter())
@@ -418,9 +424,11 @@
         service = self._service_of(runner)
         if service is None or service.engine is None:
             return 0
-        return service.engine.memory_tokens // prefix.TOKENS_PER_BLOCK
+        return service.engine.cache_tokens // prefix.TOKENS_PER_BLOCK
 
-    def _service_of(self, runner: runners.Runner) -> routes.Service | None:
+    def _service_of(
+        self, runner: runners.Runner
+    ) -> configuration_model.Service | None:
         if self._configuration is None:
             return None
         return self._configuration.services.get(runner.service)
--- a/src/apricotlever/serving/usage_duty.py
+++ b/src/apricotlever/serving/usage_duty.py
@@ -14,12 +14,12 @@
 from .. import logs
 from ..contracts import usage_windows
 
+from . import checkpoint
 from . import dialects
-from . import duties
-from . import notes
+from . import duty_lease
 from . import store
 
-KIND = notes.KIND
+KIND = checkpoint.KIND
 #: Delay from the end of a window until its counts are fixed. By then the
 #: calls that began in the window are counted and known to all VMs.
 FIX_DELAY_S = 2.5
@@ -62,9 +62,9 @@
         clock: clocks.Clock,
         windows: usage_windows.UsageWindows,
         store_: store.Store,
-        cloud: duties.CloudClient,
+        cloud: duty_lease.CloudClient,
         dialect: dialects.PlatformDialect,
-        keeper: duties.LeaseKeeper,
+        keeper: duty_lease.LeaseKeeper,
         levels: typing.Callable[[], typing.Mapping[str, float]],
     ) -> None:
         self._clock = clock
@@ -104,7 +104,7 @@
             if now >= self._checkpoint_at:
                 self._checkpoint_at = now + CHECKPOINT_INTERVAL_S
                 await self._write_checkpoint()
-        except (store.StoreError, duties.CloudBusy, ValueError) as error:
+        except (store.StoreError, duty_lease.CloudBusy, ValueError) as error:
             self._next_attempt_at = self._clock.now() + STEP_INTERVAL_S
             logs.event(
                 "usage_report_delayed",
@@ -113,9 +113,9 @@
 
     async def _recover(self) -> None:
         """Merge the counts from the checkpoint of the previous holder."""
-        found = await self._store.get(KIND, notes.NAME)
+        found = await self._store.get(KIND, checkpoint.NAME)
         if found is not None:
-            for window, table in notes.counts(found.spec).items():
+            for window, table in checkpoint.parse_counts(found.spec).items():
                 for process, counts in table.items():
                     self._windows.merge_counts(process, {window: counts})
         self._recovered = True
@@ -177,7 +177,7 @@
             found = await self._store.get(KIND, name)
             if found is None:
                 raise store.Unanswered(name) from None
-            return notes.fixed_counts(found.spec)
+            return checkpoint.parse_fixed_counts(found.spec)
 
     async def _write_checkpoint(self) -> None:
         table: dict[str, typing.Any] = {
@@ -185,11 +185,13 @@
             for window, processes in self._windows.all_counts().items()
             if window > self._last_reported
         }
-        spec = notes.compose(table, self._levels(), self._clock.wall())
+        spec = checkpoint.compose_checkpoint(
+            table, self._levels(), self._clock.wall()
+        )
         try:
-            await self._store.replace(KIND, notes.NAME, spec, None)
+            await self._store.replace(KIND, checkpoint.NAME, spec, None)
         except store.NotFound:
-            await self._store.create(KIND, notes.NAME, spec)
+            await self._store.create(KIND, checkpoint.NAME, spec)
 
     async def _delete_old_counts(self) -> None:
         for stored in (await self._store.list_all(KIND, True)).objects:
--- a/standins/_batch.py
+++ b/standins/_batch_scheduler.py
@@ -13,12 +13,12 @@
 import time
 import typing
 
-from . import _cache
-from . import _meter
+from . import _deterministic_tokens
+from . import _load_history
+from . import _prefix_cache
 from . import _sequence
-from . import _tokens
 
-CRASH_CODE = 70
+CRASH_EXIT_CODE = 70
 IDLE_WAIT_S = 0.25
 
 
@@ -89,7 +89,7 @@
     def __init__(
         self,
         config: SchedulerConfig,
-        cache: _cache.PrefixCache,
+        cache: _prefix_cache.PrefixCache,
         slowdown: typing.Callable[[], float],
     ) -> None:
         self._config = config
@@ -104,7 +104,7 @@
         self._recomputed_by_request: collections.Counter[str] = (
             collections.Counter()
         )
-        self._load_history = _meter.LoadHistory(self._current_load)
+        self._load_history = _load_history.LoadHistory(self._current_load)
         self._closing = False
 
     @property
@@ -241,7 +241,7 @@
             return
         context_tokens = sequence.prompt_token_count + len(sequence.tokens)
         cached_tokens = min(
-            context_tokens, cached_blocks * _tokens.BLOCK_TOKENS
+            context_tokens, cached_blocks * _deterministic_tokens.BLOCK_TOKENS
         )
         sequence.prefill_remaining = context_tokens - cached_tokens
         self._token_totals["cached_total"] += cached_tokens
@@ -336,4 +336,4 @@
         sequence.crash_after_tokens is not None
         and generated >= sequence.crash_after_tokens
     ):
-        os._exit(CRASH_CODE)
+        os._exit(CRASH_EXIT_CODE)
--- a/standins/_tokens.py
+++ b/standins/_deterministic_tokens.py
@@ -21,7 +21,7 @@
 ]
 
 
-def prompt_of(body: dict[str, typing.Any]) -> str:
+def prompt_from_body(body: dict[str, typing.Any]) -> str:
     """Extract the prompt text from an OpenAI completion or chat body."""
     if "messages" in body:
         return "".join(
--- a/standins/_http.py
+++ b/standins/_http.py
@@ -12,7 +12,7 @@
 
 from waitress import channel
 
-from . import _faults
+from . import _fault_settings
 
 Handler = typing.Callable[..., "Response"]
 Headers = list[tuple[str, str]]
@@ -153,12 +153,12 @@
         cls._routes = cls._routes + own_routes
 
     def __init__(self, faults: dict[str, typing.Any] | None = None) -> None:
-        self._faults = _faults.FaultSettings(
+        self._faults = _fault_settings.FaultSettings(
             {**COMMON_FAULTS, **(faults or {})}
         )
 
     @property
-    def faults(self) -> _faults.FaultSettings:
+    def faults(self) -> _fault_settings.FaultSettings:
         """The fault settings."""
         return self._faults
 
@@ -187,7 +187,7 @@
         request = Request(environ)
         try:
             response = self._respond(request)
-        except (ValueError, KeyError, _faults.UnknownFault) as error:
+        except (ValueError, KeyError, _fault_settings.UnknownFault) as error:
             response = Response(400, {"error": f"bad request: {error}"})
         return _send_response(response, start_response)
 
--- a/standins/_journal.py
+++ b/standins/_journal.py
@@ -18,7 +18,7 @@
 
     def __init__(self, path: str = "") -> None:
         self._lock = threading.Lock()
-        self._counts = read(path)
+        self._counts = read_counts(path)
         self._file = -1
         if path:
             flags = os.O_APPEND | os.O_CREAT | os.O_WRONLY
@@ -49,7 +49,7 @@
                 os.ftruncate(self._file, 0)
 
 
-def read(path: str) -> "collections.Counter[str]":
+def read_counts(path: str) -> "collections.Counter[str]":
     """Read the counts from a journal file; empty if there is no such file."""
     if not path or not os.path.exists(path):
         return collections.Counter()
--- a/standins/_cache.py
+++ b/standins/_prefix_cache.py
@@ -5,7 +5,7 @@
 import time
 import typing
 
-from . import _tokens
+from . import _deterministic_tokens
 
 MAX_KEPT_EVENTS = 4096
 EVENT_LOSS_SEED = 5
@@ -189,7 +189,9 @@
             self._pins_by_block[block] = 0
         if computed:
             recomputed = sum(block in self._evicted_blocks for block in stored)
-            self._evicted_recomputed += recomputed * _tokens.BLOCK_TOKENS
+            self._evicted_recomputed += (
+                recomputed * _deterministic_tokens.BLOCK_TOKENS
+            )
         self._evicted_blocks.difference_update(stored)
         self._event_log.add("removed", evicted, self._loss_probability())
         self._event_log.add("stored", stored, self._loss_probability())
--- a/standins/_sequence.py
+++ b/standins/_sequence.py
@@ -4,7 +4,7 @@
 import time
 import typing
 
-from . import _tokens
+from . import _deterministic_tokens
 
 WAITING = "waiting"
 RUNNING = "running"
@@ -94,7 +94,9 @@
         self.request = request
         self.tokens = list(tokens)
         self.resumed_count = len(tokens)
-        self.answer_hash = _tokens.answer_hash(request.prompt, request.seed)
+        self.answer_hash = _deterministic_tokens.answer_hash(
+            request.prompt, request.seed
+        )
         self.initial_blocks = self.current_blocks()
         self.pinned_blocks: list[int] = []
         self.state = WAITING
@@ -109,7 +111,9 @@
     @property
     def prompt_token_count(self) -> int:
         """Number of tokens in the prompt."""
-        return _tokens.token_count(len(self.request.prompt.encode()))
+        return _deterministic_tokens.token_count(
+            len(self.request.prompt.encode())
+        )
 
     @property
     def is_complete(self) -> bool:
@@ -119,12 +123,16 @@
     def current_blocks(self) -> list[int]:
         """Hashes of the full blocks of the prompt and the tokens so far."""
         text = self.request.prompt + "".join(self.tokens)
-        return _tokens.prefix_block_hashes(self.request.model, text)
+        return _deterministic_tokens.prefix_block_hashes(
+            self.request.model, text
+        )
 
     def generate_token(self) -> None:
         """Append the next token and wake the waiting readers."""
         self.tokens.append(
-            _tokens.answer_token(self.answer_hash, len(self.tokens))
+            _deterministic_tokens.answer_token(
+                self.answer_hash, len(self.tokens)
+            )
         )
         self.notify_readers()
 
--- a/standins/cloud_api.py
+++ b/standins/cloud_api.py
@@ -13,8 +13,8 @@
 import typing
 
 from . import _http
+from . import _long_polls
 from . import _server
-from . import _waiters
 
 DEFAULT_FAULTS: dict[str, typing.Any] = {
     "lag_s": 0.5,
@@ -86,7 +86,7 @@
 
     def __init__(self) -> None:
         super().__init__(DEFAULT_FAULTS)
-        self._long_polls = _waiters.LongPolls()
+        self._long_polls = _long_polls.LongPolls()
         self._lock = self._long_polls.condition
         self._vms: dict[str, _Vm] = {}
         self._vm_by_token: dict[str, str] = {}
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -12,15 +12,15 @@
 import time
 import typing
 
-from . import _batch
-from . import _cache
-from . import _frames
+from . import _batch_scheduler
+from . import _deterministic_tokens
+from . import _engine_responses
 from . import _http
 from . import _journal
-from . import _orders
+from . import _prefix_cache
 from . import _sequence
 from . import _server
-from . import _tokens
+from . import _target_state
 
 DEFAULT_MAX_TOKENS = 16
 READER_WAIT_S = 1.0
@@ -53,7 +53,7 @@
 
     def __init__(
         self,
-        scheduler_config: _batch.SchedulerConfig | None = None,
+        scheduler_config: _batch_scheduler.SchedulerConfig | None = None,
         blocks: int = 4096,
         journal: _journal.Journal | None = None,
         models: tuple[str, ...] = (),
@@ -62,16 +62,16 @@
         faults: dict[str, typing.Any] | None = None,
     ) -> None:
         super().__init__({**DEFAULT_FAULTS, **(faults or {})})
-        self._cache = _cache.PrefixCache(
+        self._cache = _prefix_cache.PrefixCache(
             blocks, lambda: self.faults["event_gap"]
         )
-        self._scheduler = _batch.BatchScheduler(
-            scheduler_config or _batch.SchedulerConfig(),
+        self._scheduler = _batch_scheduler.BatchScheduler(
+            scheduler_config or _batch_scheduler.SchedulerConfig(),
             self._cache,
             lambda: self.faults["slow"],
         )
         self._journal = journal or _journal.Journal()
-        self._target_state = _orders.TargetState(
+        self._target_state = _target_state.TargetState(
             [_parse_model(name) for name in models]
         )
         self._strict = strict
@@ -144,7 +144,7 @@
             return _http.Response(404, {"error": "not_found"})
         self._increment("exports")
         time.sleep(self.faults["export_delay_s"])
-        return _http.Response(200, _frames.exported_state(sequence))
+        return _http.Response(200, _engine_responses.exported_state(sequence))
 
     @_http.route("POST", "/v1/import")
     def _import(self, request: _http.Request) -> _http.Response:
@@ -255,7 +255,7 @@
         self._known_request_ids.add(generation.request_id)
         if not resume_tokens:
             self._journal.add(generation.request_id)
-        elif resume_tokens != _tokens.expected_answer(
+        elif resume_tokens != _deterministic_tokens.expected_answer(
             generation.prompt, generation.seed, len(resume_tokens)
         ):
             self._increment("resume_mismatches")
@@ -275,7 +275,7 @@
             int(request.header("Apricotlever-Attempt", "1")),
             int(request.header("Apricotlever-Priority", "0")),
             body.get("model", ""),
-            _tokens.prompt_of(body),
+            _deterministic_tokens.prompt_from_body(body),
             int(body.get("seed") or 0),
             int(body.get("max_tokens") or DEFAULT_MAX_TOKENS),
             chat,
@@ -286,7 +286,7 @@
         if not crash_text or crash_text not in sequence.request.prompt:
             return
         if not self.faults["crash_after_tokens"]:
-            os._exit(_batch.CRASH_CODE)
+            os._exit(_batch_scheduler.CRASH_EXIT_CODE)
         sequence.crash_after_tokens = self.faults["crash_after_tokens"]
 
     def _stream_response(
@@ -295,7 +295,7 @@
         stream = self._token_events(request, sequence, start)
         return _http.Response(
             200,
-            headers=_frames.request_id_headers(request, sequence),
+            headers=_engine_responses.request_id_headers(request, sequence),
             stream=stream,
         )
 
@@ -303,7 +303,7 @@
         self, request: _http.Request, sequence: _sequence.Sequence, start: int
     ) -> typing.Iterator[bytes]:
         silence_calls_at_start = self._silence_calls
-        before, after = _frames.token_event_parts(sequence.request)
+        before, after = _engine_responses.token_event_parts(sequence.request)
         index = start
         sequence.add_reader()
         try:
@@ -318,7 +318,7 @@
                     ).encode()
                     index += len(tokens)
                 elif final_state is not None:
-                    yield _frames.final_event(final_state)
+                    yield _engine_responses.final_event(final_state)
                     return
         finally:
             sequence.remove_reader()
@@ -349,8 +349,8 @@
             return _http.Response(409, {"error": sequence.state})
         return _http.Response(
             200,
-            _frames.completion_payload(sequence),
-            _frames.request_id_headers(request, sequence),
+            _engine_responses.completion_payload(sequence),
+            _engine_responses.request_id_headers(request, sequence),
         )
 
     def _increment(self, kind: str) -> None:
@@ -384,8 +384,10 @@
     return parser
 
 
-def _scheduler_config(options: argparse.Namespace) -> _batch.SchedulerConfig:
-    return _batch.SchedulerConfig(
+def _scheduler_config(
+    options: argparse.Namespace,
+) -> _batch_scheduler.SchedulerConfig:
+    return _batch_scheduler.SchedulerConfig(
         options.slots,
         options.step_ms / 1e3,
         options.step_ms_per_sequence / 1e3,
--- a/standins/object_api.py
+++ b/standins/object_api.py
@@ -10,9 +10,9 @@
 import typing
 
 from . import _http
-from . import _rates
+from . import _long_polls
+from . import _rate_limiter
 from . import _server
-from . import _waiters
 
 MAX_VALUE_BYTES = 1_000_000
 KEPT_EVENTS = 20_000
@@ -53,13 +53,13 @@
 
     def __init__(self) -> None:
         super().__init__(DEFAULT_FAULTS)
-        self._long_polls = _waiters.LongPolls()
+        self._long_polls = _long_polls.LongPolls()
         self._lock = self._long_polls.condition
         self._objects: dict[str, _StoredValue] = {}
         self._events: list[_ChangeEvent] = []
         self._revision = 0
         self._compacted_revision = 0
-        self._rate_limiter = _rates.RateLimiter()
+        self._rate_limiter = _rate_limiter.RateLimiter()
         self._counts: collections.Counter[str] = collections.Counter()
         self.faults.add_listener(self._long_polls.notify)
 
--- a/standins/plain_dialect.py
+++ b/standins/plain_dialect.py
@@ -1,7 +1,7 @@
 """A minimal dialect for tests of the request path."""
 
+from apricotlever.serving import connection_pool
 from apricotlever.serving import messages
-from apricotlever.serving import pool
 
 CONNECTION_HEADERS = {
     b"connection",
@@ -15,7 +15,7 @@
     return {name.lower(): value for name, value in headers}
 
 
-class PlainCallers:
+class PlainCallerDialect:
     """Caller dialect with the headers Call-Id, Wait-S, Key and After."""
 
     ready_path = "/ready"
@@ -61,7 +61,7 @@
         return "\n".join(addresses).encode()
 
 
-class PlainRunners:
+class PlainRunnerDialect:
     """Runner dialect with the headers Call-Id, Left-S and After.
 
     A runner marks its own answers with the header Signed.
@@ -86,7 +86,7 @@
     def head(self, status, headers):
         """Parse the status and headers of an answer."""
         by_name = _headers_by_name(headers)
-        return messages.RunnerHead(
+        return messages.RunnerResponseHead(
             status,
             headers,
             not_run=b"not-run" in by_name,
@@ -94,5 +94,7 @@
             signed=b"signed" in by_name,
             request_id=by_name.get(b"call-id", b"").decode(),
             closing=by_name.get(b"connection", b"").lower() == b"close",
-            keep_alive_s=pool.keep_alive_s(by_name.get(b"keep-alive", b"")),
+            keep_alive_s=connection_pool.parse_keep_alive_s(
+                by_name.get(b"keep-alive", b"")
+            ),
         )
--- a/standins/weight_store.py
+++ b/standins/weight_store.py
@@ -9,7 +9,7 @@
 import typing
 
 from . import _http
-from . import _rates
+from . import _rate_limiter
 from . import _server
 
 DEFAULT_FAULTS: dict[str, typing.Any] = {
@@ -25,7 +25,7 @@
 
     def __init__(self) -> None:
         super().__init__(DEFAULT_FAULTS)
-        self._rate_limiter = _rates.RateLimiter()
+        self._rate_limiter = _rate_limiter.RateLimiter()
         self._counts: collections.Counter[str] = collections.Counter()
 
     def counts(self) -> dict[str, typing.Any]:
--- a/tests/client/commands.py
+++ b/tests/client/command_runner.py
@@ -15,12 +15,12 @@
     :param complaint: the standard error output.
     """
 
-    __slots__ = ("code", "printed", "complaint")
+    __slots__ = ("code", "stdout", "stderr")
 
     def __init__(self, code: int, printed: str, complaint: str) -> None:
         self.code = code
-        self.printed = printed
-        self.complaint = complaint
+        self.stdout = printed
+        self.stderr = complaint
 
 
 def run(
@@ -45,7 +45,9 @@
     return CommandResult(code, out.getvalue(), complaint.getvalue())
 
 
-def run_for(context: typing.Any, arguments: typing.Sequence[str]) -> None:
+def run_in_scenario(
+    context: typing.Any, arguments: typing.Sequence[str]
+) -> None:
     """Run a command with the connection of a scenario.
 
     The exit code and the output are stored in the context.
@@ -55,5 +57,5 @@
     """
     command_result = run(arguments, context.operator_connection)
     context.exit_code = command_result.code
-    context.printed = command_result.printed
-    context.complaint = command_result.complaint
+    context.printed = command_result.stdout
+    context.complaint = command_result.stderr
--- a/tests/daemon/poison.py
+++ b/tests/daemon/poison.py
@@ -3,7 +3,7 @@
 from concurrent import futures
 import typing
 
-from standins import _batch
+from standins import _batch_scheduler
 from tests.daemon import scene
 from tests.support import answers
 from tests.support import http
@@ -79,7 +79,8 @@
         return [
             name
             for name in self._scene.engines
-            if running.process(name).exit_code == _batch.CRASH_CODE
+            if running.process(name).exit_code
+            == _batch_scheduler.CRASH_EXIT_CODE
         ]
 
     def lies(self) -> list[typing.Any]:
--- a/tests/daemon/registrations.py
+++ b/tests/daemon/registrations.py
@@ -160,7 +160,7 @@
         total: dict[str, int] = {}
         for name in self._scene.services:
             path = f"{self._scene.fleet.journal_path(name)}{suffix}"
-            for operation, count in _journal.read(path).items():
+            for operation, count in _journal.read_counts(path).items():
                 total[operation] = total.get(operation, 0) + count
         return total
 
--- a/tests/serving/fleet_of_directories.py
+++ b/tests/serving/fleet_of_directories.py
@@ -6,10 +6,10 @@
 import random
 
 from apricotlever import clock as clocks
-from apricotlever.serving import directory as directories
-from apricotlever.serving import listeners
+from apricotlever.serving import runner_directory as directories
 from apricotlever.serving import runners
 from apricotlever.serving import store
+from apricotlever.serving import store_listeners
 
 STEP_S = 0.1
 #: How long two directories differ before one fetches all changes of the
@@ -106,7 +106,9 @@
         state = stored.spec
         self.born[stored.name, stored.revision] = state.born
         if not state.readable:
-            return runners.Unreadable(stored.name, stored.revision, "spoiled")
+            return runners.UnreadableEntry(
+                stored.name, stored.revision, "spoiled"
+            )
         return runners.Runner(
             stored.name,
             "s",
@@ -125,9 +127,9 @@
     """One VM's directory and its watch of the store."""
 
     def __init__(self, clock, history, platform):
-        self.directory = directories.Directory(clock)
+        self.directory = directories.RunnerDirectory(clock)
         self._platform = platform
-        self._entries = listeners.Entries(
+        self._entries = store_listeners.RunnerEntryListener(
             self.directory, self._platform, lambda ended: None, clock
         )
         #: State that the VM creates for a runner when it first sees it, by
@@ -157,12 +159,12 @@
         """Receive another VM's record, and fetch missing changes."""
         mine, theirs = self.directory, other.directory
         if theirs.revision > mine.revision:
-            mine.heard(*theirs.news_after(mine.revision))
+            mine.merge_changes(*theirs.news_after(mine.revision))
         if theirs.checksum == mine.checksum:
             self._differs_since.pop(other, None)
         elif now - self._differs_since.setdefault(other, now) >= MISMATCH_S:
             del self._differs_since[other]
-            mine.heard(*theirs.news_after(ALL_REVISIONS))
+            mine.merge_changes(*theirs.news_after(ALL_REVISIONS))
 
 
 class Fleet:
--- a/tests/serving/memory_store.py
+++ b/tests/serving/memory_store.py
@@ -1,6 +1,6 @@
 """An in-memory store with injectable faults, and a recording cloud API."""
 
-from apricotlever.serving import duties
+from apricotlever.serving import duty_lease
 from apricotlever.serving import store
 
 
@@ -83,7 +83,7 @@
         """Accept a report if its fencing number is not outdated."""
         if self.busy:
             self.busy -= 1
-            raise duties.CloudBusy("injected fault")
+            raise duty_lease.CloudBusy("injected fault")
         if fencing < self.highest:
             return False
         self.highest = fencing
--- a/tests/serving/runner_standin.py
+++ b/tests/serving/runner_standin.py
@@ -206,8 +206,8 @@
     def __init__(self, name, names):
         self.name = name
         self.names = list(names)
-        self.ran = []
-        self.seen = []
+        self.executed_call_ids = []
+        self.received_calls = []
         self.disconnects = 0
         self.connections = 0
         self.port = 0
@@ -227,8 +227,8 @@
         try:
             while True:
                 call = await self._read(reader)
-                self.ran.append(call["call-id"])
-                self.seen.append(call)
+                self.executed_call_ids.append(call["call-id"])
+                self.received_calls.append(call)
                 name = self.names[0]
                 if len(self.names) > 1:
                     self.names.pop(0)
--- a/tests/serving/world.py
+++ b/tests/serving/world.py
@@ -6,12 +6,12 @@
 from apricotlever import clock as clocks
 from apricotlever.contracts import retry_allowance
 from apricotlever.contracts import usage_windows
-from apricotlever.serving import callers
+from apricotlever.serving import call_relay
+from apricotlever.serving import caller_server
+from apricotlever.serving import configuration_model
+from apricotlever.serving import customer_limits
 from apricotlever.serving import dialects
-from apricotlever.serving import directory as directories
-from apricotlever.serving import limits
-from apricotlever.serving import relay
-from apricotlever.serving import routes
+from apricotlever.serving import runner_directory as directories
 from apricotlever.serving import runners
 from apricotlever.serving import upstreams
 from standins import plain_dialect
@@ -37,7 +37,9 @@
 def _route(kind, **more):
     more.setdefault("max_attempts", 2)
     more.setdefault("timeout_s", 5.0)
-    return routes.Route("r", HOST, "/s/", (("service", 1.0),), kind, **more)
+    return configuration_model.Route(
+        "r", HOST, "/s/", (("service", 1.0),), kind, **more
+    )
 
 
 class World:
@@ -45,7 +47,7 @@
 
     def __init__(self):
         self.clock = clocks.ManualClock()
-        self.directory = directories.Directory(self.clock)
+        self.directory = directories.RunnerDirectory(self.clock)
         self.upstreams = upstreams.Upstreams(
             clocks.SystemClock(),
             random.Random(1),
@@ -53,15 +55,15 @@
             "dc",
             self.directory,
         )
-        self.limits = limits.Limits(clocks.SystemClock())
+        self.limits = customer_limits.CustomerLimits(clocks.SystemClock())
         self.usage = usage_windows.UsageWindows(self.clock, "vm#1", 5.0)
         self.budget = retry_allowance.RetryAllowance(
             clocks.SystemClock(), 0.2, 20.0, 10.0
         )
-        self.relay = relay.Relay(
+        self.relay = call_relay.CallRelay(
             dialects.Dialect(
-                plain_dialect.PlainCallers(),
-                plain_dialect.PlainRunners(),
+                plain_dialect.PlainCallerDialect(),
+                plain_dialect.PlainRunnerDialect(),
                 None,
             ),
             self.upstreams,
@@ -70,7 +72,7 @@
             self.usage,
             random.Random(2),
         )
-        self.server = callers.CallerServer(self.relay.answer)
+        self.server = caller_server.CallerServer(self.relay.answer)
         self.standins = []
         self.port = 0
         self.connection = None
@@ -89,7 +91,7 @@
         standin = runner_standin.RunnerStandin(name, names)
         await standin.start()
         self.standins.append(standin)
-        self.directory.changed(
+        self.directory.apply_entry(
             runners.Runner(
                 name, "service", "127.0.0.1", standin.port, "dc", 4, revision=1
             )
@@ -98,12 +100,16 @@
 
     def configure(self, kind, limits=None, rate=0.0, **more):
         """Activate a configuration with one route."""
-        self.configuration = configuration = routes.Configuration(
+        self.configuration = configuration = configuration_model.Configuration(
             1,
             [_route(kind, **more)],
-            [routes.Service("service", 100)],
-            [routes.Customer("clerks", frozenset({KEY}), rate=rate, burst=1)],
-            limits or routes.CallerLimits(),
+            [configuration_model.Service("service", 100)],
+            [
+                configuration_model.Customer(
+                    "clerks", frozenset({KEY}), rate=rate, burst=1
+                )
+            ],
+            limits or configuration_model.CallerLimits(),
         )
         self.limits.configure(configuration)
         self.upstreams.configure(configuration)
