--- a/tests/standins/entry_fake.py
+++ b/tests/standins/faulty_entry_vm.py
@@ -4,11 +4,11 @@
 import json
 import typing
 
+from standins import _deterministic_tokens
 from standins import _http
-from standins import _tokens
 
 StreamFault = typing.Callable[
-    ["EntryFake", int, list[str]], typing.Iterator[str]
+    ["FaultyEntryVm", int, list[str]], typing.Iterator[str]
 ]
 
 STREAM_FAULTS: dict[str, StreamFault] = {}
@@ -28,7 +28,7 @@
     return decorator
 
 
-class EntryFake(_http.StandIn):
+class FaultyEntryVm(_http.StandIn):
     """Streams the expected answer, with a fault in streams from the start.
 
     Resumed streams have no fault.
@@ -62,7 +62,7 @@
 
     def _stream(self, start: int, fault: str) -> _http.Response:
         body = self._bodies_by_request_id["r.1"]
-        tokens = _tokens.expected_answer(
+        tokens = _deterministic_tokens.expected_answer(
             body["prompt"], body["seed"], body["max_tokens"]
         )
         fault_index = FAULT_AFTER_TOKENS if fault else len(tokens)
@@ -93,7 +93,7 @@
 
 @stream_fault("moves")
 def _redirect(
-    entry_vm: EntryFake, fault_index: int, tokens: list[str]
+    entry_vm: FaultyEntryVm, fault_index: int, tokens: list[str]
 ) -> typing.Iterator[str]:
     """Redirect the client to the other entry VM."""
     address = json.dumps({"entry": entry_vm.peers[1]})
@@ -102,7 +102,7 @@
 
 @stream_fault("breaks")
 def _disconnect(
-    entry_vm: EntryFake, fault_index: int, tokens: list[str]
+    entry_vm: FaultyEntryVm, fault_index: int, tokens: list[str]
 ) -> typing.Iterator[str]:
     """Close the connection in the middle of the stream."""
     yield ": about to break\n\n"
@@ -111,7 +111,7 @@
 
 @stream_fault("doubles")
 def _repeat_token(
-    entry_vm: EntryFake, fault_index: int, tokens: list[str]
+    entry_vm: FaultyEntryVm, fault_index: int, tokens: list[str]
 ) -> typing.Iterator[str]:
     """Send the last token a second time."""
     yield from token_events(fault_index - 1, tokens[fault_index - 1 :])
@@ -120,7 +120,7 @@
 
 @stream_fault("skips")
 def _skip_token(
-    entry_vm: EntryFake, fault_index: int, tokens: list[str]
+    entry_vm: FaultyEntryVm, fault_index: int, tokens: list[str]
 ) -> typing.Iterator[str]:
     """Leave out a token."""
     yield from token_events(fault_index + 1, tokens[fault_index + 1 :])
@@ -129,17 +129,19 @@
 
 @stream_fault("swaps")
 def _send_wrong_tokens(
-    entry_vm: EntryFake, fault_index: int, tokens: list[str]
+    entry_vm: FaultyEntryVm, fault_index: int, tokens: list[str]
 ) -> typing.Iterator[str]:
     """Continue with the tokens of another prompt."""
-    wrong_tokens = _tokens.expected_answer("another's prompt", 0, len(tokens))
+    wrong_tokens = _deterministic_tokens.expected_answer(
+        "another's prompt", 0, len(tokens)
+    )
     yield from token_events(fault_index, wrong_tokens[fault_index:])
     yield from done_event()
 
 
 @stream_fault("shortens")
 def _truncate(
-    entry_vm: EntryFake, fault_index: int, tokens: list[str]
+    entry_vm: FaultyEntryVm, fault_index: int, tokens: list[str]
 ) -> typing.Iterator[str]:
     """End the stream early, as if the answer were complete."""
     yield from done_event()
@@ -147,7 +149,7 @@
 
 @stream_fault("errors")
 def _send_error_event(
-    entry_vm: EntryFake, fault_index: int, tokens: list[str]
+    entry_vm: FaultyEntryVm, fault_index: int, tokens: list[str]
 ) -> typing.Iterator[str]:
     """Send an error event instead of more tokens."""
     error = {"type": "gave_up", "executed": "yes"}
--- a/tests/standins/serving.py
+++ b/tests/standins/scenario_server.py
@@ -8,7 +8,7 @@
 HOST = "127.0.0.1"
 
 
-def serve(context: typing.Any, standin: _http.StandIn) -> str:
+def serve_in_scenario(context: typing.Any, standin: _http.StandIn) -> str:
     """Serve a stand-in until the end of the scenario.
 
     :param context: the scenario's context; its ``closers`` stop the server.
--- a/tests/steps/adapter.py
+++ b/tests/steps/adapter.py
@@ -20,8 +20,8 @@
 from adapter import objects  # noqa: E402
 from adapter import settings  # noqa: E402
 from adapter import upstreams  # noqa: E402
+from apricotlever.serving import configuration_model  # noqa: E402
 from apricotlever.serving import messages  # noqa: E402
-from apricotlever.serving import routes  # noqa: E402
 from apricotlever.serving import store  # noqa: E402
 
 HEADERS = [
@@ -106,7 +106,9 @@
         (b"Request-Priority", b"0"),
     ]
     call = _decode_call([*HEADERS, *forged])
-    errand = messages.Errand("i-7f3a91c2", "hule930", 1.5, 3, None)
+    errand = messages.RunnerCallParameters(
+        "i-7f3a91c2", "hule930", 1.5, 3, None
+    )
     context.sent = upstreams.Upstreams().request(call, errand).decode()
 
 
@@ -218,7 +220,9 @@
     plain = read.route_of("ficu95.example", "/pufi791/x")
     split = read.route_of("ficu95.example", "/pufi791/deep/x")
     assert (plain.name, split.name) == ("r-1", "r-2")
-    assert plain.kind is routes.CallKind.STREAM and plain.repeatable
+    assert (
+        plain.kind is configuration_model.CallKind.STREAM and plain.repeatable
+    )
     assert not split.repeatable
     assert [split.service_at(p) for p in (0.0, 0.89, 0.91)] == ["a", "a", "b"]
     assert read.route_of("ficu95.example", "/other/") is None
--- a/tests/steps/adapter_entries.py
+++ b/tests/steps/adapter_entries.py
@@ -18,15 +18,15 @@
 from adapter import objects
 from apricotlever import clock as clocks
 from apricotlever import logs
-from apricotlever.serving import datagrams
-from apricotlever.serving import directory as directories
-from apricotlever.serving import listeners
-from apricotlever.serving import notes
-from apricotlever.serving import peers
+from apricotlever.serving import checkpoint
+from apricotlever.serving import peer_datagrams
+from apricotlever.serving import peer_http
+from apricotlever.serving import runner_directory as directories
 from apricotlever.serving import runners
 from apricotlever.serving import store
+from apricotlever.serving import store_listeners
 from apricotlever.serving import store_watch
-from apricotlever.serving import tasks
+from apricotlever.serving import task_supervisor
 from apricotlever.vms import lease_objects
 from apricotlever.vms import peer_table
 from apricotlever.vms import vm_records
@@ -107,8 +107,8 @@
 
     def __init__(self):
         self.clock = clocks.ManualClock()
-        self.directory = directories.Directory(self.clock)
-        self.entries = listeners.Entries(
+        self.directory = directories.RunnerDirectory(self.clock)
+        self.entries = store_listeners.RunnerEntryListener(
             self.directory,
             documents.Documents(),
             lambda ended: None,
@@ -126,7 +126,7 @@
 
     def working(self):
         """Return the names of the runners that take new calls."""
-        found = self.directory.of_service("huvo11a")
+        found = self.directory.available_runners("huvo11a")
         return sorted(runner.name for runner in found)
 
 
@@ -142,7 +142,7 @@
     context.vm = _Vm()
     context.logged = []
     logs.setup_writer("vm", lambda name, line: context.logged.append(line))
-    running = tasks.Tasks()
+    running = task_supervisor.TaskSupervisor()
 
     async def follow():
         context.watcher = store_watch.Watcher(
@@ -455,17 +455,17 @@
         strategies.sampled_from(sorted(_value_paths(RECORD), key=str)),
         ANY_JSON.filter(_is_packable),
     ).map(lambda drawn: _pack(_with_value_at(RECORD, *drawn)))
-    assert datagrams.unpack(_pack(RECORD)).vm == "vm-2"
+    assert peer_datagrams.unpack(_pack(RECORD)).vm == "vm-2"
     refused = (ValueError, TypeError, zlib.error)
     local = _RecordConsumer()
     _collect_errors(context, lambda data: local.use(data), packed, refused)
     bodies = strategies.binary(max_size=40)
-    _collect_errors(context, peers.unpack_runners, bodies)
-    _collect_errors(context, peers.unpack_configuration, bodies)
+    _collect_errors(context, peer_http.unpack_runners, bodies)
+    _collect_errors(context, peer_http.unpack_configuration, bodies)
     news = ANY_JSON.filter(_is_packable).map(
         lambda v: msgpack.packb([[[v] * 13], {"r": v}])
     )
-    _collect_errors(context, peers.unpack_runners, news)
+    _collect_errors(context, peer_http.unpack_runners, news)
 
 
 def _is_packable(value):
@@ -485,7 +485,7 @@
 
     def use(self, data):
         """Store a record in a peer table and use its values."""
-        digest = datagrams.unpack(data)
+        digest = peer_datagrams.unpack(data)
         clock = clocks.ManualClock()
         table = peer_table.PeerTable(
             clock, random.Random(1), "vm-1", "a:1", ()
@@ -501,8 +501,10 @@
 
 @when("the fleet's notes take arbitrary values")
 def _vary_notes(context):
-    good = notes.compose({"7": {"vm#1": {"c": 3}}}, {"c": 2.0}, 100.0)
-    assert notes.counts(good) == {7: {"vm#1": {"c": 3}}}
+    good = checkpoint.compose_checkpoint(
+        {"7": {"vm#1": {"c": 3}}}, {"c": 2.0}, 100.0
+    )
+    assert checkpoint.parse_counts(good) == {7: {"vm#1": {"c": 3}}}
     drawn = strategies.tuples(
         strategies.sampled_from(sorted(_value_paths(good), key=str)), ANY_JSON
     ).map(lambda drawn: _with_value_at(good, *drawn))
@@ -518,11 +520,11 @@
             return store.StoredObject(name, 1, self.spec, None)
 
     def read(spec):
-        for windows in notes.counts(spec).values():
+        for windows in checkpoint.parse_counts(spec).values():
             assert sum(sum(c.values()) for c in windows.values()) >= 0
-        notes.fixed_counts(spec)
+        checkpoint.parse_fixed_counts(spec)
         clock = clocks.ManualClock()
-        levels = asyncio.run(notes.read_levels(NotesStore(spec), clock))
+        levels = asyncio.run(checkpoint.read_levels(NotesStore(spec), clock))
         assert all(level == level for level in levels.values())
 
     _collect_errors(context, read, drawn)
--- a/tests/steps/bench_load.py
+++ b/tests/steps/bench_load.py
@@ -9,7 +9,7 @@
 from bench import _load_summary
 from bench import _load_work
 from bench import load
-from standins import _tokens
+from standins import _deterministic_tokens
 from tests.bench import rows
 from tests.support import answers
 
@@ -62,8 +62,10 @@
     turns = [each.body for each in context.drawn[0] if each.work == "chat"]
     given = {
         "".join(
-            _tokens.expected_answer(
-                _tokens.prompt_of(body), body["seed"], body["max_tokens"]
+            _deterministic_tokens.expected_answer(
+                _deterministic_tokens.prompt_from_body(body),
+                body["seed"],
+                body["max_tokens"],
             )
         )
         for body in turns
--- a/tests/steps/client_catalogue_store.py
+++ b/tests/steps/client_catalogue_store.py
@@ -12,7 +12,7 @@
 from standins import object_api
 
 from tests.catalogue import examples
-from tests.standins import serving
+from tests.standins import scenario_server
 
 TIMEOUT_S = 1.0
 
@@ -82,7 +82,7 @@
 @given("a catalogue store with Procurador's example")
 def _store_with_example(context):
     context.store_standin = object_api.ObjectApi()
-    address = serving.serve(context, context.store_standin)
+    address = scenario_server.serve_in_scenario(context, context.store_standin)
     context.store_url = f"http://{address}"
     context.operator_store = _store(context)
     context.operator_store.replace(examples.document(), None)
@@ -119,7 +119,9 @@
 @then("the second operator's edit is rejected as a conflict")
 @then("the operator's edit is rejected as a conflict")
 def _check_conflict(context):
-    assert isinstance(context.edit_error, errors.EditLost), context.edit_error
+    assert isinstance(
+        context.edit_error, errors.EditConflict
+    ), context.edit_error
 
 
 @then("the rejected edit shows that it would change {field} back")
@@ -142,7 +144,7 @@
         for _ in range(count):
             try:
                 return _merge(_store(context, f"op-{i}"), overlay)
-            except errors.EditLost:
+            except errors.EditConflict:
                 continue
 
     with futures.ThreadPoolExecutor(count) as pool:
--- a/tests/steps/client_fleet_commands.py
+++ b/tests/steps/client_fleet_commands.py
@@ -5,7 +5,7 @@
 from behave import given
 from behave import then
 
-from tests.client import commands
+from tests.client import command_runner
 from tests.daemon import outages
 from tests.daemon import scene
 from tests.support import fleet
@@ -41,7 +41,7 @@
 
 
 def _run_json(context, name):
-    commands.run_for(context, [name, "--json"])
+    command_runner.run_in_scenario(context, [name, "--json"])
     assert context.exit_code == 0, context.printed + context.complaint
     return json.loads(context.printed)
 
@@ -128,6 +128,6 @@
 @then("in-force, status, entries, histograms and cost exit with {code:d}")
 def _check_exit_codes(context, code):
     for name in ("in-force", "status", "entries", "histograms", "cost"):
-        commands.run_for(context, [name])
+        command_runner.run_in_scenario(context, [name])
         assert context.exit_code == code, (name, context.complaint)
         assert context.scene.fleet.address("vm-0") in context.complaint
--- a/tests/steps/client_main.py
+++ b/tests/steps/client_main.py
@@ -10,15 +10,17 @@
 from behave import when
 from standins import object_api
 
-from tests.client import commands
-from tests.client import entry_vm
-from tests.standins import serving
+from tests.client import command_runner
+from tests.client import fake_entry_vm
+from tests.standins import scenario_server
 from tests.support import pages
 
 
 @given("an operator's command line with an object API")
 def _connect_to_object_api(context):
-    address = serving.serve(context, object_api.ObjectApi())
+    address = scenario_server.serve_in_scenario(
+        context, object_api.ObjectApi()
+    )
     context.operator_connection = ["--objects", f"http://{address}"]
 
 
@@ -35,15 +37,15 @@
 @when("the operator waits until that version is in force")
 def _wait_until_in_force(context):
     version = context.printed.rpartition("version=")[2].strip()
-    commands.run_for(context, ["in-force", "--wait", version])
+    command_runner.run_in_scenario(context, ["in-force", "--wait", version])
 
 
 @given("the operator has applied an example and saved the shown document")
 def _save_shown_document(context):
-    commands.run_for(
+    command_runner.run_in_scenario(
         context, ["catalogue", "apply", "examples/procurador.json"]
     )
-    commands.run_for(context, ["catalogue", "show"])
+    command_runner.run_in_scenario(context, ["catalogue", "show"])
     directory = tempfile.TemporaryDirectory()
     context.closers.append(directory.cleanup)
     context.saved = pathlib.Path(directory.name, "saved.json")
@@ -52,12 +54,14 @@
 
 @when("the operator applies the saved document")
 def _apply_saved_document(context):
-    commands.run_for(context, ["catalogue", "apply", str(context.saved)])
+    command_runner.run_in_scenario(
+        context, ["catalogue", "apply", str(context.saved)]
+    )
 
 
 @when('the operator runs "{command}"')
 def _run_command(context, command):
-    commands.run_for(context, command.split())
+    command_runner.run_in_scenario(context, command.split())
 
 
 @then('the command exits with {code:d} and prints "{text}"')
@@ -76,11 +80,11 @@
 def _start_entry_vms(context, a, b, c):
     versions = {"a": a, "b": b, "c": c}
     context.entry_vms = {
-        vm: entry_vm.FakeEntryVm(vm, version)
+        vm: fake_entry_vm.FakeEntryVm(vm, version)
         for vm, version in versions.items()
     }
     addresses = {
-        vm: serving.serve(context, standin)
+        vm: scenario_server.serve_in_scenario(context, standin)
         for vm, standin in context.entry_vms.items()
     }
     peers = [
--- a/tests/steps/daemon_operators.py
+++ b/tests/steps/daemon_operators.py
@@ -7,7 +7,7 @@
 from behave import then
 from behave import when
 
-from tests.client import commands
+from tests.client import command_runner
 from tests.daemon import scene
 from tests.support import fleet
 from tests.support import http
@@ -63,6 +63,6 @@
         str(key_file),
     ]
     for words in (["status"], ["histograms"]):
-        ran = commands.run([*words, "--json"], connection)
-        assert ran.code == 0, ran.complaint
-        assert json.loads(ran.printed)
+        ran = command_runner.run([*words, "--json"], connection)
+        assert ran.code == 0, ran.stderr
+        assert json.loads(ran.stdout)
--- a/tests/steps/daemon_store_edits.py
+++ b/tests/steps/daemon_store_edits.py
@@ -8,7 +8,7 @@
 from behave import then
 from behave import when
 
-from tests.client import commands
+from tests.client import command_runner
 from tests.daemon import edits
 from tests.daemon import followers
 from tests.daemon import outages
@@ -27,7 +27,9 @@
 
 @step("the operator applies edit {edit:d}")
 def _applies(context, edit):
-    commands.run_for(context, ["catalogue", "apply", _file(context, edit)])
+    command_runner.run_in_scenario(
+        context, ["catalogue", "apply", _file(context, edit)]
+    )
     if context.exit_code == 0:
         context.version = _printed_version(context)
         edits.made(context)[context.version] = edit
@@ -41,7 +43,7 @@
 def _waits(context, seconds):
     version = str(context.version)
     arguments = ["in-force", "--wait", version, "--timeout", str(seconds)]
-    commands.run_for(context, arguments)
+    command_runner.run_in_scenario(context, arguments)
 
 
 @when(
@@ -108,7 +110,7 @@
 
 @then("the history holds that edit once")
 def _once(context):
-    commands.run_for(context, ["catalogue", "history", "--json"])
+    command_runner.run_in_scenario(context, ["catalogue", "history", "--json"])
     kept = json.loads(context.printed)["versions"]
     ids = [row["id"] for row in kept if row["id"]]
     assert len(ids) == len(set(ids)) == 1, kept
--- a/tests/steps/daemon_store_samples.py
+++ b/tests/steps/daemon_store_samples.py
@@ -11,7 +11,7 @@
 from tests.daemon import followers
 from tests.daemon import naive_follower
 from tests.daemon import outages
-from tests.standins import serving
+from tests.standins import scenario_server
 from tests.support import http
 
 
@@ -37,7 +37,9 @@
 
 @given("a naive follower of a store with edit {edit:d}")
 def _naive(context, edit):
-    context.naive_address = serving.serve(context, object_api.ObjectApi())
+    context.naive_address = scenario_server.serve_in_scenario(
+        context, object_api.ObjectApi()
+    )
     _store_naive(context, edit)
     context.follower = naive_follower.Follower(context.naive_address)
     context.closers.append(context.follower.close)
@@ -55,7 +57,7 @@
 
 @given("the versions at the naive follower are sampled")
 def _naive_sampled(context):
-    address = serving.serve(context, context.follower)
+    address = scenario_server.serve_in_scenario(context, context.follower)
     _sample(context, {"naive": address})
 
 
@@ -68,7 +70,9 @@
 
 @when("the naive follower's store is restored with edit {edit:d}")
 def _naive_restored(context, edit):
-    restored = serving.serve(context, object_api.ObjectApi())
+    restored = scenario_server.serve_in_scenario(
+        context, object_api.ObjectApi()
+    )
     context.naive_address = restored
     _store_naive(context, edit)
     context.follower.follow(restored)
--- a/tests/steps/links_platform.py
+++ b/tests/steps/links_platform.py
@@ -15,7 +15,7 @@
 from standins import object_api
 
 from tests.links import blind_writer
-from tests.standins import serving
+from tests.standins import scenario_server
 from tests.support import cuttable
 
 TIMEOUT_S = 1.0
@@ -53,7 +53,9 @@
 @given("the platform's object API is up")
 def _start_object_api(context):
     context.object_api = object_api.ObjectApi()
-    context.platform_address = serving.serve(context, context.object_api)
+    context.platform_address = scenario_server.serve_in_scenario(
+        context, context.object_api
+    )
     context.platform = platform.ObjectApi(
         f"http://{context.platform_address}", TIMEOUT_S
     )
@@ -222,7 +224,7 @@
 
 @given("the platform's cloud API is up with a spare runner")
 def _start_cloud_api(context):
-    address = serving.serve(context, cloud_api.CloudApi())
+    address = scenario_server.serve_in_scenario(context, cloud_api.CloudApi())
     spare = {"vm": "runner-1", "address": "127.0.0.1:1"}
     context.cloud_address = address
     _post_control(address, "spares", {"spares": [spare]})
--- a/tests/steps/serving_crash_watch.py
+++ b/tests/steps/serving_crash_watch.py
@@ -7,16 +7,18 @@
 from behave import when
 
 from apricotlever import clock as clocks
-from apricotlever.serving import channels
+from apricotlever.serving import client_channel
+from apricotlever.serving import connection_pool as pools
 from apricotlever.serving import crash_watch
-from apricotlever.serving import pool as pools
 from apricotlever.serving import runners
 
 #: The error when connecting to a port, by what the port does.
 CONNECT_ERRORS = {
-    "refuses": channels.NotConnected("ConnectionRefusedError", refused=True),
+    "refuses": client_channel.NotConnected(
+        "ConnectionRefusedError", refused=True
+    ),
     "accepts a connection": None,
-    "opens no connection in time": channels.NotConnected("TimeoutError"),
+    "opens no connection in time": client_channel.NotConnected("TimeoutError"),
     "has no free connection in the pool": pools.PoolFull(
         "too many connections are open"
     ),
--- a/tests/steps/serving_datagrams.py
+++ b/tests/steps/serving_datagrams.py
@@ -15,11 +15,11 @@
 from apricotlever import addresses
 from apricotlever import clock as clocks
 from apricotlever import logs
-from apricotlever.serving import datagrams
-from apricotlever.serving import directory as directories
 from apricotlever.serving import fleet_link
+from apricotlever.serving import peer_datagrams
+from apricotlever.serving import runner_directory as directories
 from apricotlever.serving import settings
-from apricotlever.serving import tasks
+from apricotlever.serving import task_supervisor
 from apricotlever.vms import vm_records
 
 HOST = "127.0.0.1"
@@ -61,7 +61,7 @@
     sender.sendto(data, (HOST, context.port))
 
 
-_packed = datagrams.pack
+_packed = peer_datagrams.pack
 
 
 def _read_until(context, count):
@@ -89,7 +89,7 @@
 @given("a VM that receives records")
 def _vm(context):
     context.message_receiver = Receiver()
-    context.datagrams = datagrams.PeerSocket(context.message_receiver)
+    context.datagrams = peer_datagrams.PeerSocket(context.message_receiver)
     context.datagrams.listen(HOST, 0)
     context.port = context.datagrams.port
     context.closers.append(context.datagrams.close)
@@ -124,7 +124,9 @@
         "truncated": whole[:-3],
         "not compressed": msgpack.packb(_record().to_record()),
         "malformed": zlib.compress(msgpack.packb(["vm"])),
-        "too long": zlib.compress(bytes(4 * datagrams.MAX_UNPACKED_BYTES)),
+        "too long": zlib.compress(
+            bytes(4 * peer_datagrams.MAX_UNPACKED_BYTES)
+        ),
     }[bad]
     context.logged = []
     logs.setup_writer("vm-0", lambda name, text: context.logged.append(text))
@@ -182,7 +184,7 @@
         None,
         False,
         False,
-        settings.Bounds(),
+        settings.FleetBounds(),
     )
 
 
@@ -194,8 +196,8 @@
         random.Random(1),
         _node_settings(),
         LocalVm(),
-        directories.Directory(clock),
-        tasks.Tasks(),
+        directories.RunnerDirectory(clock),
+        task_supervisor.TaskSupervisor(),
     )
     context.link._datagrams.listen(HOST, 0)
     context.port = context.link._datagrams.port
@@ -266,7 +268,7 @@
 
 @then("the reachable receiver gets the record")
 def _has(context):
-    data = context.receiver.recv(datagrams.MAX_DATAGRAM_BYTES)
+    data = context.receiver.recv(peer_datagrams.MAX_DATAGRAM_BYTES)
     assert data == _packed(_record())
 
 
@@ -295,13 +297,13 @@
 @then("it is sent in less than {part:g} of its uncompressed length")
 def _short(context, part):
     whole = len(msgpack.packb(context.record.to_record()))
-    sent = len(datagrams.pack(context.record))
+    sent = len(peer_datagrams.pack(context.record))
     assert sent < part * whole, (sent, whole)
 
 
 @then("it is the same after decoding")
 def _decoded(context):
-    decoded = datagrams.unpack(datagrams.pack(context.record))
+    decoded = peer_datagrams.unpack(peer_datagrams.pack(context.record))
     expected = msgpack.unpackb(
         msgpack.packb(context.record.to_record()), strict_map_key=False
     )
--- a/tests/steps/serving_directory.py
+++ b/tests/steps/serving_directory.py
@@ -6,10 +6,10 @@
 from behave import when
 
 from apricotlever import clock as clocks
-from apricotlever.serving import directory as directories
-from apricotlever.serving import listeners
+from apricotlever.serving import runner_directory as directories
 from apricotlever.serving import runners
 from apricotlever.serving import store
+from apricotlever.serving import store_listeners
 
 
 def _runner(name, revision, leaving=False):
@@ -21,7 +21,7 @@
 @given("a directory with the runners r1 and r2")
 def _directory(context):
     context.clock = clocks.ManualClock()
-    context.directory = directories.Directory(context.clock)
+    context.directory = directories.RunnerDirectory(context.clock)
     context.directory.listed([_runner("r1", 1), _runner("r2", 2)], 2)
 
 
@@ -97,7 +97,7 @@
 def _two_directories(context):
     clock = context.clock = clocks.ManualClock()
     context.one, context.other = (
-        directories.Directory(clock) for _ in range(2)
+        directories.RunnerDirectory(clock) for _ in range(2)
     )
     for directory in (context.one, context.other):
         directory.listed([_runner("r1", 1), _runner("r2", 2)], 2)
@@ -105,7 +105,9 @@
 
 @when("the watch of one delivers the removal of r1")
 def _one_reads_removal(context):
-    entries = listeners.Entries(context.one, None, lambda ended: None)
+    entries = store_listeners.RunnerEntryListener(
+        context.one, None, lambda ended: None
+    )
     removed = store.Change(store.StoredObject("r1", 1, {}, None), True)
     entries.changed(store.Changes([removed], 7))
 
@@ -124,7 +126,7 @@
 
 
 def _deliver(context, changes, revision):
-    entries = listeners.Entries(
+    entries = store_listeners.RunnerEntryListener(
         context.directory, Platform(), lambda ended: None
     )
     entries.changed(
@@ -188,7 +190,7 @@
 
 @then("both differ from a third that has applied the removal")
 def _third_differs(context):
-    context.third = directories.Directory(context.clock)
+    context.third = directories.RunnerDirectory(context.clock)
     context.third.listed([_runner("r1", 1), _runner("r2", 2)], 2)
     context.third.removed("r1", 7)
     context.clock.advance(0.5)
--- a/tests/steps/serving_duties.py
+++ b/tests/steps/serving_duties.py
@@ -10,8 +10,8 @@
 
 from apricotlever import clock as clocks
 from apricotlever.contracts import usage_windows
-from apricotlever.serving import duties
-from apricotlever.serving import notes
+from apricotlever.serving import checkpoint
+from apricotlever.serving import duty_lease
 from apricotlever.serving import settings
 from apricotlever.serving import store
 from apricotlever.serving import usage_duty
@@ -53,14 +53,14 @@
     def start(self, world):
         """Start or restart the VM's process."""
         self.incarnation += 1
-        self.keeper = duties.LeaseKeeper(
+        self.keeper = duty_lease.LeaseKeeper(
             "fleet",
             self.name,
             self.incarnation,
             world.clock,
             random.Random(self.name),
             self.store,
-            settings.Bounds(lease_s=3.0, fencing_checked=world.checked),
+            settings.FleetBounds(lease_s=3.0, fencing_checked=world.checked),
         )
 
     @property
@@ -144,7 +144,7 @@
 def _both_silent(context):
     world = context.world
     ranked = rendezvous.rank("fleet", [vm.name for vm in world.vms])
-    contenders = ranked[: duties.MAX_CONTENDERS]
+    contenders = ranked[: duty_lease.MAX_CONTENDERS]
     assert world.holder.name in contenders
     context.silent_since = len(world.held)
     for vm in world.vms:
@@ -196,7 +196,9 @@
 @given("a VM that has read the lease of vm-1")
 def _has_read_lease(context):
     world = context.world = World(count=0)
-    world.store.objects[duties.KIND, "fleet"] = _stored_lease(11, "vm-1", 5, 1)
+    world.store.objects[duty_lease.KIND, "fleet"] = _stored_lease(
+        11, "vm-1", 5, 1
+    )
     context.third = Contender(world, "vm-3")
     # It hears no other VM, so it contends and reads the lease.
     context.third.keeper.update_view([], 1)
@@ -220,7 +222,9 @@
 )
 def _one_update(context):
     world = context.world
-    world.store.objects[duties.KIND, "fleet"] = _stored_lease(12, "vm-2", 3, 2)
+    world.store.objects[duty_lease.KIND, "fleet"] = _stored_lease(
+        12, "vm-2", 3, 2
+    )
     context.records = [_record("vm-2", 3, (12, 2)), _record("vm-1", 9)]
     context.third.keeper.update_view(context.records, 3)
 
@@ -234,7 +238,7 @@
         keeper.update_view([], 1)
         asyncio.run(keeper.step())
         assert keeper.fencing is None
-    kept = context.world.store.objects[duties.KIND, "fleet"]
+    kept = context.world.store.objects[duty_lease.KIND, "fleet"]
     assert kept.revision == 12, kept.spec
 
 
@@ -258,7 +262,7 @@
     async def play():
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        cloud = duties.CloudClient(
+        cloud = duty_lease.CloudClient(
             "vm-1",
             _Headers(),
             settings.Address("127.0.0.1", port),
@@ -267,7 +271,7 @@
         context.not_taken = False
         try:
             await cloud.send("/orders", b"{}", 3)
-        except duties.CloudBusy:
+        except duty_lease.CloudBusy:
             context.not_taken = True
         for _ in range(5):
             await asyncio.sleep(0.01)
@@ -467,8 +471,8 @@
 @step("the checkpoint has {count:d} calls of an ended process")
 def _checkpoint_of_ended_process(context, count):
     table = {str(context.window): {"vm#0": {"customer": count}}}
-    context.store.objects[notes.KIND, notes.NAME] = _stored(
-        notes.NAME, notes.compose(table, {}, 0.0)
+    context.store.objects[checkpoint.KIND, checkpoint.NAME] = _stored(
+        checkpoint.NAME, checkpoint.compose_checkpoint(table, {}, 0.0)
     )
 
 
@@ -498,5 +502,5 @@
 )
 def _reads_levels(context, seconds, units):
     context.clock.advance(seconds)
-    levels = asyncio.run(notes.read_levels(context.store, context.clock))
+    levels = asyncio.run(checkpoint.read_levels(context.store, context.clock))
     assert levels == ({"customer": units} if units else {}), levels
--- a/tests/steps/serving_fuzz.py
+++ b/tests/steps/serving_fuzz.py
@@ -7,7 +7,7 @@
 import hypothesis
 from hypothesis import strategies
 
-from apricotlever.serving import callers
+from apricotlever.serving import caller_server
 from tests.serving import strict_http
 
 SETTINGS = hypothesis.settings(
@@ -104,8 +104,8 @@
         calls.append(raw)
         reply.whole(200, ())
 
-    server = callers.CallerServer(handler)
-    channel = callers.CallerChannel(server)
+    server = caller_server.CallerServer(handler)
+    channel = caller_server.CallerChannel(server)
     transport = _Transport()
     channel.connection_made(transport)
     for part in parts:
--- a/tests/steps/serving_limit_calls.py
+++ b/tests/steps/serving_limit_calls.py
@@ -10,10 +10,10 @@
 import msgpack
 
 from apricotlever import clock as clocks
-from apricotlever.serving import limit_calls
-from apricotlever.serving import limits
-from apricotlever.serving import log_limit
-from apricotlever.serving import routes
+from apricotlever.serving import configuration_model
+from apricotlever.serving import customer_limits
+from apricotlever.serving import limit_protocol
+from apricotlever.serving import log_rate_limiter
 
 HOST = "127.0.0.1"
 #: The limit in units per second and its burst in units. The rate is so low
@@ -34,31 +34,35 @@
 
     def __init__(self, name, clock):
         self.name = name
-        self.limits = limits.Limits(clock, 0.0, 0.0, f"{name}#1", name)
-        self.calls = limit_calls.LimitCalls(
-            self, self.is_peer, log_limit.LogLimit(clock)
+        self.limits = customer_limits.CustomerLimits(
+            clock, 0.0, 0.0, f"{name}#1", name
+        )
+        self.calls = limit_protocol.LimitProtocol(
+            self, self.is_peer, log_rate_limiter.LogRateLimiter(clock)
         )
         self.silent = False
         self.late = None
         self.accepts_peers = True
-        customer = routes.Customer(
+        customer = configuration_model.Customer(
             "clerks", frozenset({"k"}), rate=RATE, burst=BURST
         )
         self.limits.configure(
-            routes.Configuration(1, [], [], [customer], routes.CallerLimits())
+            configuration_model.Configuration(
+                1, [], [], [customer], configuration_model.CallerLimits()
+            )
         )
 
-    def take_for(self, customer, units):
+    def admit_for_peer(self, customer, units):
         """Admit a call of another VM."""
-        return self.limits.take_for(customer, units)
+        return self.limits.admit_for_peer(customer, units)
 
-    def given_back(self, customer, units):
+    def refund_units(self, customer, units):
         """Refund the units of a call."""
-        self.limits.given_back(customer, units)
+        self.limits.refund_units(customer, units)
 
-    def heard_total(self, process, customer, total):
+    def receive_early_total(self, process, customer, total):
         """Receive another VM's total."""
-        self.limits.heard_total(process, customer, total)
+        self.limits.receive_early_total(process, customer, total)
 
     def is_peer(self, host):
         """Whether messages of a host are accepted."""
@@ -72,7 +76,9 @@
 
 def _keeper_of(names):
     """Name of the VM that keeps the customer's limit."""
-    found = limits.limit_keepers.LimitKeepers(clocks.ManualClock(), names[0])
+    found = customer_limits.limit_keepers.LimitKeepers(
+        clocks.ManualClock(), names[0]
+    )
     found.set_other_vms(names[1:])
     return found.keeper("clerks")
 
@@ -139,7 +145,9 @@
 
 
 def _customer():
-    return routes.Customer("clerks", frozenset({"k"}), rate=RATE, burst=BURST)
+    return configuration_model.Customer(
+        "clerks", frozenset({"k"}), rate=RATE, burst=BURST
+    )
 
 
 @when("a call that the keeper admitted did not run")
@@ -149,7 +157,7 @@
     async def work():
         permit = await context.asker.limits.let_in("clerks", 100.0)
         assert permit.keeper == context.keeper.name
-        context.asker.limits.give_back(permit)
+        context.asker.limits.refund(permit)
 
     _run(context, work)
 
@@ -191,7 +199,7 @@
 
 @when("a call of {units:d} units arrives while the keeper has just started")
 def _started(context, units):
-    context.keeper.limits = limits.Limits(
+    context.keeper.limits = customer_limits.CustomerLimits(
         context.clock, 0.0, 0.0, "new#2", context.keeper.name
     )
 
@@ -214,7 +222,7 @@
         permit = await asker.limits.let_in("clerks", 100.0)
         assert not permit.keeper
         keeper.accepts_peers = True
-        request = msgpack.packb([limit_calls.ASK, 0, "clerks", 100.0])
+        request = msgpack.packb([limit_protocol.ASK, 0, "clerks", 100.0])
         keeper.calls.datagram_received(request, (HOST, asker.calls.port))
 
     _run(context, work)
@@ -243,6 +251,6 @@
 
 @then("the keeper is told of the {units:d} units before any record arrives")
 def _told(context, units):
-    context.keeper.calls._keeper.heard_total.assert_called_once_with(
+    context.keeper.calls._keeper.receive_early_total.assert_called_once_with(
         f"{context.asker.name}#1", "clerks", units
     )
--- a/tests/steps/serving_observations.py
+++ b/tests/steps/serving_observations.py
@@ -3,17 +3,17 @@
 from behave import then
 from behave import when
 
+from apricotlever.serving import call_metrics
 from apricotlever.serving import metrics
-from apricotlever.serving import observations
 
 
 @when("two calls are served and one fails with a long reason")
 def _served_and_failed_calls(context):
-    observed = observations.Observations()
-    observed.served("clerks", "stream", 0.1, 0.5)
-    observed.served("clerks", "stream", 0.3, 0.9)
-    observed.refused("broken:closed by the other side")
-    context.metrics = observed.text(
+    observed = call_metrics.CallMetrics()
+    observed.record_served("clerks", "stream", 0.1, 0.5)
+    observed.record_served("clerks", "stream", 0.3, 0.9)
+    observed.record_refused("broken:closed by the other side")
+    context.metrics = observed.format_text(
         {"members": 3, "store_calls_total": 1234567},
         {
             ("in_flight", "runner"): {"r-1": 4},
@@ -31,10 +31,10 @@
 
 @when("calls of {count:d} customers are served")
 def _many_customers(context, count):
-    observed = observations.Observations()
+    observed = call_metrics.CallMetrics()
     for number in range(count):
-        observed.served(f"customer-{number}", "stream", 0.1, 0.5)
-    context.metrics = observed.text({}, {})
+        observed.record_served(f"customer-{number}", "stream", 0.1, 0.5)
+    context.metrics = observed.format_text({}, {})
 
 
 @then("at most {count:d} histograms are kept")
@@ -46,7 +46,7 @@
 @when("the VM's metrics are read")
 def _read_metrics(context):
     world = context.world
-    context.metrics = metrics.text(
+    context.metrics = metrics.format_metrics(
         world.relay,
         world.limits,
         world.configuration,
--- a/tests/steps/serving_opening.py
+++ b/tests/steps/serving_opening.py
@@ -7,9 +7,9 @@
 from behave import when
 
 from apricotlever import addresses
-from apricotlever.serving import callers
-from apricotlever.serving import opening
-from apricotlever.serving import ports
+from apricotlever.serving import caller_server
+from apricotlever.serving import listening_sockets
+from apricotlever.serving import start_gate
 
 HOST = "127.0.0.1"
 REQUEST = b"GET /x HTTP/1.1\r\nHost: h\r\n\r\n"
@@ -22,7 +22,9 @@
 
 @given("a listening port whose server has not started")
 def _listen(context):
-    context.sock = ports.Ports().take(addresses.Address(HOST, 0))
+    context.sock = listening_sockets.ListeningSockets().take(
+        addresses.Address(HOST, 0)
+    )
     context.port = context.sock.getsockname()[1]
 
 
@@ -34,7 +36,7 @@
 
 
 async def _call_and_start(context, start):
-    server = callers.CallerServer(_handle)
+    server = caller_server.CallerServer(_handle)
     reader, writer = await _send_request(context)
     await start(server)
     head = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), TIMEOUT_S)
@@ -53,13 +55,13 @@
 @when("a caller sends a call and then the VM becomes ready")
 def _become_ready(context):
     async def start(server):
-        gate = opening.Opening()
+        gate = start_gate.StartGate()
         gate.add(server, context.sock)
         serving = asyncio.ensure_future(gate.serve(TIMEOUT_S))
         for _ in range(5):
             await asyncio.sleep(0.01)
         context.read_before = len(server.channels)
-        gate.informed()
+        gate.set_ready()
         assert await serving
 
     asyncio.run(_call_and_start(context, start))
@@ -68,7 +70,7 @@
 @when("a caller sends a call and the VM does not become ready in time")
 def _time_out(context):
     async def start(server):
-        gate = opening.Opening()
+        gate = start_gate.StartGate()
         gate.add(server, context.sock)
         assert not await gate.serve(0.01)
 
--- a/tests/steps/serving_pace.py
+++ b/tests/steps/serving_pace.py
@@ -6,8 +6,8 @@
 from behave import when
 
 from apricotlever import logs
-from apricotlever.serving import pace
-from apricotlever.serving import tasks
+from apricotlever.serving import aligned_timer
+from apricotlever.serving import task_supervisor
 
 PHASE_S = 0.0371
 START_S = 5000.0123
@@ -22,7 +22,7 @@
     now = START_S
     begun = []
     while now < START_S + for_s:
-        now += pace.seconds_until_tick(now, pause_s, PHASE_S)
+        now += aligned_timer.seconds_until_tick(now, pause_s, PHASE_S)
         begun.append(now)
         now += takes_s
     return begun
@@ -90,8 +90,8 @@
             if context.done < 3:
                 raise TypeError("field has an unexpected type")
 
-        running = tasks.Tasks()
-        running.every(PERIOD_S, step)
+        running = task_supervisor.TaskSupervisor()
+        running.repeat(PERIOD_S, step)
         await asyncio.wait_for(over.wait(), TIMEOUT_S)
 
     asyncio.run(work())
--- a/tests/steps/serving_peers.py
+++ b/tests/steps/serving_peers.py
@@ -9,8 +9,8 @@
 from behave import when
 import msgpack
 
-from apricotlever.serving import callers
-from apricotlever.serving import peers
+from apricotlever.serving import caller_server
+from apricotlever.serving import peer_http
 
 VERSION = 9
 TIMEOUT_S = 20.0
@@ -56,9 +56,9 @@
 
 
 async def _fetch(context, count, above):
-    server = callers.CallerServer(context.server.answer)
+    server = caller_server.CallerServer(context.server.answer)
     port = await server.listen("127.0.0.1", 0)
-    clients = [peers.PeerClient() for _ in range(count)]
+    clients = [peer_http.PeerClient() for _ in range(count)]
     address = f"127.0.0.1:{port}"
     found = await asyncio.gather(
         *(client.configuration(address, above) for client in clients)
@@ -70,13 +70,13 @@
 @given("a VM with a configuration of {routes:d} routes")
 def _vm(context, routes):
     context.source = NewsSource(routes)
-    context.server = peers.PeerServer(context.source)
+    context.server = peer_http.PeerServer(context.source)
 
 
 @when("{count:d} other VMs fetch it")
 def _others(context, count):
     with mock.patch.object(
-        peers.msgpack, "packb", side_effect=msgpack.packb
+        peer_http.msgpack, "packb", side_effect=msgpack.packb
     ) as packb:
         work = asyncio.wait_for(_fetch(context, count, 0), TIMEOUT_S)
         context.fetched = asyncio.run(work)
@@ -103,7 +103,7 @@
 
 @then("the timeout of its fetch is at least {seconds:d} seconds")
 def _seconds(context, seconds):
-    assert peers.CONFIGURATION_FETCH_TIMEOUT_S >= seconds
+    assert peer_http.CONFIGURATION_FETCH_TIMEOUT_S >= seconds
 
 
 @then("no configuration is returned")
--- a/tests/steps/serving_relay.py
+++ b/tests/steps/serving_relay.py
@@ -8,15 +8,18 @@
 from behave import when
 
 from apricotlever import clock as clocks
-from apricotlever.serving import limits
-from apricotlever.serving import routes
+from apricotlever.serving import configuration_model
+from apricotlever.serving import customer_limits
 from tests.serving import world as worlds
 
 KINDS = {
-    "idempotent calls": (routes.CallKind.IDEMPOTENT, {}),
-    "non-idempotent calls": (routes.CallKind.NON_IDEMPOTENT, {}),
-    "streams": (routes.CallKind.STREAM, {}),
-    "resumable streams": (routes.CallKind.STREAM, {"resumable": True}),
+    "idempotent calls": (configuration_model.CallKind.IDEMPOTENT, {}),
+    "non-idempotent calls": (configuration_model.CallKind.NON_IDEMPOTENT, {}),
+    "streams": (configuration_model.CallKind.STREAM, {}),
+    "resumable streams": (
+        configuration_model.CallKind.STREAM,
+        {"resumable": True},
+    ),
 }
 WAIT_S = 10.0
 #: Buffer limit of a caller's reader in bytes: more than the size of an event.
@@ -57,7 +60,7 @@
     if rate:
         more["rate"] = 1.0 / int(rate[1])
     if " with small limits" in kind:
-        more["limits"] = routes.CallerLimits(500, 1000, 0.3, 0.5)
+        more["limits"] = configuration_model.CallerLimits(500, 1000, 0.3, 0.5)
     _configure(context, kind.partition(" with ")[0], **more)
 
 
@@ -81,7 +84,7 @@
 @given("a VM whose peer reports {units:d} admitted units of a new customer")
 def _report_units(context, units):
     context.clock = clocks.ManualClock(1000.0)
-    context.limits = limits.Limits(context.clock, 640.0)
+    context.limits = customer_limits.CustomerLimits(context.clock, 640.0)
     context.limits.set_members(frozenset({"vm-2#1"}))
     # In its first second, a process assumes that others exist of which it has
     # not heard.
@@ -95,11 +98,11 @@
     "same"
 )
 def _set_limit(context, units):
-    context.customer = routes.Customer(
+    context.customer = configuration_model.Customer(
         "new", frozenset({"k"}), rate=0.001, burst=float(units)
     )
-    configuration = routes.Configuration(
-        2, [], [], [context.customer], routes.CallerLimits()
+    configuration = configuration_model.Configuration(
+        2, [], [], [context.customer], configuration_model.CallerLimits()
     )
     context.limits.configure(configuration)
     context.limits.heard("vm-2#1", {"new": context.units})
--- a/tests/steps/serving_reloading.py
+++ b/tests/steps/serving_reloading.py
@@ -4,7 +4,7 @@
 from behave import then
 from behave import when
 
-from apricotlever.serving import reloading
+from apricotlever.serving import settings_reloader
 
 
 class _Settings:
@@ -36,7 +36,7 @@
 def _started(context, seeds):
     context.file = _File(_seeds(seeds))
     context.applied = []
-    context.reloader = reloading.SettingsReloader(
+    context.reloader = settings_reloader.SettingsReloader(
         context.file.read, context.applied.append
     )
 
--- a/tests/steps/serving_restarts.py
+++ b/tests/steps/serving_restarts.py
@@ -5,9 +5,9 @@
 from behave import then
 from behave import when
 
+from apricotlever.serving import configuration_model
 from apricotlever.serving import crash_watch
 from apricotlever.serving import messages
-from apricotlever.serving import routes
 from apricotlever.serving import runners
 
 BORN = 1767225600000
@@ -115,18 +115,18 @@
 @when("a call breaks off at a runner that then restarts, twice")
 def _twice(context):
     watch: crash_watch.CrashWatch = context.watch
-    context.customer = routes.Customer("c", frozenset({"k"}))
+    context.customer = configuration_model.Customer("c", frozenset({"k"}))
     context.poison = _call(b"poison")
     for start in range(2):
         runner = runners.Runner(
             "r-1", "llm", "10.0.0.1", 1, "dc-a", 4, born=BORN + start
         )
-        watch.listed([runner])
-        watch.broke(runner, context.poison, context.customer)
+        watch.update_runners([runner])
+        watch.connection_broken(runner, context.poison, context.customer)
     again = runners.Runner(
         "r-1", "llm", "10.0.0.1", 1, "dc-a", 4, born=BORN + 2
     )
-    watch.listed([again])
+    watch.update_runners([again])
 
 
 @then("the call is blocked")
--- a/tests/steps/serving_roll_outs.py
+++ b/tests/steps/serving_roll_outs.py
@@ -13,10 +13,10 @@
 from apricotlever.roll_outs import model
 from apricotlever.roll_outs import samples
 from apricotlever.runners import model as models
-from apricotlever.serving import directory as directories
+from apricotlever.serving import configuration_model
 from apricotlever.serving import roll_out_duty
 from apricotlever.serving import roll_out_orders
-from apricotlever.serving import routes
+from apricotlever.serving import runner_directory as directories
 from apricotlever.serving import runners
 from apricotlever.serving import store
 from apricotlever.serving import upstreams
@@ -95,7 +95,7 @@
             clock, random.Random(1), model.RollOutLimits()
         )
         self.documents = documents.Documents()
-        self.orders = roll_out_orders.Orders(
+        self.orders = roll_out_orders.RollOutOrders(
             clock, self.controller, self.documents, lambda: None
         )
         self.duty = roll_out_duty.RollOutDuty(
@@ -277,7 +277,7 @@
 def step_runners(context):
     """Set up two runners of each version."""
     clock = context.clock = clocks.ManualClock()
-    context.directory = directories.Directory(clock)
+    context.directory = directories.RunnerDirectory(clock)
     context.controller = controllers.RollOutController(
         clock, random.Random(1), model.RollOutLimits()
     )
@@ -306,8 +306,12 @@
                 )
             )
     context.upstreams.configure(
-        routes.Configuration(
-            1, [], [routes.Service(SERVICE, 100)], [], routes.CallerLimits()
+        configuration_model.Configuration(
+            1,
+            [],
+            [configuration_model.Service(SERVICE, 100)],
+            [],
+            configuration_model.CallerLimits(),
         )
     )
 
--- a/tests/steps/serving_runner_duty.py
+++ b/tests/steps/serving_runner_duty.py
@@ -9,8 +9,8 @@
 
 from apricotlever import clock as clocks
 from apricotlever.data_centres import fleet_mix_planner
-from apricotlever.serving import directory as directories
-from apricotlever.serving import routes
+from apricotlever.serving import configuration_model
+from apricotlever.serving import runner_directory as directories
 from apricotlever.serving import runner_duty
 from apricotlever.serving import runners
 
@@ -70,8 +70,8 @@
 
     def __init__(self):
         self.clock = clocks.ManualClock(1000.0)
-        self.directory = directories.Directory(self.clock)
-        self.work = runner_duty.Work(self.clock)
+        self.directory = directories.RunnerDirectory(self.clock)
+        self.work = runner_duty.FleetWorkload(self.clock)
         self.orders = Orders(self.clock)
         self.in_flight = 0
         self.tokens_per_s = 0.0
@@ -87,13 +87,13 @@
             Keeper(),
             HEARTBEAT_S,
         )
-        service = routes.Service(SERVICE, 100, None, TERMS)
+        service = configuration_model.Service(SERVICE, 100, None, TERMS)
         self.duty.configuration = _Configuration(service)
 
     def list_runners(self):
         """List three on-demand runners in each data centre."""
         for number in range(9):
-            self.directory.changed(
+            self.directory.apply_entry(
                 runners.Runner(
                     f"r-{number}",
                     SERVICE,
@@ -112,7 +112,7 @@
             self.tokens += self.tokens_per_s * runner_duty.STEP_INTERVAL_S
             if self.tokens_per_s:
                 work = {SERVICE: (int(self.tokens), SPEED, 0.3)}
-                self.work.heard("vm#1", work)
+                self.work.merge_counters("vm#1", work)
             asyncio.run(self.duty.step())
 
 
--- a/tests/steps/serving_tasks.py
+++ b/tests/steps/serving_tasks.py
@@ -11,7 +11,7 @@
 from apricotlever import logs
 from apricotlever.serving import store
 from apricotlever.serving import store_watch
-from apricotlever.serving import tasks
+from apricotlever.serving import task_supervisor
 
 
 class _Loop(asyncio.SelectorEventLoop):
@@ -127,7 +127,7 @@
 @when("{seconds:d} seconds of the loop pass")
 def _pass(context, seconds):
     context.logged = []
-    context.running = tasks.Tasks()
+    context.running = task_supervisor.TaskSupervisor()
 
     async def play():
         context.running.supervise("watch", context.work)
--- a/tests/steps/standins_engine.py
+++ b/tests/steps/standins_engine.py
@@ -7,12 +7,12 @@
 from behave import then
 from behave import when
 
-from standins import _batch
+from standins import _batch_scheduler
+from standins import _deterministic_tokens
 from standins import _journal
-from standins import _tokens
 from standins import engine
-from tests.standins import engine_calls
-from tests.standins import serving
+from tests.standins import engine_client
+from tests.standins import scenario_server
 from tests.support import answers
 from tests.support import caller
 from tests.support import fleet
@@ -23,7 +23,7 @@
 
 
 def _start_engine(context, linger_s=10.0, slots=16, blocks=4096):
-    scheduler_config = _batch.SchedulerConfig(
+    scheduler_config = _batch_scheduler.SchedulerConfig(
         slots=slots,
         step_s=STEP_S,
         prefill_s_per_token=0.0,
@@ -32,25 +32,27 @@
     standin = engine.Engine(scheduler_config, blocks)
     context.closers.append(standin.close)
     context.engines.append(standin)
-    context.addresses.append(serving.serve(context, standin))
+    context.addresses.append(
+        scenario_server.serve_in_scenario(context, standin)
+    )
 
 
 def _read_completion(context, body, headers=None, limit=None, index=0):
-    engine_calls.read_stream(
+    engine_client.read_stream(
         context.answer,
         context.addresses[index],
         "POST",
         "/v1/completions",
         body,
-        headers or engine_calls.headers(),
+        headers or engine_client.headers(),
         limit,
     )
 
 
 def _expect_answer(context, max_tokens):
     context.answer = answers.Answer(
-        _tokens.expected_answer(
-            engine_calls.PROMPT, engine_calls.SEED, max_tokens
+        _deterministic_tokens.expected_answer(
+            engine_client.PROMPT, engine_client.SEED, max_tokens
         )
     )
 
@@ -110,20 +112,20 @@
 @when("a completion of {count:d} tokens is streamed from the engine stand-in")
 def _stream_completion(context, count):
     _expect_answer(context, count)
-    _read_completion(context, engine_calls.body(count))
+    _read_completion(context, engine_client.body(count))
 
 
 def _request_export(context):
-    path = f"/v1/streams/{engine_calls.REQUEST}/export"
-    reply = engine_calls.call(context.addresses[0], "POST", path)
+    path = f"/v1/streams/{engine_client.REQUEST}/export"
+    reply = engine_client.call(context.addresses[0], "POST", path)
     assert reply.status == 200, reply.payload
     context.exported_state = reply.payload
 
 
 def _resume_stream(context, index):
     start = len(context.answer.tokens)
-    path = f"/v1/streams/{engine_calls.REQUEST}?from={start}"
-    engine_calls.read_stream(
+    path = f"/v1/streams/{engine_client.REQUEST}?from={start}"
+    engine_client.read_stream(
         context.answer, context.addresses[index], "GET", path
     )
 
@@ -134,7 +136,7 @@
 def _export_running(context, count):
     _expect_answer(context, count)
     context.token_count = count
-    _read_completion(context, engine_calls.body(count), limit=5)
+    _read_completion(context, engine_client.body(count), limit=5)
     _request_export(context)
     assert 5 <= len(context.exported_state["tokens"]) < count
 
@@ -142,7 +144,7 @@
 @when("a stream of {count:d} tokens is exported when all are generated")
 def _export_generated(context, count):
     _expect_answer(context, count)
-    _read_completion(context, engine_calls.body(count), limit=5)
+    _read_completion(context, engine_client.body(count), limit=5)
     standin = context.engines[0]
     fleet.wait_for(lambda: standin.counts()["generated_total"] == count)
     _request_export(context)
@@ -153,7 +155,7 @@
 
 @when("the state is imported by the second engine stand-in")
 def _import_state(context):
-    reply = engine_calls.call(
+    reply = engine_client.call(
         context.addresses[1], "POST", "/v1/import", context.exported_state
     )
     assert reply.status == 200, reply.payload
@@ -168,22 +170,22 @@
 def _resume_on_second(context):
     context.received_count = len(context.answer.tokens)
     extra = {"resume_tokens": context.answer.tokens[:]}
-    body = {**engine_calls.body(context.token_count), "apricotlever": extra}
-    _read_completion(context, body, engine_calls.headers(attempt=2), index=1)
+    body = {**engine_client.body(context.token_count), "apricotlever": extra}
+    _read_completion(context, body, engine_client.headers(attempt=2), index=1)
 
 
 @when("the same request is sent to the engine stand-in again")
 def _repeat_request(context):
     _expect_answer(context, 8)
     _read_completion(
-        context, engine_calls.body(8), engine_calls.headers(attempt=2)
+        context, engine_client.body(8), engine_client.headers(attempt=2)
     )
 
 
 @when("a client disconnects from a stream of {count:d} tokens after {limit:d}")
 def _disconnect_client(context, count, limit):
     _expect_answer(context, count)
-    _read_completion(context, engine_calls.body(count), limit=limit)
+    _read_completion(context, engine_client.body(count), limit=limit)
 
 
 @when("the stream is read on from the same engine stand-in")
@@ -204,8 +206,8 @@
     connection.request(
         "POST",
         "/v1/completions",
-        json.dumps(engine_calls.body(40)).encode(),
-        engine_calls.headers(request, priority=priority),
+        json.dumps(engine_client.body(40)).encode(),
+        engine_client.headers(request, priority=priority),
     )
     standin = context.engines[0]
     fleet.wait_for(lambda: request in standin.counts()["executions"])
@@ -223,7 +225,7 @@
             "fencing": fencing,
             "target": {"models": [], "role": role},
         }
-        reply = engine_calls.call(
+        reply = engine_client.call(
             context.addresses[0], "POST", "/v1/orders", order
         )
         context.status = reply.status
@@ -238,20 +240,22 @@
 def _stream_another_prompt(context):
     _read_completion(
         context,
-        engine_calls.body(2, "another " * 50),
-        engine_calls.headers("r.2"),
+        engine_client.body(2, "another " * 50),
+        engine_client.headers("r.2"),
     )
 
 
 @when("three prompts of 3 blocks each are sent one after another, twice")
 def _thrash_cache(context):
-    prompts = [letter * 3 * _tokens.BLOCK_BYTES for letter in "abc"]
+    prompts = [
+        letter * 3 * _deterministic_tokens.BLOCK_BYTES for letter in "abc"
+    ]
     for number, prompt in enumerate(prompts * 2):
         _expect_answer(context, 1)
         _read_completion(
             context,
-            engine_calls.body(1, prompt),
-            engine_calls.headers(f"r.{number}"),
+            engine_client.body(1, prompt),
+            engine_client.headers(f"r.{number}"),
         )
 
 
@@ -259,12 +263,12 @@
 def _send_crash_prompt(context):
     context.fleet.faults("e1", crash_on=CRASH_TEXT)
     try:
-        engine_calls.call(
+        engine_client.call(
             context.fleet.address("e1"),
             "POST",
             "/v1/completions",
-            engine_calls.body(4, f"a {CRASH_TEXT} prompt"),
-            engine_calls.headers(),
+            engine_client.body(4, f"a {CRASH_TEXT} prompt"),
+            engine_client.headers(),
         )
     except caller.BROKEN as error:
         context.error = error
@@ -272,17 +276,17 @@
 
 @when("an open stream is silenced after {count:d} tokens")
 def _silence_stream(context, count):
-    context.connection, context.response = engine_calls.open_stream(
+    context.connection, context.response = engine_client.open_stream(
         context.addresses[0],
         "POST",
         "/v1/completions",
-        engine_calls.body(1000),
-        engine_calls.headers(),
+        engine_client.body(1000),
+        engine_client.headers(),
         READ_TIMEOUT_S,
     )
     for _ in range(3 * count):
         context.response.readline()
-    engine_calls.call(context.addresses[0], "POST", "/control/silence", {})
+    engine_client.call(context.addresses[0], "POST", "/control/silence", {})
 
 
 @then("the answer from the engine stand-in is complete")
@@ -300,7 +304,7 @@
 )
 def _counts_match(context, runs, tokens):
     counts = context.engines[0].counts()
-    assert counts["executions"] == {engine_calls.REQUEST: runs}, counts
+    assert counts["executions"] == {engine_client.REQUEST: runs}, counts
     assert counts["recomputed_total"] == tokens, counts
 
 
@@ -320,18 +324,20 @@
 @then("the second engine stand-in recomputed the prompt and received tokens")
 def _context_recomputed(context):
     counts = context.engines[1].counts()
-    prompt_tokens = _tokens.token_count(len(engine_calls.PROMPT.encode()))
+    prompt_tokens = _deterministic_tokens.token_count(
+        len(engine_client.PROMPT.encode())
+    )
     expected = prompt_tokens + context.received_count
-    assert counts["recomputed"] == {engine_calls.REQUEST: expected}, counts
+    assert counts["recomputed"] == {engine_client.REQUEST: expected}, counts
     assert counts["executions"] == {}, counts
     assert counts["resume_mismatches"] == 0, counts
 
 
 @then("the engine stand-in no longer knows the stream")
 def _stream_unknown(context):
-    path = f"/v1/streams/{engine_calls.REQUEST}?from=4000"
+    path = f"/v1/streams/{engine_client.REQUEST}?from=4000"
     fleet.wait_for(
-        lambda: engine_calls.call(context.addresses[0], "DELETE", path).status
+        lambda: engine_client.call(context.addresses[0], "DELETE", path).status
         == 404
     )
 
@@ -352,7 +358,7 @@
     "the engine stand-in has applied the order with fencing number {fencing:d}"
 )
 def _order_applied(context, fencing):
-    reply = engine_calls.call(context.addresses[0], "GET", "/v1/orders")
+    reply = engine_client.call(context.addresses[0], "GET", "/v1/orders")
     assert reply.payload["order"] == f"order-{fencing}", reply.payload
     assert reply.payload["fencing"] == 5, reply.payload
     assert context.status == (409 if fencing == 5 else 200), context.status
@@ -360,7 +366,7 @@
 
 @then("the first published cache event has a sequence number above 1")
 def _sequence_gap(context):
-    reply = engine_calls.call(
+    reply = engine_client.call(
         context.addresses[0], "GET", "/v1/cache/events?after=0"
     )
     events = reply.payload["events"]
@@ -370,16 +376,18 @@
 @then("the engine stand-in counts the recomputed tokens of evicted blocks")
 def _evicted_recomputed(context):
     counts = context.engines[0].counts()
-    assert counts["evicted_recomputed"] >= 3 * _tokens.BLOCK_TOKENS, counts
+    assert (
+        counts["evicted_recomputed"] >= 3 * _deterministic_tokens.BLOCK_TOKENS
+    ), counts
 
 
 @then("the engine process has exited and counted {count:d} execution")
 def _process_exited(context, count):
     process = context.fleet.process("e1")
-    assert process.wait(10.0) == _batch.CRASH_CODE
+    assert process.wait(10.0) == _batch_scheduler.CRASH_EXIT_CODE
     assert context.error is not None
     path = str(context.fleet.journal_path("e1"))
-    assert _journal.read(path) == {engine_calls.REQUEST: count}
+    assert _journal.read_counts(path) == {engine_client.REQUEST: count}
 
 
 @then("the silenced stream sends nothing more")
@@ -397,6 +405,6 @@
 def _new_stream_complete(context):
     _expect_answer(context, 6)
     _read_completion(
-        context, engine_calls.body(6), engine_calls.headers("r.new")
+        context, engine_client.body(6), engine_client.headers("r.new")
     )
     assert not context.answer.problem, context.answer.problem
--- a/tests/steps/standins_object_api.py
+++ b/tests/steps/standins_object_api.py
@@ -8,7 +8,7 @@
 
 from standins import _server
 from standins import object_api
-from tests.standins import serving
+from tests.standins import scenario_server
 from tests.support import caller
 from tests.support import fleet
 from tests.support import http as calls
@@ -70,8 +70,8 @@
     server = _server.Server(context.standin, threads=16)
     server.start()
     context.closers.append(server.close)
-    context.store = f"{serving.HOST}:{server.port}"
-    context.store_control = f"{serving.HOST}:{server.control_port}"
+    context.store = f"{scenario_server.HOST}:{server.port}"
+    context.store_control = f"{scenario_server.HOST}:{server.control_port}"
     context.first_version = _update(context, FIRST).payload["version"]
 
 
--- a/tests/steps/standins_server.py
+++ b/tests/steps/standins_server.py
@@ -10,13 +10,13 @@
 
 from standins import _server
 from standins import object_api
-from tests.standins import serving
+from tests.standins import scenario_server
 from tests.support import http
 
 
 def _connect_error(context):
     with socket.socket() as client:
-        return client.connect_ex((serving.HOST, context.server.port))
+        return client.connect_ex((scenario_server.HOST, context.server.port))
 
 
 def _block_loop(context):
@@ -37,7 +37,7 @@
 
 def _call_control(context, path, body):
     _block_loop(context)
-    address = f"{serving.HOST}:{context.server.control_port}"
+    address = f"{scenario_server.HOST}:{context.server.control_port}"
     reply = http.call(address, "POST", f"/control/{path}", body)
     assert reply.status == 200, reply.payload
 
--- a/tests/steps/standins_services.py
+++ b/tests/steps/standins_services.py
@@ -8,7 +8,7 @@
 
 from standins import cloud_api
 from standins import weight_store
-from tests.standins import serving
+from tests.standins import scenario_server
 from tests.support import caller
 from tests.support import fleet
 from tests.support import http as calls
@@ -43,14 +43,14 @@
     standin = cloud_api.CloudApi()
     standin.faults.set({"lag_s": lag_s})
     context.cloud_standin = standin
-    context.cloud = serving.serve(context, standin)
+    context.cloud = scenario_server.serve_in_scenario(context, standin)
 
 
 @given("a weight store stand-in with a burst limit of {burst:d} loads")
 def _weight_store_with_burst(context, burst):
     standin = weight_store.WeightStore()
     standin.faults.set({"burst": burst, "loads_per_s": 0.01})
-    context.weights = serving.serve(context, standin)
+    context.weights = scenario_server.serve_in_scenario(context, standin)
 
 
 @given("a plain service stand-in in its own process")
--- a/tests/steps/standins_support.py
+++ b/tests/steps/standins_support.py
@@ -9,8 +9,8 @@
 from behave import when
 
 from standins import plain_service
-from tests.standins import entry_fake
-from tests.standins import serving
+from tests.standins import faulty_entry_vm
+from tests.standins import scenario_server
 from tests.support import caller
 from tests.support import cuttable
 from tests.support import fleet
@@ -25,10 +25,12 @@
 def _two_entry_vms(context, fault):
     bodies = {}
     entry_vms = [
-        entry_fake.EntryFake(fault_name, bodies) for fault_name in (fault, "")
+        faulty_entry_vm.FaultyEntryVm(fault_name, bodies)
+        for fault_name in (fault, "")
     ]
     context.addresses = [
-        serving.serve(context, entry_vm) for entry_vm in entry_vms
+        scenario_server.serve_in_scenario(context, entry_vm)
+        for entry_vm in entry_vms
     ]
     context.entry_vms = entry_vms
     for entry_vm in entry_vms:
@@ -54,7 +56,7 @@
 @given("a relay in front of a plain service")
 def _relay_before_service(context):
     context.service = plain_service.PlainService()
-    address = serving.serve(context, context.service)
+    address = scenario_server.serve_in_scenario(context, context.service)
     context.relay = cuttable.Relay(address)
     context.closers.append(context.relay.close)
 
--- a/tests/steps/vms_membership.py
+++ b/tests/steps/vms_membership.py
@@ -231,7 +231,8 @@
     world.wait_until(
         seconds,
         lambda: not any(
-            vm in node.membership.view.serving_names() for node in world.running()
+            vm in node.membership.view.serving_names()
+            for node in world.running()
         ),
     )
 
--- a/tests/support/answers.py
+++ b/tests/support/answers.py
@@ -8,7 +8,7 @@
 import time
 import typing
 
-from standins import _tokens
+from standins import _deterministic_tokens
 
 MOVED_EVENT = "moved"
 RESUME_EVENT = "resume"
@@ -212,8 +212,8 @@
 
 def expected_tokens_for(body: dict[str, typing.Any]) -> list[str]:
     """The tokens that every engine stand-in generates for a request body."""
-    return _tokens.expected_answer(
-        _tokens.prompt_of(body),
+    return _deterministic_tokens.expected_answer(
+        _deterministic_tokens.prompt_from_body(body),
         body.get("seed", 0),
         body.get("max_tokens", 16),
     )
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -53,7 +53,7 @@
 
         The journal file holds them, so they outlive a killed process.
         """
-        return dict(_journal.read(str(self.journal_path(name))))
+        return dict(_journal.read_counts(str(self.journal_path(name))))
 
     def journals(self) -> dict[str, int]:
         """The execution counts of all runners, added up by request or key."""
