--- a/src/apricotlever/serving/attempt.py
+++ b/src/apricotlever/serving/attempt.py
@@ -246,7 +246,9 @@
                 head = self._dialect.head(raw.status, raw.headers)
                 self._head = head
                 if self._is_stream(head):
-                    has_more = await self._forward_first_event(channel, head)
+                    expect_more = await self._forward_first_event(
+                        channel, head
+                    )
         except TimeoutError:
             return AttemptOutcome(
                 AttemptStatus.BROKEN, reason="no_answer_in_time"
@@ -266,7 +268,7 @@
         if not head.signed:
             return AttemptOutcome(AttemptStatus.BROKEN, reason="unsigned")
         if self._is_stream(head):
-            return await self._forward_stream(channel, head, has_more)
+            return await self._forward_stream(channel, head, expect_more)
         self._upstreams.first_answer(self._name)
         body = await _read_body(channel)
         return AttemptOutcome(AttemptStatus.ANSWERED, head, body)
@@ -299,10 +301,10 @@
         self,
         channel: channels.Channel,
         head: messages.RunnerHead,
-        has_more: bool,
+        expect_more: bool,
     ) -> AttemptOutcome:
         assert self._sink is not None
-        while has_more and (data := await channel.read_chunk()) is not None:
+        while expect_more and (data := await channel.read_chunk()) is not None:
             if self._failure is not None:
                 raise self._failure
             self._forward(head, data + channel.read_buffered())
