--- a/src/apricotlever/serving/limits.py
+++ b/src/apricotlever/serving/limits.py
@@ -34,7 +34,7 @@
     """The fleet-wide limits of all customers.
 
     :param clock: the time source of the token buckets.
-    :param spare: units by which a limit may be exceeded for a while.
+    :param slack: units by which a limit may be exceeded for a while.
     :param overshoot: fraction of a limit by which it may be exceeded at all
         times.
     :param process: the name of this VM's process.
@@ -51,14 +51,14 @@
         "_liveness",
         "_process",
         "_rates",
-        "_spare",
+        "_slack",
         "_initial_levels",
     )
 
     def __init__(
         self,
         clock: clocks.Clock,
-        spare: float = 0.0,
+        slack: float = 0.0,
         overshoot: float = 0.0,
         process: str = "",
         vm: str = "",
@@ -69,7 +69,7 @@
         #: Addresses of the other VMs that may be keepers, by name.
         self._addresses: dict[str, limit_calls.Address] = {}
         self._protocol: limit_calls.LimitCalls | None = None
-        self._spare = spare
+        self._slack = slack
         self._overshoot = overshoot
         self._liveness = fleet_rate_limit.MemberLiveness(clock)
         #: The latest totals of each process, by customer.
@@ -124,7 +124,7 @@
                 self._clock,
                 customer.rate,
                 customer.burst,
-                self._spare,
+                self._slack,
                 self._liveness,
                 self._overshoot,
             )
@@ -154,9 +154,7 @@
             for process in gone:
                 rate.remove_member(process)
 
-    def receive_totals(
-        self, process: str, used: typing.Mapping[str, float]
-    ) -> None:
+    def heard(self, process: str, used: typing.Mapping[str, float]) -> None:
         """Apply the totals of another VM's process.
 
         :param used: admitted units by customer since the process started.
--- a/src/apricotlever/serving/node.py
+++ b/src/apricotlever/serving/node.py
@@ -330,7 +330,7 @@
     def receive_record(self, record: vm_records.VmRecord) -> None:
         """Apply a record of another VM."""
         self._limits.initialize_levels(record.levels)
-        self._limits.receive_totals(record.process, record.used)
+        self._limits.heard(record.process, record.used)
         self._usage.merge_counts(record.process, record.usage)
         self._work.heard(record.process, record.work)
         self._duties.heard_reported(record.reported)
@@ -380,7 +380,7 @@
     ) -> tuple[list[runners.Runner], dict[str, int]]:
         """Changes of the runner directory since a store revision.
 
-        :returns: entries, and the revisions of removals by runner ID.
+        :returns: entries, and the revisions of removals by runner name.
         """
         return self._directory.news_after(revision)
 
--- a/src/apricotlever/serving/peers.py
+++ b/src/apricotlever/serving/peers.py
@@ -77,8 +77,8 @@
         """Fetch the changes of a peer's runner directory since a revision.
 
         :param address: the peer's address as ``host:port``.
-        :returns: entries, and the revisions of removals by runner ID; None if
-            the fetch failed.
+        :returns: entries, and the revisions of removals by runner name; None
+            if the fetch failed.
         """
         body = await self._fetch(
             address, f"{RUNNERS_PATH}?{above}", FETCH_TIMEOUT_S
@@ -132,7 +132,7 @@
 ) -> tuple[list[runners.Runner], dict[str, int]]:
     """Decode runner entries and removals that a peer sent.
 
-    :returns: entries, and the revisions of removals by runner ID.
+    :returns: entries, and the revisions of removals by runner name.
     :raises ValueError: if the data is malformed.
     """
     changes = _decode(body)
@@ -165,7 +165,7 @@
     ) -> tuple[list[runners.Runner], dict[str, int]]:
         """Changes of the runner directory since a store revision.
 
-        :returns: entries, and the revisions of removals by runner ID.
+        :returns: entries, and the revisions of removals by runner name.
         """
 
     def is_peer(self, host: str) -> bool:
--- a/tests/steps/serving_limit_calls.py
+++ b/tests/steps/serving_limit_calls.py
@@ -93,11 +93,11 @@
     for vm in (context.keeper, context.asker):
         vm.limits.initialize_levels({"clerks": left})
         vm.limits.set_members(frozenset({"other#1"}))
-        vm.limits.receive_totals("other#1", {})
+        vm.limits.heard("other#1", {})
     # In its first second, a process uses only a fraction of the limit.
     context.clock.advance(2.0)
     for vm in (context.keeper, context.asker):
-        vm.limits.receive_totals("other#1", {})
+        vm.limits.heard("other#1", {})
         vm.limits.set_members(frozenset({"other#1"}))
 
 
