--- a/bench/limits.py
+++ b/bench/limits.py
@@ -243,7 +243,9 @@
     def refund_units(self, customer: str, units: float) -> None:
         """Nothing is counted."""
 
-    def receive_early_total(self, process: str, customer: str, total: float) -> None:
+    def receive_early_total(
+        self, process: str, customer: str, total: float
+    ) -> None:
         """Nothing is counted."""
 
 
--- a/src/apricotlever/serving/configuration_model.py
+++ b/src/apricotlever/serving/configuration_model.py
@@ -140,18 +140,19 @@
     """Properties of a service's runners that run a language model.
 
     :param concurrency: maximum number of requests in a batch.
-    :param memory_tokens: capacity of a runner's cache in tokens.
-    :param copies: whether a runner can copy another runner's cached tokens.
+    :param cache_tokens: capacity of a runner's cache in tokens.
+    :param can_copy_cache: whether a runner can copy the cached tokens of
+        another runner.
     """
 
     __slots__ = ("concurrency", "cache_tokens", "can_copy_cache")
 
     def __init__(
-        self, concurrency: int, memory_tokens: int, copies: bool = False
+        self, concurrency: int, cache_tokens: int, can_copy_cache: bool = False
     ) -> None:
         self.concurrency = concurrency
-        self.cache_tokens = memory_tokens
-        self.can_copy_cache = copies
+        self.cache_tokens = cache_tokens
+        self.can_copy_cache = can_copy_cache
 
 
 class Service:
--- a/src/apricotlever/serving/messages.py
+++ b/src/apricotlever/serving/messages.py
@@ -53,7 +53,7 @@
     :param host: the host that the caller addresses.
     :param headers: headers as sent, without hop-by-hop headers.
     :param request_id: the caller's identifier of this attempt.
-    :param patience_s: how long the caller waits, in seconds; None if it does
+    :param caller_timeout_s: how long the caller waits, in seconds; None if it does
         not say.
     :param key: the API key, "" without one.
     :param prompt: the declared work for a language model; None without one.
@@ -114,7 +114,7 @@
     :param runner: name of the intended runner.
     :param customer: the customer whose key the call has; None for a public
         route.
-    :param left_s: how long the runner may work on the call, in seconds.
+    :param remaining_s: how long the runner may work on the call, in seconds.
     :param priority: priority in the engine's queue, 0 first; None if the call
         declares no prompt.
     :param resume_after: the last event that the caller has received; None for
--- a/src/apricotlever/serving/settings.py
+++ b/src/apricotlever/serving/settings.py
@@ -15,9 +15,9 @@
         stop.
     :param shutdown_s: time from the stop signal until the process is killed.
     :param retry_ratio: maximum number of retries for each request.
-    :param retry_least: retries that the fleet may make in addition.
+    :param retry_min: retries that the fleet may make in addition.
     :param retry_window_s: period over which retries are counted.
-    :param limit_spare: units by which a customer's limit may be exceeded
+    :param limit_slack: units by which a customer's limit may be exceeded
         for a while.
     :param limit_overshoot: fraction of a limit by which it may be exceeded at
         all times.
--- a/standins/plain_dialect.py
+++ b/standins/plain_dialect.py
@@ -74,7 +74,7 @@
             f"Host: {call.host}",
             f"Call-Id: {call.request_id}",
             f"For-Runner: {errand.runner}",
-            f"Left-S: {errand.left_s:.3f}",
+            f"Left-S: {errand.remaining_s:.3f}",
             f"Content-Length: {len(call.body)}",
         ]
         if errand.customer is not None:
--- a/tests/steps/adapter.py
+++ b/tests/steps/adapter.py
@@ -57,10 +57,10 @@
 def _check_decoded_call(context):
     call = context.call
     assert call.key == "i9n73hh2b9wu3fexd9dn"
-    assert call.patience_s == 8.0
+    assert call.caller_timeout_s == 8.0
     assert (call.prompt.tokens_in, call.prompt.tokens_out) == (1460, 80)
     assert [p.tokens for p in call.prompt.parts] == [800, 410, 250]
-    assert call.prompt.shared_key == "91bd3f06"
+    assert call.prompt.shared_part_id == "91bd3f06"
     assert (call.path, call.host) == ("/lohu930/2f", "ficu95.example")
 
 
@@ -217,18 +217,23 @@
 def _check_configuration(context):
     read = context.read
     assert read.version == 7
-    plain = read.route_of("ficu95.example", "/pufi791/x")
-    split = read.route_of("ficu95.example", "/pufi791/deep/x")
+    plain = read.find_route("ficu95.example", "/pufi791/x")
+    split = read.find_route("ficu95.example", "/pufi791/deep/x")
     assert (plain.name, split.name) == ("r-1", "r-2")
     assert (
-        plain.kind is configuration_model.CallKind.STREAM and plain.repeatable
+        plain.kind is configuration_model.CallKind.STREAM
+        and plain.is_repeatable
     )
-    assert not split.repeatable
-    assert [split.service_at(p) for p in (0.0, 0.89, 0.91)] == ["a", "a", "b"]
-    assert read.route_of("ficu95.example", "/other/") is None
-    customer = read.customer_of("k2")
+    assert not split.is_repeatable
+    assert [split.select_service(p) for p in (0.0, 0.89, 0.91)] == [
+        "a",
+        "a",
+        "b",
+    ]
+    assert read.find_route("ficu95.example", "/other/") is None
+    customer = read.find_customer("k2")
     assert (customer.name, customer.by_tokens) == ("hule930", True)
-    assert read.services["huvo11a"].engine.copies
+    assert read.services["huvo11a"].engine.can_copy_cache
     assert read.services["a"].engine is None
     assert read.limits.idle_s == 15.0 and read.limits.header_s == 3.0
 
@@ -326,7 +331,7 @@
     assert str(read.cloud) == "10.200.0.35:8225"
     assert (read.orders_runners, read.reports_usage) == (True, False)
     assert (read.bounds.shutdown_s, read.bounds.lease_s) == (8.0, 3.0)
-    assert read.bounds.limit_spare == 72000
+    assert read.bounds.limit_slack == 72000
 
 
 @then(
--- a/tests/steps/serving_directory.py
+++ b/tests/steps/serving_directory.py
@@ -22,38 +22,38 @@
 def _directory(context):
     context.clock = clocks.ManualClock()
     context.directory = directories.RunnerDirectory(context.clock)
-    context.directory.listed([_runner("r1", 1), _runner("r2", 2)], 2)
+    context.directory.apply_list([_runner("r1", 1), _runner("r2", 2)], 2)
 
 
 @when("the store says that r1 is leaving")
 def _store_lists_as_leaving(context):
-    assert context.directory.changed(_runner("r1", 5, True)) == ["r1"]
+    assert context.directory.apply_entry(_runner("r1", 5, True)) == ["r1"]
 
 
 @when("the store removes the entry of r1")
 def _store_removes(context):
-    context.directory.removed("r1", 6)
+    context.directory.apply_removal("r1", 6)
 
 
 @step("the store recovers without r1")
 def _recovers_without(context):
-    context.directory.store_returned()
-    context.directory.listed([_runner("r2", 2)], 9)
+    context.directory.extend_removal_grace()
+    context.directory.apply_list([_runner("r2", 2)], 9)
 
 
 @step("the entry of r1 is written again")
 def _entry_rewritten(context):
-    context.directory.changed(_runner("r1", 10))
+    context.directory.apply_entry(_runner("r1", 10))
 
 
 @step("a peer sends its outdated entry of r1")
 def _outdated_entry(context):
-    context.directory.heard([_runner("r1", 1)], {})
+    context.directory.merge_changes([_runner("r1", 1)], {})
 
 
 @when("a peer sends the removal of r1 and the entry of r3")
 def _peer_changes(context):
-    context.directory.heard([_runner("r3", 8)], {"r1": 7})
+    context.directory.merge_changes([_runner("r3", 8)], {"r1": 7})
 
 
 @step("new work goes to {names} alone")
@@ -89,7 +89,7 @@
 
 
 def _assert_available(context, names):
-    found = [r.runner_id for r in context.directory.of_service("s")]
+    found = [r.runner_id for r in context.directory.available_runners("s")]
     assert sorted(found) == sorted(names.split()), found
 
 
@@ -100,7 +100,7 @@
         directories.RunnerDirectory(clock) for _ in range(2)
     )
     for directory in (context.one, context.other):
-        directory.listed([_runner("r1", 1), _runner("r2", 2)], 2)
+        directory.apply_list([_runner("r1", 1), _runner("r2", 2)], 2)
 
 
 @when("the watch of one delivers the removal of r1")
@@ -158,7 +158,7 @@
 @then("the other has an older revision, and learns that r1 is removed")
 def _other_catches_up(context):
     assert context.one.revision > context.other.revision
-    context.other.heard(*context.one.news_after(context.other.revision))
+    context.other.merge_changes(*context.one.changes_after(context.other.revision))
     assert context.other.get("r1") is None
 
 
@@ -216,22 +216,22 @@
 def _more_runners(context, count):
     _directory(context)
     for number in range(count):
-        context.directory.changed(_runner(f"m{number}", 3 + number))
+        context.directory.apply_entry(_runner(f"m{number}", 3 + number))
 
 
 @when("the store removes {count:d} of them at once")
 def _removes_many(context, count):
     for number in range(count):
-        context.directory.removed(f"m{number}", 50 + number)
+        context.directory.apply_removal(f"m{number}", 50 + number)
 
 
 @then("after {seconds:f} seconds {count:d} runners take new work")
 def _available_count(context, seconds, count):
     _wait(context, seconds)
-    assert len(context.directory.of_service("s")) == count
+    assert len(context.directory.available_runners("s")) == count
 
 
 @when("{seconds:f} seconds pass at the directory and the store removes r2")
 def _removes_one_more(context, seconds):
     _wait(context, seconds)
-    context.directory.removed("r2", 80)
+    context.directory.apply_removal("r2", 80)
--- a/tests/steps/serving_limit_calls.py
+++ b/tests/steps/serving_limit_calls.py
@@ -134,7 +134,7 @@
         )
         _initialize(context, BURST)
     context.before = 0.0
-    context.level = context.keeper.limits.of(_customer()).level
+    context.level = context.keeper.limits.rate_limit(_customer()).level
 
     async def work():
         for _ in range(count):
--- a/tests/steps/serving_relay.py
+++ b/tests/steps/serving_relay.py
@@ -252,7 +252,7 @@
 def _leave_during_call(context):
     async def work():
         await context.world.send()
-        context.world.server.leave()
+        context.world.server.disable_keep_alive()
         return await context.world.receive()
 
     context.replies = [_run(context, work())]
@@ -302,13 +302,17 @@
 
 @then("runners ran {count:d} calls")
 def _check_runs(context, count):
-    ran = [call for standin in context.world.standins for call in standin.ran]
+    ran = [
+        call
+        for standin in context.world.standins
+        for call in standin.executed_call_ids
+    ]
     assert len(ran) == count, ran
 
 
 @then('runner 1 received the customer "{name}" and the call\'s own id')
 def _check_received_headers(context, name):
-    (call,) = context.world.standins[0].seen
+    (call,) = context.world.standins[0].received_calls
     assert call["customer"] == name
     assert call["call-id"] == "call-1"
 
@@ -326,7 +330,7 @@
 
 @then('runner 1 received the body "{text}"')
 def _check_received_body(context, text):
-    assert context.world.standins[0].seen[0]["body"].decode() == text
+    assert context.world.standins[0].received_calls[0]["body"].decode() == text
 
 
 @then("the connection to runner 1 was closed")
--- a/tests/steps/serving_restarts.py
+++ b/tests/steps/serving_restarts.py
@@ -35,8 +35,8 @@
     world = context.world
     first, second = world.standins
     # The second runner leaves for a moment, so that the first gets the call.
-    world.directory.changed(_started(first, "runner-1", 2, BORN))
-    world.directory.changed(
+    world.directory.apply_entry(_started(first, "runner-1", 2, BORN))
+    world.directory.apply_entry(
         runners.Runner(
             "runner-2", "service", "127.0.0.1", 1, "dc", 4, True, revision=3
         )
@@ -45,12 +45,12 @@
 
     async def begin():
         call = asyncio.ensure_future(world.call())
-        while not first.ran:
+        while not first.executed_call_ids:
             await asyncio.sleep(0.01)
         return call
 
     context.call = _run(context, begin())
-    world.directory.changed(_started(second, "runner-2", 4, 0))
+    world.directory.apply_entry(_started(second, "runner-2", 4, 0))
     world.upstreams.refresh()
 
 
@@ -65,9 +65,9 @@
 
     if place == "another address":
         standin = _run(context, move())
-        world.directory.removed(standin.name, 9)
-        world.directory.gone(standin.name)
-    context.ended = world.directory.changed(
+        world.directory.apply_removal(standin.name, 9)
+        world.directory.mark_ended(standin.name)
+    context.ended = world.directory.apply_entry(
         _started(standin, "runner-1", 10, BORN + 700)
     )
     world.upstreams.refresh()
@@ -84,7 +84,9 @@
 
 @then("the call has run at {count:d} runners")
 def _ran(context, count):
-    ran = sum(len(standin.ran) for standin in context.world.standins)
+    ran = sum(
+        len(standin.executed_call_ids) for standin in context.world.standins
+    )
     assert ran == count, [s.ran for s in context.world.standins]
 
 
@@ -93,7 +95,7 @@
     upstreams = context.world.upstreams
     (runner,) = context.world.directory.runners
     assert context.ended == ["runner-1"], context.ended
-    assert runner.runner_id not in upstreams.failures
+    assert runner.runner_id not in upstreams.outcome_counts
     assert not upstreams.failures and not upstreams.in_flight
     assert upstreams.pool(runner).open == 0
 
