--- a/src/apricotlever/serving/messages.py
+++ b/src/apricotlever/serving/messages.py
@@ -53,8 +53,8 @@
     :param host: the host that the caller addresses.
     :param headers: headers as sent, without hop-by-hop headers.
     :param request_id: the caller's identifier of this attempt.
-    :param caller_timeout_s: how long the caller waits, in seconds; None if it does
-        not say.
+    :param caller_timeout_s: how long the caller waits, in seconds; None if it
+        does not say.
     :param key: the API key, "" without one.
     :param prompt: the declared work for a language model; None without one.
     :param last_event_id: the event after which a stream is to be resumed; None
--- a/tests/steps/adapter_entries.py
+++ b/tests/steps/adapter_entries.py
@@ -154,7 +154,7 @@
         running.supervise("watch", context.watcher.run)
         for _ in range(20):
             await asyncio.sleep(0)
-        context.in_touch = context.watcher.in_touch
+        context.is_connected = context.watcher.is_connected
 
     try:
         asyncio.run(follow())
@@ -167,7 +167,7 @@
     "the watch continues and only the runner with the valid entry gets calls"
 )
 def _check_watch(context):
-    assert context.in_touch and not context.restarts
+    assert context.is_connected and not context.restarts
     assert context.vm.working() == ["good"]
 
 
@@ -241,9 +241,9 @@
 @when("its peer receives the change")
 def _receive_change(context):
     one, other = (vm.directory for vm in context.vms)
-    entries, gone = one.news_after(other.revision)
+    entries, gone = one.changes_after(other.revision)
     records = [runner.to_record() for runner in entries]
-    other.heard([runners.Runner.from_record(r) for r in records], gone)
+    other.merge_changes([runners.Runner.from_record(r) for r in records], gone)
 
 
 @then("both VMs have the same directory, and the peer still knows the first")
--- a/tests/steps/serving_directory.py
+++ b/tests/steps/serving_directory.py
@@ -114,7 +114,7 @@
 
 @step("a peer sends the rewritten entry of r1")
 def _rewritten_entry(context):
-    context.directory.heard([_runner("r1", 8)], {})
+    context.directory.merge_changes([_runner("r1", 8)], {})
 
 
 class Platform:
@@ -158,23 +158,25 @@
 @then("the other has an older revision, and learns that r1 is removed")
 def _other_catches_up(context):
     assert context.one.revision > context.other.revision
-    context.other.merge_changes(*context.one.changes_after(context.other.revision))
+    revision = context.other.revision
+    context.other.merge_changes(*context.one.changes_after(revision))
     assert context.other.get("r1") is None
 
 
 @then("both have the same revision afterwards")
 def _same_revision(context):
     assert context.one.revision == context.other.revision
-    context.one.heard(*context.other.news_after(0))
+    context.one.merge_changes(*context.other.changes_after(0))
     assert context.one.revision == context.other.revision
 
 
 @when("one delays the removal of r1 and sends the entry of r3")
 def _one_delays_removal(context):
-    context.one.store_returned()
-    assert context.one.removed("r1", 7) == []
-    context.one.changed(_runner("r3", 9))
-    context.other.heard(*context.one.news_after(context.other.revision))
+    context.one.extend_removal_grace()
+    assert context.one.apply_removal("r1", 7) == []
+    context.one.apply_entry(_runner("r3", 9))
+    revision = context.other.revision
+    context.other.merge_changes(*context.one.changes_after(revision))
 
 
 @when("one removes r1 after {seconds:f} seconds")
@@ -191,11 +193,11 @@
 @then("both differ from a third that has applied the removal")
 def _third_differs(context):
     context.third = directories.RunnerDirectory(context.clock)
-    context.third.listed([_runner("r1", 1), _runner("r2", 2)], 2)
-    context.third.removed("r1", 7)
+    context.third.apply_list([_runner("r1", 1), _runner("r2", 2)], 2)
+    context.third.apply_removal("r1", 7)
     context.clock.advance(0.5)
     assert context.third.tick() == ["r1"]
-    context.third.changed(_runner("r3", 9))
+    context.third.apply_entry(_runner("r3", 9))
     assert context.third.revision == context.other.revision
     assert context.third.checksum != context.other.checksum
 
@@ -203,13 +205,13 @@
 @then("with all changes from the third both apply it, too")
 def _both_apply(context):
     for directory in (context.one, context.other):
-        directory.heard(*context.third.news_after(-1))
+        directory.merge_changes(*context.third.changes_after(-1))
         assert directory.checksum == context.third.checksum
 
 
 @then("one sends the removal with its revision {revision:d}")
 def _sends_removal(context, revision):
-    assert context.one.news_after(-1)[1] == {"r1": revision}
+    assert context.one.changes_after(-1)[1] == {"r1": revision}
 
 
 @given("a directory with {count:d} more runners")
--- a/tests/steps/serving_relay.py
+++ b/tests/steps/serving_relay.py
@@ -191,7 +191,7 @@
     async def work():
         await context.world.send()
         standin = context.world.standins[0]
-        while not standin.ran:
+        while not standin.executed_call_ids:
             await asyncio.sleep(0.01)
         context.world.connection[1].close()
 
@@ -260,7 +260,7 @@
 
 @when("the VM takes no more calls and a call is made")
 def _refuse_and_call(context):
-    context.world.relay.stop_taking()
+    context.world.relay.refuse_new_calls()
     context.replies = [_run(context, context.world.call())]
 
 
@@ -404,4 +404,4 @@
 
 @then("the failure is counted for runner 1")
 def _check_failure(context):
-    assert context.world.upstreams.failures == {"runner-1": (1, 1)}
+    assert context.world.upstreams.outcome_counts == {"runner-1": (1, 1)}
--- a/tests/steps/serving_restarts.py
+++ b/tests/steps/serving_restarts.py
@@ -96,15 +96,15 @@
     (runner,) = context.world.directory.runners
     assert context.ended == ["runner-1"], context.ended
     assert runner.runner_id not in upstreams.outcome_counts
-    assert not upstreams.failures and not upstreams.in_flight
-    assert upstreams.pool(runner).open == 0
+    assert not upstreams.outcome_counts and not upstreams.in_flight
+    assert upstreams.pool(runner).open_count == 0
 
 
 @then("the next call is addressed to runner 1 by its name")
 def _names(context):
     world = context.world
     _run(context, world.call(call_id="call-2"))
-    seen = world.standins[0].seen[-1]
+    seen = world.standins[0].received_calls[-1]
     assert seen["for-runner"] == "runner-1", seen
 
 
@@ -133,5 +133,5 @@
 
 @then("the call is blocked")
 def _blocked(context):
-    kept_s = context.watch.kept_away_s(context.poison, context.customer)
+    kept_s = context.watch.retry_after_s(context.poison, context.customer)
     assert kept_s, kept_s
--- a/tests/steps/serving_tasks.py
+++ b/tests/steps/serving_tasks.py
@@ -116,12 +116,12 @@
 
 @then("the list was not read")
 def _list_not_read(context):
-    assert not context.store.lists and not context.in_touch
+    assert not context.store.lists and not context.is_connected
 
 
 @then("the list was read once and the watch is connected")
 def _list_read_once(context):
-    assert context.store.lists == 1 and context.in_touch
+    assert context.store.lists == 1 and context.is_connected
 
 
 @when("{seconds:d} seconds of the loop pass")
@@ -133,7 +133,7 @@
         context.running.supervise("watch", context.work)
         await asyncio.sleep(seconds)
         if hasattr(context, "watcher"):
-            context.in_touch = context.watcher.in_touch
+            context.is_connected = context.watcher.is_connected
 
     logs.setup_writer("vm", lambda name, line: context.logged.append(line))
     try:
@@ -159,4 +159,4 @@
 
 @then("the list was read twice and the watch is connected")
 def _in_touch(context):
-    assert context.store.lists == 2 and context.in_touch
+    assert context.store.lists == 2 and context.is_connected
