--- a/bench/_news_world.py
+++ b/bench/_news_world.py
@@ -127,14 +127,14 @@
             return
         if self.told_soon_at is not None and self.told_soon_at <= now:
             self.told_soon_at = None
-            self.send(self.news.news())
+            self.send(self.news.publish_change())
         if self._due(peer_datagrams.READ_INTERVAL_S, now, before):
             self.read()
         if self._due(record_aggregation.AGGREGATE_INTERVAL_S, now, before):
             self.read()
-            self.send(self.news.flush(self.world.runners))
+            self.send(self.news.publish_aggregates(self.world.runners))
         if self._due(vm_records.RECORD_INTERVAL_S, now, before):
-            self.send(self.news.look())
+            self.send(self.news.tick())
 
     def read(self):
         """Take in what has come."""
@@ -145,19 +145,19 @@
     def take(self, message):
         """Take a message in, as a VM's link does."""
         if isinstance(message, vm_records.VmRecord):
-            self.table.heard(message)
+            self.table.receive_record(message)
             self.note_used(message.process, message.used)
-            self.send(self.news.record(message))
+            self.send(self.news.receive_record(message))
             return
         for entry in message.entries:
             if entry.vm != self.name:
-                self.table.heard(entry, message.ages.get(entry.vm, 0.0))
+                self.table.receive_record(entry, message.ages.get(entry.vm, 0.0))
                 self.note_used(entry.process, entry.used)
         for vm, age_s in message.ages.items():
-            self.table.heard_of(vm, age_s)
+            self.table.note_heard(vm, age_s)
         for process, used in message.used.items():
             self.note_used(process, used)
-        self.send(self.news.aggregate(message))
+        self.send(self.news.receive_aggregate(message))
 
     def note_used(self, process, used):
         """Keep what a process has let in."""
--- a/src/apricotlever/daemon/heir.py
+++ b/src/apricotlever/daemon/heir.py
@@ -78,7 +78,7 @@
         if not receipt.accepted:
             return _refused("this VM is leaving too")
         logs.event("handover_taken", sender=receipt.sender.vm, ledger=True)
-        moved = rumours.of_ledger_moved(receipt.sender, receipt.heir)
+        moved = rumours.of_ledger_moved(receipt.sender, receipt.successor)
         self._context.fleet.tell(fleet_messages.Announce(moved))
         return pb.HandoverReceipt(accepted=True)
 
--- a/tests/serving/fleet_of_directories.py
+++ b/tests/serving/fleet_of_directories.py
@@ -159,12 +159,12 @@
         """Receive another VM's record, and fetch missing changes."""
         mine, theirs = self.directory, other.directory
         if theirs.revision > mine.revision:
-            mine.merge_changes(*theirs.news_after(mine.revision))
+            mine.merge_changes(*theirs.changes_after(mine.revision))
         if theirs.checksum == mine.checksum:
             self._differs_since.pop(other, None)
         elif now - self._differs_since.setdefault(other, now) >= MISMATCH_S:
             del self._differs_since[other]
-            mine.merge_changes(*theirs.news_after(ALL_REVISIONS))
+            mine.merge_changes(*theirs.changes_after(ALL_REVISIONS))
 
 
 class Fleet:
--- a/tests/serving/runner_standin.py
+++ b/tests/serving/runner_standin.py
@@ -68,7 +68,7 @@
 
 @behaviour("rejects calls")
 async def _rejects(runner, writer, call):
-    runner.ran.pop()
+    runner.executed_call_ids.pop()
     writer.write(_response(503, call, b"", "Not-Run: yes"))
 
 
@@ -85,7 +85,7 @@
 
 @behaviour("is another runner")
 async def _is_another_runner(runner, writer, call):
-    runner.ran.pop()
+    runner.executed_call_ids.pop()
     writer.write(_response(421, call, b"", "Other-Runner: yes"))
 
 
--- a/tests/steps/serving_relay.py
+++ b/tests/steps/serving_relay.py
@@ -111,7 +111,7 @@
 
 @then("the VM refuses {refused:d} units and admits {admitted:d}")
 def _check_limit(context, refused, admitted):
-    rate = context.limits.of(context.customer)
+    rate = context.limits.rate_limit(context.customer)
     assert rate.take(float(refused)) > 0.0
     assert rate.take(float(admitted)) == 0.0
 
@@ -319,7 +319,7 @@
 
 @then("runner 1 is removed from the directory if it received a call")
 def _check_removed(context):
-    if context.world.standins[0].seen:
+    if context.world.standins[0].received_calls:
         assert context.world.directory.get("runner-1") is None
 
 
--- a/tests/steps/serving_roll_outs.py
+++ b/tests/steps/serving_roll_outs.py
@@ -293,7 +293,7 @@
     )
     for version in ("v1", "v2"):
         for number in range(2):
-            context.directory.changed(
+            context.directory.apply_entry(
                 runners.Runner(
                     f"{version}-{number}",
                     SERVICE,
@@ -327,9 +327,9 @@
         if runner is None:
             continue
         context.chosen.append(runner.version)
-        context.upstreams.started(f"call-{number}", runner, query)
-        context.upstreams.first_answer(f"call-{number}")
-        context.upstreams.finished(
+        context.upstreams.call_started(f"call-{number}", runner, query)
+        context.upstreams.response_started(f"call-{number}")
+        context.upstreams.call_finished(
             f"call-{number}", runner, models.Outcome.DONE
         )
         context.controller.update_fleet_counts({}, False)
@@ -355,7 +355,7 @@
 def step_old_gone(context):
     """Remove the old runners."""
     for number in range(2):
-        context.directory.gone(f"v1-{number}")
+        context.directory.mark_ended(f"v1-{number}")
     context.upstreams.refresh()
 
 
@@ -368,6 +368,6 @@
 @then("{count:d} runners count for the size of the fleet")
 def step_count(context, count):
     """Count the runners that serve regular calls."""
-    listed = context.directory.of_service(SERVICE)
-    serving = [r for r in listed if context.upstreams.serves(r)]
+    listed = context.directory.available_runners(SERVICE)
+    serving = [r for r in listed if context.upstreams.takes_regular_calls(r)]
     assert len(serving) == count
