--- a/src/apricotlever/daemon/access.py
+++ b/src/apricotlever/daemon/access.py
@@ -1,8 +1,8 @@
-"""Who calls, and what the catalogue opens to that customer.
+"""Authenticates callers and authorises their use of catalogue entries.
 
-A request reads the catalogue in force once and passes it on. An edit may
-come between any two readings: the entry would then be of one version and
-its class be looked for in another, which may have none of that name.
+Each request reads the catalogue in force once and passes it on. If it were
+read twice, an edit could come in between: the entry would be of one version,
+and its class would be looked up in another that may not have it.
 """
 
 import hmac
@@ -16,52 +16,52 @@
 _BEARER = "bearer "
 
 
-def catalogue_of(context: contexts.Context) -> catalogues.Catalogue:
-    """The catalogue that a request is held to from beginning to end.
+def current_catalogue(context: contexts.Context) -> catalogues.Catalogue:
+    """The catalogue in force, which a request uses until its end.
 
-    :param context: knows the catalogue in force.
-    :raises Refusal: when none is in force yet.
+    :param context: holds the catalogue in force.
+    :raises Refusal: when no catalogue is in force yet.
     """
     catalogue = context.catalogue
     if not catalogue.version:
         raise refusals.Refusal(
             refusals.NOT_READY,
-            "no catalogue is in force here yet",
+            "this entry VM has no catalogue in force yet",
             retry_after_s=1.0,
         )
     return catalogue
 
 
-def customer_of(
+def authenticate(
     catalogue: catalogues.Catalogue, call: caller_server.Call
 ) -> catalogues.Customer:
-    """The customer whose key a call brought.
+    """The customer to whom the bearer key of a call belongs.
 
-    :param catalogue: that of the request.
-    :param call: what the caller sent.
-    :raises Refusal: when there is no key or nobody has it.
+    :param catalogue: the catalogue that the request uses.
+    :param call: the HTTP call.
+    :raises Refusal: when the key is missing or unknown.
     """
     customer = catalogue.customer_of(_bearer_key(call))
     if customer is None:
         raise refusals.Refusal(
-            refusals.UNAUTHENTICATED, "the bearer key is not known"
+            refusals.UNAUTHENTICATED, "the bearer key is unknown"
         )
     return customer
 
 
-def entry_of(
+def authorized_entry(
     catalogue: catalogues.Catalogue,
     customer: catalogues.Customer,
     name: str,
     kind: str,
 ) -> catalogues.Entry:
-    """An entry that a customer may use.
+    """An entry that a customer is authorised to use.
 
-    :param catalogue: that of the request.
-    :param customer: who asks.
+    :param catalogue: the catalogue that the request uses.
+    :param customer: the customer.
     :param name: the entry's name.
     :param kind: ``KIND_MODEL`` or ``KIND_SERVICE``.
-    :raises Refusal: when there is no such entry, or not for the customer.
+    :raises Refusal: when no such entry exists or the customer may not use it.
     """
     entry = catalogue.entries.get(name)
     if entry is None or entry.kind != kind:
@@ -78,28 +78,29 @@
 def check_operator(
     context: contexts.Context, call: caller_server.Call
 ) -> None:
-    """Keep operators' pages from others, when the settings name a key.
+    """Require the operators' key, when the settings name one.
 
-    They show what every customer spends.
+    The operators' pages show what every customer spends, so customers must
+    not read them.
 
-    :param context: knows the settings.
-    :param call: what came in.
+    :param context: holds the settings.
+    :param call: the HTTP call.
     :raises Refusal: when the key is missing or wrong.
     """
-    wanted = context.config.operator_key_sha256
-    if wanted is None:
+    expected = context.config.operator_key_sha256
+    if expected is None:
         return
-    given = catalogues.hash_key(_bearer_key(call))
-    if not hmac.compare_digest(given, wanted):
+    key_hash = catalogues.hash_key(_bearer_key(call))
+    if not hmac.compare_digest(key_hash, expected):
         raise refusals.Refusal(
-            refusals.UNAUTHENTICATED, "the operators' key is wanted"
+            refusals.UNAUTHENTICATED, "the operators' key is required"
         )
 
 
 def _bearer_key(call: caller_server.Call) -> str:
-    given = call.header("Authorization")
-    if given[: len(_BEARER)].lower() != _BEARER:
+    value = call.header("Authorization")
+    if value[: len(_BEARER)].lower() != _BEARER:
         raise refusals.Refusal(
-            refusals.UNAUTHENTICATED, "a bearer key is wanted"
+            refusals.UNAUTHENTICATED, "a bearer key is required"
         )
-    return given[len(_BEARER) :].strip()
+    return value[len(_BEARER) :].strip()
--- a/src/apricotlever/daemon/admitting.py
+++ b/src/apricotlever/daemon/admitting.py
@@ -1,4 +1,4 @@
-"""Takes requests in: names them and waits until the desk admits them."""
+"""Names new requests and waits until the dispatcher admits them."""
 
 import secrets
 
@@ -10,14 +10,15 @@
 from . import messages
 from . import presence as presences
 
+#: Time for the dispatcher's answer after a request's time in the queue.
 ADMISSION_GRACE_S = 2.0
 
 
-class Admitting:
-    """What model requests and service calls pass on their way in.
+class RequestAdmission:
+    """The admission steps that model requests and service calls share.
 
     :param context: the daemon's tasks.
-    :param presence: this VM's place among the entry VMs.
+    :param presence: this VM's state among the entry VMs.
     """
 
     __slots__ = ("_context", "_presence")
@@ -29,9 +30,9 @@
         self._presence = presence
 
     def check_serving(self) -> None:
-        """Verify that this VM still takes new work.
+        """Check that this VM still takes new work.
 
-        :raises Refusal: when it is leaving.
+        :raises Refusal: when this VM is leaving.
         """
         if not self._presence.takes_new_work:
             raise refusals.Refusal(
@@ -41,7 +42,11 @@
             )
 
     def new_request_id(self) -> str:
-        """An ID that nobody can guess, for it is enough to find a stream."""
+        """A new request ID.
+
+        The ID can't be guessed: a customer could otherwise make up the ID of
+        another customer's stream.
+        """
         context = self._context
         return (
             f"{context.config.vm}.{context.incarnation}."
@@ -53,16 +58,20 @@
         ticket: admission.Ticket,
         service_class: catalogues.ServiceClass,
     ) -> None:
-        """Wait until the desk lets a request in.
+        """Wait until the dispatcher admits a request.
 
-        :param ticket: of the request.
-        :param service_class: says how long the request may queue.
-        :raises Refusal: at once when that is not going to happen.
+        :param ticket: describes the request to admission.
+        :param service_class: the request's class, which limits its time in
+            the queue.
+        :raises Refusal: when the request is not admitted; at once if that is
+            known on arrival.
         """
         context = self._context
-        asked = context.desk.ask(messages.Admit(ticket))
+        future = context.desk.ask(messages.Admit(ticket))
         try:
-            context.answer_of(asked, service_class.queue_s + ADMISSION_GRACE_S)
+            context.answer_of(
+                future, service_class.queue_s + ADMISSION_GRACE_S
+            )
         except refusals.Refusal as refusal:
             context.desk.tell(messages.Withdraw(ticket.request_id))
             raise refusal.for_request(ticket.request_id)
--- a/src/apricotlever/daemon/attempt_reports.py
+++ b/src/apricotlever/daemon/attempt_reports.py
@@ -1,4 +1,4 @@
-"""What the desk and the other entry VMs hear of an attempt that ended."""
+"""Reports ended attempts to the dispatcher and to the other entry VMs."""
 
 import time
 
@@ -12,9 +12,9 @@
 from . import messages
 from . import placing
 
-#: How long a call to another VM waits for the news of a death, in seconds. It
-#: was 3 to 30 ms on one machine with all its cores busy.
-DEATH_NEWS_S = 0.15
+#: How long a retry waits for crash reports from other entry VMs. Such a
+#: report takes 3 to 30 ms on one machine with all its cores busy.
+CRASH_REPORT_WAIT_S = 0.15
 
 
 def ask_retry(
@@ -22,64 +22,66 @@
     question: messages.MayRetry,
     refusal: placing.RefusalOf,
 ) -> retry_policy.Retry:
-    """Ask the desk for another attempt.
+    """Ask the dispatcher whether a failed attempt may be retried.
 
     :param context: the daemon's tasks.
-    :param question: what failed and what was tried.
-    :param refusal: a refusal that tells the truth about the request.
-    :returns: what the next attempt has to avoid.
-    :raises Refusal: when there is no further attempt.
+    :param question: describes the failed attempt.
+    :param refusal: makes a refusal that states whether the request was
+        executed.
+    :returns: the permission, which lists the runners to avoid.
+    :raises Refusal: when no retry is allowed.
     """
     answer = context.answer_of(context.desk.ask(question))
     if isinstance(answer, retry_policy.NoRetry):
         raise refusal(
             refusals.GAVE_UP,
-            f"the upstream failed and is not tried again: "
+            f"the upstream failed and the request is not retried: "
             f"{answer.reason.value}",
             1.0,
         )
     return answer
 
 
-def spread(
+def send_report(
     context: contexts.Context, report: crashes.Report | None, wait: bool
 ) -> None:
-    """Tell the other entry VMs of a death or a survival.
+    """Send the other entry VMs a report of a crash or a completed suspect.
 
     :param context: the daemon's tasks.
-    :param report: what the desk made of the attempt; None is not told.
-    :param wait: whether to return only when the others know. A caller that
-        gets its answer sends the request again, perhaps to another entry
-        VM, at once, and that VM must know by then.
+    :param report: the dispatcher's report on the attempt; None sends nothing.
+    :param wait: whether to return only when the others have the report. A
+        caller that gets its answer may at once send the request again to
+        another entry VM, which must have the report by then.
     :raises Refusal: when this VM is stopping.
     """
     if report is None:
         return
-    asked = context.fleet.ask(fleet.SpreadCrash(report))
+    future = context.fleet.ask(fleet.SpreadCrash(report))
     if wait:
-        context.answer_of(asked)
+        context.answer_of(future)
 
 
-def await_death_news() -> None:
-    """Wait until the VMs whose requests died with a runner have told of it.
+def wait_for_crash_reports() -> None:
+    """Wait until other entry VMs have reported the crash of a runner.
 
-    A runner that refuses a connection has just died, and one of the requests
-    that it had, perhaps a copy of this one, may be the cause. Sent on at
-    once, before the news of that comes, the copy takes a third runner with
-    it: three copies sent to three VMs within 30 ms did so in 4 of 50 runs.
+    A runner that refuses a connection has probably just crashed. The cause
+    may be one of its requests, possibly a copy of the request to be retried.
+    A retry before the crash reports arrive could crash a further runner:
+    three copies sent to three entry VMs within 30 ms crashed a third runner
+    in 4 of 50 runs.
     """
-    time.sleep(DEATH_NEWS_S)
+    time.sleep(CRASH_REPORT_WAIT_S)
 
 
 def end_trial(
     context: contexts.Context, pool: str, fingerprint: str, request_id: str
 ) -> None:
-    """Tell the judge that the run that it allowed is over.
+    """Tell the judge that the trial that it allowed is over.
 
     :param context: the daemon's tasks.
-    :param pool: the pool that it judges for.
-    :param fingerprint: of the suspect.
-    :param request_id: of the request that was the trial.
+    :param pool: the pool whose judge is told.
+    :param fingerprint: fingerprint of the suspect.
+    :param request_id: ID of the request that ran as the trial.
     """
     over = quarantine.TrialEnded(fingerprint, request_id)
     context.fleet.tell(fleet.TrialDone(pool, over))
--- a/src/apricotlever/daemon/calls.py
+++ b/src/apricotlever/daemon/calls.py
@@ -1,4 +1,4 @@
-"""What this VM answers to the calls of other entry VMs."""
+"""Registers the handlers for calls from other entry VMs."""
 
 import typing
 
@@ -21,7 +21,7 @@
 
 
 class Rooms:
-    """The tasks that answer peers."""
+    """The tasks that answer the calls of peers."""
 
     __slots__ = ("fleet", "watcher", "desk", "heir")
 
@@ -39,23 +39,23 @@
 
 
 def register(
-    handlers: peer_link.Handlers, context: contexts.Context, rooms: Rooms
+    handlers: peer_link.Handlers, context: contexts.Context, tasks: Rooms
 ) -> None:
-    """Register an answer for each method of the service.
+    """Register a handler for each method of the peer service.
 
-    :param handlers: the link's registry.
+    :param handlers: the registry of the peer link.
     :param context: the daemon's tasks.
-    :param rooms: those of them that answer peers.
+    :param tasks: the tasks that answer peers.
     """
     services = service_calls.ServiceCalls(context)
 
     @handlers.register("Gossip")
     def _gossip(message: pb.GossipMessage) -> typing.Any:
-        return rooms.fleet.receive(message)
+        return tasks.fleet.receive(message)
 
     @handlers.register("Fetch")
     def _fetch(message: pb.FetchCatalogue) -> typing.Any:
-        return rooms.watcher.ask(watcher.Serve(message))
+        return tasks.watcher.ask(watcher.Serve(message))
 
     @handlers.register("Run")
     def _run(message: pb.KeyedCall) -> typing.Any:
@@ -65,13 +65,13 @@
 
     @handlers.register("Handover")
     def _handover(message: pb.HandoverPart) -> typing.Any:
-        return rooms.heir.ask(heir.Take(message))
+        return tasks.heir.ask(heir.Take(message))
 
     @handlers.register("Crash")
     def _crash(message: pb.CrashReport) -> typing.Any:
         report = rumours.crash_of(message)
-        asked = rooms.desk.ask(messages.CrashHeard(report))
-        return promises.then(asked, lambda _: pb.CrashReceipt())
+        future = tasks.desk.ask(messages.CrashHeard(report))
+        return promises.then(future, lambda _: pb.CrashReceipt())
 
     @handlers.register("Judge")
     def _judge(message: pb.TrialQuestion) -> typing.Any:
@@ -79,11 +79,11 @@
             report = quarantine.TrialEnded(
                 message.fingerprint, message.request_id
             )
-            over = rooms.desk.ask(messages.TrialOver(report))
-            return promises.then(over, lambda _: pb.TrialAnswer())
+            future = tasks.desk.ask(messages.TrialOver(report))
+            return promises.then(future, lambda _: pb.TrialAnswer())
         question = trials.question_of(message)
-        asked = rooms.desk.ask(messages.Judge(question))
-        return promises.then(asked, trials.verdict_message)
+        future = tasks.desk.ask(messages.Judge(question))
+        return promises.then(future, trials.verdict_message)
 
 
 def run_forwarded(
@@ -95,19 +95,21 @@
 
     :param context: the daemon's tasks.
     :param services: runs the call.
-    :param message: the call; its customer was checked by the sender.
+    :param message: the call; the sender has authenticated its customer.
+    :returns: the answer or refusal for the sender.
     """
     catalogue = context.catalogue
     entry = catalogue.entries.get(message.entry)
     if entry is None:
-        # The key may have run here before; only the ledger could tell.
+        # The call may have run here before. Only the ledger knows, and it
+        # is not asked, so the outcome is reported as unknown.
         refusal = refusals.Refusal(
             refusals.NOT_READY,
-            "the entry is not in force here",
+            "this entry VM's catalogue does not have the entry",
             refusals.Executed.UNKNOWN,
             1.0,
         )
-        return keyed_answers.refusal_message(message.request_id, refusal)
+        return keyed_answers.encode_refusal(message.request_id, refusal)
     now = context.clock.now()
     request = service_request.ServiceRequest(
         message.request_id,
@@ -125,5 +127,5 @@
     try:
         answer = services.run_keyed(request, message.key, False, True)
     except refusals.Refusal as refusal:
-        return keyed_answers.refusal_message(message.request_id, refusal)
-    return keyed_answers.message_of(message.request_id, answer)
+        return keyed_answers.encode_refusal(message.request_id, refusal)
+    return keyed_answers.encode_answer(message.request_id, answer)
--- a/src/apricotlever/daemon/claim_calls.py
+++ b/src/apricotlever/daemon/claim_calls.py
@@ -1,4 +1,4 @@
-"""The claims' reads and writes in the store, and what came of them."""
+"""Reads and writes buckets of key claims in the store."""
 
 from concurrent import futures
 import typing
@@ -13,8 +13,9 @@
 
 
 class BucketRead:
-    """A bucket of claims was read, or not.
+    """The result of reading a bucket of claims.
 
+    :param name: object name of the bucket.
     :param outcome: the Result of the read.
     """
 
@@ -26,8 +27,9 @@
 
 
 class BucketWritten:
-    """A bucket of claims was written, or not.
+    """The result of writing a bucket of claims.
 
+    :param name: object name of the bucket.
     :param outcome: the Result of the write.
     """
 
@@ -39,10 +41,11 @@
 
 
 class ClaimCalls:
-    """Starts the calls that the claims ask for.
+    """Starts the store calls that a ClaimBatcher requests.
 
-    :param store: the task that runs them.
-    :param tell: gets a BucketRead or BucketWritten after each.
+    :param store: the task that runs the calls.
+    :param tell: receives the BucketReadResult or BucketWriteResult of each
+        call, on any thread.
     """
 
     __slots__ = ("_store", "_tell")
@@ -62,9 +65,9 @@
         self._start(call, action.name, BucketRead)
 
     def write(self, action: claims.WriteBucket) -> None:
-        """Start writing a bucket, if it still has the version expected.
+        """Start a write that succeeds only at the expected version.
 
-        :param action: the bucket and what to put there.
+        :param action: the bucket, its new content and the expected version.
         """
         call = stores.write(
             stores.Rank.CLAIM,
@@ -78,55 +81,57 @@
         self,
         call: stores.StoreCall,
         name: str,
-        heard: type[BucketRead] | type[BucketWritten],
+        result_type: type[BucketRead] | type[BucketWritten],
     ) -> None:
-        def ended(future: "futures.Future[typing.Any]") -> None:
+        def on_done(future: "futures.Future[typing.Any]") -> None:
             error = future.exception()
             outcome: typing.Any
             if error is not None:
-                stopped = platform.Unavailable(repr(error))
-                outcome = result.Failure(stopped)
+                unavailable = platform.Unavailable(repr(error))
+                outcome = result.Failure(unavailable)
             else:
                 outcome = future.result()
-            self._tell(heard(name, outcome))
+            self._tell(result_type(name, outcome))
 
-        self._store.ask(call).add_done_callback(ended)
+        self._store.ask(call).add_done_callback(on_done)
 
 
 def after_read(
-    held: claims.ClaimBatcher, message: BucketRead
+    batcher: claims.ClaimBatcher, message: BucketRead
 ) -> list[claims.Action]:
-    """What the claims do after a read.
+    """Pass the result of a read to the claims.
 
-    :param held: the claims.
-    :param message: how the read went.
+    :param batcher: the claims.
+    :param message: the result.
+    :returns: the actions that the claims request next.
     """
     name = message.name
     outcome = message.outcome
     if isinstance(outcome, result.Success):
         stored = outcome.unwrap()
-        return held.on_read(name, stored.version, stored.value)
+        return batcher.on_read(name, stored.version, stored.value)
     if isinstance(outcome.failure(), platform.NotFound):
-        return held.on_missing(name)
-    return held.on_failure(name)
+        return batcher.on_missing(name)
+    return batcher.on_failure(name)
 
 
 def after_write(
-    held: claims.ClaimBatcher, message: BucketWritten
+    batcher: claims.ClaimBatcher, message: BucketWritten
 ) -> list[claims.Action]:
-    """What the claims do after a write.
+    """Pass the result of a write to the claims.
 
-    :param held: the claims.
-    :param message: how the write went.
+    :param batcher: the claims.
+    :param message: the result.
+    :returns: the actions that the claims request next.
     """
     name = message.name
     outcome = message.outcome
     if isinstance(outcome, result.Success):
-        return held.on_written(name, outcome.unwrap().version)
+        return batcher.on_written(name, outcome.unwrap().version)
     match outcome.failure():
         case platform.Conflict():
-            return held.on_conflict(name)
+            return batcher.on_conflict(name)
         case platform.Ambiguous():
-            return held.on_ambiguous_write(name)
+            return batcher.on_ambiguous_write(name)
         case _:
-            return held.on_failure(name)
+            return batcher.on_failure(name)
--- a/src/apricotlever/daemon/desk.py
+++ b/src/apricotlever/daemon/desk.py
@@ -1,7 +1,7 @@
-"""The task that decides about requests: whether, when and where they run.
+"""The task that decides whether, when and where requests run.
 
-It owns admission, routing, the retry budget and the quarantine, and knows
-which request is at which runner. It does no I/O.
+The dispatcher owns admission, routing, the retry budget and the quarantine,
+and tracks which request runs at which runner. It does no I/O.
 """
 
 from concurrent import futures
@@ -32,18 +32,20 @@
 
 Announce = typing.Callable[[pb.Rumour], None]
 
-NEEDED_S = 0.2
-NOT_READY_S = 0.5
+#: Time left to the deadline below which a failed attempt is not retried.
+MIN_RETRY_TIME_S = 0.2
+NOT_READY_RETRY_AFTER_S = 0.5
 
 
 class Desk(mailbox.Task):
-    """Decides about the requests of one entry VM.
+    """Admits the requests of one entry VM and chooses their runners.
 
-    :param rng: spreads probes and choices.
+    :param clock: the source of time.
+    :param rng: randomises probes and routing choices.
     :param vm: this VM's name.
-    :param data_centre: where this VM runs.
-    :param metrics: where counts go.
-    :param announce: spreads a rumour among the entry VMs.
+    :param data_centre: the data centre of this VM.
+    :param metrics: receives the counters.
+    :param announce: sends a rumour to the entry VMs by gossip.
     """
 
     def __init__(
@@ -64,7 +66,7 @@
         self._budget = retry_budget.RetryBudget()
         self._arrivals = demand_meter.DemandMeter(clock, vm)
         self._pools: dict[str, str] = {}
-        self._waiting: dict[str, futures.Future[typing.Any]] = {}
+        self._pending: dict[str, futures.Future[typing.Any]] = {}
         self._placements = placements.Placements(clock, self._router, vm)
         self._suspects = suspects.Suspects(
             clock, self._router, self._placements, metrics, vm
@@ -81,17 +83,17 @@
 
     @mailbox.handles(messages.Admit)
     def _admit(self, message: messages.Admit) -> mailbox.Deferred:
-        self._waiting[message.ticket.request_id] = self.defer()
+        self._pending[message.ticket.request_id] = self.defer()
         self._arrivals.record_arrival(
             self._pools.get(message.ticket.entry, "")
         )
-        self._settle(self._admission.offer(message.ticket))
+        self._resolve(self._admission.offer(message.ticket))
         return mailbox.DEFERRED
 
     @mailbox.handles(messages.Withdraw)
     def _withdraw(self, message: messages.Withdraw) -> None:
-        self._waiting.pop(message.request_id, None)
-        self._settle(self._admission.withdraw(message.request_id))
+        self._pending.pop(message.request_id, None)
+        self._resolve(self._admission.withdraw(message.request_id))
 
     @mailbox.handles(messages.Dispatch)
     def _dispatch(
@@ -100,8 +102,8 @@
         trial = self._suspects.check(message)
         if trial is not None and not message.on_trial:
             return trial
-        route = self._route(message)
-        self._place(message, route.runner)
+        route = self._choose_route(message)
+        self._record_placement(message, route.runner)
         return route
 
     @mailbox.handles(messages.FirstToken)
@@ -117,7 +119,7 @@
         report = None
         if runner is not None and message.crashed:
             report = self._suspects.crashed(runner)
-        self._placements.left(message.request_id)
+        self._placements.remove(message.request_id)
         self._router.request_finished(
             message.request_id, message.outcome, message.tokens
         )
@@ -128,7 +130,7 @@
         self, message: messages.RequestEnded
     ) -> crashes.RequestCompleted | None:
         dispatch = self._placements.dispatch_of(message.request_id)
-        self._placements.left(message.request_id)
+        self._placements.remove(message.request_id)
         self._arrivals.record_end(message.request_id)
         self._router.request_finished(
             message.request_id, message.outcome, message.tokens
@@ -136,7 +138,7 @@
         verdicts = self._admission.finished(
             message.request_id, message.outcome, message.tokens
         )
-        self._settle(verdicts)
+        self._resolve(verdicts)
         done = message.outcome is runners.Outcome.DONE
         if dispatch is None or not done:
             return None
@@ -144,7 +146,7 @@
         return self._suspects.survived(dispatch.fingerprint)
 
     @mailbox.handles(messages.StreamBroke)
-    def _broke(
+    def _decide_recovery(
         self, message: messages.StreamBroke
     ) -> recovery.RecoveryDecision:
         flight = message.flight
@@ -162,7 +164,7 @@
 
     @mailbox.handles(messages.MoveEnded)
     def _move_ended(self, message: messages.MoveEnded) -> None:
-        self._placements.moved(message.tokens, message.seconds)
+        self._placements.record_export(message.tokens, message.seconds)
 
     @mailbox.handles(messages.MayRetry)
     def _may_retry(
@@ -180,20 +182,23 @@
             message.idempotent,
             message.attempts,
             message.left_s,
-            NEEDED_S,
+            MIN_RETRY_TIME_S,
             message.tried,
             takers,
         )
         if message.uncharged:
-            # A runner's death takes its load away with it, and a silent
-            # connection never brought it: neither retry adds any.
-            spare = retry_budget.RetryBudget()
-            most = placements.MOST_ATTEMPTS_AFTER_DEATHS
-            return retry_policy.decide_retry(failure, spare, most)
+            # These retries add no load: a crashed runner's load went with it,
+            # and a silent connection never delivered its call. They get a
+            # fresh budget, so that the shared one is not charged.
+            unshared_budget = retry_budget.RetryBudget()
+            max_attempts = placements.MAX_ATTEMPTS_AFTER_CRASHES
+            return retry_policy.decide_retry(
+                failure, unshared_budget, max_attempts
+            )
         return retry_policy.decide_retry(failure, self._budget)
 
     @mailbox.handles(messages.RunnersListed)
-    def _listed(self, message: messages.RunnersListed) -> None:
+    def _runners_listed(self, message: messages.RunnersListed) -> None:
         before = {runner.name for runner in self._router.runners}
         self._router.set_runners(message.runners)
         after = {runner.name for runner in self._router.runners}
@@ -201,28 +206,28 @@
             logs.event("runner_found", runner=name)
         for name in sorted(before - after):
             logs.event("runner_gone", runner=name)
-        self._size_pools()
+        self._update_pools()
 
     @mailbox.handles(messages.RunnerLeaving)
-    def _leaving(self, message: messages.RunnerLeaving) -> bool:
+    def _runner_leaving(self, message: messages.RunnerLeaving) -> bool:
         name = message.runner
         if self._router.runner(name) is None or self._router.is_leaving(name):
             self._router.mark_leaving(name)
             return False
-        self._placements.taken_in(name, message.left_s)
+        self._placements.set_reclaim_time(name, message.left_s)
         self._router.mark_leaving(name, self._clock.now() + message.left_s)
-        self._size_pools()
+        self._update_pools()
         left_s = round(message.left_s, 3)
         logs.event("runner_leaving", runner=name, left_s=left_s)
         return True
 
     @mailbox.handles(messages.RunnerGone)
-    def _gone(self, message: messages.RunnerGone) -> None:
+    def _runner_gone(self, message: messages.RunnerGone) -> None:
         if self._router.runner(message.runner) is not None:
             logs.event("runner_gone", runner=message.runner)
         self._router.remove_runner(message.runner)
-        self._placements.gone(message.runner)
-        self._size_pools()
+        self._placements.forget_runner(message.runner)
+        self._update_pools()
 
     @mailbox.handles(messages.RunnerWanted)
     def _runner_wanted(
@@ -234,7 +239,7 @@
     def _load_seen(self, message: messages.LoadSeen) -> None:
         self._router.observe_load(message.runner, message.report)
         if message.own:
-            # What others read may be older than the runner's death.
+            # A load that a peer read may be older than the runner's crash.
             self._router.record_success(message.runner)
 
     @mailbox.handles(messages.CacheSeen)
@@ -261,10 +266,10 @@
     def _death_seen(
         self, message: messages.DeathSeen
     ) -> crashes.CrashObservation | None:
-        """A runner died; report it though none of ours ran there.
+        """Report a runner's crash even if no request of this VM ran there.
 
-        The deaths of idle runners show that a data centre is being lost,
-        and that the requests on the others are not to blame.
+        Crashes of idle runners show that a data centre is failing, and that
+        the requests on its other runners did not cause their crashes.
         """
         runner = self._router.runner(message.runner)
         return self._suspects.crashed(runner) if runner else None
@@ -291,15 +296,15 @@
     def _status(self, message: messages.StatusWanted) -> dict[str, object]:
         return {
             "in_flight": len(self._placements),
-            "queued": len(self._waiting),
+            "queued": len(self._pending),
             "runners": [self._runner_row(r) for r in self._router.runners],
             "quarantine": {"deaths": self._suspects.deaths},
             "cost": self._cost_rows(),
         }
 
     def tick(self) -> None:
-        """Settle what time has decided, and empty runners that leave."""
-        self._settle(self._admission.tick())
+        """Apply timeouts, evacuate leaving runners and announce demand."""
+        self._resolve(self._admission.tick())
         self._placements.evacuate()
         self._suspects.tick()
         report = self._admission.take_report()
@@ -310,20 +315,20 @@
             self._announce(rumours.of_arrivals(arrived))
 
     def stopped(self) -> None:
-        """Refuse what still waits."""
-        for request_id in list(self._waiting):
+        """Refuse the requests that still wait for admission."""
+        for request_id in list(self._pending):
             refused = admission.Refused(
                 request_id, admission.RefusalReason.OVERLOAD, 1.0
             )
-            self._settle([refused])
+            self._resolve([refused])
 
     def failed(self, error: Exception) -> None:
-        """Log what no handler foresaw."""
+        """Log an exception that a handler did not catch."""
         logs.event("task_failed", task=self.name, error=repr(error))
 
-    def _settle(self, verdicts: list[admission.Verdict]) -> None:
+    def _resolve(self, verdicts: list[admission.Verdict]) -> None:
         for verdict in verdicts:
-            future = self._waiting.pop(verdict.request_id, None)
+            future = self._pending.pop(verdict.request_id, None)
             if future is None:
                 continue
             if isinstance(verdict, admission.Admitted):
@@ -331,7 +336,7 @@
             else:
                 future.set_exception(verdicts_.refusal_of(verdict))
 
-    def _route(self, message: messages.Dispatch) -> runners.Route:
+    def _choose_route(self, message: messages.Dispatch) -> runners.Route:
         if message.only:
             runner = self._router.runner(message.only)
             if runner is not None:
@@ -339,8 +344,8 @@
         if not self._router.runners:
             raise refusals.Refusal(
                 refusals.NOT_READY,
-                "the runners are not known here yet",
-                retry_after_s=NOT_READY_S,
+                "this entry VM has not received the list of runners yet",
+                retry_after_s=NOT_READY_RETRY_AFTER_S,
             )
         route = self._router.choose(message.query)
         if isinstance(route, runners.NoRunner):
@@ -352,7 +357,7 @@
             )
         return route
 
-    def _place(
+    def _record_placement(
         self, message: messages.Dispatch, runner: runners.Runner
     ) -> None:
         self._placements.place(message, runner)
@@ -361,7 +366,8 @@
             message.request_id, runner.name, message.query
         )
 
-    def _size_pools(self) -> None:
+    def _update_pools(self) -> None:
+        """Pass each pool's slots and price per slot to admission."""
         by_pool: dict[str, list[runners.Runner]] = {}
         for runner in self._router.runners:
             by_pool.setdefault(runner.pool, [])
--- a/src/apricotlever/daemon/gateway.py
+++ b/src/apricotlever/daemon/gateway.py
@@ -1,4 +1,4 @@
-"""The handlers of what callers and operators ask of an entry VM."""
+"""The HTTP handlers of an entry VM, for callers and operators."""
 
 import typing
 
@@ -28,10 +28,10 @@
 
 
 class Gateway:
-    """Answers calls; one instance serves all threads.
+    """Routes HTTP calls to their handlers; one instance serves all threads.
 
     :param context: the daemon's tasks.
-    :param presence: this VM's place among the entry VMs.
+    :param presence: this VM's state among the entry VMs.
     """
 
     def __init__(
@@ -39,18 +39,19 @@
     ) -> None:
         self._context = context
         self._presence = presence
-        self._entrance = admitting.Admitting(context, presence)
+        self._admission = admitting.RequestAdmission(context, presence)
         self._services = service_gateway.ServiceGateway(
-            context, self._entrance
+            context, self._admission
         )
-        self._lookups = lookups.Lookups(context, presence)
+        self._lookups = lookups.RequestLookup(context, presence)
 
     def __call__(
         self, call: caller_server.Call
     ) -> caller_server.Reply | caller_server.StreamingReply:
         """Answer a call.
 
-        :raises Refusal: when it is not run.
+        :param call: the HTTP call.
+        :raises Refusal: when the call is refused.
         """
         try:
             handler, arguments = _routes.find(call)
@@ -88,19 +89,19 @@
         return self._services.answer(call, entry_name, path or "/")
 
     @_routes.register("/v1/keys", "POST")
-    def _keys(self, call: caller_server.Call) -> caller_server.Reply:
-        catalogue = access.catalogue_of(self._context)
-        customer = access.customer_of(catalogue, call)
-        self._entrance.check_serving()
+    def _mint_keys(self, call: caller_server.Call) -> caller_server.Reply:
+        catalogue = access.current_catalogue(self._context)
+        customer = access.authenticate(catalogue, call)
+        self._admission.check_serving()
         document = openai_format.parse_json_object(call.body or b"{}")
         count = document.get("count", 1)
-        whole = isinstance(count, int) and not isinstance(count, bool)
-        if not whole or not 1 <= count <= KEYS_MAX:
+        is_integer = isinstance(count, int) and not isinstance(count, bool)
+        if not is_integer or not 1 <= count <= KEYS_MAX:
             raise refusals.Refusal(
                 refusals.BAD_JSON,
-                f"field count: wanted an integer from 1 to {KEYS_MAX}",
+                f"field count: expected an integer from 1 to {KEYS_MAX}",
             )
-        keys = self._services.mint(customer.name, count)
+        keys = self._services.mint_keys(customer.name, count)
         vm = self._context.config.vm
         return caller_server.json_reply({"keys": keys, "vm": vm})
 
@@ -114,12 +115,12 @@
     def _status(self, call: caller_server.Call) -> caller_server.Reply:
         context = self._context
         access.check_operator(context, call)
-        wanted = messages.StatusWanted()
-        pages = [
-            context.answer_of(task.ask(wanted)) for task in context.reporting
+        question = messages.StatusWanted()
+        sections = [
+            context.answer_of(task.ask(question)) for task in context.reporting
         ]
-        kept = context.answer_of(context.book.ask(book.Count()))
-        running = context.answer_of(
+        ledger_counts = context.answer_of(context.book.ask(book.Count()))
+        running_streams = context.answer_of(
             context.archive.ask(archive.CountRunning())
         )
         document: dict[str, typing.Any] = {
@@ -130,11 +131,14 @@
             "leaving": self._presence.leaving,
             "takes_new_work": self._presence.takes_new_work,
             "peers": self._presence.peers(),
-            "ledger": {"keys": kept[0], "in_flight": kept[1]},
-            "streams": running,
+            "ledger": {
+                "keys": ledger_counts[0],
+                "in_flight": ledger_counts[1],
+            },
+            "streams": running_streams,
         }
-        for page in pages:
-            document.update(page)
+        for section in sections:
+            document.update(section)
         return caller_server.json_reply(document)
 
     @_routes.register("/v1/histograms", "GET")
@@ -148,18 +152,20 @@
         self, call: caller_server.Call, chat: bool
     ) -> caller_server.Reply | caller_server.StreamingReply:
         context = self._context
-        catalogue = access.catalogue_of(context)
-        customer = access.customer_of(catalogue, call)
+        catalogue = access.current_catalogue(context)
+        customer = access.authenticate(catalogue, call)
         request = openai_format.parse_request(call.body, chat)
-        entry = access.entry_of(
+        entry = access.authorized_entry(
             catalogue, customer, request.catalogue_entry, catalogues.KIND_MODEL
         )
-        self._entrance.check_serving()
+        self._admission.check_serving()
         service_class = catalogue.class_of(entry)
-        flight = self._flight(call, customer, entry, service_class, request)
-        self._entrance.admit(_ticket(flight), service_class)
-        room = context.answer_of(context.archive.ask(archive.Open(flight)))
-        if not room:
+        flight = self._new_flight(
+            call, customer, entry, service_class, request
+        )
+        self._admission.admit(_ticket(flight), service_class)
+        accepted = context.answer_of(context.archive.ask(archive.Open(flight)))
+        if not accepted:
             context.desk.tell(messages.Withdraw(flight.request_id))
             raise refusals.Refusal(
                 refusals.OVERLOADED,
@@ -167,10 +173,14 @@
                 retry_after_s=1.0,
                 request_id=flight.request_id,
             )
-        answer = relay.Relay(context, flight)
-        return answer.stream() if request.stream else answer.whole()
+        responder = relay.ModelResponder(context, flight)
+        return (
+            responder.respond_streaming()
+            if request.stream
+            else responder.respond_whole()
+        )
 
-    def _flight(
+    def _new_flight(
         self,
         call: caller_server.Call,
         customer: catalogues.Customer,
@@ -181,7 +191,7 @@
         now = self._context.clock.now()
         return flights.Flight(
             self._context.clock,
-            self._entrance.new_request_id(),
+            self._admission.new_request_id(),
             customer.name,
             entry,
             service_class,
--- a/src/apricotlever/daemon/keyed_answers.py
+++ b/src/apricotlever/daemon/keyed_answers.py
@@ -1,27 +1,30 @@
-"""Keyed answers and refusals as messages between entry VMs, and back."""
+"""Converts answers to keyed calls to and from peer messages."""
 
 from .. import refusals
 from ..links import peer_pb2 as pb
 from ..requests import ledger_messages as keyed
 
-_EXECUTED_IN = {
+_EXECUTED_FROM_WIRE = {
     pb.EXECUTED_UNKNOWN: refusals.Executed.UNKNOWN,
     pb.EXECUTED_NO: refusals.Executed.NO,
     pb.EXECUTED_YES: refusals.Executed.YES,
 }
-_EXECUTED_OUT = {executed: code for code, executed in _EXECUTED_IN.items()}
+_EXECUTED_TO_WIRE = {
+    executed: code for code, executed in _EXECUTED_FROM_WIRE.items()
+}
 
 
-def answer_of(message: pb.KeyedAnswer) -> keyed.Answer:
-    """The answer that the owner of a key gave.
+def decode_answer(message: pb.KeyedAnswer) -> keyed.Answer:
+    """Decode the answer of the entry VM that owns a key.
 
-    :raises Refusal: the one that the owner met.
+    :param message: the owner's message.
+    :raises Refusal: when the message holds a refusal.
     """
     if message.error_type:
         raise refusals.Refusal(
             refusals.kinds().get(message.error_type, refusals.INTERNAL),
             "refused by the entry VM that owns the key",
-            _EXECUTED_IN[message.executed],
+            _EXECUTED_FROM_WIRE[message.executed],
             message.retry_after_s or None,
             message.request_id,
         )
@@ -29,8 +32,12 @@
     return keyed.Answer(message.status, headers, message.body)
 
 
-def message_of(request_id: str, answer: keyed.Answer) -> pb.KeyedAnswer:
-    """An answer for the entry VM that forwarded the call."""
+def encode_answer(request_id: str, answer: keyed.Answer) -> pb.KeyedAnswer:
+    """Encode an answer for the entry VM that forwarded the call.
+
+    :param request_id: the request's ID.
+    :param answer: the answer.
+    """
     return pb.KeyedAnswer(
         request_id=request_id,
         executed=pb.EXECUTED_YES,
@@ -40,13 +47,17 @@
     )
 
 
-def refusal_message(
+def encode_refusal(
     request_id: str, refusal: refusals.Refusal
 ) -> pb.KeyedAnswer:
-    """A refusal for the entry VM that forwarded the call."""
+    """Encode a refusal for the entry VM that forwarded the call.
+
+    :param request_id: the request's ID.
+    :param refusal: the refusal.
+    """
     return pb.KeyedAnswer(
         request_id=request_id,
-        executed=_EXECUTED_OUT[refusal.executed],
+        executed=_EXECUTED_TO_WIRE[refusal.executed],
         error_type=refusal.kind.name,
         retry_after_s=refusal.retry_after_s or 0.0,
     )
--- a/src/apricotlever/daemon/listeners.py
+++ b/src/apricotlever/daemon/listeners.py
@@ -1,4 +1,4 @@
-"""What a daemon does when its fleet changes."""
+"""The interface through which the daemon is notified of fleet changes."""
 
 from concurrent import futures
 import typing
@@ -9,33 +9,61 @@
 
 
 class Listener(typing.Protocol):
-    """What the daemon does when the fleet changes; must return at once."""
+    """Receives notifications of fleet changes; no method may block."""
 
     def on_view(self, view: views.FleetView) -> None:
-        """The members changed."""
+        """Called when the membership has changed.
+
+        :param view: the new membership.
+        """
 
     def on_rumour(self, rumour: pb.Rumour, via: str) -> None:
-        """A rumour came, once."""
+        """Called once for each rumour that arrives by gossip.
+
+        :param rumour: the rumour.
+        :param via: name of the VM that it came from.
+        """
 
     def on_incarnation_ended(self, vm: str, incarnation: int) -> None:
-        """A process of an entry VM is gone for certain."""
+        """Called when a process of an entry VM has certainly ended.
+
+        :param vm: name of the VM.
+        :param incarnation: incarnation of the process.
+        """
 
     def on_joined(self, vm: str) -> None:
-        """A process of an entry VM has joined."""
+        """Called when a process of an entry VM has joined.
+
+        :param vm: name of the VM.
+        """
 
     def on_catalogue_heard(self, version: int, digest: int, vm: str) -> None:
-        """A peer has a newer catalogue."""
+        """Called when a peer has a newer catalogue.
+
+        :param version: version of the peer's catalogue.
+        :param digest: digest of the peer's catalogue.
+        :param vm: name of the peer.
+        """
 
     def on_paused(self, seconds: float) -> None:
-        """This process stood still."""
+        """Called after this process was paused, for example by SIGSTOP.
+
+        :param seconds: duration of the pause.
+        """
 
     def on_superseded(self) -> None:
-        """A newer process runs under this VM's name."""
+        """Called when a newer process runs under this VM's name."""
 
     def judge(
         self, question: quarantine.TrialRequest
     ) -> "futures.Future[quarantine.TrialDecision]":
-        """Decide on a suspect as the judge of its pool."""
+        """Decide, as the judge of its pool, whether a suspect may run.
+
+        :param question: describes the suspect.
+        """
 
     def trial_over(self, report: quarantine.TrialEnded) -> None:
-        """A trial that this VM handed out is over."""
+        """Called when a trial that this VM allowed is over.
+
+        :param report: names the suspect and the request.
+        """
--- a/src/apricotlever/daemon/lookups.py
+++ b/src/apricotlever/daemon/lookups.py
@@ -1,4 +1,4 @@
-"""The handler of callers that come back for a request they made before."""
+"""Handles callers that ask for the outcome or stream of an earlier request."""
 
 import typing
 
@@ -19,11 +19,11 @@
 TOKEN_INDEX_DIGITS_MAX = 9
 
 
-class Lookups:
-    """Finds requests by their IDs, here or elsewhere.
+class RequestLookup:
+    """Finds requests by their IDs, at this or another entry VM.
 
     :param context: the daemon's tasks.
-    :param presence: this VM's place among the entry VMs.
+    :param presence: this VM's state among the entry VMs.
     """
 
     __slots__ = ("_context", "_presence", "_rescues")
@@ -38,73 +38,91 @@
     def answer(
         self, call: caller_server.Call, request_id: str
     ) -> caller_server.Reply:
-        """What became of a request, or the rest of its stream.
+        """Answer with the outcome of a request or the rest of its stream.
 
-        :param call: what the caller sent.
-        :param request_id: the request.
-        :returns: the outcome as JSON, the stream from the token wanted on,
-            or a redirect to the entry VM that has the request.
+        :param call: the HTTP call.
+        :param request_id: the request's ID.
+        :returns: the outcome as JSON, the stream after the ``Last-Event-ID``
+            of the call, or a redirect to the entry VM that has the request.
         :raises Refusal: when this customer has no such request.
         """
-        catalogue = access.catalogue_of(self._context)
-        customer = access.customer_of(catalogue, call)
-        last = _last_event_id(call)
-        resume = archive.Resume(request_id, customer.name, last)
-        asked = self._context.archive.ask(resume)
-        found = self._context.answer_of(asked)
+        catalogue = access.current_catalogue(self._context)
+        customer = access.authenticate(catalogue, call)
+        last_index = _last_event_id(call)
+        resume = archive.Resume(request_id, customer.name, last_index)
+        future = self._context.archive.ask(resume)
+        found = self._context.answer_of(future)
         if found is None:
-            return self._unknown(call, catalogue, customer, request_id, last)
+            return self._find_elsewhere(
+                call, catalogue, customer, request_id, last_index
+            )
         if isinstance(found.resumed, records.ResumeMoved):
-            return relay.redirect(request_id, found.resumed.vm)
+            return relay.redirect_reply(request_id, found.resumed.vm)
         wants_stream = relay.STREAM_TYPE in call.header("Accept")
-        if last is not None or wants_stream:
-            return _resumed(call, found, last)
-        return caller_server.json_reply(_described(found))
+        if last_index is not None or wants_stream:
+            return _stream_reply(call, found, last_index)
+        return caller_server.json_reply(_describe(found))
 
-    def _unknown(
+    def _find_elsewhere(
         self,
         call: caller_server.Call,
         catalogue: catalogues.Catalogue,
         customer: catalogues.Customer,
         request_id: str,
-        last: int | None,
+        last_index: int | None,
     ) -> caller_server.Reply:
-        """A request that another entry VM took, living or dead."""
+        """Answer for a request that another entry VM accepted.
+
+        :param call: the HTTP call.
+        :param catalogue: the catalogue that the call is held to.
+        :param customer: the caller's customer.
+        :param request_id: the request's ID.
+        :param last_index: index of the last token that the caller has, or
+            None.
+        :returns: a redirect to that VM, or the stream, when that VM has
+            ended and the runner still has the stream.
+        :raises Refusal: when neither the request nor its stream is found.
+        """
         owner = self._presence.owner_of(request_id)
         if owner:
-            return relay.redirect(request_id, owner)
-        ticket = resumption.decode(call.header(resumption.HEADER), customer)
-        if ticket is None or ticket.request_id != request_id:
+            return relay.redirect_reply(request_id, owner)
+        payload = resumption.decode(call.header(resumption.HEADER), customer)
+        if payload is None or payload.request_id != request_id:
             raise refusals.Refusal(
                 refusals.NOT_FOUND,
-                "no such request of this customer is known here",
+                "this entry VM knows no such request of this customer",
                 refusals.Executed.UNKNOWN,
                 request_id=request_id,
             )
-        flight = self._rescues.rescue(ticket, catalogue, customer)
+        flight = self._rescues.rescue(payload, catalogue, customer)
         headers = relay.answer_headers(request_id, relay.STREAM_TYPE)
-        events = relay.follow(flight, _start(last), call.is_disconnected)
+        events = relay.follow_stream(
+            flight, _first_index(last_index), call.is_disconnected
+        )
         return caller_server.Reply(200, headers, events)
 
 
-def _start(last: int | None) -> int:
-    """The index of the first token wanted."""
-    return 0 if last is None else last + 1
+def _first_index(last_index: int | None) -> int:
+    """The index of the first token to send.
+
+    :param last_index: index of the last token that the caller has, or None.
+    """
+    return 0 if last_index is None else last_index + 1
 
 
-def _resumed(
-    call: caller_server.Call, found: archive.Found, last: int | None
+def _stream_reply(
+    call: caller_server.Call, found: archive.Found, last_index: int | None
 ) -> caller_server.Reply:
     record = found.record
     headers = relay.answer_headers(record.request_id, relay.STREAM_TYPE)
-    start = _start(last)
+    start = _first_index(last_index)
     if found.flight is not None:
-        events = relay.follow(found.flight, start, call.is_disconnected)
+        events = relay.follow_stream(found.flight, start, call.is_disconnected)
         return caller_server.Reply(200, headers, events)
     if record.state is records.RequestState.RUNNING:
         raise refusals.Refusal(
             refusals.LEAVING,
-            "the request is being taken over; ask again",
+            "the request is moving between entry VMs; ask again",
             refusals.Executed.UNKNOWN,
             0.2,
             record.request_id,
@@ -114,22 +132,23 @@
         for index, token in enumerate(record.tokens)
         if index >= start
     )
-    return caller_server.Reply(200, headers, body + _last_event(record))
+    return caller_server.Reply(200, headers, body + _final_event(record))
 
 
 def _last_event_id(call: caller_server.Call) -> int | None:
     text = call.header("Last-Event-ID")
     if not text:
         return None
-    digits = text.isascii() and text.isdigit()
-    if not digits or len(text) > TOKEN_INDEX_DIGITS_MAX:
+    is_number = text.isascii() and text.isdigit()
+    if not is_number or len(text) > TOKEN_INDEX_DIGITS_MAX:
         raise refusals.Refusal(
-            refusals.BAD_REQUEST, "Last-Event-ID: wanted a token's index"
+            refusals.BAD_REQUEST,
+            "Last-Event-ID: expected the index of a token",
         )
     return int(text)
 
 
-def _last_event(record: records.RequestRecord) -> bytes:
+def _final_event(record: records.RequestRecord) -> bytes:
     outcome = record.outcome
     if outcome is None or outcome.error is None:
         return openai_format.DONE_EVENT
@@ -140,7 +159,7 @@
     )
 
 
-def _described(found: archive.Found) -> dict[str, typing.Any]:
+def _describe(found: archive.Found) -> dict[str, typing.Any]:
     """The outcome of a request as JSON."""
     record = found.record
     flight = found.flight
--- a/src/apricotlever/daemon/placements.py
+++ b/src/apricotlever/daemon/placements.py
@@ -1,6 +1,6 @@
-"""Which request is at which runner, and what becomes of it there.
+"""Tracks which request runs at which runner and plans evacuations.
 
-Part of the desk's state: a class without I/O, which the desk drives.
+Part of the dispatcher's state; does no I/O.
 """
 
 from .. import clock as clocks
@@ -14,16 +14,20 @@
 from . import flights
 from . import messages
 
-#: Recoveries of a stream are bounded by its deadline; this only stops a
-#: request that no runner finishes from trying for ever.
-MOST_ATTEMPTS_AFTER_DEATHS = 12
-CANDIDATES = 8
+#: The deadline of a stream bounds its recoveries. This limit only keeps a
+#: request that no runner can finish from being retried for ever.
+MAX_ATTEMPTS_AFTER_CRASHES = 12
+MAX_CANDIDATES = 8
 
 
-class _Placed:
+class _Placement:
     """A request at a runner.
 
-    :param moving_to: the runner that its stream is on the way to, or empty.
+    ``moving_to`` names the runner that the stream is moving to; it is empty
+    when the stream is not moving.
+
+    :param dispatch: the message that placed the request.
+    :param runner: the runner that has the request.
     """
 
     __slots__ = ("dispatch", "runner", "moving_to")
@@ -37,19 +41,20 @@
 
 
 class Placements:
-    """The requests of one entry VM at their runners.
+    """Tracks the requests of one entry VM at their runners.
 
-    :param router: knows the runners.
-    :param vm: this VM's name, for reports of deaths.
+    :param clock: the source of time.
+    :param router: knows the runners and their load.
+    :param vm: this VM's name, for crash reports.
     """
 
     __slots__ = (
         "_clock",
         "_router",
         "_vm",
-        "_placed",
-        "_reported",
-        "_taken_at",
+        "_placements",
+        "_reported_at",
+        "_reclaimed_at",
         "_export_times",
     )
 
@@ -59,47 +64,52 @@
         self._clock = clock
         self._router = router
         self._vm = vm
-        self._placed: dict[str, _Placed] = {}
-        self._reported: dict[str, float] = {}
-        self._taken_at: dict[str, float] = {}
+        self._placements: dict[str, _Placement] = {}
+        self._reported_at: dict[str, float] = {}
+        self._reclaimed_at: dict[str, float] = {}
         self._export_times = export_time_estimator.ExportTimeEstimator()
 
     def __len__(self) -> int:
-        return len(self._placed)
+        return len(self._placements)
 
     def place(
         self, dispatch: messages.Dispatch, runner: runners.Runner
     ) -> None:
-        """A request goes to a runner."""
-        self._placed[dispatch.request_id] = _Placed(dispatch, runner)
+        """Record that a request was sent to a runner."""
+        self._placements[dispatch.request_id] = _Placement(dispatch, runner)
 
     def runner_of(self, request_id: str) -> runners.Runner | None:
-        """Where a request is, or None."""
-        placed = self._placed.get(request_id)
-        return placed.runner if placed else None
+        """The runner that has a request, or None."""
+        placement = self._placements.get(request_id)
+        return placement.runner if placement else None
 
     def dispatch_of(self, request_id: str) -> messages.Dispatch | None:
-        """How a request was sent, or None."""
-        placed = self._placed.get(request_id)
-        return placed.dispatch if placed else None
+        """The message that placed a request, or None."""
+        placement = self._placements.get(request_id)
+        return placement.dispatch if placement else None
 
-    def left(self, request_id: str) -> None:
-        """A request is no longer at its runner."""
-        self._placed.pop(request_id, None)
+    def remove(self, request_id: str) -> None:
+        """Record that a request is no longer at its runner."""
+        self._placements.pop(request_id, None)
 
-    def taken_in(self, runner: str, left_s: float) -> None:
-        """A runner will be taken.
+    def set_reclaim_time(self, runner: str, left_s: float) -> None:
+        """Record when a runner will be reclaimed.
 
+        :param runner: name of the runner.
         :param left_s: seconds until then.
         """
-        self._taken_at[runner] = self._clock.now() + left_s
+        self._reclaimed_at[runner] = self._clock.now() + left_s
+
+    def forget_runner(self, runner: str) -> None:
+        """Forget the reclaim time of a runner that has ended."""
+        self._reclaimed_at.pop(runner, None)
 
-    def gone(self, runner: str) -> None:
-        """A runner has ended."""
-        self._taken_at.pop(runner, None)
+    def record_export(self, tokens: int, seconds: float | None) -> None:
+        """Record how long moving a stream's state took.
 
-    def moved(self, tokens: int, seconds: float | None) -> None:
-        """A stream's state was moved, or not, if it took None."""
+        :param tokens: length of the prompt and the answer so far.
+        :param seconds: duration of the move; None when it failed.
+        """
         if seconds is None:
             self._export_times.observe_timeout()
         else:
@@ -108,71 +118,79 @@
     def crashed(
         self, runner: runners.Runner
     ) -> crashes.CrashObservation | None:
-        """Put a runner's death on record, once for all its requests."""
+        """Record a runner's crash.
+
+        Each request at the runner may report the same crash; only the first
+        report in a window counts.
+
+        :param runner: the runner that crashed.
+        :returns: the report to send to the other entry VMs; None when the
+            crash was reported already.
+        """
         now = self._clock.now()
-        told_at = self._reported.get(runner.name, float("-inf"))
-        charges = tuple(
+        reported_at = self._reported_at.get(runner.name, float("-inf"))
+        suspects = tuple(
             crashes.SuspectRequest(
-                placed.dispatch.fingerprint,
-                placed.dispatch.request_id,
-                placed.dispatch.attempt,
-                placed.dispatch.on_trial,
+                placement.dispatch.fingerprint,
+                placement.dispatch.request_id,
+                placement.dispatch.attempt,
+                placement.dispatch.on_trial,
             )
-            for placed in self._placed.values()
-            if placed.runner.name == runner.name
+            for placement in self._placements.values()
+            if placement.runner.name == runner.name
         )
         noticed = self._router.is_leaving(runner.name)
         self._router.runner_crashed(runner.name)
         report = crashes.CrashObservation(
-            self._vm, runner.name, runner.data_centre, 0.0, noticed, charges
+            self._vm, runner.name, runner.data_centre, 0.0, noticed, suspects
         )
-        if now - told_at < crashes.SAME_CRASH_WINDOW_S:
+        if now - reported_at < crashes.SAME_CRASH_WINDOW_S:
             return None
-        self._reported[runner.name] = now
+        self._reported_at[runner.name] = now
         return report
 
     def evacuate(self) -> None:
-        """Decide about every stream on a runner that will be taken.
+        """Decide about every stream on a runner that will be reclaimed.
 
-        All streams of a wave are decided together, so that they do not meet
-        at the one runner that looked emptiest to each of them.
+        All streams are planned together. Planned one by one, they would all
+        choose the runner with the most free slots.
         """
-        if not self._taken_at:
+        if not self._reclaimed_at:
             return
-        placed = [
-            each
-            for each in self._placed.values()
-            if each.runner.name in self._taken_at
-            and each.dispatch.flight is not None
+        affected = [
+            placement
+            for placement in self._placements.values()
+            if placement.runner.name in self._reclaimed_at
+            and placement.dispatch.flight is not None
         ]
         candidates: dict[str, list[recovery.Candidate]] = {}
         situations = []
-        for each in placed:
-            flight = each.dispatch.flight
+        for placement in affected:
+            flight = placement.dispatch.flight
             assert flight is not None
             pool = flight.entry.pool
             if pool not in candidates:
                 candidates[pool] = self.candidates(flight, frozenset())
             situation = self.situation(
                 flight,
-                each.runner,
+                placement.runner,
                 recovery.RecoveryCause.NOTICE,
                 candidates[pool],
             )
-            situation.moving_to = each.moving_to
+            situation.moving_to = placement.moving_to
             situations.append(situation)
         for move in evacuation.plan_evacuation(situations):
-            self._move(self._placed[move.request_id], move.decision)
+            self._apply_move(self._placements[move.request_id], move.decision)
 
-    def _move(
-        self, placed: _Placed, decision: recovery.RecoveryDecision
+    def _apply_move(
+        self, placement: _Placement, decision: recovery.RecoveryDecision
     ) -> None:
         if not isinstance(decision, (recovery.ExportTo, recovery.Replay)):
             return
-        flight = placed.dispatch.flight
+        flight = placement.dispatch.flight
         assert flight is not None
-        if flight.decide(placed.runner.name, decision):
-            placed.moving_to = decision.runner
+        if flight.decide(placement.runner.name, decision):
+            placement.moving_to = decision.runner
 
     def situation(
         self,
@@ -183,10 +201,20 @@
         failures: int = 0,
         same_runner: int = 0,
     ) -> recovery.AffectedStream:
+        """Describe a stream that needs a recovery decision.
+
+        :param flight: the request.
+        :param runner: the runner that has the stream.
+        :param cause: why the stream needs a decision.
+        :param candidates: the runners that it may move to.
+        :param failures: how many attempts have failed.
+        :param same_runner: how often in a row the stream was resumed at its
+            runner without a new token.
+        """
         sent = flight.transcript.tokens()
         tokens = flight.request.prompt_tokens + len(sent)
         left = flight.request.max_tokens - len(sent)
-        taken_at = self._taken_at.get(runner.name, float("inf"))
+        reclaimed_at = self._reclaimed_at.get(runner.name, float("inf"))
         return recovery.AffectedStream(
             flight.request_id,
             cause,
@@ -195,11 +223,11 @@
             flight.request.prompt_tokens,
             sent,
             left * flight.service_class.between_tokens_s,
-            taken_at - self._clock.now(),
+            reclaimed_at - self._clock.now(),
             self._export_times.estimate_s(tokens),
             flight.left_s,
             failures,
-            MOST_ATTEMPTS_AFTER_DEATHS,
+            MAX_ATTEMPTS_AFTER_CRASHES,
             same_runner,
             "",
             candidates,
@@ -208,21 +236,26 @@
     def candidates(
         self, flight: flights.Flight, excluded: frozenset[str]
     ) -> list[recovery.Candidate]:
-        doomed = self._doomed()
-        routes = self._router.ranked(flight.query(excluded), CANDIDATES)
+        """The best runners that a stream may move to, best first.
+
+        :param flight: the request.
+        :param excluded: names of runners that the stream must not move to.
+        """
+        being_lost = self._data_centres_being_lost()
+        routes = self._router.ranked(flight.query(excluded), MAX_CANDIDATES)
         return [
             recovery.Candidate(
                 route.runner.name,
                 route.runner.data_centre,
                 route.runner.slots
                 - self._router.own_in_flight(route.runner.name),
-                route.runner.data_centre in doomed,
+                route.runner.data_centre in being_lost,
             )
             for route in routes
         ]
 
-    def _doomed(self) -> set[str]:
-        """Data centres that are losing most of their runners."""
+    def _data_centres_being_lost(self) -> set[str]:
+        """Data centres more than half of whose known runners are leaving."""
         known: dict[str, list[bool]] = {}
         for runner in self._router.runners:
             leaving = self._router.is_leaving(runner.name)
--- a/src/apricotlever/daemon/placing.py
+++ b/src/apricotlever/daemon/placing.py
@@ -1,4 +1,4 @@
-"""Finds a runner for an attempt: the desk's choice, or a judge's trial."""
+"""Selects the runner of an attempt, with a trial for suspect requests."""
 
 import time
 import typing
@@ -17,11 +17,12 @@
 ]
 
 
-class Placed:
-    """Where an attempt goes.
+class RunnerSelection:
+    """The runner that was selected for an attempt.
 
-    :param route: the runner and what is expected of it.
-    :param on_trial: whether a judge chose it for a suspect.
+    :param route: the runner and its expected performance.
+    :param on_trial: whether the attempt is a suspect's run that a judge
+        allowed.
     """
 
     __slots__ = ("route", "on_trial")
@@ -31,12 +32,13 @@
         self.on_trial = on_trial
 
 
-class Placing:
-    """Places the attempts of one request.
+class RunnerSelector:
+    """Selects the runners of one request's attempts.
 
     :param context: the daemon's tasks.
-    :param deadline: of the request, on this VM's clock.
-    :param refusal: a refusal that tells the truth about this request.
+    :param deadline: the request's deadline, on this VM's clock.
+    :param refusal: makes a refusal that states whether the request was
+        executed.
     """
 
     __slots__ = ("_context", "_deadline", "_refusal")
@@ -51,24 +53,27 @@
         self._deadline = deadline
         self._refusal = refusal
 
-    def place(self, dispatch: DispatchOf, only: str = "") -> Placed:
-        """Ask the desk, and the judge if the request is a suspect.
+    def select(self, dispatch: DispatchOf, only: str = "") -> RunnerSelection:
+        """Ask the dispatcher, and the judge if the request is a suspect.
 
-        :param dispatch: makes the question to the desk from the runner
-            that is wanted and whether that is a trial.
-        :param only: the runner wanted, or empty.
-        :raises Refusal: when there is no runner, or none is allowed.
+        :param dispatch: makes the message to the dispatcher from the name of
+            the required runner and whether the run is a trial.
+        :param only: name of the required runner; empty for any.
+        :returns: the selected runner.
+        :raises Refusal: when no runner is available or allowed.
         """
         on_trial = False
         while True:
-            answer = self._asked(dispatch(only, on_trial))
+            answer = self._ask_dispatcher(dispatch(only, on_trial))
             if isinstance(answer, runners.Route):
-                return Placed(answer, on_trial)
+                return RunnerSelection(answer, on_trial)
             question = fleet.AskJudge(answer.pool, answer.question)
-            asked = self._context.fleet.ask(question)
-            only, on_trial = self._obey(self._context.answer_of(asked))
+            future = self._context.fleet.ask(question)
+            only, on_trial = self._apply_verdict(
+                self._context.answer_of(future)
+            )
 
-    def _asked(
+    def _ask_dispatcher(
         self, dispatch: messages.Dispatch
     ) -> runners.Route | messages.TrialWanted:
         try:
@@ -78,8 +83,15 @@
                 refusal.kind, refusal.message, refusal.retry_after_s
             ) from refusal
 
-    def _obey(self, verdict: quarantine.TrialDecision) -> tuple[str, bool]:
-        """What a judge's verdict means for the next question to the desk."""
+    def _apply_verdict(
+        self, verdict: quarantine.TrialDecision
+    ) -> tuple[str, bool]:
+        """Turn a judge's verdict into the next message to the dispatcher.
+
+        :returns: the name of the required runner, empty for any, and whether
+            the run is a trial.
+        :raises Refusal: when the request may not run before its deadline.
+        """
         if isinstance(verdict, quarantine.RejectRequest):
             raise self._refusal(
                 refusals.QUARANTINED,
@@ -93,7 +105,7 @@
         if self._deadline - self._context.clock.now() < verdict.retry_after_s:
             raise self._refusal(
                 refusals.QUARANTINED,
-                "a like request is being tried elsewhere",
+                "a similar request is on trial at another runner",
                 verdict.retry_after_s,
             )
         time.sleep(verdict.retry_after_s)
--- a/src/apricotlever/daemon/pump.py
+++ b/src/apricotlever/daemon/pump.py
@@ -1,8 +1,8 @@
-"""Reads one answer from its runners, whatever happens to them.
+"""Reads one model answer from its runners and recovers from their failures.
 
-A pump belongs to one thread. It opens attempts one after the other, takes
-each token exactly once and in order, and leaves a runner that is taken
-before its time is over.
+An AnswerReader belongs to one thread. It makes one attempt at a time, accepts
+each token exactly once and in order, and moves away from a runner before that
+runner is reclaimed.
 """
 
 import contextlib
@@ -22,34 +22,38 @@
 from . import messages
 from . import sources
 
-#: Distinct times between tokens that wait to be recorded together.
-GAPS_HELD = 24
-GAP_PATIENCE = 15
-LEAST_PATIENCE_S = 1.0
-_ID = b"id: "
-_DONE = b"data: [DONE]"
-_END = openai_format.EVENT_END
+#: Distinct gaps between tokens that are buffered before they are recorded.
+MAX_BUFFERED_GAPS = 24
+#: A stream counts as broken after a silence of this many times the target
+#: gap between tokens of its class.
+SILENCE_TIMEOUT_FACTOR = 15
+MIN_SILENCE_TIMEOUT_S = 1.0
+_ID_PREFIX = b"id: "
+_DONE_DATA = b"data: [DONE]"
+_EVENT_END = openai_format.EVENT_END
 
 Sink = typing.Callable[[bytes], None]
 
 
-def _drop(data: bytes) -> None:
-    """The sink when nobody listens: the transcript keeps the events."""
+def _discard(data: bytes) -> None:
+    """Sink used until a caller reads: only the transcript keeps the events."""
 
 
-class Moved(Exception):
-    """Another entry VM has taken the request over."""
+class RequestMoved(Exception):
+    """Raised when another entry VM has taken over the request."""
 
 
 class Pump:
-    """The tokens of one answer.
+    """Reads the tokens of one answer.
 
-    First :meth:`first`, then :meth:`rest`. After
-    :class:`.callers.CallerGone` the rest may be asked for again.
+    Call :meth:`read_first`, then :meth:`read_rest`. After
+    :class:`.caller_server.CallerDisconnected`, :meth:`read_rest` may be
+    called again.
 
     :param context: the daemon's tasks.
     :param flight: the request.
-    :param runner: where the stream already runs, after a handover.
+    :param runner: the runner that already runs the stream, when the request
+        comes from another entry VM; None for a new request.
     """
 
     def __init__(
@@ -60,120 +64,123 @@
     ) -> None:
         self._context = context
         self._flight = flight
-        self._sources = sources.Sources(context, flight)
+        self._attempts = sources.ModelAttempts(context, flight)
         self._cursor = stream_cursor.StreamCursor(
             flight.attempt, flight.resume_from
         )
         self._failures = 0
-        self._same_runner = 0
-        self._broken_from = -1
+        self._stuck_resumptions = 0
+        self._last_broken_index = -1
         self._tried: frozenset[str] = frozenset()
-        self._step: recovery.RecoveryDecision | None = None
+        self._decision: recovery.RecoveryDecision | None = None
         if runner is not None:
             flight.runner = runner
-            self._step = recovery.Reconnect(runner.name, flight.resume_from)
-        self._gaps = context.histograms.distribution(
+            self._decision = recovery.Reconnect(
+                runner.name, flight.resume_from
+            )
+        self._gap_distribution = context.histograms.distribution(
             histograms.BETWEEN_TOKENS,
             flight.customer,
             flight.service_class.name,
         )
         self._gap_counts: dict[int, int] = {}
-        self._last_at = 0.0
-        self._awaited = b"id: %d\n" % flight.resume_from
+        self._last_token_at = 0.0
+        self._expected_prefix = b"id: %d\n" % flight.resume_from
         self._exchange: upstream_exchange.Exchange | None = None
-        self._unread = b""
-        self._whole = False
-        self._sink: Sink = _drop
+        self._partial_event = b""
+        self._complete = False
+        self._sink: Sink = _discard
         self._linger_until = float("inf")
 
     @property
     def flight(self) -> flights.Flight:
-        """The request that is pumped."""
+        """The request whose answer is read."""
         return self._flight
 
-    def first(self) -> bytes:
+    def read_first(self) -> bytes:
         """Wait for the first events of the answer.
 
+        :returns: the first events, ready to pass on.
         :raises Refusal: when the request is given up.
-        :raises Moved: when another entry VM goes on with it.
+        :raises RequestMoved: when another entry VM has taken it over.
         """
-        with self._ending():
+        with self._reporting_refusal():
             while True:
                 try:
-                    return self._open()
+                    return self._open_attempt()
                 except upstream_exchange.UpstreamError as error:
-                    self._step = self._after(error)
-
-    def rest(self, sink: Sink, linger_s: float = float("inf")) -> None:
-        """Pass on the events that follow, until the answer is whole.
-
-        :param sink: gets one or more events at a time, on any thread; must
-            not block.
-        :param linger_s: nobody listens; the request is given up after this
-            time, unless a caller comes back.
-        :raises Refusal: when the request is given up; what was passed on
-            before stays valid.
-        :raises Moved: when another entry VM goes on with it.
-        :raises CallerGone: from the sink; the request still runs.
+                    self._decision = self._decide_after(error)
+
+    def read_rest(self, sink: Sink, linger_s: float = float("inf")) -> None:
+        """Pass on the remaining events until the answer is complete.
+
+        :param sink: receives one or more events per call, on any thread;
+            must not block.
+        :param linger_s: seconds after which the request is cancelled when no
+            caller follows its transcript; infinite while a caller reads.
+        :raises Refusal: when the request is given up; events passed on
+            before stay valid.
+        :raises RequestMoved: when another entry VM has taken it over.
+        :raises CallerDisconnected: from the sink; the request still runs.
         """
         self._sink = sink
         self._linger_until = self._context.clock.now() + linger_s
-        with self._ending():
-            while not self._whole:
+        with self._reporting_refusal():
+            while not self._complete:
                 try:
-                    self._go_on()
+                    self._read_more()
                 except upstream_exchange.UpstreamError as error:
                     self._exchange = None
-                    self._step = self._after(error)
+                    self._decision = self._decide_after(error)
         if self._exchange is not None:
             self._exchange.finish()
-        self._end(runners.Outcome.DONE, "done")
+        self._report_end(runners.Outcome.DONE, "done")
 
     @contextlib.contextmanager
-    def _ending(self) -> typing.Iterator[None]:
-        """Report the end of a request that is not answered here."""
+    def _reporting_refusal(self) -> typing.Iterator[None]:
+        """Report the end of a request that is refused or moved."""
         try:
             yield
         except refusals.Refusal as refusal:
-            # A body that a runner refuses tells nothing about the runner.
-            blamed = refusal.kind is not refusals.BAD_REQUEST
+            # The runner is not at fault when it refuses a malformed body.
+            runner_failed = refusal.kind is not refusals.BAD_REQUEST
             failed = runners.Outcome.FAILED
-            outcome = failed if blamed else runners.Outcome.CANCELLED
-            self._end(outcome, refusal.kind.name)
+            outcome = failed if runner_failed else runners.Outcome.CANCELLED
+            self._report_end(outcome, refusal.kind.name)
             raise
-        except Moved:
-            self._end(runners.Outcome.CANCELLED, "moved")
+        except RequestMoved:
+            self._report_end(runners.Outcome.CANCELLED, "moved")
             raise
 
-    def _open(self) -> bytes:
-        """Open the next attempt and take its first events."""
-        self._unread = b""
-        exchange = self._sources.open(self._step, self._tried)
+    def _open_attempt(self) -> bytes:
+        """Make the next attempt and read its first events."""
+        self._partial_event = b""
+        exchange = self._attempts.open(self._decision, self._tried)
         self._cursor.start_attempt(self._flight.attempt)
         self._exchange = exchange
         fresh = b""
-        while not fresh and not self._whole:
+        while not fresh and not self._complete:
             chunk = exchange.read_chunk()
             if not chunk:
                 exchange.abandon()
                 raise upstream_exchange.ConnectionBroken(
                     "the stream ended early", sent=True
                 )
-            fresh = self._take(chunk)
-        exchange.set_read_timeout(self._patience_s())
+            fresh = self._accept_data(chunk)
+        exchange.set_read_timeout(self._silence_timeout_s())
         return fresh
 
-    def _go_on(self) -> None:
+    def _read_more(self) -> None:
         exchange = self._exchange
         if exchange is None:
-            self._sink(self._open())
+            self._sink(self._open_attempt())
             return
         sock = exchange.raw_socket
         if sock is None:
-            self._read_framed(exchange)
+            self._read_http_framed(exchange)
             return
         reading = self._context.streams.read(
-            sock, exchange.address, self._patience_s(), self._heard
+            sock, exchange.address, self._silence_timeout_s(), self._on_data
         )
         try:
             reading.result()
@@ -181,94 +188,98 @@
             exchange.abandon()
             raise
 
-    def _read_framed(self, exchange: upstream_exchange.Exchange) -> None:
-        """Read an answer whose framing http.client has to undo."""
-        while not self._whole:
+    def _read_http_framed(self, exchange: upstream_exchange.Exchange) -> None:
+        """Read an answer through http.client, which decodes its framing."""
+        while not self._complete:
             chunk = exchange.read_chunk()
             if not chunk:
                 exchange.abandon()
                 raise upstream_exchange.ConnectionBroken(
                     "the stream ended early", sent=True
                 )
-            self._heard(chunk)
+            self._on_data(chunk)
 
-    def _heard(self, data: bytes) -> bool:
-        fresh = self._take(data)
+    def _on_data(self, data: bytes) -> bool:
+        fresh = self._accept_data(data)
         if fresh:
             self._sink(fresh)
-        overdue = self._last_at > self._linger_until
+        overdue = self._last_token_at > self._linger_until
         if overdue and not self._flight.transcript.followed:
             self._flight.cancel()
-        return self._whole
+        return self._complete
 
-    def _take(self, data: bytes) -> bytes:
+    def _accept_data(self, data: bytes) -> bytes:
         """Accept events, each token once and in order.
 
-        :returns: the bytes to pass on.
+        :param data: bytes as read; may end in the middle of an event.
+        :returns: the accepted events, to be passed on.
+        :raises ConnectionBroken: when a token or the whole answer is missing.
         """
-        if not self._unread and data.startswith(self._awaited):
-            # Nearly every read is one whole event, the one awaited.
-            if data.find(openai_format.EVENT_END) == len(data) - len(_END):
-                self._accept(data)
-                self._timed()
+        if not self._partial_event and data.startswith(self._expected_prefix):
+            # Fast path: nearly every read returns exactly the next event.
+            if data.find(openai_format.EVENT_END) == len(data) - len(
+                _EVENT_END
+            ):
+                self._accept_expected(data)
+                self._record_token_time()
                 return data
-        *events, self._unread = (self._unread + data).split(
+        *events, self._partial_event = (self._partial_event + data).split(
             openai_format.EVENT_END
         )
         before = self._cursor.next_index
         for event in events:
-            self._take_one(event)
+            self._accept_event(event)
         accepted = self._flight.transcript.events(before)
         if accepted:
-            self._timed()
-        if self._whole and not self._flight.resume_from:
-            self._whole = False
+            self._record_token_time()
+        if self._complete and not self._flight.resume_from:
+            self._complete = False
             raise upstream_exchange.ConnectionBroken(
                 "the answer is empty", sent=True
             )
         return b"".join(accepted)
 
-    def _take_one(self, event: bytes) -> None:
-        if not event.startswith(_ID):
-            self._whole |= event.startswith(_DONE)
+    def _accept_event(self, event: bytes) -> None:
+        if not event.startswith(_ID_PREFIX):
+            self._complete |= event.startswith(_DONE_DATA)
             return
-        index = int(event[len(_ID) : event.index(b"\n")])
+        index = int(event[len(_ID_PREFIX) : event.index(b"\n")])
         verdict = self._cursor.offer(self._flight.attempt, index)
         if verdict == stream_cursor.GAP:
             raise upstream_exchange.ConnectionBroken(
                 "a token is missing", sent=True
             )
         if verdict == stream_cursor.ACCEPTED:
-            self._keep(event + openai_format.EVENT_END)
+            self._append(event + openai_format.EVENT_END)
 
-    def _accept(self, event: bytes) -> None:
+    def _accept_expected(self, event: bytes) -> None:
         flight = self._flight
         self._cursor.offer(flight.attempt, self._cursor.next_index)
-        self._keep(event)
+        self._append(event)
 
-    def _keep(self, event: bytes) -> None:
+    def _append(self, event: bytes) -> None:
         self._flight.transcript.append(event)
-        self._awaited = b"id: %d\n" % self._cursor.next_index
+        self._expected_prefix = b"id: %d\n" % self._cursor.next_index
 
-    def _timed(self) -> None:
+    def _record_token_time(self) -> None:
         now = self._context.clock.now()
-        if self._last_at:
+        if self._last_token_at:
             gap_us = histograms.rounded_down_us(
-                int((now - self._last_at) * 1e6)
+                int((now - self._last_token_at) * 1e6)
             )
             counts = self._gap_counts
             counts[gap_us] = counts.get(gap_us, 0) + 1
-            if len(counts) >= GAPS_HELD:
+            if len(counts) >= MAX_BUFFERED_GAPS:
                 self._record_gaps()
         elif self._flight.first_token_at is None:
-            self._first(now)
-        self._last_at = now
+            self._record_first_token(now)
+        self._last_token_at = now
 
     def _record_gaps(self) -> None:
         counts, self._gap_counts = self._gap_counts, {}
-        self._gaps.record_counts(counts)
+        self._gap_distribution.record_counts(counts)
 
-    def _first(self, now: float) -> None:
+    def _record_first_token(self, now: float) -> None:
         flight = self._flight
         flight.first_token_at = now
         context = self._context
@@ -284,26 +295,31 @@
             "latency.first_token", seconds, flight.service_class.name
         )
 
-    def _patience_s(self) -> float:
-        """How long a stream may be silent before it counts as broken.
+    def _silence_timeout_s(self) -> float:
+        """Seconds of silence after which a stream counts as broken.
 
-        A connection that the network has lost track of stays open and
-        silent for ever; its class's own pace tells sooner than TCP.
+        A connection whose state was lost on the network path stays open and
+        silent for ever. The expected pace of the service class reveals this
+        sooner than TCP does.
         """
         pace_s = self._flight.service_class.between_tokens_s
-        return max(LEAST_PATIENCE_S, GAP_PATIENCE * pace_s)
+        return max(MIN_SILENCE_TIMEOUT_S, SILENCE_TIMEOUT_FACTOR * pace_s)
 
-    def _after(
+    def _decide_after(
         self, error: upstream_exchange.UpstreamError
     ) -> recovery.RecoveryDecision:
-        """Decide how to go on after an attempt ended early."""
+        """Decide how to continue after an attempt ended early.
+
+        :raises Refusal: when the request is given up.
+        :raises RequestMoved: when another entry VM has taken it over.
+        """
         flight = self._flight
         if flight.moved_to:
-            raise Moved() from error
+            raise RequestMoved() from error
         if flight.cancelled:
             raise refusals.Refusal(
                 refusals.GAVE_UP,
-                "nobody wants the answer any more",
+                "the request was cancelled: no caller reads the answer",
                 refusals.Executed.UNKNOWN,
             ) from error
         decided = flight.take_decision()
@@ -311,8 +327,8 @@
         if isinstance(decision, recovery.Replay) and not flight.can_replay:
             raise refusals.Refusal(
                 refusals.GAVE_UP,
-                "the runner lost the stream, and the entry VM that had the "
-                "request is gone; send it again",
+                "the runner lost the stream, and the entry VM that held the "
+                "request has ended; send the request again",
                 refusals.Executed.UNKNOWN,
             ) from error
         return decision
@@ -321,7 +337,7 @@
         self, error: upstream_exchange.UpstreamError
     ) -> recovery.RecoveryDecision:
         flight = self._flight
-        died = self._sources.ended(error)
+        runner_ended = self._attempts.report_failure(error)
         cause = recovery.RecoveryCause.LOST
         if isinstance(
             error,
@@ -331,12 +347,12 @@
             ),
         ):
             cause = recovery.RecoveryCause.BROKEN
-        # A stream that went on after it was resumed shows that its runner
-        # is well: a connection that goes silent again is a new event.
-        resumed = isinstance(self._step, recovery.Reconnect)
-        stuck = resumed and flight.resume_from == self._broken_from
-        self._same_runner = self._same_runner + 1 if stuck else 0
-        self._broken_from = flight.resume_from
+        # A stream that advanced after a reconnect shows that its runner is
+        # healthy, so that a further silence counts as a new failure.
+        resumed = isinstance(self._decision, recovery.Reconnect)
+        stuck = resumed and flight.resume_from == self._last_broken_index
+        self._stuck_resumptions = self._stuck_resumptions + 1 if stuck else 0
+        self._last_broken_index = flight.resume_from
         self._failures += 1
         if cause is recovery.RecoveryCause.LOST and flight.runner is not None:
             self._tried |= {flight.runner.name}
@@ -349,15 +365,19 @@
         )
         self._context.metrics.count("requests.retried")
         if flight.runner is None:
-            return self._sources.retry(error, self._tried, self._failures)
-        if cause is recovery.RecoveryCause.LOST and not died:
-            self._sources.check_budget(error, self._tried, self._failures)
-        broke = messages.StreamBroke(
-            flight, cause, self._failures, self._same_runner, self._tried
+            return self._attempts.retry_without_runner(
+                error, self._tried, self._failures
+            )
+        if cause is recovery.RecoveryCause.LOST and not runner_ended:
+            self._attempts.check_retry_allowed(
+                error, self._tried, self._failures
+            )
+        situation = messages.StreamBroke(
+            flight, cause, self._failures, self._stuck_resumptions, self._tried
         )
-        return self._sources.decided(broke)
+        return self._attempts.request_decision(situation)
 
-    def _end(self, outcome: runners.Outcome, name: str) -> None:
+    def _report_end(self, outcome: runners.Outcome, name: str) -> None:
         flight = self._flight
         flight.transcript.end(name)
         self._record_gaps()
@@ -366,7 +386,7 @@
         first_s = None
         if flight.first_token_at is not None:
             first_s = flight.first_token_at - flight.arrived
-        self._sources.close(outcome, first_s)
+        self._attempts.report_end(outcome, first_s)
         if outcome is runners.Outcome.DONE:
             context.histograms.record(
                 histograms.WHOLE_ANSWER,
--- a/src/apricotlever/daemon/relay.py
+++ b/src/apricotlever/daemon/relay.py
@@ -1,4 +1,4 @@
-"""Gives a model request's answer to its caller, as a stream or whole."""
+"""Sends a model answer to its caller, as a stream or as one response."""
 
 import functools
 import json
@@ -12,20 +12,21 @@
 from . import archive
 from . import context as contexts
 from . import flights
-from . import pump as pumps
+from . import pump as readers
 from . import resumption
 from . import transcripts
 
+#: How long an answer is read on after its caller has disconnected.
 LINGER_S = 15.0
 STREAM_TYPE = "text/event-stream"
 Headers = list[tuple[str, str]]
 
 
 def answer_headers(request_id: str, content_type: str) -> Headers:
-    """The headers of an answer that an upstream ran.
+    """The headers of a response whose request was executed by an upstream.
 
     :param request_id: the request's ID.
-    :param content_type: of the body.
+    :param content_type: the content type of the body.
     """
     return [
         ("Content-Type", content_type),
@@ -36,10 +37,12 @@
 
 
 def token_event(request_id: str, index: int, token: str, chat: bool) -> bytes:
-    """The SSE event of a token, in the form that runners use.
+    """The SSE event of a token, in the format that runners send.
 
-    :param index: of the token in the whole answer.
-    :param chat: whether the request came in the chat form.
+    :param request_id: the request's ID.
+    :param index: position of the token in the whole answer.
+    :param token: the text of the token.
+    :param chat: whether the request is a chat completion.
     """
     choice: dict[str, typing.Any] = {"index": 0}
     if chat:
@@ -52,24 +55,28 @@
 
 
 def moved_event(request_id: str, address: str) -> bytes:
-    """Tells a caller which entry VM goes on with its request.
+    """The SSE event that tells a caller which entry VM has its request.
 
-    :param address: ``host:port`` for callers.
+    :param request_id: the request's ID.
+    :param address: ``host:port`` of that VM for callers.
     """
     data = json.dumps({"entry": address, "request": request_id})
     return f"event: moved\ndata: {data}\n\n".encode()
 
 
 def error_event(refusal: refusals.Refusal) -> bytes:
-    """Ends a stream that can't be finished, with the truth about it."""
+    """The SSE event that ends a failed stream with its error.
+
+    :param refusal: the error, which states whether the request was executed.
+    """
     return b"event: error\ndata: " + refusal.body() + b"\n\n"
 
 
-class Relay:
-    """Runs one model request for the caller that waits for it.
+class ModelResponder:
+    """Runs one model request and responds to its caller.
 
     :param context: the daemon's tasks.
-    :param flight: the request, admitted.
+    :param flight: the admitted request.
     """
 
     def __init__(
@@ -77,46 +84,50 @@
     ) -> None:
         self._context = context
         self._flight = flight
-        self._pump = pumps.Pump(context, flight)
+        self._reader = readers.Pump(context, flight)
         self._runner: runners.Runner | None = None
 
-    def stream(self) -> caller_server.Reply | caller_server.StreamingReply:
-        """Answer token by token; the first one has come by then.
+    def respond_streaming(
+        self,
+    ) -> caller_server.Reply | caller_server.StreamingReply:
+        """Wait for the first token, then respond with a stream.
 
+        :returns: the stream, or a redirect when the request has moved.
         :raises Refusal: when the request failed before its first token.
         """
         flight = self._flight
         try:
-            first = self._pump.first()
-        except pumps.Moved:
-            return redirect(flight.request_id, flight.moved_to)
+            first = self._reader.read_first()
+        except readers.RequestMoved:
+            return redirect_reply(flight.request_id, flight.moved_to)
         except refusals.Refusal as refusal:
-            self._failed(refusal)
+            self._record_refusal(refusal)
             raise refusal.for_request(flight.request_id)
         self._runner = flight.runner
         headers = answer_headers(flight.request_id, STREAM_TYPE)
-        token = token_of(self._context, flight)
+        token = resumption_token(self._context, flight)
         if token:
             headers.append((resumption.HEADER, token))
         return caller_server.StreamingReply(
             headers, functools.partial(self._write, first)
         )
 
-    def whole(self) -> caller_server.Reply:
-        """Answer at once when the last token has come.
+    def respond_whole(self) -> caller_server.Reply:
+        """Wait for the last token, then respond with the whole answer.
 
+        :returns: the answer, or a redirect when the request has moved.
         :raises Refusal: when the request was given up.
         """
         flight = self._flight
         try:
-            self._pump.first()
-            self._pump.rest(drop)
-        except pumps.Moved:
-            return redirect(flight.request_id, flight.moved_to)
+            self._reader.read_first()
+            self._reader.read_rest(discard)
+        except readers.RequestMoved:
+            return redirect_reply(flight.request_id, flight.moved_to)
         except refusals.Refusal as refusal:
-            self._failed(refusal)
+            self._record_refusal(refusal)
             raise refusal.for_request(flight.request_id)
-        self._done()
+        self._record_done()
         tokens = flight.transcript.tokens()
         body = openai_format.completion_response(
             flight.request, flight.request_id, tokens
@@ -125,15 +136,15 @@
         return caller_server.Reply(200, headers, body)
 
     def _write(self, first: bytes, writer: caller_server.StreamWriter) -> None:
-        """Write the answer for as long as the caller listens."""
+        """Write the answer until it ends or the caller disconnects."""
         try:
             last = self._write_events(first, writer)
             writer(last)
         except caller_server.CallerDisconnected:
             if not self._flight.transcript.ended:
-                # The stream runs on for a while, for the caller may come
-                # back and must find every token.
-                self._context.background.submit(self._linger)
+                # The answer is read on for LINGER_S, because the caller may
+                # reconnect and must then find every token.
+                self._context.background.submit(self._read_without_caller)
 
     def _write_events(
         self, first: bytes, writer: caller_server.StreamWriter
@@ -147,36 +158,38 @@
         def sink(data: bytes) -> None:
             if flight.runner is not self._runner:
                 self._runner = flight.runner
-                token = token_of(self._context, flight)
+                token = resumption_token(self._context, flight)
                 writer(resumption.event(token))
             writer(data)
 
         try:
             writer(first)
-            self._pump.rest(sink)
-        except pumps.Moved:
+            self._reader.read_rest(sink)
+        except readers.RequestMoved:
             return moved_event(flight.request_id, flight.moved_to)
         except refusals.Refusal as refusal:
-            self._failed(refusal)
+            self._record_refusal(refusal)
             return error_event(refusal)
-        self._done()
+        self._record_done()
         return openai_format.DONE_EVENT
 
-    def _linger(self) -> None:
-        finish(self._context, self._pump, LINGER_S)
+    def _read_without_caller(self) -> None:
+        read_to_end(self._context, self._reader, LINGER_S)
 
-    def _done(self) -> None:
-        _close(self._context, self._flight, None)
+    def _record_done(self) -> None:
+        _record_outcome(self._context, self._flight, None)
 
-    def _failed(self, refusal: refusals.Refusal) -> None:
-        _close(self._context, self._flight, refusal)
+    def _record_refusal(self, refusal: refusals.Refusal) -> None:
+        _record_outcome(self._context, self._flight, refusal)
 
 
-def token_of(context: contexts.Context, flight: flights.Flight) -> str:
-    """The resumption token of a stream; empty when there is none.
+def resumption_token(context: contexts.Context, flight: flights.Flight) -> str:
+    """The token by which a caller can resume its stream.
 
-    :param context: knows the customer.
-    :param flight: the request, at a runner.
+    :param context: holds the catalogue with the customer's key hash.
+    :param flight: the request.
+    :returns: the token; empty when the customer is no longer in the
+        catalogue or no runner has the request.
     """
     customer = context.catalogue.customers.get(flight.customer)
     if customer is None or flight.runner is None:
@@ -191,48 +204,54 @@
     return resumption.encode(ticket, customer)
 
 
-def drop(data: bytes) -> None:
-    """The sink when no caller is connected."""
+def discard(data: bytes) -> None:
+    """Sink used while no caller is connected."""
+
 
+def pump_adopted(context: contexts.Context, reader: readers.Pump) -> None:
+    """Read the answer to a request taken over from another entry VM.
 
-def pump_adopted(context: contexts.Context, pump: pumps.Pump) -> None:
-    """Go on with a request that another entry VM handed over.
+    The caller of the request reconnects by itself and follows the transcript.
 
-    :param pump: of the adopted request; its caller comes on its own.
+    :param context: the daemon's tasks.
+    :param reader: reads the adopted request's answer.
     """
     try:
-        pump.first()
-    except pumps.Moved:
+        reader.read_first()
+    except readers.RequestMoved:
         return
     except refusals.Refusal as refusal:
-        _close(context, pump.flight, refusal)
+        _record_outcome(context, reader.flight, refusal)
         return
-    finish(context, pump, float("inf"))
+    read_to_end(context, reader, float("inf"))
 
 
-def finish(
-    context: contexts.Context, pump: pumps.Pump, linger_s: float
+def read_to_end(
+    context: contexts.Context, reader: readers.Pump, linger_s: float
 ) -> None:
     """Read an answer to its end while no caller is connected.
 
-    :param linger_s: given up after this time, unless a caller comes back.
+    :param context: the daemon's tasks.
+    :param reader: reads the answer; its first events have been read.
+    :param linger_s: seconds after which the request is cancelled unless a
+        caller has reconnected.
     """
     refused = None
     try:
-        pump.rest(drop, linger_s)
-    except pumps.Moved:
+        reader.read_rest(discard, linger_s)
+    except readers.RequestMoved:
         return
     except refusals.Refusal as refusal:
         refused = refusal
-    _close(context, pump.flight, refused)
+    _record_outcome(context, reader.flight, refused)
 
 
-def _close(
+def _record_outcome(
     context: contexts.Context,
     flight: flights.Flight,
     refusal: refusals.Refusal | None,
 ) -> None:
-    """Put a request's outcome on record."""
+    """Record the outcome of a request in the archive."""
     outcome = archive.outcome_done()
     if refusal is not None:
         outcome = archive.outcome_failed(
@@ -241,10 +260,11 @@
     context.archive.tell(archive.Close(flight.request_id, outcome))
 
 
-def redirect(request_id: str, address: str) -> caller_server.Reply:
-    """Send a caller to the entry VM that has its request.
+def redirect_reply(request_id: str, address: str) -> caller_server.Reply:
+    """Redirect a caller to the entry VM that has its request.
 
-    :param address: ``host:port`` for callers of that VM.
+    :param request_id: the request's ID.
+    :param address: ``host:port`` of that VM for callers.
     """
     location = f"http://{address}/v1/requests/{request_id}"
     body = json.dumps({"entry": address, "request": request_id}).encode()
@@ -257,25 +277,30 @@
     return caller_server.Reply(303, headers, body)
 
 
-def follow(
+def follow_stream(
     flight: flights.Flight,
     start: int,
-    gone: typing.Callable[[], bool],
+    is_disconnected: typing.Callable[[], bool],
 ) -> typing.Iterator[bytes]:
-    """The rest of an answer that another thread is reading.
+    """Yield the events of an answer that another thread reads.
 
-    :param start: index of the first token wanted.
-    :param gone: whether the caller has left.
+    :param flight: the request.
+    :param start: index of the first token to yield.
+    :param is_disconnected: returns whether the caller has disconnected.
     """
     transcript = flight.transcript
-    yield from transcript.follow(start, gone)
-    yield ending(flight, transcript)
+    yield from transcript.follow(start, is_disconnected)
+    yield final_event(flight, transcript)
 
 
-def ending(
+def final_event(
     flight: flights.Flight, transcript: transcripts.Transcript
 ) -> bytes:
-    """The event that ends a followed stream."""
+    """The event that ends a followed stream.
+
+    :param flight: the request.
+    :param transcript: the transcript of its answer, which has ended.
+    """
     if flight.moved_to:
         return moved_event(flight.request_id, flight.moved_to)
     if transcript.outcome == "done":
--- a/src/apricotlever/daemon/resumption.py
+++ b/src/apricotlever/daemon/resumption.py
@@ -1,9 +1,9 @@
-"""Tokens by which a caller finds its stream after an entry VM has died.
+"""Tokens by which a caller resumes its stream after an entry VM has crashed.
 
-The dead VM's records are gone, but the runner goes on with the stream for
-a while. The token names the runner, and is bound to the customer by its
-key's hash, which every entry VM knows from the catalogue. Request IDs can't
-be guessed, so a customer can't make up a token for another's request.
+The records of the crashed VM are lost, but the runner keeps the stream for a
+while. The token names the runner. It is authenticated with the hash of the
+customer's key, which every entry VM has in the catalogue. Request IDs can't
+be guessed, so a customer can't make a token for another customer's request.
 """
 
 import base64
@@ -19,13 +19,13 @@
 
 
 class Ticket:
-    """What a token says.
+    """The content of a resumption token.
 
-    :param request_id: the request.
+    :param request_id: the request's ID.
     :param entry: name of the catalogue entry.
-    :param runner: the runner that works on it.
-    :param chat: whether it came in the chat form.
-    :param max_tokens: the most that the answer may have.
+    :param runner: name of the runner that has the stream.
+    :param chat: whether the request is a chat completion.
+    :param max_tokens: the most tokens that the answer may have.
     """
 
     __slots__ = ("request_id", "entry", "runner", "chat", "max_tokens")
@@ -45,31 +45,34 @@
         self.max_tokens = max_tokens
 
 
-def encode(ticket: Ticket, customer: catalogues.Customer) -> str:
-    """The token of a stream.
+def encode(content: Ticket, customer: catalogues.Customer) -> str:
+    """Encode a token and append its authentication code.
 
-    :param customer: whose request it is.
+    :param content: the content of the token.
+    :param customer: the customer whose request it is.
     """
     fields = [
-        ticket.request_id,
-        ticket.entry,
-        ticket.runner,
-        ticket.chat,
-        ticket.max_tokens,
+        content.request_id,
+        content.entry,
+        content.runner,
+        content.chat,
+        content.max_tokens,
     ]
     payload = base64.urlsafe_b64encode(json.dumps(fields).encode())
     return f"{payload.decode()}.{_mac(payload, customer)}"
 
 
 def decode(text: str, customer: catalogues.Customer) -> Ticket | None:
-    """Read a token.
+    """Verify and decode a token.
 
-    :param customer: who brings it.
-    :returns: None when it is malformed or another customer's.
+    :param text: the token.
+    :param customer: the customer that presents it.
+    :returns: the content; None when the token is malformed or belongs to
+        another customer.
     """
     payload, _, mac = text.partition(".")
-    wanted = _mac(payload.encode(), customer)
-    if not hmac.compare_digest(mac.encode(), wanted.encode()):
+    expected = _mac(payload.encode(), customer)
+    if not hmac.compare_digest(mac.encode(), expected.encode()):
         return None
     try:
         fields = json.loads(base64.urlsafe_b64decode(payload))
@@ -79,7 +82,10 @@
 
 
 def event(token: str) -> bytes:
-    """Gives a caller the token that counts from now on."""
+    """The SSE event that gives a caller a new token for its stream.
+
+    :param token: replaces every earlier token.
+    """
     return f"event: {EVENT}\ndata: {token}\n\n".encode()
 
 
--- a/src/apricotlever/daemon/service_attempts.py
+++ b/src/apricotlever/daemon/service_attempts.py
@@ -1,4 +1,4 @@
-"""The attempts at one call of a plain service, and what the desk hears."""
+"""Sends one call to a plain service, retries it and reports the outcome."""
 
 from .. import histograms
 from .. import logs
@@ -14,11 +14,11 @@
 from . import placing
 from . import service_request
 
-_TRANSIENT = frozenset((502, 503, 504))
+_TRANSIENT_STATUSES = frozenset((502, 503, 504))
 
 
-class Attempts:
-    """The attempts of one call, and what the desk is told of them.
+class ServiceAttempts:
+    """Makes the attempts of one call and reports them to the dispatcher.
 
     :param context: the daemon's tasks.
     :param request: the call.
@@ -33,8 +33,8 @@
         "_runner",
         "_address",
         "_on_trial",
-        "_placing",
-        "_used",
+        "_selector",
+        "_latest_exchange",
     )
 
     def __init__(
@@ -50,64 +50,76 @@
         self._runner = ""
         self._address = ""
         self._on_trial = False
-        #: The latest attempt's, while it lasts.
-        self._used: upstream_exchange.Exchange | None = None
-        self._placing = placing.Placing(
+        #: The exchange of the current attempt; None before it is open.
+        self._latest_exchange: upstream_exchange.Exchange | None = None
+        self._selector = placing.RunnerSelector(
             context, request.deadline, self._refusal
         )
 
-    def until_answered(self) -> keyed.Answer:
-        """Try until there is an answer, or no more tries.
+    def run_idempotent(self) -> keyed.Answer:
+        """Send an idempotent call until it is answered.
 
-        :raises Refusal: when there is none.
+        :returns: the answer of the upstream.
+        :raises Refusal: when no further attempt is allowed.
         """
         pool: upstream_exchange.ConnectionPool | None = (
             self._context.connections
         )
         while True:
-            self._used = None
+            self._latest_exchange = None
             try:
-                self._used = self._open(pool)
+                self._latest_exchange = self._open(pool)
                 self._sent = True
-                return self._exchange(self._used, retry_errors=True)
+                return self._send_and_read(
+                    self._latest_exchange, retry_errors=True
+                )
             except upstream_exchange.UpstreamError as error:
-                # Whatever went wrong, the next attempt gets a connection
-                # that nobody has used.
+                # After any failure, the next attempt opens a new connection
+                # instead of reusing an idle one.
                 pool = None
-                if self._used is None or not self._was_stale(
-                    self._used, error
+                if (
+                    self._latest_exchange is None
+                    or not self._was_stale_connection(
+                        self._latest_exchange, error
+                    )
                 ):
-                    self._failed(error, idempotent=True)
+                    self._handle_failure(error, idempotent=True)
 
-    def once(self, token: int) -> keyed.Answer:
-        """Send at most once; only connecting is tried again.
+    def run_at_most_once(self, token: int) -> keyed.Answer:
+        """Send a call at most once; only connecting is retried.
 
-        :param token: from the ledger; it forbids the sending when another
-            exchange has overtaken this one.
-        :raises Refusal: says truly whether the call ran.
+        :param token: issued by the ledger for this run. The ledger allows
+            the sending only while it still owns the key.
+        :returns: the answer of the upstream.
+        :raises Refusal: states correctly whether the call ran.
         """
         context = self._context
         try:
-            exchange = self._connected()
+            exchange = self._connect()
         except refusals.Refusal:
             context.book.tell(book.NotSent(token))
             raise
         if not context.answer_of(context.book.ask(book.Sent(token))):
             exchange.abandon()
             raise self._refusal(
-                refusals.LEAVING, "the key's ledger has moved", 0.5
+                refusals.LEAVING,
+                "the ledger of the key has moved to another entry VM",
+                0.5,
             )
         self._sent = True
         try:
-            answer = self._exchange(exchange, retry_errors=False)
+            answer = self._send_and_read(exchange, retry_errors=False)
         except upstream_exchange.UpstreamError as error:
             context.book.tell(book.Lost(token))
-            raise self._lost(error) from error
+            raise self._outcome_unknown(error) from error
         context.book.tell(book.Finished(token, answer))
         return answer
 
-    def end(self, outcome: runners.Outcome) -> None:
-        """Tell the desk that the request is over."""
+    def report_end(self, outcome: runners.Outcome) -> None:
+        """Report and log the end of the request.
+
+        :param outcome: how the request ended.
+        """
         request = self._request
         context = self._context
         whole_s = context.clock.now() - request.arrived
@@ -115,7 +127,9 @@
             messages.RequestEnded(request.request_id, outcome, whole_s, 1)
         )
         if self._attempt > 1 or self._on_trial:
-            attempt_reports.spread(context, context.answer_of(ended), True)
+            attempt_reports.send_report(
+                context, context.answer_of(ended), True
+            )
         if self._on_trial:
             attempt_reports.end_trial(
                 context,
@@ -142,12 +156,12 @@
             whole_s=whole_s,
         )
 
-    def _connected(self) -> upstream_exchange.Exchange:
+    def _connect(self) -> upstream_exchange.Exchange:
         while True:
             try:
                 return self._open(None)
             except upstream_exchange.UpstreamError as error:
-                self._failed(error, idempotent=False)
+                self._handle_failure(error, idempotent=False)
 
     def _open(
         self, pool: upstream_exchange.ConnectionPool | None
@@ -173,20 +187,20 @@
                 on_trial=on_trial,
             )
 
-        placed = self._placing.place(dispatch)
-        self._on_trial = placed.on_trial
-        self._runner = placed.route.runner.name
-        self._address = placed.route.runner.address
+        selection = self._selector.select(dispatch)
+        self._on_trial = selection.on_trial
+        self._runner = selection.route.runner.name
+        self._address = selection.route.runner.address
         left_s = request.deadline - self._context.clock.now()
         exchange = upstream_exchange.Exchange(
             self._address,
-            max(0.1, min(request.patience_s, left_s)),
+            max(0.1, min(request.response_timeout_s, left_s)),
             pool,
         )
         exchange.open()
         return exchange
 
-    def _exchange(
+    def _send_and_read(
         self, exchange: upstream_exchange.Exchange, retry_errors: bool
     ) -> keyed.Answer:
         request = self._request
@@ -201,24 +215,28 @@
         status = exchange.status
         content_type = exchange.header("Content-Type")
         exchange.finish()
-        if retry_errors and status in _TRANSIENT:
+        if retry_errors and status in _TRANSIENT_STATUSES:
             raise upstream_exchange.UpstreamErrorResponse(status, body[:256])
         return keyed.Answer(status, (("Content-Type", content_type),), body)
 
-    def _failed(
+    def _handle_failure(
         self, error: upstream_exchange.UpstreamError, idempotent: bool
     ) -> None:
-        """Report a failed attempt; return if another one is allowed.
+        """Report a failed attempt; return when another one is allowed.
 
-        :raises Refusal: when there is none.
+        :param error: how the attempt failed.
+        :param idempotent: whether the call may be sent again.
+        :raises Refusal: when no further attempt is allowed.
         """
         request = self._request
         context = self._context
-        crashed = self._crashed(error)
-        died = crashed or isinstance(error, upstream_exchange.ConnectFailed)
-        uncharged = died or self._silent_with_others(error)
+        crashed = self._process_ended(error)
+        runner_ended = crashed or isinstance(
+            error, upstream_exchange.ConnectFailed
+        )
+        uncharged = runner_ended or self._fell_silent_with_others(error)
         self._tried |= {self._runner}
-        self._attempt_ended(runners.Outcome.FAILED, crashed)
+        self._report_attempt_end(runners.Outcome.FAILED, crashed)
         logs.event(
             "request_retried",
             request=request.request_id,
@@ -236,22 +254,23 @@
             uncharged,
         )
         answer = attempt_reports.ask_retry(context, question, self._refusal)
-        if died and not crashed:
-            attempt_reports.await_death_news()
+        if runner_ended and not crashed:
+            attempt_reports.wait_for_crash_reports()
         self._tried = answer.excluded
         context.metrics.count("requests.retried")
 
-    def _silent_with_others(
+    def _fell_silent_with_others(
         self, error: upstream_exchange.UpstreamError
     ) -> bool:
-        """Whether all kept connections to the upstream fell silent at once.
+        """Whether all kept connections to the upstream fell silent together.
 
-        A path that loses track of them swallows whatever is sent there. With
-        a dozen calls out at that moment, a budget of three retries and a
-        tenth of the successes gave some of them up although every upstream
-        was well.
+        A network path that loses the state of these connections drops
+        whatever is sent over them. Such a failure must not be charged to the
+        retry budget: with a dozen calls in flight at that moment, a budget
+        of three retries plus a tenth of the successes refused some of them
+        although every upstream was healthy.
         """
-        exchange = self._used
+        exchange = self._latest_exchange
         if exchange is None or not isinstance(
             error, upstream_exchange.UpstreamTimeout
         ):
@@ -260,34 +279,36 @@
             exchange.address, exchange.opened_at
         )
 
-    def _was_stale(
+    def _was_stale_connection(
         self,
         exchange: upstream_exchange.Exchange,
         error: upstream_exchange.UpstreamError,
     ) -> bool:
-        """Whether a connection broke that had waited for its next use.
+        """Whether a reused connection broke.
 
-        Its upstream may have closed it any time ago, which says nothing of
-        the upstream now: the call goes out again over a new connection.
+        The upstream may have closed an idle connection long before its next
+        use, so the break says nothing about the upstream's health. The call
+        is sent again over a new connection and no failure is recorded.
         """
         if not exchange.reused:
             return False
         self._context.connections.close_idle(self._address)
         if not isinstance(error, upstream_exchange.ConnectionBroken):
             return False
-        self._attempt_ended(runners.Outcome.CANCELLED, False)
+        self._report_attempt_end(runners.Outcome.CANCELLED, False)
         return True
 
-    def _crashed(self, error: upstream_exchange.UpstreamError) -> bool:
+    def _process_ended(self, error: upstream_exchange.UpstreamError) -> bool:
         """Whether the upstream's process has ended.
 
-        A connection can break while its upstream is well. Were that taken
-        for a crash, like calls would be refused for minutes as its cause.
+        A connection can break while its upstream is healthy. If that counted
+        as a crash, similar calls would be quarantined for minutes as its
+        suspected cause. A new connection is therefore tried first.
         """
         if not isinstance(error, upstream_exchange.ConnectionBroken):
             return False
         probe = upstream_exchange.Exchange(
-            self._address, service_request.LEAST_PATIENCE_S
+            self._address, service_request.MIN_RESPONSE_TIMEOUT_S
         )
         try:
             probe.open()
@@ -296,21 +317,26 @@
         probe.abandon()
         return False
 
-    def _attempt_ended(self, outcome: runners.Outcome, crashed: bool) -> None:
+    def _report_attempt_end(
+        self, outcome: runners.Outcome, crashed: bool
+    ) -> None:
         ended = messages.AttemptEnded(
             self._request.request_id, outcome, crashed
         )
         context = self._context
         report = context.answer_of(context.desk.ask(ended))
-        # The others must know before the call runs again anywhere.
-        attempt_reports.spread(context, report, True)
+        # The other entry VMs must know of a crash before the call runs again
+        # anywhere.
+        attempt_reports.send_report(context, report, True)
 
-    def _lost(
+    def _outcome_unknown(
         self, error: upstream_exchange.UpstreamError
     ) -> refusals.Refusal:
         request = self._request
         context = self._context
-        self._attempt_ended(runners.Outcome.FAILED, self._crashed(error))
+        self._report_attempt_end(
+            runners.Outcome.FAILED, self._process_ended(error)
+        )
         context.metrics.count("requests.unknown")
         logs.event(
             "request_unknown",
@@ -322,7 +348,7 @@
         )
         return refusals.Refusal(
             refusals.OUTCOME_UNKNOWN,
-            "the call may have run; its answer was lost and it is not "
+            "the call may have run; its answer was lost and the call is not "
             "sent again",
             refusals.Executed.UNKNOWN,
             None,
--- a/src/apricotlever/daemon/service_calls.py
+++ b/src/apricotlever/daemon/service_calls.py
@@ -1,4 +1,4 @@
-"""Calls of plain services, idempotent or run at most once."""
+"""Runs calls of plain services: idempotent ones, and others at most once."""
 
 from concurrent import futures
 import functools
@@ -17,10 +17,11 @@
 from . import service_attempts
 from . import service_request
 
-#: What the owner of a key may need besides the run: its own connecting.
+#: Time that the owner of a key may need in addition to the run, for
+#: connecting to the service.
 FORWARD_GRACE_S = 3.0
 
-_REASONS = {
+_REFUSAL_KINDS = {
     keyed.KeyRefusalReason.MALFORMED: refusals.BAD_REQUEST,
     keyed.KeyRefusalReason.NOT_YOURS: refusals.KEY_CONFLICT,
     keyed.KeyRefusalReason.CONFLICT: refusals.KEY_CONFLICT,
@@ -45,12 +46,14 @@
         self._context = context
 
     def run(self, request: service_request.ServiceRequest) -> keyed.Answer:
-        """Run an idempotent call, again elsewhere if it fails.
+        """Run an idempotent call, with retries at other upstreams.
 
-        :raises Refusal: when no upstream gave an answer.
+        :param request: the call.
+        :returns: the answer of the upstream.
+        :raises Refusal: when no upstream answered.
         """
-        attempts = service_attempts.Attempts(self._context, request)
-        return _ended(attempts, attempts.until_answered)
+        attempts = service_attempts.ServiceAttempts(self._context, request)
+        return _run_and_report(attempts, attempts.run_idempotent)
 
     def run_keyed(
         self,
@@ -59,11 +62,15 @@
         first: bool,
         forwarded: bool = False,
     ) -> keyed.Answer:
-        """Run a call at most once under a key, here or at its owner.
-
-        :param first: the caller vouches that it never sent the key before.
-        :param forwarded: another entry VM sent it here.
-        :raises Refusal: says truly whether the call ran.
+        """Run a call at most once under a key, here or at the key's owner.
+
+        :param request: the call.
+        :param key: the idempotency key.
+        :param first: whether the caller declares that it never sent the key
+            before.
+        :param forwarded: whether another entry VM forwarded the call.
+        :returns: the answer of the upstream, possibly of an earlier run.
+        :raises Refusal: states correctly whether the call was executed.
         """
         begin = book.Begin(
             key, request.customer, request.digest, first, forwarded
@@ -74,7 +81,7 @@
         except futures.TimeoutError as error:
             raise refusals.Refusal(
                 refusals.OUTCOME_UNKNOWN,
-                "a call under this key is still being run",
+                "a call with this key is still in progress",
                 refusals.Executed.UNKNOWN,
                 1.0,
                 request.request_id,
@@ -84,10 +91,10 @@
         if isinstance(decision, keyed.ForwardCall):
             return self._forward(request, key, decision)
         if isinstance(decision, keyed.RefuseCall):
-            raise _refused(request, decision)
-        attempts = service_attempts.Attempts(self._context, request)
-        once = functools.partial(attempts.once, decision.token)
-        return _ended(attempts, once)
+            raise _refusal_of(request, decision)
+        attempts = service_attempts.ServiceAttempts(self._context, request)
+        run = functools.partial(attempts.run_at_most_once, decision.token)
+        return _run_and_report(attempts, run)
 
     def _forward(
         self,
@@ -95,15 +102,25 @@
         key: str,
         forward: keyed.ForwardCall,
     ) -> keyed.Answer:
-        """Let the owner of the key run the call.
+        """Forward a call to the entry VM that owns its key.
+
+        The owner alone decides whether the call runs. If its answer is lost
+        on the way, the caller can repeat the call, and it will not run twice.
 
-        The owner alone decides, so an answer that is lost on the way can be
-        asked for again; it will not run the call twice.
+        :param request: the call.
+        :param key: the idempotency key.
+        :param forward: the ledger's decision, which names the owner.
+        :returns: the owner's answer.
+        :raises Refusal: the owner's refusal, or an unknown outcome when the
+            owner does not answer.
         """
         left_s = request.deadline - self._context.clock.now()
-        # An owner that is silent for good would hold the caller until its
-        # deadline; it is told sooner that nobody knows, and may ask again.
-        wait_s = max(0.1, min(left_s, request.patience_s + FORWARD_GRACE_S))
+        # An owner that never answers would hold the caller until the
+        # deadline. After wait_s the caller gets OUTCOME_UNKNOWN instead and
+        # may repeat the call.
+        wait_s = max(
+            0.1, min(left_s, request.response_timeout_s + FORWARD_GRACE_S)
+        )
         message = pb.KeyedCall(
             request_id=request.request_id,
             key=key,
@@ -127,32 +144,37 @@
         except (peer_link.PeerError, futures.TimeoutError) as error:
             raise refusals.Refusal(
                 refusals.OUTCOME_UNKNOWN,
-                "the entry VM that owns the key can't be reached",
+                "the entry VM that owns the key did not answer",
                 refusals.Executed.UNKNOWN,
                 1.0,
                 request.request_id,
             ) from error
-        return keyed_answers.answer_of(answer)
+        return keyed_answers.decode_answer(answer)
 
 
-def _ended(
-    attempts: service_attempts.Attempts,
+def _run_and_report(
+    attempts: service_attempts.ServiceAttempts,
     run: typing.Callable[[], keyed.Answer],
 ) -> keyed.Answer:
-    """Run attempts, and report the end of the request either way."""
+    """Run attempts, and report the end of the request in any case.
+
+    :param attempts: reports the end.
+    :param run: makes the attempts.
+    :raises Refusal: the one that ``run`` raised.
+    """
     try:
         answer = run()
     except refusals.Refusal:
-        attempts.end(runners.Outcome.FAILED)
+        attempts.report_end(runners.Outcome.FAILED)
         raise
-    attempts.end(runners.Outcome.DONE)
+    attempts.report_end(runners.Outcome.DONE)
     return answer
 
 
-def _refused(
+def _refusal_of(
     request: service_request.ServiceRequest, decision: keyed.RefuseCall
 ) -> refusals.Refusal:
-    kind = _REASONS.get(decision.reason, refusals.OUTCOME_UNKNOWN)
+    kind = _REFUSAL_KINDS.get(decision.reason, refusals.OUTCOME_UNKNOWN)
     return refusals.Refusal(
         kind,
         f"not run: {decision.reason.value}",
--- a/src/apricotlever/daemon/service_gateway.py
+++ b/src/apricotlever/daemon/service_gateway.py
@@ -1,4 +1,4 @@
-"""The handler of calls to plain services, and the minting of their keys."""
+"""Handles calls to plain services and mints their idempotency keys."""
 
 import re
 
@@ -19,7 +19,7 @@
 from . import service_request
 
 KEY_HEADER = "Idempotency-Key"
-FIRST_HEADER = "Apricotlever-First-Attempt"
+FIRST_ATTEMPT_HEADER = "Apricotlever-First-Attempt"
 KEY_CHARS_MAX = 256
 
 
@@ -27,16 +27,18 @@
     """Answers calls to plain services; one instance serves all threads.
 
     :param context: the daemon's tasks.
-    :param entrance: takes requests in.
+    :param request_admission: admits the requests.
     """
 
-    __slots__ = ("_context", "_entrance", "_calls")
+    __slots__ = ("_context", "_admission", "_calls")
 
     def __init__(
-        self, context: contexts.Context, entrance: admitting.Admitting
+        self,
+        context: contexts.Context,
+        request_admission: admitting.RequestAdmission,
     ) -> None:
         self._context = context
-        self._entrance = entrance
+        self._admission = request_admission
         self._calls = service_calls.ServiceCalls(context)
 
     def answer(
@@ -44,40 +46,44 @@
     ) -> caller_server.Reply:
         """Run a call and answer it.
 
-        :param call: what the caller sent.
-        :param entry_name: names the service.
+        :param call: the HTTP call.
+        :param entry_name: name of the service's catalogue entry.
         :param path: the decoded path at the service.
-        :raises Refusal: says truly whether the call ran.
+        :raises Refusal: states correctly whether the call was executed.
         """
         try:
             request = self._request(call, entry_name, path)
         except refusals.Refusal as refusal:
-            raise refusal if _surely_new(call) else _doubted(refusal)
+            raise (
+                refusal
+                if _cannot_have_run(call)
+                else _with_unknown_execution(refusal)
+            )
         try:
             if request.non_idempotent:
                 answer = self._run_keyed(call, request)
             else:
-                self._take_in(request)
+                self._check_and_admit(request)
                 answer = self._calls.run(request)
         finally:
-            # Without effect unless the call was admitted and then answered
-            # from the ledger, refused by it or forwarded.
+            # This ends the admission of a call that was answered or refused
+            # by the ledger or forwarded. It has no effect on other calls.
             withdraw = messages.Withdraw(request.request_id)
             self._context.desk.tell(withdraw)
-        return _answered(request, answer)
+        return _reply(request, answer)
 
-    def mint(self, customer: str, count: int) -> list[str]:
-        """Keys bound to a customer and to this VM's ledger.
+    def mint_keys(self, customer: str, count: int) -> list[str]:
+        """Mint keys that are bound to a customer and to this VM's ledger.
 
         :param customer: the customer's name.
-        :param count: how many.
-        :raises Refusal: when the ledger is on its way to an heir.
+        :param count: how many keys.
+        :raises Refusal: when the ledger is being handed over to another VM.
         """
         context = self._context
         mint = book.Mint(customer)
         try:
-            asked = [context.book.ask(mint) for _ in range(count)]
-            return [context.answer_of(each) for each in asked]
+            futures = [context.book.ask(mint) for _ in range(count)]
+            return [context.answer_of(future) for future in futures]
         except request_errors.LedgerFrozen as error:
             raise refusals.Refusal(
                 refusals.LEAVING,
@@ -88,22 +94,22 @@
     def _request(
         self, call: caller_server.Call, entry_name: str, path: str
     ) -> service_request.ServiceRequest:
-        catalogue = access.catalogue_of(self._context)
-        customer = access.customer_of(catalogue, call)
-        entry = access.entry_of(
+        catalogue = access.current_catalogue(self._context)
+        customer = access.authenticate(catalogue, call)
+        entry = access.authorized_entry(
             catalogue, customer, entry_name, catalogues.KIND_SERVICE
         )
-        path = _plain_path(path)
+        path = _normalized_path(path)
         service_class = catalogue.class_of(entry)
         now = self._context.clock.now()
         return service_request.ServiceRequest(
-            self._entrance.new_request_id(),
+            self._admission.new_request_id(),
             customer.name,
             entry,
             service_class,
             call.method,
             call.request_target(path),
-            service_request.passed_on(call),
+            service_request.forwarded_headers(call),
             call.body,
             now,
             now + service_class.deadline_s,
@@ -119,23 +125,30 @@
         if len(key) > KEY_CHARS_MAX:
             raise refusals.Refusal(
                 refusals.BAD_REQUEST,
-                f"{KEY_HEADER}: wanted at most {KEY_CHARS_MAX} characters",
+                f"{KEY_HEADER}: expected at most {KEY_CHARS_MAX} characters",
             )
-        first = _vouched(call)
+        first_attempt = _is_first_attempt(call)
         try:
-            self._entrance.check_serving()
+            self._admission.check_serving()
             if not key:
-                # Without a key the call can't be recognised when it comes
-                # again, but within this exchange it runs at most once.
-                [key] = self.mint(request.customer, 1)
-                first = True
+                # A call without a key can't be recognised when its caller
+                # repeats it. The minted key only ensures that it is sent to
+                # the service at most once for this HTTP call.
+                [key] = self.mint_keys(request.customer, 1)
+                first_attempt = True
             self._admit(request)
         except refusals.Refusal as refusal:
-            raise refusal if _surely_new(call) else _doubted(refusal)
-        return self._calls.run_keyed(request, key, first)
+            raise (
+                refusal
+                if _cannot_have_run(call)
+                else _with_unknown_execution(refusal)
+            )
+        return self._calls.run_keyed(request, key, first_attempt)
 
-    def _take_in(self, request: service_request.ServiceRequest) -> None:
-        self._entrance.check_serving()
+    def _check_and_admit(
+        self, request: service_request.ServiceRequest
+    ) -> None:
+        self._admission.check_serving()
         self._admit(request)
 
     def _admit(self, request: service_request.ServiceRequest) -> None:
@@ -148,43 +161,47 @@
             request.arrived,
             request.deadline,
         )
-        self._entrance.admit(ticket, request.service_class)
+        self._admission.admit(ticket, request.service_class)
 
 
-def _plain_path(path: str) -> str:
-    """A service's path in the one form that rules are matched against.
+def _normalized_path(path: str) -> str:
+    """Normalise a service's path before it is matched against call patterns.
 
     A service resolves ``/x/../entries`` and ``//entries`` to ``/entries``.
-    Passed on as they are, such calls would miss the entry's rules for
-    non-idempotent calls and be sent again after a lost answer.
+    Without normalisation, such calls would not match the entry's patterns of
+    non-idempotent calls and would be sent again after a lost answer.
 
-    :raises Refusal: for a path that climbs.
+    :param path: the decoded path at the service.
+    :raises Refusal: when a segment is ``.`` or ``..``.
     """
     segments = re.split(r"/+", path)
     if "." in segments or ".." in segments:
         raise refusals.Refusal(
-            refusals.BAD_REQUEST, "path: wanted no . or .. as a segment"
+            refusals.BAD_REQUEST, "path: the segments . and .. are not allowed"
         )
     return "/".join(segments)
 
 
-def _vouched(call: caller_server.Call) -> bool:
-    """Whether the caller says that it never sent this key before."""
-    return call.header(FIRST_HEADER).lower() in ("yes", "true", "1")
+def _is_first_attempt(call: caller_server.Call) -> bool:
+    """Whether the caller declares that it never sent this key before."""
+    return call.header(FIRST_ATTEMPT_HEADER).lower() in ("yes", "true", "1")
 
 
-def _surely_new(call: caller_server.Call) -> bool:
-    """Whether no earlier sending of this call can have run under its key."""
+def _cannot_have_run(call: caller_server.Call) -> bool:
+    """Whether no earlier attempt at this call can have run under its key."""
     key = call.header(KEY_HEADER)
-    return not key or len(key) > KEY_CHARS_MAX or _vouched(call)
+    return not key or len(key) > KEY_CHARS_MAX or _is_first_attempt(call)
+
 
+def _with_unknown_execution(refusal: refusals.Refusal) -> refusals.Refusal:
+    """Copy a refusal, but with ``Executed`` set to unknown.
 
-def _doubted(refusal: refusals.Refusal) -> refusals.Refusal:
-    """A refusal of a keyed call that its caller may have sent before.
+    Used for a keyed call that its caller may have sent before: an earlier
+    attempt may have run at any entry VM. If this attempt were refused with
+    ``no`` before the key's ledger is asked, the caller would conclude that
+    the call never ran, repeat it under a new key, and run it twice.
 
-    An earlier sending may have run, here or elsewhere. Were this one refused
-    with ``no`` before the key's ledger is asked, the caller would take it as
-    the truth about the call, use a new key, and have it run twice.
+    :param refusal: the refusal of this attempt.
     """
     return refusals.Refusal(
         refusal.kind,
@@ -195,7 +212,7 @@
     )
 
 
-def _answered(
+def _reply(
     request: service_request.ServiceRequest, answer: keyed.Answer
 ) -> caller_server.Reply:
     content_type = (
--- a/src/apricotlever/daemon/service_request.py
+++ b/src/apricotlever/daemon/service_request.py
@@ -1,4 +1,4 @@
-"""One call of a plain service, as it is run, forwarded and recognised."""
+"""The description of one call of a plain service."""
 
 import hashlib
 
@@ -6,26 +6,28 @@
 from ..links import caller_server
 from ..runners import quarantine
 
-PATIENCE = 5
-LEAST_PATIENCE_S = 1.0
+#: An upstream has this many times its class's target for the first token.
+RESPONSE_TIMEOUT_FACTOR = 5
+MIN_RESPONSE_TIMEOUT_S = 1.0
 
-_PASSED_ON = ("Content-Type", "Accept", "Accept-Language")
+_FORWARDED_HEADERS = ("Content-Type", "Accept", "Accept-Language")
 
 
 class ServiceRequest:
     """One call of a plain service.
 
-    :param request_id: names it across the fleet.
-    :param customer: the name of who sent it.
+    :param request_id: ID of the call, unique in the fleet.
+    :param customer: name of the customer.
     :param entry: the catalogue entry.
     :param service_class: the class of the entry.
     :param method: HTTP method.
-    :param path: path at the service, with its query.
-    :param headers: those that are passed on.
-    :param body: as it came.
-    :param arrived: when it came, on this VM's clock.
-    :param deadline: when the answer is worthless, on this VM's clock.
-    :param non_idempotent: whether it must run at most once.
+    :param path: path at the service, with the query string.
+    :param headers: the headers that are forwarded.
+    :param body: the body, unchanged.
+    :param arrived: time of arrival on this VM's clock, in seconds.
+    :param deadline: time after which the answer has no use, on this VM's
+        clock, in seconds.
+    :param non_idempotent: whether the call must run at most once.
     """
 
     __slots__ = (
@@ -70,28 +72,32 @@
 
     @property
     def digest(self) -> str:
-        """Tells this call from another under the same key."""
+        """A hash that tells this call from another with the same key."""
         head = f"{self.entry.name}\n{self.method}\n{self.path}\n"
         return hashlib.sha256(head.encode() + self.body).hexdigest()[:32]
 
     @property
     def fingerprint(self) -> str:
-        """Names the request across the fleet."""
+        """The fingerprint by which the quarantine recognises equal calls."""
         call = f"{self.method} {self.path}"
         return quarantine.fingerprint(
             self.entry.name, self.customer, self.body, call
         )
 
     @property
-    def patience_s(self) -> float:
-        """How long an upstream may take to begin its answer."""
-        wanted_s = PATIENCE * self.service_class.first_token_s
-        return max(LEAST_PATIENCE_S, wanted_s)
+    def response_timeout_s(self) -> float:
+        """Seconds that an upstream may take to begin its answer."""
+        timeout_s = RESPONSE_TIMEOUT_FACTOR * self.service_class.first_token_s
+        return max(MIN_RESPONSE_TIMEOUT_S, timeout_s)
 
 
-def passed_on(call: caller_server.Call) -> dict[str, str]:
-    """The headers of a caller that a service gets to see.
+def forwarded_headers(call: caller_server.Call) -> dict[str, str]:
+    """The headers of a call that are forwarded to the service.
 
-    :param call: what the caller sent.
+    :param call: the HTTP call.
     """
-    return {name: value for name in _PASSED_ON if (value := call.header(name))}
+    return {
+        name: value
+        for name in _FORWARDED_HEADERS
+        if (value := call.header(name))
+    }
--- a/src/apricotlever/daemon/sources.py
+++ b/src/apricotlever/daemon/sources.py
@@ -1,4 +1,4 @@
-"""Opens the exchanges that a pump reads: each attempt at an answer."""
+"""Makes the attempts at a model answer that an AnswerReader reads."""
 
 import time
 
@@ -15,16 +15,17 @@
 from . import messages
 from . import placing
 
-FIRST_BYTE_PATIENCE = 5
-LEAST_FIRST_BYTE_S = 3.0
-IMPORT_S = 5.0
+#: A runner has this many times its class's target for the first token.
+FIRST_BYTE_TIMEOUT_FACTOR = 5
+MIN_FIRST_BYTE_TIMEOUT_S = 3.0
+TRANSFER_TIMEOUT_S = 5.0
 PRIORITY_HEADER = "Apricotlever-Priority"
 _NOT_FOUND = 404
 _CLIENT_ERRORS = (400, 413, 422)
 
 
-class Sources:
-    """The attempts of one request.
+class ModelAttempts:
+    """Makes and reports the attempts of one model request.
 
     :param context: the daemon's tasks.
     :param flight: the request.
@@ -34,11 +35,11 @@
         "_context",
         "_flight",
         "_exchange",
-        "_broken_at",
+        "_broken_runner",
         "_on_trial",
         "_sent",
-        "_silent_at",
-        "_placing",
+        "_silent_runner",
+        "_selector",
     )
 
     def __init__(
@@ -47,51 +48,54 @@
         self._context = context
         self._flight = flight
         self._exchange: upstream_exchange.Exchange | None = None
-        self._broken_at = ""
+        self._broken_runner = ""
         self._on_trial = False
         self._sent = False
-        self._silent_at: runners.Runner | None = None
-        self._placing = placing.Placing(
+        self._silent_runner: runners.Runner | None = None
+        self._selector = placing.RunnerSelector(
             context, flight.deadline, self._refusal
         )
 
     def open(
-        self, step: recovery.RecoveryDecision | None, tried: frozenset[str]
+        self,
+        decision: recovery.RecoveryDecision | None,
+        tried: frozenset[str],
     ) -> upstream_exchange.Exchange:
         """Make the next attempt.
 
-        :param step: what was decided, or None for the first attempt.
-        :param tried: runners that failed the request.
-        :returns: an exchange whose answer has begun.
+        :param decision: how to recover, or None for the first attempt.
+        :param tried: names of runners that failed the request.
+        :returns: an exchange whose response has begun with status 200.
         :raises UpstreamError: when the attempt failed.
-        :raises Refusal: when there is no runner, or none is allowed.
+        :raises Refusal: when no runner is available or allowed.
         """
-        if isinstance(step, recovery.ExportTo):
-            return self._moved_to(step.runner)
-        if isinstance(step, recovery.Reconnect):
-            return self._resumed()
-        if isinstance(step, recovery.Replay):
+        if isinstance(decision, recovery.ExportTo):
+            return self._move_to(decision.runner)
+        if isinstance(decision, recovery.Reconnect):
+            return self._reconnect()
+        if isinstance(decision, recovery.Replay):
             logs.event(
                 "stream_replayed",
                 request=self._flight.request_id,
-                runner=step.runner,
-                tokens=len(step.resume_tokens),
+                runner=decision.runner,
+                tokens=len(decision.resume_tokens),
             )
             self._context.metrics.count("streams.replayed")
-            return self._started(step.runner, tried)
-        return self._started("", tried)
+            return self._start_request(decision.runner, tried)
+        return self._start_request("", tried)
 
-    def decided(
-        self, broke: messages.StreamBroke
+    def request_decision(
+        self, situation: messages.StreamBroke
     ) -> recovery.RecoveryDecision:
-        """Ask the desk how to go on, waiting while no runner is free.
+        """Ask the dispatcher how to recover, waiting while no runner is free.
 
-        :param broke: the stream's situation.
+        :param situation: the situation of the stream.
+        :returns: any decision other than Wait and GiveUp.
         :raises Refusal: when the request is given up.
         """
         while True:
             context = self._context
-            decision = context.answer_of(context.desk.ask(broke))
+            decision = context.answer_of(context.desk.ask(situation))
             if isinstance(decision, recovery.GiveUp):
                 raise self._refusal(
                     refusals.GAVE_UP,
@@ -102,15 +106,19 @@
                 return decision
             time.sleep(decision.seconds)
 
-    def check_budget(
+    def check_retry_allowed(
         self,
         error: upstream_exchange.UpstreamError,
         tried: frozenset[str],
         attempts: int,
     ) -> retry_policy.Retry:
-        """Ask for another attempt that a living runner made necessary.
+        """Ask for permission to retry after a failure at a live runner.
 
-        :raises Refusal: when there is none.
+        :param error: how the attempt failed.
+        :param tried: names of runners that failed the request.
+        :param attempts: how many attempts have failed.
+        :returns: the permission, which lists runners to avoid.
+        :raises Refusal: when no retry is allowed.
         """
         flight = self._flight
         question = messages.MayRetry(
@@ -126,24 +134,29 @@
             self._context, question, self._refusal
         )
 
-    def retry(
+    def retry_without_runner(
         self,
         error: upstream_exchange.UpstreamError,
         tried: frozenset[str],
         attempts: int,
     ) -> recovery.RecoveryDecision:
-        """Go on when no runner was in use yet."""
-        self.check_budget(error, tried, attempts)
+        """Recover from a failure that came before any runner was chosen.
+
+        :raises Refusal: when no retry is allowed.
+        """
+        self.check_retry_allowed(error, tried, attempts)
         return recovery.Replay("", self._flight.transcript.tokens())
 
-    def ended(self, error: upstream_exchange.UpstreamError) -> bool:
-        """Report the end of an attempt.
+    def report_failure(self, error: upstream_exchange.UpstreamError) -> bool:
+        """Report a failed attempt.
 
-        A connection that broke and a runner that then refuses or no longer
-        knows the stream mean that its process has ended. The other entry
-        VMs hear of it before the request runs again anywhere.
+        A broken connection followed by a runner that refuses connections, or
+        no longer knows the stream, shows that the runner's process has ended.
+        The other entry VMs are told before the request runs again anywhere.
 
-        :returns: whether the runner died.
+        :param error: how the attempt failed.
+        :returns: whether the runner refuses connections or has lost the
+            stream.
         """
         flight = self._flight
         runner = flight.runner.name if flight.runner else ""
@@ -152,18 +165,22 @@
             isinstance(error, upstream_exchange.UpstreamErrorResponse)
             and error.status == _NOT_FOUND
         )
-        died = refused or unknown
-        crashed = died and runner != "" and self._broken_at == runner
-        broke = isinstance(error, upstream_exchange.ConnectionBroken)
-        self._broken_at = runner if broke else ""
+        runner_ended = refused or unknown
+        crashed = (
+            runner_ended and runner != "" and self._broken_runner == runner
+        )
+        connection_broken = isinstance(
+            error, upstream_exchange.ConnectionBroken
+        )
+        self._broken_runner = runner if connection_broken else ""
         if isinstance(error, upstream_exchange.UpstreamErrorResponse):
-            self._check_blame(error)
+            self._raise_for_client_error(error)
         silent = isinstance(error, upstream_exchange.UpstreamTimeout)
         if silent:
-            self._silent_at = flight.runner
-        if broke or silent:
-            # The runner may be well and its stream going on: it is asked
-            # over a new connection first, so that nothing is recomputed.
+            self._silent_runner = flight.runner
+        if connection_broken or silent:
+            # The runner may be healthy and its stream still running. The
+            # next attempt reconnects to it, so that no token is recomputed.
             return False
         report = self._context.answer_of(
             self._context.desk.ask(
@@ -172,18 +189,19 @@
                 )
             )
         )
-        attempt_reports.spread(self._context, report, True)
+        attempt_reports.send_report(self._context, report, True)
         if refused and not crashed:
-            attempt_reports.await_death_news()
-        return died
+            attempt_reports.wait_for_crash_reports()
+        return runner_ended
 
-    def close(
+    def report_end(
         self, outcome: runners.Outcome, first_token_s: float | None
     ) -> None:
-        """Report the end of the request and let its connection go.
+        """Report the end of the request and close its connection.
 
-        :param outcome: how it ended.
-        :param first_token_s: time to the first token, or None.
+        :param outcome: how the request ended.
+        :param first_token_s: seconds to the first token; None when no token
+            came.
         """
         flight = self._flight
         if self._exchange is not None:
@@ -197,7 +215,7 @@
         future = self._context.desk.ask(ended)
         if flight.attempt > 1 or self._on_trial:
             report = self._context.answer_of(future)
-            attempt_reports.spread(self._context, report, False)
+            attempt_reports.send_report(self._context, report, False)
         if self._on_trial:
             attempt_reports.end_trial(
                 self._context,
@@ -206,7 +224,7 @@
                 flight.request_id,
             )
 
-    def _check_blame(
+    def _raise_for_client_error(
         self, error: upstream_exchange.UpstreamErrorResponse
     ) -> None:
         if error.status in _CLIENT_ERRORS:
@@ -216,36 +234,36 @@
                 None,
             )
 
-    def _started(
-        self, wanted: str, tried: frozenset[str]
+    def _start_request(
+        self, target: str, tried: frozenset[str]
     ) -> upstream_exchange.Exchange:
         flight = self._flight
         flight.attempt += 1
-        silent = self._leave_silent()
-        runner = self._place(wanted, tried)
+        silent = self._release_silent_runner()
+        runner = self._select_runner(target, tried)
         if silent is not None and silent.name != runner.name:
             self._context.background.submit(
-                cancel, silent.address, flight.request_id
+                cancel_stream, silent.address, flight.request_id
             )
         tokens = flight.transcript.tokens()
         body = flight.request.body_for(flight.entry.model, tokens)
         exchange = self._connect(runner)
         self._sent = True
         exchange.send("POST", flight.request.path, self._headers(), body)
-        return self._checked(exchange)
+        return self._check_response(exchange)
 
-    def _resumed(self) -> upstream_exchange.Exchange:
+    def _reconnect(self) -> upstream_exchange.Exchange:
         flight = self._flight
         runner = flight.runner
         assert runner is not None
         flight.attempt += 1
-        return self._continued(runner)
+        return self._read_stream(runner)
 
-    def _moved_to(self, target: str) -> upstream_exchange.Exchange:
+    def _move_to(self, target: str) -> upstream_exchange.Exchange:
         flight = self._flight
         old = flight.runner
         assert old is not None
-        self._drop()
+        self._abandon_exchange()
         began = self._context.clock.now()
         tokens = flight.request.prompt_tokens + flight.resume_from
         desk = self._context.desk
@@ -255,12 +273,12 @@
                 "POST",
                 f"/v1/streams/{flight.request_id}/export",
                 {},
-                IMPORT_S,
+                TRANSFER_TIMEOUT_S,
             )
             flight.attempt += 1
-            runner = self._place(target, frozenset())
+            runner = self._select_runner(target, frozenset())
             upstream_exchange.call_json(
-                runner.address, "POST", "/v1/import", state, IMPORT_S
+                runner.address, "POST", "/v1/import", state, TRANSFER_TIMEOUT_S
             )
         except upstream_exchange.UpstreamError:
             desk.tell(messages.MoveEnded(tokens, None))
@@ -276,25 +294,30 @@
             tokens=flight.resume_from,
             seconds=seconds,
         )
-        return self._continued(runner)
+        return self._read_stream(runner)
+
+    def _read_stream(
+        self, runner: runners.Runner
+    ) -> upstream_exchange.Exchange:
+        """Read the stream that the runner already has, from the next token.
 
-    def _continued(self, runner: runners.Runner) -> upstream_exchange.Exchange:
-        """Read the runner's own stream from the next token on."""
+        :param runner: the runner that has the stream.
+        """
         flight = self._flight
         exchange = self._connect(runner)
         path = f"/v1/streams/{flight.request_id}?from={flight.resume_from}"
         exchange.send("GET", path, self._headers())
-        return self._checked(exchange)
+        return self._check_response(exchange)
 
     def _connect(self, runner: runners.Runner) -> upstream_exchange.Exchange:
-        self._drop()
+        self._abandon_exchange()
         first_token_s = self._flight.service_class.first_token_s
-        patience_s = max(
-            LEAST_FIRST_BYTE_S, FIRST_BYTE_PATIENCE * first_token_s
+        timeout_s = max(
+            MIN_FIRST_BYTE_TIMEOUT_S, FIRST_BYTE_TIMEOUT_FACTOR * first_token_s
         )
         exchange = upstream_exchange.Exchange(
             runner.address,
-            min(patience_s, max(0.1, self._flight.left_s)),
+            min(timeout_s, max(0.1, self._flight.left_s)),
             stream=True,
         )
         self._exchange = exchange
@@ -302,7 +325,7 @@
         exchange.open()
         return exchange
 
-    def _checked(
+    def _check_response(
         self, exchange: upstream_exchange.Exchange
     ) -> upstream_exchange.Exchange:
         flight = self._flight
@@ -325,8 +348,10 @@
             PRIORITY_HEADER: str(flight.service_class.priority),
         }
 
-    def _place(self, wanted: str, tried: frozenset[str]) -> runners.Runner:
-        """A runner for the next attempt, from the desk or the judge."""
+    def _select_runner(
+        self, target: str, tried: frozenset[str]
+    ) -> runners.Runner:
+        """Choose a runner for the next attempt, if need be as a trial."""
         flight = self._flight
 
         def dispatch(only: str, on_trial: bool) -> messages.Dispatch:
@@ -340,10 +365,10 @@
                 on_trial,
             )
 
-        placed = self._placing.place(dispatch, wanted)
-        self._on_trial = placed.on_trial
-        flight.runner = placed.route.runner
-        return placed.route.runner
+        selection = self._selector.select(dispatch, target)
+        self._on_trial = selection.on_trial
+        flight.runner = selection.route.runner
+        return selection.route.runner
 
     def _refusal(
         self,
@@ -358,12 +383,13 @@
             kind, message, executed, retry_after_s, self._flight.request_id
         )
 
-    def _leave_silent(self) -> runners.Runner | None:
-        """Give up a runner that stayed silent over new connections, too.
+    def _release_silent_runner(self) -> runners.Runner | None:
+        """Report a failed attempt at a runner whose connection fell silent.
 
-        :returns: the runner, which may still be computing the stream.
+        :returns: the runner, which may still be computing the stream; None
+            when no runner fell silent.
         """
-        silent, self._silent_at = self._silent_at, None
+        silent, self._silent_runner = self._silent_runner, None
         if silent is not None:
             ended = messages.AttemptEnded(
                 self._flight.request_id, runners.Outcome.FAILED, False
@@ -371,19 +397,20 @@
             self._context.desk.tell(ended)
         return silent
 
-    def _drop(self) -> None:
+    def _abandon_exchange(self) -> None:
         if self._exchange is not None:
             self._exchange.abandon()
             self._exchange = None
 
 
-def cancel(address: str, request_id: str) -> None:
-    """Tell a runner that nobody wants a stream any more.
+def cancel_stream(address: str, request_id: str) -> None:
+    """Cancel a stream at a runner.
 
-    A failure does no harm: the runner ends streams that nobody reads.
+    A failed call is logged and ignored, because runners end streams that no
+    client reads.
 
     :param address: ``host:port`` of the runner.
-    :param request_id: names the stream.
+    :param request_id: the request that the stream answers.
     """
     try:
         upstream_exchange.call_json(
--- a/src/apricotlever/daemon/verdicts.py
+++ b/src/apricotlever/daemon/verdicts.py
@@ -1,9 +1,9 @@
-"""What admission's verdicts mean for callers."""
+"""Maps refusals by admission to the refusals that callers receive."""
 
 from .. import refusals
 from ..contracts import admission
 
-_LIMITS = frozenset(
+_LIMIT_REASONS = frozenset(
     (
         admission.RefusalReason.CONCURRENCY,
         admission.RefusalReason.RATE,
@@ -14,11 +14,11 @@
 
 
 def refusal_of(verdict: admission.Refused) -> refusals.Refusal:
-    """The refusal that a caller gets.
+    """The refusal that a caller receives.
 
-    :param verdict: why the request was not admitted.
+    :param verdict: admission's refusal, with its reason.
     """
-    limited = verdict.reason in _LIMITS
+    limited = verdict.reason in _LIMIT_REASONS
     kind = refusals.RATE_LIMITED if limited else refusals.OVERLOADED
     if verdict.reason is admission.RefusalReason.UNKNOWN_ENTRY:
         kind = refusals.NOT_FOUND
