--- a/src/apricotlever/daemon/attempt_reports.py
+++ b/src/apricotlever/daemon/attempt_reports.py
@@ -12,8 +12,8 @@
 from . import messages
 from . import placing
 
-#: How long a retry waits for crash reports from other entry VMs. Such a
-#: report takes 3 to 30 ms on one machine with all its cores busy.
+#: How long a retry waits for crash reports from other entry VMs, in seconds.
+#: The reports arrive within 3 to 30 ms on a machine whose cores are all busy.
 CRASH_REPORT_WAIT_S = 0.15
 
 
--- a/tests/daemon/detoured.py
+++ b/tests/daemon/detoured.py
@@ -1,8 +1,8 @@
-"""The daemon, with relays on its way to some peers, as a program.
+"""Runs the daemon with relays in front of some of its peers.
 
-A fleet's members tell each other their own addresses, so a relay can't be
-put in front of a peer from outside. This program reads from a file beside
-its settings which peers' addresses to replace, at each call.
+The members of a fleet announce their own addresses, so a test can't put a
+relay in front of a peer from outside. At each call to a peer, this program
+reads from a file beside its settings which addresses to replace.
 """
 
 import json
@@ -17,23 +17,28 @@
 
 
 def path_for(settings_path: pathlib.Path) -> pathlib.Path:
-    """Where the replacements of the daemon with these settings are."""
+    """The file with the address replacements for a daemon.
+
+    :param settings_path: the settings file of the daemon.
+    """
     return settings_path.with_suffix(SUFFIX)
 
 
-def _detour(path: pathlib.Path) -> None:
-    direct = peer_link.PeerLink.call
+def _replace_peer_addresses(path: pathlib.Path) -> None:
+    original_call = peer_link.PeerLink.call
 
     def call(
         link: peer_link.PeerLink, address: str, *arguments: typing.Any
     ) -> typing.Any:
-        found = json.loads(path.read_text()) if path.exists() else {}
-        return direct(link, found.get(address, address), *arguments)
+        replacements = json.loads(path.read_text()) if path.exists() else {}
+        return original_call(
+            link, replacements.get(address, address), *arguments
+        )
 
     peer_link.PeerLink.call = call  # type: ignore[method-assign]
 
 
 if __name__ == "__main__":
     settings_at = sys.argv.index("--settings") + 1
-    _detour(path_for(pathlib.Path(sys.argv[settings_at])))
+    _replace_peer_addresses(path_for(pathlib.Path(sys.argv[settings_at])))
     main.run()
--- a/tests/daemon/flood.py
+++ b/tests/daemon/flood.py
@@ -1,4 +1,4 @@
-"""Requests that come at a fixed rate, whether or not they are answered."""
+"""Starts requests at a fixed rate without waiting for their answers."""
 
 from concurrent import futures
 import itertools
@@ -11,19 +11,23 @@
 
 THREADS = 300
 TOKENS = 20
-#: Served a second by a slot: TOKENS steps with four sequences in them, and the
-#: prefill of as many prompts meanwhile. Engines of four slots that callers
-#: kept full generated 119.9 tokens a second, each of three times.
-PER_SLOT_S = 1.5
+#: Requests that a slot serves per second. Each needs TOKENS steps with four
+#: sequences in a batch, and the prefill of as many prompts meanwhile. Engines
+#: with four slots that were always full generated 119.9 tokens a second in
+#: each of three runs.
+REQUESTS_PER_SLOT_PER_S = 1.5
 GAP_TIMEOUT_S = 20.0
 Answers = list[answers.Answer]
 
 
 class Flood:
-    """One customer's requests of one entry.
+    """A flood of one customer's requests to one entry.
 
-    :param addresses: entry VMs, or runners for the naive version.
-    :param rate_per_s: requests begun a second.
+    :param addresses: ``host:port`` of the entry VMs, or of the runners when
+        the requests bypass the system.
+    :param customer: the customer's name.
+    :param entry: the entry's name.
+    :param rate_per_s: requests started per second.
     """
 
     def __init__(
@@ -38,21 +42,24 @@
         self._entry = entry
         self._rate_per_s = rate_per_s
         self._pool = futures.ThreadPoolExecutor(THREADS)
-        self._begun: list[futures.Future[answers.Answer]] = []
+        self._started: list[futures.Future[answers.Answer]] = []
 
     def run(self, seconds: float) -> Answers:
-        """Begin requests for a time, then wait for all answers."""
-        began = time.monotonic()
+        """Start requests for some time, then wait for all answers.
+
+        :param seconds: how long requests are started.
+        """
+        started_at = time.monotonic()
         count = int(seconds * self._rate_per_s)
         for number in range(count):
-            pause_s = began + number / self._rate_per_s - time.monotonic()
+            pause_s = started_at + number / self._rate_per_s - time.monotonic()
             time.sleep(max(0.0, pause_s))
-            self._begun.append(self._pool.submit(self._one, number))
-        found = [each.result(60.0) for each in self._begun]
+            self._started.append(self._pool.submit(self._send, number))
+        received = [future.result(60.0) for future in self._started]
         self._pool.shutdown()
-        return found
+        return received
 
-    def _one(self, number: int) -> answers.Answer:
+    def _send(self, number: int) -> answers.Answer:
         body = {
             "model": self._entry,
             "prompt": f"{self._customer} {self._entry} {number} "
@@ -60,15 +67,15 @@
             "max_tokens": TOKENS,
             "stream": True,
         }
-        one = caller.Caller(
+        sender = caller.Caller(
             self._addresses, scene.key_of(self._customer), GAP_TIMEOUT_S
         )
         address = self._addresses[number % len(self._addresses)]
-        return one.stream("/v1/completions", body, address)
+        return sender.stream("/v1/completions", body, address)
 
 
-def together(seconds: float, *floods: Flood) -> list[Answers]:
-    """Run floods at the same time.
+def run_together(seconds: float, *floods: Flood) -> list[Answers]:
+    """Run floods concurrently.
 
     :returns: the answers of each.
     """
@@ -76,6 +83,6 @@
         return list(pool.map(Flood.run, floods, itertools.repeat(seconds)))
 
 
-def served(found: Answers) -> Answers:
-    """Those that were answered."""
-    return [answer for answer in found if answer.done]
+def served(received: Answers) -> Answers:
+    """The answers of requests that were served completely."""
+    return [answer for answer in received if answer.done]
--- a/tests/daemon/gateway.feature
+++ b/tests/daemon/gateway.feature
@@ -1,13 +1,12 @@
-Feature: Handlers of what callers ask
+Feature: HTTP handlers of an entry VM
 
-  Scenario Outline: A request is held to one version of the catalogue
-    Symptom: a caller gets a 404 or a 500 while an operator edits the catalogue.
-    Events: a request's entry is looked up; an edit takes the entry and its
-    class away; the entry's class is looked up.
-    Cause: each look-up reads the catalogue that is in force by then.
-    Given a gateway whose catalogue is replaced after <count> readings
-    When a <kind> request reaches that gateway, whose desk sheds all
-    Then that gateway's refusal is "overloaded", not a fault
+  Scenario Outline: A request uses one version of the catalogue
+    Guards against a 404 or 500 during an edit of the catalogue: a request
+    looks up its entry, the edit removes the entry and its class, and the
+    request looks up the class in the new catalogue.
+    Given a gateway whose catalogue is replaced after <count> reads
+    When a <kind> request reaches a gateway whose dispatcher refuses everything
+    Then the gateway refuses the request with "overloaded"
 
     Examples:
       | kind    | count |
@@ -16,10 +15,10 @@
       | service | 1     |
       | service | 2     |
 
-  Scenario: Operators' pages are kept from customers
-    Symptom: one customer reads what another one spends.
-    Events: a customer asks for the status page of an entry VM.
-    Cause: the page is open to all who reach the port.
+  Scenario: Customers can't read the operators' pages
+    Guards against a customer that reads what other customers spend on the
+    status page of an entry VM, because the page is open to everyone who
+    reaches the port.
     Given a fleet whose operators have a key
     When a customer asks for the status and the histograms
     Then neither is shown
--- a/tests/daemon/lookups.py
+++ b/tests/daemon/lookups.py
@@ -1,4 +1,4 @@
-"""Idempotent calls of a plain service, each with an answer of its own."""
+"""Idempotent calls of a plain service, each of which has a unique answer."""
 
 from concurrent import futures
 import itertools
@@ -25,34 +25,40 @@
         self._running: list[tuple[int, futures.Future[answers.Answer]]] = []
 
     def close(self) -> None:
-        """Wait for the callers."""
+        """Cancel waiting lookups and wait for the running ones."""
         self._pool.shutdown(wait=True, cancel_futures=True)
 
-    def begin(self, count: int) -> None:
-        """Start lookups, each of a path of its own."""
+    def start(self, count: int) -> None:
+        """Start lookups, each with a unique path."""
         for number in itertools.islice(self._numbers, count):
-            one = self._pool.submit(self._look, number)
-            self._running.append((number, one))
+            future = self._pool.submit(self._look_up, number)
+            self._running.append((number, future))
 
     def problems(self, within_s: float) -> list[str]:
-        """What is wrong with any answer, when all have come."""
-        done = [(number, one.result(60.0)) for number, one in self._running]
+        """Wait for all answers and describe those that are wrong.
+
+        :param within_s: the longest time that an answer may take.
+        :returns: one line for each wrong or late answer.
+        """
+        done = [
+            (number, future.result(60.0)) for number, future in self._running
+        ]
         self._running = []
         return [
-            f"{number}: {wrong}"
+            f"{number}: {problem}"
             for number, answer in done
-            if (wrong := _problem(number, answer, within_s))
+            if (problem := _problem(number, answer, within_s))
         ]
 
-    def again(self) -> None:
-        """Make the lookups made so far once more."""
+    def repeat_all(self) -> None:
+        """Start all lookups made so far once more."""
         count = next(self._numbers)
         self._numbers = itertools.count()
-        self.begin(count)
+        self.start(count)
 
-    def _look(self, number: int) -> answers.Answer:
-        one = self._callers[number % len(self._callers)]
-        return one.service(scene.SERVICE_ENTRY, "GET", _path(number))
+    def _look_up(self, number: int) -> answers.Answer:
+        caller = self._callers[number % len(self._callers)]
+        return caller.service(scene.SERVICE_ENTRY, "GET", _path(number))
 
 
 def _path(number: int) -> str:
@@ -62,9 +68,12 @@
 def _problem(number: int, answer: answers.Answer, within_s: float) -> str:
     if not answer.done:
         return f"{answer.status} {answer.error} after {answer.whole_s:.1f} s"
-    found = answer.payload
-    if (found["path"], found["request"]) != (_path(number), answer.request_id):
-        return f"another's answer: {found}"
+    payload = answer.payload
+    if (payload["path"], payload["request"]) != (
+        _path(number),
+        answer.request_id,
+    ):
+        return f"the answer to another lookup: {payload}"
     if answer.whole_s > within_s:
         return f"took {answer.whole_s:.1f} s"
     return ""
--- a/tests/daemon/raw.py
+++ b/tests/daemon/raw.py
@@ -1,4 +1,4 @@
-"""Sends bytes that no HTTP library would send, and reads the answers."""
+"""Sends invalid HTTP requests over raw sockets and reads the responses."""
 
 import http.client
 import json
@@ -8,7 +8,7 @@
 from tests.support import http as calls
 
 TIMEOUT_S = 20.0
-LONG_BYTES = 70_000
+OVERSIZED_BYTES = 70_000
 KEY = "key-ana"
 Inputs = dict[str, typing.Callable[[], bytes]]
 
@@ -16,7 +16,10 @@
 
 
 def bad_input(name: str) -> typing.Callable[[typing.Any], typing.Any]:
-    """Register what a step calls by a name."""
+    """Register a function that makes an invalid input.
+
+    :param name: the name of the input in the feature file.
+    """
 
     def register(make: typing.Callable[[], bytes]) -> typing.Any:
         _INPUTS[name] = make
@@ -31,7 +34,10 @@
     body: bytes = b"",
     headers: dict[str, str] | None = None,
 ) -> bytes:
-    """A whole request with ana's key; a header of "" is left out."""
+    """A complete request with ana's key.
+
+    :param headers: added to the default headers; an empty value removes one.
+    """
     named = {
         "Host": "entry",
         "Authorization": f"Bearer {KEY}",
@@ -46,7 +52,10 @@
 
 
 def completion(**fields: typing.Any) -> bytes:
-    """A completion request; a field of None is left out."""
+    """A completion request.
+
+    :param fields: added to the default fields; None removes one.
+    """
     document = {
         "model": "drafts",
         "prompt": "mandate",
@@ -59,44 +68,47 @@
     return request("POST", "/v1/completions", json.dumps(kept).encode())
 
 
-def bytes_of(name: str) -> bytes:
-    """The bytes of a registered input."""
+def input_bytes(name: str) -> bytes:
+    """The bytes of the input registered under a name."""
     return _INPUTS[name]()
 
 
 def send(address: str, content: bytes) -> socket.socket:
-    """Send bytes over a new connection, and leave it open."""
+    """Send bytes over a new connection.
+
+    :returns: the open connection.
+    """
     host, _, port = address.rpartition(":")
     sock = socket.create_connection((host, int(port)), TIMEOUT_S)
     sock.sendall(content)
     return sock
 
 
-def answer(sock: socket.socket) -> calls.Reply:
-    """Read one answer and close the connection."""
+def read_answer(sock: socket.socket) -> calls.Reply:
+    """Read one response and close the connection."""
     with sock:
         response = http.client.HTTPResponse(sock)
         response.begin()
         content = response.read()
         return calls.Reply(
-            response.status, response.headers, _decoded(content)
+            response.status, response.headers, _decode_body(content)
         )
 
 
-def _decoded(content: bytes) -> typing.Any:
+def _decode_body(content: bytes) -> typing.Any:
     try:
         return json.loads(content)
     except ValueError:
         return content.decode(errors="replace")
 
 
-@bad_input("an oversize body")
-def _oversize() -> bytes:
-    return request("POST", "/v1/completions", b"x" * LONG_BYTES)
+@bad_input("an oversized body")
+def _oversized_body() -> bytes:
+    return request("POST", "/v1/completions", b"x" * OVERSIZED_BYTES)
 
 
-@bad_input("an oversize body that is only announced")
-def _announced() -> bytes:
+@bad_input("an oversized Content-Length without its body")
+def _oversized_length() -> bytes:
     headers = {"Content-Length": "99999999999"}
     return request("POST", "/v1/completions", b"{", headers)
 
@@ -106,22 +118,22 @@
     return request("POST", "/v1/completions", b'{"model": "drafts", ')
 
 
-@bad_input("JSON nested too deep")
-def _deep() -> bytes:
+@bad_input("JSON that is nested too deeply")
+def _deeply_nested() -> bytes:
     return request("POST", "/v1/completions", b"[" * 30_000)
 
 
-@bad_input("a list in place of an object")
-def _list() -> bytes:
+@bad_input("a JSON list instead of an object")
+def _json_list() -> bytes:
     return request("POST", "/v1/completions", b"[1, 2]")
 
 
-@bad_input("bytes that are no UTF-8")
-def _no_utf8() -> bytes:
+@bad_input("bytes that are not UTF-8")
+def _invalid_utf8() -> bytes:
     return request("POST", "/v1/completions", b'{"prompt": "\xff\xfe"}')
 
 
-@bad_input("half a surrogate pair")
+@bad_input("an unpaired surrogate")
 def _surrogate() -> bytes:
     body = b'{"model": "drafts", "prompt": "\\ud800", "max_tokens": 4}'
     return request("POST", "/v1/completions", body)
@@ -133,8 +145,8 @@
     return request("POST", "/v1/completions", b"{}", headers)
 
 
-@bad_input("a key that is no ASCII")
-def _odd_key() -> bytes:
+@bad_input("a key that is not ASCII")
+def _non_ascii_key() -> bytes:
     headers = {"Authorization": "Bearer \xe9\xff"}
     return request("POST", "/v1/completions", b"{}", headers)
 
@@ -150,14 +162,14 @@
     return completion(model="nothing")
 
 
-@bad_input("a service entry as a model")
+@bad_input("a service entry used as a model")
 def _service_as_model() -> bytes:
     return completion(model="registry")
 
 
 @bad_input("a header that is too long")
 def _long_header() -> bytes:
-    headers = {"X-Long": "x" * LONG_BYTES}
+    headers = {"X-Long": "x" * OVERSIZED_BYTES}
     return request("POST", "/v1/completions", b"{}", headers)
 
 
@@ -172,39 +184,39 @@
 
 
 @bad_input("max_tokens that is text")
-def _text_tokens() -> bytes:
+def _max_tokens_text() -> bytes:
     return completion(max_tokens="many")
 
 
 @bad_input("max_tokens that is huge")
-def _huge_tokens() -> bytes:
+def _max_tokens_huge() -> bytes:
     return completion(max_tokens=10**12)
 
 
 @bad_input("max_tokens below one")
-def _no_tokens() -> bytes:
+def _max_tokens_zero() -> bytes:
     return completion(max_tokens=0)
 
 
 @bad_input("a seed that is text")
-def _text_seed() -> bytes:
+def _seed_text() -> bytes:
     return completion(seed="lucky")
 
 
 @bad_input("messages of wrong types")
-def _messages() -> bytes:
+def _wrong_message_types() -> bytes:
     body = json.dumps({"model": "drafts", "messages": [1, {}]}).encode()
     return request("POST", "/v1/chat/completions", body)
 
 
-@bad_input("a Last-Event-ID that is no number")
-def _last_event() -> bytes:
+@bad_input("a Last-Event-ID that is not a number")
+def _last_event_id_text() -> bytes:
     headers = {"Last-Event-ID": "../1"}
     return request("GET", "/v1/requests/vm-0.1.a", headers=headers)
 
 
 @bad_input("a Last-Event-ID that is huge")
-def _huge_event() -> bytes:
+def _last_event_id_huge() -> bytes:
     headers = {"Last-Event-ID": "9" * 6000}
     return request("GET", "/v1/requests/vm-0.1.a", headers=headers)
 
@@ -215,32 +227,32 @@
 
 
 @bad_input("an unknown method")
-def _method() -> bytes:
+def _unknown_method() -> bytes:
     return request("BREW", "/v1/completions")
 
 
-@bad_input("a method that the path lacks")
+@bad_input("a method that the path does not support")
 def _wrong_method() -> bytes:
     return request("DELETE", "/v1/keys")
 
 
 @bad_input("an unknown path")
-def _path() -> bytes:
+def _unknown_path() -> bytes:
     return request("GET", "/etc/passwd")
 
 
 @bad_input("path traversal past a service")
-def _traversal() -> bytes:
+def _traversal_past_service() -> bytes:
     return request("GET", "/v1/services/../../control/counts")
 
 
 @bad_input("path traversal in a service")
-def _traversal_in() -> bytes:
+def _traversal_in_service() -> bytes:
     return request("POST", "/v1/services/registry/x/../../control/reset")
 
 
 @bad_input("encoded path traversal in a service")
-def _traversal_encoded() -> bytes:
+def _encoded_traversal() -> bytes:
     return request(
         "POST", "/v1/services/registry/x/%2e%2e/%2e%2e/control/reset"
     )
@@ -251,8 +263,8 @@
     return request("GET", "/v1/services/registry/a%0d%0aX-Y:%20z")
 
 
-@bad_input("chunks without sizes")
-def _chunks() -> bytes:
+@bad_input("chunks without chunk sizes")
+def _chunks_without_sizes() -> bytes:
     headers = {"Content-Length": "", "Transfer-Encoding": "chunked"}
     return request(
         "POST", "/v1/completions", b"zz\r\n{}\r\n0\r\n\r\n", headers
@@ -260,19 +272,19 @@
 
 
 @bad_input("an unknown transfer encoding")
-def _encoding() -> bytes:
+def _unknown_encoding() -> bytes:
     headers = {"Content-Length": "", "Transfer-Encoding": "gzip"}
     return request("POST", "/v1/completions", b"{}", headers)
 
 
-@bad_input("a length that is no number")
-def _length() -> bytes:
+@bad_input("a Content-Length that is not a number")
+def _content_length_text() -> bytes:
     headers = {"Content-Length": "ten"}
     return request("POST", "/v1/completions", b"{}", headers)
 
 
-@bad_input("no HTTP at all")
-def _nonsense() -> bytes:
+@bad_input("bytes that are not HTTP")
+def _not_http() -> bytes:
     return b"\x16\x03\x01 hello\r\n\r\n"
 
 
@@ -282,6 +294,6 @@
     return request("POST", "/v1/services/registry/entries", b"{}", headers)
 
 
-@bad_input("a count of keys that is text")
-def _key_count() -> bytes:
+@bad_input("a number of keys that is text")
+def _key_count_text() -> bytes:
     return request("POST", "/v1/keys", b'{"count": "all"}')
--- a/tests/daemon/registrations.py
+++ b/tests/daemon/registrations.py
@@ -1,4 +1,4 @@
-"""Registrations that are sent again and again, counted at the far end."""
+"""Sends registrations repeatedly and counts how often they ran."""
 
 from concurrent import futures
 import itertools
@@ -14,15 +14,17 @@
 MINTED = "minted"
 OWN = "own"
 KINDS = (MINTED, OWN)
-VOUCHED = {"Apricotlever-First-Attempt": "yes"}
-PATIENCE_S = 15.0
+FIRST_ATTEMPT = {"Apricotlever-First-Attempt": "yes"}
+TIMEOUT_S = 15.0
 THREADS = 48
 
 
-class Sending:
-    """One sending of a registration and what its caller was told.
+class SentCall:
+    """One attempt at a registration and the answer to its caller.
 
-    :param ran_before: runs at the far end before this sending.
+    :param operation: the registration's operation.
+    :param ran_before: how often the services had run it before this attempt.
+    :param answer: the answer to the caller.
     """
 
     __slots__ = ("operation", "ran_before", "answer")
@@ -35,13 +37,13 @@
         self.answer = answer
 
     @property
-    def told(self) -> str:
-        """How it ended for the caller."""
+    def reported_outcome(self) -> str:
+        """``done``, or the executed value that the caller was told."""
         return "done" if self.answer.done else self.answer.executed
 
 
 class Registration:
-    """One thing to be registered once, under one key."""
+    """One operation that must run at most once, under one key."""
 
     __slots__ = ("operation", "key", "body")
 
@@ -52,7 +54,7 @@
 
 
 class Registrations:
-    """Sends registrations to entry VMs and remembers every answer.
+    """Sends registrations to entry VMs and keeps every answer.
 
     :param running: the fleet.
     """
@@ -63,17 +65,19 @@
         self._numbers = itertools.count()
         self._lock = threading.Lock()
         self._pool = futures.ThreadPoolExecutor(THREADS)
-        self._under_way: list[futures.Future[None]] = []
-        self.sendings: list[Sending] = []
+        self._in_progress: list[futures.Future[None]] = []
+        self.sent_calls: list[SentCall] = []
 
     def close(self) -> None:
-        """Wait for the callers."""
+        """Cancel waiting calls and wait for the running ones."""
         self._pool.shutdown(wait=True, cancel_futures=True)
 
     def new(self, kind: str, vm: str = "") -> Registration:
-        """A registration with a key of a kind.
+        """A new registration with a new key.
 
-        :param vm: that mints the key, if it is a minted one.
+        :param kind: ``MINTED`` or ``OWN``, the kind of key.
+        :param vm: the entry VM that mints a ``MINTED`` key; the first one if
+            empty.
         """
         number = next(self._numbers)
         key = f"counter-{number}"
@@ -86,9 +90,14 @@
         registration: Registration,
         vm: str,
         headers: dict[str, str] | None = None,
-    ) -> Sending:
-        """Send a registration once."""
-        before = self.runs().get(registration.operation, 0)
+    ) -> SentCall:
+        """Send a registration and wait for its answer.
+
+        :param registration: the registration.
+        :param vm: the entry VM that receives the call.
+        :param headers: added to the call's headers.
+        """
+        ran_before = self.runs().get(registration.operation, 0)
         answer = answers.Answer()
         try:
             reply = http.call(
@@ -101,56 +110,71 @@
                     "Idempotency-Key": registration.key,
                     **(headers or {}),
                 },
-                PATIENCE_S,
+                TIMEOUT_S,
             )
             answers.note_headers(answer, reply.status, reply.headers)
             answer.payload = reply.payload
             answer.done = reply.status == 200
         except http_errors() as error:
             answer.error = repr(error)
-        sending = Sending(registration.operation, before, answer)
+        sent_call = SentCall(registration.operation, ran_before, answer)
         with self._lock:
-            self.sendings.append(sending)
-        return sending
+            self.sent_calls.append(sent_call)
+        return sent_call
 
-    def begin(self, registration: Registration, vm: str) -> None:
+    def start_sending(self, registration: Registration, vm: str) -> None:
         """Send a registration without waiting for its answer."""
-        self._under_way.append(self._pool.submit(self._send, registration, vm))
+        self._in_progress.append(
+            self._pool.submit(self._send, registration, vm)
+        )
+
+    def send_everywhere(self, count: int, vms: typing.Sequence[str]) -> None:
+        """Start sending new registrations, each one twice to every entry VM.
 
-    def hammer(self, count: int, vms: typing.Sequence[str]) -> None:
-        """Many callers, each registration sent everywhere and again."""
+        :param count: how many registrations.
+        :param vms: the entry VMs.
+        """
         for number in range(count):
             kind = KINDS[number % len(KINDS)]
             registration = self.new(kind, vms[number % len(vms)])
             for vm in (*vms, *vms):
-                self.begin(registration, vm)
+                self.start_sending(registration, vm)
 
     def wait(self) -> None:
-        """Wait until every sending has its answer."""
-        for each in self._under_way:
-            each.result(60.0)
-        self._under_way = []
+        """Wait until every started call has its answer."""
+        for future in self._in_progress:
+            future.result(60.0)
+        self._in_progress = []
 
     def runs(self) -> dict[str, int]:
-        """How often each registration ran, as the services wrote it."""
+        """How often each registration ran, from the services' journals."""
         return self._journals("")
 
-    def told(self, operation: str) -> list[str]:
-        """How each sending of a registration ended for its caller."""
-        return [s.told for s in self.sendings if s.operation == operation]
+    def reported_outcomes(self, operation: str) -> list[str]:
+        """The outcome that each attempt at a registration was told."""
+        return [
+            sent_call.reported_outcome
+            for sent_call in self.sent_calls
+            if sent_call.operation == operation
+        ]
 
-    def doubled(self) -> dict[str, int]:
+    def executed_repeatedly(self) -> dict[str, int]:
         """The registrations that ran more than once."""
         return {name: n for name, n in self.runs().items() if n > 1}
 
-    def lies(self) -> list[tuple[str, typing.Any]]:
-        """Answers of ``Executed: no`` to what ran, or had run before."""
+    def false_denials(self) -> list[tuple[str, typing.Any]]:
+        """Answers with ``Executed: no`` to registrations that have run.
+
+        :returns: the operation and the payload of each such answer.
+        """
         requests = self._journals(".requests")
         return [
-            (sending.operation, sending.answer.payload)
-            for sending in self.sendings
-            if sending.answer.executed == "no"
-            and (sending.ran_before or sending.answer.request_id in requests)
+            (sent_call.operation, sent_call.answer.payload)
+            for sent_call in self.sent_calls
+            if sent_call.answer.executed == "no"
+            and (
+                sent_call.ran_before or sent_call.answer.request_id in requests
+            )
         ]
 
     def _send(self, registration: Registration, vm: str) -> None:
@@ -169,5 +193,5 @@
 
 
 def http_errors() -> tuple[type[Exception], ...]:
-    """What a call raises when it gets no answer."""
+    """The exceptions that a call without an answer raises."""
     return (OSError, http.http.client.HTTPException)
--- a/tests/daemon/repeats.feature
+++ b/tests/daemon/repeats.feature
@@ -1,20 +1,20 @@
-Feature: Calls to a platform that is down
+Feature: Backoff of periodic calls to a platform that is down
 
   Scenario: Failed calls are made less and less often
-    Symptom: ten calls and ten log lines a second, and no others are seen.
-    Events: the cloud API is down and refuses each connection at once.
-    Cause: a wait for notices that ended by an error is begun again at once.
-    Given a repeated call to the platform
-    When the repeated call fails 5 times
-    Then the repeated call waited 0.25, 0.5, 1.0, 2.0 and 2.0 s
-    And only failure 1 of the repeated call was news
+    Guards against ten calls and ten log lines a second, which hide all other
+    log lines, while the cloud API refuses each connection at once because a
+    failed wait for notices is restarted without a delay.
+    Given a periodic call to the platform
+    When the periodic call fails 5 times
+    Then the periodic call waited 0.25, 0.5, 1.0, 2.0 and 2.0 s
+    And only failure 1 of the periodic call was reported as new
 
-  Scenario: An answer ends the waiting, and is news once
-    Given a repeated call to the platform
-    When the repeated call fails 4 times
-    And the repeated call is answered 2 times
-    Then the repeated call is due at once
-    And only answer 1 of the repeated call was news
-    When the repeated call fails 2 times
-    Then the repeated call waited 0.25 and 0.5 s
-    And only failure 1 of the repeated call was news
+  Scenario: A success resets the backoff and is reported once
+    Given a periodic call to the platform
+    When the periodic call fails 4 times
+    And the periodic call succeeds 2 times
+    Then the periodic call is due at once
+    And only success 1 of the periodic call was reported as new
+    When the periodic call fails 2 times
+    Then the periodic call waited 0.25 and 0.5 s
+    And only failure 1 of the periodic call was reported as new
--- a/tests/daemon/silence.feature
+++ b/tests/daemon/silence.feature
@@ -1,119 +1,108 @@
-Feature: Connections that fall silent are noticed and replaced
+Feature: Silent connections are detected and replaced
 
   Scenario: A caller without the system waits for ever
-    The naive version, which shows that the checks below can fail.
-    Symptom: half an answer, and then nothing.
-    Events: the connection to a runner goes silent; the caller waits.
-    Cause: nothing tells a silent connection from a slow runner.
-    Given silent links before 3 engines, 1 services and 1 entry VMs
-    When a naive caller streams straight from dc-a, which goes silent
+    Shows that the check of answers can fail. The connection to a runner goes
+    silent in the middle of an answer; without the system, the caller can't
+    tell a silent connection from a slow runner and keeps waiting.
+    Given relays in front of 3 engines and 1 services, and 1 entry VMs
+    When a caller without the system streams from dc-a, which goes silent
     Then an answer is broken
 
-  Scenario: Streams fall silent in the middle
-    Symptom: a stream stops without an end.
-    Events: the connections to a data centre's runners swallow everything
-    both ways; new connections work.
-    Cause: something between the two ends has lost track of them.
-    Given silent links before 3 engines, 1 services and 2 entry VMs
+  Scenario: Connections fall silent in the middle of streams
+    Guards against a stream that stops without an end when a device on the
+    network path loses the state of the connections to a data centre's
+    runners. They drop all data in both directions; new connections work.
+    Given relays in front of 3 engines and 1 services, and 2 entry VMs
     And 9 callers are streaming 100 tokens each
     When the open connections to dc-a go silent
     Then every answer is whole and no token came twice
     And no token was computed again
     And at most 2.5 s passed between two tokens
 
-  Scenario: Streams fall silent again and again
-    Symptom: a stream that was saved once stops for good the second time.
-    Events: all connections to all runners go silent, and 1.8 s later all
-    new ones do; the third ones work.
-    Cause: the second silence is taken for the runner's death.
-    Given silent links before 3 engines, 1 services and 2 entry VMs
+  Scenario: Connections fall silent twice during streams
+    Guards against a stream that recovers once but not a second time, because
+    the second silence is taken for the runner's death. All connections go
+    silent, all new ones do 1.8 s later, and the third ones work.
+    Given relays in front of 3 engines and 1 services, and 2 entry VMs
     And 9 callers are streaming 140 tokens each
     When all open connections go silent
     And 1.8 s later all open connections go silent
     Then every answer is whole and no token came twice
     And no token was computed again
 
-  Scenario: Silence before the first token
-    Symptom: a caller waits for a first token that never comes.
-    Events: connections to a data centre swallow everything from their
-    first byte on; after half a second new ones work.
-    Cause: no answer has begun that could be late.
-    Given silent links before 3 engines, 1 services and 2 entry VMs
-    When new connections to dc-a are swallowed for 0.5 s
-    And 12 callers stream 10 tokens each in the silence
+  Scenario: Connections are silent before the first token
+    Guards against a caller that waits for its first token for ever. For half a
+    second, connections to a data centre drop all data from the first byte on,
+    so that no answer has begun that could be late.
+    Given relays in front of 3 engines and 1 services, and 2 entry VMs
+    When open and new connections to dc-a are silent for 0.5 s
+    And 12 callers stream 10 tokens each during the silence
     Then every answer is whole and no token came twice
     And each first token came within 5.0 s
 
-  Scenario: A plain call falls silent
-    Symptom: a status lookup hangs, or is answered with an error.
-    Events: the connections of idempotent calls go silent in the run.
-    Cause: the call waits for an answer that can't come.
-    Given silent links before 1 engines, 3 services and 2 entry VMs
+  Scenario: Connections fall silent during idempotent calls
+    Guards against a status lookup that hangs or fails because it waits for an
+    answer that can't come: the connections of idempotent calls go silent
+    while the calls run.
+    Given relays in front of 1 engines and 3 services, and 2 entry VMs
     And each plain service takes 0.5 s
-    When 4 lookups are under way and all open connections go silent
-    Then each lookup was answered within 6.0 s, with its own answer
+    When all open connections go silent while 4 lookups run
+    Then each lookup got its own answer within 6.0 s
 
-  Scenario: A plain call's connection is reset
-    Symptom: a status lookup is refused as one that crashes services.
-    Events: the connections of idempotent calls are reset in the run; the
-    services live.
-    Cause: a reset connection is taken for a service's death.
-    Given silent links before 1 engines, 3 services and 2 entry VMs
+  Scenario: Connections are reset during idempotent calls
+    Guards against a status lookup that is quarantined as a cause of crashes.
+    The connections of idempotent calls are reset while the calls run; the
+    services are alive, but a reset is taken for a crash.
+    Given relays in front of 1 engines and 3 services, and 2 entry VMs
     And each plain service takes 0.5 s
-    When 4 lookups are under way and all open connections are reset
-    Then each lookup was answered within 6.0 s, with its own answer
-    And the same lookups are answered when they are asked for again
+    When all open connections are reset while 4 lookups run
+    Then each lookup got its own answer within 6.0 s
+    And the same lookups are answered when they are repeated
 
-  Scenario: A service dies under plain calls
-    Symptom: status lookups are refused for minutes after a service's end.
-    Events: a service is killed with lookups in flight; the callers ask for
-    the same again.
-    Cause: each lookup is a suspect after the crash, and none is tried.
-    Given direct links to 1 engines, 3 services and 2 entry VMs
+  Scenario: A service is killed during idempotent calls
+    Guards against status lookups that are refused for minutes after a service
+    was killed with lookups in flight. Each lookup is a suspect after the
+    crash, and a repeated lookup must get its trial.
+    Given direct connections to 1 engines and 3 services, and 2 entry VMs
     And each plain service takes 0.5 s
-    When 12 lookups run at the services when service-0 dies
-    Then each lookup was answered within 8.0 s, with its own answer
-    And the same lookups are answered when they are asked for again
+    When service-0 is killed while 12 lookups run
+    Then each lookup got its own answer within 8.0 s
+    And the same lookups are answered when they are repeated
 
-  Scenario: Idle connections are reset or silent when they are used again
-    Symptom: the first lookups after a quiet time fail or wait.
-    Events: lookups leave connections for later use; those are reset, then
-    others go silent; the next lookups take them.
-    Cause: a kept connection looks alive until it is used.
-    Given silent links before 1 engines, 3 services and 2 entry VMs
-    When 12 lookups have left their connections for later
+  Scenario: Idle connections are reset or silent when they are reused
+    Guards against lookups that fail or wait after a quiet time, because idle
+    connections look alive until they are reused. First the idle connections
+    are reset, then others go silent.
+    Given relays in front of 1 engines and 3 services, and 2 entry VMs
+    When 12 lookups have left idle connections
     And all open connections are reset
-    Then 12 new lookups are answered within 2.5 s, with their own answers
+    Then 12 new lookups get their own answers within 2.5 s
     When all open connections go silent
-    Then 12 new lookups are answered within 6.0 s, with their own answers
+    Then 12 new lookups get their own answers within 6.0 s
 
-  Scenario: Answers come late, after their calls went elsewhere
-    Symptom: a caller reads another caller's answer.
-    Events: a service answers some calls after they were given up; other
-    calls use connections again meanwhile.
-    Cause: a late answer waits on a connection that is used again.
-    Given silent links before 1 engines, 3 services and 2 entry VMs
+  Scenario: Answers come late, after their calls were retried
+    Guards against a caller that gets another caller's answer. A service
+    answers some calls after they were given up, and a late answer waits on a
+    connection that another call reuses.
+    Given relays in front of 1 engines and 3 services, and 2 entry VMs
     And service-0 takes 3.6 s and the others 0.0 s
     When 90 lookups are made by 24 callers
-    Then each lookup was answered within 12.0 s, with its own answer
+    Then each lookup got its own answer within 12.0 s
 
-  Scenario: The owner of a key falls silent towards the other entry VMs
-    Symptom: a registration sent to another entry VM hangs for its whole
-    deadline.
-    Events: the entry VM that minted the key stands still (SIGSTOP); its
-    connections stay open.
-    Cause: a call on an open connection waits for as long as it may.
-    Given silent links before 1 engines, 3 services and 3 entry VMs
-    When vm-0 stands still and its key is sent to vm-1 and vm-2
-    Then both were told unknown within 8.0 s
-    And the key has not run
+  Scenario: The owner of a key stops answering the other entry VMs
+    Guards against a registration that hangs until its deadline at an entry VM
+    that forwards it. The VM that minted the key is stopped by SIGSTOP, and a
+    call over its open connection may wait for as long as the deadline.
+    Given relays in front of 1 engines and 3 services, and 3 entry VMs
+    When vm-0 pauses while a registration with its key is sent to vm-1 and vm-2
+    Then both attempts were reported as unknown within 8.0 s
+    And the registration has not run
 
-  Scenario: The watches of the store fall silent
-    Symptom: an accepted configuration doesn't come into force.
-    Events: all connections to the object API go silent; a new catalogue
-    is written; new connections work.
-    Cause: the watch waits on a connection that has no other end.
-    Given a silent link before the store of 3 entry VMs
+  Scenario: Connections to the store fall silent
+    Guards against an accepted configuration that doesn't come into force. All
+    connections to the object API go silent, a new catalogue is written, and
+    a watch waits on a dead connection although new ones work.
+    Given a relay in front of the store of 3 entry VMs
     When the store's open connections go silent
-    And a catalogue is put in force
-    Then it is in force at each entry VM within 8.0 s
+    And a catalogue is written to the store
+    Then the catalogue is in force at each entry VM within 8.0 s
--- a/tests/daemon/waits.py
+++ b/tests/daemon/waits.py
@@ -1,4 +1,4 @@
-"""How long a decision that tells when it is due makes its task wait."""
+"""Measures how long a clock must advance until something is due."""
 
 import typing
 
@@ -8,7 +8,7 @@
 
 
 class Due(typing.Protocol):
-    """Something that is due at a time."""
+    """Something that becomes due at some time."""
 
     @property
     def due(self) -> bool:
@@ -16,9 +16,11 @@
 
 
 def waited_s(clock: clocks.ManualClock, decision: Due) -> float:
-    """Advance the clock until a decision is due.
+    """Advance a clock until something is due.
 
-    :returns: how long that took, in seconds.
+    :param clock: the clock to advance, in steps of ``STEP_S``.
+    :param decision: what becomes due.
+    :returns: by how many seconds the clock advanced.
     """
     waited = 0.0
     while not decision.due:
--- a/tests/steps/daemon_at_most_once.py
+++ b/tests/steps/daemon_at_most_once.py
@@ -12,15 +12,15 @@
 from tests.support import fleet
 from tests.support import http
 
-UNDER_WAY_S = 0.25
+IN_PROGRESS_S = 0.25
 
 
-def _register(context, services, vms, linked=False):
+def _start(context, services, vms, linked=False):
     context.scene = scene.Scene(1, services, vms, linked=linked)
     context.closers.append(context.scene.close)
-    context.book = registrations.Registrations(context.scene)
-    context.closers.append(context.book.close)
-    context.entered = []
+    context.registrations = registrations.Registrations(context.scene)
+    context.closers.append(context.registrations.close)
+    context.submitted = []
 
 
 def _service_faults(context, **faults):
@@ -29,38 +29,41 @@
             context.scene.fleet.faults(name, **faults)
 
 
-def _again(context, vms):
-    for registration in context.entered:
+def _send_again(context, vms):
+    for registration in context.submitted:
         for vm in vms:
-            context.book.begin(registration, vm)
-    context.book.wait()
+            context.registrations.start_sending(registration, vm)
+    context.registrations.wait()
 
 
-@given("a register with {services:d} services and {vms:d} entry VMs")
-def _plain(context, services, vms):
-    _register(context, services, vms)
+@given("a registry of {services:d} services and {vms:d} entry VMs")
+def _direct(context, services, vms):
+    _start(context, services, vms)
 
 
 @given(
-    "a register behind relays with {services:d} services and {vms:d} "
-    "entry VMs"
+    "a registry of {services:d} services behind relays and {vms:d} entry "
+    "VMs"
 )
-def _linked(context, services, vms):
-    _register(context, services, vms, linked=True)
+def _behind_relays(context, services, vms):
+    _start(context, services, vms, linked=True)
 
 
 @given("each service takes {seconds:f} s for a call")
-def _slow(context, seconds):
+def _delayed(context, seconds):
     _service_faults(context, delay_s=seconds)
 
 
-@given("services lose a fifth of their answers and take {seconds:f} s")
+@given(
+    "services lose a fifth of their answers and take {seconds:f} s for a "
+    "call"
+)
 def _lossy(context, seconds):
     _service_faults(context, lose_answer_probability=0.2, delay_s=seconds)
 
 
-@when("a naive caller registers straight at the services, losing answers")
-def _naive(context):
+@when("a caller without the system registers and loses the answers")
+def _without_system(context):
     _service_faults(context, lose_answer=1)
     for name in context.scene.services:
         address = context.scene.fleet.address(name)
@@ -71,159 +74,183 @@
             continue
 
 
-@then("the naive registration ran twice")
-def _naive_twice(context):
-    assert context.book.doubled() == {"naive": 2}, context.book.runs()
+@then("the registration without the system ran twice")
+def _ran_twice(context):
+    assert context.registrations.executed_repeatedly() == {
+        "naive": 2
+    }, context.registrations.runs()
 
 
-@when("a registration with a {key} key meets {fault} at the service")
-def _faulty(context, key, fault):
+@when("a registration with a {key} key hits fault {fault} at the service")
+def _with_fault(context, key, fault):
     _service_faults(context, **{fault: 1})
-    context.entered = [context.book.new(key, "vm-0")]
-    context.book.send(context.entered[0], "vm-0")
+    context.submitted = [context.registrations.new(key, "vm-0")]
+    context.registrations.send(context.submitted[0], "vm-0")
     _service_faults(context, **{fault: 0})
 
 
-@when("it is sent again to each entry VM twice")
-def _twice(context):
+@when("the registration is sent again to each entry VM twice")
+def _to_each_twice(context):
     for vm in (*context.scene.vms, *context.scene.vms):
-        context.book.send(context.entered[0], vm)
+        context.registrations.send(context.submitted[0], vm)
 
 
 @then("no registration ran twice")
-def _once(context):
-    assert not context.book.doubled(), context.book.doubled()
+def _none_twice(context):
+    assert (
+        not context.registrations.executed_repeatedly()
+    ), context.registrations.executed_repeatedly()
 
 
-@then("no caller was told no of a registration that ran")
-def _no_lies(context):
-    assert context.book.sendings
-    assert not context.book.lies(), context.book.lies()
+@then("no registration that ran was reported as not executed")
+def _no_false_denials(context):
+    assert context.registrations.sent_calls
+    assert (
+        not context.registrations.false_denials()
+    ), context.registrations.false_denials()
 
 
-@then("that registration ran {runs:d} times")
-def _ran(context, runs):
-    found = context.book.runs().get(context.entered[0].operation, 0)
+@then("the registration ran {runs:d} times")
+def _ran_times(context, runs):
+    found = context.registrations.runs().get(context.submitted[0].operation, 0)
     assert found == runs, found
 
 
-@then("each sending of it was told unknown")
-def _unknown(context):
-    told = context.book.told(context.entered[0].operation)
-    assert set(told) == {"unknown"}, told
+@then("each attempt at the registration was reported as unknown")
+def _all_unknown(context):
+    outcomes = context.registrations.reported_outcomes(
+        context.submitted[0].operation
+    )
+    assert set(outcomes) == {"unknown"}, outcomes
 
 
-@when("registrations with each kind of key are cut by silence in the run")
-def _silenced(context):
+@when("connections fall silent while registrations with each kind of key run")
+def _silent_during_run(context):
     _service_faults(context, delay_s=0.6)
-    _under_way(context, 1)
+    _in_progress(context, 1)
     context.scene.silence(context.scene.services)
-    context.book.wait()
+    context.registrations.wait()
 
 
-@when("they are sent again to each entry VM")
-def _resent(context):
-    context.resent_from = len(context.book.sendings)
-    _again(context, context.scene.vms)
+@when("the registrations are sent again to each entry VM")
+def _to_each(context):
+    context.repeated_from = len(context.registrations.sent_calls)
+    _send_again(context, context.scene.vms)
 
 
 @then("each registration ran once")
 def _all_once(context):
-    runs = context.book.runs()
-    found = {r.operation: runs.get(r.operation, 0) for r in context.entered}
-    assert found and set(found.values()) == {1}, (found, _told(context))
+    runs = context.registrations.runs()
+    found = {r.operation: runs.get(r.operation, 0) for r in context.submitted}
+    assert found and set(found.values()) == {1}, (
+        found,
+        _outcome_counts(context),
+    )
 
 
-@when("{count:d} registrations of each kind are under way at vm-0")
-def _under_way(context, count):
-    context.entered = [
-        context.book.new(kind, "vm-0")
+@when("{count:d} registrations with each kind of key are in progress at vm-0")
+def _in_progress(context, count):
+    context.submitted = [
+        context.registrations.new(kind, "vm-0")
         for kind in registrations.KINDS
         for _ in range(count)
     ]
-    for registration in context.entered:
-        context.book.begin(registration, "vm-0")
-    time.sleep(UNDER_WAY_S)
+    for registration in context.submitted:
+        context.registrations.start_sending(registration, "vm-0")
+    time.sleep(IN_PROGRESS_S)
 
 
-@when("they are sent again to vm-1 and vm-2 until vm-0 has ended")
+@when("the registrations are sent again to vm-1 and vm-2 until vm-0 has ended")
 def _until_ended(context):
     process = context.scene.fleet.process("vm-0")
-    fleet.wait_for(lambda: _again_while(context, process))
-    _again(context, ("vm-1", "vm-2"))
+    fleet.wait_for(lambda: _send_until_ended(context, process))
+    _send_again(context, ("vm-1", "vm-2"))
 
 
-def _again_while(context, process):
-    _again(context, ("vm-1", "vm-2"))
+def _send_until_ended(context, process):
+    _send_again(context, ("vm-1", "vm-2"))
     return not process.running
 
 
-@then("every caller learned in the end that its registration is done")
+@then("the last two attempts at every registration were reported as done")
 def _all_done(context):
-    lasts = {
-        registration.operation: context.book.told(registration.operation)[-2:]
-        for registration in context.entered
+    last_outcomes = {
+        registration.operation: context.registrations.reported_outcomes(
+            registration.operation
+        )[-2:]
+        for registration in context.submitted
     }
-    wrong = {k: v for k, v in lasts.items() if v != ["done", "done"]}
-    assert not wrong, (wrong, _told(context))
+    wrong = {k: v for k, v in last_outcomes.items() if v != ["done", "done"]}
+    assert not wrong, (wrong, _outcome_counts(context))
 
 
-def _told(context):
+def _outcome_counts(context):
     return collections.Counter(
-        (sending.operation.partition("-")[0], sending.told)
-        for sending in context.book.sendings
+        (sent_call.operation.partition("-")[0], sent_call.reported_outcome)
+        for sent_call in context.registrations.sent_calls
     )
 
 
 @when("the object API is down")
-def _down(context):
+def _store_down(context):
     context.scene.fleet.faults("objects", down=True)
 
 
-@when("the object API is back")
-def _back(context):
+@when("the object API works again")
+def _store_works(context):
     context.scene.fleet.faults("objects", down=False)
 
 
 @when("a registration with {article} {key} key is sent to {vm}")
 def _sent_to(context, article, key, vm):
-    registration = context.book.new(key, vm)
-    context.last = context.book.send(registration, vm)
+    registration = context.registrations.new(key, vm)
+    context.last = context.registrations.send(registration, vm)
 
 
-@when("a vouched registration with an own key is sent to {vm}")
-def _vouched(context, vm):
-    context.vouched = context.book.new(registrations.OWN)
-    context.last = context.book.send(
-        context.vouched, vm, registrations.VOUCHED
+@when("a declared first attempt with an own key is sent to {vm}")
+def _first_attempt(context, vm):
+    context.first_attempt = context.registrations.new(registrations.OWN)
+    context.last = context.registrations.send(
+        context.first_attempt, vm, registrations.FIRST_ATTEMPT
     )
 
 
-@then("the caller is told {told} at once")
-def _it_was(context, told):
+@then("the caller is told {outcome} at once")
+def _caller_told(context, outcome):
     answer = context.last.answer
-    assert context.last.told == told, (answer.status, answer.payload)
+    assert context.last.reported_outcome == outcome, (
+        answer.status,
+        answer.payload,
+    )
 
 
-@then("claims_unavailable says no and names a time to come back")
-def _refused(context):
+@then("the caller gets claims_unavailable, not executed, with a time to retry")
+def _claims_unavailable(context):
     answer = context.last.answer
-    assert context.last.told == "no", (answer.status, answer.payload)
+    assert context.last.reported_outcome == "no", (
+        answer.status,
+        answer.payload,
+    )
     assert answer.payload["error"]["type"] == "claims_unavailable"
     assert answer.retry_after_s
 
 
-@then("the vouched registration runs when it is sent to {vm}")
-def _vouched_runs(context, vm):
+@then("the declared first attempt runs once when it is sent to {vm}")
+def _first_attempt_runs(context, vm):
     def ran():
-        return context.book.send(context.vouched, vm).told == "done"
+        return (
+            context.registrations.send(
+                context.first_attempt, vm
+            ).reported_outcome
+            == "done"
+        )
 
     fleet.wait_for(ran)
-    assert context.book.runs()[context.vouched.operation] == 1
+    assert context.registrations.runs()[context.first_attempt.operation] == 1
 
 
 @when("the object API loses the answer of each write")
-def _loses(context):
+def _store_loses_answers(context):
     context.scene.fleet.faults("objects", lose_answer=True)
 
 
@@ -231,80 +258,91 @@
     "{count:d} registrations with own keys are sent to every entry VM at once"
 )
 def _own_everywhere(context, count):
-    context.entered = [
-        context.book.new(registrations.OWN) for _ in range(count)
+    context.submitted = [
+        context.registrations.new(registrations.OWN) for _ in range(count)
     ]
-    _again(context, context.scene.vms)
+    _send_again(context, context.scene.vms)
 
 
-@when("vm-0 pauses for {seconds:f} s while they are sent to vm-1 and vm-2")
-def _pauses(context, seconds):
+@when(
+    "vm-0 pauses for {seconds:f} s while the registrations go to vm-1 and "
+    "vm-2"
+)
+def _paused(context, seconds):
     context.scene.fleet.pause("vm-0")
     until = time.monotonic() + seconds
     try:
-        for registration in context.entered:
+        for registration in context.submitted:
             for vm in ("vm-1", "vm-2"):
-                context.book.begin(registration, vm)
+                context.registrations.start_sending(registration, vm)
         time.sleep(max(0.0, until - time.monotonic()))
     finally:
         context.scene.fleet.resume("vm-0")
-    context.book.wait()
+    context.registrations.wait()
 
 
-@when("they are sent again to vm-1 and vm-2")
+@when("the registrations are sent again to vm-1 and vm-2")
 def _to_others(context):
-    context.book.wait()
-    context.resent_from = len(context.book.sendings)
-    _again(context, ("vm-1", "vm-2"))
+    context.registrations.wait()
+    context.repeated_from = len(context.registrations.sent_calls)
+    _send_again(context, ("vm-1", "vm-2"))
 
 
-@then("every sending again of a minted key was told unknown")
+@then("every repeated call with a minted key was reported as unknown")
 def _minted_unknown(context):
-    again = context.book.sendings[context.resent_from :]
-    minted = [s for s in again if s.operation.startswith("minted")]
-    wrong = [s.answer.payload for s in minted if s.told != "unknown"]
+    repeated = context.registrations.sent_calls[context.repeated_from :]
+    minted = [s for s in repeated if s.operation.startswith("minted")]
+    wrong = [
+        s.answer.payload for s in minted if s.reported_outcome != "unknown"
+    ]
     assert minted and not wrong, (len(wrong), len(minted), wrong[:3])
 
 
-@when("vm-0 is started again under its name")
+@when("vm-0 is restarted under the same name")
 def _restarted(context):
     context.scene.fleet.restart("vm-0")
 
 
-@then("a new key of vm-0 runs once")
+@then("a registration with a new key of vm-0 runs once")
 def _new_key(context):
     fleet.wait_for(lambda: context.scene.status("vm-0")["catalogue_version"])
-    registration = context.book.new(registrations.MINTED, "vm-0")
+    registration = context.registrations.new(registrations.MINTED, "vm-0")
 
     def ran():
-        return context.book.send(registration, "vm-1").told == "done"
+        return (
+            context.registrations.send(registration, "vm-1").reported_outcome
+            == "done"
+        )
 
     fleet.wait_for(ran)
-    assert context.book.runs()[registration.operation] == 1
+    assert context.registrations.runs()[registration.operation] == 1
 
 
-@when("{count:d} registrations are sent everywhere at once and again")
-def _hammered(context, count):
+@when(
+    "{count:d} registrations are sent to every entry VM twice at the same "
+    "time"
+)
+def _sent_everywhere(context, count):
     context.count = count
-    context.book.hammer(count, context.scene.vms)
+    context.registrations.send_everywhere(count, context.scene.vms)
 
 
-@when("service-0 is killed in the middle")
+@when("service-0 is killed while the registrations run")
 def _service_killed(context):
     time.sleep(0.3)
     context.scene.fleet.vanish(["service-0"])
-    context.book.wait()
+    context.registrations.wait()
 
 
 @then("most registrations ran")
-def _most(context):
-    ran = len(context.book.runs())
-    assert ran >= 0.8 * context.count, (ran, _told(context))
+def _most_ran(context):
+    ran = len(context.registrations.runs())
+    assert ran >= 0.8 * context.count, (ran, _outcome_counts(context))
 
 
-@when("it is sent again to vm-1 while vm-1 stops")
+@when("the registration is sent again to vm-1 while vm-1 stops")
 def _while_stopping(context):
     process = context.scene.fleet.process("vm-1")
     context.scene.fleet.terminate("vm-1")
     while process.running:
-        context.book.send(context.entered[0], "vm-1")
+        context.registrations.send(context.submitted[0], "vm-1")
--- a/tests/steps/daemon_bad_input.py
+++ b/tests/steps/daemon_bad_input.py
@@ -11,13 +11,13 @@
 from tests.daemon import scene
 
 TRICKLE_S = 0.5
-SECRETS = re.compile(
+LEAKS = re.compile(
     r"Traceback|File \"|\.py\b|/work|/home|/tmp|site-packages|bruno|secret",
 )
 
 
-@given("an entry VM that takes bodies of up to {size:d} bytes")
-def _small(context, size):
+@given("an entry VM that accepts bodies of up to {size:d} bytes")
+def _limited_bodies(context, size):
     context.scene = scene.Scene(
         1, 1, 1, sizes={"body_bytes_max": size, "header_bytes_max": size}
     )
@@ -26,12 +26,12 @@
     context.replies = {}
 
 
-@given("two senders stop in the middle of a request, one of them trickles")
-def _slow(context):
+@given("two half-sent requests, one of which continues byte by byte")
+def _half_sent(context):
     half = raw.completion()[:-5]
-    still = raw.send(context.address, half)
+    stopped = raw.send(context.address, half)
     trickling = raw.send(context.address, half[:40])
-    context.slow = (still, trickling)
+    context.half_sent = (stopped, trickling)
     context.sent_at = time.monotonic()
 
     def trickle():
@@ -45,51 +45,55 @@
     threading.Thread(target=trickle, daemon=True).start()
 
 
-@then("each input is refused with its status, its type and the truth")
+@then("each input is refused with its status, error type and executed value")
 def _refused(context):
     wrong = []
     for row in context.table:
         name = row["input"]
-        reply = raw.answer(raw.send(context.address, raw.bytes_of(name)))
+        reply = raw.read_answer(
+            raw.send(context.address, raw.input_bytes(name))
+        )
         context.replies[name] = reply
         error = reply.payload
         if isinstance(error, dict):
             error = error.get("error", {})
-        told = reply.headers.get("Apricotlever-Executed")
+        executed = reply.headers.get("Apricotlever-Executed")
         kind = error.get("type") if isinstance(error, dict) else error
-        found = (reply.status, kind, told)
+        found = (reply.status, kind, executed)
         if found != (int(row["status"]), row["type"], row["executed"]):
             wrong.append((name, found, reply.payload))
     assert not wrong, wrong
 
 
-@then("no answer shows a traceback, a file's path or another's data")
+@then("no response shows a traceback, a file path or another customer's data")
 def _nothing_leaks(context):
-    shown = {
+    responses = {
         name: f"{reply.headers}{reply.payload}"
         for name, reply in context.replies.items()
     }
-    leaks = {k: v for k, v in shown.items() if SECRETS.search(v)}
-    assert shown and not leaks, leaks
+    leaks = {k: v for k, v in responses.items() if LEAKS.search(v)}
+    assert responses and not leaks, leaks
 
 
-@then("no upstream has seen any of them")
-def _nothing_ran(context):
+@then("no upstream has received any of the inputs")
+def _nothing_received(context):
     assert not context.scene.fleet.journals()
 
 
-@then("{count:d} requests with a bad seed keep nobody else from being served")
+@then("another customer is served after {count:d} requests with a bad seed")
 def _bad_seeds(context, count):
     for _ in range(count):
-        raw.answer(raw.send(context.address, raw.completion(seed="lucky")))
+        raw.read_answer(
+            raw.send(context.address, raw.completion(seed="lucky"))
+        )
     answer = context.scene.caller("bruno").complete("drafts", "hello", 4)
     assert not answer.problem, answer.problem
 
 
 @then("the half-sent requests are refused with 408")
 def _timed_out(context):
-    for sock in context.slow:
-        reply = raw.answer(sock)
+    for sock in context.half_sent:
+        reply = raw.read_answer(sock)
         waited_s = time.monotonic() - context.sent_at
         assert reply.status == 408, (reply.status, reply.payload)
         assert reply.payload["error"]["type"] == "request_timeout"
@@ -97,8 +101,8 @@
         assert waited_s < 15.0, waited_s
 
 
-@then("the entry VM has logged no fault and serves as before")
-def _unharmed(context):
+@then("the entry VM has logged no internal error and still serves requests")
+def _still_serves(context):
     log = context.scene.fleet.log("vm-0")
     assert "Traceback" not in log, log[-3000:]
     assert "event=call_failed" not in log, log[-3000:]
--- a/tests/steps/daemon_gateway.py
+++ b/tests/steps/daemon_gateway.py
@@ -44,8 +44,8 @@
     )
 
 
-class _Desk:
-    """Sheds whatever it is asked for."""
+class _RefusingDispatcher:
+    """A dispatcher that refuses every request."""
 
     def ask(self, message):
         future = futures.Future()
@@ -56,18 +56,18 @@
         return future
 
     def tell(self, message):
-        """Nothing is to be withdrawn."""
+        """Accept a message without effect."""
 
 
 class _Context:
-    """A context in which each reading finds the next catalogue."""
+    """A context whose catalogue changes with each read."""
 
     def __init__(self, versions):
         self._versions = versions
         self.clock = clocks.ManualClock()
         self.config = types.SimpleNamespace(vm="vm")
         self.incarnation = 1
-        self.desk = _Desk()
+        self.desk = _RefusingDispatcher()
         self.metrics = types.SimpleNamespace(count=lambda name, of: None)
 
     @property
@@ -78,19 +78,19 @@
         return future.result(wait_s)
 
 
-@given("a gateway whose catalogue is replaced after {count:d} readings")
+@given("a gateway whose catalogue is replaced after {count:d} reads")
 def _gateway(context, count):
     presence = types.SimpleNamespace(takes_new_work=True)
 
     def make(kind):
-        later = catalogues.Catalogue(2, {}, {}, {})
-        versions = [_catalogue(kind)] * count + [later] * 9
+        edited = catalogues.Catalogue(2, {}, {}, {})
+        versions = [_catalogue(kind)] * count + [edited] * 9
         return gateway.Gateway(_Context(versions), presence)
 
     context.make_gateway = make
 
 
-@when("a {kind} request reaches that gateway, whose desk sheds all")
+@when("a {kind} request reaches a gateway whose dispatcher refuses everything")
 def _request(context, kind):
     path, body = CALLS[kind]
     environ = {"HTTP_AUTHORIZATION": f"Bearer {KEY}"}
@@ -102,6 +102,6 @@
         context.refusal = refusal
 
 
-@then('that gateway\'s refusal is "{name}", not a fault')
+@then('the gateway refuses the request with "{name}"')
 def _refused(context, name):
     assert context.refusal.kind.name == name, context.refusal
--- a/tests/steps/daemon_overload.py
+++ b/tests/steps/daemon_overload.py
@@ -12,68 +12,68 @@
 TRICKLE_PER_S = 2.5
 
 
-@given("{engines:d} engines of {slots:d} slots and {vms:d} entry VMs")
+@given("{engines:d} engines with {slots:d} slots each and {vms:d} entry VMs")
 def _small_fleet(context, engines, slots, vms):
     context.scene = scene.Scene(engines, 0, vms, slots=slots)
     context.closers.append(context.scene.close)
-    context.fits_per_s = engines * slots * flood.PER_SLOT_S
-    context.refusable = []
+    context.capacity_per_s = engines * slots * flood.REQUESTS_PER_SLOT_PER_S
+    context.sent_by_ana = []
 
 
 def _flood(context, addresses, seconds, times):
-    rate = times * context.fits_per_s
+    rate = times * context.capacity_per_s
     entry = scene.MODEL_ENTRY
-    context.ana, context.bruno = flood.together(
+    context.ana, context.bruno = flood.run_together(
         seconds,
         flood.Flood(addresses, "ana", entry, rate),
         flood.Flood(addresses, "bruno", entry, TRICKLE_PER_S),
     )
     context.seconds = seconds
-    context.refusable = context.ana
+    context.sent_by_ana = context.ana
 
 
 @when(
-    "ana sends {times:f} times what fits straight to the engines for "
-    "{seconds:f} s, and bruno a trickle"
+    "ana sends {times:f} times the capacity directly to the engines for "
+    "{seconds:f} s, and bruno sends a trickle"
 )
-def _naive(context, times, seconds):
+def _flood_engines(context, times, seconds):
     running = context.scene
     addresses = [running.fleet.address(name) for name in running.engines]
     _flood(context, addresses, seconds, times)
 
 
 @when(
-    "ana sends {times:f} times what fits for {seconds:f} s, and bruno a "
-    "trickle"
+    "ana sends {times:f} times the capacity for {seconds:f} s, and bruno "
+    "sends a trickle"
 )
-def _one_floods(context, times, seconds):
+def _flood_entries(context, times, seconds):
     _flood(context, context.scene.fleet.entries, seconds, times)
 
 
 @when(
-    "ana floods drafts and summaries at {times:f} times what fits for "
+    "ana floods drafts and summaries at {times:f} times capacity each for "
     "{seconds:f} s"
 )
-def _two_classes(context, times, seconds):
-    rate = times * context.fits_per_s
+def _flood_two_classes(context, times, seconds):
+    rate = times * context.capacity_per_s
     entries = context.scene.fleet.entries
-    context.drafts, context.summaries = flood.together(
+    context.drafts, context.summaries = flood.run_together(
         seconds,
         flood.Flood(entries, "ana", "drafts", rate),
         flood.Flood(entries, "ana", "summaries", rate),
     )
-    context.refusable = [*context.drafts, *context.summaries]
+    context.sent_by_ana = [*context.drafts, *context.summaries]
 
 
 @then("some of bruno's first tokens came later than {seconds:f} s")
-def _late(context, seconds):
+def _first_tokens_late(context, seconds):
     assert _slowest_s(context.bruno) > seconds, _slowest_s(context.bruno)
 
 
-def _slowest_s(found):
+def _slowest_s(received):
     return max(
         float("inf") if a.first_token_s is None else a.first_token_s
-        for a in found
+        for a in received
     )
 
 
@@ -87,9 +87,12 @@
     assert _slowest_s(context.bruno) <= seconds, _slowest_s(context.bruno)
 
 
-@then("ana's refusals came within {seconds:f} s, with a time, and did not run")
+@then(
+    "ana's refusals came within {seconds:f} s, with a time to retry, and "
+    "did not run"
+)
 def _refusals(context, seconds):
-    refused = [a for a in context.refusable if not a.done]
+    refused = [a for a in context.sent_by_ana if not a.done]
     assert refused
     wrong = [
         (a.status, a.executed, a.retry_after_s, a.whole_s, a.error)
@@ -97,29 +100,29 @@
         if not (a.refused and a.retry_after_s and a.whole_s <= seconds)
     ]
     assert not wrong, (len(wrong), wrong[:3])
-    begun = context.scene.fleet.journals()
-    ran = [a.error for a in refused if a.request_id in begun]
+    executed = context.scene.fleet.journals()
+    ran = [a.error for a in refused if a.request_id in executed]
     assert not ran, ran[:3]
 
 
-@then("at least {share:f} of what fits was served to ana")
+@then("at least {share:f} of the capacity was served to ana")
 def _served(context, share):
     count = len(flood.served(context.ana))
-    wanted = share * context.seconds * context.fits_per_s
-    assert count >= wanted, (count, wanted)
+    expected = share * context.seconds * context.capacity_per_s
+    assert count >= expected, (count, expected)
 
 
-@then("at most {share:f} of the executions were extra ones")
-def _extra(context, share):
+@then("the extra executions are at most {share:f} of the executed requests")
+def _extra_executions(context, share):
     journals = context.scene.fleet.journals()
     extra = sum(journals.values()) - len(journals)
     assert extra <= share * len(journals), (extra, len(journals))
 
 
 @then("summaries were refused rather than drafts")
-def _shed(context):
+def _summaries_refused(context):
     drafts = len(flood.served(context.drafts)) / len(context.drafts)
     summaries = len(flood.served(context.summaries)) / len(context.summaries)
-    firsts = itertools.islice(context.summaries, 3)
-    shown = (drafts, summaries, [a.error for a in firsts])
-    assert drafts >= 2 * summaries and drafts > 0.25, shown
+    first_summaries = itertools.islice(context.summaries, 3)
+    details = (drafts, summaries, [a.error for a in first_summaries])
+    assert drafts >= 2 * summaries and drafts > 0.25, details
--- a/tests/steps/daemon_repeats.py
+++ b/tests/steps/daemon_repeats.py
@@ -11,40 +11,43 @@
 from tests.daemon import waits
 
 
-@given("a repeated call to the platform")
+@given("a periodic call to the platform")
 def _call(context):
     context.clock = clocks.ManualClock()
-    context.repeats = repeats.Repeats(context.clock)
-    assert context.repeats.due
+    context.backoff = repeats.Repeats(context.clock)
+    assert context.backoff.due
 
 
-@when("the repeated call fails {count:d} times")
+@when("the periodic call fails {count:d} times")
 def _fails(context, count):
-    context.news = []
+    context.first_in_row = []
     context.waits = []
     for _ in range(count):
-        context.news.append(context.repeats.failed())
-        context.waits.append(waits.waited_s(context.clock, context.repeats))
+        context.first_in_row.append(context.backoff.failed())
+        context.waits.append(waits.waited_s(context.clock, context.backoff))
 
 
-@when("the repeated call is answered {count:d} times")
+@when("the periodic call succeeds {count:d} times")
 def _answers(context, count):
-    context.news = [context.repeats.answered() for _ in range(count)]
+    context.first_in_row = [context.backoff.answered() for _ in range(count)]
 
 
-@then("the repeated call waited {seconds} s")
+@then("the periodic call waited {seconds} s")
 def _waited(context, seconds):
-    wanted = [float(text) for text in re.split(", | and ", seconds)]
-    assert context.waits == wanted, context.waits
+    expected = [float(text) for text in re.split(", | and ", seconds)]
+    assert context.waits == expected, context.waits
 
 
-@then("the repeated call is due at once")
+@then("the periodic call is due at once")
 def _due(context):
-    assert context.repeats.due
+    assert context.backoff.due
 
 
-@then("only failure {number:d} of the repeated call was news")
-@then("only answer {number:d} of the repeated call was news")
-def _news(context, number):
-    wanted = [place == number for place in range(1, len(context.news) + 1)]
-    assert context.news == wanted, context.news
+@then("only failure {number:d} of the periodic call was reported as new")
+@then("only success {number:d} of the periodic call was reported as new")
+def _first_reported(context, number):
+    expected = [
+        position == number
+        for position in range(1, len(context.first_in_row) + 1)
+    ]
+    assert context.first_in_row == expected, context.first_in_row
--- a/tests/steps/daemon_silence.py
+++ b/tests/steps/daemon_silence.py
@@ -13,20 +13,20 @@
 from tests.daemon import scene
 from tests.support import fleet
 
-UNDER_WAY_S = 0.25
+IN_PROGRESS_S = 0.25
 
 
 @given(
-    "silent links before {engines:d} engines, {services:d} services and "
+    "relays in front of {engines:d} engines and {services:d} services, and "
     "{vms:d} entry VMs"
 )
-def _linked(context, engines, services, vms):
+def _behind_relays(context, engines, services, vms):
     _start(context, engines, services, vms, linked=True)
 
 
 @given(
-    "direct links to {engines:d} engines, {services:d} services and {vms:d} "
-    "entry VMs"
+    "direct connections to {engines:d} engines and {services:d} services, "
+    "and {vms:d} entry VMs"
 )
 def _direct(context, engines, services, vms):
     _start(context, engines, services, vms, linked=False)
@@ -39,8 +39,8 @@
     context.closers.append(context.lookups.close)
 
 
-@given("a silent link before the store of {vms:d} entry VMs")
-def _linked_store(context, vms):
+@given("a relay in front of the store of {vms:d} entry VMs")
+def _store_behind_relay(context, vms):
     context.scene = scene.Scene(1, 0, vms, linked_store=True)
     context.closers.append(context.scene.close)
 
@@ -57,13 +57,16 @@
     context.scene.fleet.faults("service-0", delay_s=slow)
 
 
-@when("a naive caller streams straight from {data_centre}, which goes silent")
-def _naive(context, data_centre):
+@when(
+    "a caller without the system streams from {data_centre}, which goes "
+    "silent"
+)
+def _without_system(context, data_centre):
     [name] = context.scene.engines_in(data_centre)
     address = context.scene.relays[name].address
     context.naive = naive.DirectStreams(address, 2, 60)
     context.closers.append(context.naive.close)
-    time.sleep(UNDER_WAY_S)
+    time.sleep(IN_PROGRESS_S)
     context.scene.silence([name])
 
 
@@ -79,7 +82,7 @@
 
 
 @when("{seconds:f} s later all open connections go silent")
-def _later(context, seconds):
+def _all_silent_later(context, seconds):
     time.sleep(seconds)
     _all_silent(context)
 
@@ -90,8 +93,8 @@
         relay.cut()
 
 
-@when("new connections to {data_centre} are swallowed for {seconds:f} s")
-def _swallowed(context, data_centre, seconds):
+@when("open and new connections to {data_centre} are silent for {seconds:f} s")
+def _silent_for(context, data_centre, seconds):
     names = context.scene.engines_in(data_centre)
     context.scene.silence(names, new_too=True)
     relays = [context.scene.relays[name] for name in names]
@@ -105,7 +108,7 @@
     timer.start()
 
 
-@when("{count:d} callers stream {tokens:d} tokens each in the silence")
+@when("{count:d} callers stream {tokens:d} tokens each during the silence")
 def _in_silence(context, count, tokens):
     context.scene.stream(count, tokens)
 
@@ -116,86 +119,86 @@
     assert slowest <= seconds, slowest
 
 
-@when("{count:d} lookups are under way and all open connections go silent")
+@when("all open connections go silent while {count:d} lookups run")
 def _lookups_silent(context, count):
-    context.lookups.begin(count)
-    time.sleep(UNDER_WAY_S)
+    context.lookups.start(count)
+    time.sleep(IN_PROGRESS_S)
     _all_silent(context)
 
 
-@when("{count:d} lookups are under way and all open connections are reset")
+@when("all open connections are reset while {count:d} lookups run")
 def _lookups_reset(context, count):
-    context.lookups.begin(count)
-    time.sleep(UNDER_WAY_S)
+    context.lookups.start(count)
+    time.sleep(IN_PROGRESS_S)
     _all_reset(context)
 
 
-@when("{count:d} lookups run at the services when service-0 dies")
+@when("service-0 is killed while {count:d} lookups run")
 def _lookups_killed(context, count):
-    context.lookups.begin(count)
-    time.sleep(UNDER_WAY_S)
+    context.lookups.start(count)
+    time.sleep(IN_PROGRESS_S)
     context.scene.fleet.kill("service-0")
 
 
-@then("each lookup was answered within {seconds:f} s, with its own answer")
+@then("each lookup got its own answer within {seconds:f} s")
 def _answered(context, seconds):
-    wrong = context.lookups.problems(seconds)
-    assert not wrong, wrong
+    problems = context.lookups.problems(seconds)
+    assert not problems, problems
 
 
-@then("the same lookups are answered when they are asked for again")
+@then("the same lookups are answered when they are repeated")
 def _answered_again(context):
-    context.lookups.again()
+    context.lookups.repeat_all()
     _answered(context, 6.0)
 
 
-@when("{count:d} lookups have left their connections for later")
-def _left(context, count):
-    context.lookups.begin(count)
+@when("{count:d} lookups have left idle connections")
+def _idle_connections(context, count):
+    context.lookups.start(count)
     _answered(context, 6.0)
     assert any(relay.open for relay in context.scene.relays.values())
 
 
-@then(
-    "{count:d} new lookups are answered within {seconds:f} s, with their own "
-    "answers"
-)
+@then("{count:d} new lookups get their own answers within {seconds:f} s")
 def _new_lookups(context, count, seconds):
-    context.lookups.begin(count)
+    context.lookups.start(count)
     _answered(context, seconds)
 
 
 @when("{count:d} lookups are made by {callers:d} callers")
-def _many(context, count, callers):
+def _many_lookups(context, count, callers):
     for _ in range(count // callers + 1):
-        context.lookups.begin(callers)
+        context.lookups.start(callers)
         time.sleep(0.2)
 
 
-@when("vm-0 stands still and its key is sent to vm-1 and vm-2")
-def _still(context):
-    book = registrations.Registrations(context.scene)
-    context.closers.append(book.close)
-    registration = book.new(registrations.MINTED, "vm-0")
+@when("vm-0 pauses while a registration with its key is sent to vm-1 and vm-2")
+def _owner_paused(context):
+    registry_calls = registrations.Registrations(context.scene)
+    context.closers.append(registry_calls.close)
+    registration = registry_calls.new(registrations.MINTED, "vm-0")
     context.scene.fleet.pause("vm-0")
-    began = time.monotonic()
+    started_at = time.monotonic()
     for vm in ("vm-1", "vm-2"):
-        book.begin(registration, vm)
-    book.wait()
-    context.took_s = time.monotonic() - began
-    context.book = book
+        registry_calls.start_sending(registration, vm)
+    registry_calls.wait()
+    context.elapsed_s = time.monotonic() - started_at
+    context.registrations = registry_calls
 
 
-@then("both were told unknown within {seconds:f} s")
-def _told_unknown(context, seconds):
-    told = [sending.told for sending in context.book.sendings]
-    assert told == ["unknown"] * 2, told
-    assert context.took_s <= seconds, context.took_s
+@then("both attempts were reported as unknown within {seconds:f} s")
+def _both_unknown(context, seconds):
+    outcomes = [
+        sent_call.reported_outcome
+        for sent_call in context.registrations.sent_calls
+    ]
+    assert outcomes == ["unknown"] * 2, outcomes
+    assert context.elapsed_s <= seconds, context.elapsed_s
 
 
-@then("the key has not run")
+@then("the registration has not run")
 def _not_run(context):
-    assert not context.book.runs()
+    assert not context.registrations.runs()
 
 
 @when("the store's open connections go silent")
@@ -203,18 +206,18 @@
     assert context.scene.silence(["objects"])
 
 
-@when("a catalogue is put in force")
-def _put(context):
-    context.put_at = time.monotonic()
+@when("a catalogue is written to the store")
+def _write_catalogue(context):
+    context.written_at = time.monotonic()
     context.version = context.scene.fleet.put_catalogue(scene.catalogue())
 
 
-@then("it is in force at each entry VM within {seconds:f} s")
+@then("the catalogue is in force at each entry VM within {seconds:f} s")
 def _in_force(context, seconds):
     def everywhere():
         pages = [context.scene.status(vm) for vm in context.scene.vms]
         return all(p["catalogue_version"] >= context.version for p in pages)
 
     fleet.wait_for(everywhere)
-    took_s = time.monotonic() - context.put_at
-    assert took_s <= seconds, took_s
+    elapsed_s = time.monotonic() - context.written_at
+    assert elapsed_s <= seconds, elapsed_s
