--- a/src/apricotlever/daemon/attempt_reports.py
+++ b/src/apricotlever/daemon/attempt_reports.py
@@ -20,7 +20,7 @@
 def ask_retry(
     context: contexts.Context,
     question: messages.MayRetry,
-    refusal: placing.RefusalOf,
+    refusal: placing.RefusalFactory,
 ) -> retry_policy.Retry:
     """Ask the dispatcher whether a failed attempt may be retried.
 
--- a/src/apricotlever/daemon/placing.py
+++ b/src/apricotlever/daemon/placing.py
@@ -11,8 +11,8 @@
 from . import fleet
 from . import messages
 
-DispatchOf = typing.Callable[[str, bool], messages.Dispatch]
-RefusalOf = typing.Callable[
+DispatchFactory = typing.Callable[[str, bool], messages.Dispatch]
+RefusalFactory = typing.Callable[
     [refusals.RefusalKind, str, float | None], refusals.Refusal
 ]
 
@@ -47,13 +47,15 @@
         self,
         context: contexts.Context,
         deadline: float,
-        refusal: RefusalOf,
+        refusal: RefusalFactory,
     ) -> None:
         self._context = context
         self._deadline = deadline
         self._refusal = refusal
 
-    def select(self, dispatch: DispatchOf, only: str = "") -> RunnerSelection:
+    def select(
+        self, dispatch: DispatchFactory, only: str = ""
+    ) -> RunnerSelection:
         """Ask the dispatcher, and the judge if the request is a suspect.
 
         :param dispatch: makes the message to the dispatcher from the name of
