--- a/bench/_news_world.py
+++ b/bench/_news_world.py
@@ -151,7 +151,9 @@
             return
         for entry in message.entries:
             if entry.vm != self.name:
-                self.table.receive_record(entry, message.ages.get(entry.vm, 0.0))
+                self.table.receive_record(
+                    entry, message.ages.get(entry.vm, 0.0)
+                )
                 self.note_used(entry.process, entry.used)
         for vm, age_s in message.ages.items():
             self.table.note_heard(vm, age_s)
--- a/bench/startup.py
+++ b/bench/startup.py
@@ -21,9 +21,12 @@
     "asyncio": ((), "import asyncio"),
     "listens": (
         ("-S",),
-        "from apricotlever.serving import ports, settings",
+        "from apricotlever.serving import listening_sockets, settings",
+    ),
+    "serves": (
+        ("-S",),
+        "from apricotlever.serving import listening_sockets, main",
     ),
-    "serves": (("-S",), "from apricotlever.serving import main, ports"),
 }
 
 
--- a/src/apricotlever/client/log_commands.py
+++ b/src/apricotlever/client/log_commands.py
@@ -93,7 +93,7 @@
     :raises CommandError: if matplotlib is not installed.
     """
     try:
-        return importlib.import_module(f"{__package__}.day_plots")
+        return importlib.import_module(f"{__package__}.log_summary_plots")
     except ImportError as error:
         raise errors.CommandError(
             f"the report needs matplotlib ({error}); install "
--- a/tests/serving/runner_standin.py
+++ b/tests/serving/runner_standin.py
@@ -74,7 +74,7 @@
 
 @behaviour("rejects calls and resets")
 async def _rejects_and_resets(runner, writer, call):
-    runner.ran.pop()
+    runner.executed_call_ids.pop()
     writer.write(
         _response_head(503, call, "Not-Run: yes", "Content-Length: 50")
     )
--- a/tests/steps/bench_startup.py
+++ b/tests/steps/bench_startup.py
@@ -25,7 +25,7 @@
 
 @then("neither the event loop nor the path of calls is among them")
 def _few(context):
-    assert "apricotlever.serving.ports" in context.loaded
+    assert "apricotlever.serving.listening_sockets" in context.loaded
     for name in ("asyncio", "apricotlever.serving.node", "httptools"):
         assert f'"{name}"' not in context.loaded, name
 
--- a/tests/steps/roll_outs_controller.py
+++ b/tests/steps/roll_outs_controller.py
@@ -273,7 +273,7 @@
 @when("the operators withdraw the order")
 def step_withdrawn(context):
     """Withdraw the order."""
-    assert context.vm.controller.withdrawn(SERVICE, 9)
+    assert context.vm.controller.withdraw_order(SERVICE, 9)
 
 
 @when("another VM reports that the roll-out started {ago_s:f} seconds ago")
--- a/tests/steps/serving_fuzz.py
+++ b/tests/steps/serving_fuzz.py
@@ -102,7 +102,7 @@
 
     async def handler(raw, reply):
         calls.append(raw)
-        reply.whole(200, ())
+        reply.send_whole(200, ())
 
     server = caller_server.CallerServer(handler)
     channel = caller_server.CallerChannel(server)
--- a/tests/steps/serving_opening.py
+++ b/tests/steps/serving_opening.py
@@ -17,7 +17,7 @@
 
 
 async def _handle(raw, reply):
-    reply.whole(200, (), b"here")
+    reply.send_whole(200, (), b"here")
 
 
 @given("a listening port whose server has not started")
