--- a/tests/steps/serving_directory.py
+++ b/tests/steps/serving_directory.py
@@ -158,8 +158,9 @@
 @then("the other has an older revision, and learns that r1 is removed")
 def _other_catches_up(context):
     assert context.one.revision > context.other.revision
-    revision = context.other.revision
-    context.other.merge_changes(*context.one.changes_after(revision))
+    context.other.merge_changes(
+        *context.one.changes_after(context.other.revision)
+    )
     assert context.other.get("r1") is None
 
 
@@ -175,8 +176,9 @@
     context.one.extend_removal_grace()
     assert context.one.apply_removal("r1", 7) == []
     context.one.apply_entry(_runner("r3", 9))
-    revision = context.other.revision
-    context.other.merge_changes(*context.one.changes_after(revision))
+    context.other.merge_changes(
+        *context.one.changes_after(context.other.revision)
+    )
 
 
 @when("one removes r1 after {seconds:f} seconds")
