--- a/src/apricotlever/daemon/messages.py
+++ b/src/apricotlever/daemon/messages.py
@@ -125,7 +125,8 @@
 class MayRetry:
     """Ask whether an attempt that failed may be followed by another.
 
-    Answered with :class:`.retries.Retry` or :class:`.retries.NoRetry`.
+    Answered with :class:`.retry_policy.Retry` or
+    :class:`.retry_policy.NoRetry`.
 
     :param pool: where the request may run.
     :param uncharged: the runner ended, or its kept connections all fell
--- a/tests/requests/recovery.feature
+++ b/tests/requests/recovery.feature
@@ -6,14 +6,14 @@
     Then the recovery decision is "<decision>"
 
     Examples:
-      | notice | cause  | candidates | export | left | decision   |
-      | 30     | notice | 2          | 1      | 60   | ExportTo   |
-      | 30     | notice | 2          | 29     | 60   | Replay     |
-      | 30     | notice | 2          | 1      | 10   | KeepRunning    |
-      | 30     | notice | 0          | 1      | 60   | Wait       |
-      | 0      | lost   | 2          | 1      | 60   | Replay     |
-      | 0      | lost   | 0          | 1      | 60   | Wait       |
-      | 900    | broken | 2          | 1      | 60   | Reconnect |
+      | notice | cause  | candidates | export | left | decision    |
+      | 30     | notice | 2          | 1      | 60   | ExportTo    |
+      | 30     | notice | 2          | 29     | 60   | Replay      |
+      | 30     | notice | 2          | 1      | 10   | KeepRunning |
+      | 30     | notice | 0          | 1      | 60   | Wait        |
+      | 0      | lost   | 2          | 1      | 60   | Replay      |
+      | 0      | lost   | 0          | 1      | 60   | Wait        |
+      | 900    | broken | 2          | 1      | 60   | Reconnect   |
 
   Scenario: A notice that arrives twice
     Guards against two runners that work on one stream. The notice for a VM is
--- a/tests/steps/contracts_concurrency.py
+++ b/tests/steps/contracts_concurrency_limit.py
@@ -1,4 +1,4 @@
-"""Steps for tests/contracts/concurrency.feature."""
+"""Steps for tests/contracts/concurrency_limit.feature."""
 
 from behave import given
 from behave import then
--- a/tests/steps/contracts_fleet_rate.py
+++ b/tests/steps/contracts_fleet_rate_limit.py
@@ -1,4 +1,4 @@
-"""Steps for tests/contracts/fleet_rate.feature."""
+"""Steps for tests/contracts/fleet_rate_limit.feature."""
 
 import random
 
--- a/tests/steps/contracts_shares.py
+++ b/tests/steps/contracts_limit_share.py
@@ -1,4 +1,4 @@
-"""Steps for tests/contracts/shares.feature."""
+"""Steps for tests/contracts/limit_share.feature."""
 
 from behave import given
 from behave import then
--- a/tests/steps/contracts_usage.py
+++ b/tests/steps/contracts_pool_usage.py
@@ -1,4 +1,4 @@
-"""Steps for tests/contracts/usage.feature."""
+"""Steps for tests/contracts/pool_usage.feature."""
 
 import math
 
--- a/tests/steps/contracts_retries.py
+++ b/tests/steps/contracts_retry_policy.py
@@ -1,4 +1,4 @@
-"""Steps for tests/contracts/retries.feature."""
+"""Steps for tests/contracts/retry_policy.feature."""
 
 from behave import given
 from behave import then
--- a/tests/steps/contracts_spend.py
+++ b/tests/steps/contracts_spend_meter.py
@@ -1,4 +1,4 @@
-"""Steps for tests/contracts/spend.feature."""
+"""Steps for tests/contracts/spend_meter.feature."""
 
 import collections
 
--- a/tests/steps/contracts_rates.py
+++ b/tests/steps/contracts_token_bucket.py
@@ -1,4 +1,4 @@
-"""Steps for tests/contracts/rates.feature."""
+"""Steps for tests/contracts/token_bucket.feature."""
 
 from behave import given
 from behave import then
--- a/tests/steps/data_centres_capacity.py
+++ b/tests/steps/data_centres_capacity_planner.py
@@ -1,4 +1,4 @@
-"""Steps for tests/data_centres/capacity.feature."""
+"""Steps for tests/data_centres/capacity_planner.feature."""
 
 import random
 
--- a/tests/steps/data_centres_fleet_size.py
+++ b/tests/steps/data_centres_fleet_mix_planner.py
@@ -1,4 +1,4 @@
-"""Steps for tests/data_centres/fleet_size.feature."""
+"""Steps for tests/data_centres/fleet_mix_planner.feature."""
 
 from behave import given
 from behave import then
--- a/tests/steps/data_centres_demand.py
+++ b/tests/steps/data_centres_prefill_load.py
@@ -1,4 +1,4 @@
-"""Steps for tests/data_centres/demand.feature."""
+"""Steps for tests/data_centres/prefill_load.feature."""
 
 from behave import given
 from behave import then
--- a/tests/steps/links_upstreams.py
+++ b/tests/steps/links_upstream_exchange.py
@@ -1,4 +1,4 @@
-"""Steps for tests/links/upstreams.feature."""
+"""Steps for tests/links/upstream_exchange.feature."""
 
 from behave import then
 from behave import when
--- a/tests/steps/requests_departure.py
+++ b/tests/steps/requests_handover_sender.py
@@ -1,4 +1,4 @@
-"""Steps for tests/requests/departure.feature."""
+"""Steps for tests/requests/handover_sender.feature."""
 
 import random
 
--- a/tests/steps/requests_keys.py
+++ b/tests/steps/requests_minted_keys.py
@@ -1,4 +1,4 @@
-"""Steps for tests/requests/keys.feature."""
+"""Steps for tests/requests/minted_keys.feature."""
 
 import random
 
--- a/tests/steps/requests_stream.py
+++ b/tests/steps/requests_stream_cursor.py
@@ -1,4 +1,4 @@
-"""Steps for tests/requests/stream.feature."""
+"""Steps for tests/requests/stream_cursor.feature."""
 
 from behave import given
 from behave import then
--- a/tests/steps/roll_outs_verdict.py
+++ b/tests/steps/roll_outs_canary_analysis.py
@@ -1,4 +1,4 @@
-"""Steps for tests/roll_outs/verdict.feature."""
+"""Steps for tests/roll_outs/canary_analysis.feature."""
 
 import itertools
 import random
--- a/tests/steps/runners_health.py
+++ b/tests/steps/runners_circuit_breaker.py
@@ -1,4 +1,4 @@
-"""Steps for tests/runners/health.feature."""
+"""Steps for tests/runners/circuit_breaker.feature."""
 
 import random
 
--- a/tests/steps/runners_culprits.py
+++ b/tests/steps/runners_crash_blocklist.py
@@ -1,4 +1,4 @@
-"""Steps for tests/runners/culprits.feature."""
+"""Steps for tests/runners/crash_blocklist.feature."""
 
 import random
 
--- a/tests/steps/runners_urgency.py
+++ b/tests/steps/runners_engine_priority.py
@@ -1,4 +1,4 @@
-"""Steps for tests/runners/urgency.feature."""
+"""Steps for tests/runners/engine_priority.feature."""
 
 import heapq
 import itertools
--- a/tests/steps/runners_outliers.py
+++ b/tests/steps/runners_outlier_detector.py
@@ -1,4 +1,4 @@
-"""Steps for tests/runners/outliers.feature."""
+"""Steps for tests/runners/outlier_detector.feature."""
 
 import random
 import statistics
--- a/tests/steps/runners_silence.py
+++ b/tests/steps/runners_silence_detector.py
@@ -1,4 +1,4 @@
-"""Steps for tests/runners/silence.feature."""
+"""Steps for tests/runners/silence_detector.feature."""
 
 from behave import given
 from behave import step
--- a/tests/steps/serving_pace.py
+++ b/tests/steps/serving_aligned_timer.py
@@ -1,4 +1,4 @@
-"""Steps for tests/serving/pace.feature."""
+"""Steps for tests/serving/aligned_timer.feature."""
 
 import asyncio
 
--- a/tests/steps/serving_observations.py
+++ b/tests/steps/serving_call_metrics.py
@@ -1,4 +1,4 @@
-"""Steps for tests/serving/observations.feature."""
+"""Steps for tests/serving/call_metrics.feature."""
 
 from behave import then
 from behave import when
--- a/tests/steps/serving_duties.py
+++ b/tests/steps/serving_duty_lease.py
@@ -1,4 +1,4 @@
-"""Steps for tests/serving/duties.feature."""
+"""Steps for tests/serving/duty_lease.feature."""
 
 import asyncio
 import random
--- a/tests/steps/serving_limit_calls.py
+++ b/tests/steps/serving_limit_protocol.py
@@ -1,4 +1,4 @@
-"""Steps for tests/serving/limit_calls.feature."""
+"""Steps for tests/serving/limit_protocol.feature."""
 
 import asyncio
 import socket
--- a/tests/steps/serving_datagrams.py
+++ b/tests/steps/serving_peer_datagrams.py
@@ -1,4 +1,4 @@
-"""Steps for tests/serving/datagrams.feature."""
+"""Steps for tests/serving/peer_datagrams.feature."""
 
 import asyncio
 import random
--- a/tests/steps/serving_peers.py
+++ b/tests/steps/serving_peer_http.py
@@ -1,4 +1,4 @@
-"""Steps for tests/serving/peers.feature."""
+"""Steps for tests/serving/peer_http.feature."""
 
 import asyncio
 import random
--- a/tests/steps/serving_directory.py
+++ b/tests/steps/serving_runner_directory.py
@@ -1,4 +1,4 @@
-"""Steps for tests/serving/directory.feature."""
+"""Steps for tests/serving/runner_directory.feature."""
 
 from behave import given
 from behave import step
--- a/tests/steps/serving_reloading.py
+++ b/tests/steps/serving_settings_reloader.py
@@ -1,4 +1,4 @@
-"""Steps for tests/serving/reloading.feature."""
+"""Steps for tests/serving/settings_reloader.feature."""
 
 from behave import given
 from behave import then
--- a/tests/steps/serving_opening.py
+++ b/tests/steps/serving_start_gate.py
@@ -1,4 +1,4 @@
-"""Steps for tests/serving/opening.feature."""
+"""Steps for tests/serving/start_gate.feature."""
 
 import asyncio
 
--- a/tests/steps/serving_tasks.py
+++ b/tests/steps/serving_task_supervisor.py
@@ -1,4 +1,4 @@
-"""Steps for tests/serving/tasks.feature."""
+"""Steps for tests/serving/task_supervisor.feature."""
 
 import asyncio
 import itertools
--- a/tests/steps/vms_spread.py
+++ b/tests/steps/vms_catalogue_replicator.py
@@ -1,4 +1,4 @@
-"""Steps for tests/vms/spread.feature."""
+"""Steps for tests/vms/catalogue_replicator.feature."""
 
 import random
 
--- a/tests/steps/vms_followers.py
+++ b/tests/steps/vms_follower_selection.py
@@ -1,4 +1,4 @@
-"""Steps for tests/vms/followers.feature."""
+"""Steps for tests/vms/follower_selection.feature."""
 
 from behave import given
 from behave import step
--- a/tests/steps/vms_fleet_news.py
+++ b/tests/steps/vms_record_exchange.py
@@ -1,4 +1,4 @@
-"""Steps for tests/vms/fleet_news.feature."""
+"""Steps for tests/vms/record_exchange.feature."""
 
 import bisect
 
--- a/tests/steps/vms_digests.py
+++ b/tests/steps/vms_vm_records.py
@@ -1,4 +1,4 @@
-"""Steps for tests/vms/digests.feature."""
+"""Steps for tests/vms/vm_records.feature."""
 
 import random
 
