--- a/bench/news.py
+++ b/bench/news.py
@@ -1,8 +1,8 @@
 """What it costs a fleet to tell all VMs of all, and how fresh that is.
 
-Entry VMs that run the decisions of ``vms/record_exchange`` tell each other over a
-network on a clock set by hand; datagrams are packed as they are sent. With
-``--flat`` each VM tells the others itself, to some at a time.
+Entry VMs that run the decisions of ``vms/record_exchange`` tell each other
+over a network on a clock set by hand; datagrams are packed as they are sent.
+With ``--flat`` each VM tells the others itself, to some at a time.
 """
 
 import argparse
