--- a/tests/serving/start_gate.feature
+++ b/tests/serving/start_gate.feature
@@ -5,7 +5,7 @@
   # then fail for good although a VM is back a quarter of a second later.
   Scenario: A call that arrives before the server has started is answered
     Given a listening port whose server has not started
-    When a caller sends a call and then the server starts
+    When a call arrives and then the server starts
     Then the caller receives its response
 
   # Guards against calls that are refused without a configuration, although it
@@ -13,11 +13,11 @@
   # calls can be served.
   Scenario: A call that arrives before the configuration waits for it
     Given a listening port whose server has not started
-    When a caller sends a call and then the VM becomes ready
+    When a call arrives and then the VM becomes ready
     Then the call was not read before the VM was ready
     And the caller receives its response
 
   Scenario: A VM that does not become ready in time answers nevertheless
     Given a listening port whose server has not started
-    When a caller sends a call and the VM does not become ready in time
+    When a call arrives and the VM does not become ready in time
     Then the caller receives its response
--- a/tests/steps/serving_start_gate.py
+++ b/tests/steps/serving_start_gate.py
@@ -45,14 +45,14 @@
     server.close()
 
 
-@when("a caller sends a call and then the server starts")
+@when("a call arrives and then the server starts")
 def _start_server(context):
     asyncio.run(
         _call_and_start(context, lambda server: server.serve(context.sock))
     )
 
 
-@when("a caller sends a call and then the VM becomes ready")
+@when("a call arrives and then the VM becomes ready")
 def _become_ready(context):
     async def start(server):
         gate = start_gate.StartGate()
@@ -67,7 +67,7 @@
     asyncio.run(_call_and_start(context, start))
 
 
-@when("a caller sends a call and the VM does not become ready in time")
+@when("a call arrives and the VM does not become ready in time")
 def _time_out(context):
     async def start(server):
         gate = start_gate.StartGate()
