--- a/src/apricotlever/daemon/claim_calls.py
+++ b/src/apricotlever/daemon/claim_calls.py
@@ -44,7 +44,7 @@
     """Starts the store calls that a ClaimBatcher requests.
 
     :param store: the task that runs the calls.
-    :param tell: receives the BucketReadResult or BucketWriteResult of each
+    :param tell: receives the BucketRead or BucketWritten of each
         call, on any thread.
     """
 
--- a/src/apricotlever/daemon/pump.py
+++ b/src/apricotlever/daemon/pump.py
@@ -1,6 +1,6 @@
 """Reads one model answer from its runners and recovers from their failures.
 
-An AnswerReader belongs to one thread. It makes one attempt at a time, accepts
+A Pump belongs to one thread. It makes one attempt at a time, accepts
 each token exactly once and in order, and moves away from a runner before that
 runner is reclaimed.
 """
--- a/src/apricotlever/daemon/sources.py
+++ b/src/apricotlever/daemon/sources.py
@@ -1,4 +1,4 @@
-"""Makes the attempts at a model answer that an AnswerReader reads."""
+"""Makes the attempts at a model answer that a Pump reads."""
 
 import time
 
--- a/tests/support/answers.py
+++ b/tests/support/answers.py
@@ -23,10 +23,10 @@
 class Answer:
     """What a client received for one request, over all its connections.
 
-    Times are in seconds: ``first_token_s``, ``last_token_s`` and ``total_s``
-    count from the sending of the request, and ``token_gaps_s`` are the pauses
+    Times are in seconds: ``first_token_s``, ``last_token_s`` and ``whole_s``
+    count from the sending of the request, and ``gaps_s`` are the pauses
     between tokens. ``moves`` counts redirects to another entry VM,
-    ``disconnects`` the connections that failed.
+    ``breaks`` the connections that failed.
 
     :param expected_tokens: the correct tokens; None if they are not checked.
     """
@@ -144,7 +144,7 @@
         entry VM may still have its stream.
     :raises StreamMoved: when the response redirects to another entry VM.
     :raises OSError: when a resumed stream is not available here.
-    :raises StreamEnded: when the response has any other status but 200.
+    :raises Ended: when the response has any other status but 200.
     """
     if response.status == 200:
         note_headers(answer, 200, response.headers)
@@ -180,7 +180,7 @@
     """Add one event to a request's result.
 
     :param started_at: when the request was sent, in monotonic seconds.
-    :raises StreamEnded: after the last event.
+    :raises Ended: after the last event.
     :raises StreamMoved: when another entry VM continues the stream.
     """
     if event.name == MOVED_EVENT:
--- a/tests/support/caller.py
+++ b/tests/support/caller.py
@@ -354,7 +354,7 @@
 def _require_never_sent(error: Exception) -> None:
     """Give the request up unless it certainly reached no entry VM.
 
-    :raises StreamEnded: unless the connection was refused; the request may
+    :raises Ended: unless the connection was refused; the request may
         have been executed, so sending it again could execute it twice.
     """
     if not isinstance(error, ConnectionRefusedError):
--- a/tests/support/cuttable.py
+++ b/tests/support/cuttable.py
@@ -89,7 +89,7 @@
         self._listener: socket.socket | None = None
         # The port stays reserved while the relay refuses connections;
         # otherwise another process could bind it before
-        # :meth:`accept_connections` does.
+        # :meth:`restore` does.
         self._ports = ports.Reservations()
         self._port = self._ports.reserve()
         self._listen()
@@ -118,7 +118,7 @@
         """Drop all data on the open connections from now on.
 
         :param new_too: whether later connections are black-holed as well,
-            until :meth:`accept_connections`.
+            until :meth:`restore`.
         :returns: the number of black-holed connections.
         """
         with self._lock:
@@ -135,7 +135,7 @@
             connection.close()
 
     def refuse(self) -> None:
-        """Refuse new connections until :meth:`accept_connections`."""
+        """Refuse new connections until :meth:`restore`."""
         if self._listener is not None:
             self._listener.shutdown(socket.SHUT_RDWR)
             self._listener.close()
