--- a/bench/_slope_cases.py
+++ b/bench/_slope_cases.py
@@ -10,8 +10,8 @@
 from apricotlever import clock as clocks
 from apricotlever.contracts import admission
 from apricotlever.contracts import fleet_shares
-from apricotlever.daemon import relay
-from apricotlever.daemon import rumours
+from apricotlever.daemon import gossip_messages
+from apricotlever.daemon import model_responses
 from apricotlever.daemon import transcripts
 from apricotlever import histograms
 from apricotlever.requests import ledger
@@ -328,7 +328,7 @@
         fleet_shares.Demand(f"entry-{i}", kind, 5.0) for i in range(size)
     )
     report = fleet_shares.DemandReport("vm-123", 1_800_000_000_000, demands)
-    return float(rumours.of_demand(report).ByteSize())
+    return float(gossip_messages.of_demand(report).ByteSize())
 
 
 @slope("load_bytes", "runners", "bytes of digests", 8, 16, 32, 64)
@@ -336,7 +336,7 @@
     report = runners.LoadReport(12, 3, 16, age_s=0.4)
     return float(
         sum(
-            rumours.of_load(f"runner-{i:05}", report).ByteSize()
+            gossip_messages.of_load(f"runner-{i:05}", report).ByteSize()
             for i in range(size)
         )
     )
@@ -348,7 +348,7 @@
 
     def make() -> transcripts.Transcript:
         return transcripts.Transcript(
-            relay.token_event(request_id, index, " bah", False)
+            model_responses.token_event(request_id, index, " bah", False)
             for index in range(size)
         )
 
--- a/bench/_slope_links.py
+++ b/bench/_slope_links.py
@@ -20,8 +20,8 @@
 from apricotlever import catalogue
 from apricotlever import clock as clocks
 from apricotlever.contracts import call_budget
-from apricotlever.daemon import keeper
-from apricotlever.daemon import messages
+from apricotlever.daemon import dispatcher_messages
+from apricotlever.daemon import runner_monitor
 from apricotlever.links import peer_link
 from apricotlever.links import peer_pb2 as pb
 from apricotlever.links import platform
@@ -241,7 +241,7 @@
         """Take a message."""
 
 
-class _Keeper(keeper.Keeper):
+class _Keeper(runner_monitor.RunnerMonitor):
     """Handles what waits, and can go on afterwards."""
 
     def stopped(self) -> None:
@@ -275,8 +275,8 @@
     serving = {f"dc-{i}": list[str]() for i in range(DATA_CENTRES)}
     serving["dc-0"] = [f"vm-{i}" for i in range(VMS_HERE)]
     document = catalogue.parse(cases.catalogue_of(ENTRIES), 1)
-    made.tell(messages.CatalogueInForce(document))
-    made.tell(keeper.Shown(serving))
+    made.tell(dispatcher_messages.CatalogueInForce(document))
+    made.tell(runner_monitor.Shown(serving))
     made.handle_waiting()
     made.tick()
     time.sleep(SETTLE_S)
@@ -289,7 +289,7 @@
     made, clock = _keeper(size)
 
     def list_again() -> float:
-        clock.advance(keeper.LIST_S)
+        clock.advance(runner_monitor.LIST_S)
         made.tick()
         time.sleep(SETTLE_S)
         return made.handle_waiting()
--- a/src/apricotlever/daemon/pump.py
+++ b/src/apricotlever/daemon/answer_reader.py
@@ -18,9 +18,9 @@
 from ..runners import model as runners
 
 from . import context as contexts
-from . import flights
-from . import messages
-from . import sources
+from . import dispatcher_messages
+from . import model_attempts
+from . import model_request
 
 #: Distinct gaps between tokens that are buffered before they are recorded.
 MAX_BUFFERED_GAPS = 24
@@ -43,7 +43,7 @@
     """Raised when another entry VM has taken over the request."""
 
 
-class Pump:
+class AnswerReader:
     """Reads the tokens of one answer.
 
     Call :meth:`read_first`, then :meth:`read_rest`. After
@@ -59,12 +59,12 @@
     def __init__(
         self,
         context: contexts.Context,
-        flight: flights.Flight,
+        flight: model_request.ModelRequest,
         runner: runners.Runner | None = None,
     ) -> None:
         self._context = context
         self._flight = flight
-        self._attempts = sources.ModelAttempts(context, flight)
+        self._attempts = model_attempts.ModelAttempts(context, flight)
         self._cursor = stream_cursor.StreamCursor(
             flight.attempt, flight.resume_from
         )
@@ -93,7 +93,7 @@
         self._linger_until = float("inf")
 
     @property
-    def flight(self) -> flights.Flight:
+    def flight(self) -> model_request.ModelRequest:
         """The request whose answer is read."""
         return self._flight
 
@@ -283,7 +283,9 @@
         flight = self._flight
         flight.first_token_at = now
         context = self._context
-        context.desk.tell(messages.FirstToken(flight.request_id))
+        context.dispatcher.tell(
+            dispatcher_messages.FirstToken(flight.request_id)
+        )
         seconds = now - flight.arrived
         context.histograms.record(
             histograms.FIRST_TOKEN,
@@ -372,7 +374,7 @@
             self._attempts.check_retry_allowed(
                 error, self._tried, self._failures
             )
-        situation = messages.StreamBroke(
+        situation = dispatcher_messages.StreamBroke(
             flight, cause, self._failures, self._stuck_resumptions, self._tried
         )
         return self._attempts.request_decision(situation)
--- a/src/apricotlever/daemon/attempt_reports.py
+++ b/src/apricotlever/daemon/attempt_reports.py
@@ -8,9 +8,9 @@
 from ..runners import quarantine
 
 from . import context as contexts
-from . import fleet
-from . import messages
-from . import placing
+from . import dispatcher_messages
+from . import fleet_link
+from . import runner_selection
 
 #: How long a retry waits for crash reports from other entry VMs, in seconds.
 #: The reports arrive within 3 to 30 ms on a machine whose cores are all busy.
@@ -19,8 +19,8 @@
 
 def ask_retry(
     context: contexts.Context,
-    question: messages.MayRetry,
-    refusal: placing.RefusalFactory,
+    question: dispatcher_messages.MayRetry,
+    refusal: runner_selection.RefusalFactory,
 ) -> retry_policy.Retry:
     """Ask the dispatcher whether a failed attempt may be retried.
 
@@ -31,7 +31,7 @@
     :returns: the permission, which lists the runners to avoid.
     :raises Refusal: when no retry is allowed.
     """
-    answer = context.answer_of(context.desk.ask(question))
+    answer = context.answer_of(context.dispatcher.ask(question))
     if isinstance(answer, retry_policy.NoRetry):
         raise refusal(
             refusals.GAVE_UP,
@@ -56,7 +56,7 @@
     """
     if report is None:
         return
-    future = context.fleet.ask(fleet.SpreadCrash(report))
+    future = context.fleet.ask(fleet_link.SpreadCrash(report))
     if wait:
         context.answer_of(future)
 
@@ -84,4 +84,4 @@
     :param request_id: ID of the request that ran as the trial.
     """
     over = quarantine.TrialEnded(fingerprint, request_id)
-    context.fleet.tell(fleet.TrialDone(pool, over))
+    context.fleet.tell(fleet_link.TrialDone(pool, over))
--- a/src/apricotlever/daemon/buyer.py
+++ b/src/apricotlever/daemon/autoscaler.py
@@ -25,7 +25,7 @@
 from ..links import peer_pb2 as pb
 from ..links import platform
 
-from . import messages
+from . import dispatcher_messages
 
 TICK_S = 1.0
 THREADS = 4
@@ -91,7 +91,7 @@
     def __call__(self, runner: str, left_s: float) -> None: ...
 
 
-class Buyer(mailbox.Task):
+class Autoscaler(mailbox.Task):
     """Carries out the plans of capacity.
 
     :param cloud: buys and releases.
@@ -124,8 +124,10 @@
         self._leaving: set[str] = set()
         self._releases: dict[str, float] = {}
 
-    @mailbox.handles(messages.CatalogueInForce)
-    def _configure(self, message: messages.CatalogueInForce) -> None:
+    @mailbox.handles(dispatcher_messages.CatalogueInForce)
+    def _configure(
+        self, message: dispatcher_messages.CatalogueInForce
+    ) -> None:
         entries = message.catalogue.entries.values()
         self._policies = {entry.pool: policy_of(entry) for entry in entries}
         self._wait_s = {
@@ -151,8 +153,10 @@
             vm: at for vm, at in self._releases.items() if vm in listed
         }
 
-    @mailbox.handles(messages.RunnerLeaving)
-    def _runner_leaving(self, message: messages.RunnerLeaving) -> None:
+    @mailbox.handles(dispatcher_messages.RunnerLeaving)
+    def _runner_leaving(
+        self, message: dispatcher_messages.RunnerLeaving
+    ) -> None:
         known = {vm.vm: vm for vm in self._vms}
         vm = known.get(message.runner)
         if vm is None or vm.vm in self._leaving:
@@ -200,8 +204,10 @@
             logs.event("vm_refused", pool=message.pool, order=message.token)
             planner.record_refusal(message.token)
 
-    @mailbox.handles(messages.StatusWanted)
-    def _status(self, message: messages.StatusWanted) -> dict[str, object]:
+    @mailbox.handles(dispatcher_messages.StatusWanted)
+    def _status(
+        self, message: dispatcher_messages.StatusWanted
+    ) -> dict[str, object]:
         return {
             "demand": {
                 pool: round(self._total(pool).requests_per_s, 3)
--- a/src/apricotlever/daemon/repeats.py
+++ b/src/apricotlever/daemon/call_backoff.py
@@ -12,7 +12,7 @@
 MAX_WAIT_S = 2.0
 
 
-class Repeats:
+class CallBackoff:
     """The backoff of one kind of call.
 
     :param clock: the source of time.
--- a/src/apricotlever/daemon/readings.py
+++ b/src/apricotlever/daemon/catalogue_reads.py
@@ -29,7 +29,7 @@
         self.outcome = outcome
 
 
-class Readings:
+class ReadSchedule:
     """The reads of one VM that watches the store.
 
     :param clock: the source of time.
--- a/src/apricotlever/daemon/watcher.py
+++ b/src/apricotlever/daemon/catalogue_watcher.py
@@ -22,9 +22,9 @@
 from ..vms import fleet_view as views
 from ..vms import replication_actions
 
+from . import catalogue_reads
+from . import dispatcher_messages
 from . import fleet_messages
-from . import messages
-from . import readings
 from . import store as stores
 
 TICK_S = 0.1
@@ -90,7 +90,7 @@
         self.answer = answer
 
 
-class Watcher(mailbox.Task):
+class CatalogueWatcher(mailbox.Task):
     """Brings catalogues into force.
 
     :param store: runs reads and watches.
@@ -120,7 +120,7 @@
         self._calling = False
         self._starting = True
         self._asked_peers = 0
-        self._readings = readings.Readings(clock)
+        self._readings = catalogue_reads.ReadSchedule(clock)
 
     @mailbox.handles(ViewSeen)
     def _view_seen(self, message: ViewSeen) -> None:
@@ -154,8 +154,8 @@
         if self._starting and not self._asked_peers:
             self._readings.within(0.0)
 
-    @mailbox.handles(readings.Read)
-    def _read(self, message: readings.Read) -> None:
+    @mailbox.handles(catalogue_reads.Read)
+    def _read(self, message: catalogue_reads.Read) -> None:
         self._calling = False
         outcome = message.outcome
         if isinstance(outcome, result.Success):
@@ -173,8 +173,8 @@
             self._carry_out(self._spread.receive_stored(version, value))
         self._watch(version)
 
-    @mailbox.handles(readings.Watched)
-    def _watched(self, message: readings.Watched) -> None:
+    @mailbox.handles(catalogue_reads.Watched)
+    def _watched(self, message: catalogue_reads.Watched) -> None:
         self._calling = False
         outcome = message.outcome
         if not isinstance(outcome, result.Success):
@@ -196,8 +196,10 @@
                 self._spread.receive_stored(event.version, event.value)
             )
 
-    @mailbox.handles(messages.StatusWanted)
-    def _status(self, message: messages.StatusWanted) -> dict[str, object]:
+    @mailbox.handles(dispatcher_messages.StatusWanted)
+    def _status(
+        self, message: dispatcher_messages.StatusWanted
+    ) -> dict[str, object]:
         return {
             "watches_catalogue": self._spread.watching,
             "store_behind": self._readings.behind,
@@ -285,7 +287,7 @@
             self._starting = False
             self._readings.begin(self._spread.in_force.version)
             call = stores.read(stores.Rank.CATALOGUE, edit.CURRENT_OBJECT_NAME)
-            self._call(call, readings.Read)
+            self._call(call, catalogue_reads.Read)
 
     def _watch(self, after: int) -> None:
         wait_s = min(WATCH_S_MAX, self._config.timing.watch_s)
@@ -297,12 +299,12 @@
             call = stores.StoreCall(
                 stores.Rank.CATALOGUE, stores.Kind.READ, run
             )
-            self._call(call, readings.Watched)
+            self._call(call, catalogue_reads.Watched)
 
     def _call(
         self,
         call: stores.StoreCall,
-        heard: type[readings.Read] | type[readings.Watched],
+        heard: type[catalogue_reads.Read] | type[catalogue_reads.Watched],
     ) -> None:
         if self._calling:
             return
--- a/src/apricotlever/daemon/claim_calls.py
+++ b/src/apricotlever/daemon/claim_storage.py
@@ -40,7 +40,7 @@
         self.outcome = outcome
 
 
-class ClaimCalls:
+class ClaimStorage:
     """Starts the store calls that a ClaimBatcher requests.
 
     :param store: the task that runs the calls.
--- a/src/apricotlever/daemon/context.py
+++ b/src/apricotlever/daemon/context.py
@@ -20,9 +20,9 @@
     """The tasks and shared tools of one daemon.
 
     :param config: the settings in force.
-    :param desk: decides about requests.
-    :param archive: keeps running and ended requests.
-    :param book: keeps idempotency keys.
+    :param dispatcher: decides about requests.
+    :param registry: keeps running and ended requests.
+    :param ledger: keeps idempotency keys.
     :param fleet: speaks to the other entry VMs.
     :param background: runs work that no caller waits for.
     :param streams: reads the answers of model runners.
@@ -36,9 +36,9 @@
         "clock",
         "histograms",
         "metrics",
-        "desk",
-        "archive",
-        "book",
+        "dispatcher",
+        "registry",
+        "ledger",
         "fleet",
         "background",
         "connections",
@@ -54,9 +54,9 @@
         clock: clocks.Clock,
         meters: histograms.Histograms,
         counts: metrics.Metrics,
-        desk: mailbox.Task,
-        archive: mailbox.Task,
-        book: mailbox.Task,
+        dispatcher: mailbox.Task,
+        registry: mailbox.Task,
+        ledger: mailbox.Task,
         fleet: mailbox.Task,
         background: futures.Executor,
         streams: stream_loop.StreamLoop,
@@ -66,9 +66,9 @@
         self.clock = clock
         self.histograms = meters
         self.metrics = counts
-        self.desk = desk
-        self.archive = archive
-        self.book = book
+        self.dispatcher = dispatcher
+        self.registry = registry
+        self.ledger = ledger
         self.fleet = fleet
         self.background = background
         self.streams = streams
--- a/src/apricotlever/daemon/desk.py
+++ b/src/apricotlever/daemon/dispatcher.py
@@ -24,11 +24,11 @@
 from ..runners import quarantine
 from ..runners import routing
 
-from . import messages
+from . import admission_refusals as verdicts_
+from . import dispatcher_messages
+from . import gossip_messages
 from . import placements
-from . import rumours
-from . import suspects
-from . import verdicts as verdicts_
+from . import suspect_requests
 
 Announce = typing.Callable[[pb.Rumour], None]
 
@@ -37,7 +37,7 @@
 NOT_READY_RETRY_AFTER_S = 0.5
 
 
-class Desk(mailbox.Task):
+class Dispatcher(mailbox.Task):
     """Admits the requests of one entry VM and chooses their runners.
 
     :param clock: the source of time.
@@ -68,12 +68,14 @@
         self._pools: dict[str, str] = {}
         self._pending: dict[str, futures.Future[typing.Any]] = {}
         self._placements = placements.Placements(clock, self._router, vm)
-        self._suspects = suspects.Suspects(
+        self._suspects = suspect_requests.SuspectRequests(
             clock, self._router, self._placements, metrics, vm
         )
 
-    @mailbox.handles(messages.CatalogueInForce)
-    def _configure(self, message: messages.CatalogueInForce) -> None:
+    @mailbox.handles(dispatcher_messages.CatalogueInForce)
+    def _configure(
+        self, message: dispatcher_messages.CatalogueInForce
+    ) -> None:
         catalogue = message.catalogue
         self._admission.configure(catalogue)
         self._budget.retain_entries(frozenset(catalogue.entries))
@@ -81,8 +83,8 @@
             name: entry.pool for name, entry in catalogue.entries.items()
         }
 
-    @mailbox.handles(messages.Admit)
-    def _admit(self, message: messages.Admit) -> mailbox.Deferred:
+    @mailbox.handles(dispatcher_messages.Admit)
+    def _admit(self, message: dispatcher_messages.Admit) -> mailbox.Deferred:
         self._pending[message.ticket.request_id] = self.defer()
         self._arrivals.record_arrival(
             self._pools.get(message.ticket.entry, "")
@@ -90,15 +92,15 @@
         self._resolve(self._admission.offer(message.ticket))
         return mailbox.DEFERRED
 
-    @mailbox.handles(messages.Withdraw)
-    def _withdraw(self, message: messages.Withdraw) -> None:
+    @mailbox.handles(dispatcher_messages.Withdraw)
+    def _withdraw(self, message: dispatcher_messages.Withdraw) -> None:
         self._pending.pop(message.request_id, None)
         self._resolve(self._admission.withdraw(message.request_id))
 
-    @mailbox.handles(messages.Dispatch)
+    @mailbox.handles(dispatcher_messages.Dispatch)
     def _dispatch(
-        self, message: messages.Dispatch
-    ) -> runners.Route | messages.TrialWanted:
+        self, message: dispatcher_messages.Dispatch
+    ) -> runners.Route | dispatcher_messages.TrialWanted:
         trial = self._suspects.check(message)
         if trial is not None and not message.on_trial:
             return trial
@@ -106,14 +108,14 @@
         self._record_placement(message, route.runner)
         return route
 
-    @mailbox.handles(messages.FirstToken)
-    def _first_token(self, message: messages.FirstToken) -> None:
+    @mailbox.handles(dispatcher_messages.FirstToken)
+    def _first_token(self, message: dispatcher_messages.FirstToken) -> None:
         self._router.first_token(message.request_id)
         self._admission.first_token(message.request_id)
 
-    @mailbox.handles(messages.AttemptEnded)
+    @mailbox.handles(dispatcher_messages.AttemptEnded)
     def _attempt_ended(
-        self, message: messages.AttemptEnded
+        self, message: dispatcher_messages.AttemptEnded
     ) -> crashes.CrashObservation | None:
         runner = self._placements.runner_of(message.request_id)
         report = None
@@ -125,9 +127,9 @@
         )
         return report
 
-    @mailbox.handles(messages.RequestEnded)
+    @mailbox.handles(dispatcher_messages.RequestEnded)
     def _request_ended(
-        self, message: messages.RequestEnded
+        self, message: dispatcher_messages.RequestEnded
     ) -> crashes.RequestCompleted | None:
         dispatch = self._placements.dispatch_of(message.request_id)
         self._placements.remove(message.request_id)
@@ -145,9 +147,9 @@
         self._budget.record_success(dispatch.query.entry)
         return self._suspects.survived(dispatch.fingerprint)
 
-    @mailbox.handles(messages.StreamBroke)
+    @mailbox.handles(dispatcher_messages.StreamBroke)
     def _decide_recovery(
-        self, message: messages.StreamBroke
+        self, message: dispatcher_messages.StreamBroke
     ) -> recovery.RecoveryDecision:
         flight = message.flight
         runner = flight.runner
@@ -162,13 +164,13 @@
         )
         return recovery.decide(situation)
 
-    @mailbox.handles(messages.MoveEnded)
-    def _move_ended(self, message: messages.MoveEnded) -> None:
+    @mailbox.handles(dispatcher_messages.MoveEnded)
+    def _move_ended(self, message: dispatcher_messages.MoveEnded) -> None:
         self._placements.record_export(message.tokens, message.seconds)
 
-    @mailbox.handles(messages.MayRetry)
+    @mailbox.handles(dispatcher_messages.MayRetry)
     def _may_retry(
-        self, message: messages.MayRetry
+        self, message: dispatcher_messages.MayRetry
     ) -> retry_policy.Retry | retry_policy.NoRetry:
         takers = frozenset(
             runner.name
@@ -197,8 +199,10 @@
             )
         return retry_policy.decide_retry(failure, self._budget)
 
-    @mailbox.handles(messages.RunnersListed)
-    def _runners_listed(self, message: messages.RunnersListed) -> None:
+    @mailbox.handles(dispatcher_messages.RunnersListed)
+    def _runners_listed(
+        self, message: dispatcher_messages.RunnersListed
+    ) -> None:
         before = {runner.name for runner in self._router.runners}
         self._router.set_runners(message.runners)
         after = {runner.name for runner in self._router.runners}
@@ -208,8 +212,10 @@
             logs.event("runner_gone", runner=name)
         self._update_pools()
 
-    @mailbox.handles(messages.RunnerLeaving)
-    def _runner_leaving(self, message: messages.RunnerLeaving) -> bool:
+    @mailbox.handles(dispatcher_messages.RunnerLeaving)
+    def _runner_leaving(
+        self, message: dispatcher_messages.RunnerLeaving
+    ) -> bool:
         name = message.runner
         if self._router.runner(name) is None or self._router.is_leaving(name):
             self._router.mark_leaving(name)
@@ -221,50 +227,52 @@
         logs.event("runner_leaving", runner=name, left_s=left_s)
         return True
 
-    @mailbox.handles(messages.RunnerGone)
-    def _runner_gone(self, message: messages.RunnerGone) -> None:
+    @mailbox.handles(dispatcher_messages.RunnerGone)
+    def _runner_gone(self, message: dispatcher_messages.RunnerGone) -> None:
         if self._router.runner(message.runner) is not None:
             logs.event("runner_gone", runner=message.runner)
         self._router.remove_runner(message.runner)
         self._placements.forget_runner(message.runner)
         self._update_pools()
 
-    @mailbox.handles(messages.RunnerWanted)
+    @mailbox.handles(dispatcher_messages.RunnerWanted)
     def _runner_wanted(
-        self, message: messages.RunnerWanted
+        self, message: dispatcher_messages.RunnerWanted
     ) -> runners.Runner | None:
         return self._router.runner(message.runner)
 
-    @mailbox.handles(messages.LoadSeen)
-    def _load_seen(self, message: messages.LoadSeen) -> None:
+    @mailbox.handles(dispatcher_messages.LoadSeen)
+    def _load_seen(self, message: dispatcher_messages.LoadSeen) -> None:
         self._router.observe_load(message.runner, message.report)
         if message.own:
             # A load that a peer read may be older than the runner's crash.
             self._router.record_success(message.runner)
 
-    @mailbox.handles(messages.CacheSeen)
-    def _cache_seen(self, message: messages.CacheSeen) -> None:
+    @mailbox.handles(dispatcher_messages.CacheSeen)
+    def _cache_seen(self, message: dispatcher_messages.CacheSeen) -> None:
         self._router.observe_cache(message.runner, message.events)
 
-    @mailbox.handles(messages.ProbeFailed)
-    def _probe_failed(self, message: messages.ProbeFailed) -> None:
+    @mailbox.handles(dispatcher_messages.ProbeFailed)
+    def _probe_failed(self, message: dispatcher_messages.ProbeFailed) -> None:
         self._router.record_failure(message.runner)
 
-    @mailbox.handles(messages.Judge)
-    def _judge(self, message: messages.Judge) -> quarantine.TrialDecision:
+    @mailbox.handles(dispatcher_messages.Judge)
+    def _judge(
+        self, message: dispatcher_messages.Judge
+    ) -> quarantine.TrialDecision:
         return self._suspects.judge(message.question)
 
-    @mailbox.handles(messages.TrialOver)
-    def _trial_over(self, message: messages.TrialOver) -> None:
+    @mailbox.handles(dispatcher_messages.TrialOver)
+    def _trial_over(self, message: dispatcher_messages.TrialOver) -> None:
         self._suspects.trial_over(message.report)
 
-    @mailbox.handles(messages.CrashHeard)
-    def _crash_heard(self, message: messages.CrashHeard) -> None:
+    @mailbox.handles(dispatcher_messages.CrashHeard)
+    def _crash_heard(self, message: dispatcher_messages.CrashHeard) -> None:
         self._suspects.heard(message.report)
 
-    @mailbox.handles(messages.DeathSeen)
+    @mailbox.handles(dispatcher_messages.DeathSeen)
     def _death_seen(
-        self, message: messages.DeathSeen
+        self, message: dispatcher_messages.DeathSeen
     ) -> crashes.CrashObservation | None:
         """Report a runner's crash even if no request of this VM ran there.
 
@@ -274,26 +282,28 @@
         runner = self._router.runner(message.runner)
         return self._suspects.crashed(runner) if runner else None
 
-    @mailbox.handles(messages.CrashesKnown)
+    @mailbox.handles(dispatcher_messages.CrashesKnown)
     def _crashes_known(
-        self, message: messages.CrashesKnown
+        self, message: dispatcher_messages.CrashesKnown
     ) -> list[crashes.CrashObservation]:
         return self._suspects.reports()
 
-    @mailbox.handles(messages.MemberLeft)
-    def _member_left(self, message: messages.MemberLeft) -> None:
+    @mailbox.handles(dispatcher_messages.MemberLeft)
+    def _member_left(self, message: dispatcher_messages.MemberLeft) -> None:
         self._admission.shares.remove_member(message.vm)
 
-    @mailbox.handles(messages.MembersSeen)
-    def _members_seen(self, message: messages.MembersSeen) -> None:
+    @mailbox.handles(dispatcher_messages.MembersSeen)
+    def _members_seen(self, message: dispatcher_messages.MembersSeen) -> None:
         self._admission.set_members(message.vms | {self._vm})
 
-    @mailbox.handles(messages.DemandHeard)
-    def _demand_heard(self, message: messages.DemandHeard) -> None:
+    @mailbox.handles(dispatcher_messages.DemandHeard)
+    def _demand_heard(self, message: dispatcher_messages.DemandHeard) -> None:
         self._admission.shares.receive(message.report, message.age_s)
 
-    @mailbox.handles(messages.StatusWanted)
-    def _status(self, message: messages.StatusWanted) -> dict[str, object]:
+    @mailbox.handles(dispatcher_messages.StatusWanted)
+    def _status(
+        self, message: dispatcher_messages.StatusWanted
+    ) -> dict[str, object]:
         return {
             "in_flight": len(self._placements),
             "queued": len(self._pending),
@@ -309,10 +319,10 @@
         self._suspects.tick()
         report = self._admission.take_report()
         if report is not None:
-            self._announce(rumours.of_demand(report))
+            self._announce(gossip_messages.of_demand(report))
         arrived = self._arrivals.take_report()
         if arrived is not None:
-            self._announce(rumours.of_arrivals(arrived))
+            self._announce(gossip_messages.of_arrivals(arrived))
 
     def stopped(self) -> None:
         """Refuse the requests that still wait for admission."""
@@ -336,7 +346,9 @@
             else:
                 future.set_exception(verdicts_.refusal_of(verdict))
 
-    def _choose_route(self, message: messages.Dispatch) -> runners.Route:
+    def _choose_route(
+        self, message: dispatcher_messages.Dispatch
+    ) -> runners.Route:
         if message.only:
             runner = self._router.runner(message.only)
             if runner is not None:
@@ -358,7 +370,7 @@
         return route
 
     def _record_placement(
-        self, message: messages.Dispatch, runner: runners.Runner
+        self, message: dispatcher_messages.Dispatch, runner: runners.Runner
     ) -> None:
         self._placements.place(message, runner)
         self._arrivals.record_start(message.request_id, runner.pool)
--- a/src/apricotlever/daemon/messages.py
+++ b/src/apricotlever/daemon/dispatcher_messages.py
@@ -8,7 +8,7 @@
 from ..runners import model as runners
 from ..runners import quarantine
 
-from . import flights
+from . import model_request
 
 
 class CatalogueInForce:
@@ -68,7 +68,7 @@
         query: runners.Query,
         fingerprint: str,
         attempt: int,
-        flight: flights.Flight | None = None,
+        flight: model_request.ModelRequest | None = None,
         only: str = "",
         on_trial: bool = False,
     ) -> None:
@@ -261,7 +261,7 @@
 
     def __init__(
         self,
-        flight: flights.Flight,
+        flight: model_request.ModelRequest,
         cause: recovery.RecoveryCause,
         failures: int,
         same_runner: int,
--- a/src/apricotlever/daemon/duties.py
+++ b/src/apricotlever/daemon/duties.py
@@ -24,8 +24,8 @@
 from ..vms import lease_objects
 from ..vms import orders
 
-from . import buyer
-from . import messages
+from . import autoscaler
+from . import dispatcher_messages
 from . import order_sender
 from . import store as stores
 
@@ -103,8 +103,10 @@
         """
         return self._duties.may_order(duty, order_s)
 
-    @mailbox.handles(messages.CatalogueInForce)
-    def _configure(self, message: messages.CatalogueInForce) -> None:
+    @mailbox.handles(dispatcher_messages.CatalogueInForce)
+    def _configure(
+        self, message: dispatcher_messages.CatalogueInForce
+    ) -> None:
         self._catalogue = message.catalogue
         longest_s = self._config.timing.order_timeout_s
         self._duties.configure(
@@ -113,7 +115,9 @@
                 for pool in self._model_pools()
             ]
             + [
-                duties.Duty(buyer.capacity_duty(entry.pool), "", longest_s)
+                duties.Duty(
+                    autoscaler.capacity_duty(entry.pool), "", longest_s
+                )
                 for entry in message.catalogue.entries.values()
             ]
         )
@@ -130,8 +134,8 @@
         self._duties.release_all()
         self._start_lease_calls()
 
-    @mailbox.handles(messages.RunnersListed)
-    def _listed(self, message: messages.RunnersListed) -> None:
+    @mailbox.handles(dispatcher_messages.RunnersListed)
+    def _listed(self, message: dispatcher_messages.RunnersListed) -> None:
         self._runners = {runner.name: runner for runner in message.runners}
 
     @mailbox.handles(_LeaseCalled)
@@ -183,8 +187,10 @@
         else:
             known.target_read(message.runner, message.target)
 
-    @mailbox.handles(messages.StatusWanted)
-    def _status(self, message: messages.StatusWanted) -> dict[str, object]:
+    @mailbox.handles(dispatcher_messages.StatusWanted)
+    def _status(
+        self, message: dispatcher_messages.StatusWanted
+    ) -> dict[str, object]:
         return {
             "duties": {
                 name: self._duties.may_order(name)
--- a/src/apricotlever/daemon/fleet.py
+++ b/src/apricotlever/daemon/fleet_link.py
@@ -25,11 +25,11 @@
 from ..vms import timing
 
 from . import fleet_messages
+from . import future_chaining
+from . import gossip_messages
 from . import listeners
 from . import peer_calls
-from . import promises
-from . import rumours
-from . import trials
+from . import trial_messages
 
 CRASH_CALL_S = 0.4
 JUDGE_CALL_S = 1.0
@@ -97,7 +97,7 @@
         self.asked = asked
 
 
-class Fleet(mailbox.Task):
+class FleetLink(mailbox.Task):
     """This VM's part in the fleet.
 
     :param config: intervals and first contacts.
@@ -187,7 +187,7 @@
             if isinstance(action, actions.Send)
         ]
         calls = [self._send(action) for action in sends]
-        promises.settle_with_all(self.defer(), calls)
+        future_chaining.settle_with_all(self.defer(), calls)
         return mailbox.DEFERRED
 
     @mailbox.handles(fleet_messages.CallPeer)
@@ -214,8 +214,8 @@
 
     @mailbox.handles(SpreadCrash)
     def _spread_crash(self, message: SpreadCrash) -> mailbox.Deferred:
-        report = rumours.crash_message(self._config.vm, message.report)
-        self._membership.announce(rumours.of_crash(report))
+        report = gossip_messages.crash_message(self._config.vm, message.report)
+        self._membership.announce(gossip_messages.of_crash(report))
         others = [
             member
             for vm, member in self._membership.view.members.items()
@@ -225,14 +225,16 @@
             self._call(member.peers_address, "Crash", report, CRASH_CALL_S)
             for member in others[:CALLED_AT_ONCE]
         ]
-        promises.settle_with_all(self.defer(), calls)
+        future_chaining.settle_with_all(self.defer(), calls)
         return mailbox.DEFERRED
 
     @mailbox.handles(TellCrash)
     def _tell_crash(self, message: TellCrash) -> None:
         member = self._membership.view.members.get(message.vm)
         if member is not None:
-            report = rumours.crash_message(self._config.vm, message.report)
+            report = gossip_messages.crash_message(
+                self._config.vm, message.report
+            )
             self._call(member.peers_address, "Crash", report, CRASH_CALL_S)
 
     @mailbox.handles(AskJudge)
@@ -241,11 +243,15 @@
         judge = self._judge_of(message.pool)
         if judge is None:
             local = self._listener.judge(message.question)
-            local.add_done_callback(functools.partial(promises.copy, future))
+            local.add_done_callback(
+                functools.partial(future_chaining.copy, future)
+            )
             return mailbox.DEFERRED
-        question = trials.question_message(message.question)
+        question = trial_messages.question_message(message.question)
         call = self._call(judge.peers_address, "Judge", question, JUDGE_CALL_S)
-        call.add_done_callback(functools.partial(trials.decide, future))
+        call.add_done_callback(
+            functools.partial(trial_messages.decide, future)
+        )
         return mailbox.DEFERRED
 
     @mailbox.handles(TrialDone)
@@ -254,7 +260,7 @@
         if judge is None:
             self._listener.trial_over(message.report)
             return
-        over = trials.over_message(message.report)
+        over = trial_messages.over_message(message.report)
         self._call(judge.peers_address, "Judge", over, JUDGE_CALL_S)
 
     def tick(self) -> None:
--- a/src/apricotlever/daemon/gateway.py
+++ b/src/apricotlever/daemon/gateway.py
@@ -11,16 +11,16 @@
 from ..runners import quarantine
 
 from . import access
-from . import admitting
-from . import archive
-from . import book
 from . import context as contexts
-from . import flights
-from . import lookups
-from . import messages
-from . import presence as presences
-from . import relay
+from . import dispatcher_messages
+from . import ledger_task
+from . import model_request
+from . import model_responses
+from . import request_admission
+from . import request_lookup
+from . import request_registry
 from . import service_gateway
+from . import vm_presence as presences
 
 KEYS_MAX = 1000
 
@@ -35,15 +35,15 @@
     """
 
     def __init__(
-        self, context: contexts.Context, presence: presences.Presence
+        self, context: contexts.Context, presence: presences.VmPresence
     ) -> None:
         self._context = context
         self._presence = presence
-        self._admission = admitting.RequestAdmission(context, presence)
+        self._admission = request_admission.RequestAdmission(context, presence)
         self._services = service_gateway.ServiceGateway(
             context, self._admission
         )
-        self._lookups = lookups.RequestLookup(context, presence)
+        self._lookups = request_lookup.RequestLookup(context, presence)
 
     def __call__(
         self, call: caller_server.Call
@@ -115,13 +115,15 @@
     def _status(self, call: caller_server.Call) -> caller_server.Reply:
         context = self._context
         access.check_operator(context, call)
-        question = messages.StatusWanted()
+        question = dispatcher_messages.StatusWanted()
         sections = [
             context.answer_of(task.ask(question)) for task in context.reporting
         ]
-        ledger_counts = context.answer_of(context.book.ask(book.Count()))
+        ledger_counts = context.answer_of(
+            context.ledger.ask(ledger_task.Count())
+        )
         running_streams = context.answer_of(
-            context.archive.ask(archive.CountRunning())
+            context.registry.ask(request_registry.CountRunning())
         )
         document: dict[str, typing.Any] = {
             "vm": context.config.vm,
@@ -164,16 +166,20 @@
             call, customer, entry, service_class, request
         )
         self._admission.admit(_ticket(flight), service_class)
-        accepted = context.answer_of(context.archive.ask(archive.Open(flight)))
+        accepted = context.answer_of(
+            context.registry.ask(request_registry.Open(flight))
+        )
         if not accepted:
-            context.desk.tell(messages.Withdraw(flight.request_id))
+            context.dispatcher.tell(
+                dispatcher_messages.Withdraw(flight.request_id)
+            )
             raise refusals.Refusal(
                 refusals.OVERLOADED,
                 "too many requests are running here",
                 retry_after_s=1.0,
                 request_id=flight.request_id,
             )
-        responder = relay.ModelResponder(context, flight)
+        responder = model_responses.ModelResponder(context, flight)
         return (
             responder.respond_streaming()
             if request.stream
@@ -187,9 +193,9 @@
         entry: catalogues.Entry,
         service_class: catalogues.ServiceClass,
         request: openai_format.ModelRequest,
-    ) -> flights.Flight:
+    ) -> model_request.ModelRequest:
         now = self._context.clock.now()
-        return flights.Flight(
+        return model_request.ModelRequest(
             self._context.clock,
             self._admission.new_request_id(),
             customer.name,
@@ -202,7 +208,7 @@
         )
 
 
-def _ticket(flight: flights.Flight) -> admission.Ticket:
+def _ticket(flight: model_request.ModelRequest) -> admission.Ticket:
     return admission.Ticket(
         flight.request_id,
         flight.customer,
--- a/src/apricotlever/daemon/heir.py
+++ b/src/apricotlever/daemon/incoming_handover.py
@@ -13,21 +13,21 @@
 from ..requests import records
 from ..runners import quarantine
 
-from . import archive
-from . import book
+from . import answer_reader as pumps
 from . import context as contexts
+from . import dispatcher_messages
 from . import fleet_messages
-from . import flights
-from . import messages
-from . import pump as pumps
-from . import relay
-from . import rumours
+from . import gossip_messages
+from . import ledger_task
+from . import model_request
+from . import model_responses
+from . import request_registry
 from . import transcripts
 
 ADOPTED_THREADS = 512
 
 
-class Take:
+class ReceivePart:
     """A part of a handover came; answered with the receipt."""
 
     __slots__ = ("part",)
@@ -36,7 +36,7 @@
         self.part = part
 
 
-class Heir(mailbox.Task):
+class IncomingHandover(mailbox.Task):
     """Adopts requests and ledgers.
 
     :param context: the daemon's other tasks.
@@ -49,8 +49,8 @@
         self._intake = handover_receiver.HandoverReceiver(me)
         self._threads = futures.ThreadPoolExecutor(ADOPTED_THREADS, "adopted")
 
-    @mailbox.handles(Take)
-    def _take(self, message: Take) -> pb.HandoverReceipt:
+    @mailbox.handles(ReceivePart)
+    def _take(self, message: ReceivePart) -> pb.HandoverReceipt:
         try:
             taken = self._intake.receive(message.part.part)
         except request_errors.HandoverInvalid as error:
@@ -63,7 +63,7 @@
             case handover_receiver.AdoptLedger():
                 return self._adopt_ledger(taken)
             case handover_receiver.AdoptOutcomes():
-                self._context.book.tell(book.Settle(taken.settled))
+                self._context.ledger.tell(ledger_task.Settle(taken.settled))
         return pb.HandoverReceipt(accepted=True)
 
     def stopped(self) -> None:
@@ -73,12 +73,14 @@
     def _adopt_ledger(
         self, taken: handover_receiver.AdoptLedger
     ) -> pb.HandoverReceipt:
-        adopt = book.AdoptLedger(taken.state)
-        receipt = self._context.book.ask(adopt).result()
+        adopt = ledger_task.AdoptLedger(taken.state)
+        receipt = self._context.ledger.ask(adopt).result()
         if not receipt.accepted:
             return _refused("this VM is leaving too")
         logs.event("handover_taken", sender=receipt.sender.vm, ledger=True)
-        moved = rumours.of_ledger_moved(receipt.sender, receipt.successor)
+        moved = gossip_messages.of_ledger_moved(
+            receipt.sender, receipt.successor
+        )
         self._context.fleet.tell(fleet_messages.Announce(moved))
         return pb.HandoverReceipt(accepted=True)
 
@@ -90,7 +92,7 @@
         The caller is told to come here only after the receipt, so it finds
         its request.
         """
-        asked = self._context.archive.ask(archive.Adopt(adopted))
+        asked = self._context.registry.ask(request_registry.Adopt(adopted))
         running = asked.result()
         for record in running:
             self._go_on(record)
@@ -99,17 +101,19 @@
     def _go_on(self, record: records.RequestRecord) -> None:
         flight = self._flight(record)
         if flight is None:
-            outcome = archive.outcome_failed("unknown", "not_found")
-            close = archive.Close(record.request_id, outcome)
-            self._context.archive.tell(close)
+            outcome = request_registry.outcome_failed("unknown", "not_found")
+            close = request_registry.Close(record.request_id, outcome)
+            self._context.registry.tell(close)
             return
-        self._context.archive.ask(archive.Join(flight)).result()
-        wanted = messages.RunnerWanted(record.runner)
-        runner = self._context.desk.ask(wanted).result()
-        pump = pumps.Pump(self._context, flight, runner)
-        self._threads.submit(relay.pump_adopted, self._context, pump)
-
-    def _flight(self, record: records.RequestRecord) -> flights.Flight | None:
+        self._context.registry.ask(request_registry.Join(flight)).result()
+        wanted = dispatcher_messages.RunnerWanted(record.runner)
+        runner = self._context.dispatcher.ask(wanted).result()
+        pump = pumps.AnswerReader(self._context, flight, runner)
+        self._threads.submit(model_responses.pump_adopted, self._context, pump)
+
+    def _flight(
+        self, record: records.RequestRecord
+    ) -> model_request.ModelRequest | None:
         context = self._context
         catalogue = context.catalogue
         entry = catalogue.entries.get(record.entry)
@@ -118,10 +122,12 @@
         service_class = catalogue.class_of(entry)
         request = openai_format.parse_request(record.body, record.chat)
         events = (
-            relay.token_event(record.request_id, index, token, record.chat)
+            model_responses.token_event(
+                record.request_id, index, token, record.chat
+            )
             for index, token in enumerate(record.tokens)
         )
-        flight = flights.Flight(
+        flight = model_request.ModelRequest(
             context.clock,
             record.request_id,
             record.customer,
--- a/src/apricotlever/daemon/book.py
+++ b/src/apricotlever/daemon/ledger_task.py
@@ -17,7 +17,7 @@
 from ..requests import ledger_messages
 from ..requests import ledger_state
 
-from . import claim_calls
+from . import claim_storage
 from . import store as stores
 
 TICK_S = 0.25
@@ -205,7 +205,7 @@
         self.future = future
 
 
-class Book(mailbox.Task):
+class LedgerTask(mailbox.Task):
     """Keeps the keys of one incarnation.
 
     :param rng: mints keys; has to be unpredictable.
@@ -223,7 +223,7 @@
         super().__init__("book", clock, TICK_S)
         self._ledger = ledger.Ledger(clock, rng, vm, incarnation)
         self._claims = claims.ClaimBatcher(clock)
-        self._calls = claim_calls.ClaimCalls(store, self.tell)
+        self._calls = claim_storage.ClaimStorage(store, self.tell)
         self._claiming: dict[int, _Asked] = {}
         self._pending: dict[int, list[_Asked]] = {}
 
@@ -306,13 +306,13 @@
     def _count(self, message: Count) -> tuple[int, int]:
         return len(self._ledger), self._ledger.in_flight_count
 
-    @mailbox.handles(claim_calls.BucketRead)
-    def _bucket_read(self, message: claim_calls.BucketRead) -> None:
-        self._carry_out(claim_calls.after_read(self._claims, message))
+    @mailbox.handles(claim_storage.BucketRead)
+    def _bucket_read(self, message: claim_storage.BucketRead) -> None:
+        self._carry_out(claim_storage.after_read(self._claims, message))
 
-    @mailbox.handles(claim_calls.BucketWritten)
-    def _bucket_written(self, message: claim_calls.BucketWritten) -> None:
-        self._carry_out(claim_calls.after_write(self._claims, message))
+    @mailbox.handles(claim_storage.BucketWritten)
+    def _bucket_written(self, message: claim_storage.BucketWritten) -> None:
+        self._carry_out(claim_storage.after_write(self._claims, message))
 
     def tick(self) -> None:
         """Expire keys and give up runs that took too long."""
--- a/src/apricotlever/daemon/sources.py
+++ b/src/apricotlever/daemon/model_attempts.py
@@ -11,9 +11,9 @@
 
 from . import attempt_reports
 from . import context as contexts
-from . import flights
-from . import messages
-from . import placing
+from . import dispatcher_messages
+from . import model_request
+from . import runner_selection
 
 #: A runner has this many times its class's target for the first token.
 FIRST_BYTE_TIMEOUT_FACTOR = 5
@@ -43,7 +43,7 @@
     )
 
     def __init__(
-        self, context: contexts.Context, flight: flights.Flight
+        self, context: contexts.Context, flight: model_request.ModelRequest
     ) -> None:
         self._context = context
         self._flight = flight
@@ -52,7 +52,7 @@
         self._on_trial = False
         self._sent = False
         self._silent_runner: runners.Runner | None = None
-        self._selector = placing.RunnerSelector(
+        self._selector = runner_selection.RunnerSelector(
             context, flight.deadline, self._refusal
         )
 
@@ -85,7 +85,7 @@
         return self._start_request("", tried)
 
     def request_decision(
-        self, situation: messages.StreamBroke
+        self, situation: dispatcher_messages.StreamBroke
     ) -> recovery.RecoveryDecision:
         """Ask the dispatcher how to recover, waiting while no runner is free.
 
@@ -95,7 +95,7 @@
         """
         while True:
             context = self._context
-            decision = context.answer_of(context.desk.ask(situation))
+            decision = context.answer_of(context.dispatcher.ask(situation))
             if isinstance(decision, recovery.GiveUp):
                 raise self._refusal(
                     refusals.GAVE_UP,
@@ -121,7 +121,7 @@
         :raises Refusal: when no retry is allowed.
         """
         flight = self._flight
-        question = messages.MayRetry(
+        question = dispatcher_messages.MayRetry(
             flight.entry.name,
             flight.entry.pool,
             error.sent,
@@ -183,8 +183,8 @@
             # next attempt reconnects to it, so that no token is recomputed.
             return False
         report = self._context.answer_of(
-            self._context.desk.ask(
-                messages.AttemptEnded(
+            self._context.dispatcher.ask(
+                dispatcher_messages.AttemptEnded(
                     flight.request_id, runners.Outcome.FAILED, crashed
                 )
             )
@@ -206,13 +206,13 @@
         flight = self._flight
         if self._exchange is not None:
             self._exchange.abandon()
-        ended = messages.RequestEnded(
+        ended = dispatcher_messages.RequestEnded(
             flight.request_id,
             outcome,
             first_token_s,
             flight.request.prompt_tokens + flight.resume_from,
         )
-        future = self._context.desk.ask(ended)
+        future = self._context.dispatcher.ask(ended)
         if flight.attempt > 1 or self._on_trial:
             report = self._context.answer_of(future)
             attempt_reports.send_report(self._context, report, False)
@@ -266,7 +266,7 @@
         self._abandon_exchange()
         began = self._context.clock.now()
         tokens = flight.request.prompt_tokens + flight.resume_from
-        desk = self._context.desk
+        desk = self._context.dispatcher
         try:
             state = upstream_exchange.call_json(
                 old.address,
@@ -281,10 +281,10 @@
                 runner.address, "POST", "/v1/import", state, TRANSFER_TIMEOUT_S
             )
         except upstream_exchange.UpstreamError:
-            desk.tell(messages.MoveEnded(tokens, None))
+            desk.tell(dispatcher_messages.MoveEnded(tokens, None))
             raise
         seconds = self._context.clock.now() - began
-        desk.tell(messages.MoveEnded(tokens, seconds))
+        desk.tell(dispatcher_messages.MoveEnded(tokens, seconds))
         self._context.metrics.count("streams.moved")
         logs.event(
             "stream_moved",
@@ -354,8 +354,10 @@
         """Choose a runner for the next attempt, if need be as a trial."""
         flight = self._flight
 
-        def dispatch(only: str, on_trial: bool) -> messages.Dispatch:
-            return messages.Dispatch(
+        def dispatch(
+            only: str, on_trial: bool
+        ) -> dispatcher_messages.Dispatch:
+            return dispatcher_messages.Dispatch(
                 flight.request_id,
                 flight.query(tried),
                 flight.fingerprint,
@@ -391,10 +393,10 @@
         """
         silent, self._silent_runner = self._silent_runner, None
         if silent is not None:
-            ended = messages.AttemptEnded(
+            ended = dispatcher_messages.AttemptEnded(
                 self._flight.request_id, runners.Outcome.FAILED, False
             )
-            self._context.desk.tell(ended)
+            self._context.dispatcher.tell(ended)
         return silent
 
     def _abandon_exchange(self) -> None:
--- a/src/apricotlever/daemon/flights.py
+++ b/src/apricotlever/daemon/model_request.py
@@ -13,7 +13,7 @@
 from . import transcripts
 
 
-class Flight:
+class ModelRequest:
     """What the tasks need to know about one model request.
 
     The thread that reads the runner owns it. Other threads only call
--- a/src/apricotlever/daemon/relay.py
+++ b/src/apricotlever/daemon/model_responses.py
@@ -9,11 +9,11 @@
 from ..links import openai_format
 from ..runners import model as runners
 
-from . import archive
+from . import answer_reader as readers
 from . import context as contexts
-from . import flights
-from . import pump as readers
-from . import resumption
+from . import model_request
+from . import request_registry
+from . import resumption_tokens
 from . import transcripts
 
 #: How long an answer is read on after its caller has disconnected.
@@ -80,11 +80,11 @@
     """
 
     def __init__(
-        self, context: contexts.Context, flight: flights.Flight
+        self, context: contexts.Context, flight: model_request.ModelRequest
     ) -> None:
         self._context = context
         self._flight = flight
-        self._reader = readers.Pump(context, flight)
+        self._reader = readers.AnswerReader(context, flight)
         self._runner: runners.Runner | None = None
 
     def respond_streaming(
@@ -107,7 +107,7 @@
         headers = answer_headers(flight.request_id, STREAM_TYPE)
         token = resumption_token(self._context, flight)
         if token:
-            headers.append((resumption.HEADER, token))
+            headers.append((resumption_tokens.HEADER, token))
         return caller_server.StreamingReply(
             headers, functools.partial(self._write, first)
         )
@@ -159,7 +159,7 @@
             if flight.runner is not self._runner:
                 self._runner = flight.runner
                 token = resumption_token(self._context, flight)
-                writer(resumption.event(token))
+                writer(resumption_tokens.event(token))
             writer(data)
 
         try:
@@ -183,7 +183,9 @@
         _record_outcome(self._context, self._flight, refusal)
 
 
-def resumption_token(context: contexts.Context, flight: flights.Flight) -> str:
+def resumption_token(
+    context: contexts.Context, flight: model_request.ModelRequest
+) -> str:
     """The token by which a caller can resume its stream.
 
     :param context: holds the catalogue with the customer's key hash.
@@ -194,21 +196,23 @@
     customer = context.catalogue.customers.get(flight.customer)
     if customer is None or flight.runner is None:
         return ""
-    ticket = resumption.Ticket(
+    ticket = resumption_tokens.ResumptionToken(
         flight.request_id,
         flight.entry.name,
         flight.runner.name,
         flight.request.chat,
         flight.request.max_tokens,
     )
-    return resumption.encode(ticket, customer)
+    return resumption_tokens.encode(ticket, customer)
 
 
 def discard(data: bytes) -> None:
     """Sink used while no caller is connected."""
 
 
-def pump_adopted(context: contexts.Context, reader: readers.Pump) -> None:
+def pump_adopted(
+    context: contexts.Context, reader: readers.AnswerReader
+) -> None:
     """Read the answer to a request taken over from another entry VM.
 
     The caller of the request reconnects by itself and follows the transcript.
@@ -227,7 +231,7 @@
 
 
 def read_to_end(
-    context: contexts.Context, reader: readers.Pump, linger_s: float
+    context: contexts.Context, reader: readers.AnswerReader, linger_s: float
 ) -> None:
     """Read an answer to its end while no caller is connected.
 
@@ -248,16 +252,16 @@
 
 def _record_outcome(
     context: contexts.Context,
-    flight: flights.Flight,
+    flight: model_request.ModelRequest,
     refusal: refusals.Refusal | None,
 ) -> None:
     """Record the outcome of a request in the archive."""
-    outcome = archive.outcome_done()
+    outcome = request_registry.outcome_done()
     if refusal is not None:
-        outcome = archive.outcome_failed(
+        outcome = request_registry.outcome_failed(
             refusal.executed.value, refusal.kind.name
         )
-    context.archive.tell(archive.Close(flight.request_id, outcome))
+    context.registry.tell(request_registry.Close(flight.request_id, outcome))
 
 
 def redirect_reply(request_id: str, address: str) -> caller_server.Reply:
@@ -278,7 +282,7 @@
 
 
 def follow_stream(
-    flight: flights.Flight,
+    flight: model_request.ModelRequest,
     start: int,
     is_disconnected: typing.Callable[[], bool],
 ) -> typing.Iterator[bytes]:
@@ -294,7 +298,7 @@
 
 
 def final_event(
-    flight: flights.Flight, transcript: transcripts.Transcript
+    flight: model_request.ModelRequest, transcript: transcripts.Transcript
 ) -> bytes:
     """The event that ends a followed stream.
 
--- a/src/apricotlever/daemon/node.py
+++ b/src/apricotlever/daemon/node.py
@@ -18,23 +18,23 @@
 from ..links import stream_loop
 from ..vms import fleet_view as views
 
-from . import archive
-from . import book
-from . import buyer
-from . import calls
+from . import autoscaler
+from . import catalogue_watcher
 from . import context as contexts
-from . import departing
-from . import desk
+from . import dispatcher
 from . import duties
-from . import fleet
+from . import fleet_link
 from . import fleet_messages
 from . import gateway
-from . import heir
-from . import keeper
-from . import presence
+from . import incoming_handover
+from . import ledger_task
+from . import outgoing_handover
+from . import peer_handlers
+from . import request_registry
+from . import runner_monitor
 from . import store
-from . import switchboard
-from . import watcher
+from . import task_notifier
+from . import vm_presence
 
 RECEIVE_S = 10.0
 BACKGROUND_THREADS = 512
@@ -63,10 +63,10 @@
         self._rng = random.Random(secrets.randbits(64))
         self._incarnation = int(clock.wall() * 1000)
         self._metrics = metrics.Metrics(config.statsd)
-        self._presence = presence.Presence(config, self._rng)
+        self._presence = vm_presence.VmPresence(config, self._rng)
         self._stop_asked = threading.Event()
         self._notice_until: float | None = None
-        self._switchboard = switchboard.Switchboard(
+        self._switchboard = task_notifier.TaskNotifier(
             config, self._presence, self._metrics, self.ask_to_stop
         )
         self._pool = futures.ThreadPoolExecutor(TASK_THREADS, "task")
@@ -77,7 +77,7 @@
         )
         self._tasks: list[mailbox.Task] = []
         self._make_tasks()
-        calls.register(self._handlers, self._context, self._rooms())
+        peer_handlers.register(self._handlers, self._context, self._rooms())
         self._server = self._make_server()
 
     @property
@@ -119,15 +119,15 @@
             config.sizes.store_writes_per_s,
         )
         self._store = store.Store(clock, objects, budget, self._metrics)
-        self._book = book.Book(
+        self._book = ledger_task.LedgerTask(
             clock, secret_rng, config.vm, self._incarnation, self._store
         )
-        self._archive = archive.Archive(
+        self._archive = request_registry.RequestRegistry(
             clock,
             config.sizes.keep_outcomes_s,
             config.sizes.keep_outcomes_bytes_max,
         )
-        self._desk = desk.Desk(
+        self._desk = dispatcher.Dispatcher(
             clock,
             self._rng,
             config.vm,
@@ -135,10 +135,10 @@
             self._metrics,
             self._switchboard.announce,
         )
-        me = presence.own_member(
+        me = vm_presence.own_member(
             config, str(config.callers), self._link.address, self._incarnation
         )
-        self._fleet = fleet.Fleet(
+        self._fleet = fleet_link.FleetLink(
             clock,
             self._rng,
             config,
@@ -150,10 +150,10 @@
         cloud = platform.CloudApi(
             config.platform.cloud, timing.platform_timeout_s
         )
-        self._keeper = keeper.Keeper(
+        self._keeper = runner_monitor.RunnerMonitor(
             clock, config, cloud, self._fleet, self._switchboard
         )
-        self._watcher = watcher.Watcher(
+        self._watcher = catalogue_watcher.CatalogueWatcher(
             clock,
             self._rng,
             config,
@@ -172,7 +172,7 @@
             self._store,
             weights,
         )
-        self._buyer = buyer.Buyer(
+        self._buyer = autoscaler.Autoscaler(
             clock,
             self._rng,
             cloud,
@@ -204,7 +204,7 @@
             self._buyer,
         ]
         self._switchboard.attach(
-            switchboard.Tasks(
+            task_notifier.NotifiedTasks(
                 self._desk,
                 self._book,
                 self._fleet,
@@ -216,7 +216,7 @@
                 self._context,
             )
         )
-        self._heir = heir.Heir(clock, self._context)
+        self._heir = incoming_handover.IncomingHandover(clock, self._context)
         self._tasks = [
             self._store,
             self._book,
@@ -230,8 +230,10 @@
             self._buyer,
         ]
 
-    def _rooms(self) -> calls.Rooms:
-        return calls.Rooms(self._fleet, self._watcher, self._desk, self._heir)
+    def _rooms(self) -> peer_handlers.Rooms:
+        return peer_handlers.Rooms(
+            self._fleet, self._watcher, self._desk, self._heir
+        )
 
     def _make_server(self) -> caller_server.CallerServer:
         sizes = self._config.sizes
@@ -318,12 +320,12 @@
     def _hand_over(self, deadline: float) -> bool:
         now = self._clock.now()
         until = now + HANDOVER_PART * (deadline - now)
-        task = departing.Departing(
+        task = outgoing_handover.OutgoingHandover(
             self._clock, self._context, self._presence, until
         )
         self._switchboard.depart(task)
         running = self._pool.submit(task.run)
-        handed_over = task.ask(departing.HandOver())
+        handed_over = task.ask(outgoing_handover.StartHandover())
         try:
             complete = handed_over.result(max(0.1, until - now + 1.0))
         except futures.TimeoutError:
--- a/src/apricotlever/daemon/rescues.py
+++ b/src/apricotlever/daemon/orphaned_streams.py
@@ -7,18 +7,18 @@
 from ..links import openai_format
 from ..runners import model as runners
 
-from . import archive
+from . import answer_reader as pumps
 from . import context as contexts
-from . import flights
-from . import messages
-from . import pump as pumps
-from . import relay
-from . import resumption
+from . import dispatcher_messages
+from . import model_request
+from . import model_responses
+from . import request_registry
+from . import resumption_tokens
 
 RESCUE_THREADS = 256
 
 
-class Rescues:
+class OrphanedStreams:
     """Picks up streams by their callers' resumption tokens.
 
     :param context: the daemon's tasks.
@@ -32,10 +32,10 @@
 
     def rescue(
         self,
-        ticket: resumption.Ticket,
+        ticket: resumption_tokens.ResumptionToken,
         catalogue: catalogues.Catalogue,
         customer: catalogues.Customer,
-    ) -> flights.Flight:
+    ) -> model_request.ModelRequest:
         """Read a stream on at the runner that the token names.
 
         The runner still has every token, so the answer is read from its
@@ -48,13 +48,15 @@
         """
         context = self._context
         entry = catalogue.entries.get(ticket.entry)
-        wanted = messages.RunnerWanted(ticket.runner)
-        runner = context.answer_of(context.desk.ask(wanted))
+        wanted = dispatcher_messages.RunnerWanted(ticket.runner)
+        runner = context.answer_of(context.dispatcher.ask(wanted))
         if entry is None or runner is None:
             raise _gone(ticket.request_id)
         service_class = catalogue.class_of(entry)
         flight = self._flight(ticket, customer, entry, service_class, runner)
-        room = context.answer_of(context.archive.ask(archive.Open(flight)))
+        room = context.answer_of(
+            context.registry.ask(request_registry.Open(flight))
+        )
         if not room:
             raise refusals.Refusal(
                 refusals.OVERLOADED,
@@ -63,25 +65,25 @@
                 1.0,
                 ticket.request_id,
             )
-        pump = pumps.Pump(context, flight, runner)
-        self._threads.submit(relay.pump_adopted, context, pump)
+        pump = pumps.AnswerReader(context, flight, runner)
+        self._threads.submit(model_responses.pump_adopted, context, pump)
         return flight
 
     def _flight(
         self,
-        ticket: resumption.Ticket,
+        ticket: resumption_tokens.ResumptionToken,
         customer: catalogues.Customer,
         entry: catalogues.Entry,
         service_class: catalogues.ServiceClass,
         runner: runners.Runner,
-    ) -> flights.Flight:
+    ) -> model_request.ModelRequest:
         document = {
             "model": entry.name,
             "prompt": "",
             "max_tokens": ticket.max_tokens,
         }
         now = self._context.clock.now()
-        flight = flights.Flight(
+        flight = model_request.ModelRequest(
             self._context.clock,
             ticket.request_id,
             customer.name,
--- a/src/apricotlever/daemon/departing.py
+++ b/src/apricotlever/daemon/outgoing_handover.py
@@ -13,18 +13,18 @@
 from ..requests import ledger_messages as keyed
 from ..vms import fleet_view as views
 
-from . import archive
-from . import book
 from . import context as contexts
 from . import fleet_messages
-from . import presence as presences
-from . import rumours
+from . import gossip_messages
+from . import ledger_task
+from . import request_registry
+from . import vm_presence as presences
 
 TICK_S = 0.1
 PART_CALL_S = 1.0
 
 
-class HandOver:
+class StartHandover:
     """Hand everything over; answered with whether all was taken."""
 
     __slots__ = ()
@@ -52,7 +52,7 @@
         self.owner = owner
 
 
-class Departing(mailbox.Task):
+class OutgoingHandover(mailbox.Task):
     """Hands over, once.
 
     :param context: the daemon's other tasks.
@@ -64,7 +64,7 @@
         self,
         clock: clocks.Clock,
         context: contexts.Context,
-        presence: presences.Presence,
+        presence: presences.VmPresence,
         deadline: float,
     ) -> None:
         super().__init__("departing", clock, TICK_S)
@@ -79,11 +79,11 @@
         )
         self._finished: futures.Future[typing.Any] | None = None
 
-    @mailbox.handles(HandOver)
-    def _hand_over(self, message: HandOver) -> mailbox.Deferred:
+    @mailbox.handles(StartHandover)
+    def _hand_over(self, message: StartHandover) -> mailbox.Deferred:
         self._finished = self.defer()
-        self._context.book.ask(book.Freeze()).result()
-        asked = self._context.archive.ask(archive.Snapshot())
+        self._context.ledger.ask(ledger_task.Freeze()).result()
+        asked = self._context.registry.ask(request_registry.Snapshot())
         everything = asked.result()
         found = self._departure.start(
             self._peers(),
@@ -112,13 +112,13 @@
         """Send again what has no receipt, and outcomes that came late."""
         if self._finished is None:
             return
-        late = self._context.book.ask(book.LateOutcomes()).result()
+        late = self._context.ledger.ask(ledger_task.LateOutcomes()).result()
         found = self._departure.send_outcomes(late, self._in_flight())
         self._carry_out(found)
         self._carry_out(self._departure.tick())
 
     def _in_flight(self) -> int:
-        return int(self._context.book.ask(book.Count()).result()[1])
+        return int(self._context.ledger.ask(ledger_task.Count()).result()[1])
 
     def _peers(self) -> list[handover_sender.Peer]:
         view = self._presence.view
@@ -166,28 +166,30 @@
         logs.event(
             "handover_sent", heir=action.vm, requests=len(action.request_ids)
         )
-        self._context.archive.tell(
-            archive.TellMoved(action.request_ids, action.vm, address)
+        self._context.registry.tell(
+            request_registry.TellMoved(action.request_ids, action.vm, address)
         )
 
     @_carry_out_one.register
     def _export(self, action: handover_sender.ExportLedger) -> None:
-        asked = self._context.book.ask(book.Export(action.successor))
+        asked = self._context.ledger.ask(ledger_task.Export(action.successor))
         self._carry_out(self._departure.on_exported(asked.result()))
 
     @_carry_out_one.register
     def _ledger_received(self, action: handover_sender.DeliverReceipt) -> None:
         receipt = action.receipt
-        self._context.book.tell(book.HeirAnswered(receipt))
+        self._context.ledger.tell(ledger_task.HeirAnswered(receipt))
         if receipt.accepted:
-            moved = rumours.of_ledger_moved(receipt.sender, receipt.successor)
+            moved = gossip_messages.of_ledger_moved(
+                receipt.sender, receipt.successor
+            )
             self._context.fleet.tell(fleet_messages.Announce(moved))
 
     @_carry_out_one.register
     def _outcomes_received(
         self, action: handover_sender.AcknowledgeOutcomes
     ) -> None:
-        self._context.book.tell(book.OutcomesReceived(action.settled))
+        self._context.ledger.tell(ledger_task.OutcomesReceived(action.settled))
 
     @_carry_out_one.register
     def _done(self, action: handover_sender.HandoverFinished) -> None:
--- a/src/apricotlever/daemon/peer_calls.py
+++ b/src/apricotlever/daemon/peer_calls.py
@@ -7,7 +7,7 @@
 from ..links import peer_link
 from ..links import peer_pb2 as pb
 
-from . import promises
+from . import future_chaining
 
 Call = futures.Future[typing.Any]
 
@@ -47,4 +47,4 @@
         gone = peer_link.PeerUnavailable(vm, "gone while it was asked", True)
         future.set_exception(gone)
     else:
-        promises.copy(future, call)
+        future_chaining.copy(future, call)
--- a/src/apricotlever/daemon/calls.py
+++ b/src/apricotlever/daemon/peer_handlers.py
@@ -8,33 +8,33 @@
 from ..links import peer_pb2 as pb
 from ..runners import quarantine
 
+from . import catalogue_watcher
 from . import context as contexts
-from . import heir
-from . import keyed_answers
-from . import messages
-from . import promises
-from . import rumours
+from . import dispatcher_messages
+from . import future_chaining
+from . import gossip_messages
+from . import incoming_handover
+from . import keyed_answer_codec
 from . import service_calls
 from . import service_request
-from . import trials
-from . import watcher
+from . import trial_messages
 
 
 class Rooms:
     """The tasks that answer the calls of peers."""
 
-    __slots__ = ("fleet", "watcher", "desk", "heir")
+    __slots__ = ("fleet", "catalogue_watcher", "dispatcher", "heir")
 
     def __init__(
         self,
         fleet: typing.Any,
-        watcher_task: mailbox.Task,
-        desk: mailbox.Task,
+        catalogue_watcher_task: mailbox.Task,
+        dispatcher: mailbox.Task,
         heir_task: mailbox.Task,
     ) -> None:
         self.fleet = fleet
-        self.watcher = watcher_task
-        self.desk = desk
+        self.catalogue_watcher = catalogue_watcher_task
+        self.dispatcher = dispatcher
         self.heir = heir_task
 
 
@@ -55,7 +55,7 @@
 
     @handlers.register("Fetch")
     def _fetch(message: pb.FetchCatalogue) -> typing.Any:
-        return tasks.watcher.ask(watcher.Serve(message))
+        return tasks.catalogue_watcher.ask(catalogue_watcher.Serve(message))
 
     @handlers.register("Run")
     def _run(message: pb.KeyedCall) -> typing.Any:
@@ -65,13 +65,13 @@
 
     @handlers.register("Handover")
     def _handover(message: pb.HandoverPart) -> typing.Any:
-        return tasks.heir.ask(heir.Take(message))
+        return tasks.heir.ask(incoming_handover.ReceivePart(message))
 
     @handlers.register("Crash")
     def _crash(message: pb.CrashReport) -> typing.Any:
-        report = rumours.crash_of(message)
-        future = tasks.desk.ask(messages.CrashHeard(report))
-        return promises.then(future, lambda _: pb.CrashReceipt())
+        report = gossip_messages.crash_of(message)
+        future = tasks.dispatcher.ask(dispatcher_messages.CrashHeard(report))
+        return future_chaining.then(future, lambda _: pb.CrashReceipt())
 
     @handlers.register("Judge")
     def _judge(message: pb.TrialQuestion) -> typing.Any:
@@ -79,11 +79,13 @@
             report = quarantine.TrialEnded(
                 message.fingerprint, message.request_id
             )
-            future = tasks.desk.ask(messages.TrialOver(report))
-            return promises.then(future, lambda _: pb.TrialAnswer())
-        question = trials.question_of(message)
-        future = tasks.desk.ask(messages.Judge(question))
-        return promises.then(future, trials.verdict_message)
+            future = tasks.dispatcher.ask(
+                dispatcher_messages.TrialOver(report)
+            )
+            return future_chaining.then(future, lambda _: pb.TrialAnswer())
+        question = trial_messages.question_of(message)
+        future = tasks.dispatcher.ask(dispatcher_messages.Judge(question))
+        return future_chaining.then(future, trial_messages.verdict_message)
 
 
 def run_forwarded(
@@ -109,7 +111,7 @@
             refusals.Executed.UNKNOWN,
             1.0,
         )
-        return keyed_answers.encode_refusal(message.request_id, refusal)
+        return keyed_answer_codec.encode_refusal(message.request_id, refusal)
     now = context.clock.now()
     request = service_request.ServiceRequest(
         message.request_id,
@@ -127,5 +129,5 @@
     try:
         answer = services.run_keyed(request, message.key, False, True)
     except refusals.Refusal as refusal:
-        return keyed_answers.encode_refusal(message.request_id, refusal)
-    return keyed_answers.encode_answer(message.request_id, answer)
+        return keyed_answer_codec.encode_refusal(message.request_id, refusal)
+    return keyed_answer_codec.encode_answer(message.request_id, answer)
--- a/src/apricotlever/daemon/placements.py
+++ b/src/apricotlever/daemon/placements.py
@@ -11,8 +11,8 @@
 from ..runners import model as runners
 from ..runners import routing
 
-from . import flights
-from . import messages
+from . import dispatcher_messages
+from . import model_request
 
 #: The deadline of a stream bounds its recoveries. This limit only keeps a
 #: request that no runner can finish from being retried for ever.
@@ -33,7 +33,7 @@
     __slots__ = ("dispatch", "runner", "moving_to")
 
     def __init__(
-        self, dispatch: messages.Dispatch, runner: runners.Runner
+        self, dispatch: dispatcher_messages.Dispatch, runner: runners.Runner
     ) -> None:
         self.dispatch = dispatch
         self.runner = runner
@@ -73,7 +73,7 @@
         return len(self._placements)
 
     def place(
-        self, dispatch: messages.Dispatch, runner: runners.Runner
+        self, dispatch: dispatcher_messages.Dispatch, runner: runners.Runner
     ) -> None:
         """Record that a request was sent to a runner."""
         self._placements[dispatch.request_id] = _Placement(dispatch, runner)
@@ -83,7 +83,9 @@
         placement = self._placements.get(request_id)
         return placement.runner if placement else None
 
-    def dispatch_of(self, request_id: str) -> messages.Dispatch | None:
+    def dispatch_of(
+        self, request_id: str
+    ) -> dispatcher_messages.Dispatch | None:
         """The message that placed a request, or None."""
         placement = self._placements.get(request_id)
         return placement.dispatch if placement else None
@@ -194,7 +196,7 @@
 
     def situation(
         self,
-        flight: flights.Flight,
+        flight: model_request.ModelRequest,
         runner: runners.Runner,
         cause: recovery.RecoveryCause,
         candidates: list[recovery.Candidate],
@@ -234,7 +236,7 @@
         )
 
     def candidates(
-        self, flight: flights.Flight, excluded: frozenset[str]
+        self, flight: model_request.ModelRequest, excluded: frozenset[str]
     ) -> list[recovery.Candidate]:
         """The best runners that a stream may move to, best first.
 
--- a/src/apricotlever/daemon/admitting.py
+++ b/src/apricotlever/daemon/request_admission.py
@@ -7,8 +7,8 @@
 from ..contracts import admission
 
 from . import context as contexts
-from . import messages
-from . import presence as presences
+from . import dispatcher_messages
+from . import vm_presence as presences
 
 #: Time for the dispatcher's answer after a request's time in the queue.
 ADMISSION_GRACE_S = 2.0
@@ -24,7 +24,7 @@
     __slots__ = ("_context", "_presence")
 
     def __init__(
-        self, context: contexts.Context, presence: presences.Presence
+        self, context: contexts.Context, presence: presences.VmPresence
     ) -> None:
         self._context = context
         self._presence = presence
@@ -67,11 +67,13 @@
             known on arrival.
         """
         context = self._context
-        future = context.desk.ask(messages.Admit(ticket))
+        future = context.dispatcher.ask(dispatcher_messages.Admit(ticket))
         try:
             context.answer_of(
                 future, service_class.queue_s + ADMISSION_GRACE_S
             )
         except refusals.Refusal as refusal:
-            context.desk.tell(messages.Withdraw(ticket.request_id))
+            context.dispatcher.tell(
+                dispatcher_messages.Withdraw(ticket.request_id)
+            )
             raise refusal.for_request(ticket.request_id)
--- a/src/apricotlever/daemon/lookups.py
+++ b/src/apricotlever/daemon/request_lookup.py
@@ -9,12 +9,12 @@
 from ..requests import records
 
 from . import access
-from . import archive
 from . import context as contexts
-from . import presence as presences
-from . import relay
-from . import rescues
-from . import resumption
+from . import model_responses
+from . import orphaned_streams
+from . import request_registry
+from . import resumption_tokens
+from . import vm_presence as presences
 
 TOKEN_INDEX_DIGITS_MAX = 9
 
@@ -29,11 +29,11 @@
     __slots__ = ("_context", "_presence", "_rescues")
 
     def __init__(
-        self, context: contexts.Context, presence: presences.Presence
+        self, context: contexts.Context, presence: presences.VmPresence
     ) -> None:
         self._context = context
         self._presence = presence
-        self._rescues = rescues.Rescues(context)
+        self._rescues = orphaned_streams.OrphanedStreams(context)
 
     def answer(
         self, call: caller_server.Call, request_id: str
@@ -49,16 +49,16 @@
         catalogue = access.current_catalogue(self._context)
         customer = access.authenticate(catalogue, call)
         last_index = _last_event_id(call)
-        resume = archive.Resume(request_id, customer.name, last_index)
-        future = self._context.archive.ask(resume)
+        resume = request_registry.Resume(request_id, customer.name, last_index)
+        future = self._context.registry.ask(resume)
         found = self._context.answer_of(future)
         if found is None:
             return self._find_elsewhere(
                 call, catalogue, customer, request_id, last_index
             )
         if isinstance(found.resumed, records.ResumeMoved):
-            return relay.redirect_reply(request_id, found.resumed.vm)
-        wants_stream = relay.STREAM_TYPE in call.header("Accept")
+            return model_responses.redirect_reply(request_id, found.resumed.vm)
+        wants_stream = model_responses.STREAM_TYPE in call.header("Accept")
         if last_index is not None or wants_stream:
             return _stream_reply(call, found, last_index)
         return caller_server.json_reply(_describe(found))
@@ -85,8 +85,10 @@
         """
         owner = self._presence.owner_of(request_id)
         if owner:
-            return relay.redirect_reply(request_id, owner)
-        payload = resumption.decode(call.header(resumption.HEADER), customer)
+            return model_responses.redirect_reply(request_id, owner)
+        payload = resumption_tokens.decode(
+            call.header(resumption_tokens.HEADER), customer
+        )
         if payload is None or payload.request_id != request_id:
             raise refusals.Refusal(
                 refusals.NOT_FOUND,
@@ -95,8 +97,10 @@
                 request_id=request_id,
             )
         flight = self._rescues.rescue(payload, catalogue, customer)
-        headers = relay.answer_headers(request_id, relay.STREAM_TYPE)
-        events = relay.follow_stream(
+        headers = model_responses.answer_headers(
+            request_id, model_responses.STREAM_TYPE
+        )
+        events = model_responses.follow_stream(
             flight, _first_index(last_index), call.is_disconnected
         )
         return caller_server.Reply(200, headers, events)
@@ -111,13 +115,19 @@
 
 
 def _stream_reply(
-    call: caller_server.Call, found: archive.Found, last_index: int | None
+    call: caller_server.Call,
+    found: request_registry.Found,
+    last_index: int | None,
 ) -> caller_server.Reply:
     record = found.record
-    headers = relay.answer_headers(record.request_id, relay.STREAM_TYPE)
+    headers = model_responses.answer_headers(
+        record.request_id, model_responses.STREAM_TYPE
+    )
     start = _first_index(last_index)
     if found.flight is not None:
-        events = relay.follow_stream(found.flight, start, call.is_disconnected)
+        events = model_responses.follow_stream(
+            found.flight, start, call.is_disconnected
+        )
         return caller_server.Reply(200, headers, events)
     if record.state is records.RequestState.RUNNING:
         raise refusals.Refusal(
@@ -128,7 +138,9 @@
             record.request_id,
         )
     body = b"".join(
-        relay.token_event(record.request_id, index, token, record.chat)
+        model_responses.token_event(
+            record.request_id, index, token, record.chat
+        )
         for index, token in enumerate(record.tokens)
         if index >= start
     )
@@ -154,12 +166,12 @@
         return openai_format.DONE_EVENT
     kind = refusals.kinds().get(outcome.error, refusals.GAVE_UP)
     executed = refusals.Executed(outcome.executed.value)
-    return relay.error_event(
+    return model_responses.error_event(
         refusals.Refusal(kind, kind.meaning, executed, 1.0, record.request_id)
     )
 
 
-def _describe(found: archive.Found) -> dict[str, typing.Any]:
+def _describe(found: request_registry.Found) -> dict[str, typing.Any]:
     """The outcome of a request as JSON."""
     record = found.record
     flight = found.flight
--- a/src/apricotlever/daemon/archive.py
+++ b/src/apricotlever/daemon/request_registry.py
@@ -5,7 +5,7 @@
 from ..requests import ledger_messages as request_messages
 from ..requests import records
 
-from . import flights
+from . import model_request
 
 EXPIRE_S = 1.0
 
@@ -15,7 +15,7 @@
 
     __slots__ = ("flight",)
 
-    def __init__(self, flight: flights.Flight) -> None:
+    def __init__(self, flight: model_request.ModelRequest) -> None:
         self.flight = flight
 
 
@@ -64,7 +64,7 @@
         self,
         record: records.RequestRecord,
         resumed: records.ResumeResult,
-        flight: flights.Flight | None,
+        flight: model_request.ModelRequest | None,
     ) -> None:
         self.record = record
         self.resumed = resumed
@@ -88,7 +88,7 @@
 
     __slots__ = ("flight",)
 
-    def __init__(self, flight: flights.Flight) -> None:
+    def __init__(self, flight: model_request.ModelRequest) -> None:
         self.flight = flight
 
 
@@ -141,7 +141,7 @@
     __slots__ = ()
 
 
-class Archive(mailbox.Task):
+class RequestRegistry(mailbox.Task):
     """Keeps records within bounds of memory and time.
 
     :param keep_s: how long an ended request is kept, in seconds.
@@ -155,7 +155,7 @@
         self._records = records.RequestRecords(
             clock, ended_bytes=keep_bytes, keep_s=keep_s
         )
-        self._flights: dict[str, flights.Flight] = {}
+        self._flights: dict[str, model_request.ModelRequest] = {}
 
     @mailbox.handles(Open)
     def _open(self, message: Open) -> bool:
--- a/src/apricotlever/daemon/resumption.py
+++ b/src/apricotlever/daemon/resumption_tokens.py
@@ -18,7 +18,7 @@
 EVENT = "resume"
 
 
-class Ticket:
+class ResumptionToken:
     """The content of a resumption token.
 
     :param request_id: the request's ID.
@@ -45,7 +45,7 @@
         self.max_tokens = max_tokens
 
 
-def encode(content: Ticket, customer: catalogues.Customer) -> str:
+def encode(content: ResumptionToken, customer: catalogues.Customer) -> str:
     """Encode a token and append its authentication code.
 
     :param content: the content of the token.
@@ -62,7 +62,7 @@
     return f"{payload.decode()}.{_mac(payload, customer)}"
 
 
-def decode(text: str, customer: catalogues.Customer) -> Ticket | None:
+def decode(text: str, customer: catalogues.Customer) -> ResumptionToken | None:
     """Verify and decode a token.
 
     :param text: the token.
@@ -76,7 +76,7 @@
         return None
     try:
         fields = json.loads(base64.urlsafe_b64decode(payload))
-        return Ticket(*fields)
+        return ResumptionToken(*fields)
     except (ValueError, TypeError, binascii.Error):
         return None
 
--- a/src/apricotlever/daemon/keeper.py
+++ b/src/apricotlever/daemon/runner_monitor.py
@@ -21,9 +21,9 @@
 from ..vms import fleet_view as views
 from ..vms import membership
 
+from . import call_backoff
+from . import dispatcher_messages
 from . import fleet_messages
-from . import messages
-from . import repeats
 from . import runner_documents
 
 THREADS = 8
@@ -152,7 +152,7 @@
         self.refused = refused
 
 
-class Keeper(mailbox.Task):
+class RunnerMonitor(mailbox.Task):
     """Keeps this VM's knowledge of the upstreams fresh.
 
     :param config: intervals and this VM's name.
@@ -192,7 +192,8 @@
         self._kept: frozenset[str] = frozenset()
         self._dead: set[str] = set()
         self._calls = {
-            call: repeats.Repeats(clock) for call in (VMS, PRICES, NOTICES)
+            call: call_backoff.CallBackoff(clock)
+            for call in (VMS, PRICES, NOTICES)
         }
 
     @property
@@ -204,8 +205,10 @@
         due = self._calls[NOTICES].due and not self._notice_waits
         return due and self._watches_notices
 
-    @mailbox.handles(messages.CatalogueInForce)
-    def _configure(self, message: messages.CatalogueInForce) -> None:
+    @mailbox.handles(dispatcher_messages.CatalogueInForce)
+    def _configure(
+        self, message: dispatcher_messages.CatalogueInForce
+    ) -> None:
         self._catalogue = message.catalogue
         self._publish()
 
@@ -265,8 +268,10 @@
         self._cache_seqs[name] = message.events.last
         self._listener.on_cache(name, message.events, tell)
 
-    @mailbox.handles(messages.StatusWanted)
-    def _status(self, message: messages.StatusWanted) -> dict[str, object]:
+    @mailbox.handles(dispatcher_messages.StatusWanted)
+    def _status(
+        self, message: dispatcher_messages.StatusWanted
+    ) -> dict[str, object]:
         return {
             "kept": sorted(self._kept),
             "watches_notices": self._watches_notices,
--- a/src/apricotlever/daemon/placing.py
+++ b/src/apricotlever/daemon/runner_selection.py
@@ -8,10 +8,10 @@
 from ..runners import quarantine
 
 from . import context as contexts
-from . import fleet
-from . import messages
+from . import dispatcher_messages
+from . import fleet_link
 
-DispatchFactory = typing.Callable[[str, bool], messages.Dispatch]
+DispatchFactory = typing.Callable[[str, bool], dispatcher_messages.Dispatch]
 RefusalFactory = typing.Callable[
     [refusals.RefusalKind, str, float | None], refusals.Refusal
 ]
@@ -69,17 +69,19 @@
             answer = self._ask_dispatcher(dispatch(only, on_trial))
             if isinstance(answer, runners.Route):
                 return RunnerSelection(answer, on_trial)
-            question = fleet.AskJudge(answer.pool, answer.question)
+            question = fleet_link.AskJudge(answer.pool, answer.question)
             future = self._context.fleet.ask(question)
             only, on_trial = self._apply_verdict(
                 self._context.answer_of(future)
             )
 
     def _ask_dispatcher(
-        self, dispatch: messages.Dispatch
-    ) -> runners.Route | messages.TrialWanted:
+        self, dispatch: dispatcher_messages.Dispatch
+    ) -> runners.Route | dispatcher_messages.TrialWanted:
         try:
-            return self._context.answer_of(self._context.desk.ask(dispatch))
+            return self._context.answer_of(
+                self._context.dispatcher.ask(dispatch)
+            )
         except refusals.Refusal as refusal:
             raise self._refusal(
                 refusal.kind, refusal.message, refusal.retry_after_s
--- a/src/apricotlever/daemon/service_attempts.py
+++ b/src/apricotlever/daemon/service_attempts.py
@@ -8,10 +8,10 @@
 from ..runners import model as runners
 
 from . import attempt_reports
-from . import book
 from . import context as contexts
-from . import messages
-from . import placing
+from . import dispatcher_messages
+from . import ledger_task
+from . import runner_selection
 from . import service_request
 
 _TRANSIENT_STATUSES = frozenset((502, 503, 504))
@@ -52,7 +52,7 @@
         self._on_trial = False
         #: The exchange of the current attempt; None before it is open.
         self._latest_exchange: upstream_exchange.Exchange | None = None
-        self._selector = placing.RunnerSelector(
+        self._selector = runner_selection.RunnerSelector(
             context, request.deadline, self._refusal
         )
 
@@ -97,9 +97,9 @@
         try:
             exchange = self._connect()
         except refusals.Refusal:
-            context.book.tell(book.NotSent(token))
+            context.ledger.tell(ledger_task.NotSent(token))
             raise
-        if not context.answer_of(context.book.ask(book.Sent(token))):
+        if not context.answer_of(context.ledger.ask(ledger_task.Sent(token))):
             exchange.abandon()
             raise self._refusal(
                 refusals.LEAVING,
@@ -110,9 +110,9 @@
         try:
             answer = self._send_and_read(exchange, retry_errors=False)
         except upstream_exchange.UpstreamError as error:
-            context.book.tell(book.Lost(token))
+            context.ledger.tell(ledger_task.Lost(token))
             raise self._outcome_unknown(error) from error
-        context.book.tell(book.Finished(token, answer))
+        context.ledger.tell(ledger_task.Finished(token, answer))
         return answer
 
     def report_end(self, outcome: runners.Outcome) -> None:
@@ -123,8 +123,10 @@
         request = self._request
         context = self._context
         whole_s = context.clock.now() - request.arrived
-        ended = context.desk.ask(
-            messages.RequestEnded(request.request_id, outcome, whole_s, 1)
+        ended = context.dispatcher.ask(
+            dispatcher_messages.RequestEnded(
+                request.request_id, outcome, whole_s, 1
+            )
         )
         if self._attempt > 1 or self._on_trial:
             attempt_reports.send_report(
@@ -177,8 +179,10 @@
             wanted_first_token_s=request.service_class.first_token_s,
         )
 
-        def dispatch(only: str, on_trial: bool) -> messages.Dispatch:
-            return messages.Dispatch(
+        def dispatch(
+            only: str, on_trial: bool
+        ) -> dispatcher_messages.Dispatch:
+            return dispatcher_messages.Dispatch(
                 request.request_id,
                 query,
                 request.fingerprint,
@@ -243,7 +247,7 @@
             runner=self._runner,
             error=error.message,
         )
-        question = messages.MayRetry(
+        question = dispatcher_messages.MayRetry(
             request.entry.name,
             request.entry.pool,
             error.sent,
@@ -320,11 +324,11 @@
     def _report_attempt_end(
         self, outcome: runners.Outcome, crashed: bool
     ) -> None:
-        ended = messages.AttemptEnded(
+        ended = dispatcher_messages.AttemptEnded(
             self._request.request_id, outcome, crashed
         )
         context = self._context
-        report = context.answer_of(context.desk.ask(ended))
+        report = context.answer_of(context.dispatcher.ask(ended))
         # The other entry VMs must know of a crash before the call runs again
         # anywhere.
         attempt_reports.send_report(context, report, True)
--- a/src/apricotlever/daemon/service_calls.py
+++ b/src/apricotlever/daemon/service_calls.py
@@ -10,10 +10,10 @@
 from ..requests import ledger_messages as keyed
 from ..runners import model as runners
 
-from . import book
 from . import context as contexts
 from . import fleet_messages
-from . import keyed_answers
+from . import keyed_answer_codec
+from . import ledger_task
 from . import service_attempts
 from . import service_request
 
@@ -72,12 +72,12 @@
         :returns: the answer of the upstream, possibly of an earlier run.
         :raises Refusal: states correctly whether the call was executed.
         """
-        begin = book.Begin(
+        begin = ledger_task.Begin(
             key, request.customer, request.digest, first, forwarded
         )
         left_s = request.deadline - self._context.clock.now()
         try:
-            decision = self._context.book.ask(begin).result(max(0.1, left_s))
+            decision = self._context.ledger.ask(begin).result(max(0.1, left_s))
         except futures.TimeoutError as error:
             raise refusals.Refusal(
                 refusals.OUTCOME_UNKNOWN,
@@ -149,7 +149,7 @@
                 1.0,
                 request.request_id,
             ) from error
-        return keyed_answers.decode_answer(answer)
+        return keyed_answer_codec.decode_answer(answer)
 
 
 def _run_and_report(
--- a/src/apricotlever/daemon/service_gateway.py
+++ b/src/apricotlever/daemon/service_gateway.py
@@ -10,11 +10,11 @@
 from ..requests import ledger_messages as keyed
 
 from . import access
-from . import admitting
-from . import book
 from . import context as contexts
-from . import messages
-from . import relay
+from . import dispatcher_messages
+from . import ledger_task
+from . import model_responses
+from . import request_admission
 from . import service_calls
 from . import service_request
 
@@ -35,7 +35,7 @@
     def __init__(
         self,
         context: contexts.Context,
-        request_admission: admitting.RequestAdmission,
+        request_admission: request_admission.RequestAdmission,
     ) -> None:
         self._context = context
         self._admission = request_admission
@@ -68,8 +68,8 @@
         finally:
             # This ends the admission of a call that was answered or refused
             # by the ledger or forwarded. It has no effect on other calls.
-            withdraw = messages.Withdraw(request.request_id)
-            self._context.desk.tell(withdraw)
+            withdraw = dispatcher_messages.Withdraw(request.request_id)
+            self._context.dispatcher.tell(withdraw)
         return _reply(request, answer)
 
     def mint_keys(self, customer: str, count: int) -> list[str]:
@@ -80,9 +80,9 @@
         :raises Refusal: when the ledger is being handed over to another VM.
         """
         context = self._context
-        mint = book.Mint(customer)
+        mint = ledger_task.Mint(customer)
         try:
-            futures = [context.book.ask(mint) for _ in range(count)]
+            futures = [context.ledger.ask(mint) for _ in range(count)]
             return [context.answer_of(future) for future in futures]
         except request_errors.LedgerFrozen as error:
             raise refusals.Refusal(
@@ -218,5 +218,5 @@
     content_type = (
         dict(answer.headers).get("Content-Type") or caller_server.JSON_TYPE
     )
-    headers = relay.answer_headers(request.request_id, content_type)
+    headers = model_responses.answer_headers(request.request_id, content_type)
     return caller_server.Reply(answer.status, headers, answer.body)
--- a/src/apricotlever/daemon/suspects.py
+++ b/src/apricotlever/daemon/suspect_requests.py
@@ -14,13 +14,13 @@
 from ..runners import quarantine
 from ..runners import routing
 
-from . import messages
+from . import dispatcher_messages
 from . import placements as placements_
 
 TRIAL_PLACES = 4
 
 
-class Suspects:
+class SuspectRequests:
     """What this VM knows of crashes and of the requests behind them.
 
     :param router: knows the runners.
@@ -50,8 +50,8 @@
         return len(self._quarantine.log.crashes)
 
     def check(
-        self, dispatch: messages.Dispatch
-    ) -> messages.TrialWanted | None:
+        self, dispatch: dispatcher_messages.Dispatch
+    ) -> dispatcher_messages.TrialWanted | None:
         """Look a request up before it goes to a runner.
 
         :returns: a question for the judge of its pool, or None when it may
@@ -127,7 +127,9 @@
         """Forget what is too old to matter."""
         self._quarantine.tick()
 
-    def _trial(self, dispatch: messages.Dispatch) -> messages.TrialWanted:
+    def _trial(
+        self, dispatch: dispatcher_messages.Dispatch
+    ) -> dispatcher_messages.TrialWanted:
         routes = self._router.ranked(dispatch.query, TRIAL_PLACES)
         places = tuple(
             quarantine.TrialCandidate(
@@ -138,4 +140,4 @@
         question = quarantine.TrialRequest(
             dispatch.fingerprint, dispatch.request_id, places
         )
-        return messages.TrialWanted(dispatch.query.pool, question)
+        return dispatcher_messages.TrialWanted(dispatch.query.pool, question)
--- a/src/apricotlever/daemon/switchboard.py
+++ b/src/apricotlever/daemon/task_notifier.py
@@ -14,64 +14,64 @@
 from ..runners import quarantine
 from ..vms import fleet_view as views
 
-from . import book
-from . import buyer
+from . import autoscaler
+from . import catalogue_watcher
 from . import context as contexts
-from . import departing
+from . import dispatcher_messages
 from . import duties
-from . import fleet
+from . import fleet_link
 from . import fleet_messages
-from . import keeper
-from . import messages
-from . import presence as presences
-from . import rumours
+from . import gossip_messages
+from . import ledger_task
+from . import outgoing_handover
+from . import runner_monitor
 from . import store
-from . import watcher
+from . import vm_presence as presences
 
 _LOCAL_WHEN_LARGE = frozenset(("load", "prefix", "demand"))
 
 Stop = typing.Callable[[float | None], None]
 
 
-class Tasks:
+class NotifiedTasks:
     """The tasks that are told."""
 
     __slots__ = (
-        "desk",
-        "book",
+        "dispatcher",
+        "ledger",
         "fleet",
-        "keeper",
-        "watcher",
+        "runner_monitor",
+        "catalogue_watcher",
         "duties",
         "store",
-        "buyer",
+        "autoscaler",
         "context",
     )
 
     def __init__(
         self,
-        desk: mailbox.Task,
-        book_task: mailbox.Task,
+        dispatcher: mailbox.Task,
+        ledger_task: mailbox.Task,
         fleet_task: mailbox.Task,
-        keeper_task: mailbox.Task,
-        watcher_task: mailbox.Task,
+        runner_monitor_task: mailbox.Task,
+        catalogue_watcher_task: mailbox.Task,
         duties_task: mailbox.Task,
         store_task: mailbox.Task,
-        buyer_task: mailbox.Task,
+        autoscaler_task: mailbox.Task,
         context: contexts.Context,
     ) -> None:
-        self.desk = desk
-        self.book = book_task
+        self.dispatcher = dispatcher
+        self.ledger = ledger_task
         self.fleet = fleet_task
-        self.keeper = keeper_task
-        self.watcher = watcher_task
+        self.runner_monitor = runner_monitor_task
+        self.catalogue_watcher = catalogue_watcher_task
         self.duties = duties_task
         self.store = store_task
-        self.buyer = buyer_task
+        self.autoscaler = autoscaler_task
         self.context = context
 
 
-class Switchboard:
+class TaskNotifier:
     """Passes on what the fleet, the keeper and the watcher report.
 
     It is made before the tasks and told of them by :meth:`attach`; its
@@ -85,7 +85,7 @@
     def __init__(
         self,
         config: settings.Settings,
-        presence: presences.Presence,
+        presence: presences.VmPresence,
         metrics: metrics_.Metrics,
         stop: Stop,
     ) -> None:
@@ -97,7 +97,7 @@
         self._departing: mailbox.Task | None = None
         self._tasks: typing.Any = None
 
-    def attach(self, tasks: Tasks) -> None:
+    def attach(self, tasks: NotifiedTasks) -> None:
         """Take over the tasks; before any of them runs."""
         self._tasks = tasks
 
@@ -109,60 +109,78 @@
         """Pass the members on to the tasks that go by them."""
         self._presence.seen(view)
         self._large = bool(view.summaries)
-        self._tasks.keeper.tell(keeper.shown(view))
-        self._tasks.watcher.tell(watcher.ViewSeen(view))
+        self._tasks.runner_monitor.tell(runner_monitor.shown(view))
+        self._tasks.catalogue_watcher.tell(catalogue_watcher.ViewSeen(view))
         self._tasks.duties.tell(duties.ViewSeen(view))
-        self._tasks.desk.tell(messages.MembersSeen(frozenset(view.members)))
+        self._tasks.dispatcher.tell(
+            dispatcher_messages.MembersSeen(frozenset(view.members))
+        )
         self._tasks.store.tell(store.FleetSize(view.size))
         for member in view.members.values():
-            seen = book.OwnerSeen(member.vm, member.incarnation)
-            self._tasks.book.tell(seen)
+            seen = ledger_task.OwnerSeen(member.vm, member.incarnation)
+            self._tasks.ledger.tell(seen)
 
     def on_rumour(self, rumour: pb.Rumour, via: str) -> None:
         """Give a rumour to the task that it concerns."""
-        age_s = rumour.age_ms / rumours.MS_PER_S
+        age_s = rumour.age_ms / gossip_messages.MS_PER_S
         match rumour.WhichOneof("body"):
             case "runner_leaving":
                 left_s = rumour.runner_leaving.deadline_s - age_s
                 name = rumour.runner_leaving.runner
                 self._noticed(name, max(0.0, left_s))
             case "runner_gone":
-                gone = messages.RunnerGone(rumour.runner_gone.runner)
-                self._tasks.desk.tell(gone)
+                gone = dispatcher_messages.RunnerGone(
+                    rumour.runner_gone.runner
+                )
+                self._tasks.dispatcher.tell(gone)
             case "quarantine":
-                report = rumours.crash_of(rumour.quarantine, age_s)
-                self._tasks.desk.tell(messages.CrashHeard(report))
+                report = gossip_messages.crash_of(rumour.quarantine, age_s)
+                self._tasks.dispatcher.tell(
+                    dispatcher_messages.CrashHeard(report)
+                )
             case "ledger_moved":
                 told = rumour.ledger_moved
                 owner = keyed.VmIncarnation(told.vm, told.incarnation)
                 heir = keyed.VmIncarnation(told.heir, told.heir_incarnation)
-                self._tasks.book.tell(book.LedgerMoved(owner, heir))
+                self._tasks.ledger.tell(ledger_task.LedgerMoved(owner, heir))
             case "catalogue":
-                self._tasks.watcher.tell(watcher.Rumoured(rumour, via))
+                self._tasks.catalogue_watcher.tell(
+                    catalogue_watcher.Rumoured(rumour, via)
+                )
             case "load":
-                load = rumours.load_of(rumour)
-                seen = messages.LoadSeen(rumour.load.runner, load, False)
-                self._tasks.desk.tell(seen)
+                load = gossip_messages.load_of(rumour)
+                seen = dispatcher_messages.LoadSeen(
+                    rumour.load.runner, load, False
+                )
+                self._tasks.dispatcher.tell(seen)
             case "prefix":
-                events = rumours.cache_of(rumour)
-                cached = messages.CacheSeen(rumour.prefix.runner, events)
-                self._tasks.desk.tell(cached)
+                events = gossip_messages.cache_of(rumour)
+                cached = dispatcher_messages.CacheSeen(
+                    rumour.prefix.runner, events
+                )
+                self._tasks.dispatcher.tell(cached)
             case "demand":
-                demand = rumours.demand_of(rumour.demand)
-                self._tasks.desk.tell(messages.DemandHeard(demand, age_s))
-                self._tasks.buyer.tell(buyer.DemandSeen(rumour.demand))
+                demand = gossip_messages.demand_of(rumour.demand)
+                self._tasks.dispatcher.tell(
+                    dispatcher_messages.DemandHeard(demand, age_s)
+                )
+                self._tasks.autoscaler.tell(
+                    autoscaler.DemandSeen(rumour.demand)
+                )
 
     def on_incarnation_ended(self, vm: str, incarnation: int) -> None:
         """A process is gone for certain."""
-        self._tasks.book.tell(book.OwnerGone(vm, incarnation))
-        self._tasks.desk.tell(messages.MemberLeft(vm))
+        self._tasks.ledger.tell(ledger_task.OwnerGone(vm, incarnation))
+        self._tasks.dispatcher.tell(dispatcher_messages.MemberLeft(vm))
         if self._departing is not None:
-            owner = departing.owner(vm, incarnation)
-            self._departing.tell(departing.OwnerGone(owner))
+            owner = outgoing_handover.owner(vm, incarnation)
+            self._departing.tell(outgoing_handover.OwnerGone(owner))
 
     def on_catalogue_heard(self, version: int, digest: int, vm: str) -> None:
         """A peer has a newer catalogue."""
-        self._tasks.watcher.tell(watcher.Heard(version, digest, vm))
+        self._tasks.catalogue_watcher.tell(
+            catalogue_watcher.Heard(version, digest, vm)
+        )
 
     def on_paused(self, seconds: float) -> None:
         """Nothing to do: leases and keys check the clock when used."""
@@ -175,11 +193,11 @@
         self, question: quarantine.TrialRequest
     ) -> "futures.Future[quarantine.TrialDecision]":
         """Decide on a suspect as the judge of its pool."""
-        return self._tasks.desk.ask(messages.Judge(question))
+        return self._tasks.dispatcher.ask(dispatcher_messages.Judge(question))
 
     def trial_over(self, report: quarantine.TrialEnded) -> None:
         """A trial that this VM handed out is over."""
-        self._tasks.desk.tell(messages.TrialOver(report))
+        self._tasks.dispatcher.tell(dispatcher_messages.TrialOver(report))
 
     def on_runners(
         self,
@@ -187,8 +205,8 @@
         listed: tuple[runners.Runner, ...],
     ) -> None:
         """The platform listed the runners; some are chosen for this VM."""
-        self._tasks.desk.tell(messages.RunnersListed(chosen))
-        self._tasks.duties.tell(messages.RunnersListed(listed))
+        self._tasks.dispatcher.tell(dispatcher_messages.RunnersListed(chosen))
+        self._tasks.duties.tell(dispatcher_messages.RunnersListed(listed))
 
     def on_platform(
         self,
@@ -196,7 +214,7 @@
         per_hour: typing.Mapping[tuple[str, str, str], float],
     ) -> None:
         """The platform's list of VMs and its prices were read."""
-        self._tasks.buyer.tell(buyer.PlatformSeen(vms, per_hour))
+        self._tasks.autoscaler.tell(autoscaler.PlatformSeen(vms, per_hour))
 
     def drain(self, runner: str, left_s: float) -> None:
         """A runner will be released: it gets no new work anywhere."""
@@ -204,28 +222,36 @@
 
     def on_listed_leaving(self, vm: str, left_s: float) -> None:
         """The platform's list shows a VM as leaving."""
-        self._tasks.desk.tell(messages.RunnerLeaving(vm, left_s))
+        self._tasks.dispatcher.tell(
+            dispatcher_messages.RunnerLeaving(vm, left_s)
+        )
 
     def on_load(
         self, runner: str, report: runners.LoadReport | None, tell: bool
     ) -> None:
         """A runner's load was read, or it did not answer."""
         if report is None:
-            self._tasks.desk.tell(messages.ProbeFailed(runner))
+            self._tasks.dispatcher.tell(
+                dispatcher_messages.ProbeFailed(runner)
+            )
             return
-        self._tasks.desk.tell(messages.LoadSeen(runner, report, True))
+        self._tasks.dispatcher.tell(
+            dispatcher_messages.LoadSeen(runner, report, True)
+        )
         if tell:
-            self.announce(rumours.of_load(runner, report))
+            self.announce(gossip_messages.of_load(runner, report))
 
     def on_death(self, runner: str) -> None:
         """A runner refuses connections; tell the fleet, once."""
-        asked = self._tasks.desk.ask(messages.DeathSeen(runner))
+        asked = self._tasks.dispatcher.ask(
+            dispatcher_messages.DeathSeen(runner)
+        )
         asked.add_done_callback(self._spread_death)
 
     def _spread_death(self, asked: "futures.Future[typing.Any]") -> None:
         if asked.exception() is None and asked.result() is not None:
             report = asked.result()
-            self._tasks.fleet.tell(fleet.SpreadCrash(report))
+            self._tasks.fleet.tell(fleet_link.SpreadCrash(report))
 
     def on_joined(self, vm: str) -> None:
         """A process of an entry VM has started, perhaps just now.
@@ -233,12 +259,12 @@
         It knows of no crash yet, and would let a request that is refused
         everywhere else crash one more runner.
         """
-        asked = self._tasks.desk.ask(messages.CrashesKnown())
+        asked = self._tasks.dispatcher.ask(dispatcher_messages.CrashesKnown())
 
         def told(done: "futures.Future[typing.Any]") -> None:
             reports = [] if done.exception() else done.result()
             for report in reports:
-                self._tasks.fleet.tell(fleet.TellCrash(vm, report))
+                self._tasks.fleet.tell(fleet_link.TellCrash(vm, report))
 
         asked.add_done_callback(told)
 
@@ -246,23 +272,25 @@
         self, runner: str, events: runners.CacheEvents, tell: bool
     ) -> None:
         """A runner's cache events were read."""
-        self._tasks.desk.tell(messages.CacheSeen(runner, events))
+        self._tasks.dispatcher.tell(
+            dispatcher_messages.CacheSeen(runner, events)
+        )
         if tell:
-            self.announce(rumours.of_cache(runner, events))
+            self.announce(gossip_messages.of_cache(runner, events))
 
     def on_notice(self, vm: str, left_s: float) -> None:
         """The platform gave notice of a VM; tell the fleet at once."""
-        self.announce(rumours.of_runner_leaving(vm, left_s))
+        self.announce(gossip_messages.of_runner_leaving(vm, left_s))
         self._noticed(vm, left_s)
 
     def in_force(self, catalogue: catalogues.Catalogue) -> None:
         """A catalogue came into force at this VM."""
         self._tasks.context.put_in_force(catalogue)
-        message = messages.CatalogueInForce(catalogue)
-        self._tasks.desk.tell(message)
-        self._tasks.keeper.tell(message)
+        message = dispatcher_messages.CatalogueInForce(catalogue)
+        self._tasks.dispatcher.tell(message)
+        self._tasks.runner_monitor.tell(message)
         self._tasks.duties.tell(message)
-        self._tasks.buyer.tell(message)
+        self._tasks.autoscaler.tell(message)
         self._metrics.gauge("catalogue.version", catalogue.version)
 
     def announce(self, rumour: pb.Rumour) -> None:
@@ -272,7 +300,7 @@
         VM's share of the network; each data centre reads its own runners.
         """
         if rumour.WhichOneof("body") == "demand":
-            self._tasks.buyer.tell(buyer.DemandSeen(rumour.demand))
+            self._tasks.autoscaler.tell(autoscaler.DemandSeen(rumour.demand))
         if self._large and rumour.WhichOneof("body") in _LOCAL_WHEN_LARGE:
             rumour.scope = pb.SCOPE_DATA_CENTRE
         self._tasks.fleet.tell(fleet_messages.Announce(rumour))
@@ -281,6 +309,6 @@
         if vm == self._config.vm:
             self._stop(left_s)
             return
-        leaving = messages.RunnerLeaving(vm, left_s)
-        self._tasks.desk.tell(leaving)
-        self._tasks.buyer.tell(leaving)
+        leaving = dispatcher_messages.RunnerLeaving(vm, left_s)
+        self._tasks.dispatcher.tell(leaving)
+        self._tasks.autoscaler.tell(leaving)
--- a/src/apricotlever/daemon/presence.py
+++ b/src/apricotlever/daemon/vm_presence.py
@@ -10,7 +10,7 @@
 Row = dict[str, typing.Any]
 
 
-class Presence:
+class VmPresence:
     """This VM's place among the entry VMs.
 
     Written by the fleet's task and the shutdown, read by callers' threads;
--- a/tests/steps/daemon_gateway.py
+++ b/tests/steps/daemon_gateway.py
@@ -67,7 +67,7 @@
         self.clock = clocks.ManualClock()
         self.config = types.SimpleNamespace(vm="vm")
         self.incarnation = 1
-        self.desk = _RefusingDispatcher()
+        self.dispatcher = _RefusingDispatcher()
         self.metrics = types.SimpleNamespace(count=lambda name, of: None)
 
     @property
--- a/tests/steps/daemon_readings.py
+++ b/tests/steps/daemon_readings.py
@@ -1,7 +1,7 @@
 """Steps for tests/daemon/readings.feature."""
 
 from apricotlever import clock as clocks
-from apricotlever.daemon import readings
+from apricotlever.daemon import catalogue_reads
 from behave import given
 from behave import then
 from behave import when
@@ -12,7 +12,7 @@
 @given("a catalogue reading that begins while version {version:d} is in force")
 def _begins(context, version):
     context.clock = clocks.ManualClock()
-    context.readings = readings.Readings(context.clock)
+    context.readings = catalogue_reads.ReadSchedule(context.clock)
     context.readings.begin(version)
 
 
--- a/tests/steps/daemon_repeats.py
+++ b/tests/steps/daemon_repeats.py
@@ -3,7 +3,7 @@
 import re
 
 from apricotlever import clock as clocks
-from apricotlever.daemon import repeats
+from apricotlever.daemon import call_backoff
 from behave import given
 from behave import then
 from behave import when
@@ -14,7 +14,7 @@
 @given("a periodic call to the platform")
 def _call(context):
     context.clock = clocks.ManualClock()
-    context.backoff = repeats.Repeats(context.clock)
+    context.backoff = call_backoff.CallBackoff(context.clock)
     assert context.backoff.due
 
 
