--- a/src/apricotlever/clock.py
+++ b/src/apricotlever/clock.py
@@ -1,7 +1,7 @@
 """Clocks, passed as arguments to all code that depends on time.
 
-No such code reads the system's clock directly, so a test or a benchmark can
-run thousands of instances on a simulated clock.
+Code that depends on time does not read the system's clock directly, so a test
+or a benchmark can run thousands of instances on a simulated clock.
 """
 
 import time
--- a/src/apricotlever/documents.py
+++ b/src/apricotlever/documents.py
@@ -99,8 +99,8 @@
     """Parse JSON strictly.
 
     Python's parser keeps the last of two equal keys and accepts NaN. Either
-    would apply something that the author did not mean: an entry pasted
-    twice, or a limit that no number exceeds.
+    could apply a value that the author did not intend: an entry that was
+    pasted twice, or a limit that no number exceeds.
 
     :param text: the document; bytes are decoded as UTF-8.
     :returns: the parsed document.
--- a/src/apricotlever/logs.py
+++ b/src/apricotlever/logs.py
@@ -55,149 +55,172 @@
 
 EVENTS: dict[str, Event] = {
     "started": Event(INFO, "The daemon serves callers."),
-    "settings_invalid": Event(ERROR, "The settings were refused."),
+    "settings_invalid": Event(ERROR, "The settings were rejected."),
     "stopping": Event(INFO, "A graceful shutdown began."),
-    "stopped": Event(INFO, "The daemon has ended."),
+    "stopped": Event(INFO, "The daemon has stopped."),
     "stop_cut_off": Event(
-        ERROR, "The graceful shutdown ran out of time with requests left."
+        ERROR, "The graceful shutdown timed out with requests left."
     ),
-    "task_failed": Event(ERROR, "A task met an error that it can't name."),
+    "task_failed": Event(ERROR, "A task raised an unexpected error."),
     "paused": Event(
-        WARNING, "This process stood still; its leases are held to be lost."
+        WARNING, "The process was suspended; it treats its leases as lost."
     ),
     "catalogue_in_force": Event(INFO, "A catalogue version came into force."),
     "catalogue_refused": Event(
-        ERROR, "A catalogue in the store is invalid; the old one stays."
+        ERROR,
+        "A catalogue in the store is invalid; the old one stays in force.",
     ),
     "platform_call_failed": Event(
         WARNING, "A call to the platform failed or has an unknown outcome."
     ),
     "platform_call_recovered": Event(
-        INFO, "A call to the platform that had failed is answered again."
+        INFO, "A call to the platform was answered after earlier failures."
+    ),
+    "platform_down": Event(WARNING, "The object API stopped responding."),
+    "platform_up": Event(INFO, "The object API responds again."),
+    "member_joined": Event(
+        INFO, "An entry VM joined this VM's view of the fleet."
     ),
-    "platform_down": Event(WARNING, "The object API stopped answering."),
-    "platform_up": Event(INFO, "The object API answers again."),
-    "member_joined": Event(INFO, "An entry VM joined the view."),
     "member_suspected": Event(INFO, "An entry VM did not answer probes."),
-    "member_leaving": Event(INFO, "An entry VM said that it leaves."),
-    "member_dead": Event(WARNING, "An entry VM is held to be gone."),
+    "member_leaving": Event(INFO, "An entry VM announced that it leaves."),
+    "member_dead": Event(WARNING, "An entry VM is considered dead."),
     "aggregator_changed": Event(
-        INFO, "Another VM tells the fleet of this one from now on."
+        INFO, "The VM that relays this VM's records changed."
     ),
     "peer_call_failed": Event(INFO, "A call to another entry VM failed."),
-    "lease_taken": Event(INFO, "This VM holds a duty's lease."),
+    "lease_taken": Event(INFO, "This VM acquired a duty's lease."),
     "lease_lost": Event(WARNING, "This VM no longer holds a duty's lease."),
     "lease_handed_over": Event(
         WARNING,
-        "This VM leaves, or alone can't reach the store: others take a duty.",
+        "This VM surrendered a lease: it leaves, or only it lost the store.",
     ),
-    "order_sent": Event(INFO, "A runner took an order."),
+    "order_sent": Event(INFO, "A runner accepted an order."),
     "order_refused": Event(
-        WARNING, "A runner refused an order with an old fencing number."
+        WARNING, "A runner refused an order with an outdated fencing number."
+    ),
+    "order_failed": Event(
+        WARNING, "An order failed or has an unknown outcome."
     ),
-    "order_failed": Event(WARNING, "An order has no known outcome yet."),
-    "runner_found": Event(INFO, "A runner may be given work."),
+    "runner_found": Event(INFO, "A runner is available for requests."),
     "runner_leaving": Event(
         INFO, "A runner is being reclaimed; it gets no new work."
     ),
-    "runner_gone": Event(INFO, "A runner is no longer in the platform."),
+    "runner_gone": Event(
+        INFO, "A runner is no longer listed by the platform."
+    ),
     "runner_crashed": Event(
-        WARNING, "A runner ended under calls that broke off there."
+        WARNING, "A runner ended and its calls in flight were interrupted."
     ),
     "runner_outlier": Event(
-        WARNING, "A runner fails more than its service's others."
+        WARNING, "A runner fails more often than others of its service."
     ),
     "runner_unhealthy": Event(WARNING, "A runner's circuit breaker opened."),
     "runner_healthy": Event(INFO, "A runner's circuit breaker closed."),
     "cache_events_missed": Event(
-        DEBUG, "A runner's cache events have a gap; its index is dropped."
+        DEBUG,
+        "A runner's cache events have a gap; its cache index is dropped.",
     ),
     "vm_bought": Event(INFO, "The cloud API started a VM."),
     "vm_refused": Event(WARNING, "The cloud API refused to start a VM."),
-    "vm_released": Event(INFO, "A VM was given back."),
+    "vm_released": Event(INFO, "A VM was returned to the cloud."),
     "request_refused": Event(INFO, "A request was refused and not run."),
     "request_routed": Event(INFO, "A runner was chosen for a request."),
-    "request_retried": Event(INFO, "An attempt failed and another began."),
-    "request_ended": Event(INFO, "A request has its outcome."),
+    "request_retried": Event(
+        INFO, "An attempt failed and another one started."
+    ),
+    "request_ended": Event(INFO, "A request ended with an outcome."),
     "request_unknown": Event(
-        ERROR, "A non-idempotent call may have run and is not sent again."
+        ERROR, "A non-idempotent call may have run and is not retried."
     ),
     "request_quarantined": Event(
-        ERROR, "A request that crashed runners is refused everywhere."
+        ERROR, "A request that crashed runners is refused by all VMs."
     ),
-    "stream_moved": Event(INFO, "A stream went on at another runner."),
+    "stream_moved": Event(INFO, "A stream continued at another runner."),
     "stream_replayed": Event(
-        WARNING, "A stream's tokens were computed again elsewhere."
+        WARNING, "A stream's tokens were recomputed at another runner."
     ),
     "stream_broken": Event(ERROR, "A stream ended without its last token."),
-    "handover_sent": Event(INFO, "The heir took this VM's requests."),
-    "handover_taken": Event(INFO, "A leaving VM's requests came here."),
+    "handover_sent": Event(INFO, "The successor accepted this VM's requests."),
+    "handover_taken": Event(
+        INFO, "This VM accepted a leaving VM's requests or ledger."
+    ),
     "handover_failed": Event(
-        ERROR, "No heir took this VM's requests or ledger."
+        ERROR, "No successor accepted this VM's requests or ledger."
     ),
     "watch_restarted": Event(
-        INFO, "The store dropped its history; a list was read anew."
+        INFO, "The store dropped its history; the list was read again."
     ),
     "dependency_lost": Event(WARNING, "Calls to a dependency began to fail."),
-    "dependency_regained": Event(INFO, "A dependency answers again."),
+    "dependency_regained": Event(INFO, "A dependency responds again."),
     "peer_refused": Event(
-        WARNING, "A record or a fetch of a stranger was refused."
+        WARNING,
+        "A message of an unknown sender, or an invalid one, was rejected.",
     ),
     "lease_call_failed": Event(
-        INFO, "A store call for a lease had no effect."
+        INFO, "A store call for a lease failed or has an unknown outcome."
     ),
     "usage_report_delayed": Event(
         WARNING, "A usage report could not be sent yet."
     ),
-    "report_fenced_off": Event(WARNING, "Another holder has reported since."),
+    "report_fenced_off": Event(
+        WARNING,
+        "A usage report was refused; another holder has reported since.",
+    ),
     "usage_reported": Event(INFO, "A window's usage was reported."),
     "configuration_in_force": Event(
         INFO, "A configuration version came into force."
     ),
     "configuration_refused": Event(
-        ERROR, "A configuration is invalid; the old one stays."
+        ERROR, "A configuration is invalid; the old one stays in force."
     ),
     "entry_refused": Event(
-        WARNING, "An entry of the runners' list names no runner to use."
+        WARNING, "An entry in the store does not describe a usable runner."
     ),
     "task_restarts": Event(
-        ERROR, "A task that must not end has ended; it is started again."
+        ERROR, "An essential task ended unexpectedly and is restarted."
     ),
     "stored_refused": Event(
-        WARNING, "An object in the store can't be read; it counts for nothing."
+        WARNING, "An object in the store is unreadable and is ignored."
     ),
     "member_restarted": Event(
-        INFO, "Another entry VM's process is a new one."
+        INFO, "The process of another entry VM was restarted."
     ),
     "fetched_from_peer": Event(
-        INFO, "A peer had news that the store did not bring."
+        INFO, "An update that the store did not deliver came from a peer."
     ),
-    "reloaded": Event(INFO, "The settings were read again."),
-    "no_runner": Event(INFO, "No runner could be chosen for a request."),
+    "reloaded": Event(INFO, "The settings were reloaded."),
+    "no_runner": Event(INFO, "No runner was available for a request."),
     "notes_unread": Event(
-        INFO, "What the fleet noted of its limits could not be read."
+        INFO, "The stored levels of the limits could not be read."
     ),
     "lines_left_out": Event(
-        WARNING, "Lines of an event were too many, or nobody read them."
+        WARNING,
+        "Log lines were dropped: too many of an event, or output blocked.",
+    ),
+    "runners_needed": Event(
+        INFO, "The inputs from which the number of runners was computed."
     ),
-    "runners_needed": Event(INFO, "What the runners' work was taken for."),
     "runners_ordered": Event(INFO, "A number of runners was ordered."),
-    "roll_out_ordered": Event(INFO, "A new version is to be moved to."),
+    "roll_out_ordered": Event(
+        INFO, "A roll-out of a new version was ordered."
+    ),
     "roll_out_phase": Event(
-        INFO, "The new version gets another part of the calls from now on."
+        INFO,
+        "A roll-out entered another phase; the new version's share changes.",
     ),
     "roll_out_failed": Event(
-        WARNING, "A new version is worse than the old one; it gets no calls."
+        WARNING,
+        "A new version is worse than the old one and gets no more calls.",
     ),
-    "roll_out_turned": Event(INFO, "A roll-out has come to another state."),
-    "roll_out_written": Event(INFO, "How far a roll-out is was written."),
-    "roll_out_unwritten": Event(
-        WARNING, "How far a roll-out is could not be written yet."
+    "roll_out_turned": Event(INFO, "The state of a roll-out changed."),
+    "roll_out_written": Event(
+        INFO, "The status of a roll-out was written to the store."
     ),
-    "roll_out_refused": Event(
-        WARNING, "An order for a roll-out can't be read."
+    "roll_out_unwritten": Event(
+        WARNING, "The status of a roll-out could not be written yet."
     ),
-    "ledger_full": Event(WARNING, "The ledger refuses new keys."),
+    "roll_out_refused": Event(WARNING, "An order for a roll-out is invalid."),
+    "ledger_full": Event(WARNING, "The ledger is full and refuses new keys."),
 }
 
 _writers: list[Writer] = []
--- a/src/apricotlever/mailbox.py
+++ b/src/apricotlever/mailbox.py
@@ -27,7 +27,7 @@
 
 
 class Deferred:
-    """Returned by a handler that completes the future itself, later."""
+    """Returned by a handler that completes the message's future later."""
 
     __slots__ = ()
 
@@ -161,9 +161,9 @@
         logs.event("task_failed", task=self.name, error=repr(error))
 
     def defer(self) -> "futures.Future[typing.Any]":
-        """The future to complete, for a handler that returns ``DEFERRED``.
+        """Get the future that a handler returning ``DEFERRED`` completes.
 
-        To be called within the handler. For a message sent with
+        Must be called within the handler. For a message sent with
         :meth:`tell`, the result of the future is ignored.
         """
         return self._current or futures.Future()
--- a/src/apricotlever/refusals.py
+++ b/src/apricotlever/refusals.py
@@ -26,7 +26,8 @@
 
     :param name: the stable ``type`` in the JSON body.
     :param status: the HTTP status code.
-    :param meaning: a one-line description; the operators' page shows it.
+    :param meaning: a one-line description, for the operators' page and for
+        some refusals.
     """
 
     __slots__ = ("name", "status", "meaning")
