--- a/src/apricotlever/roll_outs/canary_analysis.py
+++ b/src/apricotlever/roll_outs/canary_analysis.py
@@ -1,7 +1,7 @@
 """Decides whether a new version is worse than the old one.
 
 Both versions are compared over the same period, since a burst, an outage or a
-slow store affects both. A fault of a single runner is ignored, as it is not
+slow store affects both. A fault of a single runner is ignored: it is not
 evidence against the runner's version.
 """
 
@@ -40,8 +40,8 @@
         self.times = times
 
 
-#: Thresholds of repeated checks; higher, as each check may raise a false
-#: alarm.
+#: Thresholds of repeated checks. They are higher than those of a single check,
+#: as each check may raise a false alarm.
 REPEATED_CHECK = Thresholds(8.0, 4.5)
 #: Thresholds of the single check before the takeover.
 FINAL_CHECK = Thresholds(4.5, 3.2)
@@ -52,8 +52,9 @@
 
     :param reason: ``failures``, ``first_answers`` or ``whole_answers``.
     :param route: the affected route; "" for all routes together.
-    :param new: failure rate, or response time relative to the old version.
-    :param old: failure rate, or 1 for response times.
+    :param new: failure rate of the new version, or its response time relative
+        to the old version's.
+    :param old: failure rate of the old version, or 1 for response times.
     :param calls: number of calls of the new version that were evaluated.
     """
 
@@ -214,7 +215,7 @@
 ) -> bool:
     if not new.failed:
         return False
-    # Additive smoothing: the old version may have few calls.
+    # Additive smoothing, since the old version may have few calls.
     old_ended, old_failed = old.ended + 1, old.failed + 1
     new_rate, old_rate = new.failed / new.ended, old_failed / old_ended
     if new_rate < old_rate + FAILURE_MARGIN:
--- a/src/apricotlever/roll_outs/controller.py
+++ b/src/apricotlever/roll_outs/controller.py
@@ -24,19 +24,19 @@
 
     @property
     def runner_id(self) -> str:
-        """Identifies the incarnation of the runner."""
+        """Identifier of the runner's incarnation."""
 
     @property
     def service(self) -> str:
-        """The service that the runner belongs to."""
+        """The service to which the runner belongs."""
 
     @property
     def version(self) -> str:
-        """The version of its software."""
+        """The version of the runner's software."""
 
     @property
     def leaving(self) -> bool:
-        """Whether it accepts no new calls."""
+        """Whether the runner accepts no new calls."""
 
 
 class Result:
@@ -54,7 +54,7 @@
 class RollOutController:
     """Tracks the roll-outs on one VM.
 
-    :param bounds: limits on the exposure to a bad version.
+    :param limits: limits on the exposure to a bad version.
     """
 
     __slots__ = (
@@ -162,7 +162,7 @@
         order = roll_out.order
         if runner.version != order.version:
             excluded = (
-                runner.runner_id in roll_out.retired
+                runner.runner_id in roll_out.stopped_runners
                 or runner.version in self._rejected_versions.get(service, ())
             )
             return (
@@ -233,7 +233,7 @@
     def update_fleet_counts(
         self, records: samples.Records, includes_own: bool
     ) -> None:
-        """Update the fleet-wide counts.
+        """Replace the fleet-wide counts of all running roll-outs.
 
         :param records: sums of the counts received from the other VMs.
         :param includes_own: whether the sums include the counts of this VM.
@@ -269,10 +269,10 @@
             changed = self._advance(roll_out) or changed
             if roll_out.order.state is not model.RollOutState.RUNNING:
                 continue
-            found = roll_out.evaluate(self._clock.now())
-            if found is not None:
+            finding = roll_out.evaluate(self._clock.now())
+            if finding is not None:
                 changed = True
-                self._fail(roll_out, found)
+                self._fail(roll_out, finding)
         return changed
 
     def _advance(self, roll_out: progress.RollOut) -> bool:
@@ -289,9 +289,9 @@
                 roll_out.select_canaries()
             return roll_out.canaries != before
         if roll_out.phase is schedule.Phase.CANARY:
-            found = roll_out.evaluate_final()
-            if found is not None:
-                self._fail(roll_out, found)
+            finding = roll_out.evaluate_final()
+            if finding is not None:
+                self._fail(roll_out, finding)
                 return True
         roll_out.phase = phase
         self._log_phase(roll_out)
@@ -305,12 +305,12 @@
         :param in_flight: returns the calls in flight of all VMs at the given
             runners.
         """
-        found = []
+        results = []
         for roll_out in self._by_service.values():
             state = self._due_state(roll_out, in_flight)
             if state is not None:
-                found.append(Result(roll_out.order, state))
-        return found
+                results.append(Result(roll_out.order, state))
+        return results
 
     def _due_state(
         self,
@@ -322,8 +322,8 @@
             return None
         if order.state is model.RollOutState.FAILED:
             return model.RollOutState.ROLLED_BACK
-        # This is the phase of the last evaluation. The clock may have reached
-        # a later phase, which has not been evaluated yet.
+        # The phase of the last evaluation is used, because the clock may have
+        # reached a later phase that has not been evaluated yet.
         phase = roll_out.phase
         if phase is schedule.Phase.CANARY:
             return model.RollOutState.RUNNING
@@ -373,7 +373,7 @@
     def _state_changed(self, roll_out: progress.RollOut) -> None:
         order = roll_out.order
         if order.state is model.RollOutState.COMPLETED:
-            roll_out.retired = roll_out.old_runners
+            roll_out.stopped_runners = roll_out.old_runners
         logs.event(
             "roll_out_turned",
             service=order.service,
@@ -382,7 +382,7 @@
         )
 
     def _fail(
-        self, roll_out: progress.RollOut, found: canary_analysis.Finding
+        self, roll_out: progress.RollOut, finding: canary_analysis.Finding
     ) -> None:
         order = roll_out.order
         roll_out.order = order.with_state(model.RollOutState.FAILED)
@@ -391,11 +391,11 @@
             "roll_out_failed",
             service=order.service,
             version=order.version,
-            reason=found.reason,
-            route=found.route or None,
-            new=found.new,
-            old=found.old,
-            judged=found.calls,
+            reason=finding.reason,
+            route=finding.route or None,
+            new=finding.new,
+            old=finding.old,
+            judged=finding.calls,
             tried=numbers.new_calls,
             calls=numbers.calls,
             elapsed_s=self._elapsed_s(roll_out),
--- a/src/apricotlever/roll_outs/model.py
+++ b/src/apricotlever/roll_outs/model.py
@@ -11,7 +11,7 @@
 
     #: A share of the calls goes to the new version.
     RUNNING = 0
-    #: The new version is bad; the store does not have the result yet.
+    #: The new version is bad; the result is not in the store yet.
     FAILED = 1
     #: All calls go to the new version; the old runners have stopped.
     COMPLETED = 2
@@ -31,9 +31,10 @@
 
     :param exposure_share: share of the service's calls that a bad version may
         receive.
-    :param exposure_slack: number of calls that it may receive in addition.
+    :param exposure_slack: number of calls that a bad version may receive in
+        addition to this share.
     :param rollback_s: time limit for the rollback after the 50th bad answer of
-        that version, in seconds.
+        a version, in seconds.
     """
 
     __slots__ = ("exposure_share", "exposure_slack", "rollback_s")
@@ -170,5 +171,5 @@
     CANARY = "canary"
     #: Runs the new version and takes no calls before the takeover.
     STANDBY = "standby"
-    #: Takes no calls.
+    #: Takes no calls: its version failed, was withdrawn or was replaced.
     EXCLUDED = "excluded"
--- a/src/apricotlever/roll_outs/progress.py
+++ b/src/apricotlever/roll_outs/progress.py
@@ -25,8 +25,8 @@
 class RollOut:
     """An order and its progress.
 
-    The attribute ``retired`` holds the old runners at the time of completion,
-    which have stopped.
+    The attribute ``stopped_runners`` holds the runners that were old when the
+    roll-out was completed; they have stopped.
 
     :param limits: limits on the exposure to a bad version.
     """
@@ -37,7 +37,7 @@
         "old_runners",
         "new_runners",
         "canaries",
-        "retired",
+        "stopped_runners",
         "own_counts",
         "fleet_counts",
         "phase",
@@ -53,7 +53,7 @@
         self.old_runners: frozenset[str] = frozenset()
         self.new_runners: frozenset[str] = frozenset()
         self.canaries: frozenset[str] = frozenset()
-        self.retired: frozenset[str] = frozenset()
+        self.stopped_runners: frozenset[str] = frozenset()
         self.own_counts: Counts = {}
         self.fleet_counts: Counts = {}
         self.phase = schedule.Phase.CANARY
@@ -66,12 +66,14 @@
     @property
     def progress(self) -> schedule.Progress:
         """The fleet-wide numbers of calls and runners."""
-        by_route: dict[str, int] = {}
+        calls_by_route: dict[str, int] = {}
         for key, sample in self.fleet_counts.items():
-            by_route[key.route] = by_route.get(key.route, 0) + sample.calls
+            calls_by_route[key.route] = (
+                calls_by_route.get(key.route, 0) + sample.calls
+            )
         return schedule.Progress(
             sum(s.calls for key, s in self.fleet_counts.items() if key.runner),
-            by_route,
+            calls_by_route,
             len(self.old_runners),
             len(self.new_runners),
         )
--- a/src/apricotlever/roll_outs/samples.py
+++ b/src/apricotlever/roll_outs/samples.py
@@ -9,7 +9,7 @@
 
 from .. import validation
 
-#: Runner name that stands for all runners of the old version.
+#: Runner ID that stands for all runners of the old version.
 OLD_VERSION = ""
 #: Lower bound of recorded times, in seconds; keeps the logarithm finite.
 MIN_TIME_S = 0.001
@@ -19,8 +19,8 @@
     """Identifies a sample.
 
     :param version: target version of the roll-out.
-    :param runner: runner of that version; :data:`OLD_VERSION` for all runners
-        of the old version.
+    :param runner: ID of a runner of that version; :data:`OLD_VERSION` for all
+        runners of the old version.
     """
 
     service: str
@@ -55,9 +55,9 @@
         self.total = total
         self.squares = squares
 
-    def add(self, took_s: float) -> None:
-        """Add a time in seconds."""
-        logarithm = math.log(max(MIN_TIME_S, took_s))
+    def add(self, duration_s: float) -> None:
+        """Add a duration in seconds."""
+        logarithm = math.log(max(MIN_TIME_S, duration_s))
         self.count += 1
         self.total += logarithm
         self.squares += logarithm * logarithm
--- a/src/apricotlever/roll_outs/schedule.py
+++ b/src/apricotlever/roll_outs/schedule.py
@@ -21,7 +21,7 @@
 #: Upper limit of a route's share for the new version before the takeover.
 MAX_SHARE = 0.75
 #: Fraction of the canary calls that is spread evenly over the routes; the rest
-#: follows their traffic. Even calls detect faults on rare routes fast enough.
+#: follows their traffic. The even part detects faults on rare routes in time.
 EQUAL_ROUTES_FRACTION = 0.5
 #: Canaries per old runner, as a multiple of the exposure share. The excess
 #: compensates for the start-up time of the new runners.
@@ -34,11 +34,11 @@
 #: Minimum number of new runners per old runner for the takeover.
 MIN_RUNNER_RATIO = 0.7
 #: Time between the result and the time limit: a fraction of the duration, but
-#: at least the given number of seconds.
+#: at least MIN_REPORT_S seconds.
 REPORT_FRACTION = 0.05
 MIN_REPORT_S = 0.6
 #: Upper limit of the drain time before the result: the greater of a fraction
-#: of the duration and the given number of seconds.
+#: of the duration and MAX_DRAIN_S seconds.
 MAX_DRAIN_FRACTION = 0.08
 MAX_DRAIN_S = 1.0
 #: Lower limit of the drain time, in seconds.
@@ -60,8 +60,8 @@
 class Progress:
     """Numbers of calls and runners of a roll-out.
 
-    :param new_calls: calls sent to the new version.
-    :param by_route: calls sent to both versions, by route.
+    :param new_calls: number of calls sent to the new version.
+    :param calls_by_route: number of calls sent to both versions, by route.
     :param old_runners: number of old runners.
     :param new_runners: number of new runners.
     """
@@ -69,7 +69,7 @@
     __slots__ = (
         "new_calls",
         "calls",
-        "by_route",
+        "calls_by_route",
         "old_runners",
         "new_runners",
     )
@@ -77,13 +77,13 @@
     def __init__(
         self,
         new_calls: int,
-        by_route: typing.Mapping[str, int],
+        calls_by_route: typing.Mapping[str, int],
         old_runners: int,
         new_runners: int,
     ) -> None:
         self.new_calls = new_calls
-        self.calls = sum(by_route.values())
-        self.by_route = by_route
+        self.calls = sum(calls_by_route.values())
+        self.calls_by_route = calls_by_route
         self.old_runners = old_runners
         self.new_runners = new_runners
 
@@ -99,7 +99,7 @@
 class Schedule:
     """The schedule of one roll-out.
 
-    :param duration_s: time limit, counted from the start.
+    :param duration_s: time limit in seconds, counted from the start.
     """
 
     __slots__ = ("_limits", "_duration_s", "_drain_s")
@@ -193,8 +193,8 @@
             * (calls + expected_calls)
         )
         planned += CANARY_SLACK_FRACTION * limits.exposure_slack
-        # Limits the budget by the calls so far, since the expected calls may
-        # be too many.
+        # The calls so far limit the budget as well, since the number of
+        # expected calls may be an overestimate.
         limit = limits.exposure_share * calls + limits.exposure_slack
         if new_calls >= min(planned, limit):
             return 0.0
@@ -203,8 +203,8 @@
 
 def _route_weight(progress: Progress, route: str) -> float:
     """The factor between a route's share and the mean share."""
-    calls = progress.by_route.get(route, 0)
+    calls = progress.calls_by_route.get(route, 0)
     if not calls:
         return 1.0
-    equal = progress.calls / (calls * len(progress.by_route))
+    equal = progress.calls / (calls * len(progress.calls_by_route))
     return EQUAL_ROUTES_FRACTION * equal + 1.0 - EQUAL_ROUTES_FRACTION
--- a/tests/roll_outs/controller.feature
+++ b/tests/roll_outs/controller.feature
@@ -45,14 +45,14 @@
     When the roll-out is COMPLETED
     Then all old runners are EXCLUDED and all new ones SERVING
 
-  # Guards against moving all calls to a version without runners.
+  # Guards against a takeover by a version that has no runners.
   Scenario: A version whose runners don't start is rolled back
     Given a roll-out of 20 seconds for a service of 10 old runners
     When 19.5 seconds pass without a failure
     Then the result ROLLED_BACK is due
     And no call goes to a new runner
 
-  # Guards against the overload of new runners that are fewer than the old ones.
+  # Guards against overload after a takeover by too few new runners.
   Scenario: Too few new runners do not take over
     Given a roll-out of 20 seconds for a service of 10 old runners
     And 3 new runners appear after 1 seconds
--- a/tests/steps/roll_outs_canary_analysis.py
+++ b/tests/steps/roll_outs_canary_analysis.py
@@ -33,7 +33,7 @@
     "{calls:d} calls at the old version, {failed:d} percent of them failing"
 )
 def step_old_failing(context, calls, failed):
-    """Set the samples of the old version."""
+    """Set the old version's samples on two routes."""
     context.old = {
         "usual": _sample(calls, calls * failed // 100),
         "rare": _sample(calls // 10, calls * failed // 1000),
@@ -61,8 +61,8 @@
     "the new version fails {failed:d} of {calls:d} calls, evenly at"
     " {runners:d} runners"
 )
-def step_new_alike(context, failed, calls, runners):
-    """Spread calls and failures evenly over the runners."""
+def step_new_failing_evenly(context, failed, calls, runners):
+    """Set samples with calls and failures spread evenly over the runners."""
     for number in range(runners):
         context.new[f"r{number}", "usual"] = _sample(
             calls // runners, failed // runners
@@ -73,8 +73,8 @@
     "the new version fails {failed:d} of {calls:d} calls, all at one of"
     " {runners:d} runners"
 )
-def step_new_one(context, failed, calls, runners):
-    """Spread the calls evenly; all failures are at one runner."""
+def step_new_failing_at_one(context, failed, calls, runners):
+    """Set samples with calls spread evenly and all failures at one runner."""
     for number in range(runners):
         context.new[f"r{number}", "usual"] = _sample(
             calls // runners, 0 if number else failed
@@ -83,46 +83,46 @@
 
 @when("the new version fails {failed:d} of {calls:d} calls on route {route}")
 def step_new_route(context, failed, calls, route):
-    """Spread a route's calls over two runners."""
+    """Set samples of a route with calls spread over two runners."""
     for runner in ("r0", "r1"):
         context.new[runner, route] = _sample(calls // 2, failed // 2)
 
 
 @when("{calls:d} calls at the new version take about {took:f} seconds each")
 def step_new_times(context, calls, took):
-    """Spread the calls over two runners."""
+    """Set samples with calls spread over two runners."""
     for seed, runner in enumerate(("r0", "r1"), start=2):
         context.new[runner, "usual"] = _sample(calls // 2, 0, took, seed)
 
 
 @then("on route {route} it is bad because of its {reason}")
 def step_bad_on_route(context, reason, route):
-    """Check the finding."""
-    found = canary_analysis.compare_versions(context.old, context.new)
-    assert found is not None
-    assert (found.reason, found.route) == (REASONS[reason], route)
+    """Check the reason and the route of the finding."""
+    finding = canary_analysis.compare_versions(context.old, context.new)
+    assert finding is not None
+    assert (finding.reason, finding.route) == (REASONS[reason], route)
 
 
 @then("it is bad because of its {reason}")
 def step_bad(context, reason):
-    """Check the finding."""
-    found = canary_analysis.compare_versions(context.old, context.new)
-    assert found is not None and found.reason == REASONS[reason], found
+    """Check the reason of the finding."""
+    finding = canary_analysis.compare_versions(context.old, context.new)
+    assert finding is not None and finding.reason == REASONS[reason], finding
 
 
 @then("it is not bad")
 def step_not_bad(context):
     """Check that neither the repeated nor the final check fails."""
     assert canary_analysis.compare_versions(context.old, context.new) is None
-    last = canary_analysis.compare_versions(
+    finding = canary_analysis.compare_versions(
         context.old, context.new, canary_analysis.FINAL_CHECK
     )
-    assert last is None, (last.reason, last.new, last.old)
+    assert finding is None, (finding.reason, finding.new, finding.old)
 
 
 @then("sums of samples don't depend on order or grouping")
 def step_sums(context):
-    """Add the same records in several ways."""
+    """Add the same records in all orders and compare the sums."""
     rng = random.Random(5)
     parts = [
         {
--- a/tests/steps/roll_outs_controller.py
+++ b/tests/steps/roll_outs_controller.py
@@ -23,7 +23,7 @@
 
 
 class Runner:
-    """A runner with the attributes that a roll-out uses."""
+    """A fake runner with the attributes that a roll-out uses."""
 
     def __init__(self, runner_id, version):
         self.runner_id = runner_id
@@ -65,13 +65,13 @@
 
         :returns: the runner that it is sent to.
         """
-        arm = model.RunnerRole.SERVING
+        role = model.RunnerRole.SERVING
         if self.controller.should_use_new_version(SERVICE, ROUTE, is_retry):
-            arm = model.RunnerRole.CANARY
+            role = model.RunnerRole.CANARY
         runners = [
             runner
             for runner in [*self.old_runners, *self.new_runners]
-            if self.controller.role(runner) is arm
+            if self.controller.role(runner) is role
         ]
         runner = self.rng.choice(runners)
         sample = self.controller.record_sent(runner, ROUTE)
@@ -134,7 +134,7 @@
 
 @then("after the takeover all calls go to {count:d} new runners")
 def step_taken_over(context, count):
-    """Send calls until after the takeover."""
+    """Send calls until after the takeover and check their runners."""
     vm = context.vm
     vm.run(18.8)
     called = vm.run(19.0)
@@ -149,7 +149,7 @@
 
 @when("another VM reports {calls:d} calls to them, half of which failed")
 def step_reported_failures(context, calls):
-    """Receive the counts of another VM."""
+    """Receive another VM's counts of calls and failures."""
     vm = context.vm
     vm.run(3)
     records = {
@@ -164,27 +164,27 @@
 
 @when("another VM reports that the version is {state}")
 def step_reported_state(context, state):
-    """Receive the order of another VM."""
+    """Receive the order from another VM, in the given state."""
     order = context.vm.order.with_state(model.RollOutState[state])
     assert context.vm.controller.merge_order(order)
 
 
 @when("the roll-out is {state}")
 def step_final_state(context, state):
-    """Receive the final state."""
+    """Receive the order from another VM, in a final state."""
     step_reported_state(context, state)
 
 
 @then("no call goes to a new runner")
 def step_no_call_to_new(context):
-    """Send many calls."""
+    """Send many calls and check that no runner is new."""
     called = [context.vm.call() for _ in range(200)]
     assert all(runner.version != NEW for runner in called)
 
 
 @then("no retry goes to a new runner")
 def step_no_retry_to_new(context):
-    """Send many retries."""
+    """Send many retries and check that no runner is new."""
     context.vm.run(3)
     called = [context.vm.call(is_retry=True) for _ in range(200)]
     assert all(runner.version != NEW for runner in called)
@@ -200,7 +200,7 @@
 
 @then("no result of a roll-out is due")
 def step_no_result_due(context):
-    """Check the state that is due."""
+    """Check that no state is due."""
     assert context.vm.result() is None
 
 
@@ -239,14 +239,14 @@
     vm.controller.set_runners([*vm.old_runners, *vm.new_runners])
 
 
-@then("all runners of version {version} are {arm}")
-def step_version_role(context, version, arm):
+@then("all runners of version {version} are {role}")
+def step_version_role(context, version, role):
     """Check the roles of a version's runners."""
     vm = context.vm
     found = {
         vm.controller.role(r) for r in vm.new_runners if r.version == version
     }
-    assert found == {model.RunnerRole[arm]}, found
+    assert found == {model.RunnerRole[role]}, found
 
 
 @then("a late update of the first order changes nothing")
@@ -297,7 +297,7 @@
 
 @then("updates of an order can be merged in any sequence")
 def step_any_sequence(context):
-    """Merge the same updates in all sequences."""
+    """Merge the same updates in all sequences and compare the results."""
     updates = [
         model.RollOutOrder(SERVICE, "v2", 5, 100.0, 20.0),
         model.RollOutOrder(
@@ -333,7 +333,7 @@
 
 @then("at least {correct:d} have the expected result")
 def step_expected_results(context, correct):
-    """Count the expected results."""
+    """Compare the number of expected results with the minimum."""
     wanted = (
         model.RollOutState.ROLLED_BACK
         if context.fault.bad
