--- a/src/apricotlever/serving/customer_limits.py
+++ b/src/apricotlever/serving/customer_limits.py
@@ -1,4 +1,8 @@
-"""Rate limits of all customers, enforced by all VMs of the fleet together."""
+"""Rate limits of all customers, enforced by all VMs of the fleet together.
+
+The keeper of a limit is the VM that admits calls against the limit for all VMs
+that can reach it.
+"""
 
 import typing
 
--- a/src/apricotlever/serving/limit_protocol.py
+++ b/src/apricotlever/serving/limit_protocol.py
@@ -1,5 +1,7 @@
 """Protocol by which VMs ask the keeper of a limit to admit calls, over UDP.
 
+The keeper of a limit is the VM that admits calls against the limit for all VMs
+that can reach it.
 If a datagram is lost, the asking VM decides by itself, and the caller has only
 waited for the timeout.
 """
@@ -61,7 +63,7 @@
 
 
 class Keeper(typing.Protocol):
-    """Counts calls of other VMs against the limits that it keeps."""
+    """Counts calls of other VMs against the limits that this VM keeps."""
 
     def admit_for_peer(self, customer: str, units: float) -> float | None:
         """Admit a call of another VM if the customer's limit allows it.
@@ -102,7 +104,7 @@
 class LimitProtocol(asyncio.DatagramProtocol):
     """Sends requests to keepers of limits, and answers those of other VMs.
 
-    :param keeper: admits calls of other VMs on this VM.
+    :param keeper: decides on calls of other VMs against this VM's limits.
     :param is_peer: whether an IP address belongs to a member of the fleet.
     :param refusals: limits the log lines about refused messages.
     """
--- a/src/apricotlever/serving/roll_out_duty.py
+++ b/src/apricotlever/serving/roll_out_duty.py
@@ -114,8 +114,8 @@
             self._recorded_versions[order.service] = order.version
             # The recorded start may change the state that is due.
             return
-        wanted = (order.version, result.state)
-        if self._written.get(order.service) == wanted:
+        target = (order.version, result.state)
+        if self._written.get(order.service) == target:
             return
         await self._write(result)
 
--- a/tests/steps/roll_outs_controller.py
+++ b/tests/steps/roll_outs_controller.py
@@ -334,13 +334,13 @@
 @then("at least {correct:d} have the expected result")
 def step_expected_results(context, correct):
     """Compare the number of expected results with the minimum."""
-    wanted = (
+    expected_state = (
         model.RollOutState.ROLLED_BACK
         if context.fault.bad
         else model.RollOutState.COMPLETED
     )
     found = [outcome.state for outcome in context.outcomes]
-    assert found.count(wanted) >= correct, found
+    assert found.count(expected_state) >= correct, found
 
 
 @then("no bad version that was detected received more calls than allowed")
--- a/tests/steps/serving_roll_outs.py
+++ b/tests/steps/serving_roll_outs.py
@@ -213,8 +213,8 @@
 def step_status(context, state):
     """Compare the status in the store."""
     stored = context.store.objects["rollouts", SERVICE]
-    wanted = None if state == "nothing" else {"state": state, "to": "v2"}
-    assert stored.status == wanted, stored.status
+    expected = None if state == "nothing" else {"state": state, "to": "v2"}
+    assert stored.status == expected, stored.status
 
 
 @then("the other version has status {state}")
