--- a/bench/limits.py
+++ b/bench/limits.py
@@ -259,7 +259,7 @@
         await end.listen(HOST, 0)
     began = time.process_time()
     for _ in range(count):
-        await asker.take((HOST, keeper.port), "customer", 1000.0)
+        await asker.request_admission((HOST, keeper.port), "customer", 1000.0)
     spent = time.process_time() - began
     asker.close()
     keeper.close()
--- a/bench/records.py
+++ b/bench/records.py
@@ -214,7 +214,7 @@
     dialect = dialects.Dialect(*[mock.MagicMock() for _ in range(3)])
     member = node.Node(_settings, dialect, clock, rng, mock.MagicMock())
     configuration = _configuration(customers)
-    dialect.platform.configuration.return_value = configuration
+    dialect.platform.parse_configuration.return_value = configuration
     member._servers = mock.MagicMock(busy=0)
     member.configure({})
     for number in range(count):
--- a/soak/dialect.py
+++ b/soak/dialect.py
@@ -42,7 +42,7 @@
     configuration_name = CONFIGURATION_NAME
     runners_kind = RUNNERS_KIND
 
-    def configuration(
+    def parse_configuration(
         self, spec: store.Json
     ) -> configuration_model.Configuration:
         """Decode a configuration."""
@@ -60,7 +60,7 @@
             configuration_model.CallerLimits(),
         )
 
-    def runner(self, stored: store.StoredObject) -> runners.RunnerEntry:
+    def parse_runner(self, stored: store.StoredObject) -> runners.RunnerEntry:
         """Decode the entry of a runner; an invalid one is unreadable."""
         spec = stored.spec
         if not _is_valid_entry(spec):
@@ -84,13 +84,13 @@
         """Make the codec of calls to the store."""
         return ObjectApiCodec()
 
-    def report_call(
+    def usage_report_request(
         self, window: int, counts: typing.Mapping[str, int]
     ) -> tuple[str, bytes]:
         """Return path and body of a usage report."""
         return f"/report/{window}", json.dumps(dict(counts)).encode()
 
-    def order_call(
+    def runner_order_request(
         self, service: str, data_centre: str, count: int, reclaimable: bool
     ) -> tuple[str, bytes]:
         """Not supported: a soak test orders no runners.
@@ -163,7 +163,7 @@
         """Delete an object."""
         return store.Call("DELETE", f"/v1/objects/{kind}/{name}")
 
-    def page(self, body: bytes) -> store.Page:
+    def decode_page(self, body: bytes) -> store.Page:
         """Decode a list."""
         document = json.loads(body)
         return store.Page(
@@ -172,7 +172,7 @@
             document["version"],
         )
 
-    def changes(self, body: bytes) -> store.Changes:
+    def decode_changes(self, body: bytes) -> store.Changes:
         """Decode the answer to a watch."""
         document = json.loads(body)
         return store.Changes(
@@ -183,7 +183,7 @@
             document["version"],
         )
 
-    def stored(self, body: bytes) -> store.StoredObject:
+    def decode_object(self, body: bytes) -> store.StoredObject:
         """Decode one object; the answer to a write has no value."""
         return _stored(json.loads(body))
 
--- a/src/apricotlever/serving/call_execution.py
+++ b/src/apricotlever/serving/call_execution.py
@@ -347,7 +347,7 @@
             self._reply.finish()
             self.served = True
             return
-        headers = self._relay.dialect.callers.answer_headers(outcome.head)
+        headers = self._relay.dialect.callers.forwarded_headers(outcome.head)
         self._reply.send_whole(outcome.head.status, headers, outcome.body)
         self.served = 200 <= outcome.head.status < 300
 
@@ -363,7 +363,7 @@
         self.mark_started()
         self._update_longest_pause()
         if not self._reply.started:
-            headers = self._relay.dialect.callers.answer_headers(head)
+            headers = self._relay.dialect.callers.forwarded_headers(head)
             self._reply.start_stream(head.status, headers)
         return self._reply.send_chunk(data)
 
--- a/src/apricotlever/serving/call_relay.py
+++ b/src/apricotlever/serving/call_relay.py
@@ -146,7 +146,7 @@
 
     def _parse(self, raw: caller_server.RawRequest) -> messages.CallerCall:
         try:
-            return self._dialect.callers.read(
+            return self._dialect.callers.parse_call(
                 raw.method, raw.target, raw.headers, raw.body, raw.received_at
             )
         except ValueError as error:
@@ -241,7 +241,7 @@
                 if prompt is not None
                 else customer.default_tokens
             )
-        permit = await self._limits.let_in(customer.name, units)
+        permit = await self._limits.admit(customer.name, units)
         if permit.wait_s > 0.0:
             raise Refusal(
                 429,
--- a/src/apricotlever/serving/customer_limits.py
+++ b/src/apricotlever/serving/customer_limits.py
@@ -160,7 +160,9 @@
             for process in gone:
                 rate.remove_member(process)
 
-    def heard(self, process: str, used: typing.Mapping[str, float]) -> None:
+    def receive_totals(
+        self, process: str, used: typing.Mapping[str, float]
+    ) -> None:
         """Apply the totals of another VM's process.
 
         :param used: admitted units by customer since the process started.
@@ -202,7 +204,7 @@
         self._addresses = dict(others)
         self._keepers.set_other_vms(others)
 
-    async def let_in(self, customer: str, units: float) -> AdmissionResult:
+    async def admit(self, customer: str, units: float) -> AdmissionResult:
         """Admit a call if the customer's limit allows it.
 
         The limit's keeper decides. If the keeper can't, or does not answer in
@@ -218,7 +220,9 @@
                 customer, units, rate.take(units, for_all=True)
             )
         try:
-            keeper_wait_s = await self._protocol.take(address, customer, units)
+            keeper_wait_s = await self._protocol.request_admission(
+                address, customer, units
+            )
         except TimeoutError:
             self._keepers.record_timeout(keeper)
             keeper_wait_s = None
--- a/src/apricotlever/serving/dialects.py
+++ b/src/apricotlever/serving/dialects.py
@@ -27,7 +27,7 @@
 class CallerDialect(typing.Protocol):
     """The protocol of callers."""
 
-    def read(
+    def parse_call(
         self,
         method: str,
         target: str,
@@ -50,7 +50,7 @@
     def lookup_path(self) -> str:
         """Path at which callers look up the VMs to use."""
 
-    def lookup_answer(
+    def lookup_body(
         self, addresses: typing.Sequence[str], ttl_s: float
     ) -> bytes:
         """Body of the response that lists the VMs to use.
@@ -63,7 +63,7 @@
     ) -> list[tuple[bytes, bytes]]:
         """Headers of a response that does not come from a runner."""
 
-    def answer_headers(
+    def forwarded_headers(
         self, head: messages.RunnerResponseHead
     ) -> list[tuple[bytes, bytes]]:
         """Headers of a runner's response that are forwarded to the caller."""
@@ -72,14 +72,14 @@
 class RunnerDialect(typing.Protocol):
     """The protocol of runners."""
 
-    def request(
+    def encode_request(
         self,
         call: messages.CallerCall,
         parameters: messages.RunnerCallParameters,
     ) -> bytes:
         """The complete request to a runner."""
 
-    def head(
+    def parse_response_head(
         self, status: int, headers: messages.Headers
     ) -> messages.RunnerResponseHead:
         """Translate the head of a runner's response."""
@@ -104,7 +104,7 @@
     def roll_outs_kind(self) -> str:
         """Kind of the roll-out orders; each has the name of its service."""
 
-    def roll_out(
+    def parse_roll_out(
         self, stored: store.StoredObject, received_at: float
     ) -> roll_outs_model.RollOutOrder:
         """Translate a roll-out order.
@@ -113,14 +113,14 @@
         :raises ValueError: when the order is invalid.
         """
 
-    def roll_out_status(
+    def encode_roll_out_status(
         self,
         order: roll_outs_model.RollOutOrder,
         state: roll_outs_model.RollOutState,
     ) -> store.Json:
         """The status document of a roll-out order."""
 
-    def configuration(
+    def parse_configuration(
         self, spec: store.Json
     ) -> configuration_model.Configuration:
         """Translate a configuration.
@@ -128,23 +128,23 @@
         :raises ValueError: when the configuration is invalid.
         """
 
-    def runner(self, stored: store.StoredObject) -> runners.RunnerEntry:
+    def parse_runner(self, stored: store.StoredObject) -> runners.RunnerEntry:
         """Translate a runner's entry; an invalid entry raises no error."""
 
     def store_codec(self) -> store.Codec:
         """The codec of requests to the store."""
 
-    def report_call(
+    def usage_report_request(
         self, window: int, counts: typing.Mapping[str, int]
     ) -> tuple[str, bytes]:
         """Path and body of a usage report."""
 
-    def order_call(
+    def runner_order_request(
         self, service: str, data_centre: str, count: int, reclaimable: bool
     ) -> tuple[str, bytes]:
         """Path and body of an order that sets a number of runners."""
 
-    def duty_headers(
+    def lease_holder_headers(
         self, holder: str, fencing: int
     ) -> list[tuple[bytes, bytes]]:
         """Headers that identify the lease holder that sends an order."""
--- a/src/apricotlever/serving/duty_lease.py
+++ b/src/apricotlever/serving/duty_lease.py
@@ -53,7 +53,7 @@
     return list(dict.fromkeys([*holders, *ranked]))
 
 
-class LeaseKeeper:
+class LeaseManager:
     """Acquires, renews and surrenders one lease by calls to the store.
 
     :param name: the name of the lease.
@@ -295,7 +295,7 @@
             in the meantime, or the ordered capacity is unavailable.
         :raises CloudBusy: if the call may be repeated.
         """
-        headers = self._dialect.duty_headers(self._vm, fencing)
+        headers = self._dialect.lease_holder_headers(self._vm, fencing)
         request = pools.encode_request("POST", path, self._host, body, headers)
         self.calls += 1
         try:
--- a/src/apricotlever/serving/duty_roster.py
+++ b/src/apricotlever/serving/duty_roster.py
@@ -53,7 +53,7 @@
     ) -> None:
         self._clock = clock
         self._heartbeat_s = config.bounds.runner_heartbeat_s
-        self._keeper = keeper = duty_lease.LeaseKeeper(
+        self._keeper = keeper = duty_lease.LeaseManager(
             LEASE_NAME,
             config.vm,
             incarnation,
--- a/src/apricotlever/serving/fleet_link.py
+++ b/src/apricotlever/serving/fleet_link.py
@@ -193,7 +193,7 @@
         }
 
     @property
-    def follows(self) -> bool:
+    def must_follow_store(self) -> bool:
         """Whether this VM has to follow the store itself."""
         return self._followers.follows
 
@@ -206,7 +206,7 @@
         return self._clock.now() - since >= STABLE_FOLLOWER_S
 
     @property
-    def mean_sign_of_life_interval_s(self) -> float:
+    def mean_message_interval_s(self) -> float:
         """Mean time between two messages from a VM, in seconds."""
         return self._table.mean_sign_of_life_interval_s
 
@@ -381,7 +381,7 @@
 
     def _check_for_missing_updates(self, record: vm_records.VmRecord) -> None:
         """Fetch updates of a peer that the store did not deliver in time."""
-        grace_s = STORE_GRACE_S if self.follows else 0.0
+        grace_s = STORE_GRACE_S if self.must_follow_store else 0.0
         sources = self._record_exchange.directory_sources
         compared = sources is None or record.vm in sources
         if not compared:
--- a/src/apricotlever/serving/limit_protocol.py
+++ b/src/apricotlever/serving/limit_protocol.py
@@ -157,7 +157,7 @@
             self._transport.close()
             self._transport = None
 
-    async def take(
+    async def request_admission(
         self, address: Address, customer: str, units: float
     ) -> float | None:
         """Ask a keeper to admit a call.
--- a/src/apricotlever/serving/node.py
+++ b/src/apricotlever/serving/node.py
@@ -226,7 +226,7 @@
             logged and ignored.
         """
         try:
-            configuration = self._dialect.platform.configuration(spec)
+            configuration = self._dialect.platform.parse_configuration(spec)
         except ValueError as error:
             logs.event("configuration_refused", error=str(error))
             return False
@@ -334,7 +334,7 @@
     def receive_record(self, record: vm_records.VmRecord) -> None:
         """Apply a record of another VM."""
         self._limits.initialize_levels(record.levels)
-        self._limits.heard(record.process, record.used)
+        self._limits.receive_totals(record.process, record.used)
         self._usage.merge_counts(record.process, record.usage)
         self._work.merge_counters(record.process, record.work)
         self._duties.observe_reported_window(record.reported)
@@ -445,7 +445,7 @@
 
     def _check_informed(self) -> None:
         if self._configuration is not None and self._directory.runners:
-            self._servers.informed()
+            self._servers.set_ready()
 
     def _start_watchers(self) -> None:
         """Start the watchers of the store, one for each kind of object."""
@@ -460,7 +460,7 @@
             ),
             self._orders if self._settings.bounds.roll_outs else None,
             self._rng,
-            lambda: self._fleet.follows,
+            lambda: self._fleet.must_follow_store,
             lambda: self._fleet.is_stable_follower,
         )
         for watcher in self._watchers:
@@ -515,7 +515,7 @@
         self._fleet.update_members()
         processes = frozenset(m.process for m in members)
         self._limits.set_members(
-            processes, self._fleet.mean_sign_of_life_interval_s
+            processes, self._fleet.mean_message_interval_s
         )
         self._limits.set_keepers(self._fleet.limit_keepers)
         self._work.merge_counters(
--- a/src/apricotlever/serving/roll_out_duty.py
+++ b/src/apricotlever/serving/roll_out_duty.py
@@ -129,13 +129,13 @@
             if self._controller.withdraw_order(order.service, order.revision):
                 self._changed()
             return
-        current = self._dialect.roll_out(found, order.started_at)
+        current = self._dialect.parse_roll_out(found, order.started_at)
         if current.version != order.version or current.state.is_final:
             # The order was replaced, or another holder wrote the result.
             if self._controller.merge_order(current):
                 self._changed()
             return
-        status = self._dialect.roll_out_status(order, state)
+        status = self._dialect.encode_roll_out_status(order, state)
         if found.status != status:
             found = await self._store.replace_status(
                 kind, order.service, status, found.revision
--- a/src/apricotlever/serving/roll_out_orders.py
+++ b/src/apricotlever/serving/roll_out_orders.py
@@ -57,7 +57,7 @@
         deleted = [c.stored.name for c in last if c.deleted]
         self._merge(filter(None, orders), deleted, changes.revision)
 
-    def store_returned(self) -> None:
+    def store_recovered(self) -> None:
         """Do nothing, as orders don't expire."""
 
     def merge_records(
@@ -81,7 +81,7 @@
 
     def _read(self, stored: store.StoredObject) -> model.RollOutOrder | None:
         try:
-            order = self._dialect.roll_out(stored, self._clock.wall())
+            order = self._dialect.parse_roll_out(stored, self._clock.wall())
         except ValueError as error:
             if self._log_limit.allows(stored.name):
                 logs.event(
--- a/src/apricotlever/serving/runner_attempt.py
+++ b/src/apricotlever/serving/runner_attempt.py
@@ -175,7 +175,7 @@
         self._upstreams.call_started(self._name, self._runner, self._query)
         try:
             channel.send(
-                self._dialect.request(self._call, self._errand),
+                self._dialect.encode_request(self._call, self._errand),
                 self._is_own_response,
             )
             outcome = await self._read_response(
@@ -235,7 +235,7 @@
 
     def _is_own_response(self, status: int, headers: messages.Headers) -> bool:
         """Whether a response answers this call and not an earlier one."""
-        head = self._dialect.head(status, headers)
+        head = self._dialect.parse_response_head(status, headers)
         return head.request_id in ("", self._call.request_id)
 
     async def _read_response(
@@ -247,7 +247,9 @@
             async with asyncio.timeout(first_response_timeout_s):
                 raw = await channel.read_head()
                 self._upstreams.bytes_received(self._runner)
-                head = self._dialect.head(raw.status, raw.headers)
+                head = self._dialect.parse_response_head(
+                    raw.status, raw.headers
+                )
                 self._head = head
                 if self._is_stream(head):
                     expect_more = await self._forward_first_event(
--- a/src/apricotlever/serving/runner_duty.py
+++ b/src/apricotlever/serving/runner_duty.py
@@ -233,7 +233,7 @@
         in_flight: typing.Callable[[str], int],
         cloud: duty_lease.CloudClient,
         dialect: dialects.PlatformDialect,
-        keeper: duty_lease.LeaseKeeper,
+        keeper: duty_lease.LeaseManager,
         heartbeat_s: float,
         serves: typing.Callable[[runners.Runner], bool] = lambda runner: True,
     ) -> None:
@@ -375,7 +375,7 @@
         fencing = self._keeper.fencing
         if fencing is None:
             return False
-        path, body = self._dialect.order_call(
+        path, body = self._dialect.runner_order_request(
             target.service,
             target.data_centre,
             target.count,
--- a/src/apricotlever/serving/servers.py
+++ b/src/apricotlever/serving/servers.py
@@ -53,7 +53,7 @@
         else:
             await server.serve(sock)
 
-    def informed(self) -> None:
+    def set_ready(self) -> None:
         """Note that this VM has a configuration and runners."""
         self._opening.set_ready()
 
--- a/src/apricotlever/serving/status_handlers.py
+++ b/src/apricotlever/serving/status_handlers.py
@@ -60,7 +60,7 @@
         if not addresses:
             reply.send_whole(503, ())
             return
-        body = self._dialect.lookup_answer(addresses, LOOKUP_TTL_S)
+        body = self._dialect.lookup_body(addresses, LOOKUP_TTL_S)
         reply.send_whole(200, [(b"Content-Type", b"application/json")], body)
 
     async def metrics(
--- a/src/apricotlever/serving/store.py
+++ b/src/apricotlever/serving/store.py
@@ -168,13 +168,13 @@
     def delete_call(self, kind: str, name: str) -> Call:
         """Delete an object."""
 
-    def page(self, body: bytes) -> Page:
+    def decode_page(self, body: bytes) -> Page:
         """Decode a page of a list."""
 
-    def changes(self, body: bytes) -> Changes:
+    def decode_changes(self, body: bytes) -> Changes:
         """Decode the answer to a watch call."""
 
-    def stored(self, body: bytes) -> StoredObject:
+    def decode_object(self, body: bytes) -> StoredObject:
         """Decode one object."""
 
 
@@ -210,7 +210,7 @@
         after: str | None = None
         while True:
             call = self._codec.list_call(kind, after, stale)
-            page = _read(self._codec.page, await self._call(call))
+            page = _read(self._codec.decode_page, await self._call(call))
             objects += page.objects
             unreadable += page.unreadable
             if not page.more or not page.objects:
@@ -230,14 +230,14 @@
         )
         call = self._codec.watch_call(kind, revision, wait_s)
         answer = await self._call(call, pool, wait_s + WATCH_TIMEOUT_MARGIN_S)
-        return _read(self._codec.changes, answer)
+        return _read(self._codec.decode_changes, answer)
 
     async def get(self, kind: str, name: str) -> StoredObject | None:
         """Get one object; None if it does not exist."""
         answer = await self._call(self._codec.get_call(kind, name))
         if answer.status == 404:
             return None
-        return _read(self._codec.stored, answer)
+        return _read(self._codec.decode_object, answer)
 
     async def create(self, kind: str, name: str, spec: Json) -> StoredObject:
         """Create an object.
@@ -245,7 +245,7 @@
         :raises Conflict: if it exists already.
         """
         call = self._codec.create_call(kind, name, spec)
-        return _read(self._codec.stored, await self._call(call))
+        return _read(self._codec.decode_object, await self._call(call))
 
     async def replace(
         self, kind: str, name: str, spec: Json, revision: int | None
@@ -257,7 +257,7 @@
         :raises NotFound: if it does not exist.
         """
         call = self._codec.replace_call(kind, name, spec, revision)
-        return _read(self._codec.stored, await self._call(call))
+        return _read(self._codec.decode_object, await self._call(call))
 
     async def replace_status(
         self, kind: str, name: str, status: Json, revision: int
@@ -269,7 +269,7 @@
         :raises NotFound: if it does not exist.
         """
         call = self._codec.status_call(kind, name, status, revision)
-        return _read(self._codec.stored, await self._call(call))
+        return _read(self._codec.decode_object, await self._call(call))
 
     async def delete(self, kind: str, name: str) -> None:
         """Delete an object.
--- a/src/apricotlever/serving/store_listeners.py
+++ b/src/apricotlever/serving/store_listeners.py
@@ -46,7 +46,7 @@
             if not change.deleted:
                 self._take(change.stored)
 
-    def store_returned(self) -> None:
+    def store_recovered(self) -> None:
         """Do nothing, as objects of this kind do not expire."""
 
     def _take(self, stored: store.StoredObject) -> None:
@@ -110,12 +110,12 @@
         if changes.changes:
             self._tell(ended)
 
-    def store_returned(self) -> None:
+    def store_recovered(self) -> None:
         """Allow entries that expired during the outage to reappear."""
         self._directory.extend_removal_grace()
 
     def _read(self, stored: store.StoredObject) -> runners.RunnerEntry:
-        entry = self._platform.runner(stored)
+        entry = self._platform.parse_runner(stored)
         if isinstance(entry, runners.UnreadableEntry):
             if self._refusals.allows(entry.name):
                 logs.event(
--- a/src/apricotlever/serving/store_watch.py
+++ b/src/apricotlever/serving/store_watch.py
@@ -31,7 +31,7 @@
     def changed(self, changes: store.Changes) -> None:
         """Handle created, changed and deleted objects."""
 
-    def store_returned(self) -> None:
+    def store_recovered(self) -> None:
         """Handle the end of an outage of the store."""
 
 
@@ -182,4 +182,4 @@
             away_s=now - since,
         )
         if now - since > MIN_OUTAGE_S:
-            self._listener.store_returned()
+            self._listener.store_recovered()
--- a/src/apricotlever/serving/usage_duty.py
+++ b/src/apricotlever/serving/usage_duty.py
@@ -64,7 +64,7 @@
         store_: store.Store,
         cloud: duty_lease.CloudClient,
         dialect: dialects.PlatformDialect,
-        keeper: duty_lease.LeaseKeeper,
+        keeper: duty_lease.LeaseManager,
         levels: typing.Callable[[], typing.Mapping[str, float]],
     ) -> None:
         self._clock = clock
@@ -143,7 +143,7 @@
         fencing = self._keeper.fencing
         if fencing is None:
             return
-        path, body = self._dialect.report_call(window, counts)
+        path, body = self._dialect.usage_report_request(window, counts)
         if not await self._cloud.send(path, body, fencing):
             logs.event("report_fenced_off", window=window, fencing=fencing)
             self._keeper.fencing_rejected(fencing)
--- a/standins/plain_dialect.py
+++ b/standins/plain_dialect.py
@@ -21,7 +21,7 @@
     ready_path = "/ready"
     lookup_path = "/vms"
 
-    def read(self, method, target, headers, body, received_at):
+    def parse_call(self, method, target, headers, body, received_at):
         """Parse a call into the product's type."""
         by_name = _headers_by_name(headers)
         wait_s = by_name.get(b"wait-s")
@@ -48,7 +48,7 @@
         """No headers: the dialect adds none to a refusal."""
         return []
 
-    def answer_headers(self, head):
+    def forwarded_headers(self, head):
         """All headers of the runner's answer but those of the connection."""
         return [
             (name, value)
@@ -56,7 +56,7 @@
             if name.lower() not in CONNECTION_HEADERS
         ]
 
-    def lookup_answer(self, addresses, ttl_s):
+    def lookup_body(self, addresses, ttl_s):
         """The addresses, one per line."""
         return "\n".join(addresses).encode()
 
@@ -67,7 +67,7 @@
     A runner marks its own answers with the header Signed.
     """
 
-    def request(self, call, errand):
+    def encode_request(self, call, errand):
         """Encode a request with its headers and body."""
         lines = [
             f"{call.method} {call.target} HTTP/1.1",
@@ -83,7 +83,7 @@
             lines.append(f"After: {errand.resume_after}")
         return "\r\n".join([*lines, "", ""]).encode() + call.body
 
-    def head(self, status, headers):
+    def parse_response_head(self, status, headers):
         """Parse the status and headers of an answer."""
         by_name = _headers_by_name(headers)
         return messages.RunnerResponseHead(
--- a/tests/serving/fleet_of_directories.py
+++ b/tests/serving/fleet_of_directories.py
@@ -101,7 +101,7 @@
         #: The true start in each entry that was read, by name and revision.
         self.born = {}
 
-    def runner(self, stored):
+    def parse_runner(self, stored):
         """Decode the runner of an entry."""
         state = stored.spec
         self.born[stored.name, stored.revision] = state.born
--- a/tests/serving/memory_store.py
+++ b/tests/serving/memory_store.py
@@ -94,6 +94,6 @@
 class PlainDocuments:
     """A dialect that sends reports without encoding them."""
 
-    def report_call(self, window, counts):
+    def usage_report_request(self, window, counts):
         """The path and the body of a report."""
         return f"/report/{window}", dict(counts)
--- a/tests/steps/adapter.py
+++ b/tests/steps/adapter.py
@@ -45,7 +45,9 @@
 
 
 def _decode_call(headers, target="/lohu930/2f?x=1"):
-    return callers.Callers().read("POST", target, headers, b"body", 1.0)
+    return callers.AdapterCallerDialect().parse_call(
+        "POST", target, headers, b"body", 1.0
+    )
 
 
 @when("the adapter reads a call with a prompt of 1460 and 80 tokens")
@@ -109,7 +111,11 @@
     parameters = messages.RunnerCallParameters(
         "i-7f3a91c2", "hule930", 1.5, 3, None
     )
-    context.sent = upstreams.Upstreams().request(call, parameters).decode()
+    context.sent = (
+        upstreams.AdapterRunnerDialect()
+        .encode_request(call, parameters)
+        .decode()
+    )
 
 
 @then("the runner gets the product's own values and nothing forged")
@@ -134,10 +140,10 @@
 
 @then("only a marked answer guarantees that a call has not run")
 def _check_not_run_marks(context):
-    dialect = upstreams.Upstreams()
-    marked = dialect.head(503, [(b"Not-Executed", b"1")])
-    plain = dialect.head(503, [(b"Retry-After", b"0.5")])
-    moved = dialect.head(421, [(b"Instance-Id", b"i-02d9e6b4")])
+    dialect = upstreams.AdapterRunnerDialect()
+    marked = dialect.parse_response_head(503, [(b"Not-Executed", b"1")])
+    plain = dialect.parse_response_head(503, [(b"Retry-After", b"0.5")])
+    moved = dialect.parse_response_head(421, [(b"Instance-Id", b"i-02d9e6b4")])
     assert marked.not_run and not plain.not_run
     assert plain.retry_after_s == 0.5
     assert moved.other_runner and not plain.other_runner
@@ -207,7 +213,9 @@
 
 @when("the adapter reads a configuration with a split route")
 def _read_configuration(context):
-    context.read = documents.Documents().configuration(CONFIGURATION)
+    context.read = documents.AdapterPlatformDialect().parse_configuration(
+        CONFIGURATION
+    )
 
 
 @then(
@@ -252,7 +260,7 @@
         "spot": True,
         "leaves_ms": 2400,
     }
-    context.runner = documents.Documents().runner(
+    context.runner = documents.AdapterPlatformDialect().parse_runner(
         store.StoredObject("i-7f3a91c2", 12, spec, None)
     )
 
@@ -287,7 +295,7 @@
     assert (create.method, create.target) == ("POST", "/-/objects/leases")
     replace = codec.replace_call("leases", "fleet", {"a": 1}, 5)
     assert json.loads(replace.body)["metadata"]["revision"] == 5
-    page = codec.page(
+    page = codec.decode_page(
         b'{"entries":[{"metadata":{"name":"x","revision":3},"spec":{}}],'
         b'"has_more":true,"as_of":8}'
     )
--- a/tests/steps/adapter_entries.py
+++ b/tests/steps/adapter_entries.py
@@ -95,7 +95,7 @@
     async def list_all(self, kind):
         """Decode the answer."""
         self.lists += 1
-        return objects.ObjectStoreCodec().page(self.body)
+        return objects.ObjectStoreCodec().decode_page(self.body)
 
     async def watch(self, kind, revision, wait_s):
         """Wait without a change."""
@@ -110,7 +110,7 @@
         self.directory = directories.RunnerDirectory(self.clock)
         self.entries = store_listeners.RunnerEntryListener(
             self.directory,
-            documents.Documents(),
+            documents.AdapterPlatformDialect(),
             lambda ended: None,
             self.clock,
         )
@@ -199,8 +199,11 @@
 
 @then("the valid entry is decoded from the page")
 def _check_page(context):
-    page = objects.ObjectStoreCodec().page(context.body)
-    found = [documents.Documents().runner(stored) for stored in page.objects]
+    page = objects.ObjectStoreCodec().decode_page(context.body)
+    found = [
+        documents.AdapterPlatformDialect().parse_runner(stored)
+        for stored in page.objects
+    ]
     good = [entry for entry in found if isinstance(entry, runners.Runner)]
     assert [runner.name for runner in good] == ["good"]
     assert len(found) - len(good) + page.unreadable == 1
@@ -323,7 +326,7 @@
         stored = store.StoredObject(
             "r", 1, _with(VALID_ENTRY, field, value), None
         )
-        entry = documents.Documents().runner(stored)
+        entry = documents.AdapterPlatformDialect().parse_runner(stored)
         usable = isinstance(entry, runners.Runner)
         if usable != FIELD_CHECKS[field](value):
             context.wrong.append((field, value))
@@ -334,7 +337,7 @@
     @hypothesis.given(ANY_JSON)
     def vary_whole_entry(value):
         stored = store.StoredObject("r", 1, value, value)
-        entry = documents.Documents().runner(stored)
+        entry = documents.AdapterPlatformDialect().parse_runner(stored)
         if isinstance(entry, runners.Runner):
             context.wrong.append(value)
 
@@ -377,7 +380,11 @@
     good = json.dumps(_page(_object("good", 1, VALID_ENTRY))).encode()
 
     def read(body):
-        for decode in (codec.page, codec.changes, codec.stored):
+        for decode in (
+            codec.decode_page,
+            codec.decode_changes,
+            codec.decode_object,
+        ):
             try:
                 decode(body)
             except ValueError:
@@ -423,7 +430,7 @@
     drawn = strategies.tuples(
         strategies.sampled_from(sorted(_value_paths(good), key=str)), ANY_JSON
     ).map(lambda drawn: _with_value_at(good, *drawn))
-    read = documents.Documents().configuration
+    read = documents.AdapterPlatformDialect().parse_configuration
     assert read(good).version == 7
     _collect_errors(context, read, drawn)
     _collect_errors(context, read, ANY_JSON)
--- a/tests/steps/serving_call_relay.py
+++ b/tests/steps/serving_call_relay.py
@@ -90,7 +90,7 @@
     # not heard.
     context.clock.advance(2.0)
     context.units = float(units)
-    context.limits.heard("vm-2#1", {"new": context.units})
+    context.limits.receive_totals("vm-2#1", {"new": context.units})
 
 
 @when(
@@ -105,7 +105,7 @@
         2, [], [], [context.customer], configuration_model.CallerLimits()
     )
     context.limits.configure(configuration)
-    context.limits.heard("vm-2#1", {"new": context.units})
+    context.limits.receive_totals("vm-2#1", {"new": context.units})
     context.limits.set_members(frozenset({"vm-2#1"}))
 
 
--- a/tests/steps/serving_duty_lease.py
+++ b/tests/steps/serving_duty_lease.py
@@ -53,7 +53,7 @@
     def start(self, world):
         """Start or restart the VM's process."""
         self.incarnation += 1
-        self.keeper = duty_lease.LeaseKeeper(
+        self.keeper = duty_lease.LeaseManager(
             "fleet",
             self.name,
             self.incarnation,
@@ -248,7 +248,7 @@
 
 
 class _Headers:
-    def duty_headers(self, holder, fencing):
+    def lease_holder_headers(self, holder, fencing):
         """No headers."""
         return []
 
--- a/tests/steps/serving_limit_protocol.py
+++ b/tests/steps/serving_limit_protocol.py
@@ -99,11 +99,11 @@
     for vm in (context.keeper, context.asker):
         vm.limits.initialize_levels({"clerks": left})
         vm.limits.set_members(frozenset({"other#1"}))
-        vm.limits.heard("other#1", {})
+        vm.limits.receive_totals("other#1", {})
     # In its first second, a process uses only a fraction of the limit.
     context.clock.advance(2.0)
     for vm in (context.keeper, context.asker):
-        vm.limits.heard("other#1", {})
+        vm.limits.receive_totals("other#1", {})
         vm.limits.set_members(frozenset({"other#1"}))
 
 
@@ -138,7 +138,7 @@
 
     async def work():
         for _ in range(count):
-            permit = await context.asker.limits.let_in("clerks", float(units))
+            permit = await context.asker.limits.admit("clerks", float(units))
             assert permit.wait_s == 0.0, permit.wait_s
 
     _run(context, work)
@@ -155,7 +155,7 @@
     context.before = 0.0
 
     async def work():
-        permit = await context.asker.limits.let_in("clerks", 100.0)
+        permit = await context.asker.limits.admit("clerks", 100.0)
         assert permit.keeper == context.keeper.name
         context.asker.limits.refund(permit)
 
@@ -185,9 +185,9 @@
 def _no_answer(context, units):
     async def work():
         context.keeper.accepts_peers = False
-        permit = await context.asker.limits.let_in("clerks", float(units))
+        permit = await context.asker.limits.admit("clerks", float(units))
         assert permit.wait_s == 0.0 and not permit.keeper
-        context.again = await context.asker.limits.let_in("clerks", 0.0)
+        context.again = await context.asker.limits.admit("clerks", 0.0)
 
     _run(context, work)
 
@@ -206,7 +206,7 @@
     context.keeper.calls._keeper = mock.Mock(wraps=context.keeper.limits)
 
     async def work():
-        permit = await context.asker.limits.let_in("clerks", float(units))
+        permit = await context.asker.limits.admit("clerks", float(units))
         assert not permit.keeper
 
     _run(context, work)
@@ -219,7 +219,7 @@
     async def work():
         keeper, asker = context.keeper, context.asker
         keeper.accepts_peers = False
-        permit = await asker.limits.let_in("clerks", 100.0)
+        permit = await asker.limits.admit("clerks", 100.0)
         assert not permit.keeper
         keeper.accepts_peers = True
         request = msgpack.packb([limit_protocol.ASK, 0, "clerks", 100.0])
@@ -238,7 +238,7 @@
             await asyncio.sleep(0.005)
         context.counted_for_invalid = context.keeper.counted
         context.keeper.accepts_peers = True
-        context.permit = await context.asker.limits.let_in("clerks", 100.0)
+        context.permit = await context.asker.limits.admit("clerks", 100.0)
 
     _run(context, work)
 
--- a/tests/steps/serving_roll_outs.py
+++ b/tests/steps/serving_roll_outs.py
@@ -94,7 +94,7 @@
         self.controller = controllers.RollOutController(
             clock, random.Random(1), model.RollOutLimits()
         )
-        self.documents = documents.Documents()
+        self.documents = documents.AdapterPlatformDialect()
         self.orders = roll_out_orders.RollOutOrders(
             clock, self.controller, self.documents, lambda: None
         )
--- a/tests/steps/serving_runner_directory.py
+++ b/tests/steps/serving_runner_directory.py
@@ -120,7 +120,7 @@
 class Platform:
     """A dialect of the platform that decodes entries of runners."""
 
-    def runner(self, stored):
+    def parse_runner(self, stored):
         """The runner of an entry."""
         return _runner(stored.name, stored.revision)
 
--- a/tests/steps/serving_runner_duty.py
+++ b/tests/steps/serving_runner_duty.py
@@ -38,7 +38,7 @@
         self.taken = {}
         self.log = []
 
-    def order_call(self, service, data_centre, count, reclaimable):
+    def runner_order_request(self, service, data_centre, count, reclaimable):
         """The order itself as path and body."""
         return (data_centre, reclaimable), count
 
