--- a/bench/_demo_report.py
+++ b/bench/_demo_report.py
@@ -1,4 +1,4 @@
-"""What a demo found, and whether each promise was kept."""
+"""Checks a demo run's promises and summarises its requests."""
 
 import collections
 import itertools
@@ -11,24 +11,24 @@
 PERCENT = 100.0
 
 
-class Far:
-    """What the far end counted.
+class Executions:
+    """How often the runners executed requests, according to their journals.
 
-    :param executions: by request, at the engines.
-    :param runs: by operation, at the plain services.
+    :param by_request: executions at the engines, by request ID.
+    :param by_operation: executions at the plain services, by operation.
     """
 
-    __slots__ = ("executions", "runs")
+    __slots__ = ("by_request", "by_operation")
 
     def __init__(
-        self, executions: dict[str, int], runs: dict[str, int]
+        self, by_request: dict[str, int], by_operation: dict[str, int]
     ) -> None:
-        self.executions = executions
-        self.runs = runs
+        self.by_request = by_request
+        self.by_operation = by_operation
 
 
-class Check:
-    """A promise and the cases that break it."""
+class PromiseCheck:
+    """A promise and the cases that broke it."""
 
     __slots__ = ("promise", "broken")
 
@@ -36,8 +36,8 @@
         self.promise = promise
         self.broken = broken
 
-    def document(self) -> Document:
-        """As JSON."""
+    def as_record(self) -> Document:
+        """The check as a JSON object, with at most 10 cases."""
         return {
             "promise": self.promise,
             "kept": not self.broken,
@@ -45,57 +45,78 @@
         }
 
 
-def far_end(fleet: _load_fleet.LoadFleet) -> Far:
-    """Read the journals of all runners, of the killed ones as well."""
+def read_executions(fleet: _load_fleet.LoadFleet) -> Executions:
+    """Read the journals of all runners, including killed ones."""
     engines = set(fleet.engines)
-    executions: collections.Counter[str] = collections.Counter()
-    runs: collections.Counter[str] = collections.Counter()
-    for name, machine in fleet.machines.items():
+    by_request: collections.Counter[str] = collections.Counter()
+    by_operation: collections.Counter[str] = collections.Counter()
+    for name, machine in fleet.billed_vms.items():
         if machine.pool:
-            counted = executions if name in engines else runs
-            counted.update(fleet.journal(name))
-    return Far(executions, runs)
+            counts = by_request if name in engines else by_operation
+            counts.update(fleet.journal(name))
+    return Executions(by_request, by_operation)
 
 
-def checks(rows: list[Document], faults: list[Document], far: Far) -> list:
-    """Every promise, with the cases that break it."""
+def check_promises(
+    rows: list[Document], faults: list[Document], executions: Executions
+) -> list:
+    """Check every promise.
+
+    :param rows: the records of the requests.
+    :param faults: the records of the faults.
+    """
     streams = [row for row in rows if row["class"] and not row["operation"]]
-    lost = [
+    incomplete = [
         f"{row['work']} {row['number']} {row['outcome']}: {row['problem']}"
         f" {row['error']}"
         for row in rows
         if row["outcome"] in (_load_calls.LOST, _load_calls.WRONG)
     ]
-    doubled = [
+    duplicated = [
         f"{row['work']} {row['number']}: {row['doubled_tokens']} tokens"
         for row in streams
         if row["doubled_tokens"]
     ]
     return [
-        Check("accepted requests are answered whole and in order", lost),
-        Check("no token reaches a caller twice", doubled),
-        Check("non-idempotent calls run at most once", _twice(far)),
-        Check("an acknowledged call did run", _unrun(rows, far)),
-        Check("refused with executed=no was not run", _run(rows, far)),
-        Check("leaving runners get no new work", _late(faults)),
-        Check("entry VMs stop gracefully", _cut_off(faults)),
-        Check("every fault came true", _failed(faults)),
+        PromiseCheck(
+            "accepted requests are answered whole and in order", incomplete
+        ),
+        PromiseCheck("no token reaches a caller twice", duplicated),
+        PromiseCheck(
+            "non-idempotent calls run at most once",
+            _repeated_operations(executions),
+        ),
+        PromiseCheck(
+            "an acknowledged call did run",
+            _acknowledged_unexecuted(rows, executions),
+        ),
+        PromiseCheck(
+            "refused with executed=no was not run",
+            _refused_executed(rows, executions),
+        ),
+        PromiseCheck(
+            "leaving runners get no new work", _work_after_notice(faults)
+        ),
+        PromiseCheck("entry VMs stop gracefully", _failed_stops(faults)),
+        PromiseCheck("every fault came true", _failed_faults(faults)),
     ]
 
 
-def works(rows: list[Document], far: Far) -> list[Document]:
-    """One row for each kind of work, and one for all."""
-    keyed = sorted(rows, key=lambda row: row["work"])
+def work_rows(rows: list[Document], executions: Executions) -> list[Document]:
+    """Make a row for each kind of work and one for all requests."""
+    ordered = sorted(rows, key=lambda row: row["work"])
     groups = {
         name: list(group)
-        for name, group in itertools.groupby(keyed, lambda r: r["work"])
+        for name, group in itertools.groupby(ordered, lambda r: r["work"])
     }
     groups["all"] = rows
-    return [_work(name, group, far) for name, group in groups.items()]
+    return [
+        _work_row(name, group, executions) for name, group in groups.items()
+    ]
 
 
 def percentile(values: typing.Iterable[float], percent: float) -> float | None:
-    """The value whose rank is nearest; None without values."""
+    """The nearest-rank percentile; None if there are no values."""
     ordered = sorted(values)
     if not ordered:
         return None
@@ -103,23 +124,27 @@
     return ordered[rank - 1]
 
 
-def _work(name: str, rows: list[Document], far: Far) -> Document:
-    counted = collections.Counter(row["outcome"] for row in rows)
+def _work_row(
+    name: str, rows: list[Document], executions: Executions
+) -> Document:
+    counts = collections.Counter(row["outcome"] for row in rows)
     first = [
         row["first_token_s"] or row["whole_s"]
         for row in rows
         if row["outcome"] == _load_calls.WHOLE
     ]
     operations = {row["operation"] for row in rows if row["operation"]}
-    twice = sum(max(0, far.runs.get(each, 0) - 1) for each in operations)
+    repeated = sum(
+        max(0, executions.by_operation.get(each, 0) - 1) for each in operations
+    )
     return {
         "work": name,
         "requests": len(rows),
-        "whole": counted[_load_calls.WHOLE],
-        "refused": counted[_load_calls.REFUSED],
-        "unknown": counted[_load_calls.UNKNOWN],
-        "lost": counted[_load_calls.LOST] + counted[_load_calls.WRONG],
-        "duplicates": twice + sum(row["doubled_tokens"] for row in rows),
+        "whole": counts[_load_calls.WHOLE],
+        "refused": counts[_load_calls.REFUSED],
+        "unknown": counts[_load_calls.UNKNOWN],
+        "lost": counts[_load_calls.LOST] + counts[_load_calls.WRONG],
+        "duplicates": repeated + sum(row["doubled_tokens"] for row in rows),
         "moves": sum(row["moves"] for row in rows),
         "breaks": sum(row["breaks"] for row in rows),
         "first_p50_s": percentile(first, 50),
@@ -127,30 +152,39 @@
     }
 
 
-def _twice(far: Far) -> list[str]:
-    return [f"{name}: {n} runs" for name, n in far.runs.items() if n > 1]
+def _repeated_operations(executions: Executions) -> list[str]:
+    return [
+        f"{name}: {n} executions"
+        for name, n in executions.by_operation.items()
+        if n > 1
+    ]
 
 
-def _unrun(rows: list[Document], far: Far) -> list[str]:
+def _acknowledged_unexecuted(
+    rows: list[Document], executions: Executions
+) -> list[str]:
     return [
-        f"{row['operation']} was acknowledged and never ran"
+        f"{row['operation']} was acknowledged but not executed"
         for row in rows
         if row["operation"]
         and row["outcome"] == _load_calls.WHOLE
-        and not far.runs.get(row["operation"])
+        and not executions.by_operation.get(row["operation"])
     ]
 
 
-def _run(rows: list[Document], far: Far) -> list[str]:
+def _refused_executed(
+    rows: list[Document], executions: Executions
+) -> list[str]:
     refused = [row for row in rows if row["outcome"] == _load_calls.REFUSED]
     return [
-        f"{row['work']} {row['number']} was refused and ran"
+        f"{row['work']} {row['number']} was refused but executed"
         for row in refused
-        if far.runs.get(row["operation"]) or far.executions.get(row["request"])
+        if executions.by_operation.get(row["operation"])
+        or executions.by_request.get(row["request"])
     ]
 
 
-def _late(faults: list[Document]) -> list[str]:
+def _work_after_notice(faults: list[Document]) -> list[str]:
     return [
         f"{fault['vms']}: {fault['new_work_after']}"
         for fault in faults
@@ -158,7 +192,7 @@
     ]
 
 
-def _cut_off(faults: list[Document]) -> list[str]:
+def _failed_stops(faults: list[Document]) -> list[str]:
     return [
         f"{fault['vms']} ended with {fault['exit_code']}"
         for fault in faults
@@ -166,7 +200,7 @@
     ]
 
 
-def _failed(faults: list[Document]) -> list[str]:
+def _failed_faults(faults: list[Document]) -> list[str]:
     return [
         f"{fault['fault']} {fault['arguments']}: {fault['failed']}"
         for fault in faults
--- a/bench/_load_calls.py
+++ b/bench/_load_calls.py
@@ -1,4 +1,4 @@
-"""Sends one arrival as a caller would, and notes what came of it."""
+"""Sends one arrival as a client would, and records the result."""
 
 import itertools
 import time
@@ -11,7 +11,8 @@
 
 KEY_PREFIX = "demo-"
 RETRY_S = 0.2
-#: Longer than any class of the examples lets a request queue.
+#: Seconds without data after which a connection is given up. Longer than any
+#: service class of the examples lets a request queue.
 GAP_TIMEOUT_S = 30.0
 WHOLE = "whole"
 REFUSED = "refused"
@@ -20,15 +21,23 @@
 WRONG = "wrong"
 MADE = "made"
 MINTED = "minted"
-NO_KEY_STATUS = 503
-#: How long a call that got no answer at all is sent again with its key.
-UNHEARD_S = 20.0
+NO_KEY_MINTED_STATUS = 503
+#: How long a call that is safe to repeat is retried, in seconds, when it got
+#: no answer or its answer asked for a retry.
+SAFE_RETRY_S = 20.0
 
 
-class Sample:
-    """What a caller saw of one arrival; times count from its intended time.
+class RequestSample:
+    """What a client measured for one arrival.
 
-    :param lag_s: how late the load generator itself was.
+    ``first_token_s`` and ``whole_s`` are in seconds since the intended time
+    of the arrival.
+
+    :param answer: the answer to the last attempt.
+    :param lag_s: how late the load generator sent the first attempt.
+    :param tries: the number of attempts.
+    :param started_s: when the last attempt was sent, in seconds since the
+        intended time of the arrival.
     """
 
     __slots__ = (
@@ -47,19 +56,19 @@
         answer: answers.Answer,
         lag_s: float,
         tries: int,
-        began_s: float,
+        started_s: float,
     ) -> None:
         self.arrival = arrival
         self.answer = answer
         self.lag_s = lag_s
         self.tries = tries
-        self.outcome = _outcome(answer)
+        self.outcome = _classify_outcome(answer)
         first = answer.first_token_s
-        self.first_token_s = None if first is None else began_s + first
-        self.whole_s = began_s + answer.whole_s
+        self.first_token_s = None if first is None else started_s + first
+        self.whole_s = started_s + answer.whole_s
 
-    def document(self) -> dict[str, typing.Any]:
-        """The sample as one line of JSON."""
+    def as_record(self) -> dict[str, typing.Any]:
+        """The sample as a JSON object for the run file."""
         arrival = self.arrival
         answer = self.answer
         gaps = [round(gap * 1e6) for gap in answer.gaps_s]
@@ -90,79 +99,89 @@
         }
 
 
-class Customers:
-    """One caller for each customer, at the same entry VMs.
+class CustomerClients:
+    """Keeps one client for each customer, all with the same entry VMs.
 
     :param entries: addresses of some entry VMs.
-    :param patience_s: how long a refused request is tried again elsewhere.
+    :param patience_s: how long a refused request is retried at the entry VMs
+        in turn, in seconds.
     """
 
     def __init__(self, entries: list[str], patience_s: float) -> None:
         self._entries = entries
         self._patience_s = patience_s
-        self._callers: dict[str, caller.Caller] = {}
+        self._clients: dict[str, caller.Caller] = {}
 
-    def send(self, arrival: _load_work.Arrival, due: float) -> Sample:
-        """Send an arrival now.
+    def send(
+        self, arrival: _load_work.Arrival, due_at: float
+    ) -> RequestSample:
+        """Send a request and retry it as long as that is allowed.
 
-        :param due: its intended time on the monotonic clock.
+        :param due_at: the intended time of the arrival on the monotonic
+            clock.
         """
-        lag_s = time.monotonic() - due
-        one = self._caller(arrival.customer)
+        lag_s = time.monotonic() - due_at
+        client = self._client_for(arrival.customer)
         key = f"key-{arrival.operation}" if arrival.key == MADE else ""
         address = ""
         for tries in itertools.count(1):
-            began_s = time.monotonic() - due
+            started_s = time.monotonic() - due_at
             if arrival.key == MINTED and not key:
-                address = one.next_address()
-                key = _minted(one, address)
-            answer = _once(one, arrival, key, address)
-            # A key minted here is known to the other entry VMs as well.
+                address = client.next_address()
+                key = _mint_key(client, address)
+            answer = _send_once(client, arrival, key, address)
+            # Only the first attempt goes to the entry VM that minted the
+            # key: the others recognise the key as well.
             address = ""
-            if time.monotonic() - due > self.wait_s(arrival, answer):
-                return Sample(arrival, answer, lag_s, tries, began_s)
+            if time.monotonic() - due_at > self.retry_window_s(
+                arrival, answer
+            ):
+                return RequestSample(arrival, answer, lag_s, tries, started_s)
             time.sleep(RETRY_S)
         raise AssertionError("unreachable")
 
-    def _caller(self, customer: str) -> caller.Caller:
-        fresh = caller.Caller(
+    def _client_for(self, customer: str) -> caller.Caller:
+        new_client = caller.Caller(
             self._entries, KEY_PREFIX + customer, GAP_TIMEOUT_S
         )
-        return self._callers.setdefault(customer, fresh)
+        return self._clients.setdefault(customer, new_client)
 
-    def wait_s(
+    def retry_window_s(
         self, arrival: _load_work.Arrival, answer: answers.Answer
     ) -> float:
-        """Until when the arrival may be sent again; 0 for not at all."""
+        """How long an arrival may be retried, counted from its intended time.
+
+        :returns: seconds; 0 if the arrival must not be retried.
+        """
         if answer.done:
             return 0.0
         if answer.refused:
             return self._patience_s
-        # With its key a call is sent again without harm, also after an
-        # answer that could not tell whether it had been run.
-        harmless = arrival.key or arrival.method == "GET"
-        asked_to = not answer.status or answer.retry_after_s
-        return UNHEARD_S if harmless and asked_to else 0.0
+        # A call with an idempotency key is safe to repeat, even after an
+        # answer that could not tell whether the call had been executed.
+        is_safe = arrival.key or arrival.method == "GET"
+        may_retry = not answer.status or answer.retry_after_s
+        return SAFE_RETRY_S if is_safe and may_retry else 0.0
 
 
-def _minted(one: caller.Caller, address: str) -> str:
-    """A key from an entry VM; empty when it gave none."""
+def _mint_key(client: caller.Caller, address: str) -> str:
+    """Get a key from an entry VM; empty if the entry VM minted none."""
     try:
-        return one.mint_keys(1, address)[0]
+        return client.mint_keys(1, address)[0]
     except (AssertionError, *caller.BROKEN):
         return ""
 
 
-def _once(
-    one: caller.Caller, arrival: _load_work.Arrival, key: str, address: str
+def _send_once(
+    client: caller.Caller, arrival: _load_work.Arrival, key: str, address: str
 ) -> answers.Answer:
     if arrival.is_stream:
         assert arrival.body is not None
-        return one.stream(arrival.path, arrival.body)
+        return client.stream(arrival.path, arrival.body)
     if arrival.key == MINTED and not key:
-        # Nothing was sent but the wish for a key.
-        return _refused_key()
-    return one.service(
+        # Only the request for a key was sent, so the call was not executed.
+        return _key_refusal()
+    return client.service(
         arrival.entry,
         arrival.method,
         arrival.path,
@@ -172,15 +191,15 @@
     )
 
 
-def _refused_key() -> answers.Answer:
+def _key_refusal() -> answers.Answer:
     answer = answers.Answer()
-    answer.status = NO_KEY_STATUS
+    answer.status = NO_KEY_MINTED_STATUS
     answer.executed = "no"
     answer.error = "no key was minted"
     return answer
 
 
-def _outcome(answer: answers.Answer) -> str:
+def _classify_outcome(answer: answers.Answer) -> str:
     if answer.done:
         return WRONG if answer.problem else WHOLE
     if answer.refused:
--- a/bench/_load_drive.py
+++ b/bench/_load_drive.py
@@ -1,7 +1,7 @@
-"""Sends arrivals at their times from several processes.
+"""Sends arrivals at their intended times from several worker processes.
 
-The loop is open: a request is sent when its time has come, whatever became
-of those before it, and the generator's own lateness is measured.
+The load is open-loop: each request is sent at its intended time, regardless
+of the answers to earlier ones. The lag of the generator itself is measured.
 """
 
 from concurrent import futures
@@ -13,29 +13,32 @@
 from . import _load_calls
 from . import _load_work
 
-START_S = 2.0
-THREADS_MAX = 1500
-#: Above this the generator is too slow, and its figures mean nothing.
+START_DELAY_S = 2.0
+MAX_THREADS = 1500
+#: Above this 99th percentile of lag the generator was too slow, and the
+#: latencies that it measured are not valid.
 LAG_P99_MAX_S = 0.025
 Document = dict[str, typing.Any]
 
 
-class Share:
-    """What one process of the generator does.
+class WorkerTask:
+    """Which arrivals one worker process sends, and where.
 
-    :param seed: of the whole run's workload.
-    :param part: which of ``parts`` this process sends.
+    :param seed: the seed of the whole run's workload.
+    :param only: the kinds of work to send; all if empty.
+    :param worker: the index of the worker process. Of every ``workers``
+        arrivals the process sends the one with this index.
     :param start_at: the run's start on the monotonic clock, which all
         processes of a machine share.
     """
 
     __slots__ = (
         "seed",
-        "per_s",
+        "rate_per_s",
         "seconds",
         "only",
-        "part",
-        "parts",
+        "worker",
+        "workers",
         "entries",
         "patience_s",
         "start_at",
@@ -44,42 +47,43 @@
     def __init__(
         self,
         seed: int,
-        per_s: float,
+        rate_per_s: float,
         seconds: float,
         only: tuple[str, ...],
-        part: int,
-        parts: int,
+        worker: int,
+        workers: int,
         entries: list[str],
         patience_s: float,
         start_at: float,
     ) -> None:
         self.seed = seed
-        self.per_s = per_s
+        self.rate_per_s = rate_per_s
         self.seconds = seconds
         self.only = only
-        self.part = part
-        self.parts = parts
+        self.worker = worker
+        self.workers = workers
         self.entries = entries
         self.patience_s = patience_s
         self.start_at = start_at
 
 
-class Run:
-    """A load that is being sent by processes in the background.
+class LoadRun:
+    """A load run whose worker processes send in the background.
 
     :param entries: addresses of some entry VMs.
-    :param seed: of the workload.
-    :param per_s: mean rate of arrivals.
-    :param seconds: how long to send for.
-    :param processes: how many share the work.
-    :param patience_s: how long callers repeat refused requests.
+    :param seed: the seed of the workload.
+    :param rate_per_s: the mean arrival rate.
+    :param seconds: how long requests are sent for.
+    :param processes: the number of worker processes.
+    :param patience_s: how long clients retry refused requests, in seconds.
+    :param only: the kinds of work to send; all if empty.
     """
 
     def __init__(
         self,
         entries: list[str],
         seed: int,
-        per_s: float,
+        rate_per_s: float,
         seconds: float,
         processes: int = 2,
         patience_s: float = 0.0,
@@ -87,56 +91,64 @@
     ) -> None:
         context = multiprocessing.get_context("spawn")
         self._pool = futures.ProcessPoolExecutor(processes, context)
-        ready = [self._pool.submit(_warm, 0.5) for _ in range(processes)]
-        futures.wait(ready)
-        self.start_at = time.monotonic() + START_S
-        shares = [
-            Share(
+        warm_ups = [
+            self._pool.submit(_occupy_worker, 0.5) for _ in range(processes)
+        ]
+        futures.wait(warm_ups)
+        self.start_at = time.monotonic() + START_DELAY_S
+        tasks = [
+            WorkerTask(
                 seed,
-                per_s,
+                rate_per_s,
                 seconds,
                 only,
-                part,
+                worker,
                 processes,
                 entries,
                 patience_s,
                 self.start_at,
             )
-            for part in range(processes)
+            for worker in range(processes)
         ]
-        self._running = [self._pool.submit(send, each) for each in shares]
+        self._futures = [self._pool.submit(run_worker, each) for each in tasks]
 
     def wait(self) -> list[Document]:
-        """Every request's record, in order of arrival."""
-        found = [row for each in self._running for row in each.result()]
+        """Wait for all answers.
+
+        :returns: the record of each request, in order of arrival.
+        """
+        records = [row for each in self._futures for row in each.result()]
         self._pool.shutdown()
-        return sorted(found, key=lambda row: row["number"])
+        return sorted(records, key=lambda row: row["number"])
 
 
-def send(share: Share) -> list[Document]:
-    """Send a process's share, and wait for the answers."""
-    workload = _load_work.Workload(share.seed, share.per_s, share.only)
-    mine = workload.arrivals(share.seconds)[share.part :: share.parts]
-    customers = _load_calls.Customers(share.entries, share.patience_s)
-    # Pauses of the collector would show as latency of the system.
+def run_worker(task: WorkerTask) -> list[Document]:
+    """Send the arrivals of one worker and wait for the answers.
+
+    :returns: the record of each request that the worker sent.
+    """
+    workload = _load_work.Workload(task.seed, task.rate_per_s, task.only)
+    own_arrivals = workload.arrivals(task.seconds)[task.worker :: task.workers]
+    clients = _load_calls.CustomerClients(task.entries, task.patience_s)
+    # Pauses of the garbage collector would count as latency of the system.
     gc.freeze()
     gc.disable()
-    with futures.ThreadPoolExecutor(THREADS_MAX) as pool:
-        sent = [
-            pool.submit(customers.send, each, _wait_for(share, each))
-            for each in mine
+    with futures.ThreadPoolExecutor(MAX_THREADS) as pool:
+        pending = [
+            pool.submit(clients.send, each, _sleep_until_due(task, each))
+            for each in own_arrivals
         ]
-    return [each.result().document() for each in sent]
+    return [each.result().as_record() for each in pending]
 
 
-def _wait_for(share: Share, arrival: _load_work.Arrival) -> float:
-    due = share.start_at + arrival.at_s
-    left_s = due - time.monotonic()
+def _sleep_until_due(task: WorkerTask, arrival: _load_work.Arrival) -> float:
+    due_at = task.start_at + arrival.at_s
+    left_s = due_at - time.monotonic()
     if left_s > 0:
         time.sleep(left_s)
-    return due
+    return due_at
 
 
-def _warm(seconds: float) -> None:
-    """Hold a process, so that each of the pool's is started."""
+def _occupy_worker(seconds: float) -> None:
+    """Occupy a worker, so that the pool starts all its processes."""
     time.sleep(seconds)
--- a/bench/_load_fleet.py
+++ b/bench/_load_fleet.py
@@ -1,7 +1,7 @@
-"""A fleet of real processes for the load tool and the demo.
+"""Starts a fleet of real processes for the load tool and the demo.
 
-Both users' catalogues, engines for their two models and plain services,
-spread over three data centres.
+The fleet runs both users' catalogues, engines for their two models and plain
+services, spread over three data centres.
 """
 
 import itertools
@@ -20,32 +20,43 @@
 DATA_CENTRES = ("sala-a", "sala-b", "sala-c")
 MODEL_POOLS = ("apricot-pool", "concierge-llm")
 SERVICE_POOLS = ("registo-app", "access-core")
-MACHINES = {
+MACHINE_CLASS_BY_POOL = {
     "apricot-pool": "gpu-large",
     "concierge-llm": "gpu-medium",
     "registo-app": "small",
     "access-core": "small",
 }
-#: Per hour of reclaimable capacity; on demand costs three times as much.
-PRICES = {"gpu-large": 1.20, "gpu-medium": 0.70, "small": 0.04}
-PLACE_FACTORS = {"sala-a": 1.0, "sala-b": 0.85, "sala-c": 0.7}
+#: Price per hour of a reclaimable VM, by machine class; an on-demand VM costs
+#: three times as much.
+RECLAIMABLE_PRICES = {"gpu-large": 1.20, "gpu-medium": 0.70, "small": 0.04}
+DATA_CENTRE_PRICE_FACTORS = {"sala-a": 1.0, "sala-b": 0.85, "sala-c": 0.7}
 ON_DEMAND_FACTOR = 3.0
 SECONDS_PER_HOUR = 3600.0
-EXAMPLES = processes.ROOT / "examples"
-READY_S = 30.0
-SPARE = "spare-"
+EXAMPLES_DIR = processes.ROOT / "examples"
+READY_TIMEOUT_S = 30.0
+SPARE_PREFIX = "spare-"
 TIMING = {"entries_ttl_s": 2.0, "load_poll_s": 0.3, "stop_s": 60.0}
 
-Json = typing.Any
+JsonValue = typing.Any
 
 
-class Machine:
-    """A VM of the fleet, for the bill.
+class BilledVm:
+    """A VM of the fleet and how long it is paid for.
 
-    :param started: on the monotonic clock.
+    ``started_at`` and ``ended_at`` are times on the monotonic clock;
+    ``ended_at`` is None while the VM runs.
+
+    :param pool: the pool of a runner; empty for an entry VM.
     """
 
-    __slots__ = ("name", "pool", "data_centre", "market", "started", "ended")
+    __slots__ = (
+        "name",
+        "pool",
+        "data_centre",
+        "market",
+        "started_at",
+        "ended_at",
+    )
 
     def __init__(
         self, name: str, pool: str, data_centre: str, market: str
@@ -54,121 +65,151 @@
         self.pool = pool
         self.data_centre = data_centre
         self.market = market
-        self.started = time.monotonic()
-        self.ended: float | None = None
+        self.started_at = time.monotonic()
+        self.ended_at: float | None = None
 
     @property
-    def kind(self) -> str:
-        """The machine class of the cloud API."""
-        return MACHINES.get(self.pool, "small")
+    def machine_class(self) -> str:
+        """The machine class as the cloud API names it."""
+        return MACHINE_CLASS_BY_POOL.get(self.pool, "small")
 
     def cost(self, now: float) -> float:
-        """What it has cost so far."""
-        held_s = (self.ended or now) - self.started
-        price = price_of(self.data_centre, self.kind, self.market)
-        return held_s / SECONDS_PER_HOUR * price
+        """The cost of the VM so far."""
+        billed_s = (self.ended_at or now) - self.started_at
+        price = price_per_hour(
+            self.data_centre, self.machine_class, self.market
+        )
+        return billed_s / SECONDS_PER_HOUR * price
 
 
-def price_of(data_centre: str, machine: str, market: str) -> float:
-    """The price of a VM per hour."""
+def price_per_hour(data_centre: str, machine: str, market: str) -> float:
+    """The hourly price of a VM."""
     factor = 1.0 if market == "reclaimable" else ON_DEMAND_FACTOR
-    return PRICES[machine] * PLACE_FACTORS[data_centre] * factor
+    return (
+        RECLAIMABLE_PRICES[machine]
+        * DATA_CENTRE_PRICE_FACTORS[data_centre]
+        * factor
+    )
+
 
+class TokenCounts:
+    """The token counts of all runners, including those that have ended.
 
-class Counts:
-    """What runners have counted, the ended ones included.
+    ``recomputed`` counts the tokens that engines computed again.
 
-    :param recomputed: tokens that engines computed again.
+    :param rows: the counts of each runner.
     """
 
     __slots__ = ("recomputed", "generated", "prefilled", "cached")
 
-    def __init__(self, rows: typing.Iterable[dict[str, Json]]) -> None:
-        known = list(rows)
-        self.recomputed = sum(row["recomputed_total"] for row in known)
-        self.generated = sum(row["generated_total"] for row in known)
-        self.prefilled = sum(row["prefilled_total"] for row in known)
-        self.cached = sum(row["cached_total"] for row in known)
+    def __init__(self, rows: typing.Iterable[dict[str, JsonValue]]) -> None:
+        counts = list(rows)
+        self.recomputed = sum(row["recomputed_total"] for row in counts)
+        self.generated = sum(row["generated_total"] for row in counts)
+        self.prefilled = sum(row["prefilled_total"] for row in counts)
+        self.cached = sum(row["cached_total"] for row in counts)
 
 
 class LoadFleet(fleet.Fleet):
-    """The fleet, with the operators' client and a bill.
+    """A fleet with the operators' client and cost accounting.
 
-    :param timing: changes to ``TIMING``.
-    :param sizes: the daemons' settings of that name.
+    :param timing: overrides of ``TIMING``.
+    :param sizes: the ``sizes`` section of the daemons' settings.
     """
 
     def __init__(
         self,
-        timing: dict[str, Json] | None = None,
-        sizes: dict[str, Json] | None = None,
+        timing: dict[str, JsonValue] | None = None,
+        sizes: dict[str, JsonValue] | None = None,
     ) -> None:
         super().__init__({**TIMING, **(timing or {})}, sizes, "here")
-        self.machines: dict[str, Machine] = {}
-        self._last_counts: dict[str, dict[str, Json]] = {}
+        self.billed_vms: dict[str, BilledVm] = {}
+        self._last_counts: dict[str, dict[str, JsonValue]] = {}
 
     @property
-    def spares(self) -> list[str]:
-        """The engines that were offered to be bought."""
-        return [name for name in self.names if name.startswith(SPARE)]
+    def offered_engines(self) -> list[str]:
+        """The names of the engines that the cloud API offers for sale."""
+        return [name for name in self.names if name.startswith(SPARE_PREFIX)]
 
     @property
     def engines(self) -> list[str]:
         """The names of all engines started so far."""
         return [
             name
-            for name, machine in self.machines.items()
+            for name, machine in self.billed_vms.items()
             if machine.pool in MODEL_POOLS and name in self.names
         ]
 
-    def in_data_centre(self, data_centre: str) -> list[str]:
-        """The engines in a data centre that run now."""
+    def running_engines_in(self, data_centre: str) -> list[str]:
+        """The names of the engines that are running in a data centre."""
         return [
             name
             for name in self.engines
-            if self.machines[name].data_centre == data_centre
-            and self.machines[name].ended is None
+            if self.billed_vms[name].data_centre == data_centre
+            and self.billed_vms[name].ended_at is None
         ]
 
-    def bring_up(
+    def start_all(
         self,
         vms: int,
         engines: int,
         services: int,
         engine_flags: typing.Sequence[str] = (),
     ) -> int:
-        """Start everything.
+        """Start the platform stand-ins, all runners and all entry VMs.
 
+        Returns when each entry VM knows the catalogue, its peers and all
+        runners.
+
+        :param vms: the number of entry VMs.
+        :param engine_flags: extra command-line flags of the engines.
         :returns: the catalogue's version.
         """
         self.start_platform()
         self._set_prices()
-        # Without this the cloud would sell VMs that have no address.
+        # Until spares were configured, the cloud API stand-in sells VMs that
+        # have no address.
         self.control("cloud", "spares", {"spares": []})
         self._start_pools("engine", engines, MODEL_POOLS, engine_flags)
         self._start_pools("service", services, SERVICE_POOLS, ())
         version = self.apply_examples()
-        places = zip((f"entry-{n}" for n in range(vms)), _cycle())
-        self.start_daemons(dict(places))
-        for name, place in zip(self.daemons, _cycle()):
-            self.machines[name] = Machine(name, "", place, "reclaimable")
-        fleet.wait_for(lambda: self._ready(version), READY_S)
+        data_centres = zip(
+            (f"entry-{n}" for n in range(vms)), _cycle_data_centres()
+        )
+        self.start_daemons(dict(data_centres))
+        for name, data_centre in zip(self.daemons, _cycle_data_centres()):
+            self.billed_vms[name] = BilledVm(
+                name, "", data_centre, "reclaimable"
+            )
+        fleet.wait_for(lambda: self._is_ready(version), READY_TIMEOUT_S)
         return version
 
     def apply_examples(self) -> int:
-        """Put both users' catalogues in force with the real client."""
-        self.client("catalogue", "apply", str(EXAMPLES / "procurador.json"))
-        merged = self.client(
-            "catalogue", "apply", "--merge", str(EXAMPLES / "consorzio.json")
+        """Apply both users' catalogues with the operators' client.
+
+        :returns: the version of the merged catalogue.
+        """
+        self.run_client(
+            "catalogue", "apply", str(EXAMPLES_DIR / "procurador.json")
+        )
+        merged = self.run_client(
+            "catalogue",
+            "apply",
+            "--merge",
+            str(EXAMPLES_DIR / "consorzio.json"),
         )
         return merged["version"]
 
-    def client(self, *arguments: str, check: bool = True) -> Json:
-        """Run ``apricotlever ... --json`` in a process of its own."""
+    def run_client(self, *arguments: str, check: bool = True) -> JsonValue:
+        """Run ``apricotlever ... --json`` as a separate process.
+
+        :param check: whether a non-zero exit code raises ``RuntimeError``.
+        :returns: the decoded output.
+        """
         objects = f"http://{self.address('objects')}"
         running = [n for n in self.daemons if self.process(n).running]
-        places = [f"--entry={self.address(name)}" for name in running]
-        ran = subprocess.run(
+        entry_options = [f"--entry={self.address(name)}" for name in running]
+        completed = subprocess.run(
             [
                 sys.executable,
                 "-m",
@@ -176,43 +217,48 @@
                 *arguments,
                 "--json",
                 f"--objects={objects}",
-                *places,
+                *entry_options,
             ],
             capture_output=True,
             cwd=processes.ROOT,
-            timeout=READY_S,
+            timeout=READY_TIMEOUT_S,
         )
-        if check and ran.returncode:
-            raise RuntimeError(f"{arguments}: {ran.stdout!r} {ran.stderr!r}")
-        return json.loads(ran.stdout)
+        if check and completed.returncode:
+            raise RuntimeError(
+                f"{arguments}: {completed.stdout!r} {completed.stderr!r}"
+            )
+        return json.loads(completed.stdout)
 
-    def start_engine(self, name: str, pool: str, place: str) -> None:
-        """Start one more engine and put it on the cloud's list."""
+    def start_engine(self, name: str, pool: str, data_centre: str) -> None:
+        """Start another engine and register it with the cloud API."""
         self.start_engines([name], pool, register=False)
-        self._enlist(name, pool, place, "reclaimable")
+        self._register(name, pool, data_centre, "reclaimable")
 
     def offer_engines(self, pools: typing.Sequence[str]) -> None:
-        """Start engines that the cloud sells when it is asked for them."""
+        """Start engines that the cloud API sells when VMs are ordered."""
         for number, pool in enumerate(pools):
-            name = f"{SPARE}{number}"
+            name = f"{SPARE_PREFIX}{number}"
             self.start_engines([name], pool, register=False)
             self.offer([name], pool)
 
-    def note_bought(self) -> None:
-        """Put the engines that entry VMs have bought on the bill."""
+    def record_purchases(self) -> None:
+        """Start accounting for the engines that entry VMs have bought."""
         reply = http.call(self.address("cloud"), "GET", "/v1/vms")
         for vm in reply.payload["vms"]:
-            if vm["vm"] not in self.machines and vm["role"] == "runner":
-                self.machines[vm["vm"]] = Machine(
+            if vm["vm"] not in self.billed_vms and vm["role"] == "runner":
+                self.billed_vms[vm["vm"]] = BilledVm(
                     vm["vm"], vm["pool"], vm["data_centre"], vm["market"]
                 )
 
-    def status(self, name: str) -> dict[str, Json]:
-        """The status page of an entry VM."""
+    def status(self, name: str) -> dict[str, JsonValue]:
+        """Get the status page of an entry VM."""
         return http.call(self.address(name), "GET", "/v1/status").payload
 
-    def read_counts(self) -> None:
-        """Read each living engine's counts, for when it is gone."""
+    def poll_counts(self) -> None:
+        """Store the counts of each running engine.
+
+        The counts of an engine cannot be read after its end.
+        """
         for name in self.engines:
             if not self.process(name).running:
                 continue
@@ -221,21 +267,21 @@
             except OSError:
                 continue
 
-    def engine_counts(self) -> Counts:
-        """What the engines counted, as it was last read from each."""
-        return Counts(self._last_counts.values())
+    def engine_counts(self) -> TokenCounts:
+        """The sums of the counts last read from each engine."""
+        return TokenCounts(self._last_counts.values())
 
-    def note_end(self, name: str) -> None:
-        """A VM is gone: it costs nothing any more."""
-        self.machines[name].ended = time.monotonic()
+    def record_end(self, name: str) -> None:
+        """Record that a VM has ended and costs nothing from now on."""
+        self.billed_vms[name].ended_at = time.monotonic()
 
-    def bill(self) -> float:
-        """What all VMs have cost so far."""
+    def total_cost(self) -> float:
+        """The cost of all VMs so far."""
         now = time.monotonic()
-        return sum(each.cost(now) for each in self.machines.values())
+        return sum(each.cost(now) for each in self.billed_vms.values())
 
     def copy_logs(self, folder: str) -> None:
-        """Copy every process's log to a folder."""
+        """Copy the log of each process to a folder."""
         target = pathlib.Path(folder)
         target.mkdir(parents=True, exist_ok=True)
         for path in self.folder.glob("*.log"):
@@ -250,49 +296,55 @@
     ) -> None:
         names = [f"{kind}-{number}" for number in range(count)]
         start = self.start_engines if kind == "engine" else self.start_services
-        # Services keep to capacity that is not reclaimed: a doubled call
-        # costs more than the VM.
+        # Services run on demand, where VMs are not reclaimed: a call that is
+        # executed twice costs more than the VM.
         market = "reclaimable" if kind == "engine" else "on_demand"
         start(names, pools[0], flags=flags, register=False)
-        for name, pool, place in zip(names, itertools.cycle(pools), _cycle()):
-            self._enlist(name, pool, place, market)
+        for name, pool, data_centre in zip(
+            names, itertools.cycle(pools), _cycle_data_centres()
+        ):
+            self._register(name, pool, data_centre, market)
 
-    def _enlist(self, name: str, pool: str, place: str, market: str) -> None:
-        machine = Machine(name, pool, place, market)
-        self.machines[name] = machine
+    def _register(
+        self, name: str, pool: str, data_centre: str, market: str
+    ) -> None:
+        machine = BilledVm(name, pool, data_centre, market)
+        self.billed_vms[name] = machine
         self.register(
             name,
-            data_centre=place,
+            data_centre=data_centre,
             role="runner",
             pool=pool,
-            machine=machine.kind,
+            machine=machine.machine_class,
             market=market,
         )
 
     def _set_prices(self) -> None:
         prices = [
             {
-                "data_centre": place,
+                "data_centre": data_centre,
                 "machine": machine,
                 "market": market,
-                "per_hour": price_of(place, machine, market),
+                "per_hour": price_per_hour(data_centre, machine, market),
             }
-            for place, machine, market in itertools.product(
-                DATA_CENTRES, PRICES, ("reclaimable", "on_demand")
+            for data_centre, machine, market in itertools.product(
+                DATA_CENTRES, RECLAIMABLE_PRICES, ("reclaimable", "on_demand")
             )
         ]
         self.control("cloud", "prices", {"prices": prices})
 
-    def _ready(self, version: int) -> bool:
+    def _is_ready(self, version: int) -> bool:
         pages = [self.status(name) for name in self.daemons]
-        wanted = sum(bool(each.pool) for each in self.machines.values())
+        expected_runners = sum(
+            bool(each.pool) for each in self.billed_vms.values()
+        )
         return all(
             page.get("catalogue_version") == version
-            and len(page["runners"]) == wanted
+            and len(page["runners"]) == expected_runners
             and len(page["peers"]) == len(self.daemons)
             for page in pages
         )
 
 
-def _cycle() -> typing.Iterator[str]:
+def _cycle_data_centres() -> typing.Iterator[str]:
     return itertools.cycle(DATA_CENTRES)
--- a/bench/_load_summary.py
+++ b/bench/_load_summary.py
@@ -1,4 +1,4 @@
-"""Sums up a load run, and compares two."""
+"""Summarises a load run and compares two runs."""
 
 import collections
 import itertools
@@ -13,7 +13,7 @@
 
 PERCENTS = (50.0, 95.0, 99.0)
 US_PER_S = 1_000_000
-#: The target that the users gave for 95 in 100.
+#: The users' targets, to be met by 95% of first tokens and of gaps.
 FIRST_TOKEN_TARGET_S = 1.2
 GAP_TARGET_S = 0.067
 TARGET_PERCENT = 95.0
@@ -22,23 +22,23 @@
 
 
 class RunFileInvalid(Exception):
-    """A file does not hold a run."""
+    """A file does not contain the records of a load run."""
 
 
-def summary(rows: list[Document], seconds: float) -> Document:
-    """Sum up the requests of a run.
+def summarise(rows: list[Document], seconds: float) -> Document:
+    """Summarise the requests of a run.
 
-    :param rows: records of requests.
+    :param rows: the records of the requests.
     :param seconds: how long requests were sent for.
     """
-    kept = _histograms(rows)
+    recorded = _record_histograms(rows)
     outcomes = collections.Counter(row["outcome"] for row in rows)
-    lags = _spread([row["lag_s"] for row in rows])
+    lags = _percentile_row([row["lag_s"] for row in rows])
     streams = [row for row in rows if row["first_token_s"] is not None]
     gaps = [us / US_PER_S for row in streams for us in row["gaps_us"]]
-    first = _spread([row["first_token_s"] for row in streams])
-    between = _spread(gaps)
-    whole = [row for row in rows if row["outcome"] == _load_calls.WHOLE]
+    first_tokens = _percentile_row([row["first_token_s"] for row in streams])
+    between_tokens = _percentile_row(gaps)
+    answered = [row for row in rows if row["outcome"] == _load_calls.WHOLE]
     return {
         "record": "summary",
         "requests": len(rows),
@@ -46,28 +46,29 @@
         "outcomes": dict(outcomes),
         "tokens": sum(row["tokens"] for row in rows),
         "doubled_tokens": sum(row["doubled_tokens"] for row in rows),
-        "first_token_s": first,
-        "between_tokens_s": between,
-        "whole_s": _spread([row["whole_s"] for row in whole]),
-        "classes": _classes(kept, rows),
-        "customers": _customers(kept),
+        "first_token_s": first_tokens,
+        "between_tokens_s": between_tokens,
+        "whole_s": _percentile_row([row["whole_s"] for row in answered]),
+        "classes": _class_rows(recorded, rows),
+        "customers": _customer_rows(recorded),
         "generator_lag_s": lags,
         "generator_ok": lags["p99"] <= _load_drive.LAG_P99_MAX_S,
-        "target_met": _target_met(rows, first, between),
-        "histograms": kept.encoded(),
+        "target_met": _target_met(rows, first_tokens, between_tokens),
+        "histograms": recorded.encoded(),
     }
 
 
-def lines(rows: list[Document], path: pathlib.Path) -> None:
-    """Write records, one JSON object a line."""
+def write_records(rows: list[Document], path: pathlib.Path) -> None:
+    """Write records as JSON, one object per line."""
     text = "".join(json.dumps(row) + "\n" for row in rows)
     path.write_text(text)
 
 
-def read(path: str) -> list[Document]:
-    """Read a run's records.
+def read_records(path: str) -> list[Document]:
+    """Read the records of a run.
 
-    :raises RunFileInvalid: if it holds none.
+    :raises RunFileInvalid: if the file cannot be read, is not JSON or has no
+        summary.
     """
     try:
         content = pathlib.Path(path).read_text()
@@ -75,18 +76,22 @@
     except (OSError, ValueError) as error:
         raise RunFileInvalid(f"{path}: {error}") from error
     if not any(row.get("record") == "summary" for row in rows):
-        raise RunFileInvalid(f"{path}: there is no summary in it")
+        raise RunFileInvalid(f"{path}: the summary record is missing")
     return rows
 
 
-def compared(before: list[Document], after: list[Document]) -> list[Document]:
-    """One row for each class, measure and percentile of two runs.
+def compare_latencies(
+    before: list[Document], after: list[Document]
+) -> list[Document]:
+    """Compare the latencies of two runs.
 
-    :param before: records of a run.
-    :param after: records of another.
+    :param before: the records of the first run.
+    :param after: the records of the second run.
+    :returns: a row for each class, measure and percentile that both runs
+        have.
     """
-    old = _percentiles(before)
-    new = _percentiles(after)
+    old = _percentiles_of_run(before)
+    new = _percentiles_of_run(after)
     return [
         {
             "class": key[0],
@@ -100,10 +105,10 @@
     ]
 
 
-def compared_outcomes(
+def compare_outcomes(
     before: list[Document], after: list[Document]
 ) -> list[Document]:
-    """How many requests ended in each way, in two runs."""
+    """Compare how many requests of two runs had each outcome."""
     counts = [
         collections.Counter(row["outcome"] for row in _requests(rows))
         for rows in (before, after)
@@ -118,87 +123,101 @@
     return [row for row in rows if row["record"] == "request"]
 
 
-def _histograms(rows: list[Document]) -> histograms.Histograms:
-    kept = histograms.Histograms()
+def _record_histograms(rows: list[Document]) -> histograms.Histograms:
+    recorded = histograms.Histograms()
     for row in rows:
-        who = (row["customer"], row["class"])
+        labels = (row["customer"], row["class"])
         if row["first_token_s"] is not None:
-            kept.record(histograms.FIRST_TOKEN, *who, row["first_token_s"])
+            recorded.record(
+                histograms.FIRST_TOKEN, *labels, row["first_token_s"]
+            )
         if row["outcome"] == _load_calls.WHOLE:
-            kept.record(histograms.WHOLE_ANSWER, *who, row["whole_s"])
-        handle = kept.distribution(histograms.BETWEEN_TOKENS, *who)
+            recorded.record(histograms.WHOLE_ANSWER, *labels, row["whole_s"])
+        distribution = recorded.distribution(
+            histograms.BETWEEN_TOKENS, *labels
+        )
         for gap_us in row["gaps_us"]:
-            handle.record_us(gap_us)
-    return kept
+            distribution.record_us(gap_us)
+    return recorded
 
 
-def _classes(
-    kept: histograms.Histograms, rows: list[Document]
+def _class_rows(
+    recorded: histograms.Histograms, rows: list[Document]
 ) -> list[Document]:
-    """Percentiles by class, and its outcomes."""
+    """Make a row with outcomes and percentiles for each class."""
     outcomes: dict[str, collections.Counter[str]] = {}
     for row in rows:
         counter = outcomes.setdefault(row["class"], collections.Counter())
         counter[row["outcome"]] += 1
-    found = _by(kept, lambda each: each.service_class)
+    percentiles = _percentiles_by(recorded, lambda each: each.service_class)
     return [
         {"class": name, **dict(outcomes.get(name, {})), **measures}
-        for name, measures in found.items()
+        for name, measures in percentiles.items()
     ]
 
 
-def _customers(kept: histograms.Histograms) -> list[Document]:
-    found = _by(kept, lambda each: each.customer)
-    return [{"customer": name, **rest} for name, rest in found.items()]
+def _customer_rows(recorded: histograms.Histograms) -> list[Document]:
+    percentiles = _percentiles_by(recorded, lambda each: each.customer)
+    return [{"customer": name, **rest} for name, rest in percentiles.items()]
 
 
-def _by(
-    kept: histograms.Histograms,
+def _percentiles_by(
+    recorded: histograms.Histograms,
     name_of: typing.Callable[[histograms.Distribution], str],
 ) -> dict[str, Document]:
-    """Percentiles of each measure, merged by a name."""
-    keyed = sorted(kept.distributions(), key=name_of)
-    found = {}
-    for name, group in itertools.groupby(keyed, name_of):
-        relabelled = [
+    """Compute the percentiles of each measure by class or customer.
+
+    :param name_of: returns the name by which distributions are merged.
+    """
+    ordered = sorted(recorded.distributions(), key=name_of)
+    percentiles = {}
+    for name, group in itertools.groupby(ordered, name_of):
+        unlabelled = [
             {**each.encoded, "customer": "", "class": ""} for each in group
         ]
-        merged = histograms.merge(relabelled)
-        found[name] = {
+        merged = histograms.merge(unlabelled)
+        percentiles[name] = {
             f"{measure}_p{percent:g}_s": each.percentile(percent)
             for (measure, _, _), each in merged.items()
             for percent in PERCENTS
         }
-    return found
+    return percentiles
 
 
-def _spread(values: list[float]) -> dict[str, float]:
+def _percentile_row(values: list[float]) -> dict[str, float]:
     ordered = sorted(values)
     if not ordered:
         return {"p50": 0.0, "p95": 0.0, "p99": 0.0, "max": 0.0}
     last = len(ordered) - 1
-    found = {
+    percentiles = {
         f"p{percent:g}": ordered[round(percent / 100 * last)]
         for percent in PERCENTS
     }
-    return {**found, "max": ordered[-1]}
+    return {**percentiles, "max": ordered[-1]}
 
 
 def _target_met(
-    rows: list[Document], first: dict[str, float], gaps: dict[str, float]
+    rows: list[Document],
+    first_tokens: dict[str, float],
+    gaps: dict[str, float],
 ) -> bool:
-    """Whether 95 in 100 are in time, a refused stream being late."""
+    """Whether the 95th percentiles met the targets.
+
+    At most 5% of the streams may have been refused or have failed.
+    """
     streams = [row for row in rows if row["operation"] is None]
-    bad = sum(row["outcome"] != _load_calls.WHOLE for row in streams)
+    not_answered = sum(row["outcome"] != _load_calls.WHOLE for row in streams)
     allowed = (1 - TARGET_PERCENT / 100) * len(streams)
-    in_time = first["p95"] <= FIRST_TOKEN_TARGET_S
-    return in_time and gaps["p95"] <= GAP_TARGET_S and bad <= allowed
+    in_time = first_tokens["p95"] <= FIRST_TOKEN_TARGET_S
+    return in_time and gaps["p95"] <= GAP_TARGET_S and not_answered <= allowed
 
 
-def _percentiles(rows: list[Document]) -> dict[tuple[str, str, str], float]:
+def _percentiles_of_run(
+    rows: list[Document],
+) -> dict[tuple[str, str, str], float]:
     total = next(row for row in rows if row["record"] == "summary")
     measures = ("first_token_s", "between_tokens_s", "whole_s")
-    found = {
+    percentiles = {
         ("all", measure, name): value
         for measure in measures
         for name, value in total[measure].items()
@@ -208,5 +227,5 @@
             measure, _, percentile = name.removesuffix("_s").rpartition("_")
             if percentile.startswith("p") and name.endswith("_s"):
                 key = (row["class"], f"{measure}_s", percentile)
-                found[key] = value
-    return found
+                percentiles[key] = value
+    return percentiles
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,9 +1,9 @@
-"""Open-loop load of both users' work on a fleet of real processes.
+"""Sends open-loop load of both users' work to a fleet of real processes.
 
-Drives a fleet that it starts (``--vms N --engines N``) or one that runs
-(``--entry HOST:PORT``). Arrivals are Poisson and are never held back by
-slow answers; latencies count from the intended time of each arrival. A run
-whose generator was late fails, for its figures would flatter the system.
+Starts a fleet (``--vms N --engines N``) or uses a running one
+(``--entry HOST:PORT``). Arrivals are Poisson and are never delayed by slow
+answers; latencies count from the intended time of each arrival. A run whose
+generator lagged fails, as its latencies would be better than the real ones.
 """
 
 import argparse
@@ -21,22 +21,23 @@
 from . import _load_summary
 from . import _load_work
 
-LATE = 3
-WRONG = 1
+EXIT_GENERATOR_LAGGED = 3
+EXIT_BAD_ANSWERS = 1
 Document = dict[str, typing.Any]
 
 
 def run(arguments: list[str]) -> int:
-    """Make a run or compare two.
+    """Run a load or compare two recorded runs.
 
-    :returns: 0; 1 if answers were lost, wrong or doubled; 2 for a wrong
-        command line; 3 if the generator lagged.
+    :returns: the exit code: 0 on success; 1 if answers were lost or wrong,
+        or contained a token twice; 2 if an argument or a run file is
+        invalid; 3 if the load generator lagged.
     """
     options = _parser().parse_args(arguments)
     try:
         if options.compare:
             return _compare(*options.compare)
-        schedule = _load_faults.parse(options.faults)
+        schedule = _load_faults.parse_schedule(options.faults)
     except (
         _load_faults.ScheduleInvalid,
         _load_summary.RunFileInvalid,
@@ -44,10 +45,12 @@
         print(f"load: {error}", file=sys.stderr)
         return 2
     if options.entry and schedule:
-        print("load: --faults need a fleet of its own", file=sys.stderr)
+        print(
+            "load: --faults cannot be combined with --entry", file=sys.stderr
+        )
         return 2
     rows, faults, usage = _measure(options, schedule)
-    return _report(options, rows, faults, usage)
+    return _write_report(options, rows, faults, usage)
 
 
 def _parser() -> argparse.ArgumentParser:
@@ -56,43 +59,76 @@
         description=__doc__,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
-    add = parser.add_argument
-    add("--entry", action="append", default=[], metavar="HOST:PORT")
-    add("--vms", type=int, default=3, help="default: %(default)s")
-    add("--engines", type=int, default=6, help="default: %(default)s")
-    add("--services", type=int, default=2, help="default: %(default)s")
-    add("--engine-flags", default="", help="of standins.engine, in one word")
-    add("--threads", type=int, default=512, help="of each entry VM")
-    add("--per-s", type=float, default=10.0, help="mean rate of arrivals")
-    add("--seconds", type=float, default=20.0)
-    add("--seed", type=int, default=1)
-    add("--only", default="", help=f"of {','.join(_load_work.kinds())}")
-    add("--patience", type=float, default=0.0, help="s to repeat refusals")
-    add("--processes", type=int, default=3, help="of the generator")
-    add("--faults", default="", help="SECONDS:FAULT:ARGUMENT...,...")
-    add("--out", default="", metavar="FILE.jsonl", help="stdout if not given")
-    add("--report", default="", metavar="FILE.html", help="or .svg")
-    add("--keep-logs", default="", metavar="DIR", help="copy the logs there")
-    add("--compare", nargs=2, metavar=("A.jsonl", "B.jsonl"))
+    add_option = parser.add_argument
+    add_option("--entry", action="append", default=[], metavar="HOST:PORT")
+    add_option("--vms", type=int, default=3, help="default: %(default)s")
+    add_option("--engines", type=int, default=6, help="default: %(default)s")
+    add_option("--services", type=int, default=2, help="default: %(default)s")
+    add_option(
+        "--engine-flags",
+        default="",
+        help="for standins.engine, quoted as one argument",
+    )
+    add_option(
+        "--threads",
+        type=int,
+        default=512,
+        help="caller threads of each entry VM",
+    )
+    add_option("--per-s", type=float, default=10.0, help="mean arrival rate")
+    add_option("--seconds", type=float, default=20.0)
+    add_option("--seed", type=int, default=1)
+    add_option(
+        "--only",
+        default="",
+        help=f"some of {','.join(_load_work.work_kinds())}",
+    )
+    add_option(
+        "--patience", type=float, default=0.0, help="seconds to retry refusals"
+    )
+    add_option(
+        "--processes", type=int, default=3, help="load generator processes"
+    )
+    add_option("--faults", default="", help="SECONDS:FAULT:ARGUMENT...,...")
+    add_option(
+        "--out", default="", metavar="FILE.jsonl", help="default: stdout"
+    )
+    add_option(
+        "--report",
+        default="",
+        metavar="FILE.html",
+        help="a file name in .svg gives SVG alone",
+    )
+    add_option(
+        "--keep-logs",
+        default="",
+        metavar="DIR",
+        help="directory to copy the logs to",
+    )
+    add_option("--compare", nargs=2, metavar=("A.jsonl", "B.jsonl"))
     return parser
 
 
 def _measure(
-    options: argparse.Namespace, schedule: list[_load_faults.Planned]
+    options: argparse.Namespace, schedule: list[_load_faults.ScheduledFault]
 ) -> tuple[list[Document], list[Document], list[Document]]:
     if options.entry:
-        return _drive(options, options.entry).wait(), [], []
+        return _start_load(options, options.entry).wait(), [], []
     sizes = {"caller_threads": options.threads}
     with _load_fleet.LoadFleet(sizes=sizes) as fleet:
         flags = options.engine_flags.split()
-        fleet.bring_up(options.vms, options.engines, options.services, flags)
-        before = {name: fleet.process(name).cpu_s for name in fleet.daemons}
-        load = _drive(options, fleet.entries)
-        faults = _load_faults.Faults(fleet, schedule, load.start_at)
-        rows = load.wait()
-        struck = faults.wait()
+        fleet.start_all(options.vms, options.engines, options.services, flags)
+        cpu_before_s = {
+            name: fleet.process(name).cpu_s for name in fleet.daemons
+        }
+        load_run = _start_load(options, fleet.entries)
+        injector = _load_faults.FaultInjector(
+            fleet, schedule, load_run.start_at
+        )
+        rows = load_run.wait()
+        fault_rows = injector.wait()
         usage = [
-            _usage(fleet, name, before[name])
+            _daemon_usage(fleet, name, cpu_before_s[name])
             for name in fleet.daemons
             if fleet.process(name).running
         ]
@@ -108,11 +144,13 @@
                 "cached_tokens": counts.cached,
             }
         )
-        return rows, struck, usage
+        return rows, fault_rows, usage
 
 
-def _drive(options: argparse.Namespace, entries: list[str]) -> _load_drive.Run:
-    return _load_drive.Run(
+def _start_load(
+    options: argparse.Namespace, entries: list[str]
+) -> _load_drive.LoadRun:
+    return _load_drive.LoadRun(
         entries,
         options.seed,
         options.per_s,
@@ -123,59 +161,65 @@
     )
 
 
-def _usage(
-    fleet: _load_fleet.LoadFleet, name: str, before_s: float
+def _daemon_usage(
+    fleet: _load_fleet.LoadFleet, name: str, cpu_before_s: float
 ) -> Document:
     process = fleet.process(name)
     return {
         "record": "daemon",
         "vm": name,
-        "processor_s": round(process.cpu_s - before_s, 3),
+        "processor_s": round(process.cpu_s - cpu_before_s, 3),
         "rss_bytes": process.rss_bytes,
     }
 
 
-def _report(
+def _write_report(
     options: argparse.Namespace,
     rows: list[Document],
     faults: list[Document],
     usage: list[Document],
 ) -> int:
-    total = _load_summary.summary(rows, options.seconds)
-    total["command"] = {
+    summary = _load_summary.summarise(rows, options.seconds)
+    summary["command"] = {
         name: value
         for name, value in vars(options).items()
         if name not in ("out", "report", "keep_logs") and value
     }
-    records = [*rows, *faults, *usage, total]
+    records = [*rows, *faults, *usage, summary]
     if options.out:
-        _load_summary.lines(records, pathlib.Path(options.out))
+        _load_summary.write_records(records, pathlib.Path(options.out))
     if options.report:
-        _load_plots.write(rows, faults, total, options.report)
-    for record in records if not options.out else [*usage, *faults, total]:
-        shown = {k: v for k, v in record.items() if k != "histograms"}
-        print(json.dumps(shown))
-    return exit_code(total)
-
-
-def exit_code(total: Document) -> int:
-    """What a run's summary makes of the process's exit code."""
-    if not total["generator_ok"]:
-        lag = total["generator_lag_s"]
-        print(f"load: the generator lagged: {lag}", file=sys.stderr)
-        return LATE
-    bad = sum(total["outcomes"].get(name, 0) for name in ("lost", "wrong"))
-    return WRONG if bad or total["doubled_tokens"] else 0
+        _load_plots.write_report(rows, faults, summary, options.report)
+    for record in records if not options.out else [*usage, *faults, summary]:
+        printed = {k: v for k, v in record.items() if k != "histograms"}
+        print(json.dumps(printed))
+    return exit_code(summary)
+
+
+def exit_code(summary: Document) -> int:
+    """The exit code of the process for a run's summary."""
+    if not summary["generator_ok"]:
+        lag = summary["generator_lag_s"]
+        print(f"load: the load generator lagged: {lag}", file=sys.stderr)
+        return EXIT_GENERATOR_LAGGED
+    bad_answers = sum(
+        summary["outcomes"].get(name, 0) for name in ("lost", "wrong")
+    )
+    return EXIT_BAD_ANSWERS if bad_answers or summary["doubled_tokens"] else 0
 
 
 def _compare(before_path: str, after_path: str) -> int:
-    before = _load_summary.read(before_path)
-    after = _load_summary.read(after_path)
+    before = _load_summary.read_records(before_path)
+    after = _load_summary.read_records(after_path)
     print(
         terminal_format.format_table(
-            _load_summary.compared_outcomes(before, after)
+            _load_summary.compare_outcomes(before, after)
         )
     )
     print()
-    print(terminal_format.format_table(_load_summary.compared(before, after)))
+    print(
+        terminal_format.format_table(
+            _load_summary.compare_latencies(before, after)
+        )
+    )
     return 0
--- a/tests/bench/load.feature
+++ b/tests/bench/load.feature
@@ -1,26 +1,26 @@
-Feature: The load tool's own arithmetic
+Feature: Workload, schedule, retries and summary of the load tool
 
   Scenario: The same seed gives the same requests at the same times
-    When a load workload is drawn twice for 30 s at 40 a second
-    Then both load workloads are equal and differ from another seed's
-    And the load workload has every kind of work, at about that rate
-    And the load workload's chats contain the answers that engines give
-
-  Scenario: A fleet that refuses is not fast
-    Symptom: a fleet under overload looked better than one with room.
-    Events: it refused one stream in ten, and answered the others in time.
-    Cause: percentiles over the answers alone leave the refusals out.
-    Given a load run with 90 streams in time and 10 refused
-    Then the naive load summary says that the target was met
-    And the load summary says that the target was not met
-
-  Scenario: A generator that lags fails the run
-    Given a load run whose generator was 0.5 s late
+    When a load workload is generated twice for 30 s at 40 requests per second
+    Then both load workloads are equal and differ from that of another seed
+    And the load workload has every kind of work and Poisson arrivals at that rate
+    And the chat history in the load workload contains the answers of the engines
+
+  Scenario: Refused streams count as late
+    An overloaded fleet that refused one stream in ten and answered the others
+    in time looked better than a fleet with free capacity. Percentiles over the
+    answers alone leave the refusals out.
+    Given a load run with 90 streams on time and 10 refused
+    Then a summary of the answered streams alone reports the target as met
+    And the load summary reports the target as missed
+
+  Scenario: A run fails if the load generator lagged
+    Given a load run whose generator lagged by 0.5 s
     Then the load run exits with 3
 
-  Scenario Outline: A schedule that can't be read names its part
-    When the load schedule "<text>" is read
-    Then the load schedule is refused for "<part>"
+  Scenario Outline: The error for an invalid fault schedule names the invalid part
+    When the fault schedule "<text>" is parsed
+    Then the error of the fault schedule names "<part>"
 
     Examples:
       | text                        | part        |
@@ -28,20 +28,20 @@
       | soon:kill:engine-0          | soon        |
       | 7:stop                      | 7:stop      |
 
-  Scenario Outline: What a caller may send again
-    When a load caller's <work> ends with status <status> and <executed>
-    Then the load caller sends it again: <again>
+  Scenario Outline: The load tool retries only requests that are safe to repeat
+    When a <work> of the load tool ends with status <status> and executed <executed>
+    Then the load tool retries it: <retried>
 
     Examples:
-      | work         | status | executed | again |
-      | mandate      | 0      | none     | no    |
-      | mandate      | 503    | no       | yes   |
-      | mandate      | 503    | unknown  | no    |
-      | registration | 0      | none     | yes   |
-      | registration | 503    | unknown  | yes   |
-      | pass_check   | 0      | none     | yes   |
+      | work         | status | executed | retried |
+      | mandate      | 0      | none     | no      |
+      | mandate      | 503    | no       | yes     |
+      | mandate      | 503    | unknown  | no      |
+      | registration | 0      | none     | yes     |
+      | registration | 503    | unknown  | yes     |
+      | pass_check   | 0      | none     | yes     |
 
   Scenario: Two runs are compared by class and percentile
-    Given a load run with 90 streams in time and 10 refused
-    When it is compared to a load run that is twice as slow
-    Then the load comparison shows a ratio of 2 for the first token
+    Given a load run with 90 streams on time and 10 refused
+    When it is compared with a load run that is twice as slow
+    Then the load comparison has a ratio of 2 for the first token
--- a/tests/bench/rows.py
+++ b/tests/bench/rows.py
@@ -6,7 +6,7 @@
 
 
 def row(**changes: typing.Any) -> Row:
-    """The record of a stream that went well, with changes."""
+    """Make the record of a successful stream, with some fields changed."""
     return {
         "record": "request",
         "number": 0,
@@ -36,7 +36,7 @@
 
 
 def registration(operation: str, **changes: typing.Any) -> Row:
-    """The record of a non-idempotent call that went well, with changes."""
+    """Make the record of a successful non-idempotent call, with changes."""
     return row(
         work="registration",
         operation=operation,
@@ -48,6 +48,6 @@
 
 
 def naive_target_met(rows: list[Row], first_token_s: float) -> bool:
-    """Looks at the answers that came, and at nothing else."""
-    came = sorted(each["first_token_s"] for each in rows if each["tokens"])
-    return came[round(0.95 * (len(came) - 1))] <= first_token_s
+    """Whether the answered streams alone met the first-token target."""
+    answered = sorted(each["first_token_s"] for each in rows if each["tokens"])
+    return answered[round(0.95 * (len(answered) - 1))] <= first_token_s
