--- a/bench/_capacity_rules.py
+++ b/bench/_capacity_rules.py
@@ -1,4 +1,4 @@
-"""Naive rules that buy runners, to compare the planner with."""
+"""Naive rules for buying runners, as a baseline for the planner."""
 
 import collections
 import itertools
@@ -12,12 +12,12 @@
 from apricotlever.data_centres import price_book
 from apricotlever.data_centres import sizing
 
-HOLD_S = 300.0
+SURPLUS_HOLD_S = 300.0
 RULES: dict[str, type["Rule"]] = {}
 
 
-def rule(name: str) -> typing.Callable[[type["Rule"]], type["Rule"]]:
-    """Register a naive rule."""
+def register_rule(name: str) -> typing.Callable[[type["Rule"]], type["Rule"]]:
+    """Register a naive rule under its name in the output."""
 
     def register(cls: type["Rule"]) -> type["Rule"]:
         RULES[name] = cls
@@ -27,43 +27,47 @@
 
 
 class Rule:
-    """Sizes as the planner does; where to buy is left to each rule.
+    """Sizes the pool as the planner does; subclasses choose where to buy.
 
-    :param extra: multiplies the runners that the demand needs.
+    :param extra_factor: the factor by which the number of runners that the
+        demand needs is multiplied.
     """
 
     def __init__(
         self,
         clock: clocks.Clock,
         policy: capacity_planner.CapacityPolicy,
-        book: price_book.PriceBook,
-        extra: float,
+        prices: price_book.PriceBook,
+        extra_factor: float,
     ) -> None:
         self._clock = clock
         self._policy = policy
-        self._book = book
-        self._extra = extra
+        self._prices = prices
+        self._extra_factor = extra_factor
         self._forecast = demand_forecast.DemandForecast(
             clock, capacity_planner.RUNNER_START_S
         )
         self._tokens = itertools.count()
-        self._over_since: float | None = None
+        self._surplus_since: float | None = None
 
-    def place(self, held: collections.Counter) -> model.Place:
-        """Where to buy the next runner."""
+    def choose_place(self, held: collections.Counter) -> model.Place:
+        """Choose where to buy the next runner.
+
+        :param held: the number of runners held in each place.
+        """
         raise NotImplementedError
 
     def tick(
         self, demand: model.Demand, holdings: list[model.HeldRunner]
     ) -> list[model.PlannerAction]:
-        """Decide as the planner does."""
+        """Decide what to buy, load and release, as the planner does."""
         self._forecast.observe(demand.requests_per_s)
-        counted = [
+        staying = [
             each
             for each in holdings
             if each.state != model.RunnerState.LEAVING
         ]
-        wanted = sizing.runners_needed(
+        needed = sizing.runners_needed(
             model.Demand(
                 self._forecast.predicted_rate(),
                 demand.service_s,
@@ -71,75 +75,77 @@
             ),
             self._policy.slots_per_runner,
         )
-        wanted = max(self._policy.min_runners, math.ceil(self._extra * wanted))
+        needed = max(
+            self._policy.min_runners, math.ceil(self._extra_factor * needed)
+        )
         loads: list[model.PlannerAction] = [
             model.LoadModel(each.vm)
-            for each in counted
+            for each in staying
             if each.state == model.RunnerState.LIVE and not each.loaded
         ]
-        return loads + self._change(counted, wanted)
+        return loads + self._resize(staying, needed)
 
     def record_grant(self, token: str, vm: str) -> None:
-        """Nothing to learn."""
+        """Ignored: the naive rules keep no record of their orders."""
 
     def record_refusal(self, token: str) -> None:
-        """Nothing to learn: it is asked again at the next tick."""
+        """Ignored: a missing runner is ordered again at the next tick."""
 
-    def _change(
-        self, counted: list[model.HeldRunner], wanted: int
+    def _resize(
+        self, staying: list[model.HeldRunner], needed: int
     ) -> list[model.PlannerAction]:
-        held = collections.Counter(each.place for each in counted)
-        orders: list[model.PlannerAction] = []
-        for _ in range(wanted - len(counted)):
-            place = self.place(held)
+        held = collections.Counter(each.place for each in staying)
+        actions: list[model.PlannerAction] = []
+        for _ in range(needed - len(staying)):
+            place = self.choose_place(held)
             held[place] += 1
-            orders.append(model.Buy(f"naive-{next(self._tokens)}", place))
-        if len(counted) <= wanted:
-            self._over_since = None
-            return orders
+            actions.append(model.Buy(f"naive-{next(self._tokens)}", place))
+        if len(staying) <= needed:
+            self._surplus_since = None
+            return actions
         now = self._clock.now()
-        if self._over_since is None:
-            self._over_since = now
-        if now - self._over_since < HOLD_S:
-            return orders
-        dearest = max(
-            (each for each in counted if each.loaded),
-            key=lambda each: self._book.price_per_hour(each.place) or 0.0,
+        if self._surplus_since is None:
+            self._surplus_since = now
+        if now - self._surplus_since < SURPLUS_HOLD_S:
+            return actions
+        most_expensive = max(
+            (each for each in staying if each.loaded),
+            key=lambda each: self._prices.price_per_hour(each.place) or 0.0,
             default=None,
         )
-        return [model.Release(dearest.vm)] if dearest else []
+        return [model.Release(most_expensive.vm)] if most_expensive else []
 
     def _cheapest(self, places: typing.Iterable[model.Place]) -> model.Place:
         return min(
-            places, key=lambda each: self._book.price_per_hour(each) or 0.0
+            places, key=lambda each: self._prices.price_per_hour(each) or 0.0
         )
 
 
-@rule("on_demand")
+@register_rule("on_demand")
 class OnDemand(Rule):
-    """Buys on demand only, where that is cheapest."""
+    """Buys on-demand VMs only, in the cheapest data centre."""
 
-    def place(self, held: collections.Counter) -> model.Place:
-        places = self._book.places(self._policy.machine)
+    def choose_place(self, held: collections.Counter) -> model.Place:
+        places = self._prices.places(self._policy.machine)
         return self._cheapest(
             each for each in places if each.market == model.Market.ON_DEMAND
         )
 
 
-@rule("cheapest")
+@register_rule("cheapest")
 class Cheapest(Rule):
-    """Buys whatever is cheapest now."""
+    """Buys in the place with the lowest current price."""
 
-    def place(self, held: collections.Counter) -> model.Place:
-        return self._cheapest(self._book.places(self._policy.machine))
+    def choose_place(self, held: collections.Counter) -> model.Place:
+        return self._cheapest(self._prices.places(self._policy.machine))
 
 
-@rule("even_spread")
+@register_rule("even_spread")
 class EvenSpread(Rule):
-    """Buys reclaimable VMs, as many in each data centre."""
+    """Buys reclaimable VMs, equally many in each data centre."""
 
-    def place(self, held: collections.Counter) -> model.Place:
-        places = self._book.places(self._policy.machine)
+    def choose_place(self, held: collections.Counter) -> model.Place:
+        places = self._prices.places(self._policy.machine)
         return min(
             (each for each in places if each.market != "on_demand"),
             key=lambda each: (held[each], each),
--- a/bench/capacity_page.py
+++ b/bench/capacity_page.py
@@ -1,8 +1,8 @@
-"""Works out the tables of docs/CAPACITY.md from the slopes measured.
+"""Generates the tables of docs/CAPACITY.md from the measured slopes.
 
-A table stands between ``<!-- table: NAME -->`` and ``<!-- end -->`` and is
-replaced in place; the text around it is left alone. ``--check`` changes
-nothing and exits with 1 when the page differs from what the files give.
+A table between ``<!-- table: NAME -->`` and ``<!-- end -->`` is replaced in
+place; the text around it is unchanged. ``--check`` changes nothing and exits
+with 1 if the page differs from the generated one.
 """
 
 import argparse
@@ -11,61 +11,77 @@
 import sys
 import typing
 
-from . import _capacity_bounds as limits
+from . import _capacity_bounds as bounds
 from . import _capacity_target as target
 
-MARKED = re.compile(
+TABLE_PATTERN = re.compile(
     r"(<!-- table: (?P<name>\w+) -->\n)(?P<body>.*?)(<!-- end -->)", re.DOTALL
 )
 Row = tuple[str, ...]
-Table = typing.Callable[[target.Measured, target.Fleet], list[Row]]
-TABLES: dict[str, Table] = {}
+TableBuilder = typing.Callable[
+    [target.Measurements, target.TargetFleet], list[Row]
+]
+TABLE_BUILDERS: dict[str, TableBuilder] = {}
 
 
 class PageInvalid(Exception):
-    """The page has a table that is not known, or lacks one."""
+    """The page has an unknown or repeated table, or lacks one."""
 
 
-def _table(name: str) -> typing.Callable[[Table], Table]:
-    def register(table: Table) -> Table:
-        TABLES[name] = table
+def _register_table(
+    name: str,
+) -> typing.Callable[[TableBuilder], TableBuilder]:
+    def register(table: TableBuilder) -> TableBuilder:
+        TABLE_BUILDERS[name] = table
         return table
 
     return register
 
 
-def _number(value: float) -> str:
-    """Three significant digits, whole above a hundred."""
+def _format_number(value: float) -> str:
+    """Format with three significant digits; values from 100 as integers."""
     if abs(value) >= 100:
         return f"{value:,.0f}"
     return f"{value:.3g}"
 
 
-def _verdict(value: float, budget: float) -> str:
+def _format_verdict(value: float, budget: float) -> str:
     return "within" if value <= budget else f"{value / budget:.3g} x over"
 
 
 def _budget_rows(
-    parts: tuple[target.Part, ...],
+    parts: tuple[target.CostPart, ...],
     budget: float,
-    m: target.Measured,
-    fleet: target.Fleet,
+    measurements: target.Measurements,
+    fleet: target.TargetFleet,
 ) -> list[Row]:
-    costs = [(part, part.cost(m, fleet)) for part in parts]
+    costs = [(part, part.cost(measurements, fleet)) for part in parts]
     rows = [
-        (part.name, part.by, _number(cost), _number(100 * cost / budget))
+        (
+            part.name,
+            part.source,
+            _format_number(cost),
+            _format_number(100 * cost / budget),
+        )
         for part, cost in costs
     ]
-    whole = sum(cost for _, cost in costs)
-    last = ("**all of these**", "", _number(whole), _verdict(whole, budget))
+    total = sum(cost for _, cost in costs)
+    last = (
+        "**all of these**",
+        "",
+        _format_number(total),
+        _format_verdict(total, budget),
+    )
     return [*rows, last]
 
 
-@_table("target")
-def _target(m: target.Measured, fleet: target.Fleet) -> list[Row]:
+@_register_table("target")
+def _target(
+    measurements: target.Measurements, fleet: target.TargetFleet
+) -> list[Row]:
     figures = (
-        ("nodes in a data centre", fleet.per_data_centre),
-        ("runners in a data centre", fleet.runners_near),
+        ("nodes in a data centre", fleet.nodes_per_data_centre),
+        ("runners in a data centre", fleet.runners_per_data_centre),
         ("runners to a node", fleet.runners / fleet.nodes),
         ("requests/s of a node", fleet.requests_per_s),
         ("relayed events/s of a node", fleet.events_per_s),
@@ -73,203 +89,289 @@
         ("tokens of an answer", target.TOKENS_PER_S / target.REQUESTS_PER_S),
         ("changes of configuration/s", fleet.changes_per_s),
         ("runners polled/s by a node", fleet.polls_per_s),
-        ("VMs in the platform's list", fleet.listed),
-        ("store writes/s that are a node's share", fleet.writes_share),
+        ("VMs in the platform's list", fleet.listed_vms),
+        (
+            "store writes/s that are a node's share",
+            fleet.node_store_writes_per_s,
+        ),
     )
-    head = ("worked out from the target", "figure")
-    return [head, *((name, _number(value)) for name, value in figures)]
+    header = ("worked out from the target", "figure")
+    return [
+        header,
+        *((name, _format_number(value)) for name, value in figures),
+    ]
 
 
-@_table("slopes")
-def _slopes(m: target.Measured, fleet: target.Fleet) -> list[Row]:
-    head = ("slope", "size", "cost", "at 0", "for each", "residual")
+@_register_table("slopes")
+def _slopes(
+    measurements: target.Measurements, fleet: target.TargetFleet
+) -> list[Row]:
+    header = ("slope", "size", "cost", "at 0", "for each", "residual")
     return [
-        head,
+        header,
         *(
             (
                 f"`{name}`",
                 row["x"],
                 row["y"],
-                _number(row["start"]),
-                _number(row["growth"]),
+                _format_number(row["start"]),
+                _format_number(row["growth"]),
                 f"{100 * row['residual']:.1f}%",
             )
-            for name, row in sorted(m.slopes.items())
+            for name, row in sorted(measurements.slopes.items())
         ),
     ]
 
 
-@_table("processor")
-def _processor(m: target.Measured, fleet: target.Fleet) -> list[Row]:
-    head = ("part", "from", "% of a core", "% of the budget")
+@_register_table("processor")
+def _processor(
+    measurements: target.Measurements, fleet: target.TargetFleet
+) -> list[Row]:
+    header = ("part", "from", "% of a core", "% of the budget")
     parts = target.PROCESSOR
-    return [head, *_budget_rows(parts, target.CORE_PCT, m, fleet)]
+    return [
+        header,
+        *_budget_rows(parts, target.CORE_BUDGET_PCT, measurements, fleet),
+    ]
 
 
-@_table("network")
-def _network(m: target.Measured, fleet: target.Fleet) -> list[Row]:
-    head = ("part", "from", "bytes/s", "% of the budget")
+@_register_table("network")
+def _network(
+    measurements: target.Measurements, fleet: target.TargetFleet
+) -> list[Row]:
+    header = ("part", "from", "bytes/s", "% of the budget")
     parts = target.NETWORK
-    return [head, *_budget_rows(parts, target.BYTES_PER_S, m, fleet)]
+    return [
+        header,
+        *_budget_rows(
+            parts, target.NETWORK_BUDGET_BYTES_PER_S, measurements, fleet
+        ),
+    ]
 
 
-@_table("memory")
-def _memory(m: target.Measured, fleet: target.Fleet) -> list[Row]:
-    head = ("part", "from", "MB", "% of the budget")
+@_register_table("memory")
+def _memory(
+    measurements: target.Measurements, fleet: target.TargetFleet
+) -> list[Row]:
+    header = ("part", "from", "MB", "% of the budget")
     parts = target.MEMORY
-    rows = _budget_rows(parts, target.MEMORY_MB, m, fleet)
-    pool = next(p for p in parts if p.by == "prefix_memory").cost(m, fleet)
-    left = target.MEMORY_MB - target.total(parts, m, fleet) + pool
-    fitting = ("pools whose full index fits beside the rest", "", "", "")
-    return [head, *rows, (*fitting[:2], _number(left // pool), "")]
-
-
-@_table("rumours")
-def _rumours(m: target.Measured, fleet: target.Fleet) -> list[Row]:
-    room = target.MESSAGES_IN_PER_S * target.PACKET_BYTES
-    load = m.growth("load_bytes")
-    demand = m.at("demand_bytes", target.LIMITED_ENTRIES)
-    blocks = fleet.blocks_per_s * target.BYTES_A_BLOCK
+    rows = _budget_rows(parts, target.MEMORY_BUDGET_MB, measurements, fleet)
+    pool_mb = next(p for p in parts if p.source == "prefix_memory").cost(
+        measurements, fleet
+    )
+    left_mb = (
+        target.MEMORY_BUDGET_MB
+        - target.total_cost(parts, measurements, fleet)
+        + pool_mb
+    )
+    pools_row = ("pools whose full index fits beside the rest", "", "", "")
+    return [
+        header,
+        *rows,
+        (*pools_row[:2], _format_number(left_mb // pool_mb), ""),
+    ]
+
+
+@_register_table("rumours")
+def _rumours(
+    measurements: target.Measurements, fleet: target.TargetFleet
+) -> list[Row]:
+    receivable_bytes_per_s = (
+        target.MESSAGES_RECEIVED_PER_S * target.MESSAGE_BYTES
+    )
+    load_bytes = measurements.growth_per_unit("load_bytes")
+    demand_bytes = measurements.value_at(
+        "demand_bytes", target.LIMITED_ENTRIES
+    )
+    blocks = fleet.blocks_per_s * target.BYTES_PER_BLOCK
     kinds = (
-        ("load digests", fleet.runners_near / target.LOAD_POLL_S * load),
-        ("demand on limits", fleet.per_data_centre * demand),
-        ("cache blocks", fleet.runners_near * blocks),
+        (
+            "load digests",
+            fleet.runners_per_data_centre
+            / target.LOAD_POLL_INTERVAL_S
+            * load_bytes,
+        ),
+        ("demand on limits", fleet.nodes_per_data_centre * demand_bytes),
+        ("cache blocks", fleet.runners_per_data_centre * blocks),
+    )
+    header = ("rumours in a data centre", "bytes/s for each to hear once")
+    rows = [(name, _format_number(cost)) for name, cost in kinds]
+    full_refresh_s = (
+        fleet.runners_per_data_centre * load_bytes / receivable_bytes_per_s
     )
-    head = ("rumours in a data centre", "bytes/s for each to hear once")
-    rows = [(name, _number(cost)) for name, cost in kinds]
-    fresh = fleet.runners_near * load / room
-    hold = target.LOAD_LIFETIME_S * room / load
+    max_runners = target.LOAD_LIFETIME_S * receivable_bytes_per_s / load_bytes
     return [
-        head,
+        header,
         *rows,
-        ("**room in the messages that a node gets**", _number(room)),
-        ("seconds to hear each runner's load once, at best", _number(fresh)),
-        ("a digest's lifetime, s", _number(target.LOAD_LIFETIME_S)),
-        ("runners whose load fits into that, at best", _number(hold)),
+        (
+            "**room in the messages that a node gets**",
+            _format_number(receivable_bytes_per_s),
+        ),
+        (
+            "seconds to hear each runner's load once, at best",
+            _format_number(full_refresh_s),
+        ),
+        ("a digest's lifetime, s", _format_number(target.LOAD_LIFETIME_S)),
+        (
+            "runners whose load fits into that, at best",
+            _format_number(max_runners),
+        ),
     ]
 
 
-@_table("store")
-def _store(m: target.Measured, fleet: target.Fleet) -> list[Row]:
-    watchers = target.WATCHERS * target.DATA_CENTRES
+@_register_table("store")
+def _store(
+    measurements: target.Measurements, fleet: target.TargetFleet
+) -> list[Row]:
+    watchers = target.CONFIGURATION_WATCHERS * target.DATA_CENTRES
     duties = target.DUTIES_PER_POOL * target.POOLS
-    writes = target.lease_writes_per_s() * duties
+    writes = target.renewals_per_lease_per_s() * duties
     changes = target.WRITES_PER_CHANGE * fleet.changes_per_s
-    reads = watchers * (1 / target.WATCH_S + fleet.changes_per_s)
-    left = target.STORE_WRITES_PER_S - writes - changes
-    held = target.claims_held()
-    size = m.at("claims_bytes", held)
+    reads = watchers * (1 / target.WATCH_DURATION_S + fleet.changes_per_s)
+    spare_writes = target.STORE_WRITES_PER_S - writes - changes
+    claims = target.claims_per_bucket()
+    size = measurements.value_at("claims_bytes", claims)
     return [
         ("store calls of the whole fleet", "figure"),
-        ("watches waiting at any time", _number(watchers)),
-        ("reads/s: watches that end, by time or change", _number(reads)),
+        ("watches waiting at any time", _format_number(watchers)),
+        (
+            "reads/s: watches that end, by time or change",
+            _format_number(reads),
+        ),
         (
             "part of the reads",
             f"{100 * reads / target.STORE_READS_PER_S:.2g}%",
         ),
-        ("duties held (two for a pool)", _number(duties)),
-        ("writes/s: renewals of leases", _number(writes)),
-        ("writes/s: changes and their history", _number(changes)),
-        ("writes/s left for claims", _number(left)),
-        ("caller-made keys/s, two writes each", _number(left / 2)),
+        ("duties held (two for a pool)", _format_number(duties)),
+        ("writes/s: renewals of leases", _format_number(writes)),
+        ("writes/s: changes and their history", _format_number(changes)),
+        ("writes/s left for claims", _format_number(spare_writes)),
+        (
+            "caller-made keys/s, two writes each",
+            _format_number(spare_writes / 2),
+        ),
         (
             "part of the requests that may bring a key of their own",
-            f"{100 * left / 2 / target.REQUESTS_PER_S:.2g}%",
+            f"{100 * spare_writes / 2 / target.REQUESTS_PER_S:.2g}%",
         ),
         (
             "caller-made keys of one node, one in s",
-            _number(target.CLAIM_WRITES / fleet.writes_share),
+            _format_number(
+                target.WRITES_PER_CLAIM / fleet.node_store_writes_per_s
+            ),
         ),
-        ("bytes of a bucket at that rate, kept 2 h", _number(size)),
+        ("bytes of a bucket at that rate, kept 2 h", _format_number(size)),
         (
             "us of processor for a write of it",
-            _number(m.at("claims_core", held)),
+            _format_number(measurements.value_at("claims_core", claims)),
         ),
         (
             "bytes/s of a node that spends its share on claims",
-            _number(2 * fleet.writes_share * size),
+            _format_number(2 * fleet.node_store_writes_per_s * size),
         ),
     ]
 
 
-@_table("data_path")
-def _data_path(m: target.Measured, fleet: target.Fleet) -> list[Row]:
-    event_us = 1e4 * m.growth("relay_core")
-    request_us = m.row("relay", case="requests")["processor_us_per_request"]
+@_register_table("data_path")
+def _data_path(
+    measurements: target.Measurements, fleet: target.TargetFleet
+) -> list[Row]:
+    event_us = 1e4 * measurements.growth_per_unit("relay_core")
+    request_us = measurements.find_row("relay", case="requests")[
+        "processor_us_per_request"
+    ]
     events = event_us * fleet.events_per_s / target.US_PER_S
     requests = request_us * fleet.requests_per_s / target.US_PER_S
-    streams = m.at("relay_memory", fleet.streams)
+    streams = measurements.value_at("relay_memory", fleet.streams)
     cores = events + requests
     answer = target.TOKENS_PER_S / target.REQUESTS_PER_S
-    processes = cores / target.PROCESS_CORE
+    processes = cores / target.CORE_PER_PROCESS
     return [
         ("data path of a node", "figure"),
-        ("us of processor for a relayed event", _number(event_us)),
-        ("us of processor for a request of one token", _number(request_us)),
-        ("cores for events", _number(events)),
-        ("cores for requests", _number(requests)),
-        ("cores together", _number(cores)),
+        ("us of processor for a relayed event", _format_number(event_us)),
         (
-            f"processes at {100 * target.PROCESS_CORE:g}% of a core each",
-            _number(-(-processes // 1)),
+            "us of processor for a request of one token",
+            _format_number(request_us),
         ),
-        ("MB of one process with all the streams", _number(streams)),
+        ("cores for events", _format_number(events)),
+        ("cores for requests", _format_number(requests)),
+        ("cores together", _format_number(cores)),
+        (
+            f"processes at {100 * target.CORE_PER_PROCESS:g}% of a core each",
+            _format_number(-(-processes // 1)),
+        ),
+        ("MB of one process with all the streams", _format_number(streams)),
         (
             "MB of it for the tokens sent, when all answers are at their end",
-            _number(fleet.streams * m.at("stream_memory", answer) / target.MB),
+            _format_number(
+                fleet.streams
+                * measurements.value_at("stream_memory", answer)
+                / target.MB
+            ),
         ),
         (
             "processes for the streams at 256 callers each",
-            _number(-(-fleet.streams // target.CALLER_THREADS)),
+            _format_number(
+                -(-fleet.streams // target.CALLER_THREADS_PER_PROCESS)
+            ),
         ),
         (
             "us of it for a choice among 64 runners",
-            _number(m.at("routing_core", target.SUBSET)),
+            _format_number(
+                measurements.value_at("routing_core", target.SUBSET_SIZE)
+            ),
         ),
         (
             "us of it for admission with 320 customers",
-            _number(m.at("admission_core", 320)),
+            _format_number(measurements.value_at("admission_core", 320)),
         ),
     ]
 
 
-@_table("breaks")
-def _breaks(m: target.Measured, fleet: target.Fleet) -> list[Row]:
-    head = ("budget or bound", "broken from, nodes", "at the target")
-    known = sorted(
+@_register_table("breaks")
+def _breaks(
+    measurements: target.Measurements, fleet: target.TargetFleet
+) -> list[Row]:
+    header = ("budget or bound", "broken from, nodes", "at the target")
+    sorted_bounds = sorted(
         (found, name)
-        for name, cost, budget in limits.bounds(m)
-        if (found := limits.breaks_at(cost, budget)) is not None
+        for name, cost, budget in bounds.all_bounds(measurements)
+        if (found := bounds.exceeded_from(cost, budget)) is not None
     )
     costs = {
-        name: _verdict(cost(fleet), budget)
-        for name, cost, budget in limits.bounds(m)
+        name: _format_verdict(cost(fleet), budget)
+        for name, cost, budget in bounds.all_bounds(measurements)
     }
     return [
-        head,
+        header,
         *(
             (
                 name,
-                "any size" if found <= 1 else _number(found),
+                "any size" if found <= 1 else _format_number(found),
                 costs[name],
             )
-            for found, name in known
+            for found, name in sorted_bounds
         ),
     ]
 
 
-@_table("losses")
-def _losses(m: target.Measured, fleet: target.Fleet) -> list[Row]:
+@_register_table("losses")
+def _losses(
+    measurements: target.Measurements, fleet: target.TargetFleet
+) -> list[Row]:
     streams = target.TOKENS_PER_S * target.BETWEEN_TOKENS_S / fleet.runners
-    charge = m.growth("quarantine_memory")
-    told = target.NOTICE_WATCHERS * target.DATA_CENTRES
+    charge = measurements.growth_per_unit("quarantine_memory")
+    rumours_per_death = target.NOTICE_WATCHERS * target.DATA_CENTRES
     events = (
-        ("all the rumours that a node holds", target.RUMOURS_MAX / told),
-        ("an ordinary half hour", target.ordinary_deaths()),
-        ("a lost data centre", fleet.runners_near),
-        ("79% reclaimed", fleet.runners * target.RECLAIMABLE_PART),
+        (
+            "all the rumours that a node holds",
+            target.MAX_RUMOURS / rumours_per_death,
+        ),
+        ("an ordinary half hour", target.deaths_in_quarantine()),
+        ("a lost data centre", fleet.runners_per_data_centre),
+        ("79% reclaimed", fleet.runners * target.RECLAIMABLE_SHARE),
     )
-    head = (
+    header = (
         "runners that end within 30 min",
         "deaths kept",
         "MB of quarantine",
@@ -278,16 +380,19 @@
         "of all streams",
     )
     return [
-        head,
+        header,
         *(
             (
                 name,
-                _number(min(deaths, target.DEATHS_MAX)),
-                _number(
-                    min(deaths, target.DEATHS_MAX) * streams * charge / 1e6
+                _format_number(min(deaths, target.MAX_QUARANTINED_DEATHS)),
+                _format_number(
+                    min(deaths, target.MAX_QUARANTINED_DEATHS)
+                    * streams
+                    * charge
+                    / 1e6
                 ),
-                _number(deaths * told),
-                _number(deaths * streams),
+                _format_number(deaths * rumours_per_death),
+                _format_number(deaths * streams),
                 f"{100 * deaths / fleet.runners:.2g}%",
             )
             for name, deaths in events
@@ -296,45 +401,53 @@
 
 
 def _markdown(rows: list[Row]) -> str:
-    head, *body = ("| " + " | ".join(row) + " |" for row in rows)
+    header, *body = ("| " + " | ".join(row) + " |" for row in rows)
     rule = "|" + "---|" * len(rows[0])
-    return "\n".join([head, rule, *body]) + "\n"
+    return "\n".join([header, rule, *body]) + "\n"
 
 
-def render(page: str, measured: target.Measured) -> str:
-    """The page with each table as the files give it.
+def render(page: str, measurements: target.Measurements) -> str:
+    """Replace each table of the page by one generated from measurements.
 
-    :raises PageInvalid: if a table is missing or not known.
+    :returns: the new page.
+    :raises PageInvalid: unless the page has each known table exactly once.
     """
-    fleet = target.Fleet()
-    named = [found["name"] for found in MARKED.finditer(page)]
-    if sorted(named) != sorted(TABLES):
-        odd = ", ".join(sorted(set(named) ^ set(TABLES))) or "a table twice"
-        raise PageInvalid(f"not each table once: {odd}")
+    fleet = target.TargetFleet()
+    table_names = [found["name"] for found in TABLE_PATTERN.finditer(page)]
+    if sorted(table_names) != sorted(TABLE_BUILDERS):
+        mismatch = (
+            ", ".join(sorted(set(table_names) ^ set(TABLE_BUILDERS)))
+            or "a repeated table"
+        )
+        raise PageInvalid(
+            f"the page must have each table exactly once: {mismatch}"
+        )
 
     def table(found: re.Match[str]) -> str:
-        rows = TABLES[found["name"]](measured, fleet)
+        rows = TABLE_BUILDERS[found["name"]](measurements, fleet)
         return found[1] + _markdown(rows) + found[4]
 
-    return MARKED.sub(table, page)
+    return TABLE_PATTERN.sub(table, page)
 
 
 def run(arguments: list[str]) -> int:
-    """Write the tables, or check them.
+    """Update or check the tables of the page.
 
-    :returns: 1 with ``--check`` when the page differs, else 0.
+    :returns: the exit code: 1 if ``--check`` found a difference, else 0.
     """
     parser = argparse.ArgumentParser(prog="bench capacity_page")
     parser.add_argument("--check", action="store_true")
-    parser.add_argument("--page", type=pathlib.Path, default=target.PAGE)
-    parser.add_argument("--data", type=pathlib.Path, default=target.FOLDER)
+    parser.add_argument("--page", type=pathlib.Path, default=target.PAGE_PATH)
+    parser.add_argument("--data", type=pathlib.Path, default=target.DATA_DIR)
     options = parser.parse_args(arguments)
     page = options.page.read_text(encoding="utf-8")
-    wanted = render(page, target.Measured(options.data))
-    if options.check and page != wanted:
-        message = f"{options.page} differs: run bench capacity_page"
+    updated = render(page, target.Measurements(options.data))
+    if options.check and page != updated:
+        message = (
+            f"{options.page} is out of date: run python -m bench capacity_page"
+        )
         print(message, file=sys.stderr)
         return 1
-    if page != wanted:
-        options.page.write_text(wanted, encoding="utf-8")
+    if page != updated:
+        options.page.write_text(updated, encoding="utf-8")
     return 0
--- a/tests/bench/capacity_page.feature
+++ b/tests/bench/capacity_page.feature
@@ -1,15 +1,14 @@
-Feature: The capacity page says what was measured
+Feature: The capacity page agrees with the measurements
 
-  Scenario: The committed page agrees with the committed figures
+  Scenario: The committed page agrees with the committed measurements
     Given the committed capacity page
     When the capacity page is checked
     Then the capacity check passes
 
-  Scenario Outline: A capacity page that drifted is found
-    Symptom: the page names a figure that no run gave.
-    Events: <change>, and the page was not worked out again.
-    Cause: figures of a table were typed or forgotten by hand.
-
+  Scenario Outline: A capacity page that is out of date is detected
+    The page had a figure that no run gave, because a figure in a table was
+    edited by hand or the page was not generated again after a new
+    measurement.
     Given the committed capacity page
     And in a copy of the capacity page <change>
     When the capacity page is checked
@@ -18,17 +17,17 @@
     Examples:
       | change                        |
       | a figure of a table is edited |
-      | a slope is measured anew      |
-      | a row of a table is dropped   |
+      | a slope is measured again     |
+      | a row of a table is deleted   |
 
-  Scenario: A capacity page without one of its tables is refused
+  Scenario: A capacity page that lacks a table is rejected
     Given the committed capacity page
-    And in a copy of the capacity page a table is unmarked
-    Then the capacity check refuses the page
+    And in a copy of the capacity page the marker of a table is deleted
+    Then the capacity check rejects the page
 
-  Scenario: Working the capacity page out again mends it
+  Scenario: Generating the capacity page again corrects it
     Given the committed capacity page
     And in a copy of the capacity page a figure of a table is edited
-    When the capacity page is worked out
+    When the capacity page is generated
     And the capacity page is checked
     Then the capacity check passes
