--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks and the load tool."""
+"""Benchmarks, the load tool and the demo."""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,7 +1,8 @@
-"""Runs a benchmark: ``python -m bench NAME [arguments]``; lists them else.
+"""Runs a benchmark: ``python -m bench NAME [arguments]``.
 
-A benchmark is a module of this package with ``run(arguments) -> exit code``.
-It prints one JSON object a line.
+Without a known name the benchmarks are listed. A benchmark is a module of
+this package with a function ``run(arguments)`` that returns the exit code.
+Each benchmark prints one JSON object per line.
 """
 
 import importlib
@@ -12,30 +13,30 @@
 import bench
 
 
-def _modules() -> dict[str, types.ModuleType]:
-    names = [found.name for found in pkgutil.iter_modules(bench.__path__)]
-    loaded = {
+def _load_benchmarks() -> dict[str, types.ModuleType]:
+    names = [module.name for module in pkgutil.iter_modules(bench.__path__)]
+    modules = {
         name: importlib.import_module(f"bench.{name}")
         for name in names
         if not name.startswith("_")
     }
-    return {name: m for name, m in loaded.items() if hasattr(m, "run")}
+    return {name: m for name, m in modules.items() if hasattr(m, "run")}
 
 
-def _help(module: types.ModuleType) -> str:
+def _summary_line(module: types.ModuleType) -> str:
     return (module.__doc__ or "").strip().partition("\n")[0]
 
 
 def main(arguments: list[str]) -> int:
-    """Run the benchmark named first, or list them all.
+    """Run the benchmark that the first argument names, or list all.
 
     :returns: the exit code of the process.
     """
-    known = _modules()
-    if arguments and arguments[0] in known:
-        return int(known[arguments[0]].run(arguments[1:]) or 0)
-    for name, module in sorted(known.items()):
-        print(f"{name:16} {_help(module)}")
+    benchmarks = _load_benchmarks()
+    if arguments and arguments[0] in benchmarks:
+        return int(benchmarks[arguments[0]].run(arguments[1:]) or 0)
+    for name, module in sorted(benchmarks.items()):
+        print(f"{name:16} {_summary_line(module)}")
     return 2 if arguments else 0
 
 
--- a/bench/fleets.py
+++ b/bench/fleets.py
@@ -1,4 +1,4 @@
-"""Fleets of many data centres for the benchmarks, and their cost."""
+"""Builds virtual fleets of many data centres and measures their cost."""
 
 import itertools
 import typing
@@ -9,11 +9,11 @@
 from . import virtual
 
 REGIONS = 6
-GATEWAYS = 3
+GATEWAYS_PER_DATA_CENTRE = 3
 
 
 def members_of(sizes: typing.Sequence[int]) -> list[pb.Member]:
-    """Records for data centres of the sizes given."""
+    """Make member records for data centres of the given sizes."""
     return [
         virtual.member_of(f"d{dc}-v{i}", f"d{dc}", f"r{dc % REGIONS}")
         for dc, size in enumerate(sizes)
@@ -22,17 +22,17 @@
 
 
 def even_sizes(members: int, data_centres: int) -> list[int]:
-    """As equal as can be."""
-    small, rest = divmod(members, data_centres)
-    return [small + (i < rest) for i in range(data_centres)]
+    """Split members over data centres as evenly as possible."""
+    base, remainder = divmod(members, data_centres)
+    return [base + (i < remainder) for i in range(data_centres)]
 
 
 def start_known(
     fleet: virtual.Fleet, members: list[pb.Member]
 ) -> list[virtual.Node]:
-    """Start VMs that know their data centre and all summaries already.
+    """Start VMs that already know their data centre and all summaries.
 
-    It leaves out the time in which they would find each other.
+    This skips the phase in which the VMs discover each other.
     """
     nodes = [fleet.add(member) for member in members]
     by_data_centre = {
@@ -55,10 +55,15 @@
 
 
 class Cost:
-    """What VMs spent over a span of virtual time, for each VM and second.
+    """The resources that VMs used in a span of virtual time.
 
-    :param call_s: processor time of one call on the real link, both ends.
-    :param call_bytes: what one call adds to the messages on the wire.
+    All figures are per VM and second.
+
+    :param seconds: the length of the span.
+    :param call_s: processor time of one call on the real link, the sum of
+        both ends.
+    :param call_bytes: the bytes that one call adds to its messages on the
+        wire.
     """
 
     def __init__(
@@ -68,25 +73,25 @@
         call_s: float,
         call_bytes: float,
     ) -> None:
-        spans = len(nodes) * seconds
-        self.calls = sum(node.calls for node in nodes) / spans
+        node_seconds = len(nodes) * seconds
+        self.calls = sum(node.calls for node in nodes) / node_seconds
         payload = sum(node.sent_bytes + node.received_bytes for node in nodes)
-        # A call is paid for by both ends; summed over all VMs, each VM
-        # pays one caller's and one callee's half for each call it makes.
-        self.payload_bytes = payload / spans
+        # Both ends of a call spend resources. Summed over all VMs, each call
+        # that a VM makes accounts for one caller's and one callee's half.
+        self.payload_bytes = payload / node_seconds
         self.wire_bytes = self.payload_bytes + 2 * self.calls * call_bytes
-        self.decisions = sum(node.processor_s for node in nodes) / spans
+        self.decisions = sum(node.processor_s for node in nodes) / node_seconds
         self.processor = self.decisions + self.calls * call_s
 
     @staticmethod
     def reset(nodes: typing.Iterable[virtual.Node]) -> None:
-        """Start counting anew."""
+        """Reset the counters of all nodes."""
         for node in nodes:
             node.sent_bytes = node.received_bytes = node.calls = 0
             node.processor_s = 0.0
 
     def as_fields(self) -> dict[str, float]:
-        """For a JSON line; processor in percent of a core."""
+        """The figures as fields of a JSON line; processor in % of a core."""
         return {
             "calls_per_s": round(self.calls, 2),
             "payload_bytes_per_s": round(self.payload_bytes),
@@ -98,12 +103,14 @@
 
 def _summary(name: str, group: list[pb.Member]) -> pb.DataCentreSummary:
     by_name = {member.vm: member for member in group}
-    first = rendezvous.rank(f"gateway/{name}", by_name)[:GATEWAYS]
+    gateways = rendezvous.rank(f"gateway/{name}", by_name)[
+        :GATEWAYS_PER_DATA_CENTRE
+    ]
     return pb.DataCentreSummary(
         data_centre=name,
         region=group[0].region,
         version=1,
         members=len(group),
         serving=len(group),
-        gateways=[by_name[vm] for vm in first],
+        gateways=[by_name[vm] for vm in gateways],
     )
--- a/bench/startup.py
+++ b/bench/startup.py
@@ -1,8 +1,8 @@
-"""Processor time from a process's start until it listens and can serve.
+"""Measures the processor time from a start to listening and to serving.
 
-A dialect's own modules are left out: they belong to a platform. Each step is
-a process of its own, and the least of several counts, as whatever else runs
-beside can only add to it.
+The modules of a dialect are excluded, as they belong to a platform. Each step
+runs several times, each time in a new process. The minimum counts, because
+other load on the machine can only add to the time.
 """
 
 import argparse
@@ -13,10 +13,11 @@
 import typing
 
 ROOT = pathlib.Path(__file__).parents[1]
-PREPARE = (
+PREAMBLE = (
     f"import gc, sys; gc.disable(); sys.path.insert(0, {str(ROOT / 'src')!r})"
 )
-#: What is loaded at each step; the flags are those of a process that serves.
+#: Interpreter flags and imports of each step. The flags are those of a daemon
+#: process; ``asyncio`` alone is the reference.
 STEPS = {
     "asyncio": ((), "import asyncio"),
     "listens": (
@@ -30,42 +31,43 @@
 }
 
 
-def processor_s(flags: typing.Sequence[str], code: str) -> float:
-    """Processor time of one process that runs code, in seconds."""
-    paths = os.pathsep.join(path for path in sys.path if path)
+def measure_processor_s(flags: typing.Sequence[str], code: str) -> float:
+    """Run code in a new process and measure its processor time in seconds."""
+    python_path = os.pathsep.join(path for path in sys.path if path)
     arguments = [sys.executable, *flags, "-c", code]
     pid = os.posix_spawn(
-        sys.executable, arguments, {**os.environ, "PYTHONPATH": paths}
+        sys.executable, arguments, {**os.environ, "PYTHONPATH": python_path}
     )
     _, status, usage = os.wait4(pid, 0)
     if status:
-        raise RuntimeError(f"{code!r} ended with {status}")
+        raise RuntimeError(f"{code!r} failed with wait status {status}")
     return usage.ru_utime + usage.ru_stime
 
 
-def measure(tries: int) -> dict[str, float]:
-    """The least processor time of each step, in seconds."""
+def measure_steps(tries: int) -> dict[str, float]:
+    """Measure the minimum processor time of each step, in seconds."""
     return {
         name: min(
-            processor_s(flags, f"{PREPARE}; {code}") for _ in range(tries)
+            measure_processor_s(flags, f"{PREAMBLE}; {code}")
+            for _ in range(tries)
         )
         for name, (flags, code) in STEPS.items()
     }
 
 
 def run(arguments: typing.Sequence[str]) -> int:
-    """Print each step, and its part of loading asyncio alone."""
+    """Print the time of each step and its ratio to importing asyncio."""
     parser = argparse.ArgumentParser(prog="bench startup")
     parser.add_argument("--tries", type=int, default=20)
     options = parser.parse_args(arguments)
-    found = measure(options.tries)
-    for name, spent_s in found.items():
+    times_s = measure_steps(options.tries)
+    for name, step_s in times_s.items():
         print(
             json.dumps(
                 {
                     "step": name,
-                    "processor_ms": round(1000.0 * spent_s, 1),
-                    "part_of_asyncio": round(spent_s / found["asyncio"], 2),
+                    "processor_ms": round(1000.0 * step_s, 1),
+                    "part_of_asyncio": round(step_s / times_s["asyncio"], 2),
                 }
             )
         )
--- a/tests/steps/bench_startup.py
+++ b/tests/steps/bench_startup.py
@@ -8,35 +8,43 @@
 
 from bench import startup
 
-SHOW = "; import json; print(json.dumps(sorted(sys.modules)))"
+PRINT_MODULES = "; import json; print(json.dumps(sorted(sys.modules)))"
 
 
-@when("the modules are loaded that a VM needs to listen")
-def _load(context):
+@when("the modules that a VM needs to listen are loaded")
+def _load_modules(context):
     flags, code = startup.STEPS["listens"]
-    done = subprocess.run(
-        [sys.executable, *flags, "-c", f"{startup.PREPARE}; {code}{SHOW}"],
+    completed = subprocess.run(
+        [
+            sys.executable,
+            *flags,
+            "-c",
+            f"{startup.PREAMBLE}; {code}{PRINT_MODULES}",
+        ],
         capture_output=True,
         check=True,
         text=True,
     )
-    context.loaded = done.stdout
+    context.loaded = completed.stdout
 
 
-@then("neither the event loop nor the path of calls is among them")
-def _few(context):
+@then(
+    "neither the event loop nor the request path is among the loaded "
+    "modules"
+)
+def _few_modules(context):
     assert "apricotlever.serving.listening_sockets" in context.loaded
     for name in ("asyncio", "apricotlever.serving.node", "httptools"):
         assert f'"{name}"' not in context.loaded, name
 
 
 @when("the steps of a start are measured once")
-def _measure(context):
-    context.found = startup.measure(1)
+def _measure_start(context):
+    context.times_s = startup.measure_steps(1)
 
 
-@then("listening takes less than serving")
-def _less(context):
-    # A process that loads a third of the other's modules; no load beside it
-    # adds that much to one of two processor times alone.
-    assert context.found["listens"] < context.found["serves"]
+@then("listening takes less processor time than serving")
+def _less_time(context):
+    # Listening needs a third of the modules that serving needs. No other load
+    # on the machine adds that much to only one of the two processor times.
+    assert context.times_s["listens"] < context.times_s["serves"]
