--- a/src/apricotlever/daemon/fleet_link.py
+++ b/src/apricotlever/daemon/fleet_link.py
@@ -1,7 +1,7 @@
-"""The task that speaks to the other entry VMs.
+"""The task that communicates with the other entry VMs.
 
-It drives the membership over the peer link, delivers rumours, spreads
-crash reports, asks judges, and carries other tasks' calls to peers.
+It runs the membership protocol over the peer link, delivers rumours, spreads
+crash reports, asks judges for trials, and calls peers for other tasks.
 """
 
 from concurrent import futures
@@ -31,11 +31,11 @@
 from . import peer_calls
 from . import trial_messages
 
-CRASH_CALL_S = 0.4
-JUDGE_CALL_S = 1.0
-#: In a fleet larger than this the judge and a few others hear of a crash by
-#: a call, and the rest by rumour.
-CALLED_AT_ONCE = 16
+CRASH_CALL_TIMEOUT_S = 0.4
+JUDGE_CALL_TIMEOUT_S = 1.0
+#: A crash report is sent by a call to at most this many peers; in a larger
+#: fleet the others receive it by rumour only.
+MAX_CRASH_CALLS = 16
 
 _STATE_EVENTS = {
     pb.VM_ALIVE: "member_joined",
@@ -46,20 +46,23 @@
 
 
 class AskJudge:
-    """Ask the judge of a pool about a suspect.
+    """Ask the judge of a pool for permission to run a suspect.
 
-    :param pool: picks the judge.
+    The result is a :data:`.quarantine.TrialDecision`.
+
+    :param pool: the pool, whose name determines the judge.
+    :param request: the request for a trial.
     """
 
-    __slots__ = ("pool", "question")
+    __slots__ = ("pool", "request")
 
-    def __init__(self, pool: str, question: quarantine.TrialRequest) -> None:
+    def __init__(self, pool: str, request: quarantine.TrialRequest) -> None:
         self.pool = pool
-        self.question = question
+        self.request = request
 
 
 class TrialDone:
-    """Tell the judge of a pool that a trial is over."""
+    """Report to the judge of a pool that a trial has ended."""
 
     __slots__ = ("pool", "report")
 
@@ -69,7 +72,10 @@
 
 
 class SpreadCrash:
-    """Tell the others of a death or survival; answered when they know."""
+    """Send a crash or survival report to the other entry VMs.
+
+    The future is done when the calls to the peers have ended.
+    """
 
     __slots__ = ("report",)
 
@@ -78,7 +84,7 @@
 
 
 class TellCrash:
-    """Tell one VM of a death."""
+    """Send a crash report to one entry VM."""
 
     __slots__ = ("vm", "report")
 
@@ -87,23 +93,27 @@
         self.report = report
 
 
-class _Received:
-    """A gossip message came in, as a call or as an answer."""
+class _GossipReceived:
+    """A gossip message arrived.
 
-    __slots__ = ("message", "asked")
+    :param is_call: whether a peer called; if False, the message is the answer
+        to a call of this VM.
+    """
 
-    def __init__(self, message: pb.GossipMessage, asked: bool) -> None:
+    __slots__ = ("message", "is_call")
+
+    def __init__(self, message: pb.GossipMessage, is_call: bool) -> None:
         self.message = message
-        self.asked = asked
+        self.is_call = is_call
 
 
 class FleetLink(mailbox.Task):
-    """This VM's part in the fleet.
+    """Runs the membership protocol and calls peers for other tasks.
 
-    :param config: intervals and first contacts.
-    :param link: carries calls; started already.
+    :param config: the intervals, the timeouts and the seed nodes.
+    :param link: the peer link, which must have been started.
     :param me: this VM's record.
-    :param listener: told of what changes.
+    :param listener: is notified of changes.
     """
 
     def __init__(
@@ -140,21 +150,24 @@
     def receive(
         self, message: pb.GossipMessage
     ) -> "futures.Future[pb.GossipMessage]":
-        """Take in a peer's call; the future is its answer."""
-        return self.ask(_Received(message, True))
+        """Handle a peer's gossip call.
+
+        :returns: a future for the reply.
+        """
+        return self.ask(_GossipReceived(message, True))
 
-    @mailbox.handles(_Received)
-    def _received(self, received: _Received) -> pb.GossipMessage:
-        if not received.asked:
+    @mailbox.handles(_GossipReceived)
+    def _gossip_received(self, received: _GossipReceived) -> pb.GossipMessage:
+        if not received.is_call:
             self._carry_out(self._membership.answered(received.message))
             return pb.GossipMessage()
-        found = self._membership.receive(received.message)
+        due = self._membership.receive(received.message)
         replies = [
             action.message
-            for action in found
+            for action in due
             if isinstance(action, actions.Reply)
         ]
-        self._carry_out(found)
+        self._carry_out(due)
         return replies[0] if replies else pb.GossipMessage()
 
     @mailbox.handles(fleet_messages.Announce)
@@ -162,45 +175,51 @@
         self._membership.announce(message.rumour)
 
     @mailbox.handles(fleet_messages.CatalogueKnown)
-    def _catalogue(self, message: fleet_messages.CatalogueKnown) -> None:
+    def _advertise_catalogue(
+        self, message: fleet_messages.CatalogueKnown
+    ) -> None:
         self._membership.set_catalogue(message.version, message.digest)
 
     @mailbox.handles(fleet_messages.Hints)
-    def _hinted(self, message: fleet_messages.Hints) -> None:
+    def _set_hints(self, message: fleet_messages.Hints) -> None:
         self._membership.set_hints(message.hints)
 
     @mailbox.handles(fleet_messages.ViewWanted)
-    def _view_wanted(
-        self, message: fleet_messages.ViewWanted
-    ) -> views.FleetView:
+    def _get_view(self, message: fleet_messages.ViewWanted) -> views.FleetView:
         return self._membership.view
 
     @mailbox.handles(fleet_messages.Leave)
-    def _leave(self, message: fleet_messages.Leave) -> None:
+    def _announce_leave(self, message: fleet_messages.Leave) -> None:
         self._carry_out(self._membership.announce_leave())
 
     @mailbox.handles(fleet_messages.Depart)
-    def _depart(self, message: fleet_messages.Depart) -> "mailbox.Deferred":
+    def _announce_exit(
+        self, message: fleet_messages.Depart
+    ) -> "mailbox.Deferred":
         sends = [
             action
             for action in self._membership.announce_exit()
             if isinstance(action, actions.Send)
         ]
-        calls = [self._send(action) for action in sends]
-        future_chaining.settle_with_all(self.defer(), calls)
+        calls = [self._send_gossip(action) for action in sends]
+        future_chaining.complete_after_all(self.defer(), calls)
         return mailbox.DEFERRED
 
     @mailbox.handles(fleet_messages.CallPeer)
     def _call_peer(self, message: fleet_messages.CallPeer) -> mailbox.Deferred:
         future = self.defer()
         member = self._membership.view.members.get(message.vm)
-        other = message.incarnation not in (
+        wrong_incarnation = message.incarnation not in (
             0,
             member.incarnation if member else 0,
         )
-        if member is None or other:
+        if member is None or wrong_incarnation:
             future.set_exception(
-                peer_link.PeerUnavailable(message.vm, "not in the view", False)
+                peer_link.PeerUnavailable(
+                    message.vm,
+                    "the requested incarnation is not a live member",
+                    False,
+                )
             )
             return mailbox.DEFERRED
         call = self._call(
@@ -209,70 +228,78 @@
             message.message,
             message.timeout_s,
         )
-        self._calls.follow(member, call, future)
+        self._calls.track(member, call, future)
         return mailbox.DEFERRED
 
     @mailbox.handles(SpreadCrash)
     def _spread_crash(self, message: SpreadCrash) -> mailbox.Deferred:
-        report = gossip_messages.crash_message(self._config.vm, message.report)
-        self._membership.announce(gossip_messages.of_crash(report))
+        report = gossip_messages.encode_crash_report(
+            self._config.vm, message.report
+        )
+        self._membership.announce(gossip_messages.crash_rumour(report))
         others = [
             member
             for vm, member in self._membership.view.members.items()
             if vm != self._config.vm
         ]
         calls = [
-            self._call(member.peers_address, "Crash", report, CRASH_CALL_S)
-            for member in others[:CALLED_AT_ONCE]
+            self._call(
+                member.peers_address, "Crash", report, CRASH_CALL_TIMEOUT_S
+            )
+            for member in others[:MAX_CRASH_CALLS]
         ]
-        future_chaining.settle_with_all(self.defer(), calls)
+        future_chaining.complete_after_all(self.defer(), calls)
         return mailbox.DEFERRED
 
     @mailbox.handles(TellCrash)
-    def _tell_crash(self, message: TellCrash) -> None:
+    def _send_crash(self, message: TellCrash) -> None:
         member = self._membership.view.members.get(message.vm)
         if member is not None:
-            report = gossip_messages.crash_message(
+            report = gossip_messages.encode_crash_report(
                 self._config.vm, message.report
             )
-            self._call(member.peers_address, "Crash", report, CRASH_CALL_S)
+            self._call(
+                member.peers_address, "Crash", report, CRASH_CALL_TIMEOUT_S
+            )
 
     @mailbox.handles(AskJudge)
     def _ask_judge(self, message: AskJudge) -> mailbox.Deferred:
         future = self.defer()
-        judge = self._judge_of(message.pool)
+        judge = self._remote_judge(message.pool)
         if judge is None:
-            local = self._listener.judge(message.question)
-            local.add_done_callback(
-                functools.partial(future_chaining.copy, future)
+            decision = self._listener.judge(message.request)
+            decision.add_done_callback(
+                functools.partial(future_chaining.copy_result, future)
             )
             return mailbox.DEFERRED
-        question = trial_messages.question_message(message.question)
-        call = self._call(judge.peers_address, "Judge", question, JUDGE_CALL_S)
+        request = trial_messages.encode_request(message.request)
+        call = self._call(
+            judge.peers_address, "Judge", request, JUDGE_CALL_TIMEOUT_S
+        )
         call.add_done_callback(
-            functools.partial(trial_messages.decide, future)
+            functools.partial(trial_messages.complete_with_decision, future)
         )
         return mailbox.DEFERRED
 
     @mailbox.handles(TrialDone)
-    def _trial_done(self, message: TrialDone) -> None:
-        judge = self._judge_of(message.pool)
+    def _report_trial_end(self, message: TrialDone) -> None:
+        judge = self._remote_judge(message.pool)
         if judge is None:
             self._listener.trial_over(message.report)
             return
-        over = trial_messages.over_message(message.report)
-        self._call(judge.peers_address, "Judge", over, JUDGE_CALL_S)
+        report = trial_messages.encode_trial_end(message.report)
+        self._call(judge.peers_address, "Judge", report, JUDGE_CALL_TIMEOUT_S)
 
     def tick(self) -> None:
-        """Probe, suspect and spread what is due."""
+        """Run the membership protocol."""
         self._carry_out(self._membership.tick())
 
     def failed(self, error: Exception) -> None:
-        """Log what no handler foresaw."""
+        """Log an unexpected error of a handler."""
         logs.event("task_failed", task=self.name, error=repr(error))
 
-    def _judge_of(self, pool: str) -> pb.Member | None:
-        """The VM that judges a pool; None when it is this one."""
+    def _remote_judge(self, pool: str) -> pb.Member | None:
+        """The VM that is the judge of a pool; None when it is this one."""
         view = self._membership.view
         names = view.serving_names()
         vm = rendezvous.pick(f"judge/{pool}", names) if names else None
@@ -280,36 +307,38 @@
             return None
         return view.members[vm]
 
-    def _carry_out(self, found: list[actions.Action]) -> None:
-        for action in found:
+    def _carry_out(self, due: list[actions.Action]) -> None:
+        for action in due:
             self._carry_out_one(action)
-        if any(isinstance(action, actions.MemberChanged) for action in found):
+        if any(isinstance(action, actions.MemberChanged) for action in due):
             self._listener.on_view(self._membership.view)
 
     @functools.singledispatchmethod
     def _carry_out_one(self, action: typing.Any) -> None:
-        """A reply, which its caller sends."""
+        """Ignore a reply, which is returned to the peer that called."""
 
     @_carry_out_one.register
-    def _sent(self, action: actions.Send) -> None:
-        self._send(action)
+    def _send(self, action: actions.Send) -> None:
+        self._send_gossip(action)
 
-    def _send(self, action: actions.Send) -> "futures.Future[typing.Any]":
+    def _send_gossip(
+        self, action: actions.Send
+    ) -> "futures.Future[typing.Any]":
         future = self._call(
             action.address,
             "Gossip",
             action.message,
             self._config.timing.peer_timeout_s,
         )
-        future.add_done_callback(self._answered)
+        future.add_done_callback(self._handle_answer)
         return future
 
     @_carry_out_one.register
-    def _changed(self, action: actions.MemberChanged) -> None:
+    def _member_changed(self, action: actions.MemberChanged) -> None:
         after = action.after
         before = action.before
         if after.state == pb.VM_DEAD:
-            self._calls.give_up(after)
+            self._calls.cancel(after)
         if before is not None and before.state == after.state:
             return
         if after.state == pb.VM_ALIVE:
@@ -326,11 +355,11 @@
         self._listener.on_incarnation_ended(action.vm, action.incarnation)
 
     @_carry_out_one.register
-    def _delivered(self, action: actions.RumourDelivered) -> None:
+    def _rumour_delivered(self, action: actions.RumourDelivered) -> None:
         self._listener.on_rumour(action.rumour, action.via)
 
     @_carry_out_one.register
-    def _paused(self, action: actions.PauseDetected) -> None:
+    def _pause_detected(self, action: actions.PauseDetected) -> None:
         logs.event("paused", seconds=round(action.seconds, 3))
         self._listener.on_paused(action.seconds)
 
@@ -339,7 +368,9 @@
         self._listener.on_superseded()
 
     @_carry_out_one.register
-    def _heard(self, action: actions.CatalogueAdvertised) -> None:
+    def _catalogue_advertised(
+        self, action: actions.CatalogueAdvertised
+    ) -> None:
         self._listener.on_catalogue_heard(
             action.version, action.digest, action.via
         )
@@ -349,16 +380,16 @@
     ) -> "futures.Future[typing.Any]":
         self._metrics.count("peers.calls")
         call = self._link.call(address, method, message, timeout_s)
-        call.add_done_callback(self._counted)
+        call.add_done_callback(self._count_failure)
         return call
 
-    def _counted(self, call: "futures.Future[typing.Any]") -> None:
+    def _count_failure(self, call: "futures.Future[typing.Any]") -> None:
         if not call.cancelled() and call.exception() is not None:
             self._metrics.count("peers.failed")
 
-    def _answered(self, call: "futures.Future[typing.Any]") -> None:
+    def _handle_answer(self, call: "futures.Future[typing.Any]") -> None:
         if call.cancelled() or call.exception() is not None:
             return
         answer = call.result()
         if answer.sender.vm:
-            self.tell(_Received(answer, False))
+            self.tell(_GossipReceived(answer, False))
--- a/src/apricotlever/daemon/fleet_messages.py
+++ b/src/apricotlever/daemon/fleet_messages.py
@@ -1,4 +1,4 @@
-"""What other tasks ask of the task that speaks to the entry VMs."""
+"""Messages from other tasks to :class:`.fleet_link.FleetLink`."""
 
 import typing
 
@@ -7,7 +7,7 @@
 
 
 class CatalogueKnown:
-    """This VM has a catalogue in force; peers are to hear of it."""
+    """Advertise to the peers the catalogue in force at this VM."""
 
     __slots__ = ("version", "digest")
 
@@ -17,7 +17,7 @@
 
 
 class Hints:
-    """Entry VMs on the platform's lagging list."""
+    """Set the entry VMs on the platform's list, which lags."""
 
     __slots__ = ("hints",)
 
@@ -26,29 +26,35 @@
 
 
 class ViewWanted:
-    """Ask for the view as it is now."""
+    """Get the current view of the fleet."""
 
     __slots__ = ()
 
 
 class Leave:
-    """Tell the others that this VM takes no new work."""
+    """Announce to the peers that this VM takes no new work."""
 
     __slots__ = ()
 
 
 class Depart:
-    """Tell the others that this process ends; the last message."""
+    """Announce to the peers that this process ends.
+
+    It is the last message. Its future is done when the calls to the peers
+    have ended.
+    """
 
     __slots__ = ()
 
 
 class CallPeer:
-    """Call a method of another entry VM by its name.
+    """Call a method of another entry VM.
 
-    Answered with the peer's answer; raises what the peer link raises.
+    The result is the peer's answer, or the error of the peer link.
 
-    :param incarnation: only this one is meant; 0 for any.
+    :param vm: the name of the entry VM.
+    :param incarnation: the incarnation to call; 0 for any.
+    :param method: the name of the method of the peer service.
     """
 
     __slots__ = ("vm", "incarnation", "method", "message", "timeout_s")
--- a/src/apricotlever/daemon/future_chaining.py
+++ b/src/apricotlever/daemon/future_chaining.py
@@ -1,55 +1,59 @@
-"""Futures that follow other futures."""
+"""Futures that are completed from the results of other futures."""
 
 from concurrent import futures
 import itertools
 import typing
 
 
-def copy(
-    future: "futures.Future[typing.Any]", call: "futures.Future[typing.Any]"
+def copy_result(
+    target: "futures.Future[typing.Any]", source: "futures.Future[typing.Any]"
 ) -> None:
-    """Settle a future as another one was settled.
+    """Complete a future with the result or the error of another one.
 
-    :param future: to settle.
-    :param call: settled already.
+    :param target: the future to complete.
+    :param source: a future that is done.
     """
-    error = call.exception()
+    error = source.exception()
     if error is not None:
-        future.set_exception(error)
+        target.set_exception(error)
     else:
-        future.set_result(call.result())
+        target.set_result(source.result())
 
 
-def settle_with_all(
-    future: "futures.Future[typing.Any]",
+def complete_after_all(
+    target: "futures.Future[typing.Any]",
     calls: list["futures.Future[typing.Any]"],
 ) -> None:
-    """Settle a future with None when every call has ended, well or not."""
+    """Complete a future with None when all calls have ended or failed."""
     ended_count = itertools.count(1)
     if not calls:
-        future.set_result(None)
+        target.set_result(None)
 
     def ended(call: "futures.Future[typing.Any]") -> None:
         if next(ended_count) == len(calls):
-            future.set_result(None)
+            target.set_result(None)
 
     for call in calls:
         call.add_done_callback(ended)
 
 
-def then(
-    future: "futures.Future[typing.Any]",
-    turn: typing.Callable[[typing.Any], typing.Any],
+def map_result(
+    source: "futures.Future[typing.Any]",
+    transform: typing.Callable[[typing.Any], typing.Any],
 ) -> "futures.Future[typing.Any]":
-    """A future of what a function makes of another future's value."""
-    turned: futures.Future[typing.Any] = futures.Future()
+    """Apply a function to the result of a future.
+
+    :returns: a future for the function's return value, or for the error of
+        the source.
+    """
+    target: futures.Future[typing.Any] = futures.Future()
 
     def ended(done: "futures.Future[typing.Any]") -> None:
         error = done.exception()
         if error is not None:
-            turned.set_exception(error)
+            target.set_exception(error)
         else:
-            turned.set_result(turn(done.result()))
+            target.set_result(transform(done.result()))
 
-    future.add_done_callback(ended)
-    return turned
+    source.add_done_callback(ended)
+    return target
--- a/src/apricotlever/daemon/gossip_messages.py
+++ b/src/apricotlever/daemon/gossip_messages.py
@@ -1,4 +1,4 @@
-"""The daemon's messages as rumours of the membership, and back."""
+"""Converts the daemon's messages to and from rumours and peer messages."""
 
 from ..contracts import fleet_shares
 from ..links import peer_pb2 as pb
@@ -16,9 +16,9 @@
 
 
 def of_runner_leaving(runner: str, left_s: float) -> pb.Rumour:
-    """A runner's reclaim notice, for the whole fleet.
+    """A rumour that a runner will be reclaimed.
 
-    :param left_s: seconds until it is taken.
+    :param left_s: seconds until the runner is reclaimed.
     """
     return pb.Rumour(
         scope=pb.SCOPE_FLEET,
@@ -28,7 +28,7 @@
 
 
 def of_runner_gone(runner: str) -> pb.Rumour:
-    """A runner's end, for the whole fleet."""
+    """A rumour that a runner has ended."""
     return pb.Rumour(
         scope=pb.SCOPE_FLEET,
         lifetime_ms=RUNNER_LIFETIME_MS,
@@ -37,7 +37,7 @@
 
 
 def of_load(runner: str, report: runners.LoadReport) -> pb.Rumour:
-    """A runner's load; a newer one replaces it."""
+    """A rumour with a runner's load; it replaces earlier ones."""
     return pb.Rumour(
         scope=pb.SCOPE_FLEET,
         lifetime_ms=LOAD_LIFETIME_MS,
@@ -53,7 +53,10 @@
 
 
 def load_of(rumour: pb.Rumour) -> runners.LoadReport:
-    """The load report in a rumour, aged by its way here."""
+    """Decode a runner's load.
+
+    :returns: the load report; its age includes the age of the rumour.
+    """
     load = rumour.load
     age_s = (load.age_ms + rumour.age_ms) / MS_PER_S
     return runners.LoadReport(
@@ -62,8 +65,8 @@
 
 
 def of_cache(runner: str, events: runners.CacheEvents) -> pb.Rumour:
-    """Blocks that a runner has stored lately."""
-    stored = [
+    """A rumour with the blocks that a runner's cache has stored."""
+    stored_blocks = [
         block
         for event in events.events
         if event.stored
@@ -72,19 +75,24 @@
     return pb.Rumour(
         scope=pb.SCOPE_FLEET,
         lifetime_ms=PREFIX_LIFETIME_MS,
-        prefix=pb.PrefixDigest(runner=runner, seq=events.last, blocks=stored),
+        prefix=pb.PrefixDigest(
+            runner=runner, seq=events.last, blocks=stored_blocks
+        ),
     )
 
 
 def cache_of(rumour: pb.Rumour) -> runners.CacheEvents:
-    """The cache events in a rumour."""
+    """Decode the cache events of a runner."""
     digest = rumour.prefix
     event = runners.CacheEvent(digest.seq, True, tuple(digest.blocks))
     return runners.CacheEvents((event,), digest.seq)
 
 
 def of_demand(report: fleet_shares.DemandReport) -> pb.Rumour:
-    """A VM's demand on the fleet's limits; a newer one replaces it."""
+    """A rumour with a VM's demand on the fleet's limits.
+
+    It replaces the VM's earlier ones.
+    """
     return pb.Rumour(
         scope=pb.SCOPE_FLEET,
         lifetime_ms=DEMAND_LIFETIME_MS,
@@ -104,24 +112,31 @@
     )
 
 
-def of_ledger_moved(
-    owner: keyed.VmIncarnation, heir: keyed.VmIncarnation
+def ledger_moved_rumour(
+    owner: keyed.VmIncarnation, successor: keyed.VmIncarnation
 ) -> pb.Rumour:
-    """Where the keys of a VM that left are kept now."""
+    """A rumour that another VM has adopted the ledger of a leaving VM.
+
+    :param owner: the incarnation that minted the keys of the ledger.
+    :param successor: the incarnation that adopted the ledger.
+    """
     return pb.Rumour(
         scope=pb.SCOPE_FLEET,
         lifetime_ms=LEDGER_LIFETIME_MS,
         ledger_moved=pb.LedgerMoved(
             vm=owner.vm,
             incarnation=owner.incarnation,
-            heir=heir.vm,
-            heir_incarnation=heir.incarnation,
+            heir=successor.vm,
+            heir_incarnation=successor.incarnation,
         ),
     )
 
 
 def of_arrivals(message: pb.DemandReport) -> pb.Rumour:
-    """What callers ask of a VM's pools; a newer one replaces it."""
+    """A rumour with the arrival rates of the pools at a VM.
+
+    It replaces the VM's earlier ones.
+    """
     return pb.Rumour(
         scope=pb.SCOPE_FLEET,
         lifetime_ms=DEMAND_LIFETIME_MS,
@@ -131,23 +146,23 @@
 
 
 def demand_of(message: pb.DemandReport) -> fleet_shares.DemandReport:
-    """The report in a message; limits unknown here are left out."""
-    known = {kind.value: kind for kind in fleet_shares.LimitKind}
+    """Decode a VM's demand; limits unknown to this version are left out."""
+    kinds = {kind.value: kind for kind in fleet_shares.LimitKind}
     return fleet_shares.DemandReport(
         message.vm,
         message.number,
         tuple(
             fleet_shares.Demand(
-                demand.entry, known[demand.limit], demand.demand
+                demand.entry, kinds[demand.limit], demand.demand
             )
             for demand in message.demands
-            if demand.limit in known
+            if demand.limit in kinds
         ),
     )
 
 
-def crash_message(vm: str, report: crashes.Report) -> pb.CrashReport:
-    """A report of a death or a survival as a message.
+def encode_crash_report(vm: str, report: crashes.Report) -> pb.CrashReport:
+    """Encode a report of a crash, or of a request that crashed no runner.
 
     :param vm: this VM's name.
     """
@@ -173,12 +188,15 @@
     )
 
 
-def crash_of(message: pb.CrashReport, way_s: float = 0.0) -> crashes.Report:
-    """The report in a message.
+def crash_of(
+    message: pb.CrashReport, transit_s: float = 0.0
+) -> crashes.Report:
+    """Decode a report of a crash, or of a request that crashed no runner.
 
-    :param way_s: how long the message was on its way.
+    :param transit_s: the age of the message, in seconds; it is added to the
+        age of the report.
     """
-    age_s = message.age_s + way_s
+    age_s = message.age_s + transit_s
     if message.survived:
         return crashes.RequestCompleted(message.survived, age_s)
     return crashes.CrashObservation(
@@ -199,8 +217,8 @@
     )
 
 
-def of_crash(message: pb.CrashReport) -> pb.Rumour:
-    """A report of a death or a survival, for the whole fleet."""
+def crash_rumour(message: pb.CrashReport) -> pb.Rumour:
+    """A rumour with a report of a crash or of a completed request."""
     return pb.Rumour(
         scope=pb.SCOPE_FLEET,
         lifetime_ms=CRASH_LIFETIME_MS,
--- a/src/apricotlever/daemon/incoming_handover.py
+++ b/src/apricotlever/daemon/incoming_handover.py
@@ -1,4 +1,4 @@
-"""The task that takes over what a leaving entry VM hands to this one."""
+"""The task that adopts the requests and ledgers of leaving entry VMs."""
 
 from concurrent import futures
 
@@ -13,7 +13,7 @@
 from ..requests import records
 from ..runners import quarantine
 
-from . import answer_reader as pumps
+from . import answer_reader as readers
 from . import context as contexts
 from . import dispatcher_messages
 from . import fleet_messages
@@ -24,11 +24,11 @@
 from . import request_registry
 from . import transcripts
 
-ADOPTED_THREADS = 512
+ADOPTED_STREAM_THREADS = 512
 
 
 class ReceivePart:
-    """A part of a handover came; answered with the receipt."""
+    """A part of a handover arrived; the result is the receipt."""
 
     __slots__ = ("part",)
 
@@ -37,7 +37,7 @@
 
 
 class IncomingHandover(mailbox.Task):
-    """Adopts requests and ledgers.
+    """Adopts requests and ledgers and resumes the streams of the requests.
 
     :param context: the daemon's other tasks.
     """
@@ -46,72 +46,78 @@
         super().__init__("heir", clock)
         self._context = context
         me = keyed.VmIncarnation(context.config.vm, context.incarnation)
-        self._intake = handover_receiver.HandoverReceiver(me)
-        self._threads = futures.ThreadPoolExecutor(ADOPTED_THREADS, "adopted")
+        self._receiver = handover_receiver.HandoverReceiver(me)
+        self._threads = futures.ThreadPoolExecutor(
+            ADOPTED_STREAM_THREADS, "adopted"
+        )
 
     @mailbox.handles(ReceivePart)
-    def _take(self, message: ReceivePart) -> pb.HandoverReceipt:
+    def _receive_part(self, message: ReceivePart) -> pb.HandoverReceipt:
         try:
-            taken = self._intake.receive(message.part.part)
+            action = self._receiver.receive(message.part.part)
         except request_errors.HandoverInvalid as error:
-            return _refused(error.message)
-        match taken:
+            return _refusal(error.message)
+        match action:
             case handover_receiver.WrongSuccessor():
-                return _refused("meant for another incarnation")
+                return _refusal("the part is addressed to another incarnation")
             case handover_receiver.AdoptRecords():
-                self._adopt(taken.sender.vm, taken.records)
+                self._adopt_requests(action.sender.vm, action.records)
             case handover_receiver.AdoptLedger():
-                return self._adopt_ledger(taken)
+                return self._adopt_ledger(action)
             case handover_receiver.AdoptOutcomes():
-                self._context.ledger.tell(ledger_task.Settle(taken.settled))
+                self._context.ledger.tell(ledger_task.Settle(action.settled))
         return pb.HandoverReceipt(accepted=True)
 
     def stopped(self) -> None:
-        """End the threads when their streams have ended."""
+        """Stop each thread when its stream has ended."""
         self._threads.shutdown(wait=False)
 
     def _adopt_ledger(
-        self, taken: handover_receiver.AdoptLedger
+        self, action: handover_receiver.AdoptLedger
     ) -> pb.HandoverReceipt:
-        adopt = ledger_task.AdoptLedger(taken.state)
+        adopt = ledger_task.AdoptLedger(action.state)
         receipt = self._context.ledger.ask(adopt).result()
         if not receipt.accepted:
-            return _refused("this VM is leaving too")
+            return _refusal(
+                "this VM does not adopt a ledger because it is leaving"
+            )
         logs.event("handover_taken", sender=receipt.sender.vm, ledger=True)
-        moved = gossip_messages.of_ledger_moved(
+        rumour = gossip_messages.ledger_moved_rumour(
             receipt.sender, receipt.successor
         )
-        self._context.fleet.tell(fleet_messages.Announce(moved))
+        self._context.fleet.tell(fleet_messages.Announce(rumour))
         return pb.HandoverReceipt(accepted=True)
 
-    def _adopt(
+    def _adopt_requests(
         self, sender: str, adopted: list[records.RequestRecord]
     ) -> None:
-        """Go on with the running requests before the receipt is given.
+        """Resume the running requests; the receipt follows.
 
-        The caller is told to come here only after the receipt, so it finds
-        its request.
+        The sender redirects callers to this VM only after the receipt, so a
+        redirected caller finds its request.
         """
-        asked = self._context.registry.ask(request_registry.Adopt(adopted))
-        running = asked.result()
+        adoption = self._context.registry.ask(request_registry.Adopt(adopted))
+        running = adoption.result()
         for record in running:
-            self._go_on(record)
+            self._resume(record)
         logs.event("handover_taken", sender=sender, requests=len(running))
 
-    def _go_on(self, record: records.RequestRecord) -> None:
-        flight = self._flight(record)
-        if flight is None:
+    def _resume(self, record: records.RequestRecord) -> None:
+        request = self._create_request(record)
+        if request is None:
             outcome = request_registry.outcome_failed("unknown", "not_found")
             close = request_registry.Close(record.request_id, outcome)
             self._context.registry.tell(close)
             return
-        self._context.registry.ask(request_registry.Join(flight)).result()
+        self._context.registry.ask(request_registry.Join(request)).result()
         wanted = dispatcher_messages.RunnerWanted(record.runner)
         runner = self._context.dispatcher.ask(wanted).result()
-        pump = pumps.AnswerReader(self._context, flight, runner)
-        self._threads.submit(model_responses.pump_adopted, self._context, pump)
+        reader = readers.AnswerReader(self._context, request, runner)
+        self._threads.submit(
+            model_responses.pump_adopted, self._context, reader
+        )
 
-    def _flight(
+    def _create_request(
         self, record: records.RequestRecord
     ) -> model_request.ModelRequest | None:
         context = self._context
@@ -120,28 +126,28 @@
         if entry is None:
             return None
         service_class = catalogue.class_of(entry)
-        request = openai_format.parse_request(record.body, record.chat)
+        parsed = openai_format.parse_request(record.body, record.chat)
         events = (
             model_responses.token_event(
                 record.request_id, index, token, record.chat
             )
             for index, token in enumerate(record.tokens)
         )
-        flight = model_request.ModelRequest(
+        request = model_request.ModelRequest(
             context.clock,
             record.request_id,
             record.customer,
             entry,
             service_class,
-            request,
+            parsed,
             record.body,
             quarantine.fingerprint(entry.name, record.customer, record.body),
             context.clock.now() + service_class.deadline_s,
             transcripts.Transcript(events),
         )
-        flight.attempt = record.attempt
-        return flight
+        request.attempt = record.attempt
+        return request
 
 
-def _refused(reason: str) -> pb.HandoverReceipt:
+def _refusal(reason: str) -> pb.HandoverReceipt:
     return pb.HandoverReceipt(accepted=False, reason=reason)
--- a/src/apricotlever/daemon/outgoing_handover.py
+++ b/src/apricotlever/daemon/outgoing_handover.py
@@ -1,4 +1,4 @@
-"""The task that hands a leaving VM's requests and ledger to its peers."""
+"""The task that hands a leaving VM's requests and ledger over to peers."""
 
 from concurrent import futures
 import functools
@@ -25,15 +25,16 @@
 
 
 class StartHandover:
-    """Hand everything over; answered with whether all was taken."""
+    """Start the handover; the result is whether it was completed."""
 
     __slots__ = ()
 
 
-class _Receipt:
-    """A peer answered a part, or not.
+class _PartResult:
+    """The result of sending a part to a peer.
 
-    :param accepted: None when no answer came.
+    :param accepted: whether the peer accepted the part; None if it did not
+        answer.
     """
 
     __slots__ = ("sequence", "accepted")
@@ -44,7 +45,7 @@
 
 
 class OwnerGone:
-    """An incarnation of a peer is gone for certain."""
+    """An incarnation of a peer has certainly ended."""
 
     __slots__ = ("owner",)
 
@@ -53,11 +54,11 @@
 
 
 class OutgoingHandover(mailbox.Task):
-    """Hands over, once.
+    """Runs a single handover.
 
     :param context: the daemon's other tasks.
-    :param presence: knows the peers.
-    :param deadline: when this VM ends, on its own clock.
+    :param presence: provides the view of the peers.
+    :param deadline: when the handover must end, on this VM's clock.
     """
 
     def __init__(
@@ -71,53 +72,57 @@
         self._context = context
         self._presence = presence
         config = context.config
-        self._departure = handover_sender.HandoverSender(
+        self._handover_sender = handover_sender.HandoverSender(
             clock,
             keyed.VmIncarnation(config.vm, context.incarnation),
             config.data_centre,
             deadline,
         )
-        self._finished: futures.Future[typing.Any] | None = None
+        self._completion: futures.Future[typing.Any] | None = None
 
     @mailbox.handles(StartHandover)
     def _hand_over(self, message: StartHandover) -> mailbox.Deferred:
-        self._finished = self.defer()
+        self._completion = self.defer()
         self._context.ledger.ask(ledger_task.Freeze()).result()
-        asked = self._context.registry.ask(request_registry.Snapshot())
-        everything = asked.result()
-        found = self._departure.start(
+        future = self._context.registry.ask(request_registry.Snapshot())
+        snapshot = future.result()
+        due = self._handover_sender.start(
             self._peers(),
-            everything.running,
-            everything.ended,
-            self._in_flight(),
+            snapshot.running,
+            snapshot.ended,
+            self._keyed_calls_in_flight(),
         )
-        self._carry_out(found)
+        self._carry_out(due)
         return mailbox.DEFERRED
 
-    @mailbox.handles(_Receipt)
-    def _received(self, message: _Receipt) -> None:
+    @mailbox.handles(_PartResult)
+    def _part_result(self, message: _PartResult) -> None:
         if message.accepted is None:
             return
         if message.accepted:
-            found = self._departure.on_receipt(message.sequence)
+            due = self._handover_sender.on_receipt(message.sequence)
         else:
-            found = self._departure.on_refusal(message.sequence)
-        self._carry_out(found)
+            due = self._handover_sender.on_refusal(message.sequence)
+        self._carry_out(due)
 
     @mailbox.handles(OwnerGone)
-    def _owner_gone(self, message: OwnerGone) -> None:
-        self._carry_out(self._departure.on_peer_gone(message.owner))
+    def _peer_gone(self, message: OwnerGone) -> None:
+        self._carry_out(self._handover_sender.on_peer_gone(message.owner))
 
     def tick(self) -> None:
-        """Send again what has no receipt, and outcomes that came late."""
-        if self._finished is None:
+        """Resend parts without a receipt, and send late outcomes."""
+        if self._completion is None:
             return
-        late = self._context.ledger.ask(ledger_task.LateOutcomes()).result()
-        found = self._departure.send_outcomes(late, self._in_flight())
-        self._carry_out(found)
-        self._carry_out(self._departure.tick())
+        late_outcomes = self._context.ledger.ask(
+            ledger_task.LateOutcomes()
+        ).result()
+        due = self._handover_sender.send_outcomes(
+            late_outcomes, self._keyed_calls_in_flight()
+        )
+        self._carry_out(due)
+        self._carry_out(self._handover_sender.tick())
 
-    def _in_flight(self) -> int:
+    def _keyed_calls_in_flight(self) -> int:
         return int(self._context.ledger.ask(ledger_task.Count()).result()[1])
 
     def _peers(self) -> list[handover_sender.Peer]:
@@ -129,13 +134,11 @@
                 keyed.VmIncarnation(member.vm, member.incarnation),
                 member.data_centre,
             )
-            for member in _others(view, self._context.config.vm)
+            for member in _other_serving_members(view, self._context.config.vm)
         ]
 
-    def _carry_out(
-        self, found: typing.Iterable[handover_sender.Action]
-    ) -> None:
-        for action in found:
+    def _carry_out(self, due: typing.Iterable[handover_sender.Action]) -> None:
+        for action in due:
             self._carry_out_one(action)
 
     @functools.singledispatchmethod
@@ -143,7 +146,7 @@
         raise TypeError(type(action))
 
     @_carry_out_one.register
-    def _send(self, action: handover_sender.SendPart) -> None:
+    def _send_part(self, action: handover_sender.SendPart) -> None:
         part = action.part
         call = fleet_messages.CallPeer(
             part.successor.vm,
@@ -156,12 +159,14 @@
         def ended(future: "futures.Future[typing.Any]") -> None:
             failed = future.exception() is not None
             accepted = None if failed else future.result().accepted
-            self.tell(_Receipt(part.sequence, accepted))
+            self.tell(_PartResult(part.sequence, accepted))
 
         self._context.fleet.ask(call).add_done_callback(ended)
 
     @_carry_out_one.register
-    def _tell_moved(self, action: handover_sender.RedirectCallers) -> None:
+    def _redirect_callers(
+        self, action: handover_sender.RedirectCallers
+    ) -> None:
         address = self._presence.address_of(action.vm)
         logs.event(
             "handover_sent", heir=action.vm, requests=len(action.request_ids)
@@ -171,40 +176,41 @@
         )
 
     @_carry_out_one.register
-    def _export(self, action: handover_sender.ExportLedger) -> None:
-        asked = self._context.ledger.ask(ledger_task.Export(action.successor))
-        self._carry_out(self._departure.on_exported(asked.result()))
+    def _export_ledger(self, action: handover_sender.ExportLedger) -> None:
+        future = self._context.ledger.ask(ledger_task.Export(action.successor))
+        self._carry_out(self._handover_sender.on_exported(future.result()))
 
     @_carry_out_one.register
-    def _ledger_received(self, action: handover_sender.DeliverReceipt) -> None:
+    def _deliver_receipt(self, action: handover_sender.DeliverReceipt) -> None:
         receipt = action.receipt
         self._context.ledger.tell(ledger_task.HeirAnswered(receipt))
         if receipt.accepted:
-            moved = gossip_messages.of_ledger_moved(
+            rumour = gossip_messages.ledger_moved_rumour(
                 receipt.sender, receipt.successor
             )
-            self._context.fleet.tell(fleet_messages.Announce(moved))
+            self._context.fleet.tell(fleet_messages.Announce(rumour))
 
     @_carry_out_one.register
-    def _outcomes_received(
+    def _acknowledge_outcomes(
         self, action: handover_sender.AcknowledgeOutcomes
     ) -> None:
         self._context.ledger.tell(ledger_task.OutcomesReceived(action.settled))
 
     @_carry_out_one.register
-    def _done(self, action: handover_sender.HandoverFinished) -> None:
+    def _finish(self, action: handover_sender.HandoverFinished) -> None:
         if not action.complete:
             logs.event(
-                "handover_failed", parts=self._departure.unacknowledged_count
+                "handover_failed",
+                parts=self._handover_sender.unacknowledged_count,
             )
-        if self._finished is not None and not self._finished.done():
-            self._finished.set_result(action.complete)
+        if self._completion is not None and not self._completion.done():
+            self._completion.set_result(action.complete)
 
 
 def owner(vm: str, incarnation: int) -> keyed.VmIncarnation:
-    """An incarnation as the handover names it."""
+    """The incarnation of a VM, as the handover identifies it."""
     return keyed.VmIncarnation(vm, incarnation)
 
 
-def _others(view: views.FleetView, vm: str) -> list[pb.Member]:
+def _other_serving_members(view: views.FleetView, vm: str) -> list[pb.Member]:
     return [member for member in view.serving() if member.vm != vm]
--- a/src/apricotlever/daemon/peer_calls.py
+++ b/src/apricotlever/daemon/peer_calls.py
@@ -1,4 +1,4 @@
-"""Calls made to other entry VMs on behalf of other tasks."""
+"""Calls to other entry VMs on behalf of other tasks."""
 
 from concurrent import futures
 import functools
@@ -13,38 +13,46 @@
 
 
 class PeerCalls:
-    """Calls under way, by the process that is to answer them."""
+    """The calls in progress, by the peer's process."""
 
-    __slots__ = ("_running",)
+    __slots__ = ("_in_progress",)
 
     def __init__(self) -> None:
-        self._running: dict[tuple[str, int], list[Call]] = {}
+        self._in_progress: dict[tuple[str, int], list[Call]] = {}
 
-    def follow(self, member: pb.Member, call: Call, future: Call) -> None:
-        """Settle a future as a call ends.
+    def track(self, member: pb.Member, call: Call, future: Call) -> None:
+        """Track a call and complete a future when the call ends.
 
-        :param member: whom the call was made to.
+        :param member: the peer that was called.
+        :param call: the call.
+        :param future: gets the result or the error of the call.
         """
         process = (member.vm, member.incarnation)
-        running = [c for c in self._running.get(process, ()) if not c.done()]
-        self._running[process] = [*running, call]
-        call.add_done_callback(functools.partial(_settle, future, member.vm))
+        in_progress = [
+            c for c in self._in_progress.get(process, ()) if not c.done()
+        ]
+        self._in_progress[process] = [*in_progress, call]
+        call.add_done_callback(functools.partial(_complete, future, member.vm))
 
-    def give_up(self, member: pb.Member) -> None:
-        """End the calls that a VM held to be dead has not answered.
+    def cancel(self, member: pb.Member) -> None:
+        """Cancel the calls that a VM declared dead has not answered.
 
-        One that stands still gives neither an answer nor an error. The
-        caller would wait out the whole deadline of its request to hear
-        that the outcome is unknown.
+        A paused VM sends neither an answer nor an error. Without the
+        cancellation, the caller would wait until the deadline of its request
+        to learn that the outcome is unknown.
+
+        :param member: the VM that was declared dead.
         """
         process = (member.vm, member.incarnation)
-        for call in self._running.pop(process, ()):
+        for call in self._in_progress.pop(process, ()):
             call.cancel()
 
 
-def _settle(future: Call, vm: str, call: Call) -> None:
+def _complete(future: Call, vm: str, call: Call) -> None:
     if call.cancelled():
-        gone = peer_link.PeerUnavailable(vm, "gone while it was asked", True)
-        future.set_exception(gone)
+        error = peer_link.PeerUnavailable(
+            vm, "declared dead during the call", True
+        )
+        future.set_exception(error)
     else:
-        future_chaining.copy(future, call)
+        future_chaining.copy_result(future, call)
--- a/src/apricotlever/daemon/peer_handlers.py
+++ b/src/apricotlever/daemon/peer_handlers.py
@@ -21,21 +21,26 @@
 
 
 class Rooms:
-    """The tasks that answer the calls of peers."""
+    """The tasks that handle the calls of peers."""
 
-    __slots__ = ("fleet", "catalogue_watcher", "dispatcher", "heir")
+    __slots__ = (
+        "fleet_link",
+        "catalogue_watcher",
+        "dispatcher",
+        "incoming_handover",
+    )
 
     def __init__(
         self,
-        fleet: typing.Any,
+        fleet_link: typing.Any,
         catalogue_watcher_task: mailbox.Task,
         dispatcher: mailbox.Task,
-        heir_task: mailbox.Task,
+        incoming_handover_task: mailbox.Task,
     ) -> None:
-        self.fleet = fleet
+        self.fleet_link = fleet_link
         self.catalogue_watcher = catalogue_watcher_task
         self.dispatcher = dispatcher
-        self.heir = heir_task
+        self.incoming_handover = incoming_handover_task
 
 
 def register(
@@ -45,13 +50,13 @@
 
     :param handlers: the registry of the peer link.
     :param context: the daemon's tasks.
-    :param tasks: the tasks that answer peers.
+    :param tasks: the tasks that handle the calls.
     """
     services = service_calls.ServiceCalls(context)
 
     @handlers.register("Gossip")
     def _gossip(message: pb.GossipMessage) -> typing.Any:
-        return tasks.fleet.receive(message)
+        return tasks.fleet_link.receive(message)
 
     @handlers.register("Fetch")
     def _fetch(message: pb.FetchCatalogue) -> typing.Any:
@@ -65,13 +70,15 @@
 
     @handlers.register("Handover")
     def _handover(message: pb.HandoverPart) -> typing.Any:
-        return tasks.heir.ask(incoming_handover.ReceivePart(message))
+        return tasks.incoming_handover.ask(
+            incoming_handover.ReceivePart(message)
+        )
 
     @handlers.register("Crash")
     def _crash(message: pb.CrashReport) -> typing.Any:
         report = gossip_messages.crash_of(message)
         future = tasks.dispatcher.ask(dispatcher_messages.CrashHeard(report))
-        return future_chaining.then(future, lambda _: pb.CrashReceipt())
+        return future_chaining.map_result(future, lambda _: pb.CrashReceipt())
 
     @handlers.register("Judge")
     def _judge(message: pb.TrialQuestion) -> typing.Any:
@@ -82,10 +89,14 @@
             future = tasks.dispatcher.ask(
                 dispatcher_messages.TrialOver(report)
             )
-            return future_chaining.then(future, lambda _: pb.TrialAnswer())
-        question = trial_messages.question_of(message)
-        future = tasks.dispatcher.ask(dispatcher_messages.Judge(question))
-        return future_chaining.then(future, trial_messages.verdict_message)
+            return future_chaining.map_result(
+                future, lambda _: pb.TrialAnswer()
+            )
+        request = trial_messages.decode_request(message)
+        future = tasks.dispatcher.ask(dispatcher_messages.Judge(request))
+        return future_chaining.map_result(
+            future, trial_messages.encode_decision
+        )
 
 
 def run_forwarded(
--- a/src/apricotlever/daemon/trial_messages.py
+++ b/src/apricotlever/daemon/trial_messages.py
@@ -1,4 +1,4 @@
-"""Questions to the judge of a pool, as messages between entry VMs."""
+"""Converts trial requests and decisions to and from peer messages."""
 
 from concurrent import futures
 import typing
@@ -9,20 +9,22 @@
 JUDGE_RETRY_S = 0.3
 
 
-def question_message(question: quarantine.TrialRequest) -> pb.TrialQuestion:
-    """A question about a suspect as a message."""
+def encode_request(request: quarantine.TrialRequest) -> pb.TrialQuestion:
+    """Encode a request for a trial."""
     return pb.TrialQuestion(
-        fingerprint=question.fingerprint,
-        request_id=question.request_id,
+        fingerprint=request.fingerprint,
+        request_id=request.request_id,
         places=[
-            pb.TrialPlace(runner=place.runner, data_centre=place.data_centre)
-            for place in question.candidates
+            pb.TrialPlace(
+                runner=candidate.runner, data_centre=candidate.data_centre
+            )
+            for candidate in request.candidates
         ],
     )
 
 
-def question_of(message: pb.TrialQuestion) -> quarantine.TrialRequest:
-    """The question in a message."""
+def decode_request(message: pb.TrialQuestion) -> quarantine.TrialRequest:
+    """Decode a request for a trial."""
     return quarantine.TrialRequest(
         message.fingerprint,
         message.request_id,
@@ -33,8 +35,8 @@
     )
 
 
-def over_message(report: quarantine.TrialEnded) -> pb.TrialQuestion:
-    """The end of a trial as a message."""
+def encode_trial_end(report: quarantine.TrialEnded) -> pb.TrialQuestion:
+    """Encode the report that a trial has ended."""
     return pb.TrialQuestion(
         fingerprint=report.fingerprint,
         request_id=report.request_id,
@@ -42,39 +44,43 @@
     )
 
 
-def verdict_message(verdict: quarantine.TrialDecision) -> pb.TrialAnswer:
-    """A judge's decision as a message."""
-    match verdict:
+def encode_decision(decision: quarantine.TrialDecision) -> pb.TrialAnswer:
+    """Encode a judge's decision."""
+    match decision:
         case quarantine.RunAsTrial():
             return pb.TrialAnswer(
-                verdict=pb.TrialAnswer.TRIAL_AT, runner=verdict.runner
+                verdict=pb.TrialAnswer.TRIAL_AT, runner=decision.runner
             )
         case quarantine.RetryLater():
             return pb.TrialAnswer(
                 verdict=pb.TrialAnswer.TRIAL_HOLD,
-                retry_after_s=verdict.retry_after_s,
+                retry_after_s=decision.retry_after_s,
             )
         case quarantine.RejectRequest():
             return pb.TrialAnswer(
                 verdict=pb.TrialAnswer.TRIAL_REFUSED,
-                retry_after_s=verdict.retry_after_s,
+                retry_after_s=decision.retry_after_s,
             )
     return pb.TrialAnswer(verdict=pb.TrialAnswer.TRIAL_FREE)
 
 
-def decide(
+def complete_with_decision(
     future: "futures.Future[typing.Any]", call: "futures.Future[typing.Any]"
 ) -> None:
-    """Turn a judge's answer into a decision.
+    """Complete a future with the decision in a judge's answer.
+
+    When the call to the judge fails, the request has to be retried later; a
+    suspect must not run without a judge. Two VMs that each took themselves
+    for the judge would let it crash one runner each.
 
-    A judge that can't be reached must not let a suspect run: two VMs that
-    each think they judge would let it crash one runner each.
+    :param future: the future to complete.
+    :param call: the call to the judge, which has ended.
     """
     if call.exception() is not None:
         future.set_result(quarantine.RetryLater(JUDGE_RETRY_S))
         return
     answer = call.result()
-    verdicts = {
+    decisions = {
         pb.TrialAnswer.TRIAL_FREE: quarantine.RunNormally(),
         pb.TrialAnswer.TRIAL_AT: quarantine.RunAsTrial(answer.runner),
         pb.TrialAnswer.TRIAL_HOLD: quarantine.RetryLater(answer.retry_after_s),
@@ -82,4 +88,4 @@
             answer.retry_after_s
         ),
     }
-    future.set_result(verdicts[answer.verdict])
+    future.set_result(decisions[answer.verdict])
--- a/tests/steps/daemon_handovers.py
+++ b/tests/steps/daemon_handovers.py
@@ -8,22 +8,25 @@
 from tests.support import http
 
 
-@when("{count:d} callers wait for whole answers of {tokens:d} tokens at {vm}")
-def _wait_whole(context, count, tokens, vm):
+@when(
+    "{count:d} callers wait for answers of {tokens:d} tokens at {vm} without "
+    "streaming"
+)
+def _wait_without_streaming(context, count, tokens, vm):
     context.scene.wait_whole(count, tokens, vm)
     context.scene.wait_running(count)
 
 
 @when("bruno asks each entry VM for ana's request")
-def _asks(context):
+def _request_of_another_customer(context):
     running = context.scene
-    token = running.fleet.log("vm-0")
+    log = running.fleet.log("vm-0")
     headers = {
         "Authorization": "Bearer key-bruno",
         "Accept": "text/event-stream",
     }
     request_id = running.first_request_id("vm-0")
-    assert request_id, token
+    assert request_id, log
     context.replies = [
         http.call(
             running.fleet.address(vm),
@@ -35,32 +38,33 @@
     ]
 
 
-@then("bruno is told that there is no such request")
-def _told(context):
-    here, elsewhere = context.replies
-    assert here.status == 404, here.payload
-    # The other VM only names the VM in the ID, known or not.
-    assert elsewhere.status in (303, 404), elsewhere.payload
+@then("bruno gets 404 or a redirect and nothing of ana's answer")
+def _nothing_seen(context):
+    own_reply, other_reply = context.replies
+    assert own_reply.status == 404, own_reply.payload
+    # The other VM may redirect to the VM named in the ID without checking
+    # whether the request exists.
+    assert other_reply.status in (303, 404), other_reply.payload
     texts = [str(reply.payload) for reply in context.replies]
     assert not any(re.search("choices|text", text) for text in texts)
 
 
-@when("a keyed call runs at {vm}")
+@when("a keyed call is executed at {vm}")
 def _keyed_call(context, vm):
     running = context.scene
     address = running.fleet.address(vm)
-    one = running.caller()
-    context.key = one.mint_keys(1, address)[0]
-    context.first = _register(running, context.key, address)
-    assert context.first.done, context.first.error
+    caller = running.caller()
+    context.key = caller.mint_keys(1, address)[0]
+    context.first_answer = _register(running, context.key, address)
+    assert context.first_answer.done, context.first_answer.error
 
 
-@then("each other entry VM gives the same answer again")
-def _same_again(context):
+@then("each other entry VM repeats the same answer")
+def _same_answer(context):
     running = context.scene
     for vm in running.vms[1:]:
-        again = _register(running, context.key, running.fleet.address(vm))
-        assert again.payload == context.first.payload, (vm, again.error)
+        reply = _register(running, context.key, running.fleet.address(vm))
+        assert reply.payload == context.first_answer.payload, (vm, reply.error)
 
 
 def _register(running, key, address):
