--- a/src/apricotlever/daemon/autoscaler.py
+++ b/src/apricotlever/daemon/autoscaler.py
@@ -1,8 +1,8 @@
-"""The task that buys and releases runners while this VM has that duty.
+"""The task that buys and releases runners while this VM holds that duty.
 
-It feeds the capacity planner of each pool with the demand that all entry
-VMs report, the platform's lists and the cloud's answers, and carries out
-its orders under the duty's lease.
+It passes the demand reported by all entry VMs, the platform's list of VMs,
+the prices and the cloud's answers to the capacity planner of each pool, and
+carries out the planner's orders under the lease of the pool's duty.
 """
 
 from concurrent import futures
@@ -29,18 +29,18 @@
 
 TICK_S = 1.0
 THREADS = 4
-DEMAND_HEARD_S = 10.0
+DEMAND_MAX_AGE_S = 10.0
 DRAIN_S = 60.0
-BUY_S = 2.0
+BUY_ORDER_S = 2.0
 DEFAULT_SERVICE_S = 1.0
 
 MayOrder = typing.Callable[[str, float], int | None]
 
 
 class PlatformSeen:
-    """The platform's lists, as last read.
+    """The platform's list of VMs and its prices were read.
 
-    :param per_hour: prices by data centre, machine class and market.
+    :param per_hour: price per hour by data centre, machine class and market.
     """
 
     __slots__ = ("vms", "per_hour")
@@ -55,7 +55,7 @@
 
 
 class DemandSeen:
-    """What callers ask of one entry VM, this one or another."""
+    """An entry VM, this one or another, reported the demand of its callers."""
 
     __slots__ = ("report",)
 
@@ -63,8 +63,13 @@
         self.report = report
 
 
-class _Bought:
-    """The cloud answered an order to buy."""
+class _PurchaseEnded:
+    """A purchase order to the cloud has ended.
+
+    :param token: the idempotency token of the order.
+    :param outcome: a :class:`returns.result.Result` with the cloud's answer
+        or error.
+    """
 
     __slots__ = ("pool", "token", "outcome")
 
@@ -74,8 +79,13 @@
         self.outcome = outcome
 
 
-class _Heard:
-    """The demand on a pool at one entry VM."""
+class _PoolDemand:
+    """The demand on a pool at one entry VM.
+
+    :param rate: requests per second.
+    :param service_s: time for which a request occupies a slot, in seconds.
+    :param at: when the report arrived, on this VM's clock.
+    """
 
     __slots__ = ("rate", "service_s", "at")
 
@@ -86,17 +96,21 @@
 
 
 class Drain(typing.Protocol):
-    """Tells the fleet that a runner gets no new work."""
+    """Announces to the fleet that a runner gets no new work.
+
+    :param left_s: seconds until the runner is released.
+    """
 
     def __call__(self, runner: str, left_s: float) -> None: ...
 
 
 class Autoscaler(mailbox.Task):
-    """Carries out the plans of capacity.
+    """Carries out the orders of the pools' capacity planners.
 
-    :param cloud: buys and releases.
-    :param may_order: the fencing number of a duty, or None.
-    :param drain: told of a runner that will be released.
+    :param cloud: buys and releases VMs.
+    :param may_order: returns the fencing number of a duty, or None if this
+        VM does not hold the duty's lease for the given number of seconds.
+    :param drain: called with each runner that will be released.
     """
 
     def __init__(
@@ -114,23 +128,25 @@
         self._drain = drain
         self._threads = futures.ThreadPoolExecutor(THREADS, "buyer")
         self._prices = price_book.PriceBook()
-        self._risk = reclaim_risk.ReclaimRisk(clock)
-        self._loads = model_load_limiter.ModelLoadLimiter(clock)
+        self._reclaim_risk = reclaim_risk.ReclaimRisk(clock)
+        self._load_limiter = model_load_limiter.ModelLoadLimiter(clock)
         self._policies: dict[str, capacity_planner.CapacityPolicy] = {}
         self._planners: dict[str, capacity_planner.CapacityPlanner] = {}
-        self._wait_s: dict[str, float] = {}
-        self._demand: dict[str, dict[str, _Heard]] = {}
+        self._max_wait_s: dict[str, float] = {}
+        self._demand: dict[str, dict[str, _PoolDemand]] = {}
         self._vms: tuple[platform.Vm, ...] = ()
         self._leaving: set[str] = set()
-        self._releases: dict[str, float] = {}
+        self._release_due_at: dict[str, float] = {}
 
     @mailbox.handles(dispatcher_messages.CatalogueInForce)
     def _configure(
         self, message: dispatcher_messages.CatalogueInForce
     ) -> None:
         entries = message.catalogue.entries.values()
-        self._policies = {entry.pool: policy_of(entry) for entry in entries}
-        self._wait_s = {
+        self._policies = {
+            entry.pool: capacity_policy(entry) for entry in entries
+        }
+        self._max_wait_s = {
             entry.pool: message.catalogue.class_of(entry).first_token_s / 2
             for entry in entries
         }
@@ -139,59 +155,60 @@
                 planner.configure(self._policies[pool])
 
     @mailbox.handles(PlatformSeen)
-    def _platform_seen(self, message: PlatformSeen) -> None:
+    def _update_platform(self, message: PlatformSeen) -> None:
         self._vms = message.vms
         self._prices.update(
             {
-                model.Place(where, machine, model.Market(market)): price
-                for (where, machine, market), price in message.per_hour.items()
+                model.Place(dc, machine, model.Market(market)): price
+                for (dc, machine, market), price in message.per_hour.items()
             }
         )
         listed = {vm.vm for vm in message.vms}
         self._leaving &= listed
-        self._releases = {
-            vm: at for vm, at in self._releases.items() if vm in listed
+        self._release_due_at = {
+            vm: at for vm, at in self._release_due_at.items() if vm in listed
         }
 
     @mailbox.handles(dispatcher_messages.RunnerLeaving)
     def _runner_leaving(
         self, message: dispatcher_messages.RunnerLeaving
     ) -> None:
-        known = {vm.vm: vm for vm in self._vms}
-        vm = known.get(message.runner)
+        listed = {vm.vm: vm for vm in self._vms}
+        vm = listed.get(message.runner)
         if vm is None or vm.vm in self._leaving:
             return
         self._leaving.add(vm.vm)
-        if vm.vm not in self._releases:
-            self._risk.record_reclaims(_place(vm))
+        if vm.vm not in self._release_due_at:
+            self._reclaim_risk.record_reclaims(_place_of(vm))
 
     @mailbox.handles(DemandSeen)
-    def _demand_seen(self, message: DemandSeen) -> None:
+    def _update_demand(self, message: DemandSeen) -> None:
         report = message.report
-        found = {
+        figures = {
             (demand.entry, demand.limit): demand.demand
             for demand in report.demands
         }
         if not any(
-            limit == demand_meter.ARRIVAL_RATE_FIELD for _, limit in found
+            limit == demand_meter.ARRIVAL_RATE_FIELD for _, limit in figures
         ):
-            # A report on the fleet's limits, which is none of its business.
+            # A report on the fleet's limits, which capacity planning does
+            # not use.
             return
         now = self._clock.now()
         self._demand[report.vm] = {
-            pool: _Heard(
+            pool: _PoolDemand(
                 rate,
-                found.get(
+                figures.get(
                     (pool, demand_meter.SERVICE_TIME_FIELD), DEFAULT_SERVICE_S
                 ),
                 now,
             )
-            for (pool, limit), rate in found.items()
+            for (pool, limit), rate in figures.items()
             if limit == demand_meter.ARRIVAL_RATE_FIELD
         }
 
-    @mailbox.handles(_Bought)
-    def _bought(self, message: _Bought) -> None:
+    @mailbox.handles(_PurchaseEnded)
+    def _purchase_ended(self, message: _PurchaseEnded) -> None:
         planner = self._planners.get(message.pool)
         if planner is None:
             return
@@ -210,23 +227,23 @@
     ) -> dict[str, object]:
         return {
             "demand": {
-                pool: round(self._total(pool).requests_per_s, 3)
+                pool: round(self._total_demand(pool).requests_per_s, 3)
                 for pool in self._policies
             },
-            "releasing": sorted(self._releases),
+            "releasing": sorted(self._release_due_at),
         }
 
     def tick(self) -> None:
-        """Plan for each pool whose duty this VM has."""
+        """Plan each pool whose duty this VM holds; release drained runners."""
         for pool in self._policies:
-            if self._may_order(capacity_duty(pool), BUY_S) is None:
+            if self._may_order(capacity_duty_name(pool), BUY_ORDER_S) is None:
                 self._planners.pop(pool, None)
                 continue
             self._plan(pool)
         self._release_drained()
 
     def stopped(self) -> None:
-        """End the threads; calls under way end by their own timeouts."""
+        """Stop the threads; calls in progress end by their timeouts."""
         self._threads.shutdown(wait=False, cancel_futures=True)
 
     def _plan(self, pool: str) -> None:
@@ -238,41 +255,41 @@
                 pool,
                 self._policies[pool],
                 self._prices,
-                self._risk,
-                self._loads,
+                self._reclaim_risk,
+                self._load_limiter,
             )
             self._planners[pool] = planner
         holdings = self._holdings(pool)
         for holding in holdings:
             if holding.state is model.RunnerState.LIVE:
-                self._risk.record_held(holding.place, 1, TICK_S)
-        for order in planner.tick(self._total(pool), holdings):
+                self._reclaim_risk.record_held(holding.place, 1, TICK_S)
+        for order in planner.tick(self._total_demand(pool), holdings):
             self._carry_out(order, pool)
 
     def _holdings(self, pool: str) -> list[model.HeldRunner]:
         return [
-            model.HeldRunner(vm.vm, _place(vm), self._state(vm))
+            model.HeldRunner(vm.vm, _place_of(vm), self._runner_state(vm))
             for vm in self._vms
             if vm.pool == pool and vm.role == "runner"
         ]
 
-    def _state(self, vm: platform.Vm) -> model.RunnerState:
-        if vm.vm in self._leaving or vm.vm in self._releases:
+    def _runner_state(self, vm: platform.Vm) -> model.RunnerState:
+        if vm.vm in self._leaving or vm.vm in self._release_due_at:
             return model.RunnerState.LEAVING
         return model.RunnerState(vm.state)
 
-    def _total(self, pool: str) -> model.Demand:
-        """The demand on a pool at all entry VMs that were heard lately."""
-        oldest = self._clock.now() - DEMAND_HEARD_S
-        heard = [
+    def _total_demand(self, pool: str) -> model.Demand:
+        """The demand on a pool, summed over the entry VMs' recent reports."""
+        oldest = self._clock.now() - DEMAND_MAX_AGE_S
+        recent = [
             pools[pool]
             for pools in self._demand.values()
             if pool in pools and pools[pool].at >= oldest
         ]
-        rate = sum(each.rate for each in heard)
-        busy = sum(each.rate * each.service_s for each in heard)
+        rate = sum(each.rate for each in recent)
+        busy = sum(each.rate * each.service_s for each in recent)
         service_s = busy / rate if rate else DEFAULT_SERVICE_S
-        return model.Demand(rate, service_s, self._wait_s.get(pool, 0.5))
+        return model.Demand(rate, service_s, self._max_wait_s.get(pool, 0.5))
 
     @functools.singledispatchmethod
     def _carry_out(self, order: typing.Any, pool: str) -> None:
@@ -281,9 +298,9 @@
     @_carry_out.register
     def _buy(self, order: model.Buy, pool: str) -> None:
         def run() -> None:
-            # Asked again here, on the thread that sends: a VM that was
-            # paused in between would buy what its successor has bought.
-            if self._may_order(capacity_duty(pool), BUY_S) is None:
+            # The lease is checked again on the sending thread. A VM that was
+            # paused in between would buy what the next holder has bought.
+            if self._may_order(capacity_duty_name(pool), BUY_ORDER_S) is None:
                 return
             place = order.place
             outcome = self._cloud.buy(
@@ -293,49 +310,52 @@
                 pool,
                 order.token,
             )
-            self.tell(_Bought(pool, order.token, outcome))
+            self.tell(_PurchaseEnded(pool, order.token, outcome))
 
         self._threads.submit(run)
 
     @_carry_out.register
-    def _release(self, order: model.Release, pool: str) -> None:
-        self._releases[order.vm] = self._clock.now() + DRAIN_S
+    def _drain_runner(self, order: model.Release, pool: str) -> None:
+        self._release_due_at[order.vm] = self._clock.now() + DRAIN_S
         self._drain(order.vm, DRAIN_S)
 
     @_carry_out.register
-    def _load(self, order: model.LoadModel, pool: str) -> None:
-        # Loads are ordered by the duty of the pool's orders.
-        self._loads.record_end(order.vm)
+    def _end_load(self, order: model.LoadModel, pool: str) -> None:
+        # DutyHolder orders model loads, under the duty of the pool's
+        # orders. Here the load only has to be marked as ended.
+        self._load_limiter.record_end(order.vm)
 
     def _release_drained(self) -> None:
-        """Give back VMs whose streams have moved away or ended."""
+        """Release the VMs whose time to move or end their streams is over."""
         now = self._clock.now()
-        due = [vm for vm, at in self._releases.items() if at <= now]
+        due = [vm for vm, at in self._release_due_at.items() if at <= now]
         for vm in due:
-            self._releases[vm] = now + DRAIN_S
-            self._threads.submit(self._give_back, vm)
+            self._release_due_at[vm] = now + DRAIN_S
+            self._threads.submit(self._release_vm, vm)
 
-    def _give_back(self, vm: str) -> None:
+    def _release_vm(self, vm: str) -> None:
         outcome = self._cloud.release(vm)
         if isinstance(outcome, result.Success):
             logs.event("vm_released", member=vm)
 
 
-def capacity_duty(pool: str) -> str:
-    """The duty of planning a pool's runners."""
+def capacity_duty_name(pool: str) -> str:
+    """The name of the duty to plan the runners of a pool."""
     return f"capacity/{pool}"
 
 
-def policy_of(entry: catalogues.Entry) -> capacity_planner.CapacityPolicy:
-    """What the catalogue allows for the pool of an entry."""
-    allowed = entry.capacity
+def capacity_policy(
+    entry: catalogues.Entry,
+) -> capacity_planner.CapacityPolicy:
+    """The capacity policy of an entry's pool, from the catalogue."""
+    capacity = entry.capacity
     return capacity_planner.CapacityPolicy(
-        allowed.machine,
-        allowed.min_runners,
-        allowed.max_runners,
-        allowed.slots_per_runner,
+        capacity.machine,
+        capacity.min_runners,
+        capacity.max_runners,
+        capacity.slots_per_runner,
     )
 
 
-def _place(vm: platform.Vm) -> model.Place:
+def _place_of(vm: platform.Vm) -> model.Place:
     return model.Place(vm.data_centre, vm.machine, model.Market(vm.market))
--- a/src/apricotlever/daemon/duties.py
+++ b/src/apricotlever/daemon/duties.py
@@ -1,8 +1,8 @@
-"""The task that does duties for the fleet while this VM holds their leases.
+"""The task that performs duties for the fleet under leases.
 
-Rendezvous hashing names the VM for a duty, a lease in the store confirms
-it, and the lease is checked on the thread that sends an order, just before
-its first byte.
+Rendezvous hashing determines the VM responsible for a duty, and a lease in
+the store confirms it. The thread that sends an order checks the lease just
+before the first byte of the order.
 """
 
 from concurrent import futures
@@ -34,7 +34,7 @@
 
 
 class ViewSeen:
-    """The members changed."""
+    """The view of the fleet changed."""
 
     __slots__ = ("view",)
 
@@ -43,13 +43,17 @@
 
 
 class Leave:
-    """This VM stops: give all duties back."""
+    """Release the leases of all duties, because this VM stops."""
 
     __slots__ = ()
 
 
-class _LeaseCalled:
-    """A store call for a lease is over."""
+class _LeaseCallEnded:
+    """A store call for a lease has ended.
+
+    :param outcome: a :class:`returns.result.Result` with the store's answer
+        or error.
+    """
 
     __slots__ = ("action", "outcome")
 
@@ -61,11 +65,12 @@
 
 
 class DutyHolder(mailbox.Task):
-    """This VM's part in the fleet's duties.
+    """Contends for the leases of duties, and orders which models to load.
 
-    :param config: this VM and its times.
-    :param store: runs the leases' calls.
-    :param weights: paces loads of models.
+    :param config: the name of this VM, the duration of leases and the
+        timeout of orders.
+    :param store: runs the store calls for the leases.
+    :param weights: leases model weights, which limits the loads in progress.
     """
 
     def __init__(
@@ -84,7 +89,7 @@
         self._duties = duties.Duties(
             clock, rng, config.vm, incarnation, config.timing.lease_s
         )
-        self._sender = order_sender.OrderSender(
+        self._order_sender = order_sender.OrderSender(
             config.timing.order_timeout_s, weights, self.may_order, self.tell
         )
         self._threads = futures.ThreadPoolExecutor(THREADS, "duties")
@@ -95,11 +100,14 @@
         self._held: set[str] = set()
 
     def may_order(self, duty: str, order_s: float) -> int | None:
-        """The fencing number of a duty that this VM holds, or None.
+        """The fencing number for an order.
 
-        May be asked on any thread, just before an order is sent.
+        It may be called on any thread, just before the order is sent.
 
-        :param order_s: how long it takes to send the order off.
+        :param duty: the name of the duty.
+        :param order_s: the time needed to send the order, in seconds.
+        :returns: the fencing number; None if this VM does not hold the
+            duty's lease for that time.
         """
         return self._duties.may_order(duty, order_s)
 
@@ -108,15 +116,17 @@
         self, message: dispatcher_messages.CatalogueInForce
     ) -> None:
         self._catalogue = message.catalogue
-        longest_s = self._config.timing.order_timeout_s
+        longest_order_s = self._config.timing.order_timeout_s
         self._duties.configure(
             [
-                duties.Duty(orders_duty(pool), "", longest_s)
+                duties.Duty(orders_duty_name(pool), "", longest_order_s)
                 for pool in self._model_pools()
             ]
             + [
                 duties.Duty(
-                    autoscaler.capacity_duty(entry.pool), "", longest_s
+                    autoscaler.capacity_duty_name(entry.pool),
+                    "",
+                    longest_order_s,
                 )
                 for entry in message.catalogue.entries.values()
             ]
@@ -125,21 +135,21 @@
             self._duties.update_view(self._view)
 
     @mailbox.handles(ViewSeen)
-    def _view_seen(self, message: ViewSeen) -> None:
+    def _update_view(self, message: ViewSeen) -> None:
         self._view = message.view
         self._duties.update_view(message.view)
 
     @mailbox.handles(Leave)
-    def _leave(self, message: Leave) -> None:
+    def _release_duties(self, message: Leave) -> None:
         self._duties.release_all()
         self._start_lease_calls()
 
     @mailbox.handles(dispatcher_messages.RunnersListed)
-    def _listed(self, message: dispatcher_messages.RunnersListed) -> None:
+    def _set_runners(self, message: dispatcher_messages.RunnersListed) -> None:
         self._runners = {runner.name: runner for runner in message.runners}
 
-    @mailbox.handles(_LeaseCalled)
-    def _lease_called(self, message: _LeaseCalled) -> None:
+    @mailbox.handles(_LeaseCallEnded)
+    def _lease_call_ended(self, message: _LeaseCallEnded) -> None:
         lease = self._duties.lease(message.action.name)
         outcome = message.outcome
         if isinstance(outcome, result.Success):
@@ -159,33 +169,35 @@
             case _:
                 lease.failed()
 
-    @mailbox.handles(order_sender.Ordered)
-    def _ordered(self, message: order_sender.Ordered) -> None:
-        known = self._orders.get(message.duty)
-        if message.fenced:
+    @mailbox.handles(order_sender.OrderResult)
+    def _order_ended(self, message: order_sender.OrderResult) -> None:
+        pool_orders = self._orders.get(message.duty)
+        if message.highest_fencing:
             logs.event(
                 "order_refused",
                 duty=message.duty,
                 runner=message.runner,
-                fencing=message.fenced,
+                fencing=message.highest_fencing,
+            )
+            self._duties.fencing_rejected(
+                message.duty, message.highest_fencing
             )
-            self._duties.fencing_rejected(message.duty, message.fenced)
-        if known is None:
+        if pool_orders is None:
             return
         if message.sent:
-            known.sent(message.runner)
+            pool_orders.sent(message.runner)
         else:
-            known.not_sent(message.runner)
+            pool_orders.not_sent(message.runner)
 
-    @mailbox.handles(order_sender.ReadBack)
-    def _read_back(self, message: order_sender.ReadBack) -> None:
-        known = self._orders.get(message.duty)
-        if known is None:
+    @mailbox.handles(order_sender.ReadBackResult)
+    def _read_back_ended(self, message: order_sender.ReadBackResult) -> None:
+        pool_orders = self._orders.get(message.duty)
+        if pool_orders is None:
             return
         if message.target is None:
-            known.not_sent(message.runner)
+            pool_orders.not_sent(message.runner)
         else:
-            known.target_read(message.runner, message.target)
+            pool_orders.target_read(message.runner, message.target)
 
     @mailbox.handles(dispatcher_messages.StatusWanted)
     def _status(
@@ -197,19 +209,20 @@
                 for name in self._duties.held
             },
             "orders_unconfirmed": {
-                name: known.unconfirmed for name, known in self._orders.items()
+                name: pool_orders.unconfirmed
+                for name, pool_orders in self._orders.items()
             },
         }
 
     def tick(self) -> None:
-        """Renew leases, and order what is due under them."""
+        """Start the lease calls and the orders that are due."""
         self._start_lease_calls()
-        self._note_held()
+        self._log_lease_changes()
         for pool in self._model_pools():
-            self._order(orders_duty(pool), pool)
+            self._send_due_orders(orders_duty_name(pool), pool)
 
     def stopped(self) -> None:
-        """End the threads; orders under way end by their own timeouts."""
+        """Stop the threads; orders in progress end by their timeouts."""
         self._threads.shutdown(wait=False, cancel_futures=True)
 
     def _model_pools(self) -> list[str]:
@@ -221,7 +234,7 @@
             }
         )
 
-    def _note_held(self) -> None:
+    def _log_lease_changes(self) -> None:
         held = set(self._duties.held)
         for name in sorted(held - self._held):
             fencing = self._duties.may_order(name)
@@ -230,31 +243,32 @@
             logs.event("lease_lost", duty=name)
         self._held = held
 
-    def _order(self, duty: str, pool: str) -> None:
+    def _send_due_orders(self, duty: str, pool: str) -> None:
         if duty not in self._held:
             self._orders.pop(duty, None)
             return
-        known = self._orders.get(duty)
-        if known is None:
-            known = orders.Orders(
+        pool_orders = self._orders.get(duty)
+        if pool_orders is None:
+            pool_orders = orders.Orders(
                 self._clock, self._config.vm, self._incarnation
             )
-            self._orders[duty] = known
-        members = [r for r in self._runners.values() if r.pool == pool]
-        target = self._target(pool)
-        fresh = {runner.name for runner in members} - set(
-            known.targeted_upstreams
+            self._orders[duty] = pool_orders
+        pool_runners = [r for r in self._runners.values() if r.pool == pool]
+        target = self._pool_target(pool)
+        new_names = {runner.name for runner in pool_runners} - set(
+            pool_orders.targeted_upstreams
         )
-        for runner in members:
-            known.set_target(runner.name, target)
-        for name in fresh:
-            # Most have the target already, and to ask costs no load.
-            known.sent(name)
-        for name in set(known.targeted_upstreams) - {
-            runner.name for runner in members
+        for runner in pool_runners:
+            pool_orders.set_target(runner.name, target)
+        for name in new_names:
+            # Most new runners have the target in force already. After
+            # sent() the target is read first, which loads no model.
+            pool_orders.sent(name)
+        for name in set(pool_orders.targeted_upstreams) - {
+            runner.name for runner in pool_runners
         }:
-            known.drop_target(name)
-        for action in known.tick():
+            pool_orders.drop_target(name)
+        for action in pool_orders.tick():
             runner = self._runners[action.upstream]
             self._start_order(duty, runner, action)
 
@@ -262,12 +276,12 @@
         self, duty: str, runner: runners.Runner, action: orders.OrderAction
     ) -> None:
         if isinstance(action, orders.SendOrder):
-            self._threads.submit(self._sender.send, duty, runner, action)
+            self._threads.submit(self._order_sender.send, duty, runner, action)
         else:
-            self._threads.submit(self._sender.read_back, duty, runner)
+            self._threads.submit(self._order_sender.read_back, duty, runner)
 
-    def _target(self, pool: str) -> orders.Target:
-        """What every runner of a pool should have loaded."""
+    def _pool_target(self, pool: str) -> orders.Target:
+        """The target for each runner of a pool: the models to have loaded."""
         wanted = {
             (entry.model, entry.model_version)
             for entry in self._catalogue.entries.values()
@@ -292,7 +306,7 @@
     @_start_lease_call.register
     def _start_read(self, action: lease_objects.ReadLease) -> None:
         call = stores.read(stores.Rank.LEASE, action.name)
-        self._call(call, action)
+        self._call_store(call, action)
 
     @_start_lease_call.register
     def _start_write(self, action: lease_objects.WriteLease) -> None:
@@ -302,20 +316,20 @@
             action.value,
             action.expected_version,
         )
-        self._call(call, action)
+        self._call_store(call, action)
 
-    def _call(
+    def _call_store(
         self,
         call: stores.StoreCall,
         action: lease_objects.LeaseAction,
     ) -> None:
         def ended(future: "futures.Future[typing.Any]") -> None:
             if future.exception() is None:
-                self.tell(_LeaseCalled(action, future.result()))
+                self.tell(_LeaseCallEnded(action, future.result()))
 
         self._store.ask(call).add_done_callback(ended)
 
 
-def orders_duty(pool: str) -> str:
-    """The duty of ordering what the runners of a pool load."""
+def orders_duty_name(pool: str) -> str:
+    """The name of the duty to order which models a pool's runners load."""
     return f"orders/{pool}"
--- a/src/apricotlever/daemon/order_sender.py
+++ b/src/apricotlever/daemon/order_sender.py
@@ -1,4 +1,4 @@
-"""Sends orders to runners under a lease, and reads back what is in force."""
+"""Sends orders to runners under a lease, and reads their targets back."""
 
 import typing
 
@@ -13,30 +13,32 @@
 MayOrder = typing.Callable[[str, float], int | None]
 
 ORDERS_PATH = "/v1/orders"
-_STALE = 409
+_FENCED_OFF_STATUS = 409
 
 
-class Ordered:
-    """An order was sent, or not.
+class OrderResult:
+    """The result of sending an order.
 
-    :param fenced: the greater number that the runner has seen, or 0.
+    :param sent: whether the runner accepted the order or may have done so.
+    :param highest_fencing: the highest fencing number that the runner has
+        seen, if it refused the order for its number; otherwise 0.
     """
 
-    __slots__ = ("duty", "runner", "sent", "fenced")
+    __slots__ = ("duty", "runner", "sent", "highest_fencing")
 
     def __init__(
-        self, duty: str, runner: str, sent: bool, fenced: int = 0
+        self, duty: str, runner: str, sent: bool, highest_fencing: int = 0
     ) -> None:
         self.duty = duty
         self.runner = runner
         self.sent = sent
-        self.fenced = fenced
+        self.highest_fencing = highest_fencing
 
 
-class ReadBack:
-    """A runner's target in force was read, or not.
+class ReadBackResult:
+    """The result of reading the target in force at a runner.
 
-    :param target: None when it was not read.
+    :param target: the target; None if it could not be read.
     """
 
     __slots__ = ("duty", "runner", "target")
@@ -50,45 +52,47 @@
 
 
 class OrderSender:
-    """Makes the calls to runners; each blocks the thread that makes it.
-
-    :param timeout_s: the longest that an order may take.
-    :param weights: paces loads of models.
-    :param may_order: the fencing number of a duty that this VM holds for
-        so many seconds more, or None.
-    :param tell: gets an Ordered or a ReadBack after each call.
+    """Calls runners; each call blocks the thread that makes it.
+
+    :param timeout_s: the maximum duration of an order, in seconds.
+    :param weights: leases model weights, which limits the loads in progress.
+    :param may_order: returns the fencing number of a duty, or None if this
+        VM does not hold the duty's lease for the given number of seconds.
+    :param report: called with the :class:`OrderResult` or the
+        :class:`ReadBackResult` of each call.
     """
 
-    __slots__ = ("_timeout_s", "_weights", "_may_order", "_tell")
+    __slots__ = ("_timeout_s", "_weights", "_may_order", "_report")
 
     def __init__(
         self,
         timeout_s: float,
         weights: platform.WeightStore,
         may_order: MayOrder,
-        tell: typing.Callable[[typing.Any], None],
+        report: typing.Callable[[typing.Any], None],
     ) -> None:
         self._timeout_s = timeout_s
         self._weights = weights
         self._may_order = may_order
-        self._tell = tell
+        self._report = report
 
     def send(
         self, duty: str, runner: runners.Runner, action: orders.SendOrder
     ) -> None:
-        """Send one order, if the lease still stands at this moment.
+        """Send one order if this VM still holds the lease.
 
-        A holder that was paused between its decision and here would give an
-        order under a lease that another VM has by now. Runners that check
-        fencing numbers refuse it; for the others the check stands as close
-        to the first byte as it can, and the successor waits out the rest.
+        If the process was paused after the decision to send the order,
+        another VM may hold the lease by now. Runners that check fencing
+        numbers refuse such an order. For runners that ignore them, the lease
+        is checked as close to the first byte as possible, and the next
+        holder waits for the longest order before it sends its own.
 
         :param duty: the duty that the order belongs to.
-        :param runner: whom to send it.
+        :param runner: the runner that receives the order.
         :param action: the order.
         """
-        if not self._weights_lent(action.target):
-            self._tell(Ordered(duty, runner.name, False))
+        if not self._lease_weights(action.target):
+            self._report(OrderResult(duty, runner.name, False))
             return
         exchange = upstream_exchange.Exchange(runner.address, self._timeout_s)
         try:
@@ -96,7 +100,7 @@
             fencing = self._may_order(duty, self._timeout_s / 2)
             if fencing is None:
                 exchange.abandon()
-                self._tell(Ordered(duty, runner.name, False))
+                self._report(OrderResult(duty, runner.name, False))
                 return
             body = upstream_exchange.encode_json(
                 {
@@ -120,20 +124,26 @@
                 runner=runner.name,
                 error=error.message,
             )
-            self._tell(Ordered(duty, runner.name, error.sent))
+            self._report(OrderResult(duty, runner.name, error.sent))
             return
-        fenced = int(answer["fencing"]) if status == _STALE else 0
-        if not fenced:
+        highest_fencing = (
+            int(answer["fencing"]) if status == _FENCED_OFF_STATUS else 0
+        )
+        if not highest_fencing:
             logs.event(
                 "order_sent", duty=duty, runner=runner.name, fencing=fencing
             )
-        self._tell(Ordered(duty, runner.name, not fenced, fenced))
+        self._report(
+            OrderResult(
+                duty, runner.name, not highest_fencing, highest_fencing
+            )
+        )
 
     def read_back(self, duty: str, runner: runners.Runner) -> None:
-        """Read the target that is in force at a runner.
+        """Read the target in force at a runner.
 
-        :param duty: the duty that its orders belong to.
-        :param runner: whom to ask.
+        :param duty: the duty that the runner's orders belong to.
+        :param runner: the runner.
         """
         try:
             found = upstream_exchange.call_json(
@@ -145,18 +155,21 @@
             target = found["target"]
         except (upstream_exchange.UpstreamError, KeyError, TypeError):
             target = None
-        self._tell(ReadBack(duty, runner.name, target))
+        self._report(ReadBackResult(duty, runner.name, target))
 
-    def _weights_lent(self, target: orders.Target) -> bool:
-        """Ask the weight store before runners begin to load from it."""
+    def _lease_weights(self, target: orders.Target) -> bool:
+        """Lease the weights of a target's models, before runners load them.
+
+        :returns: whether the weight store granted all leases.
+        """
         for model in target["models"]:
-            lent = self._weights.lease(model["model"], model["version"])
-            if not isinstance(lent, result.Success):
+            lease = self._weights.lease(model["model"], model["version"])
+            if not isinstance(lease, result.Success):
                 logs.event(
                     "platform_call_failed",
                     call="weights",
-                    kind=lent.failure().kind,
-                    error=lent.failure().message,
+                    kind=lease.failure().kind,
+                    error=lease.failure().message,
                 )
                 return False
         return True
--- a/tests/steps/daemon_capacity.py
+++ b/tests/steps/daemon_capacity.py
@@ -37,32 +37,32 @@
     context.scene.fleet.faults("cloud", lose_answer=count)
 
 
-@given("{data_centre} sells no VM")
+@given("the cloud sells no VM in {data_centre}")
 def _sold_out(context, data_centre):
     context.scene.fleet.faults("cloud", no_capacity=[data_centre])
 
 
-@when("the catalogue wants at least {least:d} runners")
-def _least(context, least):
+@when("the catalogue requires at least {minimum:d} runners")
+def _minimum(context, minimum):
     document = scene.catalogue()
     for entry in document["entries"].values():
-        entry["capacity"] = dict(entry["capacity"], min_runners=least)
+        entry["capacity"] = dict(entry["capacity"], min_runners=minimum)
         if entry["kind"] == "service":
             entry["capacity"]["min_runners"] = 0
     context.scene.fleet.put_catalogue(document)
 
 
-@then("each entry VM sends to {count:d} runners")
-def _sends_to(context, count):
-    def enough():
+@then("each entry VM has {count:d} runners that are not leaving")
+def _has_runners(context, count):
+    def all_have_count():
         pages = [context.scene.status(vm) for vm in context.scene.vms]
-        taking = [
+        not_leaving = [
             [row for row in page["runners"] if not row["leaving"]]
             for page in pages
         ]
-        return all(len(rows) == count for rows in taking)
+        return all(len(rows) == count for rows in not_leaving)
 
-    fleet.wait_for(enough, 45.0)
+    fleet.wait_for(all_have_count, 45.0)
 
 
 @then("the cloud has sold {count:d} VMs")
--- a/tests/steps/daemon_duties.py
+++ b/tests/steps/daemon_duties.py
@@ -13,10 +13,10 @@
 from tests.support import http
 
 DUTY = f"orders/{scene.MODEL_POOL}"
-TAKE_OVER_S = 45.0
+TAKEOVER_TIMEOUT_S = 45.0
 
 
-def _orders(context):
+def _orders_in_force(context):
     running = context.scene
     return {
         name: http.call(
@@ -32,13 +32,13 @@
 
 @step("all runners have version {version} of the model in force")
 def _in_force(context, version):
-    def ordered():
-        found = _orders(context).values()
+    def in_force():
+        orders = _orders_in_force(context).values()
         return all(
-            row["target"]["models"] == _target(version) for row in found
+            row["target"]["models"] == _target(version) for row in orders
         )
 
-    fleet.wait_for(ordered, TAKE_OVER_S)
+    fleet.wait_for(in_force, TAKEOVER_TIMEOUT_S)
 
 
 @given("runners ignore fencing numbers")
@@ -66,35 +66,35 @@
     context.closers.append(lambda: running.fleet.resume(context.holder))
 
 
-@when("the holder that was paused runs on")
+@when("the paused holder is resumed")
 def _resume(context):
     context.scene.fleet.resume(context.holder)
 
 
 @when("{seconds:f} s pass")
-def _pass(context, seconds):
+def _wait(context, seconds):
     time.sleep(seconds)
 
 
-@then("the runners saw a greater number than the first holder's")
-def _greater(context):
-    numbers = [row["fencing"] for row in _orders(context).values()]
+@then("the runners have seen a higher fencing number than the first holder's")
+def _higher_fencing(context):
+    numbers = [row["fencing"] for row in _orders_in_force(context).values()]
     assert min(numbers) > context.fencing, (numbers, context.fencing)
 
 
-@then("one entry VM alone gave orders under each number")
-def _one_each(context):
+@then("only one entry VM sent orders under each fencing number")
+def _one_vm_each(context):
     pattern = re.compile(r"event=order_sent .*fencing=(\d+)")
     by_vm = {
         vm: set(pattern.findall(context.scene.fleet.log(vm)))
         for vm in context.scene.vms
     }
-    numbers = [number for found in by_vm.values() for number in found]
+    numbers = [number for sent in by_vm.values() for number in sent]
     assert numbers and len(numbers) == len(set(numbers)), by_vm
 
 
-@when("an order for version {version} comes under the number {number:d}")
-def _old_order(context, version, number):
+@when("an order for version {version} arrives with fencing number {number:d}")
+def _send_order(context, version, number):
     address = context.scene.fleet.address(context.scene.engines[0])
     order = {
         "order": f"late-{time.monotonic()}",
@@ -104,11 +104,11 @@
     context.reply = http.call(address, "POST", "/v1/orders", order)
 
 
-@then("the runner refuses it")
+@then("the runner refuses the order")
 def _refused(context):
     assert context.reply.status == 409, context.reply.payload
 
 
-@then("the runner takes it")
-def _taken(context):
+@then("the runner accepts the order")
+def _accepted(context):
     assert context.reply.status == 200, context.reply.payload
