--- a/src/apricotlever/daemon/vm_presence.py
+++ b/src/apricotlever/daemon/vm_presence.py
@@ -1,4 +1,4 @@
-"""What callers are told about the entry VMs, and whether this one serves."""
+"""The entry VMs that callers may use, and the state of this one."""
 
 import random
 import typing
@@ -11,13 +11,14 @@
 
 
 class VmPresence:
-    """This VM's place among the entry VMs.
+    """The state of this VM and its view of the other entry VMs.
 
-    Written by the fleet's task and the shutdown, read by callers' threads;
-    each write replaces one attribute as a whole.
+    The fleet task and the shutdown write it, and the threads that serve
+    callers read it. It needs no lock because each write replaces the value
+    of a single attribute.
 
-    :param config: names this VM and its data centre.
-    :param rng: spreads callers over equally near VMs.
+    :param config: the names of this VM and its data centre.
+    :param rng: shuffles VMs of equal distance, to spread callers over them.
     """
 
     __slots__ = (
@@ -39,67 +40,71 @@
 
     @property
     def view(self) -> views.FleetView | None:
-        """The members as last seen; None before the first answer."""
+        """The last view of the fleet; None before the first one."""
         return self._view
 
     @property
     def leaving(self) -> bool:
-        """Whether this VM is no longer named to callers."""
+        """Whether this VM is no longer listed for callers."""
         return self._leaving
 
     @property
     def takes_new_work(self) -> bool:
-        """Whether requests that arrive here are still taken."""
+        """Whether this VM still accepts requests."""
         return self._takes_new_work
 
     def seen(self, view: views.FleetView) -> None:
-        """Take over a new view."""
+        """Replace the view of the fleet."""
         self._view = view
 
     def listening_at(self, address: str) -> None:
-        """Take over the address that callers reach this VM at."""
+        """Set the ``host:port`` at which this VM serves callers."""
         self._address = address
 
     def leave(self) -> None:
-        """Name this VM to callers no longer."""
+        """Stop listing this VM for callers."""
         self._leaving = True
 
     def take_no_more(self) -> None:
-        """Refuse requests from now on."""
+        """Stop accepting requests."""
         self._takes_new_work = False
 
     def address_of(self, vm: str) -> str:
-        """``host:port`` for callers of another VM, or an empty string."""
+        """``host:port`` for callers of another VM; empty if it is unknown."""
         if self._view is None:
             return ""
         member = self._view.members.get(vm)
         return member.callers_address if member else ""
 
     def owner_of(self, request_id: str) -> str:
-        """``host:port`` of the living VM that minted a request ID.
+        """``host:port`` for callers of the VM that minted a request ID.
 
-        :returns: an empty string when it is this one, dead or unknown.
+        :returns: the address; empty if this VM minted the ID, or the process
+            that did is dead or unknown.
         """
         vm = request_id.rpartition(".")[0].rpartition(".")[0]
         member = self._view.members.get(vm) if self._view else None
         if member is None or vm == self._config.vm:
             return ""
         alive = member.state in (pb.VM_ALIVE, pb.VM_LEAVING)
-        same = request_id.startswith(f"{vm}.{member.incarnation}.")
-        return member.callers_address if alive and same else ""
+        same_process = request_id.startswith(f"{vm}.{member.incarnation}.")
+        return member.callers_address if alive and same_process else ""
 
     def entries(self) -> list[Row]:
-        """The entry VMs that take new work, nearest to this one first."""
+        """The entry VMs that take new work.
+
+        Those of this VM's data centre come first.
+        """
         serving = self._view.members_for_callers() if self._view else []
         others = [
             _row(member) for member in serving if member.vm != self._config.vm
         ]
         rows = others if self._leaving else [self._own_row(), *others]
         self._rng.shuffle(rows)
-        return sorted(rows, key=self._distance)
+        return sorted(rows, key=self._is_remote)
 
     def peers(self) -> list[Row]:
-        """Every member of the view, for operators."""
+        """All members of the view, for the status page."""
         if self._view is None:
             return [dict(self._own_row(), state="alive")]
         return [
@@ -119,7 +124,7 @@
             "data_centre": self._config.data_centre,
         }
 
-    def _distance(self, row: Row) -> bool:
+    def _is_remote(self, row: Row) -> bool:
         return row["data_centre"] != self._config.data_centre
 
 
@@ -133,21 +138,22 @@
 
 def own_member(
     config: settings.Settings,
-    callers: str,
+    callers_address: str,
     peers_address: str,
     incarnation: int,
 ) -> pb.Member:
     """This VM's own record.
 
-    :param callers: ``host:port`` for callers.
+    :param callers_address: ``host:port`` for callers.
     :param peers_address: ``host:port`` for peers.
-    :param incarnation: the process start, ms since the Unix epoch.
+    :param incarnation: start time of the process, in milliseconds since the
+        Unix epoch.
     """
     return pb.Member(
         vm=config.vm,
         data_centre=config.data_centre,
         region=config.region,
-        callers_address=callers,
+        callers_address=callers_address,
         peers_address=peers_address,
         incarnation=incarnation,
         state=pb.VM_ALIVE,
--- a/tests/daemon/membership.feature
+++ b/tests/daemon/membership.feature
@@ -1,69 +1,71 @@
-Feature: Entry VMs know of each other what callers need to know
+Feature: Entry VMs list the live entry VMs to callers
 
-  Scenario: An entry VM stands still for seconds
-    Symptom: callers are sent to a VM that does not answer, or a VM that
-    came back is shunned, or its keys are run twice.
-    Events: SIGSTOP; callers use its keys elsewhere; SIGCONT after 4 s.
-    Cause: the others trust an old word of it, or it trusts its own clock.
+  Scenario: An entry VM is paused for seconds
+    Guards against callers that are sent to a VM that does not answer, a VM
+    that is not listed again after its pause, and keys that run twice. The VM
+    gets SIGSTOP, callers use its keys at other VMs, and SIGCONT follows after
+    4 s. The other VMs may rely on outdated information about the VM, and the
+    VM may act as if it had not been paused.
     Given a fleet of 1 engines, 1 services and 3 entry VMs
     And vm-2 has minted 6 keys
     When vm-2 stands still
-    Then vm-0 and vm-1 name vm-2 no longer within 3.0 s
+    Then vm-0 and vm-1 no longer list vm-2 within 3.0 s
     When registrations with 3 of the keys are sent to vm-0
     And vm-2 runs on 4.0 s after it stood still
-    Then all entry VMs name vm-2 again in the same incarnation
-    And vm-2 knows that it was paused
+    Then all entry VMs list vm-2 again in the same incarnation
+    And vm-2 has logged that it was paused
     When registrations with all the keys are sent to every entry VM
-    Then what was told of each registration is true
+    Then the reported outcome of each registration is correct
 
   Scenario: An entry VM is killed
-    Symptom: callers go on to be sent to a dead VM.
-    Events: SIGKILL, with the probes as they are by default.
-    Cause: nobody tells that a VM died; the others have to find out.
+    Guards against callers that are still sent to a VM after SIGKILL, with the
+    default probe timing: a VM that dies does not announce it, so the others
+    have to detect the failure.
     Given a fleet of 4 entry VMs with the default probes
     When vm-3 is killed
-    Then vm-0, vm-1 and vm-2 name vm-3 no longer within 5.0 s
+    Then vm-0, vm-1 and vm-2 no longer list vm-3 within 5.0 s
 
-  Scenario: An entry VM is started again under its name
-    Symptom: a key of the ended process is run again, or the new process
-    is taken for the dead one.
-    Events: SIGKILL and a start at the same addresses at once.
-    Cause: two processes of one name are taken for one.
+  Scenario: An entry VM is restarted under its name
+    Guards against a key of the previous process that runs again, and a new
+    process that is taken for the dead one. After SIGKILL the VM is started at
+    once at the same addresses; two processes of one name must not be taken
+    for one.
     Given a fleet of 1 engines, 1 services and 3 entry VMs
     And vm-2 has minted 4 keys
     When registrations with 2 of the keys are sent to vm-2
-    And vm-2 is started again under its name
-    Then all entry VMs name vm-2 again in a later incarnation
+    And vm-2 is restarted under its name
+    Then all entry VMs list vm-2 again in a later incarnation
     When registrations with all the keys are sent to every entry VM
-    Then what was told of each registration is true
-    And no registration whose outcome was unknown ran later
+    Then the reported outcome of each registration is correct
+    And the registrations sent only after the restart are unknown and did not run
 
   Scenario: The network is cut between two entry VMs only
-    Symptom: two VMs hold each other for dead, and their keys are told to
-    be lost, though a third VM reaches both.
-    Events: nothing passes between vm-0 and vm-1 for seconds.
-    Cause: one's own eyes are believed over everybody else's.
+    Guards against two VMs that declare each other dead, and report each
+    other's keys as lost, although a third VM reaches both. Nothing passes
+    between vm-0 and vm-1 for seconds; a VM must not trust its own failed
+    probes more than the probes of the others.
     Given a fleet of 3 entry VMs whose network can be cut
     When the network between vm-0 and vm-1 is cut for 6.0 s
-    Then no entry VM was held to be dead
-    And every entry VM names all of them
+    Then no entry VM was declared dead
+    And every entry VM lists all entry VMs
 
-  Scenario: With nobody between them the same cut is taken for death
-    It shows that the check above can fail, and that a cut heals.
+  Scenario: Without a third entry VM the same cut looks like a failure
+    Shows that the previous scenario's check can fail, and that the two VMs
+    recover when the network is restored.
     Given a fleet of 2 entry VMs whose network can be cut
     When the network between vm-0 and vm-1 is cut for 6.0 s
-    Then an entry VM was held to be dead
-    When the network is whole again
-    Then every entry VM names all of them within 10.0 s
+    Then an entry VM was declared dead
+    When the network is restored
+    Then every entry VM lists all entry VMs within 10.0 s
 
   Scenario: An entry VM leaves
-    Symptom: callers are sent to a VM that is about to stop.
-    Events: SIGTERM while it serves.
-    Cause: the list that callers get is changed only when the VM is gone.
+    Guards against callers that are sent to a VM that is about to stop. The
+    VM gets SIGTERM while it serves; it must be removed from the list for
+    callers before it ends.
     Given a fleet of 1 engines and 4 entry VMs
     And 2 callers are streaming 100 tokens each at vm-3
     When vm-3 is asked to stop
-    Then vm-0, vm-1, vm-2 and vm-3 name vm-3 no longer within 1.0 s
-    And vm-3 still runs
+    Then vm-0, vm-1, vm-2 and vm-3 no longer list vm-3 within 1.0 s
+    And vm-3 is still running
     And every answer is whole and no token came twice
     And vm-3 exits with 0
--- a/tests/daemon/neighbours.py
+++ b/tests/daemon/neighbours.py
@@ -1,4 +1,4 @@
-"""What entry VMs tell of each other, and networks cut between two."""
+"""Reads how entry VMs see each other, and cuts the network between two."""
 
 import itertools
 import json
@@ -9,62 +9,72 @@
 from tests.support import cuttable
 from tests.support import http
 
-DETOURED = "tests.daemon.detoured"
+DAEMON_WITH_RELAYS = "tests.daemon.detoured"
 
 
-class DetouredScene(scene.Scene):
-    """A fleet in which the network between two VMs can be cut.
+class PartitionableScene(scene.Scene):
+    """A fleet in which the network between two entry VMs can be cut.
 
-    Nothing is cut between either of them and any other VM.
+    The network between these two and the other VMs stays intact.
     """
 
     def _start_platform(self) -> None:
         super()._start_platform()
-        self.cuts: list[cuttable.Relay] = []
-        self.fleet.use_daemon(DETOURED)
+        self.partition_relays: list[cuttable.Relay] = []
+        self.fleet.use_daemon(DAEMON_WITH_RELAYS)
 
-    def cut(self, one: str, other: str) -> None:
-        """Let nothing through between two VMs, and close nothing either."""
-        for here, there in itertools.permutations((one, other)):
-            address = self.fleet.node(there).peers
+    def partition(self, first: str, second: str) -> None:
+        """Drop all data between two VMs without closing connections."""
+        for source, target in itertools.permutations((first, second)):
+            address = self.fleet.node(target).peers
             relay = cuttable.Relay(address)
             relay.silence(new_too=True)
-            self.cuts.append(relay)
-            path = detoured.path_for(self.fleet.settings_path(here))
+            self.partition_relays.append(relay)
+            path = detoured.path_for(self.fleet.settings_path(source))
             path.write_text(json.dumps({address: relay.address}))
 
     @property
-    def attempts(self) -> int:
-        """Connections that were tried across the cut."""
-        return min(relay.accepted for relay in self.cuts)
+    def connection_attempts(self) -> int:
+        """Number of connections attempted across the cut.
 
-    def mend(self) -> None:
-        """Let everything through again."""
+        It is the smaller number of the two directions.
+        """
+        return min(relay.accepted for relay in self.partition_relays)
+
+    def restore(self) -> None:
+        """Restore the network between all VMs."""
         for name in self.vms:
             path = detoured.path_for(self.fleet.settings_path(name))
             path.unlink(missing_ok=True)
 
     def close(self) -> None:
-        """End every process and relay."""
+        """Stop all processes and close all relays."""
         super().close()
-        for relay in self.cuts:
+        for relay in self.partition_relays:
             relay.close()
 
 
-def named_by(running: scene.Scene, vm: str) -> set[str]:
-    """The entry VMs that a VM names to callers."""
+def listed_by(running: scene.Scene, vm: str) -> set[str]:
+    """The entry VMs that a VM lists for callers."""
     reply = http.call(running.fleet.address(vm), "GET", "/v1/entries")
     return {row["vm"] for row in reply.payload["entries"]}
 
 
-def names(running: scene.Scene, others: typing.Iterable[str]) -> set[str]:
-    """The entry VMs that any of some VMs names to callers."""
-    found = (named_by(running, vm) for vm in others)
-    return set(itertools.chain.from_iterable(found))
+def listed_by_any(running: scene.Scene, vms: typing.Iterable[str]) -> set[str]:
+    """The entry VMs that at least one of some VMs lists for callers."""
+    listed = (listed_by(running, vm) for vm in vms)
+    return set(itertools.chain.from_iterable(listed))
+
 
+def incarnation_at(running: scene.Scene, vm: str, subject: str) -> int | None:
+    """The incarnation of another VM in the view of a VM.
 
-def incarnation_at(running: scene.Scene, vm: str, of: str) -> int | None:
-    """Under which incarnation a VM knows another one."""
+    :param vm: the VM whose view is read.
+    :param subject: the other VM.
+    :returns: the incarnation; None if the VM does not know the other one.
+    """
     rows = running.status(vm)["peers"]
-    found = (row.get("incarnation") for row in rows if row["vm"] == of)
-    return next(found, None)
+    incarnations = (
+        row.get("incarnation") for row in rows if row["vm"] == subject
+    )
+    return next(incarnations, None)
--- a/tests/steps/daemon_membership.py
+++ b/tests/steps/daemon_membership.py
@@ -12,7 +12,7 @@
 from tests.support import fleet
 
 DEFAULT_PROBES = {"probe_interval_s": 1.0, "probe_timeout_s": 0.4}
-SOON_S = 10.0
+LISTED_TIMEOUT_S = 10.0
 UNKNOWN = "unknown"
 
 
@@ -23,17 +23,17 @@
 
 
 @given("a fleet of {vms:d} entry VMs whose network can be cut")
-def _can_be_cut(context, vms):
-    context.scene = neighbours.DetouredScene(1, 0, vms)
+def _partitionable(context, vms):
+    context.scene = neighbours.PartitionableScene(1, 0, vms)
     context.closers.append(context.scene.close)
 
 
 @given("{vm} has minted {count:d} keys")
 def _minted(context, vm, count):
-    one = context.scene.caller()
-    keys = one.mint_keys(count, context.scene.fleet.address(vm))
+    caller = context.scene.caller()
+    keys = caller.mint_keys(count, context.scene.fleet.address(vm))
     context.minted = {f"op-{i}": key for i, key in enumerate(keys)}
-    context.told = []
+    context.registration_answers = []
 
 
 @when("{vm} stands still")
@@ -51,12 +51,12 @@
     context.scene.fleet.resume(vm)
 
 
-@when("{vm} is started again under its name")
+@when("{vm} is restarted under its name")
 def _restart(context, vm):
     context.incarnation = context.scene.status(vm)["incarnation"]
     context.unknown = {
         operation
-        for operation, answer in context.told
+        for operation, answer in context.registration_answers
         if answer.executed == UNKNOWN
     }
     context.scene.fleet.restart(vm)
@@ -73,10 +73,10 @@
 
 
 def _register(context, operations, vms):
-    one = context.scene.caller()
+    caller = context.scene.caller()
     for vm in vms:
         for operation in operations:
-            answer = one.service(
+            answer = caller.service(
                 scene.SERVICE_ENTRY,
                 "POST",
                 "/entries",
@@ -84,114 +84,136 @@
                 context.minted[operation],
                 context.scene.fleet.address(vm),
             )
-            context.told.append((operation, answer))
+            context.registration_answers.append((operation, answer))
 
 
-@then("what was told of each registration is true")
-def _true(context):
+@then("the reported outcome of each registration is correct")
+def _reported_outcomes_correct(context):
     runs = context.scene.fleet.journals()
     assert all(runs.get(name, 0) <= 1 for name in context.minted), runs
-    for operation, answer in context.told:
-        ran = runs.get(operation, 0)
-        told = (operation, answer.status, answer.executed, answer.error)
-        assert answer.status, told
-        assert not answer.done or ran == 1, told
-        assert answer.done or answer.executed in ("no", UNKNOWN), told
-
-
-@then("no registration whose outcome was unknown ran later")
-def _not_later(context):
-    """After the restart no key of the ended process may be run."""
-    first = {operation for operation, _ in context.told[:2]}
+    for operation, answer in context.registration_answers:
+        run_count = runs.get(operation, 0)
+        details = (operation, answer.status, answer.executed, answer.error)
+        assert answer.status, details
+        assert not answer.done or run_count == 1, details
+        assert answer.done or answer.executed in ("no", UNKNOWN), details
+
+
+@then(
+    "the registrations sent only after the restart are unknown and did not run"
+)
+def _unknown_and_not_run(context):
+    """Check that no key of the previous process ran after the restart.
+
+    The first two registrations were sent before the restart.
+    """
+    sent_before = {
+        operation for operation, _ in context.registration_answers[:2]
+    }
     runs = context.scene.fleet.journals()
-    late = set(runs) & set(context.minted) - first
+    late = set(runs) & set(context.minted) - sent_before
     assert not late, (late, runs)
-    told = [answer for name, answer in context.told if name not in first]
-    assert told and all(a.executed == UNKNOWN for a in told), [
-        (a.status, a.executed, a.error) for a in told
+    answers = [
+        answer
+        for name, answer in context.registration_answers
+        if name not in sent_before
+    ]
+    assert answers and all(a.executed == UNKNOWN for a in answers), [
+        (a.status, a.executed, a.error) for a in answers
     ]
 
 
-@then("{observers} name {vm} no longer within {seconds:f} s")
-def _named_no_longer(context, observers, vm, seconds):
+@then("{observers} no longer list {vm} within {seconds:f} s")
+def _no_longer_listed(context, observers, vm, seconds):
     vms = re.findall(r"vm-\d+", observers)
     running = context.scene
-    fleet.wait_for(lambda: vm not in neighbours.names(running, vms), seconds)
+    fleet.wait_for(
+        lambda: vm not in neighbours.listed_by_any(running, vms), seconds
+    )
 
 
-@then("all entry VMs name {vm} again in the same incarnation")
-def _same(context, vm):
-    _wait_named(context, vm, lambda known: known == context.incarnation)
+@then("all entry VMs list {vm} again in the same incarnation")
+def _same_incarnation(context, vm):
+    _wait_listed(
+        context, vm, lambda incarnation: incarnation == context.incarnation
+    )
     assert context.scene.status(vm)["incarnation"] == context.incarnation
 
 
-@then("all entry VMs name {vm} again in a later incarnation")
-def _later(context, vm):
-    _wait_named(context, vm, lambda known: known > context.incarnation)
+@then("all entry VMs list {vm} again in a later incarnation")
+def _later_incarnation(context, vm):
+    _wait_listed(
+        context, vm, lambda incarnation: incarnation > context.incarnation
+    )
 
 
-def _wait_named(context, vm, right):
+def _wait_listed(context, vm, is_expected):
     running = context.scene
 
-    def named():
-        known = [
+    def listed():
+        incarnations = [
             neighbours.incarnation_at(running, each, vm)
             for each in running.vms
         ]
-        everywhere = all(
-            vm in neighbours.named_by(running, each) for each in running.vms
+        listed_everywhere = all(
+            vm in neighbours.listed_by(running, each) for each in running.vms
+        )
+        return listed_everywhere and all(
+            incarnation is not None and is_expected(incarnation)
+            for incarnation in incarnations
         )
-        return everywhere and all(k is not None and right(k) for k in known)
 
-    fleet.wait_for(named, SOON_S)
+    fleet.wait_for(listed, LISTED_TIMEOUT_S)
 
 
-@then("{vm} knows that it was paused")
+@then("{vm} has logged that it was paused")
 def _paused(context, vm):
     assert "event=paused" in context.scene.fleet.log(vm)
 
 
-@when("the network between {one} and {other} is cut for {seconds:f} s")
-def _cut(context, one, other, seconds):
-    context.scene.cut(one, other)
+@when("the network between {first} and {second} is cut for {seconds:f} s")
+def _partition(context, first, second, seconds):
+    context.scene.partition(first, second)
     time.sleep(seconds)
-    assert context.scene.attempts, "nobody tried to pass the cut"
+    assert (
+        context.scene.connection_attempts
+    ), "no connection was attempted across the cut"
 
 
-@when("the network is whole again")
-def _mended(context):
-    context.scene.mend()
+@when("the network is restored")
+def _restored(context):
+    context.scene.restore()
 
 
-@then("no entry VM was held to be dead")
+@then("no entry VM was declared dead")
 def _none_dead(context):
     logs = map(context.scene.fleet.log, context.scene.vms)
     assert not any("event=member_dead" in log for log in logs)
 
 
-@then("an entry VM was held to be dead")
+@then("an entry VM was declared dead")
 def _dead(context):
     logs = map(context.scene.fleet.log, context.scene.vms)
     assert any("event=member_dead" in log for log in logs)
 
 
-@then("every entry VM names all of them")
-def _all_named(context):
-    _all_named_within(context, SOON_S)
+@then("every entry VM lists all entry VMs")
+def _all_listed(context):
+    _all_listed_within(context, LISTED_TIMEOUT_S)
 
 
-@then("every entry VM names all of them within {seconds:f} s")
-def _all_named_within(context, seconds):
+@then("every entry VM lists all entry VMs within {seconds:f} s")
+def _all_listed_within(context, seconds):
     running = context.scene
-    everybody = set(running.vms)
+    all_vms = set(running.vms)
     fleet.wait_for(
         lambda: all(
-            neighbours.named_by(running, vm) == everybody for vm in running.vms
+            neighbours.listed_by(running, vm) == all_vms for vm in running.vms
         ),
         seconds,
     )
 
 
-@then("{vm} still runs")
-def _runs(context, vm):
+@then("{vm} is still running")
+def _still_running(context, vm):
     assert context.scene.fleet.process(vm).running
