--- a/src/apricotlever/daemon/catalogue_reads.py
+++ b/src/apricotlever/daemon/catalogue_reads.py
@@ -1,18 +1,19 @@
-"""When the catalogue is read from the store, and what a read proves."""
+"""Schedules reads of the catalogue and detects a store with an older one."""
 
 import typing
 
 from .. import clock as clocks
 
-BACKOFF_FIRST_S = 0.25
-BACKOFF_LAST_S = 1.0
-# A store that was restored from a copy may answer a watch as if nothing had
-# changed: the watched revision lies ahead of it. Only a read shows that.
-READ_AGAIN_S = 30.0
+INITIAL_BACKOFF_S = 0.25
+MAX_BACKOFF_S = 1.0
+# Seconds after which the store is read again although a watch is open. A store
+# that was restored from a copy may answer the watch as if nothing had changed,
+# because its revision is below the watched one. Only a read shows that.
+READ_INTERVAL_S = 30.0
 
 
-class Read:
-    """The object was read, or not."""
+class ReadEnded:
+    """The Result of reading the catalogue's object."""
 
     __slots__ = ("outcome",)
 
@@ -20,8 +21,8 @@
         self.outcome = outcome
 
 
-class Watched:
-    """A wait for changes is over."""
+class WatchEnded:
+    """The Result of waiting for changes of the catalogue's object."""
 
     __slots__ = ("outcome",)
 
@@ -30,72 +31,83 @@
 
 
 class ReadSchedule:
-    """The reads of one VM that watches the store.
+    """Decides when one VM that watches the store reads the catalogue.
 
     :param clock: the source of time.
     """
 
-    __slots__ = ("_clock", "_at", "_backoff_s", "_in_force", "_behind")
+    __slots__ = (
+        "_clock",
+        "_read_at",
+        "_backoff_s",
+        "_in_force_at_start",
+        "_older_store_version",
+    )
 
     def __init__(self, clock: clocks.Clock) -> None:
         self._clock = clock
-        self._at = float("inf")
-        self._backoff_s = BACKOFF_FIRST_S
-        self._in_force = 0
-        self._behind: int | None = None
+        self._read_at = float("inf")
+        self._backoff_s = INITIAL_BACKOFF_S
+        self._in_force_at_start = 0
+        self._older_store_version: int | None = None
 
     @property
     def due(self) -> bool:
-        """Whether to read now."""
-        return self._clock.now() >= self._at
+        """Whether a read is due now."""
+        return self._clock.now() >= self._read_at
 
     @property
-    def behind(self) -> int | None:
-        """The store's version while that is older than the fleet's."""
-        return self._behind
+    def older_store_version(self) -> int | None:
+        """The store's version if older than the one in force, or None."""
+        return self._older_store_version
 
-    def within(self, seconds: float) -> None:
-        """Read after so many seconds at the latest."""
-        self._at = min(self._at, self._clock.now() + seconds)
+    def schedule_within(self, seconds: float) -> None:
+        """Schedule a read after the given seconds at the latest."""
+        self._read_at = min(self._read_at, self._clock.now() + seconds)
 
     def stop(self) -> None:
-        """Read no more."""
-        self._at = float("inf")
-        self._behind = None
+        """Cancel the next read."""
+        self._read_at = float("inf")
+        self._older_store_version = None
 
-    def begin(self, in_force: int) -> None:
-        """A read begins.
+    def read_started(self, in_force: int) -> None:
+        """Record the start of a read.
 
-        :param in_force: the version that is in force here now.
+        :param in_force: the version that is in force at this VM now.
         """
-        self._at = float("inf")
-        self._in_force = in_force
+        self._read_at = float("inf")
+        self._in_force_at_start = in_force
 
-    def read(self, version: int) -> bool:
-        """A read gave a version.
+    def read_succeeded(self, version: int) -> bool:
+        """Record the version that a read returned.
 
-        It proves that the store went back only if the newer version was
-        in force here before the read began; another VM may have seen it
-        meanwhile.
+        An older version proves that the store went back only if the newer
+        version was in force at this VM before the read began. Otherwise the
+        newer version may have been written during the read, and this VM
+        received it from another one.
 
+        :param version: the version that the read returned.
         :returns: whether the store went back.
         """
-        self.answered()
-        self._at = self._clock.now() + READ_AGAIN_S
-        back = version < self._in_force
-        self._behind = version if back else None
-        return back
-
-    def seen(self, version: int) -> None:
-        """A watch showed a version that is written now."""
-        if version >= self._in_force:
-            self._behind = None
-
-    def answered(self) -> None:
-        """The store answers again."""
-        self._backoff_s = BACKOFF_FIRST_S
-
-    def failed(self) -> None:
-        """A call failed: read later; the watch can't be trusted to go on."""
-        self._at = self._clock.now() + self._backoff_s
-        self._backoff_s = min(BACKOFF_LAST_S, 2 * self._backoff_s)
+        self.call_succeeded()
+        self._read_at = self._clock.now() + READ_INTERVAL_S
+        went_back = version < self._in_force_at_start
+        self._older_store_version = version if went_back else None
+        return went_back
+
+    def watch_returned(self, version: int) -> None:
+        """Record a version that a watch returned."""
+        if version >= self._in_force_at_start:
+            self._older_store_version = None
+
+    def call_succeeded(self) -> None:
+        """Reset the backoff after a successful call."""
+        self._backoff_s = INITIAL_BACKOFF_S
+
+    def call_failed(self) -> None:
+        """Schedule a read after a backoff, because a call failed.
+
+        The watch is not resumed, because it is unreliable after a failure.
+        """
+        self._read_at = self._clock.now() + self._backoff_s
+        self._backoff_s = min(MAX_BACKOFF_S, 2 * self._backoff_s)
--- a/src/apricotlever/daemon/catalogue_watcher.py
+++ b/src/apricotlever/daemon/catalogue_watcher.py
@@ -1,7 +1,7 @@
 """The task that brings catalogue versions into force at this VM.
 
-It carries out what the configuration spread decides: holding the store's
-watch when this VM is one of the watchers, and fetching from peers.
+It executes the actions of the catalogue replicator: it watches the store
+when this VM is one of the watchers, and fetches catalogues from peers.
 """
 
 from concurrent import futures
@@ -28,18 +28,18 @@
 from . import store as stores
 
 TICK_S = 0.1
-# Open connections may go silent for good. It shows only when a watch's
-# answer is overdue, and an edit has to come into force within 3 s.
-WATCH_S_MAX = 2.0
-# How long a VM that starts waits for its peers' word before it goes by the
+# An open connection may go silent for good. This is detected only when the
+# answer to a watch is overdue, and an edit must come into force within 3 s.
+MAX_WATCH_S = 2.0
+# How long a starting VM waits for its peers' catalogue before it reads the
 # store, which may have been restored from an old copy.
-PEERS_FIRST_S = 1.0
+INITIAL_PEER_WAIT_S = 1.0
 
 InForce = typing.Callable[[catalogues.Catalogue], None]
 
 
 class ViewSeen:
-    """The members changed."""
+    """Reports a new membership view."""
 
     __slots__ = ("view",)
 
@@ -48,7 +48,12 @@
 
 
 class Heard:
-    """A peer mentioned the version that is in force there."""
+    """Reports the version that is in force at a peer.
+
+    :param version: the version.
+    :param digest: digest of the catalogue.
+    :param via: name of the peer.
+    """
 
     __slots__ = ("version", "digest", "via")
 
@@ -59,7 +64,11 @@
 
 
 class Rumoured:
-    """A rumour about a version came; it may carry the change."""
+    """Reports a rumour about a version, which may carry the change.
+
+    :param rumour: the rumour.
+    :param via: name of the peer that passed it on.
+    """
 
     __slots__ = ("rumour", "via")
 
@@ -69,7 +78,7 @@
 
 
 class Serve:
-    """A peer asks for the catalogue; answered with the document."""
+    """Answers a peer's fetch; the result is the document."""
 
     __slots__ = ("request",)
 
@@ -78,9 +87,10 @@
 
 
 class _Fetched:
-    """A peer answered a fetch, or not.
+    """The result of a fetch from a peer.
 
-    :param answer: None when it did not.
+    :param vm: name of the peer.
+    :param answer: the answer, or None when the fetch failed.
     """
 
     __slots__ = ("vm", "answer")
@@ -93,9 +103,10 @@
 class CatalogueWatcher(mailbox.Task):
     """Brings catalogues into force.
 
-    :param store: runs reads and watches.
-    :param others: the fleet's task, for fetches and rumours.
-    :param in_force: told of each catalogue that comes into force.
+    :param config: the settings.
+    :param store: the task that runs reads and watches.
+    :param fleet_link: the task that fetches from peers and spreads rumours.
+    :param in_force: called with each catalogue that comes into force.
     """
 
     def __init__(
@@ -104,96 +115,98 @@
         rng: random.Random,
         config: settings.Settings,
         store: mailbox.Task,
-        others: mailbox.Task,
+        fleet_link: mailbox.Task,
         in_force: InForce,
     ) -> None:
         super().__init__("watcher", clock, TICK_S)
         self._config = config
         self._store = store
-        self._others = others
+        self._fleet_link = fleet_link
         self._in_force = in_force
         self._parser = catalogues.Parser()
         self._parsed = catalogues.EMPTY
-        self._spread = catalogue_replicator.CatalogueReplicator(
-            clock, rng, config.vm, config.data_centre, self._check
+        self._replicator = catalogue_replicator.CatalogueReplicator(
+            clock, rng, config.vm, config.data_centre, self._parse
         )
-        self._calling = False
+        self._call_in_progress = False
         self._starting = True
-        self._asked_peers = 0
-        self._readings = catalogue_reads.ReadSchedule(clock)
+        self._fetches_in_progress = 0
+        self._read_schedule = catalogue_reads.ReadSchedule(clock)
 
     @mailbox.handles(ViewSeen)
-    def _view_seen(self, message: ViewSeen) -> None:
-        self._carry_out(self._spread.update_view(message.view))
+    def _update_view(self, message: ViewSeen) -> None:
+        self._execute(self._replicator.update_view(message.view))
 
     @mailbox.handles(Heard)
-    def _heard(self, message: Heard) -> None:
-        found = self._spread.peer_has_version(
+    def _on_peer_version(self, message: Heard) -> None:
+        actions = self._replicator.peer_has_version(
             message.version, message.digest, message.via
         )
-        self._carry_out(found)
+        self._execute(actions)
 
     @mailbox.handles(Rumoured)
-    def _rumoured(self, message: Rumoured) -> None:
-        self._carry_out(
-            self._spread.receive_rumour(message.rumour, message.via)
+    def _on_rumour(self, message: Rumoured) -> None:
+        self._execute(
+            self._replicator.receive_rumour(message.rumour, message.via)
         )
 
     @mailbox.handles(Serve)
-    def _serve(self, message: Serve) -> pb.CatalogueDocument:
-        return self._spread.answer_fetch(message.request)
+    def _answer_fetch(self, message: Serve) -> pb.CatalogueDocument:
+        return self._replicator.answer_fetch(message.request)
 
     @mailbox.handles(_Fetched)
-    def _fetched(self, message: _Fetched) -> None:
-        self._asked_peers -= 1
+    def _on_fetched(self, message: _Fetched) -> None:
+        self._fetches_in_progress -= 1
         if message.answer is None:
-            self._spread.fetch_failed(message.vm)
+            self._replicator.fetch_failed(message.vm)
         else:
-            found = self._spread.receive_answer(message.vm, message.answer)
-            self._carry_out(found)
-        if self._starting and not self._asked_peers:
-            self._readings.within(0.0)
-
-    @mailbox.handles(catalogue_reads.Read)
-    def _read(self, message: catalogue_reads.Read) -> None:
-        self._calling = False
+            actions = self._replicator.receive_answer(
+                message.vm, message.answer
+            )
+            self._execute(actions)
+        if self._starting and not self._fetches_in_progress:
+            self._read_schedule.schedule_within(0.0)
+
+    @mailbox.handles(catalogue_reads.ReadEnded)
+    def _on_read_ended(self, message: catalogue_reads.ReadEnded) -> None:
+        self._call_in_progress = False
         outcome = message.outcome
         if isinstance(outcome, result.Success):
             stored = outcome.unwrap()
-            self._take(stored.version, stored.value)
+            self._handle_stored(stored.version, stored.value)
         elif isinstance(outcome.failure(), platform.NotFound):
-            self._take(0, None)
+            self._handle_stored(0, None)
         else:
-            self._readings.failed()
-
-    def _take(self, version: int, value: typing.Any) -> None:
-        """Take over what a read gave."""
-        went_back = self._readings.read(version)
-        if went_back or version >= self._spread.in_force.version:
-            self._carry_out(self._spread.receive_stored(version, value))
-        self._watch(version)
-
-    @mailbox.handles(catalogue_reads.Watched)
-    def _watched(self, message: catalogue_reads.Watched) -> None:
-        self._calling = False
+            self._read_schedule.call_failed()
+
+    def _handle_stored(self, version: int, value: typing.Any) -> None:
+        """Handle the object that a read returned."""
+        store_went_back = self._read_schedule.read_succeeded(version)
+        if store_went_back or version >= self._replicator.in_force.version:
+            self._execute(self._replicator.receive_stored(version, value))
+        self._start_watch(version)
+
+    @mailbox.handles(catalogue_reads.WatchEnded)
+    def _on_watch_ended(self, message: catalogue_reads.WatchEnded) -> None:
+        self._call_in_progress = False
         outcome = message.outcome
         if not isinstance(outcome, result.Success):
-            self._readings.failed()
+            self._read_schedule.call_failed()
             return
-        self._readings.answered()
-        seen = outcome.unwrap()
-        for event in seen.events:
-            self._see(event)
-        if not self._readings.due:
-            self._watch(seen.version)
-
-    def _see(self, event: platform.PlatformObject) -> None:
-        """Take over a change; peers may have told of a later one already."""
-        older = event.version < self._spread.in_force.version
+        self._read_schedule.call_succeeded()
+        watched = outcome.unwrap()
+        for event in watched.events:
+            self._handle_event(event)
+        if not self._read_schedule.due:
+            self._start_watch(watched.version)
+
+    def _handle_event(self, event: platform.PlatformObject) -> None:
+        """Handle a change, unless a peer has sent a later version already."""
+        older = event.version < self._replicator.in_force.version
         if event.name == edit.CURRENT_OBJECT_NAME and not older:
-            self._readings.seen(event.version)
-            self._carry_out(
-                self._spread.receive_stored(event.version, event.value)
+            self._read_schedule.watch_returned(event.version)
+            self._execute(
+                self._replicator.receive_stored(event.version, event.value)
             )
 
     @mailbox.handles(dispatcher_messages.StatusWanted)
@@ -201,18 +214,18 @@
         self, message: dispatcher_messages.StatusWanted
     ) -> dict[str, object]:
         return {
-            "watches_catalogue": self._spread.watching,
-            "store_behind": self._readings.behind,
-            "catalogue_digest": f"{self._spread.in_force.digest:016x}",
+            "watches_catalogue": self._replicator.watching,
+            "store_behind": self._read_schedule.older_store_version,
+            "catalogue_digest": f"{self._replicator.in_force.digest:016x}",
         }
 
     def tick(self) -> None:
-        """Fetch what is missing, and read the store when that is due."""
-        self._carry_out(self._spread.tick())
-        if self._spread.watching and self._readings.due:
+        """Fetch missing catalogues, and read the store when that is due."""
+        self._execute(self._replicator.tick())
+        if self._replicator.watching and self._read_schedule.due:
             self._start_read()
 
-    def _check(
+    def _parse(
         self, document: dict[str, typing.Any], version: int
     ) -> str | None:
         try:
@@ -223,27 +236,27 @@
             return error.message
         return None
 
-    def _carry_out(
-        self, found: typing.Iterable[replication_actions.ReplicationAction]
+    def _execute(
+        self, actions: typing.Iterable[replication_actions.ReplicationAction]
     ) -> None:
-        for action in found:
-            self._carry_out_one(action)
+        for action in actions:
+            self._execute_one(action)
 
-    def _carry_out_one(
+    def _execute_one(
         self, action: replication_actions.ReplicationAction
     ) -> None:
         match action:
             case replication_actions.StartWatching():
-                wait_s = PEERS_FIRST_S if self._starting else 0.0
-                self._readings.within(wait_s)
+                wait_s = INITIAL_PEER_WAIT_S if self._starting else 0.0
+                self._read_schedule.schedule_within(wait_s)
             case replication_actions.StopWatching():
-                self._readings.stop()
+                self._read_schedule.stop()
             case replication_actions.FetchFromPeer():
-                self._fetch(action)
+                self._start_fetch(action)
             case replication_actions.ApplyCatalogue():
                 self._apply(action)
             case replication_actions.AnnounceRumour():
-                self._others.tell(fleet_messages.Announce(action.rumour))
+                self._fleet_link.tell(fleet_messages.Announce(action.rumour))
             case replication_actions.Fault():
                 logs.event(
                     "catalogue_refused",
@@ -254,7 +267,7 @@
                 )
 
     def _apply(self, action: replication_actions.ApplyCatalogue) -> None:
-        self._others.tell(
+        self._fleet_link.tell(
             fleet_messages.CatalogueKnown(action.version, action.digest)
         )
         self._in_force(self._parsed)
@@ -264,7 +277,7 @@
             digest=f"{action.digest:016x}",
         )
 
-    def _fetch(self, action: replication_actions.FetchFromPeer) -> None:
+    def _start_fetch(self, action: replication_actions.FetchFromPeer) -> None:
         call = fleet_messages.CallPeer(
             action.vm,
             0,
@@ -273,45 +286,47 @@
             catalogue_replicator.FETCH_TIMEOUT_S,
         )
 
-        self._asked_peers += 1
+        self._fetches_in_progress += 1
 
-        def ended(future: "futures.Future[typing.Any]") -> None:
+        def on_done(future: "futures.Future[typing.Any]") -> None:
             failed = future.exception() is not None
             answer = None if failed else future.result()
             self.tell(_Fetched(action.vm, answer))
 
-        self._others.ask(call).add_done_callback(ended)
+        self._fleet_link.ask(call).add_done_callback(on_done)
 
     def _start_read(self) -> None:
-        if not self._calling:
+        if not self._call_in_progress:
             self._starting = False
-            self._readings.begin(self._spread.in_force.version)
+            self._read_schedule.read_started(self._replicator.in_force.version)
             call = stores.read(stores.Rank.CATALOGUE, edit.CURRENT_OBJECT_NAME)
-            self._call(call, catalogue_reads.Read)
+            self._start_call(call, catalogue_reads.ReadEnded)
 
-    def _watch(self, after: int) -> None:
-        wait_s = min(WATCH_S_MAX, self._config.timing.watch_s)
+    def _start_watch(self, after: int) -> None:
+        wait_s = min(MAX_WATCH_S, self._config.timing.watch_s)
 
         def run(api: platform.ObjectApi) -> typing.Any:
             return api.watch(edit.CURRENT_OBJECT_NAME, after, wait_s)
 
-        if self._spread.watching:
+        if self._replicator.watching:
             call = stores.StoreCall(
                 stores.Rank.CATALOGUE, stores.Kind.READ, run
             )
-            self._call(call, catalogue_reads.Watched)
+            self._start_call(call, catalogue_reads.WatchEnded)
 
-    def _call(
+    def _start_call(
         self,
         call: stores.StoreCall,
-        heard: type[catalogue_reads.Read] | type[catalogue_reads.Watched],
+        message_type: (
+            type[catalogue_reads.ReadEnded] | type[catalogue_reads.WatchEnded]
+        ),
     ) -> None:
-        if self._calling:
+        if self._call_in_progress:
             return
-        self._calling = True
+        self._call_in_progress = True
 
-        def ended(future: "futures.Future[typing.Any]") -> None:
+        def on_done(future: "futures.Future[typing.Any]") -> None:
             if future.exception() is None:
-                self.tell(heard(future.result()))
+                self.tell(message_type(future.result()))
 
-        self._store.ask(call).add_done_callback(ended)
+        self._store.ask(call).add_done_callback(on_done)
--- a/src/apricotlever/daemon/ledger_task.py
+++ b/src/apricotlever/daemon/ledger_task.py
@@ -1,8 +1,8 @@
 """The task that keeps the ledger of idempotency keys.
 
-It owns the ledger and the claims, whose reads and writes go through the
-store's task. Workers ask it before they send and tell it how
-the exchange ended.
+The task owns the ledger and the claims. It reads and writes claims through
+the store's task. The threads that send calls ask this task for permission
+before they send, and report how each exchange ended.
 """
 
 from concurrent import futures
@@ -24,7 +24,7 @@
 
 
 class Mint:
-    """Ask for a key bound to a customer and this VM."""
+    """Asks for a new key that is bound to a customer and to this VM."""
 
     __slots__ = ("customer",)
 
@@ -33,13 +33,19 @@
 
 
 class Begin:
-    """Ask what becomes of a keyed call.
-
-    Answered with Run, Replay, Forward or Refuse; a claim in the store or
-    another exchange with the same key is waited for.
-
-    :param first: the caller vouches that it never sent the key before.
-    :param forwarded: another VM holds that this one owns the key.
+    """Asks what to do with a call that has an idempotency key.
+
+    The result is a RunCall, ReplayAnswer, ForwardCall or RefuseCall. It comes
+    after the claim in the store, if one is needed, and after any other
+    exchange with the same key.
+
+    :param key: the idempotency key.
+    :param customer: name of the customer.
+    :param digest: digest of the call.
+    :param first: whether the caller declares that it never sent the key
+        before.
+    :param forwarded: whether another VM forwarded the call, because it
+        considers this VM the owner of the key.
     """
 
     __slots__ = ("key", "customer", "digest", "first", "forwarded")
@@ -60,7 +66,10 @@
 
 
 class Sent:
-    """Ask, just before the first byte, whether the call may go out."""
+    """Asks for permission to send a call, just before its first byte.
+
+    The result is whether the call may be sent.
+    """
 
     __slots__ = ("token",)
 
@@ -69,7 +78,7 @@
 
 
 class Finished:
-    """The whole answer came."""
+    """Reports that the answer to a call was received in full."""
 
     __slots__ = ("token", "answer")
 
@@ -79,7 +88,7 @@
 
 
 class NotSent:
-    """Not one byte reached the upstream."""
+    """Reports that no byte of a call reached the upstream."""
 
     __slots__ = ("token",)
 
@@ -88,7 +97,7 @@
 
 
 class Lost:
-    """The call may have run, and its answer won't come."""
+    """Reports that a call may have run and that its answer is lost."""
 
     __slots__ = ("token",)
 
@@ -97,7 +106,7 @@
 
 
 class OwnerSeen:
-    """An incarnation of an entry VM lives."""
+    """Reports that an incarnation of an entry VM is alive."""
 
     __slots__ = ("vm", "incarnation")
 
@@ -107,7 +116,7 @@
 
 
 class OwnerGone:
-    """An incarnation of an entry VM is gone for certain."""
+    """Reports that an incarnation of an entry VM has certainly ended."""
 
     __slots__ = ("vm", "incarnation")
 
@@ -117,7 +126,11 @@
 
 
 class LedgerMoved:
-    """An heir has the ledger of an incarnation that left."""
+    """Reports that the ledger of an incarnation moved to its successor.
+
+    :param owner: the incarnation that has left.
+    :param heir: the successor, which has adopted the ledger.
+    """
 
     __slots__ = ("owner", "heir")
 
@@ -131,13 +144,16 @@
 
 
 class Freeze:
-    """Start no more runs."""
+    """Forbids the ledger to start further runs."""
 
     __slots__ = ()
 
 
 class Export:
-    """Export the ledger to an heir; answered with its state."""
+    """Exports the ledger to a successor; the result is its state.
+
+    :param heir: the successor.
+    """
 
     __slots__ = ("heir",)
 
@@ -146,7 +162,7 @@
 
 
 class HeirAnswered:
-    """The heir's word on the ledger."""
+    """Reports the successor's receipt for the exported ledger."""
 
     __slots__ = ("receipt",)
 
@@ -155,13 +171,16 @@
 
 
 class LateOutcomes:
-    """Ask for the calls that ended since the export."""
+    """Asks for the calls that have ended since the export."""
 
     __slots__ = ()
 
 
 class OutcomesReceived:
-    """The heir has taken these outcomes."""
+    """Reports that the successor has received outcomes of calls.
+
+    :param settled: the calls whose outcomes it has received.
+    """
 
     __slots__ = ("settled",)
 
@@ -170,7 +189,7 @@
 
 
 class AdoptLedger:
-    """Take over a leaving VM's ledger; answered with the receipt."""
+    """Adopts the ledger of a leaving VM; the result is the receipt."""
 
     __slots__ = ("state",)
 
@@ -179,7 +198,10 @@
 
 
 class Settle:
-    """Calls of an adopted ledger have ended at their VM."""
+    """Reports that calls of an adopted ledger ended at the VM that runs them.
+
+    :param settled: the calls with their outcomes.
+    """
 
     __slots__ = ("settled",)
 
@@ -188,13 +210,13 @@
 
 
 class Count:
-    """Ask how many keys are kept, and how many are being run."""
+    """Asks for the number of keys and the number of calls in flight."""
 
     __slots__ = ()
 
 
-class _Asked:
-    """A caller's question that waits for its answer."""
+class _PendingCall:
+    """A :class:`Begin` message whose result is still open."""
 
     __slots__ = ("begin", "future")
 
@@ -206,10 +228,12 @@
 
 
 class LedgerTask(mailbox.Task):
-    """Keeps the keys of one incarnation.
+    """Keeps the idempotency keys of one incarnation of this VM.
 
-    :param rng: mints keys; has to be unpredictable.
-    :param store: runs the claims' reads and writes.
+    :param rng: the source of new keys; has to be unpredictable.
+    :param vm: name of this VM.
+    :param incarnation: the incarnation.
+    :param store: the task that reads and writes claims.
     """
 
     def __init__(
@@ -223,9 +247,9 @@
         super().__init__("book", clock, TICK_S)
         self._ledger = ledger.Ledger(clock, rng, vm, incarnation)
         self._claims = claims.ClaimBatcher(clock)
-        self._calls = claim_storage.ClaimStorage(store, self.tell)
-        self._claiming: dict[int, _Asked] = {}
-        self._pending: dict[int, list[_Asked]] = {}
+        self._claim_storage = claim_storage.ClaimStorage(store, self.tell)
+        self._claiming: dict[int, _PendingCall] = {}
+        self._waiting: dict[int, list[_PendingCall]] = {}
 
     @mailbox.handles(Mint)
     def _mint(self, message: Mint) -> str:
@@ -233,42 +257,42 @@
 
     @mailbox.handles(Begin)
     def _begin(self, message: Begin) -> mailbox.Deferred:
-        self._decide(_Asked(message, self.defer()))
+        self._decide(_PendingCall(message, self.defer()))
         return mailbox.DEFERRED
 
     @mailbox.handles(Sent)
-    def _sent(self, message: Sent) -> bool:
+    def _start_sending(self, message: Sent) -> bool:
         return self._ledger.start_sending(message.token)
 
     @mailbox.handles(Finished)
-    def _finished(self, message: Finished) -> None:
+    def _record_answer(self, message: Finished) -> None:
         self._ledger.record_answer(message.token, message.answer)
-        self._settled([message.token])
+        self._decide_waiting([message.token])
 
     @mailbox.handles(NotSent)
-    def _not_sent(self, message: NotSent) -> None:
+    def _record_not_sent(self, message: NotSent) -> None:
         self._ledger.record_not_sent(message.token)
-        self._settled([message.token])
+        self._decide_waiting([message.token])
 
     @mailbox.handles(Lost)
-    def _lost(self, message: Lost) -> None:
+    def _record_lost_answer(self, message: Lost) -> None:
         self._ledger.record_lost_answer(message.token)
-        self._settled([message.token])
+        self._decide_waiting([message.token])
 
     @mailbox.handles(OwnerSeen)
-    def _owner_seen(self, message: OwnerSeen) -> None:
-        self._settled(
+    def _on_incarnation_alive(self, message: OwnerSeen) -> None:
+        self._decide_waiting(
             self._ledger.on_incarnation_alive(message.vm, message.incarnation)
         )
 
     @mailbox.handles(OwnerGone)
-    def _owner_gone(self, message: OwnerGone) -> None:
-        self._settled(
+    def _on_incarnation_gone(self, message: OwnerGone) -> None:
+        self._decide_waiting(
             self._ledger.on_incarnation_gone(message.vm, message.incarnation)
         )
 
     @mailbox.handles(LedgerMoved)
-    def _ledger_moved(self, message: LedgerMoved) -> None:
+    def _on_ledger_transferred(self, message: LedgerMoved) -> None:
         self._ledger.on_ledger_transferred(message.owner, message.heir)
 
     @mailbox.handles(Freeze)
@@ -281,17 +305,17 @@
         return self._ledger.export_to(heir.vm, heir.incarnation)
 
     @mailbox.handles(HeirAnswered)
-    def _heir_answered(self, message: HeirAnswered) -> None:
+    def _apply_receipt(self, message: HeirAnswered) -> None:
         self._ledger.transfer.apply_receipt(message.receipt)
 
     @mailbox.handles(LateOutcomes)
-    def _late_outcomes(
+    def _pending_outcomes(
         self, message: LateOutcomes
     ) -> list[ledger_state.SettledCall]:
         return self._ledger.transfer.pending_outcomes()
 
     @mailbox.handles(OutcomesReceived)
-    def _outcomes_received(self, message: OutcomesReceived) -> None:
+    def _acknowledge_outcomes(self, message: OutcomesReceived) -> None:
         self._ledger.transfer.acknowledge_outcomes(message.settled)
 
     @mailbox.handles(AdoptLedger)
@@ -300,26 +324,26 @@
 
     @mailbox.handles(Settle)
     def _settle(self, message: Settle) -> None:
-        self._settled(self._ledger.settle_remote_calls(message.settled))
+        self._decide_waiting(self._ledger.settle_remote_calls(message.settled))
 
     @mailbox.handles(Count)
     def _count(self, message: Count) -> tuple[int, int]:
         return len(self._ledger), self._ledger.in_flight_count
 
     @mailbox.handles(claim_storage.BucketRead)
-    def _bucket_read(self, message: claim_storage.BucketRead) -> None:
-        self._carry_out(claim_storage.after_read(self._claims, message))
+    def _on_bucket_read(self, message: claim_storage.BucketRead) -> None:
+        self._execute(claim_storage.after_read(self._claims, message))
 
     @mailbox.handles(claim_storage.BucketWritten)
-    def _bucket_written(self, message: claim_storage.BucketWritten) -> None:
-        self._carry_out(claim_storage.after_write(self._claims, message))
+    def _on_bucket_written(self, message: claim_storage.BucketWritten) -> None:
+        self._execute(claim_storage.after_write(self._claims, message))
 
     def tick(self) -> None:
         """Expire keys and give up runs that took too long."""
-        self._settled(self._ledger.tick())
+        self._decide_waiting(self._ledger.tick())
 
-    def _decide(self, asked: _Asked) -> None:
-        begin = asked.begin
+    def _decide(self, call: _PendingCall) -> None:
+        begin = call.begin
         decision = self._ledger.begin(
             begin.key,
             begin.customer,
@@ -328,41 +352,41 @@
             begin.forwarded,
         )
         if isinstance(decision, ledger_messages.ClaimKey):
-            self._claiming[decision.token] = asked
-            self._carry_out(self._claims.claim(decision))
+            self._claiming[decision.token] = call
+            self._execute(self._claims.claim(decision))
         elif isinstance(decision, ledger_messages.WaitForRun):
-            self._pending.setdefault(decision.token, []).append(asked)
+            self._waiting.setdefault(decision.token, []).append(call)
         else:
-            asked.future.set_result(decision)
+            call.future.set_result(decision)
 
-    def _settled(self, tokens: list[int]) -> None:
-        """Ask again for those who waited for these runs to end."""
+    def _decide_waiting(self, tokens: list[int]) -> None:
+        """Decide the calls that waited for these runs to end."""
         for token in tokens:
-            for asked in self._pending.pop(token, []):
-                self._decide(asked)
+            for call in self._waiting.pop(token, []):
+                self._decide(call)
 
-    def _carry_out(self, found: list[claims.Action]) -> None:
-        for action in found:
-            self._carry_out_one(action)
+    def _execute(self, actions: list[claims.Action]) -> None:
+        for action in actions:
+            self._execute_one(action)
 
     @functools.singledispatchmethod
-    def _carry_out_one(self, action: typing.Any) -> None:
+    def _execute_one(self, action: typing.Any) -> None:
         raise TypeError(type(action))
 
-    @_carry_out_one.register
+    @_execute_one.register
     def _read(self, action: claims.ReadBucket) -> None:
-        self._calls.read(action)
+        self._claim_storage.read(action)
 
-    @_carry_out_one.register
+    @_execute_one.register
     def _write(self, action: claims.WriteBucket) -> None:
-        self._calls.write(action)
+        self._claim_storage.write(action)
 
-    @_carry_out_one.register
-    def _told(self, action: claims.DeliverResult) -> None:
+    @_execute_one.register
+    def _deliver_result(self, action: claims.DeliverResult) -> None:
         token = action.result.token
         decision = self._ledger.on_claim_result(action.result)
-        asked = self._claiming.pop(token, None)
-        if asked is not None:
-            asked.future.set_result(decision)
+        call = self._claiming.pop(token, None)
+        if call is not None:
+            call.future.set_result(decision)
         if not isinstance(decision, ledger_messages.RunCall):
-            self._settled([token])
+            self._decide_waiting([token])
--- a/src/apricotlever/daemon/orphaned_streams.py
+++ b/src/apricotlever/daemon/orphaned_streams.py
@@ -1,4 +1,4 @@
-"""Streams of an entry VM that died, picked up at their runners."""
+"""Resumes streams whose entry VM has died, from their runners."""
 
 from concurrent import futures
 
@@ -7,7 +7,7 @@
 from ..links import openai_format
 from ..runners import model as runners
 
-from . import answer_reader as pumps
+from . import answer_reader
 from . import context as contexts
 from . import dispatcher_messages
 from . import model_request
@@ -15,11 +15,11 @@
 from . import request_registry
 from . import resumption_tokens
 
-RESCUE_THREADS = 256
+READER_THREADS = 256
 
 
 class OrphanedStreams:
-    """Picks up streams by their callers' resumption tokens.
+    """Resumes streams that are identified by resumption tokens.
 
     :param context: the daemon's tasks.
     """
@@ -28,50 +28,54 @@
 
     def __init__(self, context: contexts.Context) -> None:
         self._context = context
-        self._threads = futures.ThreadPoolExecutor(RESCUE_THREADS, "rescue")
+        self._threads = futures.ThreadPoolExecutor(READER_THREADS, "rescue")
 
     def rescue(
         self,
-        ticket: resumption_tokens.ResumptionToken,
+        payload: resumption_tokens.ResumptionToken,
         catalogue: catalogues.Catalogue,
         customer: catalogues.Customer,
     ) -> model_request.ModelRequest:
-        """Read a stream on at the runner that the token names.
+        """Resume a stream from the runner that a resumption token names.
 
-        The runner still has every token, so the answer is read from its
-        start, and the caller gets it from wherever it stands.
+        The runner still has all tokens of the answer, so the answer is read
+        from its start. The caller continues after its last token.
 
-        :param ticket: what the token says; it was checked.
-        :param catalogue: that of the caller's request.
-        :param customer: who brought it.
-        :raises Refusal: when the runner is gone as well.
+        :param payload: the payload of the resumption token, already verified.
+        :param catalogue: the catalogue in force for the caller's request.
+        :param customer: the customer that presented the token.
+        :returns: the resumed request.
+        :raises Refusal: when the runner or the catalogue entry is gone, or
+            when this VM has no room for another request.
         """
         context = self._context
-        entry = catalogue.entries.get(ticket.entry)
-        wanted = dispatcher_messages.RunnerWanted(ticket.runner)
-        runner = context.answer_of(context.dispatcher.ask(wanted))
+        entry = catalogue.entries.get(payload.entry)
+        lookup = dispatcher_messages.RunnerWanted(payload.runner)
+        runner = context.answer_of(context.dispatcher.ask(lookup))
         if entry is None or runner is None:
-            raise _gone(ticket.request_id)
+            raise _not_found(payload.request_id)
         service_class = catalogue.class_of(entry)
-        flight = self._flight(ticket, customer, entry, service_class, runner)
-        room = context.answer_of(
-            context.registry.ask(request_registry.Open(flight))
+        request = self._create_request(
+            payload, customer, entry, service_class, runner
         )
-        if not room:
+        has_room = context.answer_of(
+            context.registry.ask(request_registry.Open(request))
+        )
+        if not has_room:
             raise refusals.Refusal(
                 refusals.OVERLOADED,
                 "too many requests are running here",
                 refusals.Executed.UNKNOWN,
                 1.0,
-                ticket.request_id,
+                payload.request_id,
             )
-        pump = pumps.AnswerReader(context, flight, runner)
-        self._threads.submit(model_responses.pump_adopted, context, pump)
-        return flight
+        reader = answer_reader.AnswerReader(context, request, runner)
+        self._threads.submit(model_responses.pump_adopted, context, reader)
+        return request
 
-    def _flight(
+    def _create_request(
         self,
-        ticket: resumption_tokens.ResumptionToken,
+        payload: resumption_tokens.ResumptionToken,
         customer: catalogues.Customer,
         entry: catalogues.Entry,
         service_class: catalogues.ServiceClass,
@@ -80,25 +84,25 @@
         document = {
             "model": entry.name,
             "prompt": "",
-            "max_tokens": ticket.max_tokens,
+            "max_tokens": payload.max_tokens,
         }
         now = self._context.clock.now()
-        flight = model_request.ModelRequest(
+        request = model_request.ModelRequest(
             self._context.clock,
-            ticket.request_id,
+            payload.request_id,
             customer.name,
             entry,
             service_class,
-            openai_format.ModelRequest(document, ticket.chat, ""),
+            openai_format.ModelRequest(document, payload.chat, ""),
             b"",
             "",
             now + service_class.deadline_s,
         )
-        flight.runner = runner
-        return flight
+        request.runner = runner
+        return request
 
 
-def _gone(request_id: str) -> refusals.Refusal:
+def _not_found(request_id: str) -> refusals.Refusal:
     return refusals.Refusal(
         refusals.NOT_FOUND,
         "the entry VM and the runner that had the request are gone; send it "
--- a/src/apricotlever/daemon/request_registry.py
+++ b/src/apricotlever/daemon/request_registry.py
@@ -1,4 +1,4 @@
-"""The task that keeps running and ended requests for callers who return."""
+"""The task that records requests, so that callers can resume them."""
 
 from .. import clock as clocks
 from .. import mailbox
@@ -11,7 +11,10 @@
 
 
 class Open:
-    """A request began; answered with whether there is room for it."""
+    """Registers a new model request.
+
+    The result is whether there is room for its record.
+    """
 
     __slots__ = ("flight",)
 
@@ -20,9 +23,9 @@
 
 
 class Close:
-    """A request has its outcome.
+    """Records the outcome of a request.
 
-    :param outcome: how it ended.
+    :param outcome: the outcome.
     """
 
     __slots__ = ("request_id", "outcome")
@@ -35,9 +38,13 @@
 
 
 class Resume:
-    """A caller comes back; answered with :class:`Found` or None.
+    """Looks up a request for a caller that reconnects.
 
-    :param last_event_id: index of the last token that it has, or None.
+    The result is a :class:`Found`, or None when the customer has no such
+    request here.
+
+    :param last_event_id: index of the last token that the caller has, or
+        None.
     """
 
     __slots__ = ("request_id", "customer", "last_event_id")
@@ -51,11 +58,11 @@
 
 
 class Found:
-    """What is known of a request.
+    """The result of a successful :class:`Resume`.
 
-    :param record: the request.
-    :param resumed: where its caller can go on.
-    :param flight: set while it runs here.
+    :param record: the record of the request.
+    :param resumed: how the caller can continue.
+    :param flight: the model request while it runs at this VM, or None.
     """
 
     __slots__ = ("record", "resumed", "flight")
@@ -72,9 +79,11 @@
 
 
 class Adopt:
-    """Take over another VM's records; answered with those to go on with.
+    """Adopts records of another VM.
+
+    The result is the list of adopted records whose requests are running.
 
-    :param adopted: running and ended ones.
+    :param adopted: records of running and of ended requests.
     """
 
     __slots__ = ("adopted",)
@@ -84,7 +93,7 @@
 
 
 class Join:
-    """A flight goes on here with an adopted record."""
+    """Registers the model request that continues an adopted record here."""
 
     __slots__ = ("flight",)
 
@@ -93,19 +102,20 @@
 
 
 class Snapshot:
-    """Ask for every record, to hand them over.
+    """Asks for all records, for a handover to another VM.
 
-    Answered with :class:`Everything`; the tokens are those sent so far.
+    The result is an :class:`Everything`. The record of a running request
+    has the tokens received so far.
     """
 
     __slots__ = ()
 
 
 class Everything:
-    """All records.
+    """The result of a :class:`Snapshot`.
 
-    :param running: model requests that run here.
-    :param ended: requests whose outcome is kept.
+    :param running: records of the model requests that run at this VM.
+    :param ended: records of the requests whose outcome is kept.
     """
 
     __slots__ = ("running", "ended")
@@ -120,9 +130,11 @@
 
 
 class TellMoved:
-    """Another VM has taken requests over: send their callers there.
+    """Redirects the callers of requests that another VM has taken over.
 
-    :param address: ``host:port`` for callers of that VM.
+    :param request_ids: IDs of the requests.
+    :param vm: name of that VM.
+    :param address: ``host:port`` at which that VM listens for callers.
     """
 
     __slots__ = ("request_ids", "vm", "address")
@@ -136,16 +148,17 @@
 
 
 class CountRunning:
-    """Ask how many requests run here."""
+    """Asks how many model requests run at this VM."""
 
     __slots__ = ()
 
 
 class RequestRegistry(mailbox.Task):
-    """Keeps records within bounds of memory and time.
+    """Keeps records of running requests and, for a while, of ended ones.
 
-    :param keep_s: how long an ended request is kept, in seconds.
-    :param keep_bytes: memory for ended requests.
+    :param keep_s: how long the record of an ended request is kept, in
+        seconds.
+    :param keep_bytes: memory limit for the records of ended requests.
     """
 
     def __init__(
@@ -155,102 +168,103 @@
         self._records = records.RequestRecords(
             clock, ended_bytes=keep_bytes, keep_s=keep_s
         )
-        self._flights: dict[str, model_request.ModelRequest] = {}
+        self._requests: dict[str, model_request.ModelRequest] = {}
 
     @mailbox.handles(Open)
     def _open(self, message: Open) -> bool:
-        flight = message.flight
+        request = message.flight
         record = self._records.open(
-            flight.request_id,
-            flight.customer,
-            flight.entry.name,
-            flight.request.path,
-            flight.body,
-            flight.request.chat,
+            request.request_id,
+            request.customer,
+            request.entry.name,
+            request.request.path,
+            request.body,
+            request.request.chat,
         )
         if record is None:
             return False
-        self._flights[flight.request_id] = flight
+        self._requests[request.request_id] = request
         return True
 
     @mailbox.handles(Close)
     def _close(self, message: Close) -> None:
         record = self._records.get(message.request_id)
-        flight = self._flights.pop(message.request_id, None)
+        request = self._requests.pop(message.request_id, None)
         if record is None or record.state is not records.RequestState.RUNNING:
             return
-        if flight is not None:
-            record.tokens = list(flight.transcript.tokens())
+        if request is not None:
+            record.tokens = list(request.transcript.tokens())
         self._records.end(message.request_id, message.outcome)
 
     @mailbox.handles(Resume)
     def _resume(self, message: Resume) -> Found | None:
-        flight = self._flights.get(message.request_id)
+        request = self._requests.get(message.request_id)
         resumed = self._records.resume(
             message.request_id, message.customer, message.last_event_id
         )
         record = self._records.get(message.request_id)
         if record is None or isinstance(resumed, records.ResumeNotFound):
             return None
-        return Found(record, resumed, flight)
+        return Found(record, resumed, request)
 
     @mailbox.handles(Adopt)
     def _adopt(self, message: Adopt) -> list[records.RequestRecord]:
-        fresh = [
+        unknown = [
             record
             for record in message.adopted
             if self._records.get(record.request_id) is None
         ]
-        taken = [record for record in fresh if self._records.adopt(record)]
+        adopted = [record for record in unknown if self._records.adopt(record)]
         return [
             record
-            for record in taken
+            for record in adopted
             if record.state is records.RequestState.RUNNING
         ]
 
     @mailbox.handles(Join)
     def _join(self, message: Join) -> None:
-        self._flights[message.flight.request_id] = message.flight
+        self._requests[message.flight.request_id] = message.flight
 
     @mailbox.handles(Snapshot)
     def _snapshot(self, message: Snapshot) -> Everything:
         running = []
         for record in self._records.running:
-            flight = self._flights.get(record.request_id)
-            if flight is None or flight.runner is None:
+            request = self._requests.get(record.request_id)
+            if request is None or request.runner is None:
                 continue
-            record.tokens = list(flight.transcript.tokens())
-            record.runner = flight.runner.name
-            record.attempt = flight.attempt
+            record.tokens = list(request.transcript.tokens())
+            record.runner = request.runner.name
+            record.attempt = request.attempt
             running.append(record)
         return Everything(running, self._records.ended)
 
     @mailbox.handles(TellMoved)
     def _tell_moved(self, message: TellMoved) -> None:
         for request_id in message.request_ids:
-            flight = self._flights.pop(request_id, None)
+            request = self._requests.pop(request_id, None)
             self._records.record_move(request_id, message.address)
-            if flight is not None:
-                flight.move(message.address)
+            if request is not None:
+                request.move(message.address)
 
     @mailbox.handles(CountRunning)
     def _count_running(self, message: CountRunning) -> int:
-        return len(self._flights)
+        return len(self._requests)
 
     def tick(self) -> None:
-        """Drop what was kept long enough."""
+        """Drop the records of ended requests that have expired."""
         self._records.expire()
 
 
 def outcome_done() -> records.RequestOutcome:
-    """The outcome of a request that was answered whole."""
+    """The outcome of a request that was answered in full."""
     return records.RequestOutcome(request_messages.Executed.YES)
 
 
 def outcome_failed(executed: str, error: str) -> records.RequestOutcome:
-    """The outcome of a request that was given up.
+    """The outcome of a request that ended with a refusal.
 
-    :param executed: ``yes``, ``no`` or ``unknown``.
-    :param error: the stable type of the refusal.
+    :param executed: whether the request was executed: ``yes``, ``no`` or
+        ``unknown``.
+    :param error: the type of the refusal, as callers see it.
     """
     return records.RequestOutcome(request_messages.Executed(executed), error)
--- a/src/apricotlever/daemon/runner_documents.py
+++ b/src/apricotlever/daemon/runner_documents.py
@@ -1,17 +1,17 @@
-"""What runners tell of their load and caches, as typed messages."""
+"""Parses the load and the cache events that runners report."""
 
 import typing
 
 from ..runners import model as runners
 
 
-def load_of(document: typing.Any) -> runners.LoadReport:
-    """A runner's load.
+def parse_load(document: typing.Any) -> runners.LoadReport:
+    """Parse a runner's load.
 
-    :param document: its answer, decoded.
+    :param document: the decoded JSON answer of the runner.
     :raises KeyError: when a field is missing.
-    :raises TypeError: when the document or a field is of a wrong type.
-    :raises ValueError: when a field is no number.
+    :raises TypeError: when the document or a field has the wrong type.
+    :raises ValueError: when a field is not a number.
     """
     return runners.LoadReport(
         int(document["running"]),
@@ -24,13 +24,13 @@
     )
 
 
-def events_of(document: typing.Any) -> runners.CacheEvents:
-    """What changed in a runner's cache.
+def parse_cache_events(document: typing.Any) -> runners.CacheEvents:
+    """Parse a runner's cache events.
 
-    :param document: its answer, decoded.
+    :param document: the decoded JSON answer of the runner.
     :raises KeyError: when a field is missing.
-    :raises TypeError: when the document or a field is of a wrong type.
-    :raises ValueError: when a field is no number.
+    :raises TypeError: when the document or a field has the wrong type.
+    :raises ValueError: when a field is not a number.
     """
     events = tuple(
         runners.CacheEvent(
--- a/src/apricotlever/daemon/runner_monitor.py
+++ b/src/apricotlever/daemon/runner_monitor.py
@@ -1,7 +1,8 @@
-"""The task that knows the upstreams: their list, notices, load and caches.
+"""The task that reads the platform's lists and the state of the runners.
 
-Each runner's load and cache events are read by a few entry VMs only, picked
-by rendezvous hashing over the view; the others hear of them by rumour.
+It reads the platform's VMs, prices and termination notices. Each runner's
+load and cache events are read by a few entry VMs only, picked by rendezvous
+hashing over the membership view; the other entry VMs learn them from rumours.
 """
 
 from concurrent import futures
@@ -29,13 +30,15 @@
 THREADS = 8
 TICK_S = 0.1
 LIST_S = 1.0
-PRICES_S = 10.0
-KEEPERS = 2
+PRICES_INTERVAL_S = 10.0
+LOAD_READERS = 2
 NOTICE_WATCHERS = 2
-#: A connection gone silent during a wait delays a notice by as much, twice.
+#: Longest wait for notices. If the connection goes silent during a wait, a
+#: notice is delayed by up to twice this time.
 NOTICE_WAIT_S = 2.0
 POLL_TIMEOUT_S = 1.0
-#: What a leaving runner is taken to have left when its notice was missed.
+#: Seconds that a runner listed as leaving is assumed to have left, in case
+#: its notice was missed.
 LISTED_LEAVING_S = 2.0
 DEFAULT_SLOTS = 16
 VMS = "vms"
@@ -44,10 +47,10 @@
 
 
 class Shown:
-    """The serving entry VMs of this VM's view.
+    """The serving entry VMs in this VM's membership view.
 
-    :param serving: names by data centre; empty for a data centre that is
-        seen by its summary only.
+    :param serving: VM names by data centre; empty for a data centre of which
+        only a summary is known.
     """
 
     __slots__ = ("serving",)
@@ -57,54 +60,81 @@
 
 
 def shown(view: views.FleetView) -> Shown:
-    """What a keeper needs to know of a view."""
+    """The message that tells a RunnerMonitor the serving VMs of a view."""
     return Shown(
         {name: view.serving_names(name) for name in view.data_centres}
     )
 
 
 class Listener(typing.Protocol):
-    """What the daemon does with what is found; must return at once."""
+    """Receives what a RunnerMonitor reads; its methods must not block."""
 
     def on_runners(
         self,
         chosen: tuple[runners.Runner, ...],
         listed: tuple[runners.Runner, ...],
     ) -> None:
-        """The platform listed the runners; some are chosen for this VM."""
+        """Handle the platform's list of runners.
+
+        :param chosen: the runners to which this VM may send requests.
+        :param listed: all listed runners.
+        """
 
     def on_platform(
         self,
         vms: tuple[platform.Vm, ...],
         per_hour: typing.Mapping[tuple[str, str, str], float],
     ) -> None:
-        """The platform's list of VMs and its prices were read."""
+        """Handle the platform's list of VMs and its prices.
+
+        :param vms: the listed VMs.
+        :param per_hour: price per hour by data centre, machine type and
+            market.
+        """
 
     def on_listed_leaving(self, vm: str, left_s: float) -> None:
-        """The platform's list shows a VM as leaving."""
+        """Handle a runner that the platform lists as leaving.
+
+        :param vm: name of the runner's VM.
+        :param left_s: seconds that the runner is assumed to have left.
+        """
 
     def on_notice(self, vm: str, left_s: float) -> None:
-        """The platform gave notice of a VM, maybe of this one."""
+        """Handle a termination notice.
+
+        :param vm: name of the VM, which may be this one.
+        :param left_s: seconds until the VM ends.
+        """
 
     def on_load(
         self, runner: str, report: runners.LoadReport | None, tell: bool
     ) -> None:
-        """A runner's load was read; None when it did not answer.
+        """Handle a runner's load.
 
-        :param tell: whether it is on this VM to tell the others.
+        :param runner: name of the runner.
+        :param report: the load, or None when the runner did not answer.
+        :param tell: whether this VM announces the load to the other VMs.
         """
 
     def on_death(self, runner: str) -> None:
-        """A runner refuses connections."""
+        """Handle a runner that refuses connections.
+
+        :param runner: name of the runner.
+        """
 
     def on_cache(
         self, runner: str, events: runners.CacheEvents, tell: bool
     ) -> None:
-        """A runner's cache events were read."""
+        """Handle a runner's cache events.
+
+        :param runner: name of the runner.
+        :param events: the events.
+        :param tell: whether this VM announces the events to the other VMs.
+        """
 
 
-class _Listed:
-    """The platform's list of VMs came, or not."""
+class _VmsRead:
+    """The Result of reading the platform's list of VMs."""
 
     __slots__ = ("outcome",)
 
@@ -112,8 +142,8 @@
         self.outcome = outcome
 
 
-class _Priced:
-    """The platform's prices came, or not."""
+class _PricesRead:
+    """The Result of reading the platform's prices."""
 
     __slots__ = ("outcome",)
 
@@ -121,8 +151,8 @@
         self.outcome = outcome
 
 
-class _Noticed:
-    """A wait for notices is over."""
+class _NoticesRead:
+    """The Result of waiting for termination notices."""
 
     __slots__ = ("outcome",)
 
@@ -130,11 +160,13 @@
         self.outcome = outcome
 
 
-class _Polled:
-    """A runner's load and cache events were read, or not.
+class _RunnerPolled:
+    """The result of reading a runner's load and cache events.
 
-    :param load: None when the runner did not answer.
-    :param refused: the runner refuses connections.
+    :param runner: name of the runner.
+    :param load: the load, or None when the runner did not answer.
+    :param events: the cache events, or None when the runner did not answer.
+    :param refused: whether the runner refuses connections.
     """
 
     __slots__ = ("runner", "load", "events", "refused")
@@ -153,12 +185,12 @@
 
 
 class RunnerMonitor(mailbox.Task):
-    """Keeps this VM's knowledge of the upstreams fresh.
+    """Polls the cloud API and the runners, and reports to a listener.
 
-    :param config: intervals and this VM's name.
+    :param config: the settings.
     :param cloud: the client of the cloud API.
-    :param others: the fleet's task, for hints.
-    :param listener: told of all that is found.
+    :param fleet_link: the task that receives hints about members.
+    :param listener: receives everything that is read.
     """
 
     def __init__(
@@ -166,13 +198,13 @@
         clock: clocks.Clock,
         config: settings.Settings,
         cloud: platform.CloudApi,
-        others: mailbox.Task,
+        fleet_link: mailbox.Task,
         listener: Listener,
     ) -> None:
         super().__init__("keeper", clock, TICK_S)
         self._config = config
         self._cloud = cloud
-        self._others = others
+        self._fleet_link = fleet_link
         self._listener = listener
         self._threads = futures.ThreadPoolExecutor(THREADS, "keeper")
         self._connections = upstream_exchange.ConnectionPool(clock)
@@ -180,59 +212,59 @@
         self._prices: dict[tuple[str, str, str], float] = {}
         self._vms: tuple[platform.Vm, ...] = ()
         self._runners: dict[str, runners.Runner] = {}
-        self._keeping = assignment.RunnerAssignment(
+        self._assignment = assignment.RunnerAssignment(
             config.vm, config.data_centre
         )
-        self._due: dict[str, float] = {}
+        self._poll_at: dict[str, float] = {}
         self._list_at = 0.0
         self._prices_at = 0.0
         self._notice_seq = -1
-        self._notice_waits = False
+        self._waiting_for_notices = False
         self._cache_seqs: dict[str, int] = {}
-        self._kept: frozenset[str] = frozenset()
-        self._dead: set[str] = set()
-        self._calls = {
+        self._polled_runners: frozenset[str] = frozenset()
+        self._refusing: set[str] = set()
+        self._backoffs = {
             call: call_backoff.CallBackoff(clock)
             for call in (VMS, PRICES, NOTICES)
         }
 
     @property
     def _watches_notices(self) -> bool:
-        return self._keeping.local_rank("notices") < NOTICE_WATCHERS
+        return self._assignment.local_rank("notices") < NOTICE_WATCHERS
 
     @property
     def _notices_due(self) -> bool:
-        due = self._calls[NOTICES].due and not self._notice_waits
+        due = self._backoffs[NOTICES].due and not self._waiting_for_notices
         return due and self._watches_notices
 
     @mailbox.handles(dispatcher_messages.CatalogueInForce)
-    def _configure(
+    def _update_catalogue(
         self, message: dispatcher_messages.CatalogueInForce
     ) -> None:
         self._catalogue = message.catalogue
         self._publish()
 
     @mailbox.handles(Shown)
-    def _shown(self, message: Shown) -> None:
-        self._keeping.set_serving(message.serving)
+    def _update_serving(self, message: Shown) -> None:
+        self._assignment.set_serving(message.serving)
         self._publish()
 
-    @mailbox.handles(_Listed)
-    def _listed(self, message: _Listed) -> None:
-        if not self._answered(VMS, message.outcome):
+    @mailbox.handles(_VmsRead)
+    def _on_vms_read(self, message: _VmsRead) -> None:
+        if not self._record_outcome(VMS, message.outcome):
             return
         self._vms = message.outcome.unwrap()
-        entries = tuple(
+        hints = tuple(
             membership.Hint(vm.vm, vm.address, vm.data_centre)
             for vm in self._vms
             if vm.role == "entry" and vm.address
         )
-        self._others.tell(fleet_messages.Hints(entries))
+        self._fleet_link.tell(fleet_messages.Hints(hints))
         self._publish()
 
-    @mailbox.handles(_Priced)
-    def _priced(self, message: _Priced) -> None:
-        if not self._answered(PRICES, message.outcome):
+    @mailbox.handles(_PricesRead)
+    def _on_prices_read(self, message: _PricesRead) -> None:
+        if not self._record_outcome(PRICES, message.outcome):
             return
         self._prices = {
             (price.data_centre, price.machine, price.market): price.per_hour
@@ -240,28 +272,31 @@
         }
         self._publish()
 
-    @mailbox.handles(_Noticed)
-    def _noticed(self, message: _Noticed) -> None:
-        self._notice_waits = False
-        if not self._answered(NOTICES, message.outcome):
+    @mailbox.handles(_NoticesRead)
+    def _on_notices_read(self, message: _NoticesRead) -> None:
+        self._waiting_for_notices = False
+        if not self._record_outcome(NOTICES, message.outcome):
             return
         answer = message.outcome.unwrap()
         self._notice_seq = answer.seq
         for notice in answer.notices:
             self._listener.on_notice(notice.vm, notice.deadline_s)
 
-    @mailbox.handles(_Polled)
-    def _polled(self, message: _Polled) -> None:
+    @mailbox.handles(_RunnerPolled)
+    def _on_runner_polled(self, message: _RunnerPolled) -> None:
         name = message.runner
-        if message.refused and name not in self._dead:
-            # Once for each death: told again later, it would pass for the
-            # death of another runner, and excuse the request that did it.
-            self._dead.add(name)
+        if message.refused and name not in self._refusing:
+            # Reported once for each crash. A second report would count as
+            # the crash of another runner, and could clear the request that
+            # caused the first one.
+            self._refusing.add(name)
             self._listener.on_death(name)
         if message.load is not None:
-            self._dead.discard(name)
+            self._refusing.discard(name)
         known = self._runners.get(name)
-        tell = known is not None and self._keeping.load_reader_rank(known) == 0
+        tell = (
+            known is not None and self._assignment.load_reader_rank(known) == 0
+        )
         self._listener.on_load(name, message.load, tell)
         if message.events is None or not message.events.events:
             return
@@ -273,7 +308,7 @@
         self, message: dispatcher_messages.StatusWanted
     ) -> dict[str, object]:
         return {
-            "kept": sorted(self._kept),
+            "kept": sorted(self._polled_runners),
             "watches_notices": self._watches_notices,
         }
 
@@ -282,26 +317,26 @@
         now = self._clock.now()
         if now >= self._list_at:
             self._list_at = now + LIST_S
-            self._submit(self._cloud.vms, _Listed)
+            self._submit(self._cloud.vms, _VmsRead)
         if now >= self._prices_at:
-            self._prices_at = now + PRICES_S
-            self._submit(self._cloud.prices, _Priced)
+            self._prices_at = now + PRICES_INTERVAL_S
+            self._submit(self._cloud.prices, _PricesRead)
         if self._notices_due:
-            self._notice_waits = True
-            self._submit(self._wait_for_notices, _Noticed)
-        for name in self._kept:
-            if self._due.get(name, 0.0) <= now:
+            self._waiting_for_notices = True
+            self._submit(self._wait_for_notices, _NoticesRead)
+        for name in self._polled_runners:
+            if self._poll_at.get(name, 0.0) <= now:
                 runner = self._runners[name]
-                self._due[name] = now + self._config.timing.load_poll_s
+                self._poll_at[name] = now + self._config.timing.load_poll_s
                 after = self._cache_seqs.get(name, 0)
                 self._threads.submit(self._poll, runner, after)
 
     def stopped(self) -> None:
-        """End the threads; calls under way end by their own timeouts."""
+        """Shut the threads down; calls in progress end by their timeouts."""
         self._threads.shutdown(wait=False, cancel_futures=True)
 
-    def _keeps(self, runner: str) -> bool:
-        """Whether this VM reads the runner's load for the others."""
+    def _reads_load(self, runner: str) -> bool:
+        """Whether this VM reads a runner's load for the other VMs."""
         pools = {
             entry.pool
             for entry in self._catalogue.entries.values()
@@ -309,10 +344,13 @@
         }
         if self._runners[runner].pool not in pools:
             return False
-        return self._keeping.load_reader_rank(self._runners[runner]) < KEEPERS
+        return (
+            self._assignment.load_reader_rank(self._runners[runner])
+            < LOAD_READERS
+        )
 
     def _publish(self) -> None:
-        """Tell the desk which runners the catalogue's pools have."""
+        """Report the listed VMs and the runners of the catalogue's pools."""
         slots = {
             entry.pool: entry.capacity.slots_per_runner
             for entry in self._catalogue.entries.values()
@@ -325,11 +363,15 @@
         if not self._vms:
             return
         self._runners = {runner.name: runner for runner in listed}
-        # Ranked here and not at each tick: with many runners the ranking
-        # would take most of a core.
-        self._kept = frozenset(filter(self._keeps, self._runners))
+        # Ranked here and not at each tick, because with many runners the
+        # ranking would take most of a core.
+        self._polled_runners = frozenset(
+            filter(self._reads_load, self._runners)
+        )
         self._listener.on_platform(self._vms, self._prices)
-        self._listener.on_runners(self._keeping.select_runners(listed), listed)
+        self._listener.on_runners(
+            self._assignment.select_runners(listed), listed
+        )
         for vm in self._vms:
             if vm.role == "runner" and vm.state == "leaving":
                 self._listener.on_listed_leaving(vm.vm, LISTED_LEAVING_S)
@@ -350,10 +392,10 @@
     def _submit(
         self,
         call: typing.Callable[[], typing.Any],
-        heard: typing.Callable[[typing.Any], typing.Any],
+        message_type: typing.Callable[[typing.Any], typing.Any],
     ) -> None:
         def run() -> None:
-            self.tell(heard(call()))
+            self.tell(message_type(call()))
 
         self._threads.submit(run)
 
@@ -376,33 +418,37 @@
                 timeout_s=POLL_TIMEOUT_S,
                 pool=self._connections,
             )
-            polled = _Polled(
+            polled = _RunnerPolled(
                 runner.name,
-                runner_documents.load_of(load),
-                runner_documents.events_of(events),
+                runner_documents.parse_load(load),
+                runner_documents.parse_cache_events(events),
             )
         except upstream_exchange.ConnectFailed:
-            polled = _Polled(runner.name, None, None, refused=True)
+            polled = _RunnerPolled(runner.name, None, None, refused=True)
         except (
             upstream_exchange.UpstreamError,
             KeyError,
             TypeError,
             ValueError,
         ):
-            polled = _Polled(runner.name, None, None)
+            polled = _RunnerPolled(runner.name, None, None)
         self.tell(polled)
 
-    def _answered(self, call: str, outcome: typing.Any) -> bool:
-        """Note how a call went; the log hears of changes only.
+    def _record_outcome(self, call: str, outcome: typing.Any) -> bool:
+        """Record the outcome of a call to the platform.
+
+        Only changes between success and failure are logged.
 
-        :returns: whether it was answered.
+        :param call: the kind of call.
+        :param outcome: the Result of the call.
+        :returns: whether the call succeeded.
         """
         if isinstance(outcome, result.Success):
-            if self._calls[call].answered():
+            if self._backoffs[call].answered():
                 logs.event("platform_call_recovered", call=call)
             return True
         error = outcome.failure()
-        if self._calls[call].failed():
+        if self._backoffs[call].failed():
             logs.event(
                 "platform_call_failed",
                 call=call,
--- a/src/apricotlever/daemon/store.py
+++ b/src/apricotlever/daemon/store.py
@@ -1,8 +1,8 @@
 """The task through which all calls to the object API go.
 
-It keeps this VM's calls within its budget, the more urgent ones first, and
-runs them on threads of its own, so that a store that hangs delays nothing
-but the calls to it.
+The task keeps this VM's calls within its budget, in order of priority. The
+calls run on threads of their own, so that a store that hangs delays only the
+calls to it.
 """
 
 from concurrent import futures
@@ -25,19 +25,19 @@
 Run = typing.Callable[[platform.ObjectApi], typing.Any]
 
 THREADS = 8
-HOLD_S = 1.0
+MAX_WAIT_S = 1.0
 TICK_S = 0.05
 
-_WORTH_LOGGING = frozenset(("unavailable", "ambiguous", "throttled"))
+_COUNTED_ERRORS = frozenset(("unavailable", "ambiguous", "throttled"))
 
 
 class StoreCall:
-    """Call the object API; answered with the call's Result.
+    """Calls the object API; the result is the Result of the call.
 
-    A call that the budget can't let through in time fails with Throttled
-    and had no effect.
+    A call that the budget does not admit in time fails with Throttled and has
+    no effect.
 
-    :param rank: who goes first.
+    :param rank: the priority of the call.
     :param kind: read or write.
     :param run: makes the call.
     """
@@ -53,7 +53,7 @@
 def read(rank: Rank, name: str) -> StoreCall:
     """A call that reads an object.
 
-    :param rank: who goes first.
+    :param rank: the priority of the call.
     :param name: the object's name.
     """
 
@@ -66,12 +66,13 @@
 def write(
     rank: Rank, name: str, value: typing.Any, expected_version: int | None
 ) -> StoreCall:
-    """A call that writes an object if it still has the version expected.
+    """A call that writes an object only if it has the expected version.
 
-    :param rank: who goes first.
+    :param rank: the priority of the call.
     :param name: the object's name.
-    :param value: what JSON can hold.
-    :param expected_version: the version to replace; None creates only.
+    :param value: the new value, which can be encoded as JSON.
+    :param expected_version: the version to replace; with None, the write
+        succeeds only if the object does not exist.
     """
 
     def run(api: platform.ObjectApi) -> typing.Any:
@@ -81,7 +82,7 @@
 
 
 class FleetSize:
-    """How many entry VMs share the store's rate."""
+    """Sets the number of entry VMs that share the store's call rate."""
 
     __slots__ = ("vms",)
 
@@ -89,8 +90,13 @@
         self.vms = vms
 
 
-class _Held:
-    """A call that waits for the budget."""
+class _WaitingCall:
+    """A call that waits for the budget.
+
+    :param call: the call.
+    :param future: receives the Result of the call.
+    :param until: when the call fails unless it was admitted.
+    """
 
     __slots__ = ("call", "future", "until")
 
@@ -105,8 +111,8 @@
         self.until = until
 
 
-class _Seen:
-    """How a call went, for the budget and the log."""
+class _CallEnded:
+    """The Result of a call, for the budget, the metrics and the log."""
 
     __slots__ = ("kind", "outcome")
 
@@ -118,8 +124,10 @@
 class Store(mailbox.Task):
     """Calls the object API within this VM's budget.
 
-    :param api: the client; its connections belong to the threads here.
-    :param budget: this VM's share of the store's rates.
+    :param api: the client; only the threads of this task use its
+        connections.
+    :param budget: this VM's share of the store's call rates.
+    :param metrics: counts calls and failures.
     """
 
     def __init__(
@@ -134,28 +142,30 @@
         self._budget = budget
         self._metrics = metrics
         self._threads = futures.ThreadPoolExecutor(THREADS, "store")
-        self._held: list[tuple[int, int, _Held]] = []
-        self._order = itertools.count()
-        self._up = True
+        self._waiting_calls: list[tuple[int, int, _WaitingCall]] = []
+        self._sequence = itertools.count()
+        self._available = True
 
     @mailbox.handles(StoreCall)
-    def _call(self, message: StoreCall) -> mailbox.Deferred:
+    def _start_or_hold(self, message: StoreCall) -> mailbox.Deferred:
         future = self.defer()
         if self._budget.try_acquire(message.rank, message.kind):
-            self._run(message, future)
+            self._start(message, future)
             return mailbox.DEFERRED
         self._metrics.count("platform.held_back", of=message.rank.name.lower())
-        until = self._clock.now() + HOLD_S
-        item = (int(message.rank), next(self._order))
-        heapq.heappush(self._held, (*item, _Held(message, future, until)))
+        until = self._clock.now() + MAX_WAIT_S
+        item = (int(message.rank), next(self._sequence))
+        heapq.heappush(
+            self._waiting_calls, (*item, _WaitingCall(message, future, until))
+        )
         return mailbox.DEFERRED
 
     @mailbox.handles(FleetSize)
-    def _resized(self, message: FleetSize) -> None:
+    def _set_fleet_size(self, message: FleetSize) -> None:
         self._budget.set_fleet_size(max(1, message.vms))
 
-    @mailbox.handles(_Seen)
-    def _seen(self, message: _Seen) -> None:
+    @mailbox.handles(_CallEnded)
+    def _on_call_ended(self, message: _CallEnded) -> None:
         outcome = message.outcome
         error = None
         if isinstance(outcome, result.Failure):
@@ -163,46 +173,48 @@
         if isinstance(error, platform.Throttled):
             self._budget.record_throttling(message.kind, error.retry_after_s)
         down = isinstance(error, (platform.Unavailable, platform.Ambiguous))
-        if error is not None and error.kind in _WORTH_LOGGING:
+        if error is not None and error.kind in _COUNTED_ERRORS:
             self._metrics.count("platform.failed", of=error.kind)
-        if error is not None and down and self._up:
+        if error is not None and down and self._available:
             logs.event("platform_down", error=error.message)
-        if not down and not self._up:
+        if not down and not self._available:
             logs.event("platform_up")
-        self._up = not down
+        self._available = not down
 
     def tick(self) -> None:
-        """Let held calls through, or fail those that waited long enough."""
-        held, self._held = self._held, []
+        """Start waiting calls that the budget admits; fail overdue ones."""
+        waiting_calls, self._waiting_calls = self._waiting_calls, []
         now = self._clock.now()
-        while held:
-            item = heapq.heappop(held)
+        while waiting_calls:
+            item = heapq.heappop(waiting_calls)
             waiting = item[2]
             call = waiting.call
             if self._budget.try_acquire(call.rank, call.kind):
-                self._run(call, waiting.future)
+                self._start(call, waiting.future)
             elif now >= waiting.until:
                 wait_s = self._budget.wait_s(call.rank, call.kind)
-                message = "over this VM's share of the store's rate"
+                message = (
+                    "this VM has used up its share of the store's call rate"
+                )
                 error = platform.Throttled(message, wait_s)
                 waiting.future.set_result(result.Failure(error))
             else:
-                heapq.heappush(self._held, item)
+                heapq.heappush(self._waiting_calls, item)
 
     def stopped(self) -> None:
-        """End the threads; calls under way end by their own timeouts."""
+        """Shut the threads down; calls in progress end by their timeouts."""
         self._threads.shutdown(wait=False, cancel_futures=True)
 
-    def _run(
+    def _start(
         self, call: StoreCall, future: "futures.Future[typing.Any]"
     ) -> None:
         self._metrics.count("platform.calls", of=call.rank.name.lower())
         work = self._threads.submit(call.run, self._api)
         work.add_done_callback(
-            functools.partial(self._ended, call.kind, future)
+            functools.partial(self._complete, call.kind, future)
         )
 
-    def _ended(
+    def _complete(
         self,
         kind: Kind,
         future: "futures.Future[typing.Any]",
@@ -218,5 +230,5 @@
             future.set_result(result.Failure(error))
             return
         outcome = work.result()
-        self.tell(_Seen(kind, outcome))
+        self.tell(_CallEnded(kind, outcome))
         future.set_result(outcome)
--- a/src/apricotlever/daemon/suspect_requests.py
+++ b/src/apricotlever/daemon/suspect_requests.py
@@ -1,6 +1,6 @@
-"""Requests that may crash their runners: who may run, and where.
+"""Decides whether and where a request that may crash its runner can run.
 
-Part of the desk's state: a class without I/O, which the desk drives.
+The class is part of the dispatcher's state and does no I/O.
 """
 
 import collections
@@ -17,14 +17,15 @@
 from . import dispatcher_messages
 from . import placements as placements_
 
-TRIAL_PLACES = 4
+MAX_TRIAL_CANDIDATES = 4
 
 
 class SuspectRequests:
-    """What this VM knows of crashes and of the requests behind them.
+    """The crashes known to this VM and the requests suspected of them.
 
     :param router: knows the runners.
-    :param placements: knows what is at a runner when it dies.
+    :param placements: knows the requests that are in flight at a runner.
+    :param metrics: counts the quarantined requests.
     :param vm: this VM's name.
     """
 
@@ -46,20 +47,21 @@
 
     @property
     def deaths(self) -> int:
-        """Deaths of runners on record."""
+        """The number of runner crashes on record."""
         return len(self._quarantine.log.crashes)
 
     def check(
         self, dispatch: dispatcher_messages.Dispatch
     ) -> dispatcher_messages.TrialWanted | None:
-        """Look a request up before it goes to a runner.
+        """Check a request before it is sent to a runner.
 
-        :returns: a question for the judge of its pool, or None when it may
-            run anywhere.
-        :raises Refusal: when it is quarantined.
+        :param dispatch: the request.
+        :returns: a request for a trial, to be sent to the judge of the pool,
+            or None when the request may run anywhere.
+        :raises Refusal: when the request is quarantined.
         """
-        standing = self._quarantine.status(dispatch.fingerprint)
-        if standing.state is quarantine.FingerprintState.QUARANTINED:
+        status = self._quarantine.status(dispatch.fingerprint)
+        if status.state is quarantine.FingerprintState.QUARANTINED:
             self._metrics.count("requests.quarantined")
             logs.event(
                 "request_quarantined",
@@ -70,31 +72,32 @@
             raise refusals.Refusal(
                 refusals.QUARANTINED,
                 "requests like this one crashed the runners they ran on",
-                retry_after_s=standing.retry_after_s,
+                retry_after_s=status.retry_after_s,
             )
-        suspect = standing.state is quarantine.FingerprintState.SUSPECT
-        return self._trial(dispatch) if suspect else None
+        suspect = status.state is quarantine.FingerprintState.SUSPECT
+        return self._request_trial(dispatch) if suspect else None
 
     def judge(
-        self, question: quarantine.TrialRequest
+        self, request: quarantine.TrialRequest
     ) -> quarantine.TrialDecision:
-        """Decide on a suspect, as the judge of its pool."""
-        return self._quarantine.decide(question)
+        """Decide, as the judge of a pool, whether a suspect may run."""
+        return self._quarantine.decide(request)
 
     def trial_over(self, report: quarantine.TrialEnded) -> None:
-        """A trial that this VM handed out has ended."""
+        """Handle the end of a trial that this VM granted."""
         self._quarantine.end_trial(report)
 
     def heard(self, report: crashes.Report) -> None:
-        """A peer reports a death or a survival."""
+        """Handle a peer's report of a crash or of a completed suspect."""
         self._quarantine.receive(report)
 
     def crashed(
         self, runner: runners.Runner
     ) -> crashes.CrashObservation | None:
-        """A runner died.
+        """Record the crash of a runner.
 
-        :returns: a report to spread, or None when it is on record already.
+        :returns: a report for the other VMs, or None when the crash is on
+            record already.
         """
         report = self._placements.crashed(runner)
         if report is not None:
@@ -102,42 +105,47 @@
         return report
 
     def survived(self, fingerprint: str) -> crashes.RequestCompleted | None:
-        """A request was answered in full.
+        """Record that a request was answered in full.
 
-        :returns: a report to spread, if it was suspected.
+        :returns: a report for the other VMs, or None when the request was
+            not suspected.
         """
-        standing = self._quarantine.status(fingerprint)
-        if standing.state is quarantine.FingerprintState.CLEAR:
+        status = self._quarantine.status(fingerprint)
+        if status.state is quarantine.FingerprintState.CLEAR:
             return None
         report = crashes.RequestCompleted(fingerprint, 0.0)
         self._quarantine.receive(report)
         return report
 
     def reports(self) -> list[crashes.CrashObservation]:
-        """All deaths on record, for a VM that has just started."""
+        """All crashes on record, for a VM that has just started."""
         return self._quarantine.log.reports(self._vm)
 
     def resize(self) -> None:
-        """Tell how many runners each data centre has."""
+        """Update the number of runners in each data centre."""
         self._quarantine.set_sizes(
-            collections.Counter(r.data_centre for r in self._router.runners)
+            collections.Counter(
+                runner.data_centre for runner in self._router.runners
+            )
         )
 
     def tick(self) -> None:
-        """Forget what is too old to matter."""
+        """Drop expired crashes and trials."""
         self._quarantine.tick()
 
-    def _trial(
+    def _request_trial(
         self, dispatch: dispatcher_messages.Dispatch
     ) -> dispatcher_messages.TrialWanted:
-        routes = self._router.ranked(dispatch.query, TRIAL_PLACES)
-        places = tuple(
+        routes = self._router.ranked(dispatch.query, MAX_TRIAL_CANDIDATES)
+        candidates = tuple(
             quarantine.TrialCandidate(
                 route.runner.name, route.runner.data_centre
             )
             for route in routes
         )
-        question = quarantine.TrialRequest(
-            dispatch.fingerprint, dispatch.request_id, places
+        trial_request = quarantine.TrialRequest(
+            dispatch.fingerprint, dispatch.request_id, candidates
+        )
+        return dispatcher_messages.TrialWanted(
+            dispatch.query.pool, trial_request
         )
-        return dispatcher_messages.TrialWanted(dispatch.query.pool, question)
--- a/src/apricotlever/daemon/transcripts.py
+++ b/src/apricotlever/daemon/transcripts.py
@@ -1,7 +1,7 @@
-"""The events of one answer: written by one thread, read by any number.
+"""The events of one answer: appended by one thread, read by any number.
 
-The writer is the thread that reads the runner. A caller that comes back,
-here or after a handover, reads from any index and then follows the writer.
+The writer is the thread that reads the runner. A caller that reconnects, at
+this VM or after a handover, reads from any index and then follows the writer.
 """
 
 import collections.abc
@@ -14,7 +14,7 @@
 
 
 class SentTokens(collections.abc.Sequence[str]):
-    """The tokens of events, decoded only when they are looked at.
+    """The tokens of events, decoded on access.
 
     :param events: SSE events, one for each token.
     """
@@ -40,12 +40,12 @@
 
 
 class Transcript:
-    """An answer so far, as SSE events, one for each token.
+    """The part of an answer received so far, as one SSE event for each token.
 
-    Appending is cheap while nobody follows: the lock is taken only when a
-    follower waits.
+    Appending is cheap while no caller follows: the lock is taken only if there
+    are followers.
 
-    :param events: the events known at the start, from token 0.
+    :param events: the initial events, from token 0.
     """
 
     __slots__ = ("_events", "_changed", "_followers", "_ended", "_outcome")
@@ -62,73 +62,73 @@
 
     @property
     def ended(self) -> bool:
-        """Whether no event will be added."""
+        """Whether the answer has ended, so that no event will be added."""
         return self._ended
 
     @property
     def followed(self) -> bool:
-        """Whether a caller reads along."""
+        """Whether a caller follows the transcript."""
         return self._followers > 0
 
     @property
     def outcome(self) -> str:
-        """``done``, or the type of refusal; empty while running."""
+        """``done`` or the type of the refusal; empty while the answer runs."""
         return self._outcome
 
     @property
     def size_bytes(self) -> int:
-        """What the events take in memory, roughly."""
+        """Approximate memory size of the events."""
         return sum(map(len, self._events))
 
     def append(self, event: bytes) -> None:
-        """Add the event of the next token; only the writer calls it.
+        """Append the event of the next token; only the writer may call this.
 
-        :param event: the whole SSE event.
+        :param event: the complete SSE event.
         """
         self._events.append(event)
         if self._followers:
-            self._wake()
+            self._notify_followers()
 
     def end(self, outcome: str) -> None:
-        """Say that no event will follow.
+        """Mark the answer as ended.
 
-        :param outcome: ``done``, or the type of refusal.
+        :param outcome: ``done`` or the type of the refusal.
         """
         self._outcome = outcome
         self._ended = True
-        self._wake()
+        self._notify_followers()
 
     def events(self, start: int = 0) -> list[bytes]:
-        """The events from an index on, as they stand now.
+        """The current events from an index on.
 
-        :param start: index of the first token wanted.
+        :param start: index of the first token to return.
         """
         return self._events[start:]
 
     def tokens(self) -> "SentTokens":
-        """The tokens so far, decoded when they are looked at."""
+        """The tokens received so far, decoded on access."""
         return SentTokens(self._events[:])
 
     def follow(
-        self, start: int, gone: typing.Callable[[], bool]
+        self, start: int, is_disconnected: typing.Callable[[], bool]
     ) -> typing.Iterator[bytes]:
         """Yield events from an index on until the answer ends.
 
-        :param start: index of the first token wanted.
-        :param gone: whether the reader has left.
+        :param start: index of the first token to yield.
+        :param is_disconnected: whether the reader has disconnected.
         """
         position = start
         with self._changed:
             self._followers += 1
         try:
-            while not gone():
+            while not is_disconnected():
                 ended = self._ended
-                fresh = self._events[position:]
-                yield from fresh
-                position += len(fresh)
+                new_events = self._events[position:]
+                yield from new_events
+                position += len(new_events)
                 if ended and position >= len(self._events):
                     return
-                self._wait(position)
+                self._wait_for_event(position)
         finally:
             with self._changed:
                 self._followers -= 1
@@ -136,19 +136,19 @@
     def wait_ended(self, timeout_s: float) -> bool:
         """Wait until the answer has ended.
 
-        :param timeout_s: the longest wait.
-        :returns: whether it ended.
+        :param timeout_s: longest wait, in seconds.
+        :returns: whether the answer has ended.
         """
         with self._changed:
             return self._changed.wait_for(lambda: self._ended, timeout_s)
 
-    def _wait(self, position: int) -> None:
+    def _wait_for_event(self, position: int) -> None:
         def ready() -> bool:
             return self._ended or len(self._events) > position
 
         with self._changed:
             self._changed.wait_for(ready, FOLLOW_WAIT_S)
 
-    def _wake(self) -> None:
+    def _notify_followers(self) -> None:
         with self._changed:
             self._changed.notify_all()
--- a/tests/steps/daemon_readings.py
+++ b/tests/steps/daemon_readings.py
@@ -12,34 +12,34 @@
 @given("a catalogue reading that begins while version {version:d} is in force")
 def _begins(context, version):
     context.clock = clocks.ManualClock()
-    context.readings = catalogue_reads.ReadSchedule(context.clock)
-    context.readings.begin(version)
+    context.schedule = catalogue_reads.ReadSchedule(context.clock)
+    context.schedule.read_started(version)
 
 
 @when("the catalogue reading, overtaken, gives version {version:d}")
 @when("the catalogue reading gives version {version:d}")
 def _gives(context, version):
-    context.readings.read(version)
+    context.schedule.read_succeeded(version)
 
 
 @when("a catalogue watch shows version {version:d}")
 def _shows(context, version):
-    context.readings.seen(version)
+    context.schedule.watch_returned(version)
 
 
 @then("the catalogue reading does not tell that the store went back")
 def _not_back(context):
-    assert context.readings.behind is None
+    assert context.schedule.older_store_version is None
 
 
 @then("the catalogue reading tells that the store is at version {version:d}")
 def _back(context, version):
-    assert context.readings.behind == version
+    assert context.schedule.older_store_version == version
 
 
 @then("the next catalogue reading is due after {seconds:f} s")
 def _due(context, seconds):
-    waited = waits.waited_s(context.clock, context.readings)
+    waited = waits.waited_s(context.clock, context.schedule)
     assert waited == seconds, waited
 
 
@@ -47,8 +47,8 @@
 def _fails(context, count):
     context.waits = []
     for _ in range(count):
-        context.readings.failed()
-        context.waits.append(waits.waited_s(context.clock, context.readings))
+        context.schedule.call_failed()
+        context.waits.append(waits.waited_s(context.clock, context.schedule))
 
 
 @then("the catalogue readings waited 0.25, 0.5, 1.0 and 1.0 s")
