--- a/tests/daemon/at_most_once.feature
+++ b/tests/daemon/at_most_once.feature
@@ -43,7 +43,7 @@
   Scenario: The minting entry VM stops while calls run
     Guards against registrations that are lost or run twice in a planned
     restart: the VM gets SIGTERM while calls of 0.6 s run, the callers repeat
-    them elsewhere, and the heir and the leaving VM both hold the keys.
+    them elsewhere, and the successor and the leaving VM both hold the keys.
     Given a registry of 3 services and 3 entry VMs
     And each service takes 0.6 s for a call
     When 8 registrations with each kind of key are in progress at vm-0
--- a/tests/daemon/followers.py
+++ b/tests/daemon/followers.py
@@ -1,8 +1,8 @@
-"""Watches what each entry VM has in force while operators edit.
+"""Samples the catalogue in force at each entry VM while operators edit it.
 
-Each edit gives two customers new bearer keys. A VM that shows one version
-and takes the new key of the one customer and not of the other has half an
-edit in force.
+Each edit gives two customers new bearer keys. A VM that reports the version
+of an edit but accepts the new key of only one of the customers has only part
+of the edit in force.
 """
 
 import copy
@@ -14,22 +14,22 @@
 from tests.daemon import scene
 from tests.support import http
 
-PAIR = ("left", "right")
-#: The answer to a known customer who asks for an unknown request.
-KNOWN = 404
+EDITED_CUSTOMERS = ("left", "right")
+#: Status of the answer to a known customer that asks for an unknown request.
+KNOWN_CUSTOMER_STATUS = 404
 Document = dict[str, typing.Any]
 
 
-def key_at(customer: str, edit: int) -> str:
-    """The bearer key that an edit gives to one of the pair."""
+def bearer_key(customer: str, edit: int) -> str:
+    """The bearer key that an edit gives to one of the two customers."""
     return f"key-{customer}-{edit}"
 
 
-def edited(edit: int) -> Document:
-    """The scene's catalogue with the pair's keys of an edit."""
+def edited_catalogue(edit: int) -> Document:
+    """The scene's catalogue with the two customers' keys of an edit."""
     document = copy.deepcopy(scene.catalogue())
-    for customer in PAIR:
-        key = key_at(customer, edit).encode()
+    for customer in EDITED_CUSTOMERS:
+        key = bearer_key(customer, edit).encode()
         document["customers"][customer] = {
             "key_sha256": hashlib.sha256(key).hexdigest(),
             "weight": 1.0 + edit,
@@ -38,28 +38,30 @@
 
 
 class Sample:
-    """One look at one VM.
+    """One sample of the catalogue in force at one VM.
 
-    :param before: the version that it showed first.
-    :param after: the version that it showed after the keys were tried.
-    :param taken: which of the pair's keys of ``before`` it took.
+    :param vm: name of the VM.
+    :param before: the version that the VM reported before the keys were tried.
+    :param after: the version that the VM reported after the keys were tried.
+    :param accepted: for each of the two customers, whether the VM accepted the
+        key that belongs to version ``before``; empty for an unknown version.
     """
 
-    __slots__ = ("vm", "before", "after", "taken")
+    __slots__ = ("vm", "before", "after", "accepted")
 
     def __init__(
-        self, vm: str, before: int, after: int, taken: tuple[bool, ...]
+        self, vm: str, before: int, after: int, accepted: tuple[bool, ...]
     ) -> None:
         self.vm = vm
         self.before = before
         self.after = after
-        self.taken = taken
+        self.accepted = accepted
 
 
 class Sampler:
-    """Looks at each VM again and again, on a thread for each.
+    """Samples each VM repeatedly, on one thread for each VM.
 
-    :param addresses: where the VMs listen for callers, by name.
+    :param addresses: addresses at which the VMs listen for callers, by name.
     :param edits: the number of the edit that made each version; filled in
         while the sampler runs.
     """
@@ -71,23 +73,25 @@
         self._stopping = threading.Event()
         self._samples: dict[str, list[Sample]] = {vm: [] for vm in addresses}
         self._threads = [
-            threading.Thread(target=self._look, args=pair, daemon=True)
-            for pair in addresses.items()
+            threading.Thread(
+                target=self._sample_until_stopped, args=item, daemon=True
+            )
+            for item in addresses.items()
         ]
         for thread in self._threads:
             thread.start()
 
     def stop(self) -> dict[str, list[Sample]]:
-        """Look no more.
+        """Stop sampling.
 
-        :returns: the samples of each VM in order.
+        :returns: the samples of each VM, in order.
         """
         self._stopping.set()
         for thread in self._threads:
             thread.join()
         return self._samples
 
-    def _look(self, vm: str, address: str) -> None:
+    def _sample_until_stopped(self, vm: str, address: str) -> None:
         while not self._stopping.is_set():
             try:
                 self._samples[vm].append(self._sample(vm, address))
@@ -95,49 +99,61 @@
                 self._stopping.wait(0.02)
 
     def _sample(self, vm: str, address: str) -> Sample:
-        before = version_at(address)
+        before = catalogue_version(address)
         edit = self._edits.get(before)
-        keys = [key_at(c, edit) for c in PAIR] if edit is not None else []
-        taken = tuple(takes(address, key) for key in keys)
-        return Sample(vm, before, version_at(address), taken)
+        keys = (
+            [bearer_key(customer, edit) for customer in EDITED_CUSTOMERS]
+            if edit is not None
+            else []
+        )
+        accepted = tuple(accepts_key(address, key) for key in keys)
+        return Sample(vm, before, catalogue_version(address), accepted)
 
 
-def version_at(address: str) -> int:
-    """The catalogue version that a VM shows."""
+def catalogue_version(address: str) -> int:
+    """The catalogue version that a VM reports."""
     status = http.call(address, "GET", "/v1/status").payload
     return status["catalogue_version"]
 
 
 def problems(samples: dict[str, list[Sample]]) -> list[str]:
-    """Versions that fell, and versions of which half was in force."""
+    """Decreases of a version, and versions that were partly in force."""
     return [
         problem
-        for vm, found in samples.items()
-        for problem in (*_falls(vm, found), *_halves(vm, found))
+        for vm, vm_samples in samples.items()
+        for problem in (
+            *_decreases(vm, vm_samples),
+            *_partial_versions(vm, vm_samples),
+        )
     ]
 
 
-def takes(address: str, key: str) -> bool:
-    """Whether a VM knows the customer with a bearer key."""
+def accepts_key(address: str, key: str) -> bool:
+    """Whether a VM accepts a bearer key as that of a customer."""
     headers = {"Authorization": f"Bearer {key}"}
     reply = http.call(address, "GET", "/v1/requests/none", headers=headers)
-    return reply.status == KNOWN
+    return reply.status == KNOWN_CUSTOMER_STATUS
 
 
-def _falls(vm: str, found: list[Sample]) -> list[str]:
-    both = [v for sample in found for v in (sample.before, sample.after)]
-    # A VM that has started refuses everybody until it has a catalogue.
-    shown = [version for version in both if version]
+def _decreases(vm: str, vm_samples: list[Sample]) -> list[str]:
+    reported = [
+        version
+        for sample in vm_samples
+        for version in (sample.before, sample.after)
+    ]
+    # A VM that has just started reports version 0 and refuses every caller
+    # until it has a catalogue.
+    versions = [version for version in reported if version]
     return [
         f"{vm}: version {later} after {earlier}"
-        for earlier, later in itertools.pairwise(shown)
+        for earlier, later in itertools.pairwise(versions)
         if later < earlier
     ]
 
 
-def _halves(vm: str, found: list[Sample]) -> list[str]:
+def _partial_versions(vm: str, vm_samples: list[Sample]) -> list[str]:
     return [
-        f"{vm}: version {sample.before} with keys {sample.taken}"
-        for sample in found
-        if sample.before == sample.after and not all(sample.taken)
+        f"{vm}: version {sample.before} with keys {sample.accepted}"
+        for sample in vm_samples
+        if sample.before == sample.after and not all(sample.accepted)
     ]
--- a/tests/daemon/naive_follower.py
+++ b/tests/daemon/naive_follower.py
@@ -1,4 +1,4 @@
-"""An entry VM that simply does what the store says, one item at a time."""
+"""An entry VM that applies whatever the store returns, item by item."""
 
 import hashlib
 import threading
@@ -13,7 +13,9 @@
 
 
 class Follower(_http.StandIn):
-    """Polls the store and takes over whatever it holds.
+    """Polls the store and applies whatever catalogue it returns.
+
+    It neither rejects older versions nor applies a version atomically.
 
     :param store: ``host:port`` of the object API.
     """
@@ -24,16 +26,16 @@
         self._version = 0
         self._hashes: dict[str, str] = {}
         self._stopping = threading.Event()
-        self._thread = threading.Thread(target=self._follow, daemon=True)
+        self._thread = threading.Thread(target=self._poll, daemon=True)
         self._thread.start()
 
     def close(self) -> None:
-        """Stop to follow."""
+        """Stop polling."""
         self._stopping.set()
         self._thread.join()
 
-    def follow(self, store: str) -> None:
-        """Follow another store from now on."""
+    def poll(self, store: str) -> None:
+        """Poll another store from now on."""
         self._store = store
 
     @_http.route("GET", "/v1/status")
@@ -45,11 +47,11 @@
         self, request: _http.Request, request_id: str
     ) -> _http.Response:
         key = request.header("Authorization").removeprefix("Bearer ")
-        known = hashlib.sha256(key.encode()).hexdigest()
-        found = known in self._hashes.values()
-        return _http.Response(404 if found else 400, {})
+        key_hash = hashlib.sha256(key.encode()).hexdigest()
+        known = key_hash in self._hashes.values()
+        return _http.Response(404 if known else 400, {})
 
-    def _follow(self) -> None:
+    def _poll(self) -> None:
         while not self._stopping.wait(POLL_S):
             try:
                 reply = http.call(
@@ -58,9 +60,9 @@
             except OSError:
                 continue
             if reply.status == 200:
-                self._take(reply.payload)
+                self._apply(reply.payload)
 
-    def _take(self, stored: dict[str, typing.Any]) -> None:
+    def _apply(self, stored: dict[str, typing.Any]) -> None:
         if stored["version"] == self._version:
             return
         self._version = stored["version"]
--- a/tests/daemon/outages.py
+++ b/tests/daemon/outages.py
@@ -1,4 +1,4 @@
-"""What the failure tests of the store do to it and read from it."""
+"""Faults, relays and queries for the failure tests of the store."""
 
 import json
 import pathlib
@@ -23,46 +23,46 @@
 
 
 class RelayedStore(scene.Scene):
-    """A fleet whose connections to the store can go silent."""
+    """A fleet whose connections to the store can be made silent."""
 
     def _start_platform(self) -> None:
         super()._start_platform()
         node = self.fleet.node(STORE)
-        self.direct = node.address
+        self.store_address = node.address
         self.relay = cuttable.Relay(node.address)
         node.address = self.relay.address
 
     def close(self) -> None:
-        """End every process and the relay."""
+        """Stop every process and the relay."""
         super().close()
         self.relay.close()
 
 
-def addresses(running: scene.Scene) -> dict[str, str]:
-    """Where each entry VM listens for callers."""
-    return {vm: running.fleet.address(vm) for vm in running.vms}
+def addresses(current_scene: scene.Scene) -> dict[str, str]:
+    """The address at which each entry VM listens for callers."""
+    return {vm: current_scene.fleet.address(vm) for vm in current_scene.vms}
 
 
-def versions(running: scene.Scene) -> dict[str, int]:
-    """The catalogue version at each entry VM."""
+def versions(current_scene: scene.Scene) -> dict[str, int]:
+    """The catalogue version in force at each entry VM."""
     return {
-        vm: followers.version_at(address)
-        for vm, address in addresses(running).items()
+        vm: followers.catalogue_version(address)
+        for vm, address in addresses(current_scene).items()
     }
 
 
-def stored(running: scene.Scene) -> typing.Any:
-    """The catalogue's object, with version and value."""
+def stored(current_scene: scene.Scene) -> typing.Any:
+    """The catalogue's object in the store, with version and value."""
     path = f"/v1/objects/{CURRENT}"
-    return http.call(running.fleet.address(STORE), "GET", path).payload
+    return http.call(current_scene.fleet.address(STORE), "GET", path).payload
 
 
 def write_document(
     folder: pathlib.Path, name: str, document: typing.Any
 ) -> str:
-    """Write a document that the operators' client can apply.
+    """Write a document to a file that the operators' client can apply.
 
-    :returns: the file's path.
+    :returns: path of the file.
     """
     path = folder / f"{name}.json"
     path.write_text(json.dumps(document))
@@ -70,9 +70,9 @@
 
 
 def wait_in_force(
-    running: scene.Scene, version: int, timeout_s: float
+    current_scene: scene.Scene, version: int, timeout_s: float
 ) -> None:
     """Wait until a version is in force at every entry VM."""
     fleet.wait_for(
-        lambda: set(versions(running).values()) == {version}, timeout_s
+        lambda: set(versions(current_scene).values()) == {version}, timeout_s
     )
--- a/tests/daemon/poison.py
+++ b/tests/daemon/poison.py
@@ -1,4 +1,4 @@
-"""A request that crashes the engines it meets, and what becomes of it."""
+"""A request that crashes the engines that run it, and its answers."""
 
 from concurrent import futures
 import typing
@@ -8,10 +8,10 @@
 from tests.support import answers
 from tests.support import http
 
-WORD = "poison"
+CRASH_WORD = "poison"
 BODY = {
     "model": scene.MODEL_ENTRY,
-    "prompt": f"mandate with {WORD} " + "clause " * scene.WORDS,
+    "prompt": f"mandate with {CRASH_WORD} " + "clause " * scene.WORDS,
     "max_tokens": 20,
     "stream": True,
 }
@@ -20,42 +20,43 @@
 
 
 class Poison:
-    """Sends the request and remembers each answer.
+    """Sends the request and keeps each answer.
 
-    :param running: the fleet.
+    :param fleet_scene: the fleet.
+    :param after_tokens: number of tokens after which an engine crashes.
     """
 
-    def __init__(self, running: scene.Scene, after_tokens: int) -> None:
-        self._scene = running
+    def __init__(self, fleet_scene: scene.Scene, after_tokens: int) -> None:
+        self._scene = fleet_scene
         self.sent: list[answers.Answer] = []
-        for name in running.engines:
-            running.fleet.faults(
-                name, crash_on=WORD, crash_after_tokens=after_tokens
+        for name in fleet_scene.engines:
+            fleet_scene.fleet.faults(
+                name, crash_on=CRASH_WORD, crash_after_tokens=after_tokens
             )
 
     def send(self, vm: str, customer: str = "ana") -> answers.Answer:
-        """Send it once to one entry VM, without following moves."""
-        one = self._scene.caller(customer)
+        """Send the request once to an entry VM; redirects are not followed."""
+        client = self._scene.caller(customer)
         address = self._scene.fleet.address(vm)
-        answer = one.stream("/v1/completions", BODY, address)
+        answer = client.stream("/v1/completions", BODY, address)
         self.sent.append(answer)
         return answer
 
-    def by_turns(self, times: int) -> None:
-        """Send it to one entry VM after another."""
+    def send_in_turn(self, times: int) -> None:
+        """Send the request to one entry VM after another."""
         for number in range(times):
             vms = self._scene.vms
             self.send(vms[number % len(vms)])
 
-    def at_once(self, callers: int, times: int) -> None:
-        """Several callers send it, each to its own entry VM."""
+    def send_concurrently(self, callers: int, times: int) -> None:
+        """Send the request from several callers, each to its own entry VM."""
         vms = self._scene.vms
         with futures.ThreadPoolExecutor(callers) as pool:
             for _ in range(times):
                 list(pool.map(self.send, vms[:callers]))
 
-    def naive(self) -> None:
-        """Send it to each engine in turn, as a caller without us would."""
+    def send_to_each_engine(self) -> None:
+        """Send the request to each engine, as a caller without the system."""
         for name in self._scene.engines:
             address = self._scene.fleet.address(name)
             try:
@@ -64,30 +65,32 @@
                 continue
 
     def disarm(self) -> None:
-        """Let the living engines serve it."""
-        for name in self.living():
+        """Make the request harmless to the engines that still run."""
+        for name in self.running_engines():
             self._scene.fleet.faults(name, crash_on="")
 
-    def living(self) -> list[str]:
-        """The engines that run."""
-        running = self._scene.fleet
-        return [e for e in self._scene.engines if running.process(e).running]
+    def running_engines(self) -> list[str]:
+        """The engines that still run."""
+        fleet = self._scene.fleet
+        return [
+            name for name in self._scene.engines if fleet.process(name).running
+        ]
 
     def crashed(self) -> list[str]:
-        """The engines that it has crashed."""
-        running = self._scene.fleet
+        """The engines that the request has crashed."""
+        fleet = self._scene.fleet
         return [
             name
             for name in self._scene.engines
-            if running.process(name).exit_code
+            if fleet.process(name).exit_code
             == _batch_scheduler.CRASH_EXIT_CODE
         ]
 
-    def lies(self) -> list[typing.Any]:
-        """Answers of ``Executed: no`` to what an engine has begun."""
-        begun = self._scene.fleet.journals()
+    def false_denials(self) -> list[typing.Any]:
+        """Errors reported as not executed although an engine began to run."""
+        journals = self._scene.fleet.journals()
         return [
             answer.error
             for answer in self.sent
-            if answer.executed == "no" and answer.request_id in begun
+            if answer.executed == "no" and answer.request_id in journals
         ]
--- a/tests/steps/daemon_quarantine.py
+++ b/tests/steps/daemon_quarantine.py
@@ -11,7 +11,7 @@
 from tests.daemon import scene
 from tests.support import fleet
 
-SETTLED_S = 0.3
+SETTLE_S = 0.3
 
 
 def _poisoned(context, engines, vms, after_tokens=0):
@@ -32,7 +32,7 @@
     "engines that crash on poison at once, {engines:d} of them behind "
     "{vms:d} entry VMs"
 )
-def _at_once_too(context, engines, vms):
+def _at_once_explicit(context, engines, vms):
     _poisoned(context, engines, vms)
 
 
@@ -46,18 +46,18 @@
 
 @when("a naive caller sends the poison to each engine in turn")
 def _naive(context):
-    context.poison.naive()
+    context.poison.send_to_each_engine()
 
 
 @when("ana sends the poison {times:d} times, to one entry VM after another")
-def _by_turns(context, times):
-    context.poison.by_turns(times)
+def _in_turn(context, times):
+    context.poison.send_in_turn(times)
 
 
 @when("{callers:d} callers send the poison at once, {times:d} times each")
-def _together(context, callers, times):
+def _concurrently(context, callers, times):
     context.last = callers
-    context.poison.at_once(callers, times)
+    context.poison.send_concurrently(callers, times)
 
 
 @when("the poison is harmless from now on")
@@ -72,12 +72,12 @@
 
 @then("at most {count:d} engines have crashed")
 def _few_crashed(context, count):
-    time.sleep(SETTLED_S)
+    time.sleep(SETTLE_S)
     found = context.poison.crashed()
-    assert 1 <= len(found) <= count, (found, _shown(context))
+    assert 1 <= len(found) <= count, (found, _answer_rows(context))
 
 
-@then("the last sendings were refused as quarantined, with a time")
+@then("the last attempts were refused as quarantined, with a time to retry")
 def _quarantined(context):
     for answer in context.poison.sent[-getattr(context, "last", 2) :]:
         _check_quarantined(context, answer)
@@ -85,36 +85,42 @@
 
 def _check_quarantined(context, answer):
     error = json.loads(answer.error)["error"]
-    assert error["type"] == "quarantined", _shown(context)
-    assert answer.executed == "no", _shown(context)
-    assert answer.retry_after_s, _shown(context)
+    assert error["type"] == "quarantined", _answer_rows(context)
+    assert answer.executed == "no", _answer_rows(context)
+    assert answer.retry_after_s, _answer_rows(context)
 
 
-def _shown(context):
+def _answer_rows(context):
     return [
-        (a.status, a.executed, len(a.ids), a.error, round(a.whole_s, 1))
-        for a in context.poison.sent
+        (
+            answer.status,
+            answer.executed,
+            len(answer.ids),
+            answer.error,
+            round(answer.whole_s, 1),
+        )
+        for answer in context.poison.sent
     ]
 
 
-@then("no refused poison that was told no had reached an engine")
-def _no_lies(context):
-    assert not context.poison.lies(), context.poison.lies()
+@then("no poison reported as not executed had reached an engine")
+def _no_false_denials(context):
+    assert not context.poison.false_denials(), context.poison.false_denials()
 
 
-@then("a like request of bruno is served")
+@then("the same request from bruno is served")
 def _served(context):
     answer = context.poison.send("vm-0", "bruno")
     assert not answer.problem, answer.problem
 
 
-@then("ana's is still refused as quarantined")
-def _still(context):
+@then("the request from ana is still refused as quarantined")
+def _still_refused(context):
     _check_quarantined(context, context.poison.send("vm-0"))
 
 
-@then("nobody is quarantined: the same requests are served again")
-def _nobody(context):
+@then("the same requests are served again, as none is quarantined")
+def _none_quarantined(context):
     context.scene.stream_again(20)
     wrong = scene.problems(context.scene.answers())
     assert not wrong, wrong
--- a/tests/steps/daemon_store_edits.py
+++ b/tests/steps/daemon_store_edits.py
@@ -21,7 +21,7 @@
 def _file(context, edit):
     folder = context.scene.fleet.folder
     return outages.write_document(
-        folder, f"edit-{edit}", followers.edited(edit)
+        folder, f"edit-{edit}", followers.edited_catalogue(edit)
     )
 
 
@@ -32,7 +32,7 @@
     )
     if context.exit_code == 0:
         context.version = _printed_version(context)
-        edits.made(context)[context.version] = edit
+        edits.edits_by_version(context)[context.version] = edit
 
 
 def _printed_version(context):
@@ -62,13 +62,15 @@
 @then("each edit was in force at every entry VM in time")
 def _all_in_time(context):
     assert all(code == 0 for code, _ in context.waits), context.waits
-    edits.check_contents(context, edits.made(context)[context.version])
+    edits.check_contents(
+        context, edits.edits_by_version(context)[context.version]
+    )
 
 
-@when("two operators apply edits of one version at once")
-def _race(context):
+@when("two operators apply edits of the same version at the same time")
+def _apply_concurrently(context):
     base = outages.stored(context.scene)["version"]
-    # Slow enough that both read before either writes.
+    # The delay makes both commands read before either of them writes.
     context.scene.fleet.faults(outages.STORE, slow_s=RACE_CALL_S)
     command = [*COMMAND, "catalogue", "apply", "--expect", str(base)]
     runs = [
@@ -83,32 +85,36 @@
     ]
     texts = [run.communicate(timeout=30.0) for run in runs]
     context.scene.fleet.faults(outages.STORE, slow_s=0.0)
-    context.race = [(run.returncode, *text) for run, text in zip(runs, texts)]
+    context.concurrent_results = [
+        (run.returncode, *text) for run, text in zip(runs, texts)
+    ]
 
 
-@then("one command ends with 0 and the other with 4")
-def _codes(context):
-    codes = sorted(code for code, _, _ in context.race)
-    assert codes == [0, 4], context.race
+@then("one command exits with 0 and the other with 4")
+def _exit_codes(context):
+    codes = sorted(code for code, _, _ in context.concurrent_results)
+    assert codes == [0, 4], context.concurrent_results
 
 
-@then("the loser is shown the difference")
+@then("the failed command prints the difference")
 def _difference(context):
-    complaint = next(err for code, _, err in context.race if code == 4)
+    complaint = next(
+        err for code, _, err in context.concurrent_results if code == 4
+    )
     assert "another edit came first" in complaint, complaint
     assert "customers.left.key_sha256" in complaint, complaint
 
 
-@then("the winner's edit is in force at every entry VM within {seconds:d} s")
-def _winner(context, seconds):
-    codes = [code for code, _, _ in context.race]
+@then("the successful edit is in force at every entry VM within {seconds:d} s")
+def _successful_edit(context, seconds):
+    codes = [code for code, _, _ in context.concurrent_results]
     stored = outages.stored(context.scene)
     context.version = stored["version"]
-    edits.made(context)[context.version] = codes.index(0) + 1
+    edits.edits_by_version(context)[context.version] = codes.index(0) + 1
     edits.check_in_force(context, seconds)
 
 
-@then("the history holds that edit once")
+@then("the history contains that edit once")
 def _once(context):
     command_runner.run_in_scenario(context, ["catalogue", "history", "--json"])
     kept = json.loads(context.printed)["versions"]
--- a/tests/steps/daemon_store_outages.py
+++ b/tests/steps/daemon_store_outages.py
@@ -16,10 +16,10 @@
 from tests.support import caller
 from tests.support import fleet
 
-SOON_S = 10.0
+DEFAULT_TIMEOUT_S = 10.0
 DEFAULT_WATCH_S = 20.0
-PEERS_LATE_S = 0.2
-MADE_UP = "made-up"
+PEERS_PAUSE_S = 0.2
+OWN_KEY = "made-up"
 FIRST_HEADER = "Apricotlever-First-Attempt"
 
 
@@ -37,19 +37,19 @@
 @given("an operator has put edits {first:d} to {last:d} in force")
 def _puts_many(context, first, last):
     for edit in range(first, last + 1):
-        edits.put(context, edit)
-    outages.wait_in_force(context.scene, context.version, SOON_S)
+        edits.store_edit(context, edit)
+    outages.wait_in_force(context.scene, context.version, DEFAULT_TIMEOUT_S)
 
 
-@when("the store turns {fault}")
+@when('the store has the fault "{fault}"')
 def _fault(context, fault):
-    running = context.scene
-    context.before = outages.versions(running)
-    running.fleet.faults(outages.STORE, **outages.FAULTS[fault])
+    current_scene = context.scene
+    context.before = outages.versions(current_scene)
+    current_scene.fleet.faults(outages.STORE, **outages.FAULTS[fault])
 
 
-@when("the store is well again")
-def _well(context):
+@when("the store works again")
+def _works_again(context):
     context.scene.fleet.control(outages.STORE, "reset", {})
 
 
@@ -65,35 +65,39 @@
 
 
 @when("all open connections to the store go silent")
-def _silent(context):
-    running = context.scene
+def _connections_silenced(context):
+    current_scene = context.scene
     fleet.wait_for(
-        lambda: running.fleet.counts(outages.STORE)["watches_waiting"]
-        >= len(running.vms)
+        lambda: current_scene.fleet.counts(outages.STORE)["watches_waiting"]
+        >= len(current_scene.vms)
+    )
+    assert current_scene.relay.silence() >= len(current_scene.vms)
+    current_scene.fleet.node(outages.STORE).address = (
+        current_scene.store_address
     )
-    assert running.relay.silence() >= len(running.vms)
-    running.fleet.node(outages.STORE).address = running.direct
 
 
 @when("the store is restored with edit {edit:d}")
 def _restored(context, edit):
     context.before = outages.versions(context.scene)
     context.scene.fleet.restart(outages.STORE)
-    version = context.scene.fleet.put_catalogue(followers.edited(edit))
+    version = context.scene.fleet.put_catalogue(
+        followers.edited_catalogue(edit)
+    )
     assert version < min(context.before.values())
 
 
-@when("a document of bad form is stored")
-def _bad(context):
+@when("an invalid document is stored")
+def _invalid(context):
     context.before = outages.versions(context.scene)
-    document = followers.edited(1)
+    document = followers.edited_catalogue(1)
     document["entries"][scene.MODEL_ENTRY]["class"] = "no such class"
     context.scene.fleet.put_catalogue(document)
 
 
 @when("an operator puts edit {edit:d} in force")
 def _puts(context, edit):
-    edits.put(context, edit)
+    edits.store_edit(context, edit)
 
 
 @then("the edit is in force at every entry VM within {seconds:d} s")
@@ -101,7 +105,7 @@
     edits.check_in_force(context, seconds)
 
 
-@then("the catalogue in force is what it was")
+@then("the catalogue in force has not changed")
 def _unchanged(context):
     found = outages.versions(context.scene)
     assert found == context.before, (found, context.before)
@@ -111,7 +115,7 @@
 def _reports(context, fault):
     wanted = f"fault={fault}"
 
-    def told():
+    def is_logged():
         logs = map(context.scene.fleet.log, context.scene.vms)
         return any(
             wanted in line
@@ -120,14 +124,14 @@
             if "event=catalogue_refused" in line
         )
 
-    fleet.wait_for(told, SOON_S)
+    fleet.wait_for(is_logged, DEFAULT_TIMEOUT_S)
 
 
 @when("each entry VM gets an idempotent call")
 def _lookups(context):
-    one = context.scene.caller()
+    client = context.scene.caller()
     context.lookups = [
-        one.service(scene.SERVICE_ENTRY, "GET", "/status", address=address)
+        client.service(scene.SERVICE_ENTRY, "GET", "/status", address=address)
         for address in outages.addresses(context.scene).values()
     ]
 
@@ -141,19 +145,19 @@
 
 @when("each entry VM mints keys for {count:d} registrations, each sent twice")
 def _register(context, count):
-    one = context.scene.caller()
+    client = context.scene.caller()
     context.registrations = {}
     for vm, address in outages.addresses(context.scene).items():
-        for number, key in enumerate(one.mint_keys(count, address)):
+        for number, key in enumerate(client.mint_keys(count, address)):
             operation = f"{vm}-{number}"
             context.registrations[operation] = [
-                _registered(one, operation, key, address) for _ in range(2)
+                _registered(client, operation, key, address) for _ in range(2)
             ]
 
 
-def _registered(one, operation, key, address):
+def _registered(client, operation, key, address):
     body = {"operation": operation}
-    return one.service(
+    return client.service(
         scene.SERVICE_ENTRY, "POST", "/entries", body, key, address
     )
 
@@ -168,46 +172,48 @@
         assert runs[operation] == 1, runs
 
 
-@when("a caller registers under a key that it made up")
-def _made_up(context):
-    context.made_up = _register_made_up(context, {})
+@when("a caller registers with a key of its own")
+def _own_key(context):
+    context.own_key_reply = _register_with_own_key(context, {})
 
 
-def _register_made_up(context, headers):
-    running = context.scene
+def _register_with_own_key(context, headers):
+    current_scene = context.scene
     headers = {
         "Authorization": f"Bearer {scene.key_of(scene.CUSTOMERS[0])}",
-        caller.KEY_HEADER: MADE_UP,
+        caller.KEY_HEADER: OWN_KEY,
         **headers,
     }
     return outages.http.call(
-        running.fleet.entries[0],
+        current_scene.fleet.entries[0],
         "POST",
         f"/v1/services/{scene.SERVICE_ENTRY}/entries",
-        {"operation": MADE_UP},
+        {"operation": OWN_KEY},
         headers,
     )
 
 
-@then("it is told that the outcome of that key is unknown")
+@then("the caller is told that the outcome of that key is unknown")
 def _told_unknown(context):
-    """An earlier call under the key may have run; nobody can tell."""
+    """Check the refusal: an earlier call with the key may have run."""
     _check_refused(context, "unknown")
 
 
-@when("the caller tells that it has not sent that key before")
+@when("the caller declares that it has not sent that key before")
 def _first(context):
-    context.made_up = _register_made_up(context, {FIRST_HEADER: "true"})
+    context.own_key_reply = _register_with_own_key(
+        context, {FIRST_HEADER: "true"}
+    )
 
 
 @then("the registration is refused and was not run")
 def _refused(context):
     _check_refused(context, "no")
-    assert MADE_UP not in context.scene.fleet.journals()
+    assert OWN_KEY not in context.scene.fleet.journals()
 
 
 def _check_refused(context, executed):
-    reply = context.made_up
+    reply = context.own_key_reply
     assert reply.status == 503, reply.payload
     assert reply.headers[answers.EXECUTED_HEADER] == executed, reply.payload
     assert reply.headers["Retry-After"], reply.payload
@@ -215,19 +221,19 @@
 
 @then("the caller's registration succeeds soon and ran once")
 def _succeeds(context):
-    one = context.scene.caller()
-    body = {"operation": MADE_UP}
+    client = context.scene.caller()
+    body = {"operation": OWN_KEY}
 
     def answered():
         return all(
-            one.service(
-                scene.SERVICE_ENTRY, "POST", "/entries", body, MADE_UP, address
+            client.service(
+                scene.SERVICE_ENTRY, "POST", "/entries", body, OWN_KEY, address
             ).done
             for address in context.scene.fleet.entries
         )
 
-    fleet.wait_for(answered, SOON_S)
-    assert context.scene.fleet.journals()[MADE_UP] == 1
+    fleet.wait_for(answered, DEFAULT_TIMEOUT_S)
+    assert context.scene.fleet.journals()[OWN_KEY] == 1
 
 
 @when("{vm} is killed and started again")
@@ -235,34 +241,37 @@
     context.scene.fleet.restart(vm)
 
 
-@when("{vm} is started again and hears of its peers late")
+@when("{vm} is started again while its peers are paused at first")
 def _restarted_alone(context, vm):
-    running = context.scene
-    others = [other for other in running.vms if other != vm]
-    running.fleet.kill(vm)
+    current_scene = context.scene
+    others = [other for other in current_scene.vms if other != vm]
+    current_scene.fleet.kill(vm)
     for other in others:
-        running.fleet.pause(other)
-        context.closers.append(functools.partial(running.fleet.resume, other))
-    running.fleet.restart(vm)
-    time.sleep(PEERS_LATE_S)
+        current_scene.fleet.pause(other)
+        context.closers.append(
+            functools.partial(current_scene.fleet.resume, other)
+        )
+    current_scene.fleet.restart(vm)
+    time.sleep(PEERS_PAUSE_S)
     for other in others:
-        running.fleet.resume(other)
+        current_scene.fleet.resume(other)
 
 
 @then("{vm} has the same version in force as before")
 def _same(context, vm):
     wanted = max(context.before.values())
     fleet.wait_for(
-        lambda: outages.versions(context.scene)[vm] == wanted, SOON_S
+        lambda: outages.versions(context.scene)[vm] == wanted,
+        DEFAULT_TIMEOUT_S,
     )
 
 
 @then("{vm} had no older version in force since its start")
 def _no_older(context, vm):
     log = context.scene.fleet.log(vm)
-    shown = re.findall(r"event=catalogue_in_force .*?version=(\d+)", log)
-    assert shown, log
-    assert min(map(int, shown)) >= max(context.before.values()), shown
+    versions = re.findall(r"event=catalogue_in_force .*?version=(\d+)", log)
+    assert versions, log
+    assert min(map(int, versions)) >= max(context.before.values()), versions
 
 
 @then("the operator sees edit {edit:d} in force")
@@ -270,8 +279,8 @@
     edits.check_contents(context, edit)
 
 
-@when("the store's versions have passed the one in force")
-def _passed(context):
+@when("the store's version has reached the one in force")
+def _version_reached(context):
     wanted = max(context.before.values())
     while context.scene.fleet.put_object("other", {}) < wanted:
         pass
@@ -279,7 +288,7 @@
 
 @then("{vm} streams an answer within {seconds:f} s")
 def _streams(context, vm, seconds):
-    """A VM that has just started may not have the list of runners yet."""
+    """Retry, as a VM that has just started may not know the runners yet."""
 
     def streamed():
         context.scene.stream(1, 10, vm=vm)
--- a/tests/steps/daemon_store_samples.py
+++ b/tests/steps/daemon_store_samples.py
@@ -1,4 +1,4 @@
-"""Steps that sample versions in tests/daemon/store_outages.feature."""
+"""Steps that sample versions for tests/daemon/store_outages.feature."""
 
 import time
 
@@ -21,16 +21,23 @@
 
 
 def _sample(context, addresses):
-    context.sampler = followers.Sampler(addresses, edits.made(context))
+    context.sampler = followers.Sampler(
+        addresses, edits.edits_by_version(context)
+    )
     context.closers.append(context.sampler.stop)
 
 
-@then("no version fell and none was half in force")
+@then("no version decreased and none was partly in force")
 def _no_problem(context):
     samples = context.sampler.stop()
     assert all(samples.values()), samples
-    tried = [s for each in samples.values() for s in each if s.taken]
-    assert tried
+    with_keys = [
+        sample
+        for vm_samples in samples.values()
+        for sample in vm_samples
+        if sample.accepted
+    ]
+    assert with_keys
     found = followers.problems(samples)
     assert not found, found
 
@@ -50,9 +57,9 @@
         context.naive_address,
         "PUT",
         f"/v1/objects/{outages.CURRENT}",
-        {"value": followers.edited(edit)},
+        {"value": followers.edited_catalogue(edit)},
     )
-    edits.made(context)[reply.payload["version"]] = edit
+    edits.edits_by_version(context)[reply.payload["version"]] = edit
 
 
 @given("the versions at the naive follower are sampled")
@@ -75,12 +82,12 @@
     )
     context.naive_address = restored
     _store_naive(context, edit)
-    context.follower.follow(restored)
+    context.follower.poll(restored)
     time.sleep(0.3)
 
 
-@then("a version fell and one was half in force")
-def _fell(context):
+@then("a version decreased and one was partly in force")
+def _decreased(context):
     found = followers.problems(context.sampler.stop())
     assert any("after" in problem for problem in found), found
     assert any("with keys" in problem for problem in found), found
