--- a/src/apricotlever/daemon/answer_reader.py
+++ b/src/apricotlever/daemon/answer_reader.py
@@ -1,8 +1,8 @@
 """Reads one model answer from its runners and recovers from their failures.
 
-A Pump belongs to one thread. It makes one attempt at a time, accepts
-each token exactly once and in order, and moves away from a runner before that
-runner is reclaimed.
+An AnswerReader is used by one thread at a time. It makes one attempt at a
+time, accepts each token exactly once and in order, and leaves a runner before
+that runner is reclaimed.
 """
 
 import contextlib
@@ -22,7 +22,8 @@
 from . import model_attempts
 from . import model_request
 
-#: Distinct gaps between tokens that are buffered before they are recorded.
+#: Number of distinct gaps between tokens that are buffered until they are
+#: recorded in the histogram.
 MAX_BUFFERED_GAPS = 24
 #: A stream counts as broken after a silence of this many times the target
 #: gap between tokens of its class.
@@ -36,7 +37,7 @@
 
 
 def _discard(data: bytes) -> None:
-    """Sink used until a caller reads: only the transcript keeps the events."""
+    """Sink used until a caller reads; the transcript keeps the events."""
 
 
 class RequestMoved(Exception):
@@ -51,41 +52,41 @@
     called again.
 
     :param context: the daemon's tasks.
-    :param flight: the request.
-    :param runner: the runner that already runs the stream, when the request
-        comes from another entry VM; None for a new request.
+    :param request: the model request.
+    :param runner: the runner that already computes the stream, when the
+        request was taken over from another entry VM; None for a new request.
     """
 
     def __init__(
         self,
         context: contexts.Context,
-        flight: model_request.ModelRequest,
+        request: model_request.ModelRequest,
         runner: runners.Runner | None = None,
     ) -> None:
         self._context = context
-        self._flight = flight
-        self._attempts = model_attempts.ModelAttempts(context, flight)
+        self._request = request
+        self._attempts = model_attempts.ModelAttempts(context, request)
         self._cursor = stream_cursor.StreamCursor(
-            flight.attempt, flight.resume_from
+            request.attempt, request.resume_from
         )
         self._failures = 0
         self._stuck_resumptions = 0
-        self._last_broken_index = -1
+        self._last_failure_index = -1
         self._tried: frozenset[str] = frozenset()
         self._decision: recovery.RecoveryDecision | None = None
         if runner is not None:
-            flight.runner = runner
+            request.runner = runner
             self._decision = recovery.Reconnect(
-                runner.name, flight.resume_from
+                runner.name, request.resume_from
             )
         self._gap_distribution = context.histograms.distribution(
             histograms.BETWEEN_TOKENS,
-            flight.customer,
-            flight.service_class.name,
+            request.customer,
+            request.service_class.name,
         )
         self._gap_counts: dict[int, int] = {}
         self._last_token_at = 0.0
-        self._expected_prefix = b"id: %d\n" % flight.resume_from
+        self._expected_prefix = b"id: %d\n" % request.resume_from
         self._exchange: upstream_exchange.Exchange | None = None
         self._partial_event = b""
         self._complete = False
@@ -95,21 +96,21 @@
     @property
     def flight(self) -> model_request.ModelRequest:
         """The request whose answer is read."""
-        return self._flight
+        return self._request
 
     def read_first(self) -> bytes:
         """Wait for the first events of the answer.
 
         :returns: the first events, ready to pass on.
         :raises Refusal: when the request is given up.
-        :raises RequestMoved: when another entry VM has taken it over.
+        :raises RequestMoved: when another entry VM has taken over the request.
         """
         with self._reporting_refusal():
             while True:
                 try:
                     return self._open_attempt()
                 except upstream_exchange.UpstreamError as error:
-                    self._decision = self._decide_after(error)
+                    self._decision = self._decide_recovery(error)
 
     def read_rest(self, sink: Sink, linger_s: float = float("inf")) -> None:
         """Pass on the remaining events until the answer is complete.
@@ -118,9 +119,9 @@
             must not block.
         :param linger_s: seconds after which the request is cancelled when no
             caller follows its transcript; infinite while a caller reads.
-        :raises Refusal: when the request is given up; events passed on
-            before stay valid.
-        :raises RequestMoved: when another entry VM has taken it over.
+        :raises Refusal: when the request is given up; events that were
+            passed on before stay valid.
+        :raises RequestMoved: when another entry VM has taken over the request.
         :raises CallerDisconnected: from the sink; the request still runs.
         """
         self._sink = sink
@@ -131,7 +132,7 @@
                     self._read_more()
                 except upstream_exchange.UpstreamError as error:
                     self._exchange = None
-                    self._decision = self._decide_after(error)
+                    self._decision = self._decide_recovery(error)
         if self._exchange is not None:
             self._exchange.finish()
         self._report_end(runners.Outcome.DONE, "done")
@@ -142,7 +143,7 @@
         try:
             yield
         except refusals.Refusal as refusal:
-            # The runner is not at fault when it refuses a malformed body.
+            # A runner that refuses a malformed body has not failed.
             runner_failed = refusal.kind is not refusals.BAD_REQUEST
             failed = runners.Outcome.FAILED
             outcome = failed if runner_failed else runners.Outcome.CANCELLED
@@ -156,7 +157,7 @@
         """Make the next attempt and read its first events."""
         self._partial_event = b""
         exchange = self._attempts.open(self._decision, self._tried)
-        self._cursor.start_attempt(self._flight.attempt)
+        self._cursor.start_attempt(self._request.attempt)
         self._exchange = exchange
         fresh = b""
         while not fresh and not self._complete:
@@ -203,9 +204,9 @@
         fresh = self._accept_data(data)
         if fresh:
             self._sink(fresh)
-        overdue = self._last_token_at > self._linger_until
-        if overdue and not self._flight.transcript.followed:
-            self._flight.cancel()
+        linger_over = self._last_token_at > self._linger_until
+        if linger_over and not self._request.transcript.followed:
+            self._request.cancel()
         return self._complete
 
     def _accept_data(self, data: bytes) -> bytes:
@@ -213,26 +214,27 @@
 
         :param data: bytes as read; may end in the middle of an event.
         :returns: the accepted events, to be passed on.
-        :raises ConnectionBroken: when a token or the whole answer is missing.
+        :raises ConnectionBroken: when a token is missing or the answer is
+            empty.
         """
         if not self._partial_event and data.startswith(self._expected_prefix):
             # Fast path: nearly every read returns exactly the next event.
             if data.find(openai_format.EVENT_END) == len(data) - len(
                 _EVENT_END
             ):
-                self._accept_expected(data)
+                self._accept_next(data)
                 self._record_token_time()
                 return data
         *events, self._partial_event = (self._partial_event + data).split(
             openai_format.EVENT_END
         )
-        before = self._cursor.next_index
+        first_index = self._cursor.next_index
         for event in events:
             self._accept_event(event)
-        accepted = self._flight.transcript.events(before)
+        accepted = self._request.transcript.events(first_index)
         if accepted:
             self._record_token_time()
-        if self._complete and not self._flight.resume_from:
+        if self._complete and not self._request.resume_from:
             self._complete = False
             raise upstream_exchange.ConnectionBroken(
                 "the answer is empty", sent=True
@@ -244,7 +246,7 @@
             self._complete |= event.startswith(_DONE_DATA)
             return
         index = int(event[len(_ID_PREFIX) : event.index(b"\n")])
-        verdict = self._cursor.offer(self._flight.attempt, index)
+        verdict = self._cursor.offer(self._request.attempt, index)
         if verdict == stream_cursor.GAP:
             raise upstream_exchange.ConnectionBroken(
                 "a token is missing", sent=True
@@ -252,13 +254,13 @@
         if verdict == stream_cursor.ACCEPTED:
             self._append(event + openai_format.EVENT_END)
 
-    def _accept_expected(self, event: bytes) -> None:
-        flight = self._flight
-        self._cursor.offer(flight.attempt, self._cursor.next_index)
+    def _accept_next(self, event: bytes) -> None:
+        request = self._request
+        self._cursor.offer(request.attempt, self._cursor.next_index)
         self._append(event)
 
     def _append(self, event: bytes) -> None:
-        self._flight.transcript.append(event)
+        self._request.transcript.append(event)
         self._expected_prefix = b"id: %d\n" % self._cursor.next_index
 
     def _record_token_time(self) -> None:
@@ -271,7 +273,7 @@
             counts[gap_us] = counts.get(gap_us, 0) + 1
             if len(counts) >= MAX_BUFFERED_GAPS:
                 self._record_gaps()
-        elif self._flight.first_token_at is None:
+        elif self._request.first_token_at is None:
             self._record_first_token(now)
         self._last_token_at = now
 
@@ -280,53 +282,55 @@
         self._gap_distribution.record_counts(counts)
 
     def _record_first_token(self, now: float) -> None:
-        flight = self._flight
-        flight.first_token_at = now
+        request = self._request
+        request.first_token_at = now
         context = self._context
         context.dispatcher.tell(
-            dispatcher_messages.FirstToken(flight.request_id)
+            dispatcher_messages.FirstToken(request.request_id)
         )
-        seconds = now - flight.arrived
+        seconds = now - request.arrived
         context.histograms.record(
             histograms.FIRST_TOKEN,
-            flight.customer,
-            flight.service_class.name,
+            request.customer,
+            request.service_class.name,
             seconds,
         )
         context.metrics.timing(
-            "latency.first_token", seconds, flight.service_class.name
+            "latency.first_token", seconds, request.service_class.name
         )
 
     def _silence_timeout_s(self) -> float:
         """Seconds of silence after which a stream counts as broken.
 
-        A connection whose state was lost on the network path stays open and
-        silent for ever. The expected pace of the service class reveals this
-        sooner than TCP does.
+        A connection whose state a network device has lost stays open and
+        silent for ever. A timeout derived from the target gap between tokens
+        of the service class detects this sooner than TCP does.
         """
-        pace_s = self._flight.service_class.between_tokens_s
-        return max(MIN_SILENCE_TIMEOUT_S, SILENCE_TIMEOUT_FACTOR * pace_s)
+        target_gap_s = self._request.service_class.between_tokens_s
+        return max(
+            MIN_SILENCE_TIMEOUT_S, SILENCE_TIMEOUT_FACTOR * target_gap_s
+        )
 
-    def _decide_after(
+    def _decide_recovery(
         self, error: upstream_exchange.UpstreamError
     ) -> recovery.RecoveryDecision:
-        """Decide how to continue after an attempt ended early.
+        """Decide how to continue after an attempt has failed.
 
         :raises Refusal: when the request is given up.
-        :raises RequestMoved: when another entry VM has taken it over.
+        :raises RequestMoved: when another entry VM has taken over the request.
         """
-        flight = self._flight
-        if flight.moved_to:
+        request = self._request
+        if request.moved_to:
             raise RequestMoved() from error
-        if flight.cancelled:
+        if request.cancelled:
             raise refusals.Refusal(
                 refusals.GAVE_UP,
                 "the request was cancelled: no caller reads the answer",
                 refusals.Executed.UNKNOWN,
             ) from error
-        decided = flight.take_decision()
-        decision = decided or self._recover(error)
-        if isinstance(decision, recovery.Replay) and not flight.can_replay:
+        pending = request.take_decision()
+        decision = pending or self._recover(error)
+        if isinstance(decision, recovery.Replay) and not request.can_replay:
             raise refusals.Refusal(
                 refusals.GAVE_UP,
                 "the runner lost the stream, and the entry VM that held the "
@@ -338,7 +342,7 @@
     def _recover(
         self, error: upstream_exchange.UpstreamError
     ) -> recovery.RecoveryDecision:
-        flight = self._flight
+        request = self._request
         runner_ended = self._attempts.report_failure(error)
         cause = recovery.RecoveryCause.LOST
         if isinstance(
@@ -349,24 +353,25 @@
             ),
         ):
             cause = recovery.RecoveryCause.BROKEN
-        # A stream that advanced after a reconnect shows that its runner is
-        # healthy, so that a further silence counts as a new failure.
-        resumed = isinstance(self._decision, recovery.Reconnect)
-        stuck = resumed and flight.resume_from == self._last_broken_index
+        # Only resumptions without a new token count as stuck. A stream that
+        # advanced after a reconnect shows that its runner is healthy, so a
+        # further silence counts as a new failure.
+        reconnected = isinstance(self._decision, recovery.Reconnect)
+        stuck = reconnected and request.resume_from == self._last_failure_index
         self._stuck_resumptions = self._stuck_resumptions + 1 if stuck else 0
-        self._last_broken_index = flight.resume_from
+        self._last_failure_index = request.resume_from
         self._failures += 1
-        if cause is recovery.RecoveryCause.LOST and flight.runner is not None:
-            self._tried |= {flight.runner.name}
+        if cause is recovery.RecoveryCause.LOST and request.runner is not None:
+            self._tried |= {request.runner.name}
         logs.event(
             "request_retried",
-            request=flight.request_id,
-            runner=flight.runner and flight.runner.name,
+            request=request.request_id,
+            runner=request.runner and request.runner.name,
             error=error.message,
-            tokens=flight.resume_from,
+            tokens=request.resume_from,
         )
         self._context.metrics.count("requests.retried")
-        if flight.runner is None:
+        if request.runner is None:
             return self._attempts.retry_without_runner(
                 error, self._tried, self._failures
             )
@@ -375,37 +380,41 @@
                 error, self._tried, self._failures
             )
         situation = dispatcher_messages.StreamBroke(
-            flight, cause, self._failures, self._stuck_resumptions, self._tried
+            request,
+            cause,
+            self._failures,
+            self._stuck_resumptions,
+            self._tried,
         )
         return self._attempts.request_decision(situation)
 
     def _report_end(self, outcome: runners.Outcome, name: str) -> None:
-        flight = self._flight
-        flight.transcript.end(name)
+        request = self._request
+        request.transcript.end(name)
         self._record_gaps()
         context = self._context
-        whole_s = context.clock.now() - flight.arrived
+        whole_s = context.clock.now() - request.arrived
         first_s = None
-        if flight.first_token_at is not None:
-            first_s = flight.first_token_at - flight.arrived
+        if request.first_token_at is not None:
+            first_s = request.first_token_at - request.arrived
         self._attempts.report_end(outcome, first_s)
         if outcome is runners.Outcome.DONE:
             context.histograms.record(
                 histograms.WHOLE_ANSWER,
-                flight.customer,
-                flight.service_class.name,
+                request.customer,
+                request.service_class.name,
                 whole_s,
             )
         context.metrics.count("requests.ended", of=name)
-        context.metrics.count("tokens.sent", flight.resume_from)
+        context.metrics.count("tokens.sent", request.resume_from)
         logs.event(
             "request_ended",
-            request=flight.request_id,
-            entry=flight.entry.name,
-            customer=flight.customer,
+            request=request.request_id,
+            entry=request.entry.name,
+            customer=request.customer,
             outcome=name,
-            tokens=flight.resume_from,
-            attempts=flight.attempt,
+            tokens=request.resume_from,
+            attempts=request.attempt,
             first_token_s=first_s,
             whole_s=whole_s,
         )
--- a/src/apricotlever/daemon/context.py
+++ b/src/apricotlever/daemon/context.py
@@ -1,34 +1,39 @@
-"""What the handlers of requests need, in one place."""
+"""The tasks and services that request handlers use."""
 
 from concurrent import futures
 import typing
 
 from .. import clock as clocks
-from .. import histograms
+from .. import histograms as histograms_
 from .. import mailbox
-from .. import metrics
+from .. import metrics as metrics_
 from .. import refusals
 from .. import settings
 from ..catalogue import model as catalogues
 from ..links import stream_loop
 from ..links import upstream_exchange
 
-ANSWER_S = 5.0
+REPLY_TIMEOUT_S = 5.0
 
 
 class Context:
-    """The tasks and shared tools of one daemon.
+    """The tasks and shared services of one daemon.
 
-    :param config: the settings in force.
-    :param dispatcher: decides about requests.
+    ``connections`` holds idle connections to upstreams for reuse.
+    ``reporting`` lists the tasks whose state the status page shows.
+
+    :param config: the daemon's settings.
+    :param clock: the source of time.
+    :param histograms: records latencies.
+    :param metrics: receives the metrics.
+    :param dispatcher: admits requests and chooses their runners.
     :param registry: keeps running and ended requests.
     :param ledger: keeps idempotency keys.
-    :param fleet: speaks to the other entry VMs.
+    :param fleet: communicates with the other entry VMs.
     :param background: runs work that no caller waits for.
     :param streams: reads the answers of model runners.
-    :param incarnation: of this process, ms since the Unix epoch.
-
-    ``reporting`` lists the tasks that add to the status page.
+    :param incarnation: start time of this process, in ms since the Unix
+        epoch.
     """
 
     __slots__ = (
@@ -52,8 +57,8 @@
         self,
         config: settings.Settings,
         clock: clocks.Clock,
-        meters: histograms.Histograms,
-        counts: metrics.Metrics,
+        histograms: histograms_.Histograms,
+        metrics: metrics_.Metrics,
         dispatcher: mailbox.Task,
         registry: mailbox.Task,
         ledger: mailbox.Task,
@@ -64,8 +69,8 @@
     ) -> None:
         self.config = config
         self.clock = clock
-        self.histograms = meters
-        self.metrics = counts
+        self.histograms = histograms
+        self.metrics = metrics
         self.dispatcher = dispatcher
         self.registry = registry
         self.ledger = ledger
@@ -83,20 +88,23 @@
         return self._catalogue
 
     def put_in_force(self, catalogue: catalogues.Catalogue) -> None:
-        """Take over a catalogue; a version never goes down.
+        """Replace the catalogue in force unless the new one is older.
 
-        :param catalogue: a checked catalogue.
+        :param catalogue: a validated catalogue.
         """
         if catalogue.version > self._catalogue.version:
             self._catalogue = catalogue
 
     def answer_of(
-        self, future: "futures.Future[typing.Any]", wait_s: float = ANSWER_S
+        self,
+        future: "futures.Future[typing.Any]",
+        wait_s: float = REPLY_TIMEOUT_S,
     ) -> typing.Any:
-        """A task's answer, or a refusal when the task has stopped.
+        """Wait for a task's reply.
 
-        :param future: from :meth:`.mailbox.Task.ask`.
-        :param wait_s: the longest wait.
+        :param future: returned by :meth:`.mailbox.Task.ask`.
+        :param wait_s: the longest time to wait.
+        :raises Refusal: when the task has stopped or does not reply in time.
         """
         try:
             return future.result(wait_s)
--- a/src/apricotlever/daemon/dispatcher.py
+++ b/src/apricotlever/daemon/dispatcher.py
@@ -24,7 +24,7 @@
 from ..runners import quarantine
 from ..runners import routing
 
-from . import admission_refusals as verdicts_
+from . import admission_refusals
 from . import dispatcher_messages
 from . import gossip_messages
 from . import placements
@@ -45,7 +45,7 @@
     :param vm: this VM's name.
     :param data_centre: the data centre of this VM.
     :param metrics: receives the counters.
-    :param announce: sends a rumour to the entry VMs by gossip.
+    :param announce: sends a rumour to the other entry VMs by gossip.
     """
 
     def __init__(
@@ -63,39 +63,39 @@
         self._announce = announce
         self._admission = admission.AdmissionController(clock, rng, vm)
         self._router = routing.Router(clock, rng, vm, data_centre)
-        self._budget = retry_budget.RetryBudget()
-        self._arrivals = demand_meter.DemandMeter(clock, vm)
-        self._pools: dict[str, str] = {}
-        self._pending: dict[str, futures.Future[typing.Any]] = {}
+        self._retry_budget = retry_budget.RetryBudget()
+        self._demand_meter = demand_meter.DemandMeter(clock, vm)
+        self._pool_by_entry: dict[str, str] = {}
+        self._waiting_admissions: dict[str, futures.Future[typing.Any]] = {}
         self._placements = placements.Placements(clock, self._router, vm)
         self._suspects = suspect_requests.SuspectRequests(
             clock, self._router, self._placements, metrics, vm
         )
 
     @mailbox.handles(dispatcher_messages.CatalogueInForce)
-    def _configure(
+    def _apply_catalogue(
         self, message: dispatcher_messages.CatalogueInForce
     ) -> None:
         catalogue = message.catalogue
         self._admission.configure(catalogue)
-        self._budget.retain_entries(frozenset(catalogue.entries))
-        self._pools = {
+        self._retry_budget.retain_entries(frozenset(catalogue.entries))
+        self._pool_by_entry = {
             name: entry.pool for name, entry in catalogue.entries.items()
         }
 
     @mailbox.handles(dispatcher_messages.Admit)
     def _admit(self, message: dispatcher_messages.Admit) -> mailbox.Deferred:
-        self._pending[message.ticket.request_id] = self.defer()
-        self._arrivals.record_arrival(
-            self._pools.get(message.ticket.entry, "")
+        self._waiting_admissions[message.ticket.request_id] = self.defer()
+        self._demand_meter.record_arrival(
+            self._pool_by_entry.get(message.ticket.entry, "")
         )
-        self._resolve(self._admission.offer(message.ticket))
+        self._settle_admissions(self._admission.offer(message.ticket))
         return mailbox.DEFERRED
 
     @mailbox.handles(dispatcher_messages.Withdraw)
     def _withdraw(self, message: dispatcher_messages.Withdraw) -> None:
-        self._pending.pop(message.request_id, None)
-        self._resolve(self._admission.withdraw(message.request_id))
+        self._waiting_admissions.pop(message.request_id, None)
+        self._settle_admissions(self._admission.withdraw(message.request_id))
 
     @mailbox.handles(dispatcher_messages.Dispatch)
     def _dispatch(
@@ -109,12 +109,14 @@
         return route
 
     @mailbox.handles(dispatcher_messages.FirstToken)
-    def _first_token(self, message: dispatcher_messages.FirstToken) -> None:
+    def _record_first_token(
+        self, message: dispatcher_messages.FirstToken
+    ) -> None:
         self._router.first_token(message.request_id)
         self._admission.first_token(message.request_id)
 
     @mailbox.handles(dispatcher_messages.AttemptEnded)
-    def _attempt_ended(
+    def _record_attempt_end(
         self, message: dispatcher_messages.AttemptEnded
     ) -> crashes.CrashObservation | None:
         runner = self._placements.runner_of(message.request_id)
@@ -128,57 +130,57 @@
         return report
 
     @mailbox.handles(dispatcher_messages.RequestEnded)
-    def _request_ended(
+    def _record_request_end(
         self, message: dispatcher_messages.RequestEnded
     ) -> crashes.RequestCompleted | None:
         dispatch = self._placements.dispatch_of(message.request_id)
         self._placements.remove(message.request_id)
-        self._arrivals.record_end(message.request_id)
+        self._demand_meter.record_end(message.request_id)
         self._router.request_finished(
             message.request_id, message.outcome, message.tokens
         )
         verdicts = self._admission.finished(
             message.request_id, message.outcome, message.tokens
         )
-        self._resolve(verdicts)
-        done = message.outcome is runners.Outcome.DONE
-        if dispatch is None or not done:
+        self._settle_admissions(verdicts)
+        succeeded = message.outcome is runners.Outcome.DONE
+        if dispatch is None or not succeeded:
             return None
-        self._budget.record_success(dispatch.query.entry)
+        self._retry_budget.record_success(dispatch.query.entry)
         return self._suspects.survived(dispatch.fingerprint)
 
     @mailbox.handles(dispatcher_messages.StreamBroke)
     def _decide_recovery(
         self, message: dispatcher_messages.StreamBroke
     ) -> recovery.RecoveryDecision:
-        flight = message.flight
-        runner = flight.runner
+        request = message.flight
+        runner = request.runner
         assert runner is not None
         situation = self._placements.situation(
-            flight,
+            request,
             runner,
             message.cause,
-            self._placements.candidates(flight, message.excluded),
+            self._placements.candidates(request, message.excluded),
             message.failures,
             message.same_runner,
         )
         return recovery.decide(situation)
 
     @mailbox.handles(dispatcher_messages.MoveEnded)
-    def _move_ended(self, message: dispatcher_messages.MoveEnded) -> None:
+    def _record_move(self, message: dispatcher_messages.MoveEnded) -> None:
         self._placements.record_export(message.tokens, message.seconds)
 
     @mailbox.handles(dispatcher_messages.MayRetry)
-    def _may_retry(
+    def _decide_retry(
         self, message: dispatcher_messages.MayRetry
     ) -> retry_policy.Retry | retry_policy.NoRetry:
-        takers = frozenset(
+        available = frozenset(
             runner.name
             for runner in self._router.runners
             if runner.pool == message.pool
             and not self._router.is_leaving(runner.name)
         )
-        failure = retry_policy.FailedAttempt(
+        failed_attempt = retry_policy.FailedAttempt(
             message.entry,
             message.may_have_run,
             message.idempotent,
@@ -186,23 +188,21 @@
             message.left_s,
             MIN_RETRY_TIME_S,
             message.tried,
-            takers,
+            available,
         )
         if message.uncharged:
-            # These retries add no load: a crashed runner's load went with it,
-            # and a silent connection never delivered its call. They get a
-            # fresh budget, so that the shared one is not charged.
+            # These retries add no load: a crashed runner no longer computes,
+            # and a silent connection never delivered its call. A new budget
+            # is used for each, so that the shared one is not charged.
             unshared_budget = retry_budget.RetryBudget()
             max_attempts = placements.MAX_ATTEMPTS_AFTER_CRASHES
             return retry_policy.decide_retry(
-                failure, unshared_budget, max_attempts
+                failed_attempt, unshared_budget, max_attempts
             )
-        return retry_policy.decide_retry(failure, self._budget)
+        return retry_policy.decide_retry(failed_attempt, self._retry_budget)
 
     @mailbox.handles(dispatcher_messages.RunnersListed)
-    def _runners_listed(
-        self, message: dispatcher_messages.RunnersListed
-    ) -> None:
+    def _set_runners(self, message: dispatcher_messages.RunnersListed) -> None:
         before = {runner.name for runner in self._router.runners}
         self._router.set_runners(message.runners)
         after = {runner.name for runner in self._router.runners}
@@ -213,7 +213,7 @@
         self._update_pools()
 
     @mailbox.handles(dispatcher_messages.RunnerLeaving)
-    def _runner_leaving(
+    def _mark_runner_leaving(
         self, message: dispatcher_messages.RunnerLeaving
     ) -> bool:
         name = message.runner
@@ -228,7 +228,7 @@
         return True
 
     @mailbox.handles(dispatcher_messages.RunnerGone)
-    def _runner_gone(self, message: dispatcher_messages.RunnerGone) -> None:
+    def _remove_runner(self, message: dispatcher_messages.RunnerGone) -> None:
         if self._router.runner(message.runner) is not None:
             logs.event("runner_gone", runner=message.runner)
         self._router.remove_runner(message.runner)
@@ -236,68 +236,80 @@
         self._update_pools()
 
     @mailbox.handles(dispatcher_messages.RunnerWanted)
-    def _runner_wanted(
+    def _find_runner(
         self, message: dispatcher_messages.RunnerWanted
     ) -> runners.Runner | None:
         return self._router.runner(message.runner)
 
     @mailbox.handles(dispatcher_messages.LoadSeen)
-    def _load_seen(self, message: dispatcher_messages.LoadSeen) -> None:
+    def _record_load(self, message: dispatcher_messages.LoadSeen) -> None:
         self._router.observe_load(message.runner, message.report)
         if message.own:
-            # A load that a peer read may be older than the runner's crash.
+            # Only an own read shows that the runner is healthy. A load that
+            # a peer read may be older than the runner's crash.
             self._router.record_success(message.runner)
 
     @mailbox.handles(dispatcher_messages.CacheSeen)
-    def _cache_seen(self, message: dispatcher_messages.CacheSeen) -> None:
+    def _record_cache_events(
+        self, message: dispatcher_messages.CacheSeen
+    ) -> None:
         self._router.observe_cache(message.runner, message.events)
 
     @mailbox.handles(dispatcher_messages.ProbeFailed)
-    def _probe_failed(self, message: dispatcher_messages.ProbeFailed) -> None:
+    def _record_failed_probe(
+        self, message: dispatcher_messages.ProbeFailed
+    ) -> None:
         self._router.record_failure(message.runner)
 
     @mailbox.handles(dispatcher_messages.Judge)
-    def _judge(
+    def _decide_trial(
         self, message: dispatcher_messages.Judge
     ) -> quarantine.TrialDecision:
         return self._suspects.judge(message.question)
 
     @mailbox.handles(dispatcher_messages.TrialOver)
-    def _trial_over(self, message: dispatcher_messages.TrialOver) -> None:
+    def _end_trial(self, message: dispatcher_messages.TrialOver) -> None:
         self._suspects.trial_over(message.report)
 
     @mailbox.handles(dispatcher_messages.CrashHeard)
-    def _crash_heard(self, message: dispatcher_messages.CrashHeard) -> None:
+    def _record_reported_crash(
+        self, message: dispatcher_messages.CrashHeard
+    ) -> None:
         self._suspects.heard(message.report)
 
     @mailbox.handles(dispatcher_messages.DeathSeen)
-    def _death_seen(
+    def _record_crash(
         self, message: dispatcher_messages.DeathSeen
     ) -> crashes.CrashObservation | None:
-        """Report a runner's crash even if no request of this VM ran there.
+        """Record a runner's crash even if no request of this VM ran there.
 
         Crashes of idle runners show that a data centre is failing, and that
-        the requests on its other runners did not cause their crashes.
+        the requests at its other runners did not cause their crashes.
+
+        :returns: the report to send to the other entry VMs; None when the
+            crash was reported already.
         """
         runner = self._router.runner(message.runner)
         return self._suspects.crashed(runner) if runner else None
 
     @mailbox.handles(dispatcher_messages.CrashesKnown)
-    def _crashes_known(
+    def _known_crashes(
         self, message: dispatcher_messages.CrashesKnown
     ) -> list[crashes.CrashObservation]:
         return self._suspects.reports()
 
     @mailbox.handles(dispatcher_messages.MemberLeft)
-    def _member_left(self, message: dispatcher_messages.MemberLeft) -> None:
+    def _remove_member(self, message: dispatcher_messages.MemberLeft) -> None:
         self._admission.shares.remove_member(message.vm)
 
     @mailbox.handles(dispatcher_messages.MembersSeen)
-    def _members_seen(self, message: dispatcher_messages.MembersSeen) -> None:
+    def _set_members(self, message: dispatcher_messages.MembersSeen) -> None:
         self._admission.set_members(message.vms | {self._vm})
 
     @mailbox.handles(dispatcher_messages.DemandHeard)
-    def _demand_heard(self, message: dispatcher_messages.DemandHeard) -> None:
+    def _record_reported_demand(
+        self, message: dispatcher_messages.DemandHeard
+    ) -> None:
         self._admission.shares.receive(message.report, message.age_s)
 
     @mailbox.handles(dispatcher_messages.StatusWanted)
@@ -306,45 +318,45 @@
     ) -> dict[str, object]:
         return {
             "in_flight": len(self._placements),
-            "queued": len(self._pending),
+            "queued": len(self._waiting_admissions),
             "runners": [self._runner_row(r) for r in self._router.runners],
             "quarantine": {"deaths": self._suspects.deaths},
             "cost": self._cost_rows(),
         }
 
     def tick(self) -> None:
-        """Apply timeouts, evacuate leaving runners and announce demand."""
-        self._resolve(self._admission.tick())
+        """Apply timeouts, evacuate leaving runners and report demand."""
+        self._settle_admissions(self._admission.tick())
         self._placements.evacuate()
         self._suspects.tick()
-        report = self._admission.take_report()
-        if report is not None:
-            self._announce(gossip_messages.of_demand(report))
-        arrived = self._arrivals.take_report()
-        if arrived is not None:
-            self._announce(gossip_messages.of_arrivals(arrived))
+        limit_report = self._admission.take_report()
+        if limit_report is not None:
+            self._announce(gossip_messages.of_demand(limit_report))
+        demand_report = self._demand_meter.take_report()
+        if demand_report is not None:
+            self._announce(gossip_messages.of_arrivals(demand_report))
 
     def stopped(self) -> None:
         """Refuse the requests that still wait for admission."""
-        for request_id in list(self._pending):
+        for request_id in list(self._waiting_admissions):
             refused = admission.Refused(
                 request_id, admission.RefusalReason.OVERLOAD, 1.0
             )
-            self._resolve([refused])
+            self._settle_admissions([refused])
 
     def failed(self, error: Exception) -> None:
         """Log an exception that a handler did not catch."""
         logs.event("task_failed", task=self.name, error=repr(error))
 
-    def _resolve(self, verdicts: list[admission.Verdict]) -> None:
+    def _settle_admissions(self, verdicts: list[admission.Verdict]) -> None:
         for verdict in verdicts:
-            future = self._pending.pop(verdict.request_id, None)
+            future = self._waiting_admissions.pop(verdict.request_id, None)
             if future is None:
                 continue
             if isinstance(verdict, admission.Admitted):
                 future.set_result(None)
             else:
-                future.set_exception(verdicts_.refusal_of(verdict))
+                future.set_exception(admission_refusals.refusal_of(verdict))
 
     def _choose_route(
         self, message: dispatcher_messages.Dispatch
@@ -373,21 +385,21 @@
         self, message: dispatcher_messages.Dispatch, runner: runners.Runner
     ) -> None:
         self._placements.place(message, runner)
-        self._arrivals.record_start(message.request_id, runner.pool)
+        self._demand_meter.record_start(message.request_id, runner.pool)
         self._router.request_started(
             message.request_id, runner.name, message.query
         )
 
     def _update_pools(self) -> None:
-        """Pass each pool's slots and price per slot to admission."""
+        """Tell admission the slots of each pool and the price per slot."""
         by_pool: dict[str, list[runners.Runner]] = {}
         for runner in self._router.runners:
             by_pool.setdefault(runner.pool, [])
             if not self._router.is_leaving(runner.name):
                 by_pool[runner.pool].append(runner)
-        for pool, members in by_pool.items():
-            slots = sum(runner.slots for runner in members)
-            price = sum(runner.price_per_hour for runner in members)
+        for pool, available in by_pool.items():
+            slots = sum(runner.slots for runner in available)
+            price = sum(runner.price_per_hour for runner in available)
             self._admission.set_pool(pool, slots, price / max(1, slots))
         self._suspects.resize()
 
--- a/src/apricotlever/daemon/dispatcher_messages.py
+++ b/src/apricotlever/daemon/dispatcher_messages.py
@@ -1,4 +1,7 @@
-"""Messages between the daemon's tasks."""
+"""Messages that the dispatcher receives.
+
+Other tasks receive some of them too.
+"""
 
 from ..catalogue import model as catalogues
 from ..contracts import admission
@@ -12,7 +15,7 @@
 
 
 class CatalogueInForce:
-    """A catalogue came into force at this VM."""
+    """A catalogue has come into force at this VM."""
 
     __slots__ = ("catalogue",)
 
@@ -21,7 +24,10 @@
 
 
 class Admit:
-    """Ask for admission; answered with None or a Refusal."""
+    """Ask for admission of a request.
+
+    The reply is None, or a Refusal is raised.
+    """
 
     __slots__ = ("ticket",)
 
@@ -30,7 +36,7 @@
 
 
 class Withdraw:
-    """The caller left before its request was admitted."""
+    """Withdraw a request whose caller disconnected before its admission."""
 
     __slots__ = ("request_id",)
 
@@ -39,17 +45,21 @@
 
 
 class Dispatch:
-    """Ask for a runner, and count the request as sent there.
-
-    Answered with a Route, or a TrialWanted when the request is suspected of
-    crashing runners; raises Refusal.
-
-    :param fingerprint: names the request across the fleet.
-    :param attempt: counts from 1.
-    :param flight: told what to do when the runner gets a notice; None for
-        a plain service's call, which is left to end by itself.
-    :param only: a runner that is wanted whatever its score, or empty.
-    :param on_trial: whether a judge has sent the request to that runner.
+    """Choose a runner and record that the request is sent to it.
+
+    The reply is a Route, or a TrialWanted when the request is suspected of
+    crashing runners. A Refusal is raised when no runner can take it.
+
+    :param request_id: the request's ID.
+    :param query: describes the request to the router.
+    :param fingerprint: identifies repetitions of the request in the fleet.
+    :param attempt: number of the attempt, from 1.
+    :param request: told how to continue when the runner gets a reclaim
+        notice; None for a call of a plain service, which stays at its runner.
+    :param only: name of the runner to use regardless of its score; empty to
+        let the router choose.
+    :param on_trial: whether the judge of the pool has granted a trial of the
+        request at that runner.
     """
 
     __slots__ = (
@@ -68,7 +78,7 @@
         query: runners.Query,
         fingerprint: str,
         attempt: int,
-        flight: model_request.ModelRequest | None = None,
+        request: model_request.ModelRequest | None = None,
         only: str = "",
         on_trial: bool = False,
     ) -> None:
@@ -76,16 +86,16 @@
         self.query = query
         self.fingerprint = fingerprint
         self.attempt = attempt
-        self.flight = flight
+        self.flight = request
         self.only = only
         self.on_trial = on_trial
 
 
 class TrialWanted:
-    """A suspect may run only where the judge of its pool says.
+    """The request may only run as a trial, which the judge must grant.
 
-    :param pool: the judge is picked by its name.
-    :param question: what to ask the judge.
+    :param pool: name of the pool, which determines the VM that is its judge.
+    :param question: the request for a trial, to be sent to the judge.
     """
 
     __slots__ = ("pool", "question")
@@ -96,7 +106,7 @@
 
 
 class Judge:
-    """Asks this VM, as the judge of a pool, about a suspect."""
+    """Ask this VM, as the judge of a pool, to grant a trial."""
 
     __slots__ = ("question",)
 
@@ -105,7 +115,7 @@
 
 
 class TrialOver:
-    """Tells this VM, as the judge of a pool, that a trial has ended."""
+    """Tell this VM, as the judge of a pool, that a trial has ended."""
 
     __slots__ = ("report",)
 
@@ -114,7 +124,7 @@
 
 
 class CrashHeard:
-    """A peer reports a runner's death, or a suspect's survival."""
+    """A peer reports a runner's crash, or the completion of a suspect."""
 
     __slots__ = ("report",)
 
@@ -123,15 +133,21 @@
 
 
 class MayRetry:
-    """Ask whether an attempt that failed may be followed by another.
+    """Ask whether a failed attempt may be retried.
 
-    Answered with :class:`.retry_policy.Retry` or
+    The reply is a :class:`.retry_policy.Retry` or a
     :class:`.retry_policy.NoRetry`.
 
-    :param pool: where the request may run.
-    :param uncharged: the runner ended, or its kept connections all fell
-        silent; then the failure is not an overload's doing, and the retry
-        takes nothing out of the budget.
+    :param entry: name of the catalogue entry.
+    :param pool: name of the pool that may run the request.
+    :param may_have_run: whether the failed attempt may have been executed.
+    :param idempotent: whether the request may be executed more than once.
+    :param attempts: how many attempts have failed.
+    :param left_s: seconds to the deadline.
+    :param tried: names of runners that failed the request.
+    :param uncharged: whether the retry takes nothing from the retry budget,
+        because overload is not the cause of the failure: the runner has
+        ended, or all idle connections to it fell silent.
     """
 
     __slots__ = (
@@ -167,9 +183,10 @@
 
 
 class DeathSeen:
-    """A runner refuses connections; answered with a report to spread.
+    """A runner refuses connections, so its process has ended.
 
-    The answer is None when it is known already.
+    The reply is the crash report to send to the other entry VMs; None when
+    the crash was reported already.
     """
 
     __slots__ = ("runner",)
@@ -179,13 +196,13 @@
 
 
 class CrashesKnown:
-    """Ask for all deaths on record, for a VM that has just started."""
+    """Ask for all known crashes, to report them to a VM that has joined."""
 
     __slots__ = ()
 
 
 class MemberLeft:
-    """A process of an entry VM is gone for certain."""
+    """A process of an entry VM has certainly ended."""
 
     __slots__ = ("vm",)
 
@@ -194,7 +211,10 @@
 
 
 class MembersSeen:
-    """The entry VMs that share the fleet's limits, by name."""
+    """The members of the fleet have changed.
+
+    :param vms: names of the entry VMs that share the fleet's limits.
+    """
 
     __slots__ = ("vms",)
 
@@ -203,9 +223,10 @@
 
 
 class DemandHeard:
-    """A peer's demand on the fleet's limits.
+    """A peer reports its demand on the fleet's limits.
 
-    :param age_s: since it was reported.
+    :param report: the demand.
+    :param age_s: seconds since the peer made the report.
     """
 
     __slots__ = ("report", "age_s")
@@ -218,7 +239,7 @@
 
 
 class FirstToken:
-    """The answer to a request has begun."""
+    """The first token of an answer has arrived."""
 
     __slots__ = ("request_id",)
 
@@ -227,10 +248,14 @@
 
 
 class AttemptEnded:
-    """An attempt is over.
+    """An attempt has ended.
 
+    The reply is the crash report to send to the other entry VMs, or None.
+
+    :param request_id: the request's ID.
+    :param outcome: how the attempt ended.
     :param crashed: whether the runner's process seems to have ended.
-    :param tokens: of the answer, 0 when not known.
+    :param tokens: length of the answer; 0 when unknown.
     """
 
     __slots__ = ("request_id", "outcome", "crashed", "tokens")
@@ -249,25 +274,29 @@
 
 
 class StreamBroke:
-    """Ask what becomes of a stream; answered with a recovery.Decision.
+    """Ask how to recover a stream.
+
+    The reply is a ``recovery.RecoveryDecision``.
 
+    :param request: the request that the stream answers.
     :param cause: why the stream needs a decision.
-    :param failures: attempts that broke so far.
-    :param same_runner: times it was resumed at the same runner in a row.
-    :param excluded: runners that it must not go to.
+    :param failures: how many attempts have failed.
+    :param same_runner: how often in a row the stream was resumed at its
+        runner without a new token.
+    :param excluded: names of runners that the stream must not move to.
     """
 
     __slots__ = ("flight", "cause", "failures", "same_runner", "excluded")
 
     def __init__(
         self,
-        flight: model_request.ModelRequest,
+        request: model_request.ModelRequest,
         cause: recovery.RecoveryCause,
         failures: int,
         same_runner: int,
         excluded: frozenset[str],
     ) -> None:
-        self.flight = flight
+        self.flight = request
         self.cause = cause
         self.failures = failures
         self.same_runner = same_runner
@@ -275,10 +304,10 @@
 
 
 class MoveEnded:
-    """An export and import is over.
+    """The export and import of a stream's state has ended.
 
-    :param tokens: that were moved.
-    :param seconds: that it took, or None when it failed.
+    :param tokens: length of the prompt and the answer so far.
+    :param seconds: duration of the move; None when it failed.
     """
 
     __slots__ = ("tokens", "seconds")
@@ -289,9 +318,16 @@
 
 
 class RequestEnded:
-    """A request has its outcome and gives its place back.
+    """A request has ended and no longer occupies a slot.
+
+    The reply is a report for the other entry VMs that the request has
+    completed; None when there is nothing to report.
 
-    :param first_token_s: time to the first token, or None.
+    :param request_id: the request's ID.
+    :param outcome: how the request ended.
+    :param first_token_s: seconds to the first token, or to the whole answer
+        of a service call; None when no token came.
+    :param tokens: length of the prompt and the answer; 1 for a service call.
     """
 
     __slots__ = ("request_id", "outcome", "first_token_s", "tokens")
@@ -310,7 +346,7 @@
 
 
 class RunnersListed:
-    """The platform's list of runners, which lags."""
+    """The platform's list of runners, which may be out of date."""
 
     __slots__ = ("runners",)
 
@@ -321,7 +357,10 @@
 class RunnerLeaving:
     """A runner has a reclaim notice.
 
-    :param left_s: seconds until it is taken.
+    The dispatcher replies whether the notice is new to it.
+
+    :param runner: name of the runner.
+    :param left_s: seconds until the runner is reclaimed.
     """
 
     __slots__ = ("runner", "left_s")
@@ -341,7 +380,10 @@
 
 
 class RunnerWanted:
-    """Ask for a runner by its name; answered with it or None."""
+    """Look a runner up by its name.
+
+    The reply is the runner; None when it is unknown.
+    """
 
     __slots__ = ("runner",)
 
@@ -350,9 +392,11 @@
 
 
 class LoadSeen:
-    """A runner's load, read here or told by a peer.
+    """A runner's load, read by this VM or reported by a peer.
 
-    :param own: whether this VM read it.
+    :param runner: name of the runner.
+    :param report: the load.
+    :param own: whether this VM read the load itself.
     """
 
     __slots__ = ("runner", "report", "own")
@@ -366,7 +410,7 @@
 
 
 class CacheSeen:
-    """A runner's cache events, read here or told by a peer."""
+    """A runner's cache events, read by this VM or reported by a peer."""
 
     __slots__ = ("runner", "events")
 
@@ -376,7 +420,7 @@
 
 
 class ProbeFailed:
-    """A runner did not answer when its load was read."""
+    """A runner did not answer a read of its load."""
 
     __slots__ = ("runner",)
 
--- a/src/apricotlever/daemon/main.py
+++ b/src/apricotlever/daemon/main.py
@@ -1,4 +1,4 @@
-"""The command ``apricotleverd``: checks its settings, then serves."""
+"""The command ``apricotleverd``, which runs the daemon of an entry VM."""
 
 import argparse
 import os
@@ -14,23 +14,23 @@
 from . import node
 
 EXIT_INVALID = 3
-#: Python's threads take turns this often; with hundreds of streams a longer
-#: turn shows as jitter between tokens.
+#: Interval at which CPython switches between threads. With hundreds of streams
+#: a longer one causes jitter between tokens.
 SWITCH_INTERVAL_S = 0.001
 
 
-def _parser() -> argparse.ArgumentParser:
+def _create_parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(
         prog="apricotleverd",
-        description="Serves callers on one entry VM.",
+        description="Serves the callers of one entry VM.",
     )
     parser.add_argument(
-        "--settings", required=True, help="the JSON file of settings"
+        "--settings", required=True, help="path of the JSON settings file"
     )
     parser.add_argument(
         "--check",
         action="store_true",
-        help="only check the settings; exit 0 when they are valid, else 3",
+        help="only check the settings; exit with 0 if they are valid, else 3",
     )
     return parser
 
@@ -38,11 +38,11 @@
 def main(arguments: typing.Sequence[str] | None = None) -> int:
     """Run the daemon.
 
-    :param arguments: the command line; that of the process when None.
+    :param arguments: the command line; None for that of the process.
     :returns: 0 after a graceful shutdown, 1 when a request was cut off or
-        a port is taken, 3 when the settings are invalid.
+        a port is in use, 3 when the settings are invalid.
     """
-    options = _parser().parse_args(arguments)
+    options = _create_parser().parse_args(arguments)
     try:
         config = settings.load(options.settings)
     except settings.SettingsInvalid as error:
@@ -58,16 +58,17 @@
     except OSError as error:
         print(f"can't listen: {error}", file=sys.stderr)
         return errors.EXIT_FAILURE
-    for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: daemon.ask_to_stop())
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(signal_number, lambda *_: daemon.ask_to_stop())
     return daemon.run()
 
 
 def run() -> typing.NoReturn:
     """Run the daemon as a program.
 
-    Threads that wait in a long poll of the platform can't be woken, and
-    the interpreter would wait for them after everything else has ended.
+    The process ends by ``os._exit``, because the interpreter would wait for
+    threads that are blocked in a long poll of the platform, which can't be
+    interrupted.
     """
     code = main()
     sys.stdout.flush()
--- a/src/apricotlever/daemon/model_attempts.py
+++ b/src/apricotlever/daemon/model_attempts.py
@@ -1,4 +1,4 @@
-"""Makes the attempts at a model answer that a Pump reads."""
+"""Makes the attempts at a model answer that an AnswerReader reads."""
 
 import time
 
@@ -15,7 +15,8 @@
 from . import model_request
 from . import runner_selection
 
-#: A runner has this many times its class's target for the first token.
+#: Timeout for the first byte of a response, as a multiple of the target for
+#: the first token of the service class.
 FIRST_BYTE_TIMEOUT_FACTOR = 5
 MIN_FIRST_BYTE_TIMEOUT_S = 3.0
 TRANSFER_TIMEOUT_S = 5.0
@@ -28,14 +29,14 @@
     """Makes and reports the attempts of one model request.
 
     :param context: the daemon's tasks.
-    :param flight: the request.
+    :param request: the model request.
     """
 
     __slots__ = (
         "_context",
-        "_flight",
+        "_request",
         "_exchange",
-        "_broken_runner",
+        "_disconnected_runner",
         "_on_trial",
         "_sent",
         "_silent_runner",
@@ -43,17 +44,17 @@
     )
 
     def __init__(
-        self, context: contexts.Context, flight: model_request.ModelRequest
+        self, context: contexts.Context, request: model_request.ModelRequest
     ) -> None:
         self._context = context
-        self._flight = flight
+        self._request = request
         self._exchange: upstream_exchange.Exchange | None = None
-        self._broken_runner = ""
+        self._disconnected_runner = ""
         self._on_trial = False
         self._sent = False
         self._silent_runner: runners.Runner | None = None
         self._selector = runner_selection.RunnerSelector(
-            context, flight.deadline, self._refusal
+            context, request.deadline, self._refusal
         )
 
     def open(
@@ -76,7 +77,7 @@
         if isinstance(decision, recovery.Replay):
             logs.event(
                 "stream_replayed",
-                request=self._flight.request_id,
+                request=self._request.request_id,
                 runner=decision.runner,
                 tokens=len(decision.resume_tokens),
             )
@@ -89,7 +90,7 @@
     ) -> recovery.RecoveryDecision:
         """Ask the dispatcher how to recover, waiting while no runner is free.
 
-        :param situation: the situation of the stream.
+        :param situation: describes the stream and its failure.
         :returns: any decision other than Wait and GiveUp.
         :raises Refusal: when the request is given up.
         """
@@ -117,22 +118,20 @@
         :param error: how the attempt failed.
         :param tried: names of runners that failed the request.
         :param attempts: how many attempts have failed.
-        :returns: the permission, which lists runners to avoid.
+        :returns: the permission, which lists the runners to avoid.
         :raises Refusal: when no retry is allowed.
         """
-        flight = self._flight
-        question = dispatcher_messages.MayRetry(
-            flight.entry.name,
-            flight.entry.pool,
+        request = self._request
+        query = dispatcher_messages.MayRetry(
+            request.entry.name,
+            request.entry.pool,
             error.sent,
             True,
             attempts,
-            flight.left_s,
+            request.left_s,
             tried,
         )
-        return attempt_reports.ask_retry(
-            self._context, question, self._refusal
-        )
+        return attempt_reports.ask_retry(self._context, query, self._refusal)
 
     def retry_without_runner(
         self,
@@ -145,47 +144,50 @@
         :raises Refusal: when no retry is allowed.
         """
         self.check_retry_allowed(error, tried, attempts)
-        return recovery.Replay("", self._flight.transcript.tokens())
+        return recovery.Replay("", self._request.transcript.tokens())
 
     def report_failure(self, error: upstream_exchange.UpstreamError) -> bool:
         """Report a failed attempt.
 
-        A broken connection followed by a runner that refuses connections, or
-        no longer knows the stream, shows that the runner's process has ended.
-        The other entry VMs are told before the request runs again anywhere.
+        When a connection breaks, and the runner then refuses connections or
+        no longer knows the stream, the runner's process has ended. This crash
+        is reported to the other entry VMs before the request is retried, so
+        that a request that crashes its runners is recognised.
 
         :param error: how the attempt failed.
         :returns: whether the runner refuses connections or has lost the
             stream.
         """
-        flight = self._flight
-        runner = flight.runner.name if flight.runner else ""
+        request = self._request
+        runner = request.runner.name if request.runner else ""
         refused = isinstance(error, upstream_exchange.ConnectFailed)
-        unknown = (
+        stream_lost = (
             isinstance(error, upstream_exchange.UpstreamErrorResponse)
             and error.status == _NOT_FOUND
         )
-        runner_ended = refused or unknown
+        runner_ended = refused or stream_lost
         crashed = (
-            runner_ended and runner != "" and self._broken_runner == runner
+            runner_ended
+            and runner != ""
+            and self._disconnected_runner == runner
         )
         connection_broken = isinstance(
             error, upstream_exchange.ConnectionBroken
         )
-        self._broken_runner = runner if connection_broken else ""
+        self._disconnected_runner = runner if connection_broken else ""
         if isinstance(error, upstream_exchange.UpstreamErrorResponse):
-            self._raise_for_client_error(error)
-        silent = isinstance(error, upstream_exchange.UpstreamTimeout)
-        if silent:
-            self._silent_runner = flight.runner
-        if connection_broken or silent:
-            # The runner may be healthy and its stream still running. The
-            # next attempt reconnects to it, so that no token is recomputed.
+            self._refuse_client_error(error)
+        timed_out = isinstance(error, upstream_exchange.UpstreamTimeout)
+        if timed_out:
+            self._silent_runner = request.runner
+        if connection_broken or timed_out:
+            # The runner may be healthy and still compute the stream. The next
+            # attempt reconnects to it, so that no token is recomputed.
             return False
         report = self._context.answer_of(
             self._context.dispatcher.ask(
                 dispatcher_messages.AttemptEnded(
-                    flight.request_id, runners.Outcome.FAILED, crashed
+                    request.request_id, runners.Outcome.FAILED, crashed
                 )
             )
         )
@@ -203,28 +205,28 @@
         :param first_token_s: seconds to the first token; None when no token
             came.
         """
-        flight = self._flight
+        request = self._request
         if self._exchange is not None:
             self._exchange.abandon()
-        ended = dispatcher_messages.RequestEnded(
-            flight.request_id,
+        message = dispatcher_messages.RequestEnded(
+            request.request_id,
             outcome,
             first_token_s,
-            flight.request.prompt_tokens + flight.resume_from,
+            request.request.prompt_tokens + request.resume_from,
         )
-        future = self._context.dispatcher.ask(ended)
-        if flight.attempt > 1 or self._on_trial:
+        future = self._context.dispatcher.ask(message)
+        if request.attempt > 1 or self._on_trial:
             report = self._context.answer_of(future)
             attempt_reports.send_report(self._context, report, False)
         if self._on_trial:
             attempt_reports.end_trial(
                 self._context,
-                flight.entry.pool,
-                flight.fingerprint,
-                flight.request_id,
+                request.entry.pool,
+                request.fingerprint,
+                request.request_id,
             )
 
-    def _raise_for_client_error(
+    def _refuse_client_error(
         self, error: upstream_exchange.UpstreamErrorResponse
     ) -> None:
         if error.status in _CLIENT_ERRORS:
@@ -237,61 +239,61 @@
     def _start_request(
         self, target: str, tried: frozenset[str]
     ) -> upstream_exchange.Exchange:
-        flight = self._flight
-        flight.attempt += 1
+        request = self._request
+        request.attempt += 1
         silent = self._release_silent_runner()
         runner = self._select_runner(target, tried)
         if silent is not None and silent.name != runner.name:
             self._context.background.submit(
-                cancel_stream, silent.address, flight.request_id
+                cancel_stream, silent.address, request.request_id
             )
-        tokens = flight.transcript.tokens()
-        body = flight.request.body_for(flight.entry.model, tokens)
+        tokens = request.transcript.tokens()
+        body = request.request.body_for(request.entry.model, tokens)
         exchange = self._connect(runner)
         self._sent = True
-        exchange.send("POST", flight.request.path, self._headers(), body)
+        exchange.send("POST", request.request.path, self._headers(), body)
         return self._check_response(exchange)
 
     def _reconnect(self) -> upstream_exchange.Exchange:
-        flight = self._flight
-        runner = flight.runner
+        request = self._request
+        runner = request.runner
         assert runner is not None
-        flight.attempt += 1
+        request.attempt += 1
         return self._read_stream(runner)
 
     def _move_to(self, target: str) -> upstream_exchange.Exchange:
-        flight = self._flight
-        old = flight.runner
-        assert old is not None
+        request = self._request
+        previous = request.runner
+        assert previous is not None
         self._abandon_exchange()
-        began = self._context.clock.now()
-        tokens = flight.request.prompt_tokens + flight.resume_from
-        desk = self._context.dispatcher
+        started_at = self._context.clock.now()
+        tokens = request.request.prompt_tokens + request.resume_from
+        dispatcher = self._context.dispatcher
         try:
             state = upstream_exchange.call_json(
-                old.address,
+                previous.address,
                 "POST",
-                f"/v1/streams/{flight.request_id}/export",
+                f"/v1/streams/{request.request_id}/export",
                 {},
                 TRANSFER_TIMEOUT_S,
             )
-            flight.attempt += 1
+            request.attempt += 1
             runner = self._select_runner(target, frozenset())
             upstream_exchange.call_json(
                 runner.address, "POST", "/v1/import", state, TRANSFER_TIMEOUT_S
             )
         except upstream_exchange.UpstreamError:
-            desk.tell(dispatcher_messages.MoveEnded(tokens, None))
+            dispatcher.tell(dispatcher_messages.MoveEnded(tokens, None))
             raise
-        seconds = self._context.clock.now() - began
-        desk.tell(dispatcher_messages.MoveEnded(tokens, seconds))
+        seconds = self._context.clock.now() - started_at
+        dispatcher.tell(dispatcher_messages.MoveEnded(tokens, seconds))
         self._context.metrics.count("streams.moved")
         logs.event(
             "stream_moved",
-            request=flight.request_id,
+            request=request.request_id,
             runner=runner.name,
-            before=old.name,
-            tokens=flight.resume_from,
+            before=previous.name,
+            tokens=request.resume_from,
             seconds=seconds,
         )
         return self._read_stream(runner)
@@ -303,73 +305,83 @@
 
         :param runner: the runner that has the stream.
         """
-        flight = self._flight
+        request = self._request
         exchange = self._connect(runner)
-        path = f"/v1/streams/{flight.request_id}?from={flight.resume_from}"
+        path = f"/v1/streams/{request.request_id}?from={request.resume_from}"
         exchange.send("GET", path, self._headers())
         return self._check_response(exchange)
 
     def _connect(self, runner: runners.Runner) -> upstream_exchange.Exchange:
         self._abandon_exchange()
-        first_token_s = self._flight.service_class.first_token_s
+        first_token_s = self._request.service_class.first_token_s
         timeout_s = max(
             MIN_FIRST_BYTE_TIMEOUT_S, FIRST_BYTE_TIMEOUT_FACTOR * first_token_s
         )
         exchange = upstream_exchange.Exchange(
             runner.address,
-            min(timeout_s, max(0.1, self._flight.left_s)),
+            min(timeout_s, max(0.1, self._request.left_s)),
             stream=True,
         )
         self._exchange = exchange
-        self._flight.uses(runner, exchange.interrupt)
+        self._request.uses(runner, exchange.interrupt)
         exchange.open()
         return exchange
 
     def _check_response(
         self, exchange: upstream_exchange.Exchange
     ) -> upstream_exchange.Exchange:
-        flight = self._flight
+        request = self._request
         if exchange.status != 200:
             status = exchange.status
             body = exchange.read_body()[:256]
             exchange.abandon()
             raise upstream_exchange.UpstreamErrorResponse(status, body)
-        exchange.verify_echo(flight.request_id, flight.attempt)
+        exchange.verify_echo(request.request_id, request.attempt)
         return exchange
 
     def _headers(self) -> dict[str, str]:
-        flight = self._flight
+        request = self._request
         return {
             "Content-Type": "application/json",
-            "Host": self._flight.runner.address if self._flight.runner else "",
+            "Host": (
+                self._request.runner.address if self._request.runner else ""
+            ),
             "Connection": "close",
-            upstream_exchange.REQUEST_HEADER: flight.request_id,
-            upstream_exchange.ATTEMPT_HEADER: str(flight.attempt),
-            PRIORITY_HEADER: str(flight.service_class.priority),
+            upstream_exchange.REQUEST_HEADER: request.request_id,
+            upstream_exchange.ATTEMPT_HEADER: str(request.attempt),
+            PRIORITY_HEADER: str(request.service_class.priority),
         }
 
     def _select_runner(
         self, target: str, tried: frozenset[str]
     ) -> runners.Runner:
-        """Choose a runner for the next attempt, if need be as a trial."""
-        flight = self._flight
+        """Choose a runner for the next attempt.
+
+        The attempt is a trial when the request is suspected of crashing
+        runners and the judge of its pool grants one.
+
+        :param target: name of the runner to use; empty to let the router
+            choose.
+        :param tried: names of runners that must not be chosen.
+        """
+        request = self._request
 
         def dispatch(
             only: str, on_trial: bool
         ) -> dispatcher_messages.Dispatch:
             return dispatcher_messages.Dispatch(
-                flight.request_id,
-                flight.query(tried),
-                flight.fingerprint,
-                flight.attempt,
-                flight,
+                request.request_id,
+                request.query(tried),
+                request.fingerprint,
+                request.attempt,
+                request,
                 only,
                 on_trial,
             )
 
         selection = self._selector.select(dispatch, target)
         self._on_trial = selection.on_trial
-        flight.runner = selection.route.runner
+        request.runner = selection.route.runner
         return selection.route.runner
 
     def _refusal(
@@ -379,10 +391,10 @@
         retry_after_s: float | None,
     ) -> refusals.Refusal:
         executed = refusals.Executed.NO
-        if self._sent or self._flight.resume_from:
+        if self._sent or self._request.resume_from:
             executed = refusals.Executed.UNKNOWN
         return refusals.Refusal(
-            kind, message, executed, retry_after_s, self._flight.request_id
+            kind, message, executed, retry_after_s, self._request.request_id
         )
 
     def _release_silent_runner(self) -> runners.Runner | None:
@@ -393,10 +405,10 @@
         """
         silent, self._silent_runner = self._silent_runner, None
         if silent is not None:
-            ended = dispatcher_messages.AttemptEnded(
-                self._flight.request_id, runners.Outcome.FAILED, False
+            message = dispatcher_messages.AttemptEnded(
+                self._request.request_id, runners.Outcome.FAILED, False
             )
-            self._context.dispatcher.tell(ended)
+            self._context.dispatcher.tell(message)
         return silent
 
     def _abandon_exchange(self) -> None:
@@ -408,7 +420,7 @@
 def cancel_stream(address: str, request_id: str) -> None:
     """Cancel a stream at a runner.
 
-    A failed call is logged and ignored, because runners end streams that no
+    A failed call is only logged, because runners end streams that no
     client reads.
 
     :param address: ``host:port`` of the runner.
--- a/src/apricotlever/daemon/model_request.py
+++ b/src/apricotlever/daemon/model_request.py
@@ -1,4 +1,4 @@
-"""One model request on its way, and where its answer comes from."""
+"""The state of a model request that is being executed."""
 
 import threading
 import typing
@@ -14,20 +14,25 @@
 
 
 class ModelRequest:
-    """What the tasks need to know about one model request.
+    """A model request, with the state of its attempts and of its answer.
 
-    The thread that reads the runner owns it. Other threads only call
-    :meth:`notice` and :meth:`move`, which wake the owner.
+    The thread that reads the answer owns the object. Other threads may only
+    call :meth:`decide`, :meth:`move` and :meth:`cancel`, which interrupt the
+    owner's blocked read.
 
-    :param request_id: unguessable, minted by the entry VM it came to.
+    :param clock: the source of time.
+    :param request_id: an ID that can't be guessed, created by the entry VM
+        that received the request.
     :param customer: name of the customer.
-    :param entry: the catalogue entry it is for.
+    :param entry: the catalogue entry that the request names.
     :param service_class: the class of the entry.
-    :param request: the caller's request.
-    :param body: the caller's body, as it came; empty when only the stream
-        is known, after the entry VM that had the request died.
-    :param fingerprint: names the request across the fleet.
-    :param deadline: when the answer is worthless, on this VM's clock.
+    :param request: the caller's request, parsed.
+    :param body: the caller's request body, as received; empty when only the
+        stream is known because the entry VM that held the request has ended.
+    :param fingerprint: identifies repetitions of the request in the fleet.
+    :param deadline: the time on this VM's clock after which the caller no
+        longer needs the answer.
+    :param transcript: the answer so far; None for a new request.
     """
 
     __slots__ = (
@@ -97,12 +102,12 @@
 
     @property
     def cancelled(self) -> bool:
-        """Whether nobody wants the answer any more."""
+        """Whether the request was cancelled because no caller reads it."""
         return self._cancelled
 
     @property
     def can_replay(self) -> bool:
-        """Whether the request is known here, not just its stream."""
+        """Whether this VM holds the request body needed to start again."""
         return bool(self.body)
 
     @property
@@ -111,9 +116,9 @@
         return len(self.transcript)
 
     def query(self, excluded: frozenset[str]) -> runners.Query:
-        """What the router needs to pick a runner.
+        """The query by which the router chooses a runner.
 
-        :param excluded: runners that must not be picked.
+        :param excluded: names of runners that must not be chosen.
         """
         request = self.request
         return runners.Query(
@@ -133,10 +138,13 @@
         runner: runners.Runner,
         interrupt: typing.Callable[[], None],
     ) -> None:
-        """Say which runner is read now, and how to wake the reader.
+        """Record the runner that the owner reads from.
+
+        A decision about a previous runner is dropped. The read is interrupted
+        at once when the request was moved, cancelled or decided about before.
 
         :param runner: the runner.
-        :param interrupt: ends the reader's blocked read.
+        :param interrupt: ends a blocked read from the runner.
         """
         with self._lock:
             if self.runner is None or self.runner.name != runner.name:
@@ -147,42 +155,44 @@
                 interrupt()
 
     def decide(self, runner: str, decision: recovery.RecoveryDecision) -> bool:
-        """The runner will be taken; wake the owner to leave it.
+        """Tell the owner to leave a runner that will be reclaimed.
+
+        Nothing changes when the stream has left the runner already, or when
+        a decision is pending.
 
-        :param runner: name of the runner; another one in use means that
-            the stream has left already, and nothing changes.
-        :param decision: where to go.
-        :returns: whether the owner will follow the decision.
+        :param runner: name of the runner.
+        :param decision: how to continue the stream.
+        :returns: whether the owner will carry out the decision.
         """
         with self._lock:
             current = self.runner
             if current is None or current.name != runner or self._decision:
                 return False
             self._decision = decision
-            self._wake()
+            self._interrupt_read()
             return True
 
     def take_decision(self) -> recovery.RecoveryDecision | None:
-        """What to do after a wake, once; None when nothing was decided."""
+        """Return and clear the pending decision; None when there is none."""
         with self._lock:
             decision, self._decision = self._decision, None
             return decision
 
     def move(self, address: str) -> None:
-        """Another entry VM has taken the request over; end here.
+        """End the request here because another entry VM has taken it over.
 
-        :param address: ``host:port`` for callers of that VM.
+        :param address: ``host:port`` of that VM for callers.
         """
         with self._lock:
             self._moved_to = address
-            self._wake()
+            self._interrupt_read()
 
     def cancel(self) -> None:
-        """Nobody wants the answer any more; end here."""
+        """End the request because no caller reads its answer."""
         with self._lock:
             self._cancelled = True
-            self._wake()
+            self._interrupt_read()
 
-    def _wake(self) -> None:
+    def _interrupt_read(self) -> None:
         if self._interrupt is not None:
             self._interrupt()
--- a/src/apricotlever/daemon/model_responses.py
+++ b/src/apricotlever/daemon/model_responses.py
@@ -16,14 +16,14 @@
 from . import resumption_tokens
 from . import transcripts
 
-#: How long an answer is read on after its caller has disconnected.
+#: How long reading an answer continues after its caller has disconnected.
 LINGER_S = 15.0
 STREAM_TYPE = "text/event-stream"
 Headers = list[tuple[str, str]]
 
 
 def answer_headers(request_id: str, content_type: str) -> Headers:
-    """The headers of a response whose request was executed by an upstream.
+    """The headers of a response to a request that an upstream executed.
 
     :param request_id: the request's ID.
     :param content_type: the content type of the body.
@@ -76,15 +76,15 @@
     """Runs one model request and responds to its caller.
 
     :param context: the daemon's tasks.
-    :param flight: the admitted request.
+    :param request: the admitted model request.
     """
 
     def __init__(
-        self, context: contexts.Context, flight: model_request.ModelRequest
+        self, context: contexts.Context, request: model_request.ModelRequest
     ) -> None:
         self._context = context
-        self._flight = flight
-        self._reader = readers.AnswerReader(context, flight)
+        self._request = request
+        self._reader = readers.AnswerReader(context, request)
         self._runner: runners.Runner | None = None
 
     def respond_streaming(
@@ -95,21 +95,21 @@
         :returns: the stream, or a redirect when the request has moved.
         :raises Refusal: when the request failed before its first token.
         """
-        flight = self._flight
+        request = self._request
         try:
-            first = self._reader.read_first()
+            first_events = self._reader.read_first()
         except readers.RequestMoved:
-            return redirect_reply(flight.request_id, flight.moved_to)
+            return redirect_reply(request.request_id, request.moved_to)
         except refusals.Refusal as refusal:
             self._record_refusal(refusal)
-            raise refusal.for_request(flight.request_id)
-        self._runner = flight.runner
-        headers = answer_headers(flight.request_id, STREAM_TYPE)
-        token = resumption_token(self._context, flight)
+            raise refusal.for_request(request.request_id)
+        self._runner = request.runner
+        headers = answer_headers(request.request_id, STREAM_TYPE)
+        token = resumption_token(self._context, request)
         if token:
             headers.append((resumption_tokens.HEADER, token))
         return caller_server.StreamingReply(
-            headers, functools.partial(self._write, first)
+            headers, functools.partial(self._write, first_events)
         )
 
     def respond_whole(self) -> caller_server.Reply:
@@ -118,55 +118,57 @@
         :returns: the answer, or a redirect when the request has moved.
         :raises Refusal: when the request was given up.
         """
-        flight = self._flight
+        request = self._request
         try:
             self._reader.read_first()
             self._reader.read_rest(discard)
         except readers.RequestMoved:
-            return redirect_reply(flight.request_id, flight.moved_to)
+            return redirect_reply(request.request_id, request.moved_to)
         except refusals.Refusal as refusal:
             self._record_refusal(refusal)
-            raise refusal.for_request(flight.request_id)
+            raise refusal.for_request(request.request_id)
         self._record_done()
-        tokens = flight.transcript.tokens()
+        tokens = request.transcript.tokens()
         body = openai_format.completion_response(
-            flight.request, flight.request_id, tokens
+            request.request, request.request_id, tokens
         )
-        headers = answer_headers(flight.request_id, "application/json")
+        headers = answer_headers(request.request_id, "application/json")
         return caller_server.Reply(200, headers, body)
 
-    def _write(self, first: bytes, writer: caller_server.StreamWriter) -> None:
+    def _write(
+        self, first_events: bytes, writer: caller_server.StreamWriter
+    ) -> None:
         """Write the answer until it ends or the caller disconnects."""
         try:
-            last = self._write_events(first, writer)
-            writer(last)
+            closing_event = self._write_events(first_events, writer)
+            writer(closing_event)
         except caller_server.CallerDisconnected:
-            if not self._flight.transcript.ended:
-                # The answer is read on for LINGER_S, because the caller may
-                # reconnect and must then find every token.
+            if not self._request.transcript.ended:
+                # A caller that reconnects must receive every token, so reading
+                # goes on without it for LINGER_S.
                 self._context.background.submit(self._read_without_caller)
 
     def _write_events(
-        self, first: bytes, writer: caller_server.StreamWriter
+        self, first_events: bytes, writer: caller_server.StreamWriter
     ) -> bytes:
         """Write the events of all tokens.
 
         :returns: the event that ends the stream.
         """
-        flight = self._flight
+        request = self._request
 
         def sink(data: bytes) -> None:
-            if flight.runner is not self._runner:
-                self._runner = flight.runner
-                token = resumption_token(self._context, flight)
+            if request.runner is not self._runner:
+                self._runner = request.runner
+                token = resumption_token(self._context, request)
                 writer(resumption_tokens.event(token))
             writer(data)
 
         try:
-            writer(first)
+            writer(first_events)
             self._reader.read_rest(sink)
         except readers.RequestMoved:
-            return moved_event(flight.request_id, flight.moved_to)
+            return moved_event(request.request_id, request.moved_to)
         except refusals.Refusal as refusal:
             self._record_refusal(refusal)
             return error_event(refusal)
@@ -177,33 +179,33 @@
         read_to_end(self._context, self._reader, LINGER_S)
 
     def _record_done(self) -> None:
-        _record_outcome(self._context, self._flight, None)
+        _record_outcome(self._context, self._request, None)
 
     def _record_refusal(self, refusal: refusals.Refusal) -> None:
-        _record_outcome(self._context, self._flight, refusal)
+        _record_outcome(self._context, self._request, refusal)
 
 
 def resumption_token(
-    context: contexts.Context, flight: model_request.ModelRequest
+    context: contexts.Context, request: model_request.ModelRequest
 ) -> str:
-    """The token by which a caller can resume its stream.
+    """The token by which a caller can resume its stream at any entry VM.
 
     :param context: holds the catalogue with the customer's key hash.
-    :param flight: the request.
+    :param request: the request.
     :returns: the token; empty when the customer is no longer in the
         catalogue or no runner has the request.
     """
-    customer = context.catalogue.customers.get(flight.customer)
-    if customer is None or flight.runner is None:
+    customer = context.catalogue.customers.get(request.customer)
+    if customer is None or request.runner is None:
         return ""
-    ticket = resumption_tokens.ResumptionToken(
-        flight.request_id,
-        flight.entry.name,
-        flight.runner.name,
-        flight.request.chat,
-        flight.request.max_tokens,
+    token = resumption_tokens.ResumptionToken(
+        request.request_id,
+        request.entry.name,
+        request.runner.name,
+        request.request.chat,
+        request.request.max_tokens,
     )
-    return resumption_tokens.encode(ticket, customer)
+    return resumption_tokens.encode(token, customer)
 
 
 def discard(data: bytes) -> None:
@@ -215,7 +217,7 @@
 ) -> None:
     """Read the answer to a request taken over from another entry VM.
 
-    The caller of the request reconnects by itself and follows the transcript.
+    The caller reconnects on its own and then follows the transcript.
 
     :param context: the daemon's tasks.
     :param reader: reads the adopted request's answer.
@@ -240,28 +242,28 @@
     :param linger_s: seconds after which the request is cancelled unless a
         caller has reconnected.
     """
-    refused = None
+    refusal = None
     try:
         reader.read_rest(discard, linger_s)
     except readers.RequestMoved:
         return
-    except refusals.Refusal as refusal:
-        refused = refusal
-    _record_outcome(context, reader.flight, refused)
+    except refusals.Refusal as error:
+        refusal = error
+    _record_outcome(context, reader.flight, refusal)
 
 
 def _record_outcome(
     context: contexts.Context,
-    flight: model_request.ModelRequest,
+    request: model_request.ModelRequest,
     refusal: refusals.Refusal | None,
 ) -> None:
-    """Record the outcome of a request in the archive."""
+    """Record the outcome of a request in the registry."""
     outcome = request_registry.outcome_done()
     if refusal is not None:
         outcome = request_registry.outcome_failed(
             refusal.executed.value, refusal.kind.name
         )
-    context.registry.tell(request_registry.Close(flight.request_id, outcome))
+    context.registry.tell(request_registry.Close(request.request_id, outcome))
 
 
 def redirect_reply(request_id: str, address: str) -> caller_server.Reply:
@@ -282,31 +284,31 @@
 
 
 def follow_stream(
-    flight: model_request.ModelRequest,
+    request: model_request.ModelRequest,
     start: int,
     is_disconnected: typing.Callable[[], bool],
 ) -> typing.Iterator[bytes]:
     """Yield the events of an answer that another thread reads.
 
-    :param flight: the request.
+    :param request: the request.
     :param start: index of the first token to yield.
     :param is_disconnected: returns whether the caller has disconnected.
     """
-    transcript = flight.transcript
+    transcript = request.transcript
     yield from transcript.follow(start, is_disconnected)
-    yield final_event(flight, transcript)
+    yield final_event(request, transcript)
 
 
 def final_event(
-    flight: model_request.ModelRequest, transcript: transcripts.Transcript
+    request: model_request.ModelRequest, transcript: transcripts.Transcript
 ) -> bytes:
     """The event that ends a followed stream.
 
-    :param flight: the request.
-    :param transcript: the transcript of its answer, which has ended.
+    :param request: the request.
+    :param transcript: the transcript of the answer, which has ended.
     """
-    if flight.moved_to:
-        return moved_event(flight.request_id, flight.moved_to)
+    if request.moved_to:
+        return moved_event(request.request_id, request.moved_to)
     if transcript.outcome == "done":
         return openai_format.DONE_EVENT
     kind = refusals.kinds().get(transcript.outcome, refusals.GAVE_UP)
@@ -316,6 +318,6 @@
             kind.meaning,
             refusals.Executed.UNKNOWN,
             1.0,
-            flight.request_id,
+            request.request_id,
         )
     )
--- a/src/apricotlever/daemon/node.py
+++ b/src/apricotlever/daemon/node.py
@@ -1,4 +1,4 @@
-"""One daemon: its tasks, how they hear of each other, and its end."""
+"""Assembles the daemon from its tasks, runs it and shuts it down."""
 
 from concurrent import futures
 import random
@@ -36,25 +36,29 @@
 from . import task_notifier
 from . import vm_presence
 
-RECEIVE_S = 10.0
+RECEIVE_TIMEOUT_S = 10.0
 BACKGROUND_THREADS = 512
 TASK_THREADS = 16
-#: Parts of a short notice that may pass before each step of the shutdown.
-NAMED_PART = 0.25
-HANDOVER_PART = 0.7
-SETTLE_S = 0.05
-#: How long a connection just made may take to bring its request.
-LAST_CALLS_S = 0.2
-#: How long the news of the heir may take to every entry VM.
-HEIR_KNOWN_S = 0.8
-FLUSH_S = 2.0
+#: Fractions of the time left to the deadline of a shutdown. At most the first
+#: is spent waiting for cached addresses to expire; after that, the handover
+#: may use the second.
+ADDRESS_EXPIRY_FRACTION = 0.25
+HANDOVER_FRACTION = 0.7
+POLL_INTERVAL_S = 0.05
+#: Time that a new connection has to send its request before the shutdown
+#: goes on.
+LATE_REQUEST_GRACE_S = 0.2
+#: Time within which gossip tells every entry VM which VM has taken over the
+#: idempotency keys of this one.
+SUCCESSOR_GOSSIP_S = 0.8
+FLUSH_TIMEOUT_S = 2.0
 
 
 class Node:
-    """A daemon, assembled.
+    """The daemon of one entry VM.
 
     :param config: the settings.
-    :param clock: drives every task.
+    :param clock: the source of time of every task.
     """
 
     def __init__(self, config: settings.Settings, clock: clocks.Clock) -> None:
@@ -64,21 +68,23 @@
         self._incarnation = int(clock.wall() * 1000)
         self._metrics = metrics.Metrics(config.statsd)
         self._presence = vm_presence.VmPresence(config, self._rng)
-        self._stop_asked = threading.Event()
-        self._notice_until: float | None = None
-        self._switchboard = task_notifier.TaskNotifier(
+        self._stop_requested = threading.Event()
+        self._reclaimed_at: float | None = None
+        self._task_notifier = task_notifier.TaskNotifier(
             config, self._presence, self._metrics, self.ask_to_stop
         )
-        self._pool = futures.ThreadPoolExecutor(TASK_THREADS, "task")
-        self._running: list[futures.Future[None]] = []
-        self._handlers = peer_link.Handlers()
-        self._link = peer_link.PeerLink(
-            config.peers.host, config.peers.port, self._handlers, clock
+        self._task_threads = futures.ThreadPoolExecutor(TASK_THREADS, "task")
+        self._task_futures: list[futures.Future[None]] = []
+        self._peer_handlers = peer_link.Handlers()
+        self._peer_link = peer_link.PeerLink(
+            config.peers.host, config.peers.port, self._peer_handlers, clock
         )
         self._tasks: list[mailbox.Task] = []
-        self._make_tasks()
-        peer_handlers.register(self._handlers, self._context, self._rooms())
-        self._server = self._make_server()
+        self._create_tasks()
+        peer_handlers.register(
+            self._peer_handlers, self._context, self._peer_tasks()
+        )
+        self._server = self._create_server()
 
     @property
     def callers_address(self) -> str:
@@ -86,26 +92,29 @@
         return f"{self._config.callers.host}:{self._server.port}"
 
     def run(self) -> int:
-        """Serve until asked to stop, then stop gracefully.
+        """Serve until a shutdown is requested, then shut down gracefully.
 
         :returns: the exit code of the process.
         """
         self._start()
-        self._stop_asked.wait()
+        self._stop_requested.wait()
         return self._stop()
 
     def ask_to_stop(self, notice_s: float | None = None) -> None:
-        """Begin a graceful shutdown; may be called from any thread.
+        """Request a graceful shutdown; may be called from any thread.
 
-        :param notice_s: seconds until the VM is taken, or None.
+        :param notice_s: seconds until the platform reclaims the VM; None
+            when it does not.
         """
         if notice_s is not None:
-            until = self._clock.now() + notice_s
-            known = self._notice_until
-            self._notice_until = until if known is None else min(known, until)
-        self._stop_asked.set()
+            reclaimed_at = self._clock.now() + notice_s
+            known = self._reclaimed_at
+            self._reclaimed_at = (
+                reclaimed_at if known is None else min(known, reclaimed_at)
+            )
+        self._stop_requested.set()
 
-    def _make_tasks(self) -> None:
+    def _create_tasks(self) -> None:
         config = self._config
         clock = self._clock
         timing = config.timing
@@ -119,52 +128,55 @@
             config.sizes.store_writes_per_s,
         )
         self._store = store.Store(clock, objects, budget, self._metrics)
-        self._book = ledger_task.LedgerTask(
+        self._ledger = ledger_task.LedgerTask(
             clock, secret_rng, config.vm, self._incarnation, self._store
         )
-        self._archive = request_registry.RequestRegistry(
+        self._registry = request_registry.RequestRegistry(
             clock,
             config.sizes.keep_outcomes_s,
             config.sizes.keep_outcomes_bytes_max,
         )
-        self._desk = dispatcher.Dispatcher(
+        self._dispatcher = dispatcher.Dispatcher(
             clock,
             self._rng,
             config.vm,
             config.data_centre,
             self._metrics,
-            self._switchboard.announce,
+            self._task_notifier.announce,
         )
-        me = vm_presence.own_member(
-            config, str(config.callers), self._link.address, self._incarnation
+        own_member = vm_presence.own_member(
+            config,
+            str(config.callers),
+            self._peer_link.address,
+            self._incarnation,
         )
-        self._fleet = fleet_link.FleetLink(
+        self._fleet_link = fleet_link.FleetLink(
             clock,
             self._rng,
             config,
-            self._link,
-            me,
+            self._peer_link,
+            own_member,
             self._metrics,
-            self._switchboard,
+            self._task_notifier,
         )
         cloud = platform.CloudApi(
             config.platform.cloud, timing.platform_timeout_s
         )
-        self._keeper = runner_monitor.RunnerMonitor(
-            clock, config, cloud, self._fleet, self._switchboard
+        self._runner_monitor = runner_monitor.RunnerMonitor(
+            clock, config, cloud, self._fleet_link, self._task_notifier
         )
-        self._watcher = catalogue_watcher.CatalogueWatcher(
+        self._catalogue_watcher = catalogue_watcher.CatalogueWatcher(
             clock,
             self._rng,
             config,
             self._store,
-            self._fleet,
-            self._switchboard.in_force,
+            self._fleet_link,
+            self._task_notifier.in_force,
         )
         weights = platform.WeightStore(
             config.platform.weights, timing.platform_timeout_s
         )
-        self._duties = duties.DutyHolder(
+        self._duty_holder = duties.DutyHolder(
             clock,
             self._rng,
             config,
@@ -172,128 +184,144 @@
             self._store,
             weights,
         )
-        self._buyer = autoscaler.Autoscaler(
+        self._autoscaler = autoscaler.Autoscaler(
             clock,
             self._rng,
             cloud,
-            self._duties.may_order,
-            self._switchboard.drain,
+            self._duty_holder.may_order,
+            self._task_notifier.drain,
         )
         self._background = futures.ThreadPoolExecutor(
             BACKGROUND_THREADS, "background"
         )
-        self._streams = stream_loop.StreamLoop(clock)
+        self._stream_loop = stream_loop.StreamLoop(clock)
         self._context = contexts.Context(
             config,
             clock,
             histograms.Histograms(),
             self._metrics,
-            self._desk,
-            self._archive,
-            self._book,
-            self._fleet,
+            self._dispatcher,
+            self._registry,
+            self._ledger,
+            self._fleet_link,
             self._background,
-            self._streams,
+            self._stream_loop,
             self._incarnation,
         )
         self._context.reporting = [
-            self._desk,
-            self._keeper,
-            self._watcher,
-            self._duties,
-            self._buyer,
+            self._dispatcher,
+            self._runner_monitor,
+            self._catalogue_watcher,
+            self._duty_holder,
+            self._autoscaler,
         ]
-        self._switchboard.attach(
+        self._task_notifier.attach(
             task_notifier.NotifiedTasks(
-                self._desk,
-                self._book,
-                self._fleet,
-                self._keeper,
-                self._watcher,
-                self._duties,
+                self._dispatcher,
+                self._ledger,
+                self._fleet_link,
+                self._runner_monitor,
+                self._catalogue_watcher,
+                self._duty_holder,
                 self._store,
-                self._buyer,
+                self._autoscaler,
                 self._context,
             )
         )
-        self._heir = incoming_handover.IncomingHandover(clock, self._context)
+        self._incoming_handover = incoming_handover.IncomingHandover(
+            clock, self._context
+        )
         self._tasks = [
             self._store,
-            self._book,
-            self._archive,
-            self._desk,
-            self._fleet,
-            self._keeper,
-            self._watcher,
-            self._heir,
-            self._duties,
-            self._buyer,
+            self._ledger,
+            self._registry,
+            self._dispatcher,
+            self._fleet_link,
+            self._runner_monitor,
+            self._catalogue_watcher,
+            self._incoming_handover,
+            self._duty_holder,
+            self._autoscaler,
         ]
 
-    def _rooms(self) -> peer_handlers.Rooms:
+    def _peer_tasks(self) -> peer_handlers.Rooms:
         return peer_handlers.Rooms(
-            self._fleet, self._watcher, self._desk, self._heir
+            self._fleet_link,
+            self._catalogue_watcher,
+            self._dispatcher,
+            self._incoming_handover,
         )
 
-    def _make_server(self) -> caller_server.CallerServer:
+    def _create_server(self) -> caller_server.CallerServer:
         sizes = self._config.sizes
         return caller_server.CallerServer(
             self._config.callers.host,
             self._config.callers.port,
             gateway.Gateway(self._context, self._presence),
-            self._fault,
+            self._log_server_error,
             sizes.caller_threads,
             sizes.body_bytes_max,
             sizes.header_bytes_max,
-            RECEIVE_S,
+            RECEIVE_TIMEOUT_S,
         )
 
     def _start(self) -> None:
         self._presence.listening_at(self.callers_address)
-        self._link.start()
-        self._running = [self._pool.submit(task.run) for task in self._tasks]
-        self._running.append(self._pool.submit(self._server.run))
-        self._running.append(self._pool.submit(self._streams.run))
-        for running in self._running:
-            running.add_done_callback(self._task_ended)
-        self._fleet.ask(fleet_messages.ViewWanted()).add_done_callback(
-            self._first_view
+        self._peer_link.start()
+        self._task_futures = [
+            self._task_threads.submit(task.run) for task in self._tasks
+        ]
+        self._task_futures.append(self._task_threads.submit(self._server.run))
+        self._task_futures.append(
+            self._task_threads.submit(self._stream_loop.run)
+        )
+        for future in self._task_futures:
+            future.add_done_callback(self._task_ended)
+        self._fleet_link.ask(fleet_messages.ViewWanted()).add_done_callback(
+            self._receive_first_view
         )
         logs.event(
             "started",
             callers=self.callers_address,
-            peers=self._link.address,
+            peers=self._peer_link.address,
             incarnation=self._incarnation,
         )
 
-    def _first_view(self, future: "futures.Future[views.FleetView]") -> None:
+    def _receive_first_view(
+        self, future: "futures.Future[views.FleetView]"
+    ) -> None:
         if future.exception() is None:
-            self._switchboard.on_view(future.result())
+            self._task_notifier.on_view(future.result())
 
     def _stop(self) -> int:
-        """End without cutting off a request that was accepted.
+        """Shut down without cutting off an accepted request.
+
+        First, callers are sent to other entry VMs, while those that have
+        cached this VM's address are still served. Then streams, answers and
+        the ledger are handed over to peers. Requests that can't be handed
+        over run to their end.
 
-        First callers are told to go elsewhere, while those who still know
-        this address are served. Then streams, answers and the ledger go to
-        peers. What can't be moved is waited for.
+        :returns: the exit code of the process.
         """
         deadline = self._deadline()
         logs.event("stopping", left_s=round(deadline - self._clock.now(), 3))
         self._presence.leave()
-        self._duties.tell(duties.Leave())
-        self._fleet.tell(fleet_messages.Leave())
-        self._sleep_until(self._named_until(deadline))
+        self._duty_holder.tell(duties.Leave())
+        self._fleet_link.tell(fleet_messages.Leave())
+        self._sleep_until(self._addresses_expire_at(deadline))
         self._presence.take_no_more()
         handed_over = self._hand_over(deadline)
-        # A caller that picked this VM a moment ago gets a refusal that it
-        # can act on, not a broken connection.
+        # A caller that chose this VM before it left needs a refusal that it
+        # can act on. A closed connection would not tell it whether its
+        # request has run.
         self._server.stop_listening()
         handed_over_at = self._clock.now()
-        self._sleep_until(min(deadline, handed_over_at + LAST_CALLS_S))
-        ended = self._wait_for_calls(deadline)
-        # A key of this VM that comes to a third one before it has heard of
-        # the heir would be answered unknown, though its answer is kept.
-        self._sleep_until(min(deadline, handed_over_at + HEIR_KNOWN_S))
+        self._sleep_until(min(deadline, handed_over_at + LATE_REQUEST_GRACE_S))
+        ended = self._wait_for_callers(deadline)
+        # A third VM that has not heard yet which VM took over the keys of
+        # this one would report the outcome of a call with such a key as
+        # unknown, although the answer is kept.
+        self._sleep_until(min(deadline, handed_over_at + SUCCESSOR_GOSSIP_S))
         if not ended:
             logs.event("stop_cut_off")
         self._shut_down()
@@ -302,51 +330,55 @@
 
     def _deadline(self) -> float:
         now = self._clock.now()
-        longest = now + self._config.timing.stop_s
-        if self._notice_until is None:
-            return longest
-        return min(longest, self._notice_until)
+        latest = now + self._config.timing.stop_s
+        if self._reclaimed_at is None:
+            return latest
+        return min(latest, self._reclaimed_at)
 
-    def _named_until(self, deadline: float) -> float:
-        """When the answers that named this VM have run out.
+    def _addresses_expire_at(self, deadline: float) -> float:
+        """The time when callers no longer have this VM's address cached.
 
-        A short notice leaves no time for that; callers that come later find
-        the port closed and ask another entry VM.
+        A short notice leaves no time to wait for that. Callers that use the
+        address later find the port closed and try another entry VM.
         """
         now = self._clock.now()
         ttl_s = self._config.timing.entries_ttl_s
-        return now + min(ttl_s, NAMED_PART * (deadline - now))
+        return now + min(ttl_s, ADDRESS_EXPIRY_FRACTION * (deadline - now))
 
     def _hand_over(self, deadline: float) -> bool:
+        """Hand this VM's work over to peers.
+
+        :returns: whether all of it was handed over.
+        """
         now = self._clock.now()
-        until = now + HANDOVER_PART * (deadline - now)
-        task = outgoing_handover.OutgoingHandover(
+        until = now + HANDOVER_FRACTION * (deadline - now)
+        handover = outgoing_handover.OutgoingHandover(
             self._clock, self._context, self._presence, until
         )
-        self._switchboard.depart(task)
-        running = self._pool.submit(task.run)
-        handed_over = task.ask(outgoing_handover.StartHandover())
+        self._task_notifier.depart(handover)
+        ended = self._task_threads.submit(handover.run)
+        handed_over = handover.ask(outgoing_handover.StartHandover())
         try:
             complete = handed_over.result(max(0.1, until - now + 1.0))
         except futures.TimeoutError:
             complete = False
-        task.stop()
-        running.result()
+        handover.stop()
+        ended.result()
         return bool(complete)
 
-    def _wait_for_calls(self, deadline: float) -> bool:
-        """Wait until callers have their answers.
+    def _wait_for_callers(self, deadline: float) -> bool:
+        """Wait until callers have received their answers.
 
-        :returns: whether all had them in time.
+        :returns: whether all received them before the deadline.
         """
         while (
             self._server.has_calls_in_progress and self._clock.now() < deadline
         ):
-            threading.Event().wait(SETTLE_S)
-        # A caller that does not read must not hold up the shutdown.
-        flushed = min(deadline, self._clock.now() + FLUSH_S)
-        while self._server.has_unsent_data and self._clock.now() < flushed:
-            threading.Event().wait(SETTLE_S)
+            threading.Event().wait(POLL_INTERVAL_S)
+        # A caller that does not read its answer must not delay the shutdown.
+        flush_until = min(deadline, self._clock.now() + FLUSH_TIMEOUT_S)
+        while self._server.has_unsent_data and self._clock.now() < flush_until:
+            threading.Event().wait(POLL_INTERVAL_S)
         return not self._server.has_calls_in_progress
 
     def _sleep_until(self, until: float) -> None:
@@ -354,28 +386,29 @@
             threading.Event().wait(min(left_s, 0.25))
 
     def _shut_down(self) -> None:
-        departed = self._fleet.ask(fleet_messages.Depart())
-        futures.wait([departed], self._config.timing.peer_timeout_s)
+        left = self._fleet_link.ask(fleet_messages.Depart())
+        futures.wait([left], self._config.timing.peer_timeout_s)
         self._server.close()
-        self._streams.stop()
+        self._stream_loop.stop()
         for task in self._tasks:
             task.stop()
-        futures.wait(self._running, 2.0)
-        self._link.stop(1.0)
+        futures.wait(self._task_futures, 2.0)
+        self._peer_link.stop(1.0)
         self._background.shutdown(wait=False, cancel_futures=True)
-        self._pool.shutdown(wait=False)
+        self._task_threads.shutdown(wait=False)
         self._metrics.close()
 
-    def _task_ended(self, running: "futures.Future[None]") -> None:
-        """A task whose thread died would leave all others waiting on it.
+    def _task_ended(self, ended: "futures.Future[None]") -> None:
+        """Shut down after a task ended with an exception.
 
-        It shows as requests that time out one after the other. Ending the
-        process lets callers and peers notice at once.
+        All other tasks would wait for the replies of the ended one, and
+        requests would time out one after the other. When the process exits,
+        callers and peers notice at once.
         """
-        error = running.exception()
+        error = ended.exception()
         if error is not None:
             logs.event("task_failed", task="ended", error=repr(error))
             self.ask_to_stop(0.0)
 
-    def _fault(self, error: Exception) -> None:
+    def _log_server_error(self, error: Exception) -> None:
         logs.event("task_failed", task="callers", error=repr(error))
--- a/src/apricotlever/daemon/placements.py
+++ b/src/apricotlever/daemon/placements.py
@@ -1,6 +1,6 @@
 """Tracks which request runs at which runner and plans evacuations.
 
-Part of the dispatcher's state; does no I/O.
+Part of the dispatcher's state. It does no I/O.
 """
 
 from .. import clock as clocks
@@ -14,8 +14,8 @@
 from . import dispatcher_messages
 from . import model_request
 
-#: The deadline of a stream bounds its recoveries. This limit only keeps a
-#: request that no runner can finish from being retried for ever.
+#: The deadline of a request bounds its retries. This limit only prevents
+#: endless retries of a request that no runner can finish.
 MAX_ATTEMPTS_AFTER_CRASHES = 12
 MAX_CANDIDATES = 8
 
@@ -23,8 +23,8 @@
 class _Placement:
     """A request at a runner.
 
-    ``moving_to`` names the runner that the stream is moving to; it is empty
-    when the stream is not moving.
+    ``moving_to`` is the name of the runner that the stream is moving to; it
+    is empty when the stream is not moving.
 
     :param dispatch: the message that placed the request.
     :param runner: the runner that has the request.
@@ -45,7 +45,7 @@
 
     :param clock: the source of time.
     :param router: knows the runners and their load.
-    :param vm: this VM's name, for crash reports.
+    :param vm: this VM's name, which crash reports state.
     """
 
     __slots__ = (
@@ -53,7 +53,7 @@
         "_router",
         "_vm",
         "_placements",
-        "_reported_at",
+        "_crash_reported_at",
         "_reclaimed_at",
         "_export_times",
     )
@@ -65,7 +65,7 @@
         self._router = router
         self._vm = vm
         self._placements: dict[str, _Placement] = {}
-        self._reported_at: dict[str, float] = {}
+        self._crash_reported_at: dict[str, float] = {}
         self._reclaimed_at: dict[str, float] = {}
         self._export_times = export_time_estimator.ExportTimeEstimator()
 
@@ -130,7 +130,7 @@
             crash was reported already.
         """
         now = self._clock.now()
-        reported_at = self._reported_at.get(runner.name, float("-inf"))
+        reported_at = self._crash_reported_at.get(runner.name, float("-inf"))
         suspects = tuple(
             crashes.SuspectRequest(
                 placement.dispatch.fingerprint,
@@ -141,20 +141,25 @@
             for placement in self._placements.values()
             if placement.runner.name == runner.name
         )
-        noticed = self._router.is_leaving(runner.name)
+        has_notice = self._router.is_leaving(runner.name)
         self._router.runner_crashed(runner.name)
         report = crashes.CrashObservation(
-            self._vm, runner.name, runner.data_centre, 0.0, noticed, suspects
+            self._vm,
+            runner.name,
+            runner.data_centre,
+            0.0,
+            has_notice,
+            suspects,
         )
         if now - reported_at < crashes.SAME_CRASH_WINDOW_S:
             return None
-        self._reported_at[runner.name] = now
+        self._crash_reported_at[runner.name] = now
         return report
 
     def evacuate(self) -> None:
-        """Decide about every stream on a runner that will be reclaimed.
+        """Move the streams away from runners that will be reclaimed.
 
-        All streams are planned together. Planned one by one, they would all
+        All moves are planned together. Planned one by one, all streams would
         choose the runner with the most free slots.
         """
         if not self._reclaimed_at:
@@ -168,13 +173,13 @@
         candidates: dict[str, list[recovery.Candidate]] = {}
         situations = []
         for placement in affected:
-            flight = placement.dispatch.flight
-            assert flight is not None
-            pool = flight.entry.pool
+            request = placement.dispatch.flight
+            assert request is not None
+            pool = request.entry.pool
             if pool not in candidates:
-                candidates[pool] = self.candidates(flight, frozenset())
+                candidates[pool] = self.candidates(request, frozenset())
             situation = self.situation(
-                flight,
+                request,
                 placement.runner,
                 recovery.RecoveryCause.NOTICE,
                 candidates[pool],
@@ -189,14 +194,14 @@
     ) -> None:
         if not isinstance(decision, (recovery.ExportTo, recovery.Replay)):
             return
-        flight = placement.dispatch.flight
-        assert flight is not None
-        if flight.decide(placement.runner.name, decision):
+        request = placement.dispatch.flight
+        assert request is not None
+        if request.decide(placement.runner.name, decision):
             placement.moving_to = decision.runner
 
     def situation(
         self,
-        flight: model_request.ModelRequest,
+        request: model_request.ModelRequest,
         runner: runners.Runner,
         cause: recovery.RecoveryCause,
         candidates: list[recovery.Candidate],
@@ -205,7 +210,7 @@
     ) -> recovery.AffectedStream:
         """Describe a stream that needs a recovery decision.
 
-        :param flight: the request.
+        :param request: the request.
         :param runner: the runner that has the stream.
         :param cause: why the stream needs a decision.
         :param candidates: the runners that it may move to.
@@ -213,21 +218,21 @@
         :param same_runner: how often in a row the stream was resumed at its
             runner without a new token.
         """
-        sent = flight.transcript.tokens()
-        tokens = flight.request.prompt_tokens + len(sent)
-        left = flight.request.max_tokens - len(sent)
+        sent = request.transcript.tokens()
+        tokens = request.request.prompt_tokens + len(sent)
+        remaining = request.request.max_tokens - len(sent)
         reclaimed_at = self._reclaimed_at.get(runner.name, float("inf"))
         return recovery.AffectedStream(
-            flight.request_id,
+            request.request_id,
             cause,
             runner.name,
-            flight.service_class.priority,
-            flight.request.prompt_tokens,
+            request.service_class.priority,
+            request.request.prompt_tokens,
             sent,
-            left * flight.service_class.between_tokens_s,
+            remaining * request.service_class.between_tokens_s,
             reclaimed_at - self._clock.now(),
             self._export_times.estimate_s(tokens),
-            flight.left_s,
+            request.left_s,
             failures,
             MAX_ATTEMPTS_AFTER_CRASHES,
             same_runner,
@@ -236,34 +241,34 @@
         )
 
     def candidates(
-        self, flight: model_request.ModelRequest, excluded: frozenset[str]
+        self, request: model_request.ModelRequest, excluded: frozenset[str]
     ) -> list[recovery.Candidate]:
         """The best runners that a stream may move to, best first.
 
-        :param flight: the request.
+        :param request: the request.
         :param excluded: names of runners that the stream must not move to.
         """
-        being_lost = self._data_centres_being_lost()
-        routes = self._router.ranked(flight.query(excluded), MAX_CANDIDATES)
+        leaving = self._leaving_data_centres()
+        routes = self._router.ranked(request.query(excluded), MAX_CANDIDATES)
         return [
             recovery.Candidate(
                 route.runner.name,
                 route.runner.data_centre,
                 route.runner.slots
                 - self._router.own_in_flight(route.runner.name),
-                route.runner.data_centre in being_lost,
+                route.runner.data_centre in leaving,
             )
             for route in routes
         ]
 
-    def _data_centres_being_lost(self) -> set[str]:
-        """Data centres more than half of whose known runners are leaving."""
-        known: dict[str, list[bool]] = {}
+    def _leaving_data_centres(self) -> set[str]:
+        """Data centres in which more than half of the runners are leaving."""
+        leaving_flags: dict[str, list[bool]] = {}
         for runner in self._router.runners:
             leaving = self._router.is_leaving(runner.name)
-            known.setdefault(runner.data_centre, []).append(leaving)
+            leaving_flags.setdefault(runner.data_centre, []).append(leaving)
         return {
             data_centre
-            for data_centre, leaving in known.items()
-            if 2 * sum(leaving) > len(leaving)
+            for data_centre, flags in leaving_flags.items()
+            if 2 * sum(flags) > len(flags)
         }
--- a/src/apricotlever/daemon/task_notifier.py
+++ b/src/apricotlever/daemon/task_notifier.py
@@ -1,4 +1,4 @@
-"""Tells each task of a daemon what the others have found."""
+"""Notifies the tasks of the daemon of changes that other tasks report."""
 
 from concurrent import futures
 import typing
@@ -26,15 +26,15 @@
 from . import outgoing_handover
 from . import runner_monitor
 from . import store
-from . import vm_presence as presences
+from . import vm_presence
 
-_LOCAL_WHEN_LARGE = frozenset(("load", "prefix", "demand"))
+_DATA_CENTRE_RUMOURS = frozenset(("load", "prefix", "demand"))
 
 Stop = typing.Callable[[float | None], None]
 
 
 class NotifiedTasks:
-    """The tasks that are told."""
+    """The tasks that are notified, and the request handlers' context."""
 
     __slots__ = (
         "dispatcher",
@@ -72,20 +72,21 @@
 
 
 class TaskNotifier:
-    """Passes on what the fleet, the keeper and the watcher report.
+    """Passes notifications from some tasks of the daemon to others.
 
-    It is made before the tasks and told of them by :meth:`attach`; its
-    methods are called on the tasks' threads and return at once.
+    It is created before the tasks, which :meth:`attach` sets later. The tasks
+    call its methods on their own threads, and no method blocks.
 
-    :param config: names this VM.
-    :param presence: what callers are told.
-    :param stop: begins a graceful shutdown, with the seconds left.
+    :param config: the daemon's settings.
+    :param presence: holds the membership that callers are told.
+    :param metrics: receives the version of the catalogue in force.
+    :param stop: requests a graceful shutdown; takes the seconds left, or None.
     """
 
     def __init__(
         self,
         config: settings.Settings,
-        presence: presences.VmPresence,
+        presence: vm_presence.VmPresence,
         metrics: metrics_.Metrics,
         stop: Stop,
     ) -> None:
@@ -93,22 +94,25 @@
         self._presence = presence
         self._metrics = metrics
         self._stop = stop
-        self._large = False
-        self._departing: mailbox.Task | None = None
+        self._fleet_is_large = False
+        self._outgoing_handover: mailbox.Task | None = None
         self._tasks: typing.Any = None
 
     def attach(self, tasks: NotifiedTasks) -> None:
-        """Take over the tasks; before any of them runs."""
+        """Set the tasks to notify; must be called before any of them runs."""
         self._tasks = tasks
 
     def depart(self, task: mailbox.Task) -> None:
-        """Take over the task that hands this VM's work over."""
-        self._departing = task
+        """Set the task that hands this VM's work over to peers.
+
+        :param task: notified of the ended processes of other VMs.
+        """
+        self._outgoing_handover = task
 
     def on_view(self, view: views.FleetView) -> None:
-        """Pass the members on to the tasks that go by them."""
+        """Pass the new membership to the tasks that depend on it."""
         self._presence.seen(view)
-        self._large = bool(view.summaries)
+        self._fleet_is_large = bool(view.summaries)
         self._tasks.runner_monitor.tell(runner_monitor.shown(view))
         self._tasks.catalogue_watcher.tell(catalogue_watcher.ViewSeen(view))
         self._tasks.duties.tell(duties.ViewSeen(view))
@@ -121,13 +125,13 @@
             self._tasks.ledger.tell(seen)
 
     def on_rumour(self, rumour: pb.Rumour, via: str) -> None:
-        """Give a rumour to the task that it concerns."""
+        """Pass a rumour to the tasks that it concerns."""
         age_s = rumour.age_ms / gossip_messages.MS_PER_S
         match rumour.WhichOneof("body"):
             case "runner_leaving":
                 left_s = rumour.runner_leaving.deadline_s - age_s
                 name = rumour.runner_leaving.runner
-                self._noticed(name, max(0.0, left_s))
+                self._handle_notice(name, max(0.0, left_s))
             case "runner_gone":
                 gone = dispatcher_messages.RunnerGone(
                     rumour.runner_gone.runner
@@ -139,10 +143,14 @@
                     dispatcher_messages.CrashHeard(report)
                 )
             case "ledger_moved":
-                told = rumour.ledger_moved
-                owner = keyed.VmIncarnation(told.vm, told.incarnation)
-                heir = keyed.VmIncarnation(told.heir, told.heir_incarnation)
-                self._tasks.ledger.tell(ledger_task.LedgerMoved(owner, heir))
+                moved = rumour.ledger_moved
+                owner = keyed.VmIncarnation(moved.vm, moved.incarnation)
+                successor = keyed.VmIncarnation(
+                    moved.heir, moved.heir_incarnation
+                )
+                self._tasks.ledger.tell(
+                    ledger_task.LedgerMoved(owner, successor)
+                )
             case "catalogue":
                 self._tasks.catalogue_watcher.tell(
                     catalogue_watcher.Rumoured(rumour, via)
@@ -169,34 +177,37 @@
                 )
 
     def on_incarnation_ended(self, vm: str, incarnation: int) -> None:
-        """A process is gone for certain."""
+        """Tell the tasks that a process has certainly ended."""
         self._tasks.ledger.tell(ledger_task.OwnerGone(vm, incarnation))
         self._tasks.dispatcher.tell(dispatcher_messages.MemberLeft(vm))
-        if self._departing is not None:
+        if self._outgoing_handover is not None:
             owner = outgoing_handover.owner(vm, incarnation)
-            self._departing.tell(outgoing_handover.OwnerGone(owner))
+            self._outgoing_handover.tell(outgoing_handover.OwnerGone(owner))
 
     def on_catalogue_heard(self, version: int, digest: int, vm: str) -> None:
-        """A peer has a newer catalogue."""
+        """Tell the catalogue watcher that a peer has a newer catalogue."""
         self._tasks.catalogue_watcher.tell(
             catalogue_watcher.Heard(version, digest, vm)
         )
 
     def on_paused(self, seconds: float) -> None:
-        """Nothing to do: leases and keys check the clock when used."""
+        """Do nothing: leases and keys check the clock when they are used."""
 
     def on_superseded(self) -> None:
-        """A newer process runs under this VM's name: end."""
+        """Shut down because a newer process runs under this VM's name."""
         self._stop(0.0)
 
     def judge(
         self, question: quarantine.TrialRequest
     ) -> "futures.Future[quarantine.TrialDecision]":
-        """Decide on a suspect as the judge of its pool."""
+        """Ask the dispatcher for a decision on a trial.
+
+        This VM is the judge of the pool.
+        """
         return self._tasks.dispatcher.ask(dispatcher_messages.Judge(question))
 
     def trial_over(self, report: quarantine.TrialEnded) -> None:
-        """A trial that this VM handed out is over."""
+        """Tell the dispatcher that a trial granted by this VM has ended."""
         self._tasks.dispatcher.tell(dispatcher_messages.TrialOver(report))
 
     def on_runners(
@@ -204,24 +215,34 @@
         chosen: tuple[runners.Runner, ...],
         listed: tuple[runners.Runner, ...],
     ) -> None:
-        """The platform listed the runners; some are chosen for this VM."""
+        """Pass on the platform's list of runners.
+
+        :param chosen: the runners that this VM sends requests to.
+        :param listed: all runners.
+        """
         self._tasks.dispatcher.tell(dispatcher_messages.RunnersListed(chosen))
         self._tasks.duties.tell(dispatcher_messages.RunnersListed(listed))
 
     def on_platform(
         self,
         vms: tuple[platform.Vm, ...],
-        per_hour: typing.Mapping[tuple[str, str, str], float],
+        prices_per_hour: typing.Mapping[tuple[str, str, str], float],
     ) -> None:
-        """The platform's list of VMs and its prices were read."""
-        self._tasks.autoscaler.tell(autoscaler.PlatformSeen(vms, per_hour))
+        """Pass the platform's list of VMs and its prices to the autoscaler."""
+        self._tasks.autoscaler.tell(
+            autoscaler.PlatformSeen(vms, prices_per_hour)
+        )
 
     def drain(self, runner: str, left_s: float) -> None:
-        """A runner will be released: it gets no new work anywhere."""
+        """Tell the fleet to send no new requests to a runner.
+
+        :param runner: name of the runner, which will be released.
+        :param left_s: seconds until then.
+        """
         self.on_notice(runner, left_s)
 
     def on_listed_leaving(self, vm: str, left_s: float) -> None:
-        """The platform's list shows a VM as leaving."""
+        """Tell the dispatcher that the platform lists a VM as leaving."""
         self._tasks.dispatcher.tell(
             dispatcher_messages.RunnerLeaving(vm, left_s)
         )
@@ -229,7 +250,10 @@
     def on_load(
         self, runner: str, report: runners.LoadReport | None, tell: bool
     ) -> None:
-        """A runner's load was read, or it did not answer."""
+        """Pass on the load of a runner, or that the runner did not answer.
+
+        :param tell: whether this VM is to report the load to its peers.
+        """
         if report is None:
             self._tasks.dispatcher.tell(
                 dispatcher_messages.ProbeFailed(runner)
@@ -242,36 +266,40 @@
             self.announce(gossip_messages.of_load(runner, report))
 
     def on_death(self, runner: str) -> None:
-        """A runner refuses connections; tell the fleet, once."""
-        asked = self._tasks.dispatcher.ask(
+        """Report the crash of a runner that refuses connections, once."""
+        reply = self._tasks.dispatcher.ask(
             dispatcher_messages.DeathSeen(runner)
         )
-        asked.add_done_callback(self._spread_death)
+        reply.add_done_callback(self._spread_crash)
 
-    def _spread_death(self, asked: "futures.Future[typing.Any]") -> None:
-        if asked.exception() is None and asked.result() is not None:
-            report = asked.result()
+    def _spread_crash(self, reply: "futures.Future[typing.Any]") -> None:
+        if reply.exception() is None and reply.result() is not None:
+            report = reply.result()
             self._tasks.fleet.tell(fleet_link.SpreadCrash(report))
 
     def on_joined(self, vm: str) -> None:
-        """A process of an entry VM has started, perhaps just now.
+        """Tell the known crashes to an entry VM whose process has joined.
 
-        It knows of no crash yet, and would let a request that is refused
-        everywhere else crash one more runner.
+        A process that has just started knows of no crash. It would accept a
+        request that all other entry VMs refuse, and the request would crash
+        one more runner.
         """
-        asked = self._tasks.dispatcher.ask(dispatcher_messages.CrashesKnown())
+        reply = self._tasks.dispatcher.ask(dispatcher_messages.CrashesKnown())
 
-        def told(done: "futures.Future[typing.Any]") -> None:
+        def send_reports(done: "futures.Future[typing.Any]") -> None:
             reports = [] if done.exception() else done.result()
             for report in reports:
                 self._tasks.fleet.tell(fleet_link.TellCrash(vm, report))
 
-        asked.add_done_callback(told)
+        reply.add_done_callback(send_reports)
 
     def on_cache(
         self, runner: str, events: runners.CacheEvents, tell: bool
     ) -> None:
-        """A runner's cache events were read."""
+        """Pass on a runner's cache events.
+
+        :param tell: whether this VM is to report the events to its peers.
+        """
         self._tasks.dispatcher.tell(
             dispatcher_messages.CacheSeen(runner, events)
         )
@@ -279,12 +307,12 @@
             self.announce(gossip_messages.of_cache(runner, events))
 
     def on_notice(self, vm: str, left_s: float) -> None:
-        """The platform gave notice of a VM; tell the fleet at once."""
+        """Tell the fleet that the platform gave a reclaim notice of a VM."""
         self.announce(gossip_messages.of_runner_leaving(vm, left_s))
-        self._noticed(vm, left_s)
+        self._handle_notice(vm, left_s)
 
     def in_force(self, catalogue: catalogues.Catalogue) -> None:
-        """A catalogue came into force at this VM."""
+        """Pass a catalogue that has come into force to the tasks."""
         self._tasks.context.put_in_force(catalogue)
         message = dispatcher_messages.CatalogueInForce(catalogue)
         self._tasks.dispatcher.tell(message)
@@ -294,18 +322,22 @@
         self._metrics.gauge("catalogue.version", catalogue.version)
 
     def announce(self, rumour: pb.Rumour) -> None:
-        """Spread a rumour, the frequent ones no further than they matter.
+        """Spread a rumour by gossip.
 
-        In a large fleet the loads of all runners would take more than a
-        VM's share of the network; each data centre reads its own runners.
+        In a large fleet, frequent rumours stay in this data centre, because
+        those about all runners would exceed the network bandwidth allowed to
+        a VM. The entry VMs of each data centre read their own runners.
         """
         if rumour.WhichOneof("body") == "demand":
             self._tasks.autoscaler.tell(autoscaler.DemandSeen(rumour.demand))
-        if self._large and rumour.WhichOneof("body") in _LOCAL_WHEN_LARGE:
+        if (
+            self._fleet_is_large
+            and rumour.WhichOneof("body") in _DATA_CENTRE_RUMOURS
+        ):
             rumour.scope = pb.SCOPE_DATA_CENTRE
         self._tasks.fleet.tell(fleet_messages.Announce(rumour))
 
-    def _noticed(self, vm: str, left_s: float) -> None:
+    def _handle_notice(self, vm: str, left_s: float) -> None:
         if vm == self._config.vm:
             self._stop(left_s)
             return
