--- a/tests/daemon/bad_input.feature
+++ b/tests/daemon/bad_input.feature
@@ -2,7 +2,7 @@
 
   Scenario: Every kind of bad input
     Guards against unvalidated input: a malformed request that is answered with
-    a traceback, or that takes the entry VM or its runners away from other
+    a traceback, or that makes the entry VM or its runners unavailable to other
     callers. Two half-sent requests are open at the same time.
     Given an entry VM that accepts bodies of up to 65536 bytes
     And two half-sent requests, one of which continues byte by byte
--- a/tests/daemon/detoured.py
+++ b/tests/daemon/detoured.py
@@ -39,6 +39,6 @@
 
 
 if __name__ == "__main__":
-    settings_at = sys.argv.index("--settings") + 1
-    _replace_peer_addresses(path_for(pathlib.Path(sys.argv[settings_at])))
+    settings_index = sys.argv.index("--settings") + 1
+    _replace_peer_addresses(path_for(pathlib.Path(sys.argv[settings_index])))
     main.run()
--- a/tests/daemon/flood.py
+++ b/tests/daemon/flood.py
@@ -11,10 +11,10 @@
 
 THREADS = 300
 TOKENS = 20
-#: Requests that a slot serves per second. Each needs TOKENS steps with four
-#: sequences in a batch, and the prefill of as many prompts meanwhile. Engines
-#: with four slots that were always full generated 119.9 tokens a second in
-#: each of three runs.
+#: Requests that a slot serves per second. Each request takes TOKENS steps in a
+#: batch of four sequences, and the time of four prefills. Engines whose four
+#: slots were always full generated 119.9 tokens per second in each of three
+#: runs.
 REQUESTS_PER_SLOT_PER_S = 1.5
 GAP_TIMEOUT_S = 20.0
 Answers = list[answers.Answer]
@@ -52,8 +52,8 @@
         started_at = time.monotonic()
         count = int(seconds * self._rate_per_s)
         for number in range(count):
-            pause_s = started_at + number / self._rate_per_s - time.monotonic()
-            time.sleep(max(0.0, pause_s))
+            wait_s = started_at + number / self._rate_per_s - time.monotonic()
+            time.sleep(max(0.0, wait_s))
             self._started.append(self._pool.submit(self._send, number))
         received = [future.result(60.0) for future in self._started]
         self._pool.shutdown()
@@ -77,7 +77,9 @@
 def run_together(seconds: float, *floods: Flood) -> list[Answers]:
     """Run floods concurrently.
 
-    :returns: the answers of each.
+    :param seconds: how long requests are started.
+    :param floods: the floods.
+    :returns: the answers of each flood.
     """
     with futures.ThreadPoolExecutor(len(floods)) as pool:
         return list(pool.map(Flood.run, floods, itertools.repeat(seconds)))
--- a/tests/daemon/gateway.feature
+++ b/tests/daemon/gateway.feature
@@ -16,9 +16,9 @@
       | service | 2     |
 
   Scenario: Customers can't read the operators' pages
-    Guards against a customer that reads what other customers spend on the
-    status page of an entry VM, because the page is open to everyone who
-    reaches the port.
+    Guards against a customer that reads on the status page of an entry VM what
+    other customers spend, because the page is shown to everyone who can reach
+    the port.
     Given a fleet whose operators have a key
     When a customer asks for the status and the histograms
     Then neither is shown
--- a/tests/daemon/lookups.py
+++ b/tests/daemon/lookups.py
@@ -1,4 +1,4 @@
-"""Idempotent calls of a plain service, each of which has a unique answer."""
+"""Idempotent calls of a plain service, each with a unique answer."""
 
 from concurrent import futures
 import itertools
@@ -12,17 +12,17 @@
 class Lookups:
     """Makes lookups and checks that each caller got its own answer.
 
-    :param running: the fleet.
+    :param fleet: the fleet that serves the lookups.
     """
 
-    def __init__(self, running: scene.Scene) -> None:
-        self._scene = running
+    def __init__(self, fleet: scene.Scene) -> None:
+        self._scene = fleet
         self._numbers = itertools.count()
         self._callers = [
-            running.caller(customer) for customer in scene.CUSTOMERS
+            fleet.caller(customer) for customer in scene.CUSTOMERS
         ]
         self._pool = futures.ThreadPoolExecutor(THREADS)
-        self._running: list[tuple[int, futures.Future[answers.Answer]]] = []
+        self._started: list[tuple[int, futures.Future[answers.Answer]]] = []
 
     def close(self) -> None:
         """Cancel waiting lookups and wait for the running ones."""
@@ -32,7 +32,7 @@
         """Start lookups, each with a unique path."""
         for number in itertools.islice(self._numbers, count):
             future = self._pool.submit(self._look_up, number)
-            self._running.append((number, future))
+            self._started.append((number, future))
 
     def problems(self, within_s: float) -> list[str]:
         """Wait for all answers and describe those that are wrong.
@@ -40,18 +40,18 @@
         :param within_s: the longest time that an answer may take.
         :returns: one line for each wrong or late answer.
         """
-        done = [
-            (number, future.result(60.0)) for number, future in self._running
+        received = [
+            (number, future.result(60.0)) for number, future in self._started
         ]
-        self._running = []
+        self._started = []
         return [
             f"{number}: {problem}"
-            for number, answer in done
+            for number, answer in received
             if (problem := _problem(number, answer, within_s))
         ]
 
     def repeat_all(self) -> None:
-        """Start all lookups made so far once more."""
+        """Start all lookups made so far again."""
         count = next(self._numbers)
         self._numbers = itertools.count()
         self.start(count)
--- a/tests/daemon/naive.py
+++ b/tests/daemon/naive.py
@@ -1,4 +1,4 @@
-"""Callers that use the runners directly, without the system."""
+"""Callers that use the runners directly, without entry VMs."""
 
 from concurrent import futures
 import re
@@ -11,7 +11,7 @@
 
 
 class DirectStreams:
-    """Callers that stream from one runner directly and never recover.
+    """Callers that stream from one runner directly and never retry.
 
     :param address: ``host:port`` of the runner.
     :param count: how many callers.
@@ -20,14 +20,14 @@
 
     def __init__(self, address: str, count: int, tokens: int) -> None:
         self._pool = futures.ThreadPoolExecutor(count)
-        self._running = [
+        self._futures = [
             self._pool.submit(self._stream, address, number, tokens)
             for number in range(count)
         ]
 
     def results(self) -> list[answers.Answer]:
         """The answer of each caller."""
-        return [future.result(30.0) for future in self._running]
+        return [future.result(30.0) for future in self._futures]
 
     def close(self) -> None:
         """Wait for the callers to end."""
@@ -46,12 +46,15 @@
 
 
 def lost_tokens(log: str) -> int:
-    """Tokens that ended runners had computed for the streams they lost.
+    """Number of tokens that crashed runners had computed for lost streams.
 
-    Without recovery, sending each request again would recompute all of them.
+    A caller that sends each request again from the start recomputes all of
+    them.
 
-    :param log: log of the entry VMs, which has the number of tokens sent
-        before each replay of a stream.
+    :param log: the log of the entry VMs, which states how many tokens of a
+        stream were sent before each of its replays.
     """
-    sent_before = [int(tokens) for tokens in _REPLAYED.findall(log)]
-    return sum(sent_before) + scene.PROMPT_TOKENS * len(sent_before)
+    tokens_before_replay = [int(tokens) for tokens in _REPLAYED.findall(log)]
+    return sum(tokens_before_replay) + scene.PROMPT_TOKENS * len(
+        tokens_before_replay
+    )
--- a/tests/daemon/overload.feature
+++ b/tests/daemon/overload.feature
@@ -20,9 +20,9 @@
     And the extra executions are at most 0.1 of the executed requests
 
   Scenario: The lower class is shed first
-    Guards against drafts that are refused while summaries run because shedding
-    ignores the class. A customer sends two and a half times the capacity to
-    each of two entries; the class of the second is to be shed first.
+    Guards against drafts that are refused while summaries run, because load
+    shedding ignores the service class. A customer sends 2.5 times the capacity
+    to each of two entries; the class of the second is to be shed first.
     Given 2 engines with 4 slots each and 2 entry VMs
     When ana floods drafts and summaries at 2.5 times capacity each for 4.0 s
     Then summaries were refused rather than drafts
--- a/tests/daemon/raw.py
+++ b/tests/daemon/raw.py
@@ -34,11 +34,11 @@
     body: bytes = b"",
     headers: dict[str, str] | None = None,
 ) -> bytes:
-    """A complete request with ana's key.
+    """A complete request, with the key of the customer ana.
 
     :param headers: added to the default headers; an empty value removes one.
     """
-    named = {
+    all_headers = {
         "Host": "entry",
         "Authorization": f"Bearer {KEY}",
         "Content-Type": "application/json",
@@ -46,7 +46,9 @@
         "Connection": "close",
         **(headers or {}),
     }
-    lines = [f"{name}: {value}" for name, value in named.items() if value]
+    lines = [
+        f"{name}: {value}" for name, value in all_headers.items() if value
+    ]
     head = "\r\n".join([f"{method} {path} HTTP/1.1", *lines, "", ""])
     return head.encode("latin-1") + body
 
@@ -84,7 +86,7 @@
     return sock
 
 
-def read_answer(sock: socket.socket) -> calls.Reply:
+def read_response(sock: socket.socket) -> calls.Reply:
     """Read one response and close the connection."""
     with sock:
         response = http.client.HTTPResponse(sock)
--- a/tests/daemon/scene.py
+++ b/tests/daemon/scene.py
@@ -1,4 +1,4 @@
-"""A small fleet of real processes with callers whose answers are checked."""
+"""A small fleet of real processes, with callers that check their answers."""
 
 from concurrent import futures
 import hashlib
@@ -17,11 +17,12 @@
 MODEL_POOL = "llm"
 SERVICE_POOL = "app"
 DATA_CENTRES = ("dc-a", "dc-b", "dc-c")
-CALLERS_MAX = 64
+MAX_CALLERS = 64
 STEP_MS = "30"
 SLOTS = 16
 WORDS = 60
-#: Of "mandate NN " and WORDS times "clause ", at four bytes a token.
+#: Length of the prompt "mandate NN " and WORDS times "clause ", at four bytes
+#: per token.
 PROMPT_TOKENS = 108
 TIMING = {
     "entries_ttl_s": 0.6,
@@ -46,7 +47,8 @@
 ) -> dict[str, typing.Any]:
     """A catalogue with two model entries and one plain service.
 
-    :param limits: of the first model entry.
+    :param slots_per_runner: how many requests a runner serves at a time.
+    :param limits: the limits of the first model entry.
     """
     capacity = {
         "min_runners": 1,
@@ -117,15 +119,15 @@
 class Scene:
     """A fleet under test.
 
-    :param engines: how many, spread over the data centres by turns.
-    :param services: how many plain services.
-    :param vms: how many entry VMs, spread likewise.
+    :param engines: number of engines, assigned to the data centres in turn.
+    :param services: number of plain services, assigned likewise.
+    :param vms: number of entry VMs, assigned likewise.
     :param timing: changes to ``TIMING``.
-    :param flags: of each engine.
-    :param slots: of each engine, and in the catalogue.
-    :param sizes: of the daemons' settings.
-    :param linked: whether a relay stands before each runner.
-    :param linked_store: whether one stands before the object API.
+    :param flags: further command-line flags of each engine.
+    :param slots: slots of each engine, also stated in the catalogue.
+    :param sizes: the ``sizes`` in the daemons' settings.
+    :param linked: whether each runner is reached through a relay.
+    :param linked_store: whether the object API is reached through a relay.
     """
 
     def __init__(
@@ -141,7 +143,7 @@
         linked_store: bool = False,
     ) -> None:
         self.fleet = fleet.Fleet({**TIMING, **(timing or {})}, sizes)
-        self._pool = futures.ThreadPoolExecutor(CALLERS_MAX)
+        self._pool = futures.ThreadPoolExecutor(MAX_CALLERS)
         self._running: list[futures.Future[answers.Answer]] = []
         self._numbers = itertools.count()
         self.engines = [f"engine-{i}" for i in range(engines)]
@@ -149,8 +151,8 @@
         self.vms = [f"vm-{i}" for i in range(vms)]
         self.relays: dict[str, cuttable.Relay] = {}
         self._slots = slots
-        self._linked = linked
-        self._linked_store = linked_store
+        self._has_runner_relays = linked
+        self._has_store_relay = linked_store
         try:
             self._start(flags)
         except BaseException:
@@ -158,7 +160,7 @@
             raise
 
     def close(self) -> None:
-        """End every process."""
+        """End every process and every relay."""
         self.fleet.close()
         for relay in self.relays.values():
             relay.close()
@@ -167,15 +169,16 @@
     def silence(
         self, names: typing.Iterable[str], new_too: bool = False
     ) -> int:
-        """Let the open connections to some runners swallow everything.
+        """Make open connections through relays drop all data.
 
-        :param new_too: whether later connections are swallowed as well.
+        :param names: the runners, or ``objects``, that the relays lead to.
+        :param new_too: whether new connections drop all data as well.
         :returns: how many connections went silent.
         """
         return sum(self.relays[name].silence(new_too) for name in names)
 
     def data_centre(self, name: str) -> str:
-        """Where an engine or service runs."""
+        """The data centre of an engine or service."""
         number = int(name.rpartition("-")[2])
         return DATA_CENTRES[number % len(DATA_CENTRES)]
 
@@ -184,7 +187,7 @@
         return [e for e in self.engines if self.data_centre(e) == data_centre]
 
     def caller(self, customer: str = CUSTOMERS[0]) -> caller.Caller:
-        """A new caller."""
+        """A new caller with a customer's key."""
         return caller.Caller(
             self.fleet.entries, key_of(customer), gap_timeout_s=10.0
         )
@@ -199,8 +202,12 @@
     ) -> None:
         """Start callers that each stream one answer.
 
-        :param vm: the entry VM to begin at; by turns if empty.
-        :param words: of each prompt.
+        :param count: number of callers.
+        :param tokens: length of each answer, in tokens.
+        :param customer: the customer whose key the callers use.
+        :param vm: the entry VM that the callers try first; empty to let each
+            caller choose.
+        :param words: number of words in each prompt.
         """
         address = self.fleet.address(vm) if vm else ""
         for _ in range(count):
@@ -213,19 +220,24 @@
                 "seed": number,
                 "stream": True,
             }
-            one = self.caller(customer)
+            sender = self.caller(customer)
             self._running.append(
-                self._pool.submit(one.stream, "/v1/completions", body, address)
+                self._pool.submit(
+                    sender.stream, "/v1/completions", body, address
+                )
             )
 
     def stream_again(self, tokens: int) -> None:
-        """Stream the requests made so far again, with fewer tokens."""
+        """Send all requests made so far again, for shorter answers.
+
+        :param tokens: length of each answer, in tokens.
+        """
         count = next(self._numbers)
         self._numbers = itertools.count()
         self.stream(count, tokens)
 
     def wait_whole(self, count: int, tokens: int, vm: str) -> None:
-        """Start callers that each wait for one whole answer."""
+        """Start callers that each request one answer without streaming."""
         address = self.fleet.address(vm)
         for _ in range(count):
             number = next(self._numbers)
@@ -235,26 +247,32 @@
                 "max_tokens": tokens,
                 "seed": number,
             }
-            one = self.caller()
+            sender = self.caller()
             self._running.append(
-                self._pool.submit(one.whole, "/v1/completions", body, address)
+                self._pool.submit(
+                    sender.whole, "/v1/completions", body, address
+                )
             )
 
     def first_request_id(self, vm: str) -> str:
-        """The ID of a request that an engine works on for an entry VM."""
+        """The ID of a request from an entry VM that an engine has executed.
+
+        :param vm: name of the entry VM.
+        :returns: the ID; empty when there is none.
+        """
         ids = (
             request_id
             for name in self.engines
             for request_id in self.fleet.counts(name)["executions"]
         )
-        mine = (each for each in ids if each.startswith(vm))
-        return next(mine, "")
+        from_vm = (each for each in ids if each.startswith(vm))
+        return next(from_vm, "")
 
     def answers(self, timeout_s: float = 60.0) -> Answers:
-        """Every answer, when all callers are done."""
-        done = [each.result(timeout_s) for each in self._running]
+        """Wait for all callers and return their answers."""
+        received = [each.result(timeout_s) for each in self._running]
         self._running = []
-        return done
+        return received
 
     def status(self, vm: str) -> dict[str, typing.Any]:
         """The status page of an entry VM."""
@@ -267,57 +285,60 @@
         return next(holders, "")
 
     def wait_running(self, count: int) -> None:
-        """Wait until so many streams are being relayed."""
+        """Wait until the entry VMs serve a number of streams.
+
+        :param count: the number of streams.
+        """
 
-        def enough() -> bool:
-            rows = [self.status(vm)["streams"] for vm in self.vms]
-            return sum(rows) >= count
+        def all_running() -> bool:
+            counts = [self.status(vm)["streams"] for vm in self.vms]
+            return sum(counts) >= count
 
-        fleet.wait_for(enough)
+        fleet.wait_for(all_running)
         time.sleep(0.4)
 
-    def recomputed(self) -> int:
-        """Tokens that the living engines computed again."""
-        living = [
+    def recomputed_tokens(self) -> int:
+        """Number of tokens that engines still running computed again."""
+        running = [
             name for name in self.engines if self.fleet.process(name).running
         ]
         return sum(
-            self.fleet.counts(name)["recomputed_total"] for name in living
+            self.fleet.counts(name)["recomputed_total"] for name in running
         )
 
     def _start(self, flags: typing.Sequence[str]) -> None:
-        running = self.fleet
+        fleet_ = self.fleet
         self._start_platform()
-        running.start_engines(
+        fleet_.start_engines(
             self.engines,
             MODEL_POOL,
             DATA_CENTRES,
             flags=["--step-ms", STEP_MS, "--slots", str(self._slots), *flags],
-            register=not self._linked,
+            register=not self._has_runner_relays,
         )
-        running.start_services(
+        fleet_.start_services(
             self.services,
             SERVICE_POOL,
             DATA_CENTRES,
-            register=not self._linked,
+            register=not self._has_runner_relays,
         )
-        if self._linked:
-            self._link(self.engines, MODEL_POOL)
-            self._link(self.services, SERVICE_POOL)
-        running.put_catalogue(catalogue(self._slots))
-        running.start_daemons(
+        if self._has_runner_relays:
+            self._add_relays(self.engines, MODEL_POOL)
+            self._add_relays(self.services, SERVICE_POOL)
+        fleet_.put_catalogue(catalogue(self._slots))
+        fleet_.start_daemons(
             dict(zip(self.vms, itertools.cycle(DATA_CENTRES)))
         )
         fleet.wait_for(self._ready)
 
     def _start_platform(self) -> None:
         self.fleet.start_platform()
-        if self._linked_store:
-            store = cuttable.Relay(self.fleet.address("objects"))
-            self.relays["objects"] = store
-            self.fleet.node("objects").address = store.address
+        if self._has_store_relay:
+            relay = cuttable.Relay(self.fleet.address("objects"))
+            self.relays["objects"] = relay
+            self.fleet.node("objects").address = relay.address
 
-    def _link(self, names: typing.Sequence[str], pool: str) -> None:
+    def _add_relays(self, names: typing.Sequence[str], pool: str) -> None:
         for name in names:
             relay = cuttable.Relay(self.fleet.address(name))
             self.relays[name] = relay
@@ -326,16 +347,16 @@
             )
 
     def _ready(self) -> bool:
-        wanted = len(self.engines) + len(self.services)
+        runner_count = len(self.engines) + len(self.services)
         pages = [self.status(vm) for vm in self.vms]
         return all(
             page.get("catalogue_version")
-            and len(page["runners"]) == wanted
+            and len(page["runners"]) == runner_count
             and len(page["peers"]) == len(self.vms)
             for page in pages
         )
 
 
-def problems(found: Answers) -> list[str]:
-    """What is wrong with any answer."""
-    return [answer.problem for answer in found if answer.problem]
+def problems(received: Answers) -> list[str]:
+    """Descriptions of the answers that are wrong."""
+    return [answer.problem for answer in received if answer.problem]
--- a/tests/daemon/silence.feature
+++ b/tests/daemon/silence.feature
@@ -21,7 +21,7 @@
 
   Scenario: Connections fall silent twice during streams
     Guards against a stream that recovers once but not a second time, because
-    the second silence is taken for the runner's death. All connections go
+    the second silence is taken for a runner crash. All connections go
     silent, all new ones do 1.8 s later, and the third ones work.
     Given relays in front of 3 engines and 1 services, and 2 entry VMs
     And 9 callers are streaming 140 tokens each
--- a/tests/daemon/waits.py
+++ b/tests/daemon/waits.py
@@ -19,8 +19,8 @@
     """Advance a clock until something is due.
 
     :param clock: the clock to advance, in steps of ``STEP_S``.
-    :param decision: what becomes due.
-    :returns: by how many seconds the clock advanced.
+    :param decision: the object that becomes due.
+    :returns: how many seconds the clock was advanced.
     """
     waited = 0.0
     while not decision.due:
--- a/tests/steps/daemon_bad_input.py
+++ b/tests/steps/daemon_bad_input.py
@@ -11,13 +11,13 @@
 from tests.daemon import scene
 
 TRICKLE_S = 0.5
-LEAKS = re.compile(
+LEAK_PATTERN = re.compile(
     r"Traceback|File \"|\.py\b|/work|/home|/tmp|site-packages|bruno|secret",
 )
 
 
 @given("an entry VM that accepts bodies of up to {size:d} bytes")
-def _limited_bodies(context, size):
+def _start_with_body_limit(context, size):
     context.scene = scene.Scene(
         1, 1, 1, sizes={"body_bytes_max": size, "header_bytes_max": size}
     )
@@ -27,7 +27,7 @@
 
 
 @given("two half-sent requests, one of which continues byte by byte")
-def _half_sent(context):
+def _send_half_requests(context):
     half = raw.completion()[:-5]
     stopped = raw.send(context.address, half)
     trickling = raw.send(context.address, half[:40])
@@ -36,9 +36,9 @@
 
     def trickle():
         try:
-            for at in range(40, 70):
+            for index in range(40, 70):
                 time.sleep(TRICKLE_S)
-                trickling.send(half[at : at + 1])
+                trickling.send(half[index : index + 1])
         except OSError:
             return
 
@@ -50,7 +50,7 @@
     wrong = []
     for row in context.table:
         name = row["input"]
-        reply = raw.read_answer(
+        reply = raw.read_response(
             raw.send(context.address, raw.input_bytes(name))
         )
         context.replies[name] = reply
@@ -71,7 +71,7 @@
         name: f"{reply.headers}{reply.payload}"
         for name, reply in context.replies.items()
     }
-    leaks = {k: v for k, v in responses.items() if LEAKS.search(v)}
+    leaks = {k: v for k, v in responses.items() if LEAK_PATTERN.search(v)}
     assert responses and not leaks, leaks
 
 
@@ -83,7 +83,7 @@
 @then("another customer is served after {count:d} requests with a bad seed")
 def _bad_seeds(context, count):
     for _ in range(count):
-        raw.read_answer(
+        raw.read_response(
             raw.send(context.address, raw.completion(seed="lucky"))
         )
     answer = context.scene.caller("bruno").complete("drafts", "hello", 4)
@@ -93,7 +93,7 @@
 @then("the half-sent requests are refused with 408")
 def _timed_out(context):
     for sock in context.half_sent:
-        reply = raw.read_answer(sock)
+        reply = raw.read_response(sock)
         waited_s = time.monotonic() - context.sent_at
         assert reply.status == 408, (reply.status, reply.payload)
         assert reply.payload["error"]["type"] == "request_timeout"
--- a/tests/steps/daemon_gateway.py
+++ b/tests/steps/daemon_gateway.py
@@ -56,14 +56,14 @@
         return future
 
     def tell(self, message):
-        """Accept a message without effect."""
+        """Ignore a message."""
 
 
 class _Context:
-    """A context whose catalogue changes with each read."""
+    """A context that returns the next of some catalogues at each read."""
 
-    def __init__(self, versions):
-        self._versions = versions
+    def __init__(self, catalogue_versions):
+        self._catalogues = catalogue_versions
         self.clock = clocks.ManualClock()
         self.config = types.SimpleNamespace(vm="vm")
         self.incarnation = 1
@@ -72,7 +72,7 @@
 
     @property
     def catalogue(self):
-        return self._versions.pop(0)
+        return self._catalogues.pop(0)
 
     def answer_of(self, future, wait_s=0.0):
         return future.result(wait_s)
@@ -82,12 +82,12 @@
 def _gateway(context, count):
     presence = types.SimpleNamespace(takes_new_work=True)
 
-    def make(kind):
-        edited = catalogues.Catalogue(2, {}, {}, {})
-        versions = [_catalogue(kind)] * count + [edited] * 9
-        return gateway.Gateway(_Context(versions), presence)
+    def create(kind):
+        empty = catalogues.Catalogue(2, {}, {}, {})
+        catalogue_versions = [_catalogue(kind)] * count + [empty] * 9
+        return gateway.Gateway(_Context(catalogue_versions), presence)
 
-    context.make_gateway = make
+    context.make_gateway = create
 
 
 @when("a {kind} request reaches a gateway whose dispatcher refuses everything")
--- a/tests/steps/daemon_operators.py
+++ b/tests/steps/daemon_operators.py
@@ -34,17 +34,19 @@
 
 
 @when("a customer asks for the status and the histograms")
-def _customer_asks(context):
+def _customer_requests_pages(context):
     headers = {"Authorization": f"Bearer {scene.key_of('ana')}"}
     context.replies = [
-        http.call(context.running.address(VM), "GET", page, headers=given_)
+        http.call(
+            context.running.address(VM), "GET", page, headers=request_headers
+        )
         for page in PAGES
-        for given_ in (headers, {})
+        for request_headers in (headers, {})
     ]
 
 
 @then("neither is shown")
-def _not_shown(context):
+def _pages_refused(context):
     kinds = {
         (reply.status, reply.payload["error"]["type"])
         for reply in context.replies
@@ -53,7 +55,7 @@
 
 
 @then("the client with the operators' key shows the status")
-def _client_shows(context):
+def _client_shows_status(context):
     key_file = context.running.folder / "operator-key"
     key_file.write_text(OPERATOR_KEY + "\n")
     connection = [
@@ -63,6 +65,6 @@
         str(key_file),
     ]
     for words in (["status"], ["histograms"]):
-        ran = command_runner.run([*words, "--json"], connection)
-        assert ran.code == 0, ran.stderr
-        assert json.loads(ran.stdout)
+        result = command_runner.run([*words, "--json"], connection)
+        assert result.code == 0, result.stderr
+        assert json.loads(result.stdout)
--- a/tests/steps/daemon_overload.py
+++ b/tests/steps/daemon_overload.py
@@ -20,7 +20,7 @@
     context.sent_by_ana = []
 
 
-def _flood(context, addresses, seconds, times):
+def _run_floods(context, addresses, seconds, times):
     rate = times * context.capacity_per_s
     entry = scene.MODEL_ENTRY
     context.ana, context.bruno = flood.run_together(
@@ -37,9 +37,9 @@
     "{seconds:f} s, and bruno sends a trickle"
 )
 def _flood_engines(context, times, seconds):
-    running = context.scene
-    addresses = [running.fleet.address(name) for name in running.engines]
-    _flood(context, addresses, seconds, times)
+    fixture = context.scene
+    addresses = [fixture.fleet.address(name) for name in fixture.engines]
+    _run_floods(context, addresses, seconds, times)
 
 
 @when(
@@ -47,7 +47,7 @@
     "sends a trickle"
 )
 def _flood_entries(context, times, seconds):
-    _flood(context, context.scene.fleet.entries, seconds, times)
+    _run_floods(context, context.scene.fleet.entries, seconds, times)
 
 
 @when(
--- a/tests/steps/daemon_scene.py
+++ b/tests/steps/daemon_scene.py
@@ -1,4 +1,4 @@
-"""Steps that the daemon's failure tests share."""
+"""Steps that several failure tests of the daemon use."""
 
 import json
 import threading
@@ -13,14 +13,14 @@
 from tests.support import fleet
 
 
-def _start(context, engines, vms, services=0, **options):
+def _start_fleet(context, engines, vms, services=0, **options):
     context.scene = scene.Scene(engines, services, vms, **options)
     context.closers.append(context.scene.close)
 
 
 @given("a fleet of {engines:d} engines and {vms:d} entry VMs")
 def _engines_and_vms(context, engines, vms):
-    _start(context, engines, vms)
+    _start_fleet(context, engines, vms)
 
 
 @given(
@@ -28,7 +28,7 @@
     "{vms:d} entry VMs"
 )
 def _with_services(context, engines, services, vms):
-    _start(context, engines, vms, services)
+    _start_fleet(context, engines, vms, services)
 
 
 @given("{count:d} callers are streaming {tokens:d} tokens each")
@@ -44,13 +44,13 @@
 
 
 @given("exports take {seconds:f} s at the runners of {data_centre}")
-def _slow_export(context, seconds, data_centre):
+def _exports_slow(context, seconds, data_centre):
     for name in context.scene.engines_in(data_centre):
         context.scene.fleet.faults(name, export_delay_s=seconds)
 
 
 @given("imports fail at the runners of {data_centre}")
-def _no_import(context, data_centre):
+def _imports_fail(context, data_centre):
     for name in context.scene.engines_in(data_centre):
         context.scene.fleet.faults(name, import_fails=True)
 
@@ -61,7 +61,7 @@
 
 
 @when("no VM can be bought")
-def _no_capacity(context):
+def _no_vm_for_sale(context):
     context.scene.fleet.faults("cloud", no_capacity=True)
 
 
@@ -69,12 +69,12 @@
     "{count:d} callers stream {tokens:d} tokens straight from the runners "
     "of {data_centre}"
 )
-def _naive_streams(context, count, tokens, data_centre):
+def _stream_directly(context, count, tokens, data_centre):
     address = context.scene.fleet.address(
         context.scene.engines_in(data_centre)[0]
     )
-    context.naive = naive.DirectStreams(address, count, tokens)
-    context.closers.append(context.naive.close)
+    context.direct_streams = naive.DirectStreams(address, count, tokens)
+    context.closers.append(context.direct_streams.close)
 
 
 @when("the runners of {data_centre} are taken after a notice of {seconds:f} s")
@@ -120,60 +120,60 @@
 
 
 @when("{vm} is asked to stop")
-def _vm_stops(context, vm):
+def _vm_terminated(context, vm):
     context.scene.fleet.terminate(vm)
 
 
 @when("{vm} gets a reclaim notice of {seconds:f} s")
-def _vm_noticed(context, vm, seconds):
+def _vm_reclaimed(context, vm, seconds):
     context.scene.fleet.reclaim([vm], seconds)
 
 
 @then("an answer is broken")
-def _broken(context):
-    assert any(answer.problem for answer in context.naive.results())
+def _some_answer_broken(context):
+    assert any(answer.problem for answer in context.direct_streams.results())
 
 
 def answers_of(context):
-    """Every answer of the scene, waited for once."""
+    """The answers of all callers; waits for the callers at the first use."""
     if not hasattr(context, "found"):
         context.found = context.scene.answers()
     return context.found
 
 
 @then("every answer is whole and no token came twice")
-def _whole(context):
-    found = answers_of(context)
-    wrong = scene.problems(found)
-    assert found and not wrong, (wrong, logs_of(context))
+def _answers_whole(context):
+    received = answers_of(context)
+    wrong = scene.problems(received)
+    assert received and not wrong, (wrong, logs_of(context))
 
 
 def logs_of(context):
-    """What the entry VMs logged, for the message of a failed check."""
+    """The ends of the entry VMs' logs, for the message of a failed check."""
     texts = (context.scene.fleet.log(vm) for vm in context.scene.vms)
     return "\n".join(text[-6000:] for text in texts)
 
 
 @then("some streams were moved")
-def _moved(context):
+def _streams_moved(context):
     assert "event=stream_moved" in logs_of(context)
 
 
 @then("no token was computed again")
-def _none_recomputed(context):
-    recomputed = context.scene.recomputed()
+def _no_token_recomputed(context):
+    recomputed = context.scene.recomputed_tokens()
     assert recomputed == 0, (recomputed, logs_of(context))
 
 
 @then("no more tokens were computed again than the dead runners had done")
-def _no_more(context):
-    ours = context.scene.recomputed()
+def _recomputed_at_most_lost(context):
+    recomputed = context.scene.recomputed_tokens()
     lost = naive.lost_tokens(logs_of(context))
-    assert 0 < ours <= lost, (ours, lost)
+    assert 0 < recomputed <= lost, (recomputed, lost)
 
 
 @then("at most {seconds:f} s passed between two tokens")
-def _gap(context, seconds):
+def _token_gap_at_most(context, seconds):
     longest = max(max(a.gaps_s, default=0.0) for a in answers_of(context))
     assert longest <= seconds, longest
 
@@ -185,24 +185,24 @@
 
 
 @then("{vm} exits with {code:d}")
-def _exits(context, vm, code):
+def _exits_with(context, vm, code):
     process = context.scene.fleet.process(vm)
     fleet.wait_for(lambda: not process.running)
     assert process.exit_code == code, (process.exit_code, process.log)
 
 
 @then("some callers were told where to go on")
-def _told(context):
+def _callers_redirected(context):
     assert any(answer.moves for answer in answers_of(context))
 
 
-def in_background(work):
-    """Run something beside the scenario; returns its thread."""
-    thread = threading.Thread(target=work, daemon=True)
+def in_background(function):
+    """Run a function concurrently with the scenario and return its thread."""
+    thread = threading.Thread(target=function, daemon=True)
     thread.start()
     return thread
 
 
 def pretty(document):
-    """JSON for the message of a failed check."""
+    """A document as JSON, for the message of a failed check."""
     return json.dumps(document, indent=1)[:4000]
--- a/tests/steps/daemon_silence.py
+++ b/tests/steps/daemon_silence.py
@@ -21,18 +21,18 @@
     "{vms:d} entry VMs"
 )
 def _behind_relays(context, engines, services, vms):
-    _start(context, engines, services, vms, linked=True)
+    _start_fleet(context, engines, services, vms, linked=True)
 
 
 @given(
     "direct connections to {engines:d} engines and {services:d} services, "
     "and {vms:d} entry VMs"
 )
-def _direct(context, engines, services, vms):
-    _start(context, engines, services, vms, linked=False)
+def _without_relays(context, engines, services, vms):
+    _start_fleet(context, engines, services, vms, linked=False)
 
 
-def _start(context, engines, services, vms, linked):
+def _start_fleet(context, engines, services, vms, linked):
     context.scene = scene.Scene(engines, services, vms, linked=linked)
     context.closers.append(context.scene.close)
     context.lookups = lookups.Lookups(context.scene)
@@ -46,14 +46,14 @@
 
 
 @given("each plain service takes {seconds:f} s")
-def _delayed(context, seconds):
+def _set_service_delay(context, seconds):
     for name in context.scene.services:
         context.scene.fleet.faults(name, delay_s=seconds)
 
 
 @given("service-0 takes {slow:f} s and the others {fast:f} s")
-def _one_slow(context, slow, fast):
-    _delayed(context, fast)
+def _set_service_delays(context, slow, fast):
+    _set_service_delay(context, fast)
     context.scene.fleet.faults("service-0", delay_s=slow)
 
 
@@ -61,40 +61,40 @@
     "a caller without the system streams from {data_centre}, which goes "
     "silent"
 )
-def _without_system(context, data_centre):
+def _stream_directly(context, data_centre):
     [name] = context.scene.engines_in(data_centre)
     address = context.scene.relays[name].address
-    context.naive = naive.DirectStreams(address, 2, 60)
-    context.closers.append(context.naive.close)
+    context.direct_streams = naive.DirectStreams(address, 2, 60)
+    context.closers.append(context.direct_streams.close)
     time.sleep(IN_PROGRESS_S)
     context.scene.silence([name])
 
 
 @when("the open connections to {data_centre} go silent")
-def _silent(context, data_centre):
+def _silence_open(context, data_centre):
     names = context.scene.engines_in(data_centre)
     assert context.scene.silence(names)
 
 
 @when("all open connections go silent")
-def _all_silent(context):
+def _silence_all(context):
     assert context.scene.silence(context.scene.relays)
 
 
 @when("{seconds:f} s later all open connections go silent")
-def _all_silent_later(context, seconds):
+def _silence_all_later(context, seconds):
     time.sleep(seconds)
-    _all_silent(context)
+    _silence_all(context)
 
 
 @when("all open connections are reset")
-def _all_reset(context):
+def _reset_all(context):
     for relay in context.scene.relays.values():
         relay.cut()
 
 
 @when("open and new connections to {data_centre} are silent for {seconds:f} s")
-def _silent_for(context, data_centre, seconds):
+def _silence_for(context, data_centre, seconds):
     names = context.scene.engines_in(data_centre)
     context.scene.silence(names, new_too=True)
     relays = [context.scene.relays[name] for name in names]
@@ -109,7 +109,7 @@
 
 
 @when("{count:d} callers stream {tokens:d} tokens each during the silence")
-def _in_silence(context, count, tokens):
+def _stream_during_silence(context, count, tokens):
     context.scene.stream(count, tokens)
 
 
@@ -120,49 +120,49 @@
 
 
 @when("all open connections go silent while {count:d} lookups run")
-def _lookups_silent(context, count):
+def _silence_during_lookups(context, count):
     context.lookups.start(count)
     time.sleep(IN_PROGRESS_S)
-    _all_silent(context)
+    _silence_all(context)
 
 
 @when("all open connections are reset while {count:d} lookups run")
-def _lookups_reset(context, count):
+def _reset_during_lookups(context, count):
     context.lookups.start(count)
     time.sleep(IN_PROGRESS_S)
-    _all_reset(context)
+    _reset_all(context)
 
 
 @when("service-0 is killed while {count:d} lookups run")
-def _lookups_killed(context, count):
+def _kill_during_lookups(context, count):
     context.lookups.start(count)
     time.sleep(IN_PROGRESS_S)
     context.scene.fleet.kill("service-0")
 
 
 @then("each lookup got its own answer within {seconds:f} s")
-def _answered(context, seconds):
+def _lookups_answered(context, seconds):
     problems = context.lookups.problems(seconds)
     assert not problems, problems
 
 
 @then("the same lookups are answered when they are repeated")
-def _answered_again(context):
+def _lookups_answered_again(context):
     context.lookups.repeat_all()
-    _answered(context, 6.0)
+    _lookups_answered(context, 6.0)
 
 
 @when("{count:d} lookups have left idle connections")
 def _idle_connections(context, count):
     context.lookups.start(count)
-    _answered(context, 6.0)
+    _lookups_answered(context, 6.0)
     assert any(relay.open for relay in context.scene.relays.values())
 
 
 @then("{count:d} new lookups get their own answers within {seconds:f} s")
 def _new_lookups(context, count, seconds):
     context.lookups.start(count)
-    _answered(context, seconds)
+    _lookups_answered(context, seconds)
 
 
 @when("{count:d} lookups are made by {callers:d} callers")
@@ -173,17 +173,17 @@
 
 
 @when("vm-0 pauses while a registration with its key is sent to vm-1 and vm-2")
-def _owner_paused(context):
-    registry_calls = registrations.Registrations(context.scene)
-    context.closers.append(registry_calls.close)
-    registration = registry_calls.new(registrations.MINTED, "vm-0")
+def _pause_owner(context):
+    registration_calls = registrations.Registrations(context.scene)
+    context.closers.append(registration_calls.close)
+    registration = registration_calls.new(registrations.MINTED, "vm-0")
     context.scene.fleet.pause("vm-0")
     started_at = time.monotonic()
     for vm in ("vm-1", "vm-2"):
-        registry_calls.start_sending(registration, vm)
-    registry_calls.wait()
+        registration_calls.start_sending(registration, vm)
+    registration_calls.wait()
     context.elapsed_s = time.monotonic() - started_at
-    context.registrations = registry_calls
+    context.registrations = registration_calls
 
 
 @then("both attempts were reported as unknown within {seconds:f} s")
@@ -197,12 +197,12 @@
 
 
 @then("the registration has not run")
-def _not_run(context):
+def _registration_not_run(context):
     assert not context.registrations.runs()
 
 
 @when("the store's open connections go silent")
-def _store_silent(context):
+def _silence_store(context):
     assert context.scene.silence(["objects"])
 
 
@@ -214,10 +214,10 @@
 
 @then("the catalogue is in force at each entry VM within {seconds:f} s")
 def _in_force(context, seconds):
-    def everywhere():
+    def in_force():
         pages = [context.scene.status(vm) for vm in context.scene.vms]
         return all(p["catalogue_version"] >= context.version for p in pages)
 
-    fleet.wait_for(everywhere)
+    fleet.wait_for(in_force)
     elapsed_s = time.monotonic() - context.written_at
     assert elapsed_s <= seconds, elapsed_s
