--- a/src/apricotlever/daemon/dispatcher_messages.py
+++ b/src/apricotlever/daemon/dispatcher_messages.py
@@ -281,7 +281,7 @@
     :param request: the request that the stream answers.
     :param cause: why the stream needs a decision.
     :param failures: how many attempts have failed.
-    :param same_runner: how often in a row the stream was resumed at its
+    :param stuck_resumptions: how often in a row the stream was resumed at its
         runner without a new token.
     :param excluded: names of runners that the stream must not move to.
     """
@@ -293,13 +293,13 @@
         request: model_request.ModelRequest,
         cause: recovery.RecoveryCause,
         failures: int,
-        same_runner: int,
+        stuck_resumptions: int,
         excluded: frozenset[str],
     ) -> None:
         self.flight = request
         self.cause = cause
         self.failures = failures
-        self.same_runner = same_runner
+        self.same_runner = stuck_resumptions
         self.excluded = excluded
 
 
--- a/src/apricotlever/daemon/model_request.py
+++ b/src/apricotlever/daemon/model_request.py
@@ -26,7 +26,7 @@
     :param customer: name of the customer.
     :param entry: the catalogue entry that the request names.
     :param service_class: the class of the entry.
-    :param request: the caller's request, parsed.
+    :param completion_request: the caller's request, parsed.
     :param body: the caller's request body, as received; empty when only the
         stream is known because the entry VM that held the request has ended.
     :param fingerprint: identifies repetitions of the request in the fleet.
@@ -64,7 +64,7 @@
         customer: str,
         entry: catalogues.Entry,
         service_class: catalogues.ServiceClass,
-        request: openai_format.ModelRequest,
+        completion_request: openai_format.ModelRequest,
         body: bytes,
         fingerprint: str,
         deadline: float,
@@ -75,7 +75,7 @@
         self.customer = customer
         self.entry = entry
         self.service_class = service_class
-        self.request = request
+        self.request = completion_request
         self.body = body
         self.fingerprint = fingerprint
         self.deadline = deadline
--- a/src/apricotlever/daemon/placements.py
+++ b/src/apricotlever/daemon/placements.py
@@ -206,7 +206,7 @@
         cause: recovery.RecoveryCause,
         candidates: list[recovery.Candidate],
         failures: int = 0,
-        same_runner: int = 0,
+        stuck_resumptions: int = 0,
     ) -> recovery.AffectedStream:
         """Describe a stream that needs a recovery decision.
 
@@ -215,8 +215,8 @@
         :param cause: why the stream needs a decision.
         :param candidates: the runners that it may move to.
         :param failures: how many attempts have failed.
-        :param same_runner: how often in a row the stream was resumed at its
-            runner without a new token.
+        :param stuck_resumptions: how often in a row the stream was resumed at
+            its runner without a new token.
         """
         sent = request.transcript.tokens()
         tokens = request.request.prompt_tokens + len(sent)
@@ -235,7 +235,7 @@
             request.left_s,
             failures,
             MAX_ATTEMPTS_AFTER_CRASHES,
-            same_runner,
+            stuck_resumptions,
             "",
             candidates,
         )
