--- a/bench/_relay_source.py
+++ b/bench/_relay_source.py
@@ -1,8 +1,9 @@
-"""A cheap upstream for the relay benchmark: paced events, no model.
+"""Upstream of the relay benchmark: sends paced events and runs no model.
 
-Speaks what an entry VM needs of an engine. Each token is the time at which
-it was written, in microseconds of the machine's monotonic clock, so that a
-reader on the same machine sees how long it took.
+Implements the part of an engine's interface that an entry VM uses. The text
+of each token is the time at which it was written, in microseconds of the
+machine's monotonic clock, so that a client on the same machine can compute
+the delay.
 
 ``python -m bench._relay_source --rate 15``
 """
@@ -18,12 +19,12 @@
 HEAD_END = b"\r\n\r\n"
 HOST = "127.0.0.1"
 LOAD = {"running": 0, "waiting": 0, "slots": 4096, "blocks_used": 0}
-LOAD_REST = {"blocks": 0, "tokens_per_s": 0.0, "age_s": 0.0}
-EVENTS = {"events": [], "seq": 0, "from": 0}
+LOAD_DETAILS = {"blocks": 0, "tokens_per_s": 0.0, "age_s": 0.0}
+NO_CACHE_EVENTS = {"events": [], "seq": 0, "from": 0}
 
 
 class _Connection(asyncio.Protocol):
-    """One connection; serves one stream or some small JSON answers."""
+    """Connection that serves one stream or small JSON responses."""
 
     def __init__(self, rate: float, rng: random.Random) -> None:
         self._period_s = 1.0 / rate
@@ -31,11 +32,11 @@
         self._received = b""
         self._transport: typing.Any = None
         self._loop = asyncio.get_running_loop()
-        self._before = ""
+        self._event_prefix = ""
         self._chunked = False
-        self._left = 0
+        self._remaining = 0
         self._index = 0
-        self._due = 0.0
+        self._next_at = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = transport
@@ -52,29 +53,40 @@
         self._received = b""
         method, path, _ = lines[0].split(" ")
         if method == "POST" and path.endswith("/completions"):
-            self._begin(lines, json.loads(body))
+            self._start_stream(lines, json.loads(body))
         else:
-            self._answer(path)
+            self._send_json(path)
 
-    def _answer(self, path: str) -> None:
-        found = EVENTS if "events" in path else {**LOAD, **LOAD_REST}
-        body = json.dumps(found).encode()
+    def _send_json(self, path: str) -> None:
+        answer = (
+            NO_CACHE_EVENTS if "events" in path else {**LOAD, **LOAD_DETAILS}
+        )
+        body = json.dumps(answer).encode()
         head = (
             "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
             f"Content-Length: {len(body)}\r\n\r\n"
         )
         self._transport.write(head.encode() + body)
 
-    def _begin(self, lines: list[str], body: dict[str, typing.Any]) -> None:
-        named = [x for x in lines if x.lower().startswith("apricotlever-")]
-        echoed = "".join(f"{line}\r\n" for line in named)
+    def _start_stream(
+        self, lines: list[str], body: dict[str, typing.Any]
+    ) -> None:
+        own_headers = [
+            line for line in lines if line.lower().startswith("apricotlever-")
+        ]
+        echoed = "".join(f"{line}\r\n" for line in own_headers)
         request = next(
-            (x.split(": ")[1] for x in named if "-Request" in x), "direct"
+            (
+                line.split(": ")[1]
+                for line in own_headers
+                if "-Request" in line
+            ),
+            "direct",
         )
-        self._before = (
+        self._event_prefix = (
             f'data: {{"id":"{request}","choices":[{{"index":0,"text":" '
         )
-        self._left = int(body["max_tokens"])
+        self._remaining = int(body["max_tokens"])
         self._chunked = lines[0].endswith("HTTP/1.1")
         framing = "Transfer-Encoding: chunked" if self._chunked else ""
         head = (
@@ -83,27 +95,28 @@
         self._transport.write(
             f"{head}{framing or 'Connection: close'}\r\n\r\n".encode()
         )
-        # The second event comes after a random part of a period, so that
-        # streams that began together don't stay in step.
-        self._due = self._loop.time() - self._rng.random() * self._period_s
-        self._event()
+        # The second event is sent after a random fraction of a period.
+        # Otherwise streams that are opened together would send their
+        # events at the same times.
+        self._next_at = self._loop.time() - self._rng.random() * self._period_s
+        self._send_event()
 
-    def _event(self) -> None:
+    def _send_event(self) -> None:
         if self._transport.is_closing():
             return
         now_us = time.monotonic_ns() // 1000
-        event = f'id: {self._index}\n{self._before}{now_us}"}}]}}\n\n'
+        event = f'id: {self._index}\n{self._event_prefix}{now_us}"}}]}}\n\n'
         self._send(event)
         self._index += 1
-        self._left -= 1
-        if not self._left:
+        self._remaining -= 1
+        if not self._remaining:
             self._send("data: [DONE]\n\n")
             if self._chunked:
                 self._transport.write(b"0\r\n\r\n")
             self._transport.close()
             return
-        self._due += self._period_s
-        self._loop.call_at(self._due, self._event)
+        self._next_at += self._period_s
+        self._loop.call_at(self._next_at, self._send_event)
 
     def _send(self, text: str) -> None:
         framed = f"{len(text):x}\r\n{text}\r\n" if self._chunked else text
@@ -122,7 +135,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Serve until killed."""
+    """Serve until the process is killed."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--rate", type=float, default=15.0)
     parser.add_argument("--seed", type=int, default=1)
