--- a/bench/records.py
+++ b/bench/records.py
@@ -1,8 +1,9 @@
-"""What the records of a fleet cost one VM, in processor time.
+"""Processor time that an entry VM spends on the VM records of its fleet.
 
-One entry VM, wired as it runs, hears the records of all others. Its clock is
-set by hand, so only the work is measured: the processor time of a record that
-came, of one that is sent, and of a tick, and what they make in a second.
+One node with its real components receives the records of all other VMs. Its
+clock is advanced by hand, so that only its own work is measured: the processor
+time of a received record, of a sent record and of a tick, and the fraction of
+a core that they take together.
 """
 
 import argparse
@@ -27,14 +28,14 @@
 
 SEED = 7
 ROUNDS = 60
-#: Rounds that are not measured: all members are new in them.
-WARM_ROUNDS = 10
-#: Customers whose counts change between two records of a busy VM.
-BUSY_CUSTOMERS = 2
-#: Runners at which a VM has calls.
+#: Rounds that are not measured, as the node adds new peers in them.
+WARM_UP_ROUNDS = 10
+#: Customers whose token counts change between two records of a busy VM.
+CHANGED_CUSTOMERS = 2
+#: Runners at which a VM has calls in flight.
 BUSY_RUNNERS = 4
-WINDOWS = 3
-US = 1e6
+USAGE_WINDOWS = 3
+US_PER_S = 1e6
 
 
 def _settings() -> settings.NodeSettings:
@@ -58,7 +59,7 @@
 
 
 def _configuration(customers: int) -> configuration_model.Configuration:
-    named = [
+    customer_list = [
         configuration_model.Customer(
             f"customer-{i}", frozenset({f"key-{i}"}), None, 5e3, 9e3
         )
@@ -68,15 +69,17 @@
         1,
         [],
         [configuration_model.Service("llm", 64)],
-        named,
+        customer_list,
         configuration_model.CallerLimits(),
     )
 
 
 class _Peer:
-    """Another VM, as its records show it.
+    """Generates the records of another VM.
 
-    :param number: of the VM.
+    :param number: number of the VM, part of its name and address.
+    :param customers: number of customers.
+    :param count: number of runners.
     """
 
     __slots__ = (
@@ -98,16 +101,16 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where its records come from."""
+        """The source address of its records."""
         return (f"10.0.0.{self._number}", 9)
 
     def record(
         self, rng: random.Random, window: int, version: int, checksum: int
     ) -> vm_records.VmRecord:
-        """Its next record."""
+        """Return the next record of the VM."""
         self._sent += 1
-        whole = self._sent % vm_records.FULL_RECORD_EVERY == 1
-        for name in rng.sample(self._customers, BUSY_CUSTOMERS):
+        is_full = self._sent % vm_records.FULL_RECORD_EVERY == 1
+        for name in rng.sample(self._customers, CHANGED_CUSTOMERS):
             self._counts[name] += rng.randrange(3000)
         busy = rng.sample(self._runners, min(BUSY_RUNNERS, len(self._runners)))
         usage = {
@@ -116,7 +119,7 @@
                 name: rng.randrange(1, 30)
                 for name in self._customers[:BUSY_RUNNERS]
             }
-            for i in range(WINDOWS)
+            for i in range(USAGE_WINDOWS)
         }
         return vm_records.VmRecord(
             self._vm,
@@ -134,27 +137,27 @@
             used=dict(self._counts),
             levels=(
                 {name: 9e3 * rng.random() for name in self._customers}
-                if whole
+                if is_full
                 else None
             ),
             usage=usage,
             work={"llm": (self._sent, 8e3, 0.4)},
-            failures={name: (1, 9) for name in busy} if whole else None,
+            failures={name: (1, 9) for name in busy} if is_full else None,
             known=(
                 ["10.0.0.9:9"] * peer_table.MAX_KNOWN_ADDRESSES
-                if whole
+                if is_full
                 else None
             ),
         )
 
 
 class Costs:
-    """Processor time of one VM, in microseconds.
+    """Processor time of one VM.
 
-    :param heard_us: of a record that came.
-    :param sent_us: of one record to all its receivers.
-    :param tick_us: of a tick.
-    :param bytes: of a record, on average.
+    :param heard_us: time to process a received record.
+    :param sent_us: time to send a record to all its receivers.
+    :param tick_us: time of a tick.
+    :param size: mean size of a record in bytes.
     """
 
     __slots__ = ("heard_us", "sent_us", "tick_us", "bytes")
@@ -167,43 +170,50 @@
         self.tick_us = tick_us
         self.bytes = size
 
-    def core(self, vms: int) -> float:
-        """Part of a core, without the kernel's work for the datagrams."""
-        a_second = (
+    def cores(self, vms: int) -> float:
+        """Return the number of cores in use, usually a fraction of one.
+
+        It excludes the kernel's work for the datagrams.
+        """
+        received_per_s = (
             min(vms - 1, peer_table.FANOUT) / vm_records.RECORD_INTERVAL_S
         )
         return (
-            a_second * self.heard_us
+            received_per_s * self.heard_us
             + self.sent_us / vm_records.RECORD_INTERVAL_S
             + self.tick_us / node.TICK_S
-        ) / US
+        ) / US_PER_S
 
 
 class _Timer:
-    """Takes the processor time of steps."""
+    """Measures the processor time of steps."""
 
-    __slots__ = ("_taken_s",)
+    __slots__ = ("_durations_s",)
 
     def __init__(self) -> None:
-        self._taken_s: list[float] = []
+        self._durations_s: list[float] = []
 
     def __call__(self, step: typing.Callable[..., typing.Any], *args) -> None:
-        began = time.process_time()
+        started_s = time.process_time()
         step(*args)
-        self._taken_s.append(time.process_time() - began)
+        self._durations_s.append(time.process_time() - started_s)
 
     @property
     def median_us(self) -> float:
-        """Of one step: one that met a collection of garbage says nothing."""
-        return statistics.median(self._taken_s) * US
+        """The median time of a step.
+
+        Steps in which a garbage collection ran are outliers, which the
+        median leaves out.
+        """
+        return statistics.median(self._durations_s) * US_PER_S
 
 
 def measure(vms: int, customers: int, count: int) -> Costs:
-    """What the records of a fleet cost one VM.
+    """Measure what the records of a fleet cost one VM.
 
-    :param vms: entry VMs of the fleet, this one included.
-    :param customers: with a limit each.
-    :param count: runners of the fleet.
+    :param vms: number of entry VMs, the measured one included.
+    :param customers: number of customers, each with a limit.
+    :param count: number of runners.
     """
     return asyncio.run(_measure(vms, customers, count))
 
@@ -212,13 +222,13 @@
     rng = random.Random(SEED)
     clock = clocks.ManualClock()
     dialect = dialects.Dialect(*[mock.MagicMock() for _ in range(3)])
-    member = node.Node(_settings, dialect, clock, rng, mock.MagicMock())
+    measured_node = node.Node(_settings, dialect, clock, rng, mock.MagicMock())
     configuration = _configuration(customers)
     dialect.platform.parse_configuration.return_value = configuration
-    member._servers = mock.MagicMock(busy=0)
-    member.configure({})
+    measured_node._servers = mock.MagicMock(busy=0)
+    measured_node.configure({})
     for number in range(count):
-        member._directory.apply_entry(
+        measured_node._directory.apply_entry(
             runners.Runner(
                 f"i-{number:010x}",
                 "llm",
@@ -229,53 +239,54 @@
                 revision=1,
             )
         )
-    member.runners_changed([])
-    datagrams = member._fleet._datagrams
+    measured_node.runners_changed([])
+    datagrams = measured_node._fleet._datagrams
     datagrams._socket = mock.NonCallableMagicMock(
         sendto=lambda data, address: len(data)
     )
     windows = usage_windows.UsageWindows(clock, "x", 5.0)
     peers = [_Peer(i, customers, count) for i in range(1, vms)]
-    heard, sent, tick, size = _Timer(), _Timer(), _Timer(), []
-    turn = 0
-    for number in range(WARM_ROUNDS + ROUNDS):
-        if number == WARM_ROUNDS:
-            heard, sent, tick, size = _Timer(), _Timer(), _Timer(), []
-        # In a second of a VM: five records sent, ten ticks, and as many
-        # heard as other VMs have receivers for.
+    received, sent, tick, sizes = _Timer(), _Timer(), _Timer(), []
+    peer_index = 0
+    for round_number in range(WARM_UP_ROUNDS + ROUNDS):
+        if round_number == WARM_UP_ROUNDS:
+            received, sent, tick, sizes = _Timer(), _Timer(), _Timer(), []
+        # A VM sends five records and runs ten ticks a second. A round is
+        # the interval between two sent records, in which a VM receives as
+        # many records as each VM has receivers.
         for _ in range(round(min(vms - 1, peer_table.FANOUT))):
-            peer = peers[turn % len(peers)]
-            turn += 1
+            peer = peers[peer_index % len(peers)]
+            peer_index += 1
             record = peer.record(
                 rng,
                 windows.window,
-                member.version,
-                member._directory.checksum,
+                measured_node.version,
+                measured_node._directory.checksum,
             )
             data = datagrams_.pack(record)
-            size.append(len(data))
-            heard(datagrams._receive, data, peer.address[0])
-        sent(member._fleet.publish_now)
+            sizes.append(len(data))
+            received(datagrams._receive, data, peer.address[0])
+        sent(measured_node._fleet.publish_now)
         for _ in range(round(vm_records.RECORD_INTERVAL_S / node.TICK_S)):
             clock.advance(node.TICK_S)
-            tick(member._update)
+            tick(measured_node._update)
     return Costs(
-        heard.median_us,
+        received.median_us,
         sent.median_us,
         tick.median_us,
-        sum(size) / len(size),
+        sum(sizes) / len(sizes),
     )
 
 
 def run(arguments: typing.Sequence[str]) -> int:
-    """Print what the records cost, a line for each size of the fleet."""
+    """Print the cost of the records, one line for each fleet size."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--vms", type=int, nargs="+", default=[4, 8, 24])
     parser.add_argument("--customers", type=int, default=16)
     parser.add_argument("--runners", type=int, default=16)
-    given = parser.parse_args(arguments)
-    for vms in given.vms:
-        costs = measure(vms, given.customers, given.runners)
+    options = parser.parse_args(arguments)
+    for vms in options.vms:
+        costs = measure(vms, options.customers, options.runners)
         print(
             json.dumps(
                 {
@@ -284,7 +295,7 @@
                     "sent_us": round(costs.sent_us, 1),
                     "tick_us": round(costs.tick_us, 1),
                     "bytes": round(costs.bytes),
-                    "part_of_a_core": round(costs.core(vms), 5),
+                    "part_of_a_core": round(costs.cores(vms), 5),
                 }
             )
         )
--- a/tests/bench/records.feature
+++ b/tests/bench/records.feature
@@ -1,6 +1,6 @@
-Feature: What the records of a fleet cost one VM
+Feature: Processor time that a VM spends on the records of its fleet
 
-  Scenario: A fleet's records are heard, sent and looked at
-    When the records of fleets of 3 and 30 entry VMs are measured
-    Then each cost is known
-    And the larger fleet's records take more of a core
+  Scenario: Cost of received records, sent records and ticks
+    When the cost of the records is measured for fleets of 3 and 30 entry VMs
+    Then each cost is positive
+    And the records of the larger fleet use a larger fraction of a core
