--- a/bench/routing.py
+++ b/bench/routing.py
@@ -1,9 +1,9 @@
-"""Routing policies against each other on an analytic model of runners.
+"""Comparison of routing policies on an analytic model of runners.
 
 ``python -m bench routing [--seconds N] [--seeds N]`` prints one JSON line
-for each workload and policy: hit rate, recomputed tokens, first tokens and
-cost, averaged over the seeds, and one line with the time that one choice
-takes at 50 runners.
+for each workload and policy with the cache hit rate, recomputed tokens, times
+to the first token and cost, averaged over the seeds; and one line with the
+time to choose one of 50 runners.
 """
 
 import argparse
@@ -23,34 +23,43 @@
 from . import workloads
 
 VMS = 7
-SLOTS = 16
-CACHE_BLOCKS = 3000
+SLOTS_PER_RUNNER = 16
+CACHE_BLOCKS_PER_RUNNER = 3000
 LOAD_LAG_S = 2.0
 EVENTS_LAG_S = 1.5
-EVENTS_LOST = 0.2
+EVENT_LOSS_FRACTION = 0.2
 POLL_S = 0.5
 DRAIN_S = 60.0
 WARM_UP_S = 20.0
 PRICES = (1.0, 1.2, 1.5)
-CHOICES = 2000
+MEASURED_CHOICES = 2000
 
-Mix = typing.Callable[
+Generator = typing.Callable[
     [random.Random, float, float, int], list[workloads.Arrival]
 ]
 
 
 class Workload:
-    """One user's requests and runners."""
+    """Requests of one user and the runners that serve them.
 
-    __slots__ = ("name", "mix", "runners", "per_s")
+    :param generate: generates the requests.
+    :param runners: number of runners.
+    :param requests_per_s: mean rate of arrivals.
+    """
+
+    __slots__ = ("name", "generate", "runners", "requests_per_s")
 
     def __init__(
-        self, name: str, mix: Mix, runners: int, per_s: float
+        self,
+        name: str,
+        generate: Generator,
+        runners: int,
+        requests_per_s: float,
     ) -> None:
         self.name = name
-        self.mix = mix
+        self.generate = generate
         self.runners = runners
-        self.per_s = per_s
+        self.requests_per_s = requests_per_s
 
 
 WORKLOADS = (
@@ -62,7 +71,7 @@
 
 
 class _Trial:
-    """One policy on one workload with one seed."""
+    """Simulates one policy on one workload with one seed."""
 
     def __init__(
         self, workload: Workload, policy: str, seed: int, seconds: float
@@ -70,7 +79,7 @@
         self._events = engine_model.Events()
         self._totals = engine_model.Totals()
         self._rng = random.Random(seed)
-        self._first: list[tuple[float, float]] = []
+        self._first_token_waits: list[tuple[float, float]] = []
         self._seconds = seconds
         self._unanswered: dict[str, float] = {}
         self._next_event: dict[tuple[int, str], int] = {}
@@ -79,7 +88,7 @@
         ]
         self._engines = {
             runner.name: engine_model.Engine(
-                self._events, runner, CACHE_BLOCKS, self._totals
+                self._events, runner, CACHE_BLOCKS_PER_RUNNER, self._totals
             )
             for runner in runners
         }
@@ -95,8 +104,8 @@
         ]
         for router in self._routers:
             router.set_runners(runners)
-        arrivals = workload.mix(
-            random.Random(seed), seconds, workload.per_s, VMS
+        arrivals = workload.generate(
+            random.Random(seed), seconds, workload.requests_per_s, VMS
         )
         for number, arrival in enumerate(arrivals):
             self._events.at(
@@ -105,15 +114,17 @@
         self._events.every(POLL_S, self._poll)
 
     def run(self) -> dict[str, float]:
-        """Run it and measure."""
+        """Run the simulation and return its results."""
         self._events.run(self._seconds + DRAIN_S)
         totals = self._totals
-        self._first += [
+        self._first_token_waits += [
             (self._events.clock.now() - sent_at, 0.0)
             for sent_at in self._unanswered.values()
         ]
-        waits = sorted(wait for wait, _ in self._first)
-        met = sum(wait <= target for wait, target in self._first)
+        waits = sorted(wait for wait, _ in self._first_token_waits)
+        within_target = sum(
+            wait <= target for wait, target in self._first_token_waits
+        )
         return {
             "requests": len(waits),
             "unanswered": len(self._unanswered),
@@ -121,9 +132,11 @@
             "recomputed_tokens": totals.recomputed_tokens,
             "first_token_p50_s": waits[len(waits) // 2],
             "first_token_p95_s": waits[int(0.95 * len(waits))],
-            "within_target": met / len(waits),
+            "within_target": within_target / len(waits),
             "cost": totals.cost,
-            "cost_per_1000_within_target": 1000 * totals.cost / max(1, met),
+            "cost_per_1000_within_target": 1000
+            * totals.cost
+            / max(1, within_target),
         }
 
     def _arrive(self, number: int, arrival: workloads.Arrival) -> None:
@@ -151,7 +164,7 @@
             router.first_token(name)
             if self._unanswered.pop(name, None) is not None:
                 wait_s = self._events.clock.now() - sent_at
-                self._first.append((wait_s, arrival.target_s))
+                self._first_token_waits.append((wait_s, arrival.target_s))
 
         def on_end() -> None:
             router.request_finished(name, models.Outcome.DONE, job.answer)
@@ -166,27 +179,27 @@
             for name, engine in self._engines.items():
                 router.observe_load(name, engine.load(LOAD_LAG_S))
                 after = self._next_event.get((vm, name), 0)
-                lost = functools.partial(_lost, name)
-                answer = engine.cache_events(after, EVENTS_LAG_S, lost)
+                is_lost = functools.partial(_is_lost, name)
+                answer = engine.cache_events(after, EVENTS_LAG_S, is_lost)
                 self._next_event[vm, name] = max(after, answer.last + 1)
                 router.observe_cache(name, answer)
 
 
-def _lost(runner: str, seq: int) -> bool:
-    return random.Random(f"{runner} {seq}").random() < EVENTS_LOST
+def _is_lost(runner: str, seq: int) -> bool:
+    return random.Random(f"{runner} {seq}").random() < EVENT_LOSS_FRACTION
 
 
 def _runner(number: int, count: int) -> models.Runner:
-    place = number * len(PRICES) // count
+    data_centre = number * len(PRICES) // count
     return models.Runner(
         f"runner{number}",
         f"127.0.0.1:{number}",
-        f"dc{place}",
+        f"dc{data_centre}",
         "pool",
         "reclaimable",
         "machine",
-        PRICES[place],
-        SLOTS,
+        PRICES[data_centre],
+        SLOTS_PER_RUNNER,
     )
 
 
@@ -196,19 +209,21 @@
         for seed in range(1, seeds + 1)
     ]
     averages = {
-        name: round(statistics.mean(r[name] for r in results), 4)
+        name: round(statistics.mean(result[name] for result in results), 4)
         for name in results[0]
     }
     return {"workload": workload.name, "policy": policy, **averages}
 
 
-def _choice_us(runners: int) -> dict[str, typing.Any]:
-    """The time of one choice, with requests ending all the while."""
+def _measure_choice(runners: int) -> dict[str, typing.Any]:
+    """Measure the time of one choice while requests start and finish."""
     clock = clocks.ManualClock()
     router = routing.Router(clock, random.Random(1), "vm0", "a")
     router.set_runners([_runner(n, runners) for n in range(runners)])
-    arrivals = workloads.mandates(random.Random(1), CHOICES / 26.0, 26.0, 1)
-    spent = []
+    arrivals = workloads.mandates(
+        random.Random(1), MEASURED_CHOICES / 26.0, 26.0, 1
+    )
+    durations_s = []
     for number, arrival in enumerate(arrivals):
         job = arrival.job
         query = models.Query(
@@ -216,7 +231,7 @@
         )
         start = time.perf_counter()
         route = router.choose(query)
-        spent.append(time.perf_counter() - start)
+        durations_s.append(time.perf_counter() - start)
         assert isinstance(route, models.Route)
         router.request_started(str(number), route.runner.name, query)
         clock.advance(1 / 26.0)
@@ -224,17 +239,19 @@
         router.request_finished(
             str(number - 30), models.Outcome.DONE, job.answer
         )
-    spent.sort()
+    durations_s.sort()
     return {
         "runners": runners,
-        "choices": len(spent),
-        "choose_mean_us": round(1e6 * statistics.mean(spent), 1),
-        "choose_p99_us": round(1e6 * spent[int(0.99 * len(spent))], 1),
+        "choices": len(durations_s),
+        "choose_mean_us": round(1e6 * statistics.mean(durations_s), 1),
+        "choose_p99_us": round(
+            1e6 * durations_s[int(0.99 * len(durations_s))], 1
+        ),
     }
 
 
 def run(arguments: list[str]) -> int:
-    """Run the trials.
+    """Print the results of each workload and policy.
 
     :param arguments: of the command line.
     :returns: the exit code.
@@ -251,7 +268,7 @@
         if options.workloads and workload.name not in options.workloads:
             continue
         for policy in options.policies:
-            line = _measure(workload, policy, options.seeds, options.seconds)
-            print(json.dumps(line), flush=True)
-    print(json.dumps(_choice_us(50)), flush=True)
+            row = _measure(workload, policy, options.seeds, options.seconds)
+            print(json.dumps(row), flush=True)
+    print(json.dumps(_measure_choice(50)), flush=True)
     return 0
--- a/bench/workloads.py
+++ b/bench/workloads.py
@@ -1,4 +1,7 @@
-"""Seeded requests like the users' two workloads, as block hashes."""
+"""Seeded requests that resemble the users' two workloads.
+
+A prompt is represented by the hashes of its blocks.
+"""
 
 import random
 import typing
@@ -10,12 +13,15 @@
 from . import engine_model
 
 
-def chain(
+def hash_blocks(
     parts: typing.Iterable[tuple[str, int]], parent: int = 0
 ) -> tuple[int, ...]:
-    """Block hashes of a prompt put together from named parts.
+    """Return the block hashes of a prompt that consists of named parts.
+
+    A hash covers its block and all blocks before it.
 
     :param parts: name and number of blocks of each part.
+    :param parent: hash of the block before the first part.
     """
     blocks = []
     for name, count in parts:
@@ -27,9 +33,13 @@
 
 
 class Arrival:
-    """A request: when, at which entry VM, and what.
+    """Request that arrives at an entry VM.
 
-    :param target_s: for the first token.
+    :param at: time of arrival in seconds.
+    :param vm: number of the entry VM.
+    :param job: prompt and length of the answer.
+    :param target_s: target for the time to the first token.
+    :param kind: ``short`` or ``long``.
     """
 
     __slots__ = ("at", "vm", "job", "target_s", "kind")
@@ -52,23 +62,26 @@
 def _job(
     parts: list[tuple[str, int]], tail: int, answer: int
 ) -> engine_model.Job:
-    """A job whose prompt ends in ``tail`` tokens less than a block."""
-    blocks = chain(parts)
+    """Return a job whose prompt has ``tail`` tokens after its full blocks."""
+    blocks = hash_blocks(parts)
     tokens = len(blocks) * prefix.TOKENS_PER_BLOCK + tail
     answer_blocks = answer // prefix.TOKENS_PER_BLOCK
-    name = "/".join(part for part, _ in parts)
+    name = "/".join(part_name for part_name, _ in parts)
     parent = blocks[-1] if blocks else 0
-    after = blocks + chain([(f"{name}:answer", answer_blocks)], parent)
-    return engine_model.Job(blocks, after, tokens, answer)
+    cached_blocks = blocks + hash_blocks(
+        [(f"{name}:answer", answer_blocks)], parent
+    )
+    return engine_model.Job(blocks, cached_blocks, tokens, answer)
 
 
 def mandates(
     rng: random.Random, seconds: float, per_s: float, vms: int
 ) -> list[Arrival]:
-    """Drafting checks on long mandates, and quick lookups.
+    """Generate drafting checks of long mandates, and short lookups.
 
-    A mandate starts from one of 40 templates under a common system prompt,
-    and is checked about six times while the clerk adds to it.
+    The prompt of a mandate consists of a common system prompt, one of 40
+    templates and a text of its own. A mandate is checked about six times,
+    and the clerk adds to its text between the checks.
     """
     arrivals = []
     at = 0.0
@@ -102,13 +115,14 @@
 def chats(
     rng: random.Random, seconds: float, per_s: float, vms: int
 ) -> list[Arrival]:
-    """A concierge's chats with growing history, and short summaries.
+    """Generate chats with a concierge, and short summaries.
 
-    The caller of a chat keeps its entry VM for most turns.
+    The history of a chat grows with each turn. Most turns of a chat are sent
+    to the same entry VM.
     """
     arrivals = []
     at = 0.0
-    talks: list[list[typing.Any]] = []
+    open_chats: list[list[typing.Any]] = []
     number = 0
     while at < seconds:
         at += rng.expovariate(per_s)
@@ -118,13 +132,13 @@
             )
             arrivals.append(Arrival(at, rng.randrange(vms), job, 0.8, "short"))
             continue
-        if not talks or rng.random() < 1 / 8:
+        if not open_chats or rng.random() < 1 / 8:
             number += 1
-            talks.append([number, 0, rng.randrange(vms)])
-            talks = talks[-80:]
-        talk = rng.choice(talks)
-        talk[1] += 1
-        name, turns, home = talk
+            open_chats.append([number, 0, rng.randrange(vms)])
+            open_chats = open_chats[-80:]
+        chat = rng.choice(open_chats)
+        chat[1] += 1
+        name, turns, home = chat
         parts = [("house", 6), ("concierge", 10)]
         parts += [(f"turn{name}-{k}", 5) for k in range(turns)]
         vm = home if rng.random() < 0.7 else rng.randrange(vms)
