--- a/bench/virtual.py
+++ b/bench/virtual.py
@@ -1,7 +1,7 @@
-"""Many memberships in one process, on one manual clock.
+"""Simulation of a fleet: many memberships in one process on a manual clock.
 
-A plain loop over a heap of events: ticks of each VM, and messages that
-arrive after a delay, or never. Tests of failures use it as well.
+Runs events from a heap in order of time: ticks of each VM, and messages that
+arrive after a delay or are lost. Failure tests use the simulation as well.
 """
 
 import heapq
@@ -16,13 +16,13 @@
 from apricotlever.vms import membership
 from apricotlever.vms import timing as timings
 
-Watcher = typing.Callable[["Node", actions.Action], None]
+ActionObserver = typing.Callable[["Node", actions.Action], None]
 
 
 class Node:
-    """One VM: its membership, and what became of it.
+    """Simulated VM with its membership, state and resource counters.
 
-    :param member: its record.
+    :param member: record of the VM.
     """
 
     def __init__(self, member: pb.Member) -> None:
@@ -45,7 +45,7 @@
 def member_of(
     vm: str, data_centre: str, region: str = "", incarnation: int = 1
 ) -> pb.Member:
-    """A record with addresses made of the name."""
+    """Return a member record whose addresses are derived from the name."""
     return pb.Member(
         vm=vm,
         data_centre=data_centre,
@@ -57,11 +57,12 @@
 
 
 class Fleet:
-    """VMs, the network between them, and the clock.
+    """Simulated VMs, the network between them, and the clock.
 
-    :param seed: of everything that is random.
-    :param delay_s: one way.
-    :param loss: part of the messages that is lost, each way.
+    :param seed: seeds all random choices.
+    :param delay_s: delay of a message in one direction.
+    :param loss: fraction of the messages that is lost, in each direction.
+    :param timing: timing of the memberships; the default if None.
     """
 
     def __init__(
@@ -77,7 +78,7 @@
         self.loss = loss
         self.timing = timing or timings.MembershipTiming()
         self.nodes: dict[str, Node] = {}
-        self.watchers: list[Watcher] = []
+        self.watchers: list[ActionObserver] = []
         self.cut: typing.Callable[[Node, Node], bool] = lambda a, b: False
         self._by_address: dict[str, Node] = {}
         self._events: list[typing.Any] = []
@@ -89,67 +90,69 @@
         hints: typing.Iterable[membership.Hint] = (),
         make: typing.Callable[..., typing.Any] = membership.Membership,
     ) -> Node:
-        """Start a VM; one of the same name is replaced.
+        """Start a VM; it replaces a VM of the same name.
 
-        :param make: a class with the interface of ``Membership``.
+        :param hints: VMs that the new VM knows at its start.
+        :param make: class with the interface of ``Membership``.
         """
         node = Node(member)
-        own = random.Random(self.rng.random())
-        node.membership = make(self.clock, own, member, self.timing, hints)
+        rng = random.Random(self.rng.random())
+        node.membership = make(self.clock, rng, member, self.timing, hints)
         self.nodes[member.vm] = node
         self._by_address[member.peers_address] = node
-        self.later(self.rng.uniform(0, timings.TICK_S), self._tick, node)
+        self.schedule(self.rng.uniform(0, timings.TICK_S), self._tick, node)
         return node
 
     def crash(self, vm: str) -> None:
-        """The process ends without a word."""
+        """Stop a VM without announcing it to other VMs."""
         self.nodes[vm].running = False
 
     def pause(self, vm: str, seconds: float) -> None:
-        """The process stands still; what arrives waits for it."""
+        """Pause a VM; messages that arrive are queued until it continues."""
         self.nodes[vm].paused_until = self.clock.now() + seconds
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Run the events of a period of virtual time."""
         end = self.clock.now() + seconds
         while self._events and self._events[0][0] <= end:
-            at, _, work, arguments = heapq.heappop(self._events)
+            at, _, function, arguments = heapq.heappop(self._events)
             self.clock.advance(at - self.clock.now())
-            work(*arguments)
+            function(*arguments)
         self.clock.advance(end - self.clock.now())
 
     def run_until(
-        self, done: typing.Callable[[], bool], limit_s: float
+        self, condition: typing.Callable[[], bool], limit_s: float
     ) -> float | None:
-        """Let time pass until something holds.
+        """Run events until a condition holds.
 
-        :returns: the seconds it took, or None when the limit came first.
+        :returns: seconds until the condition held, or None if it did not
+            within the limit.
         """
         start = self.clock.now()
         while self.clock.now() - start < limit_s:
-            if done():
+            if condition():
                 return self.clock.now() - start
             self.run(timings.TICK_S)
         return None
 
-    def perform(self, node: Node, found: list[actions.Action]) -> None:
-        """Carry out actions of a VM."""
-        for action in found:
+    def perform(self, node: Node, wanted: list[actions.Action]) -> None:
+        """Carry out actions of a VM and pass them to the watchers."""
+        for action in wanted:
             if isinstance(action, actions.Send):
                 self._send(node, action)
             for watcher in self.watchers:
                 watcher(node, action)
 
-    def later(
-        self, delay_s: float, work: typing.Any, *arguments: typing.Any
+    def schedule(
+        self, delay_s: float, function: typing.Any, *arguments: typing.Any
     ) -> None:
-        """Do something after a while of virtual time."""
+        """Call a function after a delay in virtual time."""
         heapq.heappush(
             self._events,
             (
                 self.clock.now() + delay_s,
                 next(self._order),
-                work,
+                function,
                 arguments,
             ),
         )
@@ -159,26 +162,26 @@
             return
         now = self.clock.now()
         if now < node.paused_until:
-            self.later(node.paused_until - now, self._tick, node)
+            self.schedule(node.paused_until - now, self._tick, node)
             return
-        # After a pause the timer fires before what waited is read.
-        self._timed(node, node.membership.tick)
+        # After a pause the timer fires before queued messages are read.
+        self._run_timed(node, node.membership.tick)
         backlog, node.backlog = node.backlog, []
         for is_answer, message in backlog:
-            self._hand_over(node, message, is_answer)
-        self.later(timings.TICK_S, self._tick, node)
+            self._process(node, message, is_answer)
+        self.schedule(timings.TICK_S, self._tick, node)
 
     def _send(self, node: Node, action: actions.Send) -> None:
         node.calls += 1
         target = self._by_address.get(action.address)
-        self._carry(node, target, action.message, self._call, node)
+        self._transmit(node, target, action.message, self._receive_call, node)
 
-    def _carry(
+    def _transmit(
         self,
         source: Node,
         target: Node | None,
         message: pb.GossipMessage,
-        work: typing.Any,
+        function: typing.Any,
         *arguments: typing.Any,
     ) -> None:
         size = message.ByteSize()
@@ -188,9 +191,9 @@
         if self.rng.random() < self.loss:
             return
         target.received_bytes += size
-        self.later(self.delay_s, work, *arguments, target, message)
+        self.schedule(self.delay_s, function, *arguments, target, message)
 
-    def _call(
+    def _receive_call(
         self, source: Node, target: Node, message: pb.GossipMessage
     ) -> None:
         if not target.running:
@@ -198,32 +201,34 @@
         if self.clock.now() < target.paused_until:
             target.backlog.append((False, message))
             return
-        found = self._hand_over(target, message, False)
-        for action in found:
+        wanted = self._process(target, message, False)
+        for action in wanted:
             if isinstance(action, actions.Reply):
-                self._carry(target, source, action.message, self._answer)
+                self._transmit(
+                    target, source, action.message, self._receive_answer
+                )
 
-    def _answer(self, target: Node, message: pb.GossipMessage) -> None:
+    def _receive_answer(self, target: Node, message: pb.GossipMessage) -> None:
         if self.clock.now() < target.paused_until:
             target.backlog.append((True, message))
         elif target.running:
-            self._hand_over(target, message, True)
+            self._process(target, message, True)
 
-    def _hand_over(
+    def _process(
         self, node: Node, message: pb.GossipMessage, is_answer: bool
     ) -> list[actions.Action]:
-        take = (
+        handle = (
             node.membership.answered
             if is_answer
             else (node.membership.receive)
         )
-        return self._timed(node, take, message)
+        return self._run_timed(node, handle, message)
 
-    def _timed(
-        self, node: Node, work: typing.Any, *arguments: typing.Any
+    def _run_timed(
+        self, node: Node, function: typing.Any, *arguments: typing.Any
     ) -> list[actions.Action]:
         start = time.perf_counter()
-        found = work(*arguments)
+        wanted = function(*arguments)
         node.processor_s += time.perf_counter() - start
-        self.perform(node, found)
-        return found
+        self.perform(node, wanted)
+        return wanted
