--- a/bench/virtual.py
+++ b/bench/virtual.py
@@ -136,7 +136,7 @@
         return None
 
     def perform(self, node: Node, wanted: list[actions.Action]) -> None:
-        """Carry out actions of a VM and pass them to the watchers."""
+        """Carry out actions of a VM and pass them to the observers."""
         for action in wanted:
             if isinstance(action, actions.Send):
                 self._send(node, action)
