--- a/bench/_demo_report.py
+++ b/bench/_demo_report.py
@@ -4,7 +4,7 @@
 import itertools
 import typing
 
-from . import _load_calls
+from . import _load_client
 from . import _load_fleet
 
 Document = dict[str, typing.Any]
@@ -70,7 +70,7 @@
         f"{row['work']} {row['number']} {row['outcome']}: {row['problem']}"
         f" {row['error']}"
         for row in rows
-        if row["outcome"] in (_load_calls.LOST, _load_calls.WRONG)
+        if row["outcome"] in (_load_client.LOST, _load_client.WRONG)
     ]
     duplicated = [
         f"{row['work']} {row['number']}: {row['doubled_tokens']} tokens"
@@ -131,7 +131,7 @@
     first = [
         row["first_token_s"] or row["whole_s"]
         for row in rows
-        if row["outcome"] == _load_calls.WHOLE
+        if row["outcome"] == _load_client.WHOLE
     ]
     operations = {row["operation"] for row in rows if row["operation"]}
     repeated = sum(
@@ -140,10 +140,10 @@
     return {
         "work": name,
         "requests": len(rows),
-        "whole": counts[_load_calls.WHOLE],
-        "refused": counts[_load_calls.REFUSED],
-        "unknown": counts[_load_calls.UNKNOWN],
-        "lost": counts[_load_calls.LOST] + counts[_load_calls.WRONG],
+        "whole": counts[_load_client.WHOLE],
+        "refused": counts[_load_client.REFUSED],
+        "unknown": counts[_load_client.UNKNOWN],
+        "lost": counts[_load_client.LOST] + counts[_load_client.WRONG],
         "duplicates": repeated + sum(row["doubled_tokens"] for row in rows),
         "moves": sum(row["moves"] for row in rows),
         "breaks": sum(row["breaks"] for row in rows),
@@ -167,7 +167,7 @@
         f"{row['operation']} was acknowledged but not executed"
         for row in rows
         if row["operation"]
-        and row["outcome"] == _load_calls.WHOLE
+        and row["outcome"] == _load_client.WHOLE
         and not executions.by_operation.get(row["operation"])
     ]
 
@@ -175,7 +175,7 @@
 def _refused_executed(
     rows: list[Document], executions: Executions
 ) -> list[str]:
-    refused = [row for row in rows if row["outcome"] == _load_calls.REFUSED]
+    refused = [row for row in rows if row["outcome"] == _load_client.REFUSED]
     return [
         f"{row['work']} {row['number']} was refused but executed"
         for row in refused
--- a/bench/_load_calls.py
+++ b/bench/_load_client.py
@@ -7,7 +7,7 @@
 from tests.support import answers
 from tests.support import caller
 
-from . import _load_work
+from . import _load_workload
 
 KEY_PREFIX = "demo-"
 RETRY_S = 0.2
@@ -52,7 +52,7 @@
 
     def __init__(
         self,
-        arrival: _load_work.Arrival,
+        arrival: _load_workload.Arrival,
         answer: answers.Answer,
         lag_s: float,
         tries: int,
@@ -113,7 +113,7 @@
         self._clients: dict[str, caller.Caller] = {}
 
     def send(
-        self, arrival: _load_work.Arrival, due_at: float
+        self, arrival: _load_workload.Arrival, due_at: float
     ) -> RequestSample:
         """Send a request and retry it as long as that is allowed.
 
@@ -147,7 +147,7 @@
         return self._clients.setdefault(customer, new_client)
 
     def retry_window_s(
-        self, arrival: _load_work.Arrival, answer: answers.Answer
+        self, arrival: _load_workload.Arrival, answer: answers.Answer
     ) -> float:
         """How long an arrival may be retried, counted from its intended time.
 
@@ -173,7 +173,10 @@
 
 
 def _send_once(
-    client: caller.Caller, arrival: _load_work.Arrival, key: str, address: str
+    client: caller.Caller,
+    arrival: _load_workload.Arrival,
+    key: str,
+    address: str,
 ) -> answers.Answer:
     if arrival.is_stream:
         assert arrival.body is not None
--- a/bench/_load_drive.py
+++ b/bench/_load_generator.py
@@ -10,8 +10,8 @@
 import time
 import typing
 
-from . import _load_calls
-from . import _load_work
+from . import _load_client
+from . import _load_workload
 
 START_DELAY_S = 2.0
 MAX_THREADS = 1500
@@ -127,9 +127,9 @@
 
     :returns: the record of each request that the worker sent.
     """
-    workload = _load_work.Workload(task.seed, task.rate_per_s, task.only)
+    workload = _load_workload.Workload(task.seed, task.rate_per_s, task.only)
     own_arrivals = workload.arrivals(task.seconds)[task.worker :: task.workers]
-    clients = _load_calls.CustomerClients(task.entries, task.patience_s)
+    clients = _load_client.CustomerClients(task.entries, task.patience_s)
     # Pauses of the garbage collector would count as latency of the system.
     gc.freeze()
     gc.disable()
@@ -141,7 +141,9 @@
     return [each.result().as_record() for each in pending]
 
 
-def _sleep_until_due(task: WorkerTask, arrival: _load_work.Arrival) -> float:
+def _sleep_until_due(
+    task: WorkerTask, arrival: _load_workload.Arrival
+) -> float:
     due_at = task.start_at + arrival.at_s
     left_s = due_at - time.monotonic()
     if left_s > 0:
--- a/bench/_load_plots.py
+++ b/bench/_load_plots.py
@@ -15,7 +15,7 @@
 from matplotlib import figure  # noqa: E402
 
 from . import _demo_report  # noqa: E402
-from . import _load_calls  # noqa: E402
+from . import _load_client  # noqa: E402
 
 TIME_BINS = 30
 HISTOGRAM_BINS = 60
@@ -122,7 +122,7 @@
                     row["first_token_s"] or row["whole_s"]
                     for row in rows
                     if row["class"] == name
-                    and row["outcome"] == _load_calls.WHOLE
+                    and row["outcome"] == _load_client.WHOLE
                 ),
                 percent,
             )
--- a/bench/_load_summary.py
+++ b/bench/_load_summary.py
@@ -8,8 +8,8 @@
 
 from apricotlever import histograms
 
-from . import _load_calls
-from . import _load_drive
+from . import _load_client
+from . import _load_generator
 
 PERCENTS = (50.0, 95.0, 99.0)
 US_PER_S = 1_000_000
@@ -38,7 +38,7 @@
     gaps = [us / US_PER_S for row in streams for us in row["gaps_us"]]
     first_tokens = _percentile_row([row["first_token_s"] for row in streams])
     between_tokens = _percentile_row(gaps)
-    answered = [row for row in rows if row["outcome"] == _load_calls.WHOLE]
+    answered = [row for row in rows if row["outcome"] == _load_client.WHOLE]
     return {
         "record": "summary",
         "requests": len(rows),
@@ -52,7 +52,7 @@
         "classes": _class_rows(recorded, rows),
         "customers": _customer_rows(recorded),
         "generator_lag_s": lags,
-        "generator_ok": lags["p99"] <= _load_drive.LAG_P99_MAX_S,
+        "generator_ok": lags["p99"] <= _load_generator.LAG_P99_MAX_S,
         "target_met": _target_met(rows, first_tokens, between_tokens),
         "histograms": recorded.encoded(),
     }
@@ -131,7 +131,7 @@
             recorded.record(
                 histograms.FIRST_TOKEN, *labels, row["first_token_s"]
             )
-        if row["outcome"] == _load_calls.WHOLE:
+        if row["outcome"] == _load_client.WHOLE:
             recorded.record(histograms.WHOLE_ANSWER, *labels, row["whole_s"])
         distribution = recorded.distribution(
             histograms.BETWEEN_TOKENS, *labels
@@ -206,7 +206,7 @@
     At most 5% of the streams may have been refused or have failed.
     """
     streams = [row for row in rows if row["operation"] is None]
-    not_answered = sum(row["outcome"] != _load_calls.WHOLE for row in streams)
+    not_answered = sum(row["outcome"] != _load_client.WHOLE for row in streams)
     allowed = (1 - TARGET_PERCENT / 100) * len(streams)
     in_time = first_tokens["p95"] <= FIRST_TOKEN_TARGET_S
     return in_time and gaps["p95"] <= GAP_TARGET_S and not_answered <= allowed
--- a/bench/_slope_cases.py
+++ b/bench/_slope_cases.py
@@ -22,7 +22,7 @@
 from apricotlever.vms import catalogue_deltas
 
 from . import fleets
-from . import virtual
+from . import gossip_simulation
 
 REPEATS = 5
 #: Until what a start has to tell has ebbed away.
@@ -98,10 +98,12 @@
 
 
 def _membership_cost(size: int, seconds: float = 15.0) -> fleets.Cost:
-    fleet = virtual.Fleet(seed=size)
-    nodes = fleets.start_known(fleet, fleets.members_of((size,)))
+    fleet = gossip_simulation.Fleet(seed=size)
+    nodes = fleets.start_with_known_members(
+        fleet, fleets.make_members((size,))
+    )
     fleet.run(WARM_S)
-    fleets.Cost.reset(nodes)
+    fleets.Cost.reset_counters(nodes)
     fleet.run(seconds)
     return fleets.Cost(nodes, seconds, 0.0, 274.0)
 
@@ -118,11 +120,11 @@
 
 @slope("gateway_bytes", "data centres", "bytes/s a gateway", 4, 8, 12, 22)
 def _gateway_bytes(size: int) -> float:
-    fleet = virtual.Fleet(seed=size)
-    sizes = fleets.even_sizes(20 * size, size)
-    nodes = fleets.start_known(fleet, fleets.members_of(sizes))
+    fleet = gossip_simulation.Fleet(seed=size)
+    sizes = fleets.split_evenly(20 * size, size)
+    nodes = fleets.start_with_known_members(fleet, fleets.make_members(sizes))
     fleet.run(WARM_S)
-    fleets.Cost.reset(nodes)
+    fleets.Cost.reset_counters(nodes)
     fleet.run(15.0)
     gateways = [node for node in nodes if node.membership.is_gateway]
     return fleets.Cost(gateways, 15.0, 0.0, 274.0).wire_bytes
@@ -328,7 +330,7 @@
         fleet_shares.Demand(f"entry-{i}", kind, 5.0) for i in range(size)
     )
     report = fleet_shares.DemandReport("vm-123", 1_800_000_000_000, demands)
-    return float(gossip_messages.of_demand(report).ByteSize())
+    return float(gossip_messages.demand_rumour(report).ByteSize())
 
 
 @slope("load_bytes", "runners", "bytes of digests", 8, 16, 32, 64)
@@ -336,7 +338,7 @@
     report = runners.LoadReport(12, 3, 16, age_s=0.4)
     return float(
         sum(
-            gossip_messages.of_load(f"runner-{i:05}", report).ByteSize()
+            gossip_messages.load_rumour(f"runner-{i:05}", report).ByteSize()
             for i in range(size)
         )
     )
--- a/bench/_slope_links.py
+++ b/bench/_slope_links.py
@@ -276,7 +276,7 @@
     serving["dc-0"] = [f"vm-{i}" for i in range(VMS_HERE)]
     document = catalogue.parse(cases.catalogue_of(ENTRIES), 1)
     made.tell(dispatcher_messages.CatalogueInForce(document))
-    made.tell(runner_monitor.Shown(serving))
+    made.tell(runner_monitor.ServingVms(serving))
     made.handle_waiting()
     made.tick()
     time.sleep(SETTLE_S)
@@ -289,7 +289,7 @@
     made, clock = _keeper(size)
 
     def list_again() -> float:
-        clock.advance(runner_monitor.LIST_S)
+        clock.advance(runner_monitor.LIST_INTERVAL_S)
         made.tick()
         time.sleep(SETTLE_S)
         return made.handle_waiting()
--- a/bench/configuration.py
+++ b/bench/configuration.py
@@ -11,9 +11,9 @@
 import typing
 
 from . import fleets
+from . import gossip_simulation
 from . import peer_call
-from . import spreading
-from . import virtual
+from . import replication_simulation
 
 SEED = 1
 CHANGES_PER_DAY = 12_000
@@ -54,7 +54,8 @@
 
 
 def _change(
-    world: spreading.SpreadFleet, document: dict[str, typing.Any]
+    world: replication_simulation.ReplicatedFleet,
+    document: dict[str, typing.Any],
 ) -> list[float]:
     """Apply one edit and wait for all.
 
@@ -80,9 +81,9 @@
     cut_off: bool = False,
     entries: int = 1,
 ) -> None:
-    fleet = virtual.Fleet(seed=SEED, delay_s=delay_s)
-    nodes = fleets.start_known(fleet, fleets.members_of(sizes))
-    world = spreading.SpreadFleet(fleet)
+    fleet = gossip_simulation.Fleet(seed=SEED, delay_s=delay_s)
+    nodes = fleets.start_with_known_members(fleet, fleets.make_members(sizes))
+    world = replication_simulation.ReplicatedFleet(fleet)
     for node in nodes:
         world.join(node)
     document = _document()
@@ -90,7 +91,7 @@
     fleet.run(WARM_S)
     if cut_off:
         _cut_off(world)
-    fleets.Cost.reset(nodes)
+    fleets.Cost.reset_counters(nodes)
     world.store.calls = 0
     start = fleet.clock.now()
     lasts, medians = [], []
@@ -125,7 +126,7 @@
     )
 
 
-def _cut_off(world: spreading.SpreadFleet) -> None:
+def _cut_off(world: replication_simulation.ReplicatedFleet) -> None:
     """One data centre's watchers lose the store."""
     lost = [
         vm
@@ -144,7 +145,7 @@
     options = parser.parse_args(arguments)
     call = peer_call.measure()
     if options.large:
-        sizes = fleets.even_sizes(LARGE_VMS, LARGE_DATA_CENTRES)
+        sizes = fleets.split_evenly(LARGE_VMS, LARGE_DATA_CENTRES)
         _case("large", sizes, options.changes, call, 0.02)
         return 0
     changes = options.changes
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -15,9 +15,9 @@
 from apricotlever.client import terminal_format
 
 from . import _demo_report
-from . import _load_drive
 from . import _load_faults
 from . import _load_fleet
+from . import _load_generator
 
 ENTRY_VMS = 6
 ENGINES = 9
@@ -76,7 +76,7 @@
     fleet: _load_fleet.LoadFleet, options: argparse.Namespace, version: int
 ) -> Document:
     schedule = _load_faults.parse_schedule(options.faults)
-    load_run = _load_drive.LoadRun(
+    load_run = _load_generator.LoadRun(
         fleet.entries,
         options.seed,
         options.per_s,
--- a/bench/fleets.py
+++ b/bench/fleets.py
@@ -6,30 +6,32 @@
 from apricotlever.links import peer_pb2 as pb
 from apricotlever.vms import rendezvous
 
-from . import virtual
+from . import gossip_simulation
 
 REGIONS = 6
 GATEWAYS_PER_DATA_CENTRE = 3
 
 
-def members_of(sizes: typing.Sequence[int]) -> list[pb.Member]:
+def make_members(sizes: typing.Sequence[int]) -> list[pb.Member]:
     """Make member records for data centres of the given sizes."""
     return [
-        virtual.member_of(f"d{dc}-v{i}", f"d{dc}", f"r{dc % REGIONS}")
+        gossip_simulation.make_member(
+            f"d{dc}-v{i}", f"d{dc}", f"r{dc % REGIONS}"
+        )
         for dc, size in enumerate(sizes)
         for i in range(size)
     ]
 
 
-def even_sizes(members: int, data_centres: int) -> list[int]:
+def split_evenly(members: int, data_centres: int) -> list[int]:
     """Split members over data centres as evenly as possible."""
     base, remainder = divmod(members, data_centres)
     return [base + (i < remainder) for i in range(data_centres)]
 
 
-def start_known(
-    fleet: virtual.Fleet, members: list[pb.Member]
-) -> list[virtual.Node]:
+def start_with_known_members(
+    fleet: gossip_simulation.Fleet, members: list[pb.Member]
+) -> list[gossip_simulation.Node]:
     """Start VMs that already know their data centre and all summaries.
 
     This skips the phase in which the VMs discover each other.
@@ -68,7 +70,7 @@
 
     def __init__(
         self,
-        nodes: typing.Sequence[virtual.Node],
+        nodes: typing.Sequence[gossip_simulation.Node],
         seconds: float,
         call_s: float,
         call_bytes: float,
@@ -84,7 +86,7 @@
         self.processor = self.decisions + self.calls * call_s
 
     @staticmethod
-    def reset(nodes: typing.Iterable[virtual.Node]) -> None:
+    def reset_counters(nodes: typing.Iterable[gossip_simulation.Node]) -> None:
         """Reset the counters of all nodes."""
         for node in nodes:
             node.sent_bytes = node.received_bytes = node.calls = 0
--- a/bench/virtual.py
+++ b/bench/gossip_simulation.py
@@ -42,7 +42,7 @@
         return self.member.vm
 
 
-def member_of(
+def make_member(
     vm: str, data_centre: str, region: str = "", incarnation: int = 1
 ) -> pb.Member:
     """Return a member record whose addresses are derived from the name."""
@@ -78,8 +78,10 @@
         self.loss = loss
         self.timing = timing or timings.MembershipTiming()
         self.nodes: dict[str, Node] = {}
-        self.watchers: list[ActionObserver] = []
-        self.cut: typing.Callable[[Node, Node], bool] = lambda a, b: False
+        self.observers: list[ActionObserver] = []
+        self.is_cut_off: typing.Callable[[Node, Node], bool] = (
+            lambda a, b: False
+        )
         self._by_address: dict[str, Node] = {}
         self._events: list[typing.Any] = []
         self._order = itertools.count()
@@ -140,7 +142,7 @@
         for action in wanted:
             if isinstance(action, actions.Send):
                 self._send(node, action)
-            for watcher in self.watchers:
+            for watcher in self.observers:
                 watcher(node, action)
 
     def schedule(
@@ -186,7 +188,11 @@
     ) -> None:
         size = message.ByteSize()
         source.sent_bytes += size
-        if target is None or not target.running or self.cut(source, target):
+        if (
+            target is None
+            or not target.running
+            or self.is_cut_off(source, target)
+        ):
             return
         if self.rng.random() < self.loss:
             return
--- a/bench/load.py
+++ b/bench/load.py
@@ -14,12 +14,12 @@
 
 from apricotlever.client import terminal_format
 
-from . import _load_drive
 from . import _load_faults
 from . import _load_fleet
+from . import _load_generator
 from . import _load_plots
 from . import _load_summary
-from . import _load_work
+from . import _load_workload
 
 EXIT_GENERATOR_LAGGED = 3
 EXIT_BAD_ANSWERS = 1
@@ -81,7 +81,7 @@
     add_option(
         "--only",
         default="",
-        help=f"some of {','.join(_load_work.work_kinds())}",
+        help=f"some of {','.join(_load_workload.work_kinds())}",
     )
     add_option(
         "--patience", type=float, default=0.0, help="seconds to retry refusals"
@@ -149,8 +149,8 @@
 
 def _start_load(
     options: argparse.Namespace, entries: list[str]
-) -> _load_drive.LoadRun:
-    return _load_drive.LoadRun(
+) -> _load_generator.LoadRun:
+    return _load_generator.LoadRun(
         entries,
         options.seed,
         options.per_s,
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -17,8 +17,8 @@
 from tests.vms import naive_membership
 
 from . import fleets
+from . import gossip_simulation
 from . import peer_call
-from . import virtual
 
 SEED = 1
 SMALL = (3, 2, 2)
@@ -45,11 +45,11 @@
 class Judgements:
     """When which VM took which other for silent or dead."""
 
-    def __init__(self, fleet: virtual.Fleet) -> None:
+    def __init__(self, fleet: gossip_simulation.Fleet) -> None:
         self._fleet = fleet
         self.suspected: dict[str, float] = {}
         self.dead: dict[str, dict[str, float]] = {}
-        fleet.watchers.append(self._watch)
+        fleet.observers.append(self._watch)
 
     def wrong_deaths(self) -> int:
         """Judgements of death on VMs that run."""
@@ -63,7 +63,9 @@
         """VMs that ran and were suspected by anybody."""
         return sum(self._fleet.nodes[vm].running for vm in self.suspected)
 
-    def _watch(self, node: virtual.Node, action: actions.Action) -> None:
+    def _watch(
+        self, node: gossip_simulation.Node, action: actions.Action
+    ) -> None:
         if not isinstance(action, actions.MemberChanged):
             return
         now = self._fleet.clock.now()
@@ -76,12 +78,12 @@
 
 def _started(
     sizes: typing.Sequence[int], kind: str, seed: int, loss: float
-) -> virtual.Fleet:
-    fleet = virtual.Fleet(seed=seed, loss=loss)
-    members = fleets.members_of(sizes)
+) -> gossip_simulation.Fleet:
+    fleet = gossip_simulation.Fleet(seed=seed, loss=loss)
+    members = fleets.make_members(sizes)
     hints = [membership.Hint(m.vm, m.peers_address) for m in members]
     if kind == "swim":
-        fleets.start_known(fleet, members)
+        fleets.start_with_known_members(fleet, members)
         fleet.run(SETTLE_S)
         return fleet
     for member in members:
@@ -163,7 +165,7 @@
 ) -> None:
     fleet = _started(sizes, kind, SEED, 0.0)
     nodes = list(fleet.nodes.values())
-    fleets.Cost.reset(nodes)
+    fleets.Cost.reset_counters(nodes)
     fleet.run(_span_s(kind))
     cost = fleets.Cost(
         nodes, _span_s(kind), call.processor_s, call.added_bytes
@@ -173,12 +175,12 @@
 
 def _large(call: peer_call.CallCost, seconds: float) -> None:
     before_kb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
-    fleet = virtual.Fleet(seed=SEED, delay_s=0.02)
-    sizes = fleets.even_sizes(LARGE_VMS, LARGE_DATA_CENTRES)
-    nodes = fleets.start_known(fleet, fleets.members_of(sizes))
+    fleet = gossip_simulation.Fleet(seed=SEED, delay_s=0.02)
+    sizes = fleets.split_evenly(LARGE_VMS, LARGE_DATA_CENTRES)
+    nodes = fleets.start_with_known_members(fleet, fleets.make_members(sizes))
     fleet.run(LARGE_WARM_S)
     gateways = [node for node in nodes if node.membership.is_gateway]
-    fleets.Cost.reset(nodes)
+    fleets.Cost.reset_counters(nodes)
     fleet.run(seconds)
     after_kb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
     for name, group in (("all", nodes), ("gateways", gateways)):
@@ -195,14 +197,16 @@
     _large_crash(fleet, nodes)
 
 
-def _large_rumour(fleet: virtual.Fleet, nodes: list[virtual.Node]) -> None:
+def _large_rumour(
+    fleet: gossip_simulation.Fleet, nodes: list[gossip_simulation.Node]
+) -> None:
     heard: dict[str, float] = {}
 
-    def watch(node: virtual.Node, action: actions.Action) -> None:
+    def watch(node: gossip_simulation.Node, action: actions.Action) -> None:
         if isinstance(action, actions.RumourDelivered):
             heard[node.vm] = fleet.clock.now()
 
-    fleet.watchers.append(watch)
+    fleet.observers.append(watch)
     start = fleet.clock.now()
     nodes[5].membership.announce(
         pb.Rumour(
@@ -223,7 +227,9 @@
     )
 
 
-def _large_crash(fleet: virtual.Fleet, nodes: list[virtual.Node]) -> None:
+def _large_crash(
+    fleet: gossip_simulation.Fleet, nodes: list[gossip_simulation.Node]
+) -> None:
     seen = Judgements(fleet)
     victim = nodes[7]
     peers = [
--- a/bench/spreading.py
+++ b/bench/replication_simulation.py
@@ -9,7 +9,7 @@
 from apricotlever.vms import catalogue_replicator
 from apricotlever.vms import replication_actions
 
-from . import virtual
+from . import gossip_simulation
 
 VIEW_INTERVAL_S = 0.5
 TICK_S = 0.1
@@ -25,18 +25,18 @@
         self.version = 0
         self.document: dict[str, typing.Any] | None = None
         self.watch_s = watch_s
-        self.up = True
+        self.is_available = True
         self.calls = 0
-        self.watchers: dict[str, virtual.Node] = {}
+        self.watchers: dict[str, gossip_simulation.Node] = {}
 
 
-class SpreadFleet:
+class ReplicatedFleet:
     """Catalogue replicators of the VMs of a simulated fleet.
 
     :param fleet: fleet whose VMs are passed to ``join``.
     """
 
-    def __init__(self, fleet: virtual.Fleet) -> None:
+    def __init__(self, fleet: gossip_simulation.Fleet) -> None:
         self.fleet = fleet
         self.store = Store()
         self.replicators: dict[
@@ -45,9 +45,9 @@
         self.applied: dict[str, list[tuple[int, float]]] = {}
         self.faults: list[tuple[str, replication_actions.Fault]] = []
         self.fetched_bytes = 0
-        fleet.watchers.append(self._handle_action)
+        fleet.observers.append(self._handle_action)
 
-    def join(self, node: virtual.Node) -> None:
+    def join(self, node: gossip_simulation.Node) -> None:
         """Add a replicator to a VM; it replaces one of the same VM name."""
         vm = node.vm
         rng = random.Random(self.fleet.rng.random())
@@ -81,19 +81,19 @@
             and self.version_at(vm) != self.store.version
         ]
 
-    def _refresh_view(self, node: virtual.Node) -> None:
+    def _refresh_view(self, node: gossip_simulation.Node) -> None:
         if node.running:
             view = node.membership.view
             self._perform(node, self.replicators[node.vm].update_view(view))
             self.fleet.schedule(VIEW_INTERVAL_S, self._refresh_view, node)
 
-    def _tick(self, node: virtual.Node) -> None:
+    def _tick(self, node: gossip_simulation.Node) -> None:
         if node.running:
             self._perform(node, self.replicators[node.vm].tick())
             self.fleet.schedule(TICK_S, self._tick, node)
 
     def _handle_action(
-        self, node: virtual.Node, action: actions.Action
+        self, node: gossip_simulation.Node, action: actions.Action
     ) -> None:
         if node.vm not in self.replicators:
             return
@@ -113,12 +113,16 @@
             )
 
     @functools.singledispatchmethod
-    def _carry_out(self, action: typing.Any, node: virtual.Node) -> None:
+    def _carry_out(
+        self, action: typing.Any, node: gossip_simulation.Node
+    ) -> None:
         raise TypeError(action)
 
     @_carry_out.register
     def _start_watching(
-        self, action: replication_actions.StartWatching, node: virtual.Node
+        self,
+        action: replication_actions.StartWatching,
+        node: gossip_simulation.Node,
     ) -> None:
         self.store.watchers[node.vm] = node
         self._read_store(node)
@@ -126,13 +130,17 @@
 
     @_carry_out.register
     def _stop_watching(
-        self, action: replication_actions.StopWatching, node: virtual.Node
+        self,
+        action: replication_actions.StopWatching,
+        node: gossip_simulation.Node,
     ) -> None:
         self.store.watchers.pop(node.vm, None)
 
     @_carry_out.register
     def _fetch(
-        self, action: replication_actions.FetchFromPeer, node: virtual.Node
+        self,
+        action: replication_actions.FetchFromPeer,
+        node: gossip_simulation.Node,
     ) -> None:
         target = self.fleet.nodes.get(action.vm)
         if target is not None and target.running:
@@ -146,7 +154,9 @@
 
     @_carry_out.register
     def _apply(
-        self, action: replication_actions.ApplyCatalogue, node: virtual.Node
+        self,
+        action: replication_actions.ApplyCatalogue,
+        node: gossip_simulation.Node,
     ) -> None:
         now = self.fleet.clock.now()
         self.applied[node.vm].append((action.version, now))
@@ -154,37 +164,39 @@
 
     @_carry_out.register
     def _announce(
-        self, action: replication_actions.AnnounceRumour, node: virtual.Node
+        self,
+        action: replication_actions.AnnounceRumour,
+        node: gossip_simulation.Node,
     ) -> None:
         node.membership.announce(action.rumour)
 
     @_carry_out.register
     def _fault(
-        self, action: replication_actions.Fault, node: virtual.Node
+        self, action: replication_actions.Fault, node: gossip_simulation.Node
     ) -> None:
         self.faults.append((node.vm, action))
 
     def _perform(
         self,
-        node: virtual.Node,
+        node: gossip_simulation.Node,
         wanted: list[replication_actions.ReplicationAction],
     ) -> None:
         for action in wanted:
             self._carry_out(action, node)
 
-    def _read_store(self, node: virtual.Node) -> None:
+    def _read_store(self, node: gossip_simulation.Node) -> None:
         self.store.calls += 1
-        if self.store.up:
+        if self.store.is_available:
             self.fleet.schedule(
                 2 * self.fleet.delay_s, self._deliver_stored, node
             )
 
-    def _renew_watch(self, node: virtual.Node) -> None:
+    def _renew_watch(self, node: gossip_simulation.Node) -> None:
         if self.store.watchers.get(node.vm) is node and node.running:
             self._read_store(node)
             self.fleet.schedule(self.store.watch_s, self._renew_watch, node)
 
-    def _deliver_stored(self, node: virtual.Node) -> None:
+    def _deliver_stored(self, node: gossip_simulation.Node) -> None:
         if node.running:
             replicator = self.replicators[node.vm]
             self._perform(
@@ -196,8 +208,8 @@
 
     def _answer_fetch(
         self,
-        target: virtual.Node,
-        requester: virtual.Node,
+        target: gossip_simulation.Node,
+        requester: gossip_simulation.Node,
         request: pb.FetchCatalogue,
     ) -> None:
         answer = self.replicators[target.vm].answer_fetch(request)
@@ -215,7 +227,10 @@
         )
 
     def _deliver_answer(
-        self, node: virtual.Node, vm: str, answer: pb.CatalogueDocument
+        self,
+        node: gossip_simulation.Node,
+        vm: str,
+        answer: pb.CatalogueDocument,
     ) -> None:
         if node.running:
             self._perform(
--- a/src/apricotlever/daemon/answer_reader.py
+++ b/src/apricotlever/daemon/answer_reader.py
@@ -94,7 +94,7 @@
         self._linger_until = float("inf")
 
     @property
-    def flight(self) -> model_request.ModelRequest:
+    def request(self) -> model_request.ModelRequest:
         """The request whose answer is read."""
         return self._request
 
@@ -288,7 +288,7 @@
         context.dispatcher.tell(
             dispatcher_messages.FirstToken(request.request_id)
         )
-        seconds = now - request.arrived
+        seconds = now - request.arrived_at
         context.histograms.record(
             histograms.FIRST_TOKEN,
             request.customer,
@@ -379,7 +379,7 @@
             self._attempts.check_retry_allowed(
                 error, self._tried, self._failures
             )
-        situation = dispatcher_messages.StreamBroke(
+        situation = dispatcher_messages.DecideRecovery(
             request,
             cause,
             self._failures,
@@ -393,10 +393,10 @@
         request.transcript.end(name)
         self._record_gaps()
         context = self._context
-        whole_s = context.clock.now() - request.arrived
+        whole_s = context.clock.now() - request.arrived_at
         first_s = None
         if request.first_token_at is not None:
-            first_s = request.first_token_at - request.arrived
+            first_s = request.first_token_at - request.arrived_at
         self._attempts.report_end(outcome, first_s)
         if outcome is runners.Outcome.DONE:
             context.histograms.record(
--- a/src/apricotlever/daemon/attempt_reports.py
+++ b/src/apricotlever/daemon/attempt_reports.py
@@ -19,7 +19,7 @@
 
 def ask_retry(
     context: contexts.Context,
-    question: dispatcher_messages.MayRetry,
+    question: dispatcher_messages.DecideRetry,
     refusal: runner_selection.RefusalFactory,
 ) -> retry_policy.Retry:
     """Ask the dispatcher whether a failed attempt may be retried.
@@ -31,7 +31,7 @@
     :returns: the permission, which lists the runners to avoid.
     :raises Refusal: when no retry is allowed.
     """
-    answer = context.answer_of(context.dispatcher.ask(question))
+    answer = context.wait_for_reply(context.dispatcher.ask(question))
     if isinstance(answer, retry_policy.NoRetry):
         raise refusal(
             refusals.GAVE_UP,
@@ -56,9 +56,9 @@
     """
     if report is None:
         return
-    future = context.fleet.ask(fleet_link.SpreadCrash(report))
+    future = context.fleet.ask(fleet_link.BroadcastCrashReport(report))
     if wait:
-        context.answer_of(future)
+        context.wait_for_reply(future)
 
 
 def wait_for_crash_reports() -> None:
@@ -84,4 +84,4 @@
     :param request_id: ID of the request that ran as the trial.
     """
     over = quarantine.TrialEnded(fingerprint, request_id)
-    context.fleet.tell(fleet_link.TrialDone(pool, over))
+    context.fleet.tell(fleet_link.ReportTrialEnd(pool, over))
--- a/src/apricotlever/daemon/autoscaler.py
+++ b/src/apricotlever/daemon/autoscaler.py
@@ -37,7 +37,7 @@
 MayOrder = typing.Callable[[str, float], int | None]
 
 
-class PlatformSeen:
+class UpdatePlatform:
     """The platform's list of VMs and its prices were read.
 
     :param per_hour: price per hour by data centre, machine class and market.
@@ -54,7 +54,7 @@
         self.per_hour = per_hour
 
 
-class DemandSeen:
+class UpdateDemand:
     """An entry VM, this one or another, reported the demand of its callers."""
 
     __slots__ = ("report",)
@@ -154,8 +154,8 @@
             if pool in self._policies:
                 planner.configure(self._policies[pool])
 
-    @mailbox.handles(PlatformSeen)
-    def _update_platform(self, message: PlatformSeen) -> None:
+    @mailbox.handles(UpdatePlatform)
+    def _update_platform(self, message: UpdatePlatform) -> None:
         self._vms = message.vms
         self._prices.update(
             {
@@ -181,8 +181,8 @@
         if vm.vm not in self._release_due_at:
             self._reclaim_risk.record_reclaims(_place_of(vm))
 
-    @mailbox.handles(DemandSeen)
-    def _update_demand(self, message: DemandSeen) -> None:
+    @mailbox.handles(UpdateDemand)
+    def _update_demand(self, message: UpdateDemand) -> None:
         report = message.report
         figures = {
             (demand.entry, demand.limit): demand.demand
@@ -221,9 +221,9 @@
             logs.event("vm_refused", pool=message.pool, order=message.token)
             planner.record_refusal(message.token)
 
-    @mailbox.handles(dispatcher_messages.StatusWanted)
+    @mailbox.handles(dispatcher_messages.GetStatus)
     def _status(
-        self, message: dispatcher_messages.StatusWanted
+        self, message: dispatcher_messages.GetStatus
     ) -> dict[str, object]:
         return {
             "demand": {
--- a/src/apricotlever/daemon/catalogue_watcher.py
+++ b/src/apricotlever/daemon/catalogue_watcher.py
@@ -38,7 +38,7 @@
 InForce = typing.Callable[[catalogues.Catalogue], None]
 
 
-class ViewSeen:
+class ViewChanged:
     """Reports a new membership view."""
 
     __slots__ = ("view",)
@@ -47,7 +47,7 @@
         self.view = view
 
 
-class Heard:
+class PeerHasVersion:
     """Reports the version that is in force at a peer.
 
     :param version: the version.
@@ -63,7 +63,7 @@
         self.via = via
 
 
-class Rumoured:
+class RumourReceived:
     """Reports a rumour about a version, which may carry the change.
 
     :param rumour: the rumour.
@@ -77,7 +77,7 @@
         self.via = via
 
 
-class Serve:
+class AnswerFetch:
     """Answers a peer's fetch; the result is the document."""
 
     __slots__ = ("request",)
@@ -133,25 +133,25 @@
         self._fetches_in_progress = 0
         self._read_schedule = catalogue_reads.ReadSchedule(clock)
 
-    @mailbox.handles(ViewSeen)
-    def _update_view(self, message: ViewSeen) -> None:
+    @mailbox.handles(ViewChanged)
+    def _update_view(self, message: ViewChanged) -> None:
         self._execute(self._replicator.update_view(message.view))
 
-    @mailbox.handles(Heard)
-    def _on_peer_version(self, message: Heard) -> None:
+    @mailbox.handles(PeerHasVersion)
+    def _on_peer_version(self, message: PeerHasVersion) -> None:
         actions = self._replicator.peer_has_version(
             message.version, message.digest, message.via
         )
         self._execute(actions)
 
-    @mailbox.handles(Rumoured)
-    def _on_rumour(self, message: Rumoured) -> None:
+    @mailbox.handles(RumourReceived)
+    def _on_rumour(self, message: RumourReceived) -> None:
         self._execute(
             self._replicator.receive_rumour(message.rumour, message.via)
         )
 
-    @mailbox.handles(Serve)
-    def _answer_fetch(self, message: Serve) -> pb.CatalogueDocument:
+    @mailbox.handles(AnswerFetch)
+    def _answer_fetch(self, message: AnswerFetch) -> pb.CatalogueDocument:
         return self._replicator.answer_fetch(message.request)
 
     @mailbox.handles(_Fetched)
@@ -209,9 +209,9 @@
                 self._replicator.receive_stored(event.version, event.value)
             )
 
-    @mailbox.handles(dispatcher_messages.StatusWanted)
+    @mailbox.handles(dispatcher_messages.GetStatus)
     def _status(
-        self, message: dispatcher_messages.StatusWanted
+        self, message: dispatcher_messages.GetStatus
     ) -> dict[str, object]:
         return {
             "watches_catalogue": self._replicator.watching,
@@ -256,7 +256,9 @@
             case replication_actions.ApplyCatalogue():
                 self._apply(action)
             case replication_actions.AnnounceRumour():
-                self._fleet_link.tell(fleet_messages.Announce(action.rumour))
+                self._fleet_link.tell(
+                    fleet_messages.AnnounceRumour(action.rumour)
+                )
             case replication_actions.Fault():
                 logs.event(
                     "catalogue_refused",
@@ -268,7 +270,7 @@
 
     def _apply(self, action: replication_actions.ApplyCatalogue) -> None:
         self._fleet_link.tell(
-            fleet_messages.CatalogueKnown(action.version, action.digest)
+            fleet_messages.AdvertiseCatalogue(action.version, action.digest)
         )
         self._in_force(self._parsed)
         logs.event(
@@ -299,7 +301,9 @@
         if not self._call_in_progress:
             self._starting = False
             self._read_schedule.read_started(self._replicator.in_force.version)
-            call = stores.read(stores.Rank.CATALOGUE, edit.CURRENT_OBJECT_NAME)
+            call = stores.read_call(
+                stores.Priority.CATALOGUE, edit.CURRENT_OBJECT_NAME
+            )
             self._start_call(call, catalogue_reads.ReadEnded)
 
     def _start_watch(self, after: int) -> None:
@@ -310,7 +314,7 @@
 
         if self._replicator.watching:
             call = stores.StoreCall(
-                stores.Rank.CATALOGUE, stores.Kind.READ, run
+                stores.Priority.CATALOGUE, stores.Kind.READ, run
             )
             self._start_call(call, catalogue_reads.WatchEnded)
 
--- a/src/apricotlever/daemon/claim_storage.py
+++ b/src/apricotlever/daemon/claim_storage.py
@@ -61,7 +61,7 @@
 
         :param action: names the bucket.
         """
-        call = stores.read(stores.Rank.CLAIM, action.name)
+        call = stores.read_call(stores.Priority.CLAIM, action.name)
         self._start(call, action.name, BucketRead)
 
     def write(self, action: claims.WriteBucket) -> None:
@@ -69,8 +69,8 @@
 
         :param action: the bucket, its new content and the expected version.
         """
-        call = stores.write(
-            stores.Rank.CLAIM,
+        call = stores.write_call(
+            stores.Priority.CLAIM,
             action.name,
             action.value,
             action.expected_version,
--- a/src/apricotlever/daemon/context.py
+++ b/src/apricotlever/daemon/context.py
@@ -20,7 +20,7 @@
     """The tasks and shared services of one daemon.
 
     ``connections`` holds idle connections to upstreams for reuse.
-    ``reporting`` lists the tasks whose state the status page shows.
+    ``status_tasks`` lists the tasks whose state the status page shows.
 
     :param config: the daemon's settings.
     :param clock: the source of time.
@@ -49,7 +49,7 @@
         "connections",
         "streams",
         "incarnation",
-        "reporting",
+        "status_tasks",
         "_catalogue",
     )
 
@@ -79,7 +79,7 @@
         self.streams = streams
         self.connections = upstream_exchange.ConnectionPool(clock)
         self.incarnation = incarnation
-        self.reporting: list[mailbox.Task] = []
+        self.status_tasks: list[mailbox.Task] = []
         self._catalogue = catalogues.EMPTY
 
     @property
@@ -87,7 +87,7 @@
         """The catalogue in force."""
         return self._catalogue
 
-    def put_in_force(self, catalogue: catalogues.Catalogue) -> None:
+    def set_catalogue(self, catalogue: catalogues.Catalogue) -> None:
         """Replace the catalogue in force unless the new one is older.
 
         :param catalogue: a validated catalogue.
@@ -95,7 +95,7 @@
         if catalogue.version > self._catalogue.version:
             self._catalogue = catalogue
 
-    def answer_of(
+    def wait_for_reply(
         self,
         future: "futures.Future[typing.Any]",
         wait_s: float = REPLY_TIMEOUT_S,
--- a/src/apricotlever/daemon/dispatcher.py
+++ b/src/apricotlever/daemon/dispatcher.py
@@ -100,7 +100,7 @@
     @mailbox.handles(dispatcher_messages.Dispatch)
     def _dispatch(
         self, message: dispatcher_messages.Dispatch
-    ) -> runners.Route | dispatcher_messages.TrialWanted:
+    ) -> runners.Route | dispatcher_messages.TrialRequired:
         trial = self._suspects.check(message)
         if trial is not None and not message.on_trial:
             return trial
@@ -122,7 +122,7 @@
         runner = self._placements.runner_of(message.request_id)
         report = None
         if runner is not None and message.crashed:
-            report = self._suspects.crashed(runner)
+            report = self._suspects.record_crash(runner)
         self._placements.remove(message.request_id)
         self._router.request_finished(
             message.request_id, message.outcome, message.tokens
@@ -147,13 +147,13 @@
         if dispatch is None or not succeeded:
             return None
         self._retry_budget.record_success(dispatch.query.entry)
-        return self._suspects.survived(dispatch.fingerprint)
+        return self._suspects.record_completion(dispatch.fingerprint)
 
-    @mailbox.handles(dispatcher_messages.StreamBroke)
+    @mailbox.handles(dispatcher_messages.DecideRecovery)
     def _decide_recovery(
-        self, message: dispatcher_messages.StreamBroke
+        self, message: dispatcher_messages.DecideRecovery
     ) -> recovery.RecoveryDecision:
-        request = message.flight
+        request = message.request
         runner = request.runner
         assert runner is not None
         situation = self._placements.situation(
@@ -162,7 +162,7 @@
             message.cause,
             self._placements.candidates(request, message.excluded),
             message.failures,
-            message.same_runner,
+            message.stuck_resumptions,
         )
         return recovery.decide(situation)
 
@@ -170,9 +170,9 @@
     def _record_move(self, message: dispatcher_messages.MoveEnded) -> None:
         self._placements.record_export(message.tokens, message.seconds)
 
-    @mailbox.handles(dispatcher_messages.MayRetry)
+    @mailbox.handles(dispatcher_messages.DecideRetry)
     def _decide_retry(
-        self, message: dispatcher_messages.MayRetry
+        self, message: dispatcher_messages.DecideRetry
     ) -> retry_policy.Retry | retry_policy.NoRetry:
         available = frozenset(
             runner.name
@@ -235,23 +235,23 @@
         self._placements.forget_runner(message.runner)
         self._update_pools()
 
-    @mailbox.handles(dispatcher_messages.RunnerWanted)
+    @mailbox.handles(dispatcher_messages.GetRunner)
     def _find_runner(
-        self, message: dispatcher_messages.RunnerWanted
+        self, message: dispatcher_messages.GetRunner
     ) -> runners.Runner | None:
         return self._router.runner(message.runner)
 
-    @mailbox.handles(dispatcher_messages.LoadSeen)
-    def _record_load(self, message: dispatcher_messages.LoadSeen) -> None:
+    @mailbox.handles(dispatcher_messages.LoadObserved)
+    def _record_load(self, message: dispatcher_messages.LoadObserved) -> None:
         self._router.observe_load(message.runner, message.report)
         if message.own:
             # Only an own read shows that the runner is healthy. A load that
             # a peer read may be older than the runner's crash.
             self._router.record_success(message.runner)
 
-    @mailbox.handles(dispatcher_messages.CacheSeen)
+    @mailbox.handles(dispatcher_messages.CacheEventsObserved)
     def _record_cache_events(
-        self, message: dispatcher_messages.CacheSeen
+        self, message: dispatcher_messages.CacheEventsObserved
     ) -> None:
         self._router.observe_cache(message.runner, message.events)
 
@@ -261,25 +261,25 @@
     ) -> None:
         self._router.record_failure(message.runner)
 
-    @mailbox.handles(dispatcher_messages.Judge)
+    @mailbox.handles(dispatcher_messages.DecideTrial)
     def _decide_trial(
-        self, message: dispatcher_messages.Judge
+        self, message: dispatcher_messages.DecideTrial
     ) -> quarantine.TrialDecision:
-        return self._suspects.judge(message.question)
+        return self._suspects.decide_trial(message.trial_request)
 
-    @mailbox.handles(dispatcher_messages.TrialOver)
-    def _end_trial(self, message: dispatcher_messages.TrialOver) -> None:
-        self._suspects.trial_over(message.report)
+    @mailbox.handles(dispatcher_messages.TrialEnded)
+    def _end_trial(self, message: dispatcher_messages.TrialEnded) -> None:
+        self._suspects.end_trial(message.report)
 
-    @mailbox.handles(dispatcher_messages.CrashHeard)
+    @mailbox.handles(dispatcher_messages.CrashReported)
     def _record_reported_crash(
-        self, message: dispatcher_messages.CrashHeard
+        self, message: dispatcher_messages.CrashReported
     ) -> None:
-        self._suspects.heard(message.report)
+        self._suspects.receive_report(message.report)
 
-    @mailbox.handles(dispatcher_messages.DeathSeen)
+    @mailbox.handles(dispatcher_messages.CrashDetected)
     def _record_crash(
-        self, message: dispatcher_messages.DeathSeen
+        self, message: dispatcher_messages.CrashDetected
     ) -> crashes.CrashObservation | None:
         """Record a runner's crash even if no request of this VM ran there.
 
@@ -290,11 +290,11 @@
             crash was reported already.
         """
         runner = self._router.runner(message.runner)
-        return self._suspects.crashed(runner) if runner else None
+        return self._suspects.record_crash(runner) if runner else None
 
-    @mailbox.handles(dispatcher_messages.CrashesKnown)
+    @mailbox.handles(dispatcher_messages.ListCrashes)
     def _known_crashes(
-        self, message: dispatcher_messages.CrashesKnown
+        self, message: dispatcher_messages.ListCrashes
     ) -> list[crashes.CrashObservation]:
         return self._suspects.reports()
 
@@ -302,25 +302,27 @@
     def _remove_member(self, message: dispatcher_messages.MemberLeft) -> None:
         self._admission.shares.remove_member(message.vm)
 
-    @mailbox.handles(dispatcher_messages.MembersSeen)
-    def _set_members(self, message: dispatcher_messages.MembersSeen) -> None:
+    @mailbox.handles(dispatcher_messages.MembersChanged)
+    def _set_members(
+        self, message: dispatcher_messages.MembersChanged
+    ) -> None:
         self._admission.set_members(message.vms | {self._vm})
 
-    @mailbox.handles(dispatcher_messages.DemandHeard)
+    @mailbox.handles(dispatcher_messages.DemandReported)
     def _record_reported_demand(
-        self, message: dispatcher_messages.DemandHeard
+        self, message: dispatcher_messages.DemandReported
     ) -> None:
         self._admission.shares.receive(message.report, message.age_s)
 
-    @mailbox.handles(dispatcher_messages.StatusWanted)
+    @mailbox.handles(dispatcher_messages.GetStatus)
     def _status(
-        self, message: dispatcher_messages.StatusWanted
+        self, message: dispatcher_messages.GetStatus
     ) -> dict[str, object]:
         return {
             "in_flight": len(self._placements),
             "queued": len(self._waiting_admissions),
             "runners": [self._runner_row(r) for r in self._router.runners],
-            "quarantine": {"deaths": self._suspects.deaths},
+            "quarantine": {"deaths": self._suspects.crash_count},
             "cost": self._cost_rows(),
         }
 
@@ -331,10 +333,10 @@
         self._suspects.tick()
         limit_report = self._admission.take_report()
         if limit_report is not None:
-            self._announce(gossip_messages.of_demand(limit_report))
+            self._announce(gossip_messages.demand_rumour(limit_report))
         demand_report = self._demand_meter.take_report()
         if demand_report is not None:
-            self._announce(gossip_messages.of_arrivals(demand_report))
+            self._announce(gossip_messages.arrivals_rumour(demand_report))
 
     def stopped(self) -> None:
         """Refuse the requests that still wait for admission."""
@@ -361,8 +363,8 @@
     def _choose_route(
         self, message: dispatcher_messages.Dispatch
     ) -> runners.Route:
-        if message.only:
-            runner = self._router.runner(message.only)
+        if message.required_runner:
+            runner = self._router.runner(message.required_runner)
             if runner is not None:
                 return runners.Route(runner, 0.0, 0)
         if not self._router.runners:
@@ -401,7 +403,7 @@
             slots = sum(runner.slots for runner in available)
             price = sum(runner.price_per_hour for runner in available)
             self._admission.set_pool(pool, slots, price / max(1, slots))
-        self._suspects.resize()
+        self._suspects.update_runner_counts()
 
     def _runner_row(self, runner: runners.Runner) -> dict[str, object]:
         return {
--- a/src/apricotlever/daemon/dispatcher_messages.py
+++ b/src/apricotlever/daemon/dispatcher_messages.py
@@ -47,7 +47,7 @@
 class Dispatch:
     """Choose a runner and record that the request is sent to it.
 
-    The reply is a Route, or a TrialWanted when the request is suspected of
+    The reply is a Route, or a TrialRequired when the request is suspected of
     crashing runners. A Refusal is raised when no runner can take it.
 
     :param request_id: the request's ID.
@@ -56,8 +56,8 @@
     :param attempt: number of the attempt, from 1.
     :param request: told how to continue when the runner gets a reclaim
         notice; None for a call of a plain service, which stays at its runner.
-    :param only: name of the runner to use regardless of its score; empty to
-        let the router choose.
+    :param required_runner: name of the runner to use regardless of its score;
+        empty to let the router choose.
     :param on_trial: whether the judge of the pool has granted a trial of the
         request at that runner.
     """
@@ -67,8 +67,8 @@
         "query",
         "fingerprint",
         "attempt",
-        "flight",
-        "only",
+        "request",
+        "required_runner",
         "on_trial",
     )
 
@@ -79,42 +79,42 @@
         fingerprint: str,
         attempt: int,
         request: model_request.ModelRequest | None = None,
-        only: str = "",
+        required_runner: str = "",
         on_trial: bool = False,
     ) -> None:
         self.request_id = request_id
         self.query = query
         self.fingerprint = fingerprint
         self.attempt = attempt
-        self.flight = request
-        self.only = only
+        self.request = request
+        self.required_runner = required_runner
         self.on_trial = on_trial
 
 
-class TrialWanted:
+class TrialRequired:
     """The request may only run as a trial, which the judge must grant.
 
     :param pool: name of the pool, which determines the VM that is its judge.
-    :param question: the request for a trial, to be sent to the judge.
+    :param trial_request: the request for a trial, to be sent to the judge.
     """
 
-    __slots__ = ("pool", "question")
+    __slots__ = ("pool", "trial_request")
 
     def __init__(self, pool: str, question: quarantine.TrialRequest) -> None:
         self.pool = pool
-        self.question = question
+        self.trial_request = question
 
 
-class Judge:
+class DecideTrial:
     """Ask this VM, as the judge of a pool, to grant a trial."""
 
-    __slots__ = ("question",)
+    __slots__ = ("trial_request",)
 
     def __init__(self, question: quarantine.TrialRequest) -> None:
-        self.question = question
+        self.trial_request = question
 
 
-class TrialOver:
+class TrialEnded:
     """Tell this VM, as the judge of a pool, that a trial has ended."""
 
     __slots__ = ("report",)
@@ -123,7 +123,7 @@
         self.report = report
 
 
-class CrashHeard:
+class CrashReported:
     """A peer reports a runner's crash, or the completion of a suspect."""
 
     __slots__ = ("report",)
@@ -132,7 +132,7 @@
         self.report = report
 
 
-class MayRetry:
+class DecideRetry:
     """Ask whether a failed attempt may be retried.
 
     The reply is a :class:`.retry_policy.Retry` or a
@@ -182,7 +182,7 @@
         self.uncharged = uncharged
 
 
-class DeathSeen:
+class CrashDetected:
     """A runner refuses connections, so its process has ended.
 
     The reply is the crash report to send to the other entry VMs; None when
@@ -195,7 +195,7 @@
         self.runner = runner
 
 
-class CrashesKnown:
+class ListCrashes:
     """Ask for all known crashes, to report them to a VM that has joined."""
 
     __slots__ = ()
@@ -210,7 +210,7 @@
         self.vm = vm
 
 
-class MembersSeen:
+class MembersChanged:
     """The members of the fleet have changed.
 
     :param vms: names of the entry VMs that share the fleet's limits.
@@ -222,7 +222,7 @@
         self.vms = vms
 
 
-class DemandHeard:
+class DemandReported:
     """A peer reports its demand on the fleet's limits.
 
     :param report: the demand.
@@ -273,7 +273,7 @@
         self.tokens = tokens
 
 
-class StreamBroke:
+class DecideRecovery:
     """Ask how to recover a stream.
 
     The reply is a ``recovery.RecoveryDecision``.
@@ -286,7 +286,13 @@
     :param excluded: names of runners that the stream must not move to.
     """
 
-    __slots__ = ("flight", "cause", "failures", "same_runner", "excluded")
+    __slots__ = (
+        "request",
+        "cause",
+        "failures",
+        "stuck_resumptions",
+        "excluded",
+    )
 
     def __init__(
         self,
@@ -296,10 +302,10 @@
         stuck_resumptions: int,
         excluded: frozenset[str],
     ) -> None:
-        self.flight = request
+        self.request = request
         self.cause = cause
         self.failures = failures
-        self.same_runner = stuck_resumptions
+        self.stuck_resumptions = stuck_resumptions
         self.excluded = excluded
 
 
@@ -379,7 +385,7 @@
         self.runner = runner
 
 
-class RunnerWanted:
+class GetRunner:
     """Look a runner up by its name.
 
     The reply is the runner; None when it is unknown.
@@ -391,7 +397,7 @@
         self.runner = runner
 
 
-class LoadSeen:
+class LoadObserved:
     """A runner's load, read by this VM or reported by a peer.
 
     :param runner: name of the runner.
@@ -409,7 +415,7 @@
         self.own = own
 
 
-class CacheSeen:
+class CacheEventsObserved:
     """A runner's cache events, read by this VM or reported by a peer."""
 
     __slots__ = ("runner", "events")
@@ -428,7 +434,7 @@
         self.runner = runner
 
 
-class StatusWanted:
+class GetStatus:
     """Ask a task to describe its state for the status page."""
 
     __slots__ = ()
--- a/src/apricotlever/daemon/duties.py
+++ b/src/apricotlever/daemon/duties.py
@@ -33,7 +33,7 @@
 THREADS = 8
 
 
-class ViewSeen:
+class UpdateView:
     """The view of the fleet changed."""
 
     __slots__ = ("view",)
@@ -42,7 +42,7 @@
         self.view = view
 
 
-class Leave:
+class ReleaseDuties:
     """Release the leases of all duties, because this VM stops."""
 
     __slots__ = ()
@@ -134,13 +134,13 @@
         if self._view is not None:
             self._duties.update_view(self._view)
 
-    @mailbox.handles(ViewSeen)
-    def _update_view(self, message: ViewSeen) -> None:
+    @mailbox.handles(UpdateView)
+    def _update_view(self, message: UpdateView) -> None:
         self._view = message.view
         self._duties.update_view(message.view)
 
-    @mailbox.handles(Leave)
-    def _release_duties(self, message: Leave) -> None:
+    @mailbox.handles(ReleaseDuties)
+    def _release_duties(self, message: ReleaseDuties) -> None:
         self._duties.release_all()
         self._start_lease_calls()
 
@@ -199,9 +199,9 @@
         else:
             pool_orders.target_read(message.runner, message.target)
 
-    @mailbox.handles(dispatcher_messages.StatusWanted)
+    @mailbox.handles(dispatcher_messages.GetStatus)
     def _status(
-        self, message: dispatcher_messages.StatusWanted
+        self, message: dispatcher_messages.GetStatus
     ) -> dict[str, object]:
         return {
             "duties": {
@@ -305,13 +305,13 @@
 
     @_start_lease_call.register
     def _start_read(self, action: lease_objects.ReadLease) -> None:
-        call = stores.read(stores.Rank.LEASE, action.name)
+        call = stores.read_call(stores.Priority.LEASE, action.name)
         self._call_store(call, action)
 
     @_start_lease_call.register
     def _start_write(self, action: lease_objects.WriteLease) -> None:
-        call = stores.write(
-            stores.Rank.LEASE,
+        call = stores.write_call(
+            stores.Priority.LEASE,
             action.name,
             action.value,
             action.expected_version,
--- a/src/apricotlever/daemon/fleet_link.py
+++ b/src/apricotlever/daemon/fleet_link.py
@@ -61,7 +61,7 @@
         self.request = request
 
 
-class TrialDone:
+class ReportTrialEnd:
     """Report to the judge of a pool that a trial has ended."""
 
     __slots__ = ("pool", "report")
@@ -71,7 +71,7 @@
         self.report = report
 
 
-class SpreadCrash:
+class BroadcastCrashReport:
     """Send a crash or survival report to the other entry VMs.
 
     The future is done when the calls to the peers have ended.
@@ -83,7 +83,7 @@
         self.report = report
 
 
-class TellCrash:
+class SendCrashReport:
     """Send a crash report to one entry VM."""
 
     __slots__ = ("vm", "report")
@@ -170,31 +170,31 @@
         self._carry_out(due)
         return replies[0] if replies else pb.GossipMessage()
 
-    @mailbox.handles(fleet_messages.Announce)
-    def _announce(self, message: fleet_messages.Announce) -> None:
+    @mailbox.handles(fleet_messages.AnnounceRumour)
+    def _announce(self, message: fleet_messages.AnnounceRumour) -> None:
         self._membership.announce(message.rumour)
 
-    @mailbox.handles(fleet_messages.CatalogueKnown)
+    @mailbox.handles(fleet_messages.AdvertiseCatalogue)
     def _advertise_catalogue(
-        self, message: fleet_messages.CatalogueKnown
+        self, message: fleet_messages.AdvertiseCatalogue
     ) -> None:
         self._membership.set_catalogue(message.version, message.digest)
 
-    @mailbox.handles(fleet_messages.Hints)
-    def _set_hints(self, message: fleet_messages.Hints) -> None:
+    @mailbox.handles(fleet_messages.SetHints)
+    def _set_hints(self, message: fleet_messages.SetHints) -> None:
         self._membership.set_hints(message.hints)
 
-    @mailbox.handles(fleet_messages.ViewWanted)
-    def _get_view(self, message: fleet_messages.ViewWanted) -> views.FleetView:
+    @mailbox.handles(fleet_messages.GetView)
+    def _get_view(self, message: fleet_messages.GetView) -> views.FleetView:
         return self._membership.view
 
-    @mailbox.handles(fleet_messages.Leave)
-    def _announce_leave(self, message: fleet_messages.Leave) -> None:
+    @mailbox.handles(fleet_messages.AnnounceLeave)
+    def _announce_leave(self, message: fleet_messages.AnnounceLeave) -> None:
         self._carry_out(self._membership.announce_leave())
 
-    @mailbox.handles(fleet_messages.Depart)
+    @mailbox.handles(fleet_messages.AnnounceExit)
     def _announce_exit(
-        self, message: fleet_messages.Depart
+        self, message: fleet_messages.AnnounceExit
     ) -> "mailbox.Deferred":
         sends = [
             action
@@ -231,8 +231,8 @@
         self._calls.track(member, call, future)
         return mailbox.DEFERRED
 
-    @mailbox.handles(SpreadCrash)
-    def _spread_crash(self, message: SpreadCrash) -> mailbox.Deferred:
+    @mailbox.handles(BroadcastCrashReport)
+    def _spread_crash(self, message: BroadcastCrashReport) -> mailbox.Deferred:
         report = gossip_messages.encode_crash_report(
             self._config.vm, message.report
         )
@@ -251,8 +251,8 @@
         future_chaining.complete_after_all(self.defer(), calls)
         return mailbox.DEFERRED
 
-    @mailbox.handles(TellCrash)
-    def _send_crash(self, message: TellCrash) -> None:
+    @mailbox.handles(SendCrashReport)
+    def _send_crash(self, message: SendCrashReport) -> None:
         member = self._membership.view.members.get(message.vm)
         if member is not None:
             report = gossip_messages.encode_crash_report(
@@ -281,11 +281,11 @@
         )
         return mailbox.DEFERRED
 
-    @mailbox.handles(TrialDone)
-    def _report_trial_end(self, message: TrialDone) -> None:
+    @mailbox.handles(ReportTrialEnd)
+    def _report_trial_end(self, message: ReportTrialEnd) -> None:
         judge = self._remote_judge(message.pool)
         if judge is None:
-            self._listener.trial_over(message.report)
+            self._listener.on_trial_ended(message.report)
             return
         report = trial_messages.encode_trial_end(message.report)
         self._call(judge.peers_address, "Judge", report, JUDGE_CALL_TIMEOUT_S)
@@ -371,7 +371,7 @@
     def _catalogue_advertised(
         self, action: actions.CatalogueAdvertised
     ) -> None:
-        self._listener.on_catalogue_heard(
+        self._listener.on_catalogue_advertised(
             action.version, action.digest, action.via
         )
 
--- a/src/apricotlever/daemon/fleet_messages.py
+++ b/src/apricotlever/daemon/fleet_messages.py
@@ -6,7 +6,7 @@
 from ..vms import membership
 
 
-class CatalogueKnown:
+class AdvertiseCatalogue:
     """Advertise to the peers the catalogue in force at this VM."""
 
     __slots__ = ("version", "digest")
@@ -16,7 +16,7 @@
         self.digest = digest
 
 
-class Hints:
+class SetHints:
     """Set the entry VMs on the platform's list, which lags."""
 
     __slots__ = ("hints",)
@@ -25,19 +25,19 @@
         self.hints = hints
 
 
-class ViewWanted:
+class GetView:
     """Get the current view of the fleet."""
 
     __slots__ = ()
 
 
-class Leave:
+class AnnounceLeave:
     """Announce to the peers that this VM takes no new work."""
 
     __slots__ = ()
 
 
-class Depart:
+class AnnounceExit:
     """Announce to the peers that this process ends.
 
     It is the last message. Its future is done when the calls to the peers
@@ -74,7 +74,7 @@
         self.timeout_s = timeout_s
 
 
-class Announce:
+class AnnounceRumour:
     """Spread a rumour."""
 
     __slots__ = ("rumour",)
--- a/src/apricotlever/daemon/gateway.py
+++ b/src/apricotlever/daemon/gateway.py
@@ -115,14 +115,15 @@
     def _status(self, call: caller_server.Call) -> caller_server.Reply:
         context = self._context
         access.check_operator(context, call)
-        question = dispatcher_messages.StatusWanted()
+        question = dispatcher_messages.GetStatus()
         sections = [
-            context.answer_of(task.ask(question)) for task in context.reporting
+            context.wait_for_reply(task.ask(question))
+            for task in context.status_tasks
         ]
-        ledger_counts = context.answer_of(
-            context.ledger.ask(ledger_task.Count())
+        ledger_counts = context.wait_for_reply(
+            context.ledger.ask(ledger_task.CountKeys())
         )
-        running_streams = context.answer_of(
+        running_streams = context.wait_for_reply(
             context.registry.ask(request_registry.CountRunning())
         )
         document: dict[str, typing.Any] = {
@@ -166,7 +167,7 @@
             call, customer, entry, service_class, request
         )
         self._admission.admit(_ticket(flight), service_class)
-        accepted = context.answer_of(
+        accepted = context.wait_for_reply(
             context.registry.ask(request_registry.Open(flight))
         )
         if not accepted:
@@ -214,7 +215,8 @@
         flight.customer,
         flight.entry.name,
         flight.service_class.name,
-        flight.request.prompt_tokens + flight.request.max_tokens,
-        flight.arrived,
+        flight.completion_request.prompt_tokens
+        + flight.completion_request.max_tokens,
+        flight.arrived_at,
         flight.deadline,
     )
--- a/src/apricotlever/daemon/gossip_messages.py
+++ b/src/apricotlever/daemon/gossip_messages.py
@@ -15,7 +15,7 @@
 MS_PER_S = 1000.0
 
 
-def of_runner_leaving(runner: str, left_s: float) -> pb.Rumour:
+def runner_leaving_rumour(runner: str, left_s: float) -> pb.Rumour:
     """A rumour that a runner will be reclaimed.
 
     :param left_s: seconds until the runner is reclaimed.
@@ -27,7 +27,7 @@
     )
 
 
-def of_runner_gone(runner: str) -> pb.Rumour:
+def runner_gone_rumour(runner: str) -> pb.Rumour:
     """A rumour that a runner has ended."""
     return pb.Rumour(
         scope=pb.SCOPE_FLEET,
@@ -36,7 +36,7 @@
     )
 
 
-def of_load(runner: str, report: runners.LoadReport) -> pb.Rumour:
+def load_rumour(runner: str, report: runners.LoadReport) -> pb.Rumour:
     """A rumour with a runner's load; it replaces earlier ones."""
     return pb.Rumour(
         scope=pb.SCOPE_FLEET,
@@ -52,7 +52,7 @@
     )
 
 
-def load_of(rumour: pb.Rumour) -> runners.LoadReport:
+def decode_load(rumour: pb.Rumour) -> runners.LoadReport:
     """Decode a runner's load.
 
     :returns: the load report; its age includes the age of the rumour.
@@ -64,7 +64,7 @@
     )
 
 
-def of_cache(runner: str, events: runners.CacheEvents) -> pb.Rumour:
+def cache_rumour(runner: str, events: runners.CacheEvents) -> pb.Rumour:
     """A rumour with the blocks that a runner's cache has stored."""
     stored_blocks = [
         block
@@ -81,14 +81,14 @@
     )
 
 
-def cache_of(rumour: pb.Rumour) -> runners.CacheEvents:
+def decode_cache_events(rumour: pb.Rumour) -> runners.CacheEvents:
     """Decode the cache events of a runner."""
     digest = rumour.prefix
     event = runners.CacheEvent(digest.seq, True, tuple(digest.blocks))
     return runners.CacheEvents((event,), digest.seq)
 
 
-def of_demand(report: fleet_shares.DemandReport) -> pb.Rumour:
+def demand_rumour(report: fleet_shares.DemandReport) -> pb.Rumour:
     """A rumour with a VM's demand on the fleet's limits.
 
     It replaces the VM's earlier ones.
@@ -132,7 +132,7 @@
     )
 
 
-def of_arrivals(message: pb.DemandReport) -> pb.Rumour:
+def arrivals_rumour(message: pb.DemandReport) -> pb.Rumour:
     """A rumour with the arrival rates of the pools at a VM.
 
     It replaces the VM's earlier ones.
@@ -145,7 +145,7 @@
     )
 
 
-def demand_of(message: pb.DemandReport) -> fleet_shares.DemandReport:
+def decode_demand(message: pb.DemandReport) -> fleet_shares.DemandReport:
     """Decode a VM's demand; limits unknown to this version are left out."""
     kinds = {kind.value: kind for kind in fleet_shares.LimitKind}
     return fleet_shares.DemandReport(
@@ -188,7 +188,7 @@
     )
 
 
-def crash_of(
+def decode_crash_report(
     message: pb.CrashReport, transit_s: float = 0.0
 ) -> crashes.Report:
     """Decode a report of a crash, or of a request that crashed no runner.
--- a/src/apricotlever/daemon/incoming_handover.py
+++ b/src/apricotlever/daemon/incoming_handover.py
@@ -65,7 +65,9 @@
             case handover_receiver.AdoptLedger():
                 return self._adopt_ledger(action)
             case handover_receiver.AdoptOutcomes():
-                self._context.ledger.tell(ledger_task.Settle(action.settled))
+                self._context.ledger.tell(
+                    ledger_task.SettleRemoteCalls(action.settled)
+                )
         return pb.HandoverReceipt(accepted=True)
 
     def stopped(self) -> None:
@@ -85,7 +87,7 @@
         rumour = gossip_messages.ledger_moved_rumour(
             receipt.sender, receipt.successor
         )
-        self._context.fleet.tell(fleet_messages.Announce(rumour))
+        self._context.fleet.tell(fleet_messages.AnnounceRumour(rumour))
         return pb.HandoverReceipt(accepted=True)
 
     def _adopt_requests(
@@ -109,12 +111,14 @@
             close = request_registry.Close(record.request_id, outcome)
             self._context.registry.tell(close)
             return
-        self._context.registry.ask(request_registry.Join(request)).result()
-        wanted = dispatcher_messages.RunnerWanted(record.runner)
+        self._context.registry.ask(
+            request_registry.AttachRequest(request)
+        ).result()
+        wanted = dispatcher_messages.GetRunner(record.runner)
         runner = self._context.dispatcher.ask(wanted).result()
         reader = readers.AnswerReader(self._context, request, runner)
         self._threads.submit(
-            model_responses.pump_adopted, self._context, reader
+            model_responses.read_adopted, self._context, reader
         )
 
     def _create_request(
--- a/src/apricotlever/daemon/ledger_task.py
+++ b/src/apricotlever/daemon/ledger_task.py
@@ -65,7 +65,7 @@
         self.forwarded = forwarded
 
 
-class Sent:
+class StartSending:
     """Asks for permission to send a call, just before its first byte.
 
     The result is whether the call may be sent.
@@ -77,7 +77,7 @@
         self.token = token
 
 
-class Finished:
+class AnswerReceived:
     """Reports that the answer to a call was received in full."""
 
     __slots__ = ("token", "answer")
@@ -96,7 +96,7 @@
         self.token = token
 
 
-class Lost:
+class AnswerLost:
     """Reports that a call may have run and that its answer is lost."""
 
     __slots__ = ("token",)
@@ -105,7 +105,7 @@
         self.token = token
 
 
-class OwnerSeen:
+class IncarnationAlive:
     """Reports that an incarnation of an entry VM is alive."""
 
     __slots__ = ("vm", "incarnation")
@@ -115,7 +115,7 @@
         self.incarnation = incarnation
 
 
-class OwnerGone:
+class IncarnationGone:
     """Reports that an incarnation of an entry VM has certainly ended."""
 
     __slots__ = ("vm", "incarnation")
@@ -129,18 +129,18 @@
     """Reports that the ledger of an incarnation moved to its successor.
 
     :param owner: the incarnation that has left.
-    :param heir: the successor, which has adopted the ledger.
+    :param successor: the successor, which has adopted the ledger.
     """
 
-    __slots__ = ("owner", "heir")
+    __slots__ = ("owner", "successor")
 
     def __init__(
         self,
         owner: ledger_messages.VmIncarnation,
-        heir: ledger_messages.VmIncarnation,
+        successor: ledger_messages.VmIncarnation,
     ) -> None:
         self.owner = owner
-        self.heir = heir
+        self.successor = successor
 
 
 class Freeze:
@@ -152,16 +152,16 @@
 class Export:
     """Exports the ledger to a successor; the result is its state.
 
-    :param heir: the successor.
+    :param successor: the successor.
     """
 
-    __slots__ = ("heir",)
+    __slots__ = ("successor",)
 
     def __init__(self, heir: ledger_messages.VmIncarnation) -> None:
-        self.heir = heir
+        self.successor = heir
 
 
-class HeirAnswered:
+class ReceiptReceived:
     """Reports the successor's receipt for the exported ledger."""
 
     __slots__ = ("receipt",)
@@ -170,13 +170,13 @@
         self.receipt = receipt
 
 
-class LateOutcomes:
+class PendingOutcomes:
     """Asks for the calls that have ended since the export."""
 
     __slots__ = ()
 
 
-class OutcomesReceived:
+class OutcomesAcknowledged:
     """Reports that the successor has received outcomes of calls.
 
     :param settled: the calls whose outcomes it has received.
@@ -197,7 +197,7 @@
         self.state = state
 
 
-class Settle:
+class SettleRemoteCalls:
     """Reports that calls of an adopted ledger ended at the VM that runs them.
 
     :param settled: the calls with their outcomes.
@@ -209,7 +209,7 @@
         self.settled = settled
 
 
-class Count:
+class CountKeys:
     """Asks for the number of keys and the number of calls in flight."""
 
     __slots__ = ()
@@ -260,12 +260,12 @@
         self._decide(_PendingCall(message, self.defer()))
         return mailbox.DEFERRED
 
-    @mailbox.handles(Sent)
-    def _start_sending(self, message: Sent) -> bool:
+    @mailbox.handles(StartSending)
+    def _start_sending(self, message: StartSending) -> bool:
         return self._ledger.start_sending(message.token)
 
-    @mailbox.handles(Finished)
-    def _record_answer(self, message: Finished) -> None:
+    @mailbox.handles(AnswerReceived)
+    def _record_answer(self, message: AnswerReceived) -> None:
         self._ledger.record_answer(message.token, message.answer)
         self._decide_waiting([message.token])
 
@@ -274,26 +274,26 @@
         self._ledger.record_not_sent(message.token)
         self._decide_waiting([message.token])
 
-    @mailbox.handles(Lost)
-    def _record_lost_answer(self, message: Lost) -> None:
+    @mailbox.handles(AnswerLost)
+    def _record_lost_answer(self, message: AnswerLost) -> None:
         self._ledger.record_lost_answer(message.token)
         self._decide_waiting([message.token])
 
-    @mailbox.handles(OwnerSeen)
-    def _on_incarnation_alive(self, message: OwnerSeen) -> None:
+    @mailbox.handles(IncarnationAlive)
+    def _on_incarnation_alive(self, message: IncarnationAlive) -> None:
         self._decide_waiting(
             self._ledger.on_incarnation_alive(message.vm, message.incarnation)
         )
 
-    @mailbox.handles(OwnerGone)
-    def _on_incarnation_gone(self, message: OwnerGone) -> None:
+    @mailbox.handles(IncarnationGone)
+    def _on_incarnation_gone(self, message: IncarnationGone) -> None:
         self._decide_waiting(
             self._ledger.on_incarnation_gone(message.vm, message.incarnation)
         )
 
     @mailbox.handles(LedgerMoved)
     def _on_ledger_transferred(self, message: LedgerMoved) -> None:
-        self._ledger.on_ledger_transferred(message.owner, message.heir)
+        self._ledger.on_ledger_transferred(message.owner, message.successor)
 
     @mailbox.handles(Freeze)
     def _freeze(self, message: Freeze) -> None:
@@ -301,33 +301,33 @@
 
     @mailbox.handles(Export)
     def _export(self, message: Export) -> ledger_state.LedgerState:
-        heir = message.heir
+        heir = message.successor
         return self._ledger.export_to(heir.vm, heir.incarnation)
 
-    @mailbox.handles(HeirAnswered)
-    def _apply_receipt(self, message: HeirAnswered) -> None:
+    @mailbox.handles(ReceiptReceived)
+    def _apply_receipt(self, message: ReceiptReceived) -> None:
         self._ledger.transfer.apply_receipt(message.receipt)
 
-    @mailbox.handles(LateOutcomes)
+    @mailbox.handles(PendingOutcomes)
     def _pending_outcomes(
-        self, message: LateOutcomes
+        self, message: PendingOutcomes
     ) -> list[ledger_state.SettledCall]:
         return self._ledger.transfer.pending_outcomes()
 
-    @mailbox.handles(OutcomesReceived)
-    def _acknowledge_outcomes(self, message: OutcomesReceived) -> None:
+    @mailbox.handles(OutcomesAcknowledged)
+    def _acknowledge_outcomes(self, message: OutcomesAcknowledged) -> None:
         self._ledger.transfer.acknowledge_outcomes(message.settled)
 
     @mailbox.handles(AdoptLedger)
     def _adopt(self, message: AdoptLedger) -> ledger_state.LedgerReceipt:
         return self._ledger.adopt(message.state)
 
-    @mailbox.handles(Settle)
-    def _settle(self, message: Settle) -> None:
+    @mailbox.handles(SettleRemoteCalls)
+    def _settle(self, message: SettleRemoteCalls) -> None:
         self._decide_waiting(self._ledger.settle_remote_calls(message.settled))
 
-    @mailbox.handles(Count)
-    def _count(self, message: Count) -> tuple[int, int]:
+    @mailbox.handles(CountKeys)
+    def _count(self, message: CountKeys) -> tuple[int, int]:
         return len(self._ledger), self._ledger.in_flight_count
 
     @mailbox.handles(claim_storage.BucketRead)
--- a/src/apricotlever/daemon/listeners.py
+++ b/src/apricotlever/daemon/listeners.py
@@ -37,7 +37,9 @@
         :param vm: name of the VM.
         """
 
-    def on_catalogue_heard(self, version: int, digest: int, vm: str) -> None:
+    def on_catalogue_advertised(
+        self, version: int, digest: int, vm: str
+    ) -> None:
         """Called when a peer has a newer catalogue.
 
         :param version: version of the peer's catalogue.
@@ -55,14 +57,14 @@
         """Called when a newer process runs under this VM's name."""
 
     def judge(
-        self, question: quarantine.TrialRequest
+        self, request: quarantine.TrialRequest
     ) -> "futures.Future[quarantine.TrialDecision]":
         """Decide, as the judge of its pool, whether a suspect may run.
 
-        :param question: describes the suspect.
+        :param request: describes the suspect.
         """
 
-    def trial_over(self, report: quarantine.TrialEnded) -> None:
+    def on_trial_ended(self, report: quarantine.TrialEnded) -> None:
         """Called when a trial that this VM allowed is over.
 
         :param report: names the suspect and the request.
--- a/src/apricotlever/daemon/model_attempts.py
+++ b/src/apricotlever/daemon/model_attempts.py
@@ -86,7 +86,7 @@
         return self._start_request("", tried)
 
     def request_decision(
-        self, situation: dispatcher_messages.StreamBroke
+        self, situation: dispatcher_messages.DecideRecovery
     ) -> recovery.RecoveryDecision:
         """Ask the dispatcher how to recover, waiting while no runner is free.
 
@@ -96,7 +96,9 @@
         """
         while True:
             context = self._context
-            decision = context.answer_of(context.dispatcher.ask(situation))
+            decision = context.wait_for_reply(
+                context.dispatcher.ask(situation)
+            )
             if isinstance(decision, recovery.GiveUp):
                 raise self._refusal(
                     refusals.GAVE_UP,
@@ -122,7 +124,7 @@
         :raises Refusal: when no retry is allowed.
         """
         request = self._request
-        query = dispatcher_messages.MayRetry(
+        query = dispatcher_messages.DecideRetry(
             request.entry.name,
             request.entry.pool,
             error.sent,
@@ -184,7 +186,7 @@
             # The runner may be healthy and still compute the stream. The next
             # attempt reconnects to it, so that no token is recomputed.
             return False
-        report = self._context.answer_of(
+        report = self._context.wait_for_reply(
             self._context.dispatcher.ask(
                 dispatcher_messages.AttemptEnded(
                     request.request_id, runners.Outcome.FAILED, crashed
@@ -212,11 +214,11 @@
             request.request_id,
             outcome,
             first_token_s,
-            request.request.prompt_tokens + request.resume_from,
+            request.completion_request.prompt_tokens + request.resume_from,
         )
         future = self._context.dispatcher.ask(message)
         if request.attempt > 1 or self._on_trial:
-            report = self._context.answer_of(future)
+            report = self._context.wait_for_reply(future)
             attempt_reports.send_report(self._context, report, False)
         if self._on_trial:
             attempt_reports.end_trial(
@@ -248,10 +250,12 @@
                 cancel_stream, silent.address, request.request_id
             )
         tokens = request.transcript.tokens()
-        body = request.request.body_for(request.entry.model, tokens)
+        body = request.completion_request.body_for(request.entry.model, tokens)
         exchange = self._connect(runner)
         self._sent = True
-        exchange.send("POST", request.request.path, self._headers(), body)
+        exchange.send(
+            "POST", request.completion_request.path, self._headers(), body
+        )
         return self._check_response(exchange)
 
     def _reconnect(self) -> upstream_exchange.Exchange:
@@ -267,7 +271,7 @@
         assert previous is not None
         self._abandon_exchange()
         started_at = self._context.clock.now()
-        tokens = request.request.prompt_tokens + request.resume_from
+        tokens = request.completion_request.prompt_tokens + request.resume_from
         dispatcher = self._context.dispatcher
         try:
             state = upstream_exchange.call_json(
@@ -323,7 +327,7 @@
             stream=True,
         )
         self._exchange = exchange
-        self._request.uses(runner, exchange.interrupt)
+        self._request.set_runner(runner, exchange.interrupt)
         exchange.open()
         return exchange
 
--- a/src/apricotlever/daemon/model_request.py
+++ b/src/apricotlever/daemon/model_request.py
@@ -40,11 +40,11 @@
         "customer",
         "entry",
         "service_class",
-        "request",
+        "completion_request",
         "body",
         "fingerprint",
         "deadline",
-        "arrived",
+        "arrived_at",
         "transcript",
         "attempt",
         "runner",
@@ -75,11 +75,11 @@
         self.customer = customer
         self.entry = entry
         self.service_class = service_class
-        self.request = completion_request
+        self.completion_request = completion_request
         self.body = body
         self.fingerprint = fingerprint
         self.deadline = deadline
-        self.arrived = clock.now()
+        self.arrived_at = clock.now()
         self.transcript = transcript or transcripts.Transcript()
         self.attempt = 0
         self.runner: runners.Runner | None = None
@@ -120,7 +120,7 @@
 
         :param excluded: names of runners that must not be chosen.
         """
-        request = self.request
+        request = self.completion_request
         return runners.Query(
             self.entry.name,
             self.entry.pool,
@@ -133,7 +133,7 @@
             self.service_class.first_token_s,
         )
 
-    def uses(
+    def set_runner(
         self,
         runner: runners.Runner,
         interrupt: typing.Callable[[], None],
@@ -154,7 +154,9 @@
             if self._moved_to or self._cancelled or self._decision:
                 interrupt()
 
-    def decide(self, runner: str, decision: recovery.RecoveryDecision) -> bool:
+    def set_decision(
+        self, runner: str, decision: recovery.RecoveryDecision
+    ) -> bool:
         """Tell the owner to leave a runner that will be reclaimed.
 
         Nothing changes when the stream has left the runner already, or when
@@ -178,7 +180,7 @@
             decision, self._decision = self._decision, None
             return decision
 
-    def move(self, address: str) -> None:
+    def mark_moved(self, address: str) -> None:
         """End the request here because another entry VM has taken it over.
 
         :param address: ``host:port`` of that VM for callers.
--- a/src/apricotlever/daemon/model_responses.py
+++ b/src/apricotlever/daemon/model_responses.py
@@ -130,7 +130,7 @@
         self._record_done()
         tokens = request.transcript.tokens()
         body = openai_format.completion_response(
-            request.request, request.request_id, tokens
+            request.completion_request, request.request_id, tokens
         )
         headers = answer_headers(request.request_id, "application/json")
         return caller_server.Reply(200, headers, body)
@@ -202,8 +202,8 @@
         request.request_id,
         request.entry.name,
         request.runner.name,
-        request.request.chat,
-        request.request.max_tokens,
+        request.completion_request.chat,
+        request.completion_request.max_tokens,
     )
     return resumption_tokens.encode(token, customer)
 
@@ -212,7 +212,7 @@
     """Sink used while no caller is connected."""
 
 
-def pump_adopted(
+def read_adopted(
     context: contexts.Context, reader: readers.AnswerReader
 ) -> None:
     """Read the answer to a request taken over from another entry VM.
@@ -227,7 +227,7 @@
     except readers.RequestMoved:
         return
     except refusals.Refusal as refusal:
-        _record_outcome(context, reader.flight, refusal)
+        _record_outcome(context, reader.request, refusal)
         return
     read_to_end(context, reader, float("inf"))
 
@@ -249,7 +249,7 @@
         return
     except refusals.Refusal as error:
         refusal = error
-    _record_outcome(context, reader.flight, refusal)
+    _record_outcome(context, reader.request, refusal)
 
 
 def _record_outcome(
--- a/src/apricotlever/daemon/node.py
+++ b/src/apricotlever/daemon/node.py
@@ -171,7 +171,7 @@
             config,
             self._store,
             self._fleet_link,
-            self._task_notifier.in_force,
+            self._task_notifier.on_catalogue_in_force,
         )
         weights = platform.WeightStore(
             config.platform.weights, timing.platform_timeout_s
@@ -208,7 +208,7 @@
             self._stream_loop,
             self._incarnation,
         )
-        self._context.reporting = [
+        self._context.status_tasks = [
             self._dispatcher,
             self._runner_monitor,
             self._catalogue_watcher,
@@ -244,8 +244,8 @@
             self._autoscaler,
         ]
 
-    def _peer_tasks(self) -> peer_handlers.Rooms:
-        return peer_handlers.Rooms(
+    def _peer_tasks(self) -> peer_handlers.PeerServiceTasks:
+        return peer_handlers.PeerServiceTasks(
             self._fleet_link,
             self._catalogue_watcher,
             self._dispatcher,
@@ -266,7 +266,7 @@
         )
 
     def _start(self) -> None:
-        self._presence.listening_at(self.callers_address)
+        self._presence.set_address(self.callers_address)
         self._peer_link.start()
         self._task_futures = [
             self._task_threads.submit(task.run) for task in self._tasks
@@ -277,7 +277,7 @@
         )
         for future in self._task_futures:
             future.add_done_callback(self._task_ended)
-        self._fleet_link.ask(fleet_messages.ViewWanted()).add_done_callback(
+        self._fleet_link.ask(fleet_messages.GetView()).add_done_callback(
             self._receive_first_view
         )
         logs.event(
@@ -305,11 +305,11 @@
         """
         deadline = self._deadline()
         logs.event("stopping", left_s=round(deadline - self._clock.now(), 3))
-        self._presence.leave()
-        self._duty_holder.tell(duties.Leave())
-        self._fleet_link.tell(fleet_messages.Leave())
+        self._presence.stop_listing()
+        self._duty_holder.tell(duties.ReleaseDuties())
+        self._fleet_link.tell(fleet_messages.AnnounceLeave())
         self._sleep_until(self._addresses_expire_at(deadline))
-        self._presence.take_no_more()
+        self._presence.stop_accepting()
         handed_over = self._hand_over(deadline)
         # A caller that chose this VM before it left needs a refusal that it
         # can act on. A closed connection would not tell it whether its
@@ -355,7 +355,7 @@
         handover = outgoing_handover.OutgoingHandover(
             self._clock, self._context, self._presence, until
         )
-        self._task_notifier.depart(handover)
+        self._task_notifier.attach_handover(handover)
         ended = self._task_threads.submit(handover.run)
         handed_over = handover.ask(outgoing_handover.StartHandover())
         try:
@@ -386,7 +386,7 @@
             threading.Event().wait(min(left_s, 0.25))
 
     def _shut_down(self) -> None:
-        left = self._fleet_link.ask(fleet_messages.Depart())
+        left = self._fleet_link.ask(fleet_messages.AnnounceExit())
         futures.wait([left], self._config.timing.peer_timeout_s)
         self._server.close()
         self._stream_loop.stop()
--- a/src/apricotlever/daemon/orphaned_streams.py
+++ b/src/apricotlever/daemon/orphaned_streams.py
@@ -30,7 +30,7 @@
         self._context = context
         self._threads = futures.ThreadPoolExecutor(READER_THREADS, "rescue")
 
-    def rescue(
+    def resume(
         self,
         payload: resumption_tokens.ResumptionToken,
         catalogue: catalogues.Catalogue,
@@ -50,15 +50,15 @@
         """
         context = self._context
         entry = catalogue.entries.get(payload.entry)
-        lookup = dispatcher_messages.RunnerWanted(payload.runner)
-        runner = context.answer_of(context.dispatcher.ask(lookup))
+        lookup = dispatcher_messages.GetRunner(payload.runner)
+        runner = context.wait_for_reply(context.dispatcher.ask(lookup))
         if entry is None or runner is None:
             raise _not_found(payload.request_id)
         service_class = catalogue.class_of(entry)
         request = self._create_request(
             payload, customer, entry, service_class, runner
         )
-        has_room = context.answer_of(
+        has_room = context.wait_for_reply(
             context.registry.ask(request_registry.Open(request))
         )
         if not has_room:
@@ -70,7 +70,7 @@
                 payload.request_id,
             )
         reader = answer_reader.AnswerReader(context, request, runner)
-        self._threads.submit(model_responses.pump_adopted, context, reader)
+        self._threads.submit(model_responses.read_adopted, context, reader)
         return request
 
     def _create_request(
--- a/src/apricotlever/daemon/outgoing_handover.py
+++ b/src/apricotlever/daemon/outgoing_handover.py
@@ -44,7 +44,7 @@
         self.accepted = accepted
 
 
-class OwnerGone:
+class PeerGone:
     """An incarnation of a peer has certainly ended."""
 
     __slots__ = ("owner",)
@@ -105,8 +105,8 @@
             due = self._handover_sender.on_refusal(message.sequence)
         self._carry_out(due)
 
-    @mailbox.handles(OwnerGone)
-    def _peer_gone(self, message: OwnerGone) -> None:
+    @mailbox.handles(PeerGone)
+    def _peer_gone(self, message: PeerGone) -> None:
         self._carry_out(self._handover_sender.on_peer_gone(message.owner))
 
     def tick(self) -> None:
@@ -114,7 +114,7 @@
         if self._completion is None:
             return
         late_outcomes = self._context.ledger.ask(
-            ledger_task.LateOutcomes()
+            ledger_task.PendingOutcomes()
         ).result()
         due = self._handover_sender.send_outcomes(
             late_outcomes, self._keyed_calls_in_flight()
@@ -123,7 +123,9 @@
         self._carry_out(self._handover_sender.tick())
 
     def _keyed_calls_in_flight(self) -> int:
-        return int(self._context.ledger.ask(ledger_task.Count()).result()[1])
+        return int(
+            self._context.ledger.ask(ledger_task.CountKeys()).result()[1]
+        )
 
     def _peers(self) -> list[handover_sender.Peer]:
         view = self._presence.view
@@ -172,7 +174,9 @@
             "handover_sent", heir=action.vm, requests=len(action.request_ids)
         )
         self._context.registry.tell(
-            request_registry.TellMoved(action.request_ids, action.vm, address)
+            request_registry.RedirectCallers(
+                action.request_ids, action.vm, address
+            )
         )
 
     @_carry_out_one.register
@@ -183,18 +187,20 @@
     @_carry_out_one.register
     def _deliver_receipt(self, action: handover_sender.DeliverReceipt) -> None:
         receipt = action.receipt
-        self._context.ledger.tell(ledger_task.HeirAnswered(receipt))
+        self._context.ledger.tell(ledger_task.ReceiptReceived(receipt))
         if receipt.accepted:
             rumour = gossip_messages.ledger_moved_rumour(
                 receipt.sender, receipt.successor
             )
-            self._context.fleet.tell(fleet_messages.Announce(rumour))
+            self._context.fleet.tell(fleet_messages.AnnounceRumour(rumour))
 
     @_carry_out_one.register
     def _acknowledge_outcomes(
         self, action: handover_sender.AcknowledgeOutcomes
     ) -> None:
-        self._context.ledger.tell(ledger_task.OutcomesReceived(action.settled))
+        self._context.ledger.tell(
+            ledger_task.OutcomesAcknowledged(action.settled)
+        )
 
     @_carry_out_one.register
     def _finish(self, action: handover_sender.HandoverFinished) -> None:
@@ -207,7 +213,7 @@
             self._completion.set_result(action.complete)
 
 
-def owner(vm: str, incarnation: int) -> keyed.VmIncarnation:
+def vm_incarnation(vm: str, incarnation: int) -> keyed.VmIncarnation:
     """The incarnation of a VM, as the handover identifies it."""
     return keyed.VmIncarnation(vm, incarnation)
 
--- a/src/apricotlever/daemon/peer_handlers.py
+++ b/src/apricotlever/daemon/peer_handlers.py
@@ -20,7 +20,7 @@
 from . import trial_messages
 
 
-class Rooms:
+class PeerServiceTasks:
     """The tasks that handle the calls of peers."""
 
     __slots__ = (
@@ -44,7 +44,9 @@
 
 
 def register(
-    handlers: peer_link.Handlers, context: contexts.Context, tasks: Rooms
+    handlers: peer_link.Handlers,
+    context: contexts.Context,
+    tasks: PeerServiceTasks,
 ) -> None:
     """Register a handler for each method of the peer service.
 
@@ -60,7 +62,9 @@
 
     @handlers.register("Fetch")
     def _fetch(message: pb.FetchCatalogue) -> typing.Any:
-        return tasks.catalogue_watcher.ask(catalogue_watcher.Serve(message))
+        return tasks.catalogue_watcher.ask(
+            catalogue_watcher.AnswerFetch(message)
+        )
 
     @handlers.register("Run")
     def _run(message: pb.KeyedCall) -> typing.Any:
@@ -76,8 +80,10 @@
 
     @handlers.register("Crash")
     def _crash(message: pb.CrashReport) -> typing.Any:
-        report = gossip_messages.crash_of(message)
-        future = tasks.dispatcher.ask(dispatcher_messages.CrashHeard(report))
+        report = gossip_messages.decode_crash_report(message)
+        future = tasks.dispatcher.ask(
+            dispatcher_messages.CrashReported(report)
+        )
         return future_chaining.map_result(future, lambda _: pb.CrashReceipt())
 
     @handlers.register("Judge")
@@ -87,13 +93,13 @@
                 message.fingerprint, message.request_id
             )
             future = tasks.dispatcher.ask(
-                dispatcher_messages.TrialOver(report)
+                dispatcher_messages.TrialEnded(report)
             )
             return future_chaining.map_result(
                 future, lambda _: pb.TrialAnswer()
             )
         request = trial_messages.decode_request(message)
-        future = tasks.dispatcher.ask(dispatcher_messages.Judge(request))
+        future = tasks.dispatcher.ask(dispatcher_messages.DecideTrial(request))
         return future_chaining.map_result(
             future, trial_messages.encode_decision
         )
--- a/src/apricotlever/daemon/placements.py
+++ b/src/apricotlever/daemon/placements.py
@@ -168,12 +168,12 @@
             placement
             for placement in self._placements.values()
             if placement.runner.name in self._reclaimed_at
-            and placement.dispatch.flight is not None
+            and placement.dispatch.request is not None
         ]
         candidates: dict[str, list[recovery.Candidate]] = {}
         situations = []
         for placement in affected:
-            request = placement.dispatch.flight
+            request = placement.dispatch.request
             assert request is not None
             pool = request.entry.pool
             if pool not in candidates:
@@ -194,9 +194,9 @@
     ) -> None:
         if not isinstance(decision, (recovery.ExportTo, recovery.Replay)):
             return
-        request = placement.dispatch.flight
+        request = placement.dispatch.request
         assert request is not None
-        if request.decide(placement.runner.name, decision):
+        if request.set_decision(placement.runner.name, decision):
             placement.moving_to = decision.runner
 
     def situation(
@@ -219,15 +219,15 @@
             its runner without a new token.
         """
         sent = request.transcript.tokens()
-        tokens = request.request.prompt_tokens + len(sent)
-        remaining = request.request.max_tokens - len(sent)
+        tokens = request.completion_request.prompt_tokens + len(sent)
+        remaining = request.completion_request.max_tokens - len(sent)
         reclaimed_at = self._reclaimed_at.get(runner.name, float("inf"))
         return recovery.AffectedStream(
             request.request_id,
             cause,
             runner.name,
             request.service_class.priority,
-            request.request.prompt_tokens,
+            request.completion_request.prompt_tokens,
             sent,
             remaining * request.service_class.between_tokens_s,
             reclaimed_at - self._clock.now(),
--- a/src/apricotlever/daemon/request_admission.py
+++ b/src/apricotlever/daemon/request_admission.py
@@ -69,7 +69,7 @@
         context = self._context
         future = context.dispatcher.ask(dispatcher_messages.Admit(ticket))
         try:
-            context.answer_of(
+            context.wait_for_reply(
                 future, service_class.queue_s + ADMISSION_GRACE_S
             )
         except refusals.Refusal as refusal:
--- a/src/apricotlever/daemon/request_lookup.py
+++ b/src/apricotlever/daemon/request_lookup.py
@@ -51,7 +51,7 @@
         last_index = _last_event_id(call)
         resume = request_registry.Resume(request_id, customer.name, last_index)
         future = self._context.registry.ask(resume)
-        found = self._context.answer_of(future)
+        found = self._context.wait_for_reply(future)
         if found is None:
             return self._find_elsewhere(
                 call, catalogue, customer, request_id, last_index
@@ -83,7 +83,7 @@
             ended and the runner still has the stream.
         :raises Refusal: when neither the request nor its stream is found.
         """
-        owner = self._presence.owner_of(request_id)
+        owner = self._presence.address_of_minting_vm(request_id)
         if owner:
             return model_responses.redirect_reply(request_id, owner)
         payload = resumption_tokens.decode(
@@ -96,7 +96,7 @@
                 refusals.Executed.UNKNOWN,
                 request_id=request_id,
             )
-        flight = self._rescues.rescue(payload, catalogue, customer)
+        flight = self._rescues.resume(payload, catalogue, customer)
         headers = model_responses.answer_headers(
             request_id, model_responses.STREAM_TYPE
         )
@@ -116,7 +116,7 @@
 
 def _stream_reply(
     call: caller_server.Call,
-    found: request_registry.Found,
+    found: request_registry.FoundRequest,
     last_index: int | None,
 ) -> caller_server.Reply:
     record = found.record
@@ -124,9 +124,9 @@
         record.request_id, model_responses.STREAM_TYPE
     )
     start = _first_index(last_index)
-    if found.flight is not None:
+    if found.request is not None:
         events = model_responses.follow_stream(
-            found.flight, start, call.is_disconnected
+            found.request, start, call.is_disconnected
         )
         return caller_server.Reply(200, headers, events)
     if record.state is records.RequestState.RUNNING:
@@ -171,10 +171,10 @@
     )
 
 
-def _describe(found: request_registry.Found) -> dict[str, typing.Any]:
+def _describe(found: request_registry.FoundRequest) -> dict[str, typing.Any]:
     """The outcome of a request as JSON."""
     record = found.record
-    flight = found.flight
+    flight = found.request
     tokens = len(flight.transcript) if flight else len(record.tokens)
     document: dict[str, typing.Any] = {
         "request": record.request_id,
--- a/src/apricotlever/daemon/request_registry.py
+++ b/src/apricotlever/daemon/request_registry.py
@@ -16,10 +16,10 @@
     The result is whether there is room for its record.
     """
 
-    __slots__ = ("flight",)
+    __slots__ = ("request",)
 
     def __init__(self, flight: model_request.ModelRequest) -> None:
-        self.flight = flight
+        self.request = flight
 
 
 class Close:
@@ -57,25 +57,25 @@
         self.last_event_id = last_event_id
 
 
-class Found:
+class FoundRequest:
     """The result of a successful :class:`Resume`.
 
     :param record: the record of the request.
     :param resumed: how the caller can continue.
-    :param flight: the model request while it runs at this VM, or None.
+    :param request: the model request while it runs at this VM, or None.
     """
 
-    __slots__ = ("record", "resumed", "flight")
+    __slots__ = ("record", "resumed", "request")
 
     def __init__(
         self,
         record: records.RequestRecord,
         resumed: records.ResumeResult,
-        flight: model_request.ModelRequest | None,
+        request: model_request.ModelRequest | None,
     ) -> None:
         self.record = record
         self.resumed = resumed
-        self.flight = flight
+        self.request = request
 
 
 class Adopt:
@@ -92,13 +92,13 @@
         self.adopted = adopted
 
 
-class Join:
+class AttachRequest:
     """Registers the model request that continues an adopted record here."""
 
-    __slots__ = ("flight",)
+    __slots__ = ("request",)
 
     def __init__(self, flight: model_request.ModelRequest) -> None:
-        self.flight = flight
+        self.request = flight
 
 
 class Snapshot:
@@ -111,7 +111,7 @@
     __slots__ = ()
 
 
-class Everything:
+class AllRecords:
     """The result of a :class:`Snapshot`.
 
     :param running: records of the model requests that run at this VM.
@@ -129,7 +129,7 @@
         self.ended = ended
 
 
-class TellMoved:
+class RedirectCallers:
     """Redirects the callers of requests that another VM has taken over.
 
     :param request_ids: IDs of the requests.
@@ -172,14 +172,14 @@
 
     @mailbox.handles(Open)
     def _open(self, message: Open) -> bool:
-        request = message.flight
+        request = message.request
         record = self._records.open(
             request.request_id,
             request.customer,
             request.entry.name,
-            request.request.path,
+            request.completion_request.path,
             request.body,
-            request.request.chat,
+            request.completion_request.chat,
         )
         if record is None:
             return False
@@ -197,7 +197,7 @@
         self._records.end(message.request_id, message.outcome)
 
     @mailbox.handles(Resume)
-    def _resume(self, message: Resume) -> Found | None:
+    def _resume(self, message: Resume) -> FoundRequest | None:
         request = self._requests.get(message.request_id)
         resumed = self._records.resume(
             message.request_id, message.customer, message.last_event_id
@@ -205,7 +205,7 @@
         record = self._records.get(message.request_id)
         if record is None or isinstance(resumed, records.ResumeNotFound):
             return None
-        return Found(record, resumed, request)
+        return FoundRequest(record, resumed, request)
 
     @mailbox.handles(Adopt)
     def _adopt(self, message: Adopt) -> list[records.RequestRecord]:
@@ -221,12 +221,12 @@
             if record.state is records.RequestState.RUNNING
         ]
 
-    @mailbox.handles(Join)
-    def _join(self, message: Join) -> None:
-        self._requests[message.flight.request_id] = message.flight
+    @mailbox.handles(AttachRequest)
+    def _join(self, message: AttachRequest) -> None:
+        self._requests[message.request.request_id] = message.request
 
     @mailbox.handles(Snapshot)
-    def _snapshot(self, message: Snapshot) -> Everything:
+    def _snapshot(self, message: Snapshot) -> AllRecords:
         running = []
         for record in self._records.running:
             request = self._requests.get(record.request_id)
@@ -236,15 +236,15 @@
             record.runner = request.runner.name
             record.attempt = request.attempt
             running.append(record)
-        return Everything(running, self._records.ended)
+        return AllRecords(running, self._records.ended)
 
-    @mailbox.handles(TellMoved)
-    def _tell_moved(self, message: TellMoved) -> None:
+    @mailbox.handles(RedirectCallers)
+    def _tell_moved(self, message: RedirectCallers) -> None:
         for request_id in message.request_ids:
             request = self._requests.pop(request_id, None)
             self._records.record_move(request_id, message.address)
             if request is not None:
-                request.move(message.address)
+                request.mark_moved(message.address)
 
     @mailbox.handles(CountRunning)
     def _count_running(self, message: CountRunning) -> int:
--- a/src/apricotlever/daemon/runner_monitor.py
+++ b/src/apricotlever/daemon/runner_monitor.py
@@ -29,7 +29,7 @@
 
 THREADS = 8
 TICK_S = 0.1
-LIST_S = 1.0
+LIST_INTERVAL_S = 1.0
 PRICES_INTERVAL_S = 10.0
 LOAD_READERS = 2
 NOTICE_WATCHERS = 2
@@ -46,7 +46,7 @@
 NOTICES = "notices"
 
 
-class Shown:
+class ServingVms:
     """The serving entry VMs in this VM's membership view.
 
     :param serving: VM names by data centre; empty for a data centre of which
@@ -59,9 +59,9 @@
         self.serving = serving
 
 
-def shown(view: views.FleetView) -> Shown:
+def serving_vms(view: views.FleetView) -> ServingVms:
     """The message that tells a RunnerMonitor the serving VMs of a view."""
-    return Shown(
+    return ServingVms(
         {name: view.serving_names(name) for name in view.data_centres}
     )
 
@@ -80,7 +80,7 @@
         :param listed: all listed runners.
         """
 
-    def on_platform(
+    def on_vms_and_prices(
         self,
         vms: tuple[platform.Vm, ...],
         per_hour: typing.Mapping[tuple[str, str, str], float],
@@ -116,13 +116,13 @@
         :param tell: whether this VM announces the load to the other VMs.
         """
 
-    def on_death(self, runner: str) -> None:
+    def on_connection_refused(self, runner: str) -> None:
         """Handle a runner that refuses connections.
 
         :param runner: name of the runner.
         """
 
-    def on_cache(
+    def on_cache_events(
         self, runner: str, events: runners.CacheEvents, tell: bool
     ) -> None:
         """Handle a runner's cache events.
@@ -244,8 +244,8 @@
         self._catalogue = message.catalogue
         self._publish()
 
-    @mailbox.handles(Shown)
-    def _update_serving(self, message: Shown) -> None:
+    @mailbox.handles(ServingVms)
+    def _update_serving(self, message: ServingVms) -> None:
         self._assignment.set_serving(message.serving)
         self._publish()
 
@@ -259,7 +259,7 @@
             for vm in self._vms
             if vm.role == "entry" and vm.address
         )
-        self._fleet_link.tell(fleet_messages.Hints(hints))
+        self._fleet_link.tell(fleet_messages.SetHints(hints))
         self._publish()
 
     @mailbox.handles(_PricesRead)
@@ -290,7 +290,7 @@
             # the crash of another runner, and could clear the request that
             # caused the first one.
             self._refusing.add(name)
-            self._listener.on_death(name)
+            self._listener.on_connection_refused(name)
         if message.load is not None:
             self._refusing.discard(name)
         known = self._runners.get(name)
@@ -301,11 +301,11 @@
         if message.events is None or not message.events.events:
             return
         self._cache_seqs[name] = message.events.last
-        self._listener.on_cache(name, message.events, tell)
+        self._listener.on_cache_events(name, message.events, tell)
 
-    @mailbox.handles(dispatcher_messages.StatusWanted)
+    @mailbox.handles(dispatcher_messages.GetStatus)
     def _status(
-        self, message: dispatcher_messages.StatusWanted
+        self, message: dispatcher_messages.GetStatus
     ) -> dict[str, object]:
         return {
             "kept": sorted(self._polled_runners),
@@ -316,7 +316,7 @@
         """Start the calls that are due."""
         now = self._clock.now()
         if now >= self._list_at:
-            self._list_at = now + LIST_S
+            self._list_at = now + LIST_INTERVAL_S
             self._submit(self._cloud.vms, _VmsRead)
         if now >= self._prices_at:
             self._prices_at = now + PRICES_INTERVAL_S
@@ -368,7 +368,7 @@
         self._polled_runners = frozenset(
             filter(self._reads_load, self._runners)
         )
-        self._listener.on_platform(self._vms, self._prices)
+        self._listener.on_vms_and_prices(self._vms, self._prices)
         self._listener.on_runners(
             self._assignment.select_runners(listed), listed
         )
--- a/src/apricotlever/daemon/runner_selection.py
+++ b/src/apricotlever/daemon/runner_selection.py
@@ -69,17 +69,17 @@
             answer = self._ask_dispatcher(dispatch(only, on_trial))
             if isinstance(answer, runners.Route):
                 return RunnerSelection(answer, on_trial)
-            question = fleet_link.AskJudge(answer.pool, answer.question)
+            question = fleet_link.AskJudge(answer.pool, answer.trial_request)
             future = self._context.fleet.ask(question)
             only, on_trial = self._apply_verdict(
-                self._context.answer_of(future)
+                self._context.wait_for_reply(future)
             )
 
     def _ask_dispatcher(
         self, dispatch: dispatcher_messages.Dispatch
-    ) -> runners.Route | dispatcher_messages.TrialWanted:
+    ) -> runners.Route | dispatcher_messages.TrialRequired:
         try:
-            return self._context.answer_of(
+            return self._context.wait_for_reply(
                 self._context.dispatcher.ask(dispatch)
             )
         except refusals.Refusal as refusal:
--- a/src/apricotlever/daemon/service_attempts.py
+++ b/src/apricotlever/daemon/service_attempts.py
@@ -99,7 +99,9 @@
         except refusals.Refusal:
             context.ledger.tell(ledger_task.NotSent(token))
             raise
-        if not context.answer_of(context.ledger.ask(ledger_task.Sent(token))):
+        if not context.wait_for_reply(
+            context.ledger.ask(ledger_task.StartSending(token))
+        ):
             exchange.abandon()
             raise self._refusal(
                 refusals.LEAVING,
@@ -110,9 +112,9 @@
         try:
             answer = self._send_and_read(exchange, retry_errors=False)
         except upstream_exchange.UpstreamError as error:
-            context.ledger.tell(ledger_task.Lost(token))
+            context.ledger.tell(ledger_task.AnswerLost(token))
             raise self._outcome_unknown(error) from error
-        context.ledger.tell(ledger_task.Finished(token, answer))
+        context.ledger.tell(ledger_task.AnswerReceived(token, answer))
         return answer
 
     def report_end(self, outcome: runners.Outcome) -> None:
@@ -122,7 +124,7 @@
         """
         request = self._request
         context = self._context
-        whole_s = context.clock.now() - request.arrived
+        whole_s = context.clock.now() - request.arrived_at
         ended = context.dispatcher.ask(
             dispatcher_messages.RequestEnded(
                 request.request_id, outcome, whole_s, 1
@@ -130,7 +132,7 @@
         )
         if self._attempt > 1 or self._on_trial:
             attempt_reports.send_report(
-                context, context.answer_of(ended), True
+                context, context.wait_for_reply(ended), True
             )
         if self._on_trial:
             attempt_reports.end_trial(
@@ -187,7 +189,7 @@
                 query,
                 request.fingerprint,
                 self._attempt,
-                only=only,
+                required_runner=only,
                 on_trial=on_trial,
             )
 
@@ -247,7 +249,7 @@
             runner=self._runner,
             error=error.message,
         )
-        question = dispatcher_messages.MayRetry(
+        question = dispatcher_messages.DecideRetry(
             request.entry.name,
             request.entry.pool,
             error.sent,
@@ -328,7 +330,7 @@
             self._request.request_id, outcome, crashed
         )
         context = self._context
-        report = context.answer_of(context.dispatcher.ask(ended))
+        report = context.wait_for_reply(context.dispatcher.ask(ended))
         # The other entry VMs must know of a crash before the call runs again
         # anywhere.
         attempt_reports.send_report(context, report, True)
--- a/src/apricotlever/daemon/service_gateway.py
+++ b/src/apricotlever/daemon/service_gateway.py
@@ -83,7 +83,7 @@
         mint = ledger_task.Mint(customer)
         try:
             futures = [context.ledger.ask(mint) for _ in range(count)]
-            return [context.answer_of(future) for future in futures]
+            return [context.wait_for_reply(future) for future in futures]
         except request_errors.LedgerFrozen as error:
             raise refusals.Refusal(
                 refusals.LEAVING,
@@ -158,7 +158,7 @@
             request.entry.name,
             request.service_class.name,
             1.0,
-            request.arrived,
+            request.arrived_at,
             request.deadline,
         )
         self._admission.admit(ticket, request.service_class)
--- a/src/apricotlever/daemon/service_request.py
+++ b/src/apricotlever/daemon/service_request.py
@@ -24,7 +24,7 @@
     :param path: path at the service, with the query string.
     :param headers: the headers that are forwarded.
     :param body: the body, unchanged.
-    :param arrived: time of arrival on this VM's clock, in seconds.
+    :param arrived_at: time of arrival on this VM's clock, in seconds.
     :param deadline: time after which the answer has no use, on this VM's
         clock, in seconds.
     :param non_idempotent: whether the call must run at most once.
@@ -40,7 +40,7 @@
         "headers",
         "body",
         "deadline",
-        "arrived",
+        "arrived_at",
         "non_idempotent",
     )
 
@@ -54,7 +54,7 @@
         path: str,
         headers: dict[str, str],
         body: bytes,
-        arrived: float,
+        arrived_at: float,
         deadline: float,
         non_idempotent: bool,
     ) -> None:
@@ -66,7 +66,7 @@
         self.path = path
         self.headers = headers
         self.body = body
-        self.arrived = arrived
+        self.arrived_at = arrived_at
         self.deadline = deadline
         self.non_idempotent = non_idempotent
 
--- a/src/apricotlever/daemon/store.py
+++ b/src/apricotlever/daemon/store.py
@@ -20,7 +20,7 @@
 from ..contracts import call_budget
 from ..links import platform
 
-Rank = call_budget.CallPriority
+Priority = call_budget.CallPriority
 Kind = call_budget.CallKind
 Run = typing.Callable[[platform.ObjectApi], typing.Any]
 
@@ -42,15 +42,15 @@
     :param run: makes the call.
     """
 
-    __slots__ = ("rank", "kind", "run")
+    __slots__ = ("priority", "kind", "run")
 
-    def __init__(self, rank: Rank, kind: Kind, run: Run) -> None:
-        self.rank = rank
+    def __init__(self, rank: Priority, kind: Kind, run: Run) -> None:
+        self.priority = rank
         self.kind = kind
         self.run = run
 
 
-def read(rank: Rank, name: str) -> StoreCall:
+def read_call(rank: Priority, name: str) -> StoreCall:
     """A call that reads an object.
 
     :param rank: the priority of the call.
@@ -63,8 +63,8 @@
     return StoreCall(rank, Kind.READ, run)
 
 
-def write(
-    rank: Rank, name: str, value: typing.Any, expected_version: int | None
+def write_call(
+    rank: Priority, name: str, value: typing.Any, expected_version: int | None
 ) -> StoreCall:
     """A call that writes an object only if it has the expected version.
 
@@ -149,12 +149,14 @@
     @mailbox.handles(StoreCall)
     def _start_or_hold(self, message: StoreCall) -> mailbox.Deferred:
         future = self.defer()
-        if self._budget.try_acquire(message.rank, message.kind):
+        if self._budget.try_acquire(message.priority, message.kind):
             self._start(message, future)
             return mailbox.DEFERRED
-        self._metrics.count("platform.held_back", of=message.rank.name.lower())
+        self._metrics.count(
+            "platform.held_back", of=message.priority.name.lower()
+        )
         until = self._clock.now() + MAX_WAIT_S
-        item = (int(message.rank), next(self._sequence))
+        item = (int(message.priority), next(self._sequence))
         heapq.heappush(
             self._waiting_calls, (*item, _WaitingCall(message, future, until))
         )
@@ -189,10 +191,10 @@
             item = heapq.heappop(waiting_calls)
             waiting = item[2]
             call = waiting.call
-            if self._budget.try_acquire(call.rank, call.kind):
+            if self._budget.try_acquire(call.priority, call.kind):
                 self._start(call, waiting.future)
             elif now >= waiting.until:
-                wait_s = self._budget.wait_s(call.rank, call.kind)
+                wait_s = self._budget.wait_s(call.priority, call.kind)
                 message = (
                     "this VM has used up its share of the store's call rate"
                 )
@@ -208,7 +210,7 @@
     def _start(
         self, call: StoreCall, future: "futures.Future[typing.Any]"
     ) -> None:
-        self._metrics.count("platform.calls", of=call.rank.name.lower())
+        self._metrics.count("platform.calls", of=call.priority.name.lower())
         work = self._threads.submit(call.run, self._api)
         work.add_done_callback(
             functools.partial(self._complete, call.kind, future)
--- a/src/apricotlever/daemon/suspect_requests.py
+++ b/src/apricotlever/daemon/suspect_requests.py
@@ -46,13 +46,13 @@
         self._vm = vm
 
     @property
-    def deaths(self) -> int:
+    def crash_count(self) -> int:
         """The number of runner crashes on record."""
         return len(self._quarantine.log.crashes)
 
     def check(
         self, dispatch: dispatcher_messages.Dispatch
-    ) -> dispatcher_messages.TrialWanted | None:
+    ) -> dispatcher_messages.TrialRequired | None:
         """Check a request before it is sent to a runner.
 
         :param dispatch: the request.
@@ -77,21 +77,21 @@
         suspect = status.state is quarantine.FingerprintState.SUSPECT
         return self._request_trial(dispatch) if suspect else None
 
-    def judge(
+    def decide_trial(
         self, request: quarantine.TrialRequest
     ) -> quarantine.TrialDecision:
         """Decide, as the judge of a pool, whether a suspect may run."""
         return self._quarantine.decide(request)
 
-    def trial_over(self, report: quarantine.TrialEnded) -> None:
+    def end_trial(self, report: quarantine.TrialEnded) -> None:
         """Handle the end of a trial that this VM granted."""
         self._quarantine.end_trial(report)
 
-    def heard(self, report: crashes.Report) -> None:
+    def receive_report(self, report: crashes.Report) -> None:
         """Handle a peer's report of a crash or of a completed suspect."""
         self._quarantine.receive(report)
 
-    def crashed(
+    def record_crash(
         self, runner: runners.Runner
     ) -> crashes.CrashObservation | None:
         """Record the crash of a runner.
@@ -104,7 +104,9 @@
             self._quarantine.receive(report)
         return report
 
-    def survived(self, fingerprint: str) -> crashes.RequestCompleted | None:
+    def record_completion(
+        self, fingerprint: str
+    ) -> crashes.RequestCompleted | None:
         """Record that a request was answered in full.
 
         :returns: a report for the other VMs, or None when the request was
@@ -121,7 +123,7 @@
         """All crashes on record, for a VM that has just started."""
         return self._quarantine.log.reports(self._vm)
 
-    def resize(self) -> None:
+    def update_runner_counts(self) -> None:
         """Update the number of runners in each data centre."""
         self._quarantine.set_sizes(
             collections.Counter(
@@ -135,7 +137,7 @@
 
     def _request_trial(
         self, dispatch: dispatcher_messages.Dispatch
-    ) -> dispatcher_messages.TrialWanted:
+    ) -> dispatcher_messages.TrialRequired:
         routes = self._router.ranked(dispatch.query, MAX_TRIAL_CANDIDATES)
         candidates = tuple(
             quarantine.TrialCandidate(
@@ -146,6 +148,6 @@
         trial_request = quarantine.TrialRequest(
             dispatch.fingerprint, dispatch.request_id, candidates
         )
-        return dispatcher_messages.TrialWanted(
+        return dispatcher_messages.TrialRequired(
             dispatch.query.pool, trial_request
         )
--- a/src/apricotlever/daemon/task_notifier.py
+++ b/src/apricotlever/daemon/task_notifier.py
@@ -102,7 +102,7 @@
         """Set the tasks to notify; must be called before any of them runs."""
         self._tasks = tasks
 
-    def depart(self, task: mailbox.Task) -> None:
+    def attach_handover(self, task: mailbox.Task) -> None:
         """Set the task that hands this VM's work over to peers.
 
         :param task: notified of the ended processes of other VMs.
@@ -111,17 +111,17 @@
 
     def on_view(self, view: views.FleetView) -> None:
         """Pass the new membership to the tasks that depend on it."""
-        self._presence.seen(view)
+        self._presence.update_view(view)
         self._fleet_is_large = bool(view.summaries)
-        self._tasks.runner_monitor.tell(runner_monitor.shown(view))
-        self._tasks.catalogue_watcher.tell(catalogue_watcher.ViewSeen(view))
-        self._tasks.duties.tell(duties.ViewSeen(view))
+        self._tasks.runner_monitor.tell(runner_monitor.serving_vms(view))
+        self._tasks.catalogue_watcher.tell(catalogue_watcher.ViewChanged(view))
+        self._tasks.duties.tell(duties.UpdateView(view))
         self._tasks.dispatcher.tell(
-            dispatcher_messages.MembersSeen(frozenset(view.members))
+            dispatcher_messages.MembersChanged(frozenset(view.members))
         )
         self._tasks.store.tell(store.FleetSize(view.size))
         for member in view.members.values():
-            seen = ledger_task.OwnerSeen(member.vm, member.incarnation)
+            seen = ledger_task.IncarnationAlive(member.vm, member.incarnation)
             self._tasks.ledger.tell(seen)
 
     def on_rumour(self, rumour: pb.Rumour, via: str) -> None:
@@ -138,9 +138,11 @@
                 )
                 self._tasks.dispatcher.tell(gone)
             case "quarantine":
-                report = gossip_messages.crash_of(rumour.quarantine, age_s)
+                report = gossip_messages.decode_crash_report(
+                    rumour.quarantine, age_s
+                )
                 self._tasks.dispatcher.tell(
-                    dispatcher_messages.CrashHeard(report)
+                    dispatcher_messages.CrashReported(report)
                 )
             case "ledger_moved":
                 moved = rumour.ledger_moved
@@ -153,41 +155,43 @@
                 )
             case "catalogue":
                 self._tasks.catalogue_watcher.tell(
-                    catalogue_watcher.Rumoured(rumour, via)
+                    catalogue_watcher.RumourReceived(rumour, via)
                 )
             case "load":
-                load = gossip_messages.load_of(rumour)
-                seen = dispatcher_messages.LoadSeen(
+                load = gossip_messages.decode_load(rumour)
+                seen = dispatcher_messages.LoadObserved(
                     rumour.load.runner, load, False
                 )
                 self._tasks.dispatcher.tell(seen)
             case "prefix":
-                events = gossip_messages.cache_of(rumour)
-                cached = dispatcher_messages.CacheSeen(
+                events = gossip_messages.decode_cache_events(rumour)
+                cached = dispatcher_messages.CacheEventsObserved(
                     rumour.prefix.runner, events
                 )
                 self._tasks.dispatcher.tell(cached)
             case "demand":
-                demand = gossip_messages.demand_of(rumour.demand)
+                demand = gossip_messages.decode_demand(rumour.demand)
                 self._tasks.dispatcher.tell(
-                    dispatcher_messages.DemandHeard(demand, age_s)
+                    dispatcher_messages.DemandReported(demand, age_s)
                 )
                 self._tasks.autoscaler.tell(
-                    autoscaler.DemandSeen(rumour.demand)
+                    autoscaler.UpdateDemand(rumour.demand)
                 )
 
     def on_incarnation_ended(self, vm: str, incarnation: int) -> None:
         """Tell the tasks that a process has certainly ended."""
-        self._tasks.ledger.tell(ledger_task.OwnerGone(vm, incarnation))
+        self._tasks.ledger.tell(ledger_task.IncarnationGone(vm, incarnation))
         self._tasks.dispatcher.tell(dispatcher_messages.MemberLeft(vm))
         if self._outgoing_handover is not None:
-            owner = outgoing_handover.owner(vm, incarnation)
-            self._outgoing_handover.tell(outgoing_handover.OwnerGone(owner))
+            owner = outgoing_handover.vm_incarnation(vm, incarnation)
+            self._outgoing_handover.tell(outgoing_handover.PeerGone(owner))
 
-    def on_catalogue_heard(self, version: int, digest: int, vm: str) -> None:
+    def on_catalogue_advertised(
+        self, version: int, digest: int, vm: str
+    ) -> None:
         """Tell the catalogue watcher that a peer has a newer catalogue."""
         self._tasks.catalogue_watcher.tell(
-            catalogue_watcher.Heard(version, digest, vm)
+            catalogue_watcher.PeerHasVersion(version, digest, vm)
         )
 
     def on_paused(self, seconds: float) -> None:
@@ -198,17 +202,19 @@
         self._stop(0.0)
 
     def judge(
-        self, question: quarantine.TrialRequest
+        self, request: quarantine.TrialRequest
     ) -> "futures.Future[quarantine.TrialDecision]":
         """Ask the dispatcher for a decision on a trial.
 
         This VM is the judge of the pool.
         """
-        return self._tasks.dispatcher.ask(dispatcher_messages.Judge(question))
+        return self._tasks.dispatcher.ask(
+            dispatcher_messages.DecideTrial(request)
+        )
 
-    def trial_over(self, report: quarantine.TrialEnded) -> None:
+    def on_trial_ended(self, report: quarantine.TrialEnded) -> None:
         """Tell the dispatcher that a trial granted by this VM has ended."""
-        self._tasks.dispatcher.tell(dispatcher_messages.TrialOver(report))
+        self._tasks.dispatcher.tell(dispatcher_messages.TrialEnded(report))
 
     def on_runners(
         self,
@@ -223,14 +229,14 @@
         self._tasks.dispatcher.tell(dispatcher_messages.RunnersListed(chosen))
         self._tasks.duties.tell(dispatcher_messages.RunnersListed(listed))
 
-    def on_platform(
+    def on_vms_and_prices(
         self,
         vms: tuple[platform.Vm, ...],
         prices_per_hour: typing.Mapping[tuple[str, str, str], float],
     ) -> None:
         """Pass the platform's list of VMs and its prices to the autoscaler."""
         self._tasks.autoscaler.tell(
-            autoscaler.PlatformSeen(vms, prices_per_hour)
+            autoscaler.UpdatePlatform(vms, prices_per_hour)
         )
 
     def drain(self, runner: str, left_s: float) -> None:
@@ -260,22 +266,22 @@
             )
             return
         self._tasks.dispatcher.tell(
-            dispatcher_messages.LoadSeen(runner, report, True)
+            dispatcher_messages.LoadObserved(runner, report, True)
         )
         if tell:
-            self.announce(gossip_messages.of_load(runner, report))
+            self.announce(gossip_messages.load_rumour(runner, report))
 
-    def on_death(self, runner: str) -> None:
+    def on_connection_refused(self, runner: str) -> None:
         """Report the crash of a runner that refuses connections, once."""
         reply = self._tasks.dispatcher.ask(
-            dispatcher_messages.DeathSeen(runner)
+            dispatcher_messages.CrashDetected(runner)
         )
         reply.add_done_callback(self._spread_crash)
 
     def _spread_crash(self, reply: "futures.Future[typing.Any]") -> None:
         if reply.exception() is None and reply.result() is not None:
             report = reply.result()
-            self._tasks.fleet.tell(fleet_link.SpreadCrash(report))
+            self._tasks.fleet.tell(fleet_link.BroadcastCrashReport(report))
 
     def on_joined(self, vm: str) -> None:
         """Tell the known crashes to an entry VM whose process has joined.
@@ -284,16 +290,16 @@
         request that all other entry VMs refuse, and the request would crash
         one more runner.
         """
-        reply = self._tasks.dispatcher.ask(dispatcher_messages.CrashesKnown())
+        reply = self._tasks.dispatcher.ask(dispatcher_messages.ListCrashes())
 
         def send_reports(done: "futures.Future[typing.Any]") -> None:
             reports = [] if done.exception() else done.result()
             for report in reports:
-                self._tasks.fleet.tell(fleet_link.TellCrash(vm, report))
+                self._tasks.fleet.tell(fleet_link.SendCrashReport(vm, report))
 
         reply.add_done_callback(send_reports)
 
-    def on_cache(
+    def on_cache_events(
         self, runner: str, events: runners.CacheEvents, tell: bool
     ) -> None:
         """Pass on a runner's cache events.
@@ -301,19 +307,19 @@
         :param tell: whether this VM is to report the events to its peers.
         """
         self._tasks.dispatcher.tell(
-            dispatcher_messages.CacheSeen(runner, events)
+            dispatcher_messages.CacheEventsObserved(runner, events)
         )
         if tell:
-            self.announce(gossip_messages.of_cache(runner, events))
+            self.announce(gossip_messages.cache_rumour(runner, events))
 
     def on_notice(self, vm: str, left_s: float) -> None:
         """Tell the fleet that the platform gave a reclaim notice of a VM."""
-        self.announce(gossip_messages.of_runner_leaving(vm, left_s))
+        self.announce(gossip_messages.runner_leaving_rumour(vm, left_s))
         self._handle_notice(vm, left_s)
 
-    def in_force(self, catalogue: catalogues.Catalogue) -> None:
+    def on_catalogue_in_force(self, catalogue: catalogues.Catalogue) -> None:
         """Pass a catalogue that has come into force to the tasks."""
-        self._tasks.context.put_in_force(catalogue)
+        self._tasks.context.set_catalogue(catalogue)
         message = dispatcher_messages.CatalogueInForce(catalogue)
         self._tasks.dispatcher.tell(message)
         self._tasks.runner_monitor.tell(message)
@@ -329,13 +335,13 @@
         a VM. The entry VMs of each data centre read their own runners.
         """
         if rumour.WhichOneof("body") == "demand":
-            self._tasks.autoscaler.tell(autoscaler.DemandSeen(rumour.demand))
+            self._tasks.autoscaler.tell(autoscaler.UpdateDemand(rumour.demand))
         if (
             self._fleet_is_large
             and rumour.WhichOneof("body") in _DATA_CENTRE_RUMOURS
         ):
             rumour.scope = pb.SCOPE_DATA_CENTRE
-        self._tasks.fleet.tell(fleet_messages.Announce(rumour))
+        self._tasks.fleet.tell(fleet_messages.AnnounceRumour(rumour))
 
     def _handle_notice(self, vm: str, left_s: float) -> None:
         if vm == self._config.vm:
--- a/src/apricotlever/daemon/vm_presence.py
+++ b/src/apricotlever/daemon/vm_presence.py
@@ -53,19 +53,19 @@
         """Whether this VM still accepts requests."""
         return self._takes_new_work
 
-    def seen(self, view: views.FleetView) -> None:
+    def update_view(self, view: views.FleetView) -> None:
         """Replace the view of the fleet."""
         self._view = view
 
-    def listening_at(self, address: str) -> None:
+    def set_address(self, address: str) -> None:
         """Set the ``host:port`` at which this VM serves callers."""
         self._address = address
 
-    def leave(self) -> None:
+    def stop_listing(self) -> None:
         """Stop listing this VM for callers."""
         self._leaving = True
 
-    def take_no_more(self) -> None:
+    def stop_accepting(self) -> None:
         """Stop accepting requests."""
         self._takes_new_work = False
 
@@ -76,7 +76,7 @@
         member = self._view.members.get(vm)
         return member.callers_address if member else ""
 
-    def owner_of(self, request_id: str) -> str:
+    def address_of_minting_vm(self, request_id: str) -> str:
         """``host:port`` for callers of the VM that minted a request ID.
 
         :returns: the address; empty if this VM minted the ID, or the process
--- a/tests/daemon/naive.py
+++ b/tests/daemon/direct_streams.py
@@ -3,7 +3,7 @@
 from concurrent import futures
 import re
 
-from tests.daemon import scene
+from tests.daemon import fleet_fixture
 from tests.support import answers
 from tests.support import caller
 
@@ -55,6 +55,6 @@
         stream were sent before each of its replays.
     """
     tokens_before_replay = [int(tokens) for tokens in _REPLAYED.findall(log)]
-    return sum(tokens_before_replay) + scene.PROMPT_TOKENS * len(
+    return sum(tokens_before_replay) + fleet_fixture.PROMPT_TOKENS * len(
         tokens_before_replay
     )
--- a/tests/daemon/scene.py
+++ b/tests/daemon/fleet_fixture.py
@@ -116,7 +116,7 @@
     }
 
 
-class Scene:
+class FleetFixture:
     """A fleet under test.
 
     :param engines: number of engines, assigned to the data centres in turn.
@@ -126,8 +126,8 @@
     :param flags: further command-line flags of each engine.
     :param slots: slots of each engine, also stated in the catalogue.
     :param sizes: the ``sizes`` in the daemons' settings.
-    :param linked: whether each runner is reached through a relay.
-    :param linked_store: whether the object API is reached through a relay.
+    :param runner_relays: whether each runner is reached through a relay.
+    :param store_relay: whether the object API is reached through a relay.
     """
 
     def __init__(
@@ -139,8 +139,8 @@
         flags: typing.Sequence[str] = (),
         slots: int = SLOTS,
         sizes: dict[str, typing.Any] | None = None,
-        linked: bool = False,
-        linked_store: bool = False,
+        runner_relays: bool = False,
+        store_relay: bool = False,
     ) -> None:
         self.fleet = fleet.Fleet({**TIMING, **(timing or {})}, sizes)
         self._pool = futures.ThreadPoolExecutor(MAX_CALLERS)
@@ -151,8 +151,8 @@
         self.vms = [f"vm-{i}" for i in range(vms)]
         self.relays: dict[str, cuttable.Relay] = {}
         self._slots = slots
-        self._has_runner_relays = linked
-        self._has_store_relay = linked_store
+        self._has_runner_relays = runner_relays
+        self._has_store_relay = store_relay
         try:
             self._start(flags)
         except BaseException:
@@ -227,7 +227,7 @@
                 )
             )
 
-    def stream_again(self, tokens: int) -> None:
+    def repeat_streams(self, tokens: int) -> None:
         """Send all requests made so far again, for shorter answers.
 
         :param tokens: length of each answer, in tokens.
@@ -236,7 +236,7 @@
         self._numbers = itertools.count()
         self.stream(count, tokens)
 
-    def wait_whole(self, count: int, tokens: int, vm: str) -> None:
+    def request_answers(self, count: int, tokens: int, vm: str) -> None:
         """Start callers that each request one answer without streaming."""
         address = self.fleet.address(vm)
         for _ in range(count):
--- a/tests/daemon/neighbours.py
+++ b/tests/daemon/fleet_views.py
@@ -4,15 +4,15 @@
 import json
 import typing
 
-from tests.daemon import detoured
-from tests.daemon import scene
+from tests.daemon import fleet_fixture
+from tests.daemon import relayed_daemon
 from tests.support import cuttable
 from tests.support import http
 
-DAEMON_WITH_RELAYS = "tests.daemon.detoured"
+DAEMON_WITH_RELAYS = "tests.daemon.relayed_daemon"
 
 
-class PartitionableScene(scene.Scene):
+class PartitionableScene(fleet_fixture.FleetFixture):
     """A fleet in which the network between two entry VMs can be cut.
 
     The network between these two and the other VMs stays intact.
@@ -30,7 +30,7 @@
             relay = cuttable.Relay(address)
             relay.silence(new_too=True)
             self.partition_relays.append(relay)
-            path = detoured.path_for(self.fleet.settings_path(source))
+            path = relayed_daemon.path_for(self.fleet.settings_path(source))
             path.write_text(json.dumps({address: relay.address}))
 
     @property
@@ -44,7 +44,7 @@
     def restore(self) -> None:
         """Restore the network between all VMs."""
         for name in self.vms:
-            path = detoured.path_for(self.fleet.settings_path(name))
+            path = relayed_daemon.path_for(self.fleet.settings_path(name))
             path.unlink(missing_ok=True)
 
     def close(self) -> None:
@@ -54,19 +54,23 @@
             relay.close()
 
 
-def listed_by(running: scene.Scene, vm: str) -> set[str]:
+def listed_by(running: fleet_fixture.FleetFixture, vm: str) -> set[str]:
     """The entry VMs that a VM lists for callers."""
     reply = http.call(running.fleet.address(vm), "GET", "/v1/entries")
     return {row["vm"] for row in reply.payload["entries"]}
 
 
-def listed_by_any(running: scene.Scene, vms: typing.Iterable[str]) -> set[str]:
+def listed_by_any(
+    running: fleet_fixture.FleetFixture, vms: typing.Iterable[str]
+) -> set[str]:
     """The entry VMs that at least one of some VMs lists for callers."""
     listed = (listed_by(running, vm) for vm in vms)
     return set(itertools.chain.from_iterable(listed))
 
 
-def incarnation_at(running: scene.Scene, vm: str, subject: str) -> int | None:
+def incarnation_at(
+    running: fleet_fixture.FleetFixture, vm: str, subject: str
+) -> int | None:
     """The incarnation of another VM in the view of a VM.
 
     :param vm: the VM whose view is read.
--- a/tests/daemon/flood.py
+++ b/tests/daemon/flood.py
@@ -5,7 +5,7 @@
 import time
 import typing
 
-from tests.daemon import scene
+from tests.daemon import fleet_fixture
 from tests.support import answers
 from tests.support import caller
 
@@ -63,12 +63,14 @@
         body = {
             "model": self._entry,
             "prompt": f"{self._customer} {self._entry} {number} "
-            + "clause " * scene.WORDS,
+            + "clause " * fleet_fixture.WORDS,
             "max_tokens": TOKENS,
             "stream": True,
         }
         sender = caller.Caller(
-            self._addresses, scene.key_of(self._customer), GAP_TIMEOUT_S
+            self._addresses,
+            fleet_fixture.key_of(self._customer),
+            GAP_TIMEOUT_S,
         )
         address = self._addresses[number % len(self._addresses)]
         return sender.stream("/v1/completions", body, address)
--- a/tests/daemon/followers.py
+++ b/tests/daemon/followers.py
@@ -11,7 +11,7 @@
 import threading
 import typing
 
-from tests.daemon import scene
+from tests.daemon import fleet_fixture
 from tests.support import http
 
 EDITED_CUSTOMERS = ("left", "right")
@@ -27,7 +27,7 @@
 
 def edited_catalogue(edit: int) -> Document:
     """The scene's catalogue with the two customers' keys of an edit."""
-    document = copy.deepcopy(scene.catalogue())
+    document = copy.deepcopy(fleet_fixture.catalogue())
     for customer in EDITED_CUSTOMERS:
         key = bearer_key(customer, edit).encode()
         document["customers"][customer] = {
--- a/tests/daemon/lookups.py
+++ b/tests/daemon/lookups.py
@@ -3,7 +3,7 @@
 from concurrent import futures
 import itertools
 
-from tests.daemon import scene
+from tests.daemon import fleet_fixture
 from tests.support import answers
 
 THREADS = 64
@@ -15,11 +15,11 @@
     :param fleet: the fleet that serves the lookups.
     """
 
-    def __init__(self, fleet: scene.Scene) -> None:
+    def __init__(self, fleet: fleet_fixture.FleetFixture) -> None:
         self._scene = fleet
         self._numbers = itertools.count()
         self._callers = [
-            fleet.caller(customer) for customer in scene.CUSTOMERS
+            fleet.caller(customer) for customer in fleet_fixture.CUSTOMERS
         ]
         self._pool = futures.ThreadPoolExecutor(THREADS)
         self._started: list[tuple[int, futures.Future[answers.Answer]]] = []
@@ -58,7 +58,9 @@
 
     def _look_up(self, number: int) -> answers.Answer:
         caller = self._callers[number % len(self._callers)]
-        return caller.service(scene.SERVICE_ENTRY, "GET", _path(number))
+        return caller.service(
+            fleet_fixture.SERVICE_ENTRY, "GET", _path(number)
+        )
 
 
 def _path(number: int) -> str:
--- a/tests/daemon/outages.py
+++ b/tests/daemon/outages.py
@@ -4,8 +4,8 @@
 import pathlib
 import typing
 
+from tests.daemon import fleet_fixture
 from tests.daemon import followers
-from tests.daemon import scene
 from tests.support import cuttable
 from tests.support import fleet
 from tests.support import http
@@ -22,7 +22,7 @@
 }
 
 
-class RelayedStore(scene.Scene):
+class RelayedStore(fleet_fixture.FleetFixture):
     """A fleet whose connections to the store can be made silent."""
 
     def _start_platform(self) -> None:
@@ -38,12 +38,12 @@
         self.relay.close()
 
 
-def addresses(current_scene: scene.Scene) -> dict[str, str]:
+def addresses(current_scene: fleet_fixture.FleetFixture) -> dict[str, str]:
     """The address at which each entry VM listens for callers."""
     return {vm: current_scene.fleet.address(vm) for vm in current_scene.vms}
 
 
-def versions(current_scene: scene.Scene) -> dict[str, int]:
+def versions(current_scene: fleet_fixture.FleetFixture) -> dict[str, int]:
     """The catalogue version in force at each entry VM."""
     return {
         vm: followers.catalogue_version(address)
@@ -51,7 +51,7 @@
     }
 
 
-def stored(current_scene: scene.Scene) -> typing.Any:
+def stored(current_scene: fleet_fixture.FleetFixture) -> typing.Any:
     """The catalogue's object in the store, with version and value."""
     path = f"/v1/objects/{CURRENT}"
     return http.call(current_scene.fleet.address(STORE), "GET", path).payload
@@ -70,7 +70,7 @@
 
 
 def wait_in_force(
-    current_scene: scene.Scene, version: int, timeout_s: float
+    current_scene: fleet_fixture.FleetFixture, version: int, timeout_s: float
 ) -> None:
     """Wait until a version is in force at every entry VM."""
     fleet.wait_for(
--- a/tests/daemon/poison.py
+++ b/tests/daemon/poison.py
@@ -4,14 +4,14 @@
 import typing
 
 from standins import _batch_scheduler
-from tests.daemon import scene
+from tests.daemon import fleet_fixture
 from tests.support import answers
 from tests.support import http
 
 CRASH_WORD = "poison"
 BODY = {
-    "model": scene.MODEL_ENTRY,
-    "prompt": f"mandate with {CRASH_WORD} " + "clause " * scene.WORDS,
+    "model": fleet_fixture.MODEL_ENTRY,
+    "prompt": f"mandate with {CRASH_WORD} " + "clause " * fleet_fixture.WORDS,
     "max_tokens": 20,
     "stream": True,
 }
@@ -26,7 +26,9 @@
     :param after_tokens: number of tokens after which an engine crashes.
     """
 
-    def __init__(self, fleet_scene: scene.Scene, after_tokens: int) -> None:
+    def __init__(
+        self, fleet_scene: fleet_fixture.FleetFixture, after_tokens: int
+    ) -> None:
         self._scene = fleet_scene
         self.sent: list[answers.Answer] = []
         for name in fleet_scene.engines:
--- a/tests/daemon/registrations.py
+++ b/tests/daemon/registrations.py
@@ -6,7 +6,7 @@
 import typing
 
 from standins import _journal
-from tests.daemon import scene
+from tests.daemon import fleet_fixture
 from tests.support import answers
 from tests.support import http
 
@@ -59,7 +59,7 @@
     :param running: the fleet.
     """
 
-    def __init__(self, running: scene.Scene) -> None:
+    def __init__(self, running: fleet_fixture.FleetFixture) -> None:
         self._scene = running
         self._caller = running.caller()
         self._numbers = itertools.count()
@@ -103,10 +103,10 @@
             reply = http.call(
                 self._address(vm),
                 "POST",
-                f"/v1/services/{scene.SERVICE_ENTRY}{PATH}",
+                f"/v1/services/{fleet_fixture.SERVICE_ENTRY}{PATH}",
                 registration.body,
                 {
-                    "Authorization": f"Bearer {scene.key_of('ana')}",
+                    "Authorization": f"Bearer {fleet_fixture.key_of('ana')}",
                     "Idempotency-Key": registration.key,
                     **(headers or {}),
                 },
--- a/tests/steps/bench_load.py
+++ b/tests/steps/bench_load.py
@@ -4,10 +4,10 @@
 
 import behave
 
-from bench import _load_calls
+from bench import _load_client
 from bench import _load_faults
 from bench import _load_summary
-from bench import _load_work
+from bench import _load_workload
 from bench import load
 from standins import _deterministic_tokens
 from tests.bench import rows
@@ -32,7 +32,7 @@
 def generate(context, seconds, n):
     context.rate = n
     context.generated = [
-        _load_work.Workload(seed, n).arrivals(seconds)
+        _load_workload.Workload(seed, n).arrivals(seconds)
         for seed in (SEED, SEED, OTHER_SEED)
     ]
 
@@ -52,7 +52,7 @@
 )
 def has_every_kind(context):
     arrivals = context.generated[0]
-    assert {each.work for each in arrivals} == set(_load_work.work_kinds())
+    assert {each.work for each in arrivals} == set(_load_workload.work_kinds())
     times = [each.at_s for each in arrivals]
     assert times == sorted(times)
     gaps = [b - a for a, b in zip(times, times[1:])]
@@ -144,12 +144,12 @@
     "{executed}"
 )
 def end_request(context, work, status, executed):
-    arrival = _load_work.Workload(SEED, 40, [work]).arrivals(5)[0]
+    arrival = _load_workload.Workload(SEED, 40, [work]).arrivals(5)[0]
     answer = answers.Answer()
     answer.status = status
     answer.executed = "" if executed == "none" else executed
     answer.retry_after_s = 1.0 if status else None
-    clients = _load_calls.CustomerClients(["127.0.0.1:1"], 5.0)
+    clients = _load_client.CustomerClients(["127.0.0.1:1"], 5.0)
     context.retry_window_s = clients.retry_window_s(arrival, answer)
 
 
--- a/tests/steps/client_fleet_commands.py
+++ b/tests/steps/client_fleet_commands.py
@@ -6,8 +6,8 @@
 from behave import then
 
 from tests.client import command_runner
+from tests.daemon import fleet_fixture
 from tests.daemon import outages
-from tests.daemon import scene
 from tests.support import fleet
 from tests.support import launcher
 
@@ -17,7 +17,7 @@
 MAX_SLOT_TIME_S = 5.0
 
 
-class _PricedScene(scene.Scene):
+class _PricedScene(fleet_fixture.FleetFixture):
     """A fleet whose runners have a price."""
 
     def _start_platform(self):
@@ -29,7 +29,7 @@
                 "market": "reclaimable",
                 "per_hour": PRICE_PER_HOUR,
             }
-            for data_centre in scene.DATA_CENTRES
+            for data_centre in fleet_fixture.DATA_CENTRES
         ]
         self.fleet.control("cloud", "prices", {"prices": prices})
 
--- a/tests/steps/daemon_at_most_once.py
+++ b/tests/steps/daemon_at_most_once.py
@@ -7,8 +7,8 @@
 from behave import then
 from behave import when
 
+from tests.daemon import fleet_fixture
 from tests.daemon import registrations
-from tests.daemon import scene
 from tests.support import fleet
 from tests.support import http
 
@@ -16,7 +16,9 @@
 
 
 def _start(context, services, vms, linked=False):
-    context.scene = scene.Scene(1, services, vms, linked=linked)
+    context.scene = fleet_fixture.FleetFixture(
+        1, services, vms, runner_relays=linked
+    )
     context.closers.append(context.scene.close)
     context.registrations = registrations.Registrations(context.scene)
     context.closers.append(context.registrations.close)
--- a/tests/steps/daemon_bad_input.py
+++ b/tests/steps/daemon_bad_input.py
@@ -7,8 +7,8 @@
 from behave import given
 from behave import then
 
-from tests.daemon import raw
-from tests.daemon import scene
+from tests.daemon import fleet_fixture
+from tests.daemon import raw_requests
 
 TRICKLE_S = 0.5
 LEAK_PATTERN = re.compile(
@@ -18,7 +18,7 @@
 
 @given("an entry VM that accepts bodies of up to {size:d} bytes")
 def _start_with_body_limit(context, size):
-    context.scene = scene.Scene(
+    context.scene = fleet_fixture.FleetFixture(
         1, 1, 1, sizes={"body_bytes_max": size, "header_bytes_max": size}
     )
     context.closers.append(context.scene.close)
@@ -28,9 +28,9 @@
 
 @given("two half-sent requests, one of which continues byte by byte")
 def _send_half_requests(context):
-    half = raw.completion()[:-5]
-    stopped = raw.send(context.address, half)
-    trickling = raw.send(context.address, half[:40])
+    half = raw_requests.completion()[:-5]
+    stopped = raw_requests.send(context.address, half)
+    trickling = raw_requests.send(context.address, half[:40])
     context.half_sent = (stopped, trickling)
     context.sent_at = time.monotonic()
 
@@ -50,8 +50,8 @@
     wrong = []
     for row in context.table:
         name = row["input"]
-        reply = raw.read_response(
-            raw.send(context.address, raw.input_bytes(name))
+        reply = raw_requests.read_response(
+            raw_requests.send(context.address, raw_requests.input_bytes(name))
         )
         context.replies[name] = reply
         error = reply.payload
@@ -83,8 +83,10 @@
 @then("another customer is served after {count:d} requests with a bad seed")
 def _bad_seeds(context, count):
     for _ in range(count):
-        raw.read_response(
-            raw.send(context.address, raw.completion(seed="lucky"))
+        raw_requests.read_response(
+            raw_requests.send(
+                context.address, raw_requests.completion(seed="lucky")
+            )
         )
     answer = context.scene.caller("bruno").complete("drafts", "hello", 4)
     assert not answer.problem, answer.problem
@@ -93,7 +95,7 @@
 @then("the half-sent requests are refused with 408")
 def _timed_out(context):
     for sock in context.half_sent:
-        reply = raw.read_response(sock)
+        reply = raw_requests.read_response(sock)
         waited_s = time.monotonic() - context.sent_at
         assert reply.status == 408, (reply.status, reply.payload)
         assert reply.payload["error"]["type"] == "request_timeout"
--- a/tests/steps/daemon_capacity.py
+++ b/tests/steps/daemon_capacity.py
@@ -4,7 +4,7 @@
 from behave import then
 from behave import when
 
-from tests.daemon import scene
+from tests.daemon import fleet_fixture
 from tests.support import fleet
 
 
@@ -13,9 +13,12 @@
     running = context.scene
     names = [f"spare-{number}" for number in range(count)]
     running.fleet.start_engines(
-        names, scene.MODEL_POOL, scene.DATA_CENTRES, register=False
+        names,
+        fleet_fixture.MODEL_POOL,
+        fleet_fixture.DATA_CENTRES,
+        register=False,
     )
-    running.fleet.offer(names, scene.MODEL_POOL)
+    running.fleet.offer(names, fleet_fixture.MODEL_POOL)
     prices = [
         {
             "data_centre": data_centre,
@@ -23,7 +26,9 @@
             "market": market,
             "per_hour": price,
         }
-        for data_centre, extra in zip(scene.DATA_CENTRES, (0.0, 0.1, 0.2))
+        for data_centre, extra in zip(
+            fleet_fixture.DATA_CENTRES, (0.0, 0.1, 0.2)
+        )
         for market, price in (
             ("reclaimable", 1.0 + extra),
             ("on_demand", 3.0 + extra),
@@ -44,7 +49,7 @@
 
 @when("the catalogue requires at least {minimum:d} runners")
 def _minimum(context, minimum):
-    document = scene.catalogue()
+    document = fleet_fixture.catalogue()
     for entry in document["entries"].values():
         entry["capacity"] = dict(entry["capacity"], min_runners=minimum)
         if entry["kind"] == "service":
--- a/tests/steps/daemon_duties.py
+++ b/tests/steps/daemon_duties.py
@@ -8,11 +8,11 @@
 from behave import then
 from behave import when
 
-from tests.daemon import scene
+from tests.daemon import fleet_fixture
 from tests.support import fleet
 from tests.support import http
 
-DUTY = f"orders/{scene.MODEL_POOL}"
+DUTY = f"orders/{fleet_fixture.MODEL_POOL}"
 TAKEOVER_TIMEOUT_S = 45.0
 
 
@@ -50,7 +50,7 @@
 
 @when("the catalogue asks for version {version} of the model")
 def _new_version(context, version):
-    document = scene.catalogue()
+    document = fleet_fixture.catalogue()
     for entry in document["entries"].values():
         if entry["kind"] == "model":
             entry["version"] = version
--- a/tests/steps/daemon_gateway.py
+++ b/tests/steps/daemon_gateway.py
@@ -74,7 +74,7 @@
     def catalogue(self):
         return self._catalogues.pop(0)
 
-    def answer_of(self, future, wait_s=0.0):
+    def wait_for_reply(self, future, wait_s=0.0):
         return future.result(wait_s)
 
 
--- a/tests/steps/daemon_handovers.py
+++ b/tests/steps/daemon_handovers.py
@@ -13,7 +13,7 @@
     "streaming"
 )
 def _wait_without_streaming(context, count, tokens, vm):
-    context.scene.wait_whole(count, tokens, vm)
+    context.scene.request_answers(count, tokens, vm)
     context.scene.wait_running(count)
 
 
--- a/tests/steps/daemon_membership.py
+++ b/tests/steps/daemon_membership.py
@@ -7,8 +7,8 @@
 from behave import then
 from behave import when
 
-from tests.daemon import neighbours
-from tests.daemon import scene
+from tests.daemon import fleet_fixture
+from tests.daemon import fleet_views
 from tests.support import fleet
 
 DEFAULT_PROBES = {"probe_interval_s": 1.0, "probe_timeout_s": 0.4}
@@ -18,13 +18,15 @@
 
 @given("a fleet of {vms:d} entry VMs with the default probes")
 def _default_probes(context, vms):
-    context.scene = scene.Scene(1, 0, vms, timing=DEFAULT_PROBES)
+    context.scene = fleet_fixture.FleetFixture(
+        1, 0, vms, timing=DEFAULT_PROBES
+    )
     context.closers.append(context.scene.close)
 
 
 @given("a fleet of {vms:d} entry VMs whose network can be cut")
 def _partitionable(context, vms):
-    context.scene = neighbours.PartitionableScene(1, 0, vms)
+    context.scene = fleet_views.PartitionableScene(1, 0, vms)
     context.closers.append(context.scene.close)
 
 
@@ -77,7 +79,7 @@
     for vm in vms:
         for operation in operations:
             answer = caller.service(
-                scene.SERVICE_ENTRY,
+                fleet_fixture.SERVICE_ENTRY,
                 "POST",
                 "/entries",
                 {"operation": operation},
@@ -128,7 +130,7 @@
     vms = re.findall(r"vm-\d+", observers)
     running = context.scene
     fleet.wait_for(
-        lambda: vm not in neighbours.listed_by_any(running, vms), seconds
+        lambda: vm not in fleet_views.listed_by_any(running, vms), seconds
     )
 
 
@@ -152,11 +154,11 @@
 
     def listed():
         incarnations = [
-            neighbours.incarnation_at(running, each, vm)
+            fleet_views.incarnation_at(running, each, vm)
             for each in running.vms
         ]
         listed_everywhere = all(
-            vm in neighbours.listed_by(running, each) for each in running.vms
+            vm in fleet_views.listed_by(running, each) for each in running.vms
         )
         return listed_everywhere and all(
             incarnation is not None and is_expected(incarnation)
@@ -208,7 +210,7 @@
     all_vms = set(running.vms)
     fleet.wait_for(
         lambda: all(
-            neighbours.listed_by(running, vm) == all_vms for vm in running.vms
+            fleet_views.listed_by(running, vm) == all_vms for vm in running.vms
         ),
         seconds,
     )
--- a/tests/steps/daemon_operators.py
+++ b/tests/steps/daemon_operators.py
@@ -8,7 +8,7 @@
 from behave import when
 
 from tests.client import command_runner
-from tests.daemon import scene
+from tests.daemon import fleet_fixture
 from tests.support import fleet
 from tests.support import http
 
@@ -22,7 +22,7 @@
     running = fleet.Fleet()
     context.closers.append(running.close)
     running.start_platform()
-    running.put_catalogue(scene.catalogue())
+    running.put_catalogue(fleet_fixture.catalogue())
     running.start_daemons({VM: "dc-a"})
     path = running.settings_path(VM)
     document = json.loads(path.read_text())
@@ -35,7 +35,7 @@
 
 @when("a customer asks for the status and the histograms")
 def _customer_requests_pages(context):
-    headers = {"Authorization": f"Bearer {scene.key_of('ana')}"}
+    headers = {"Authorization": f"Bearer {fleet_fixture.key_of('ana')}"}
     context.replies = [
         http.call(
             context.running.address(VM), "GET", page, headers=request_headers
--- a/tests/steps/daemon_overload.py
+++ b/tests/steps/daemon_overload.py
@@ -6,15 +6,15 @@
 from behave import then
 from behave import when
 
+from tests.daemon import fleet_fixture
 from tests.daemon import flood
-from tests.daemon import scene
 
 TRICKLE_PER_S = 2.5
 
 
 @given("{engines:d} engines with {slots:d} slots each and {vms:d} entry VMs")
 def _small_fleet(context, engines, slots, vms):
-    context.scene = scene.Scene(engines, 0, vms, slots=slots)
+    context.scene = fleet_fixture.FleetFixture(engines, 0, vms, slots=slots)
     context.closers.append(context.scene.close)
     context.capacity_per_s = engines * slots * flood.REQUESTS_PER_SLOT_PER_S
     context.sent_by_ana = []
@@ -22,7 +22,7 @@
 
 def _run_floods(context, addresses, seconds, times):
     rate = times * context.capacity_per_s
-    entry = scene.MODEL_ENTRY
+    entry = fleet_fixture.MODEL_ENTRY
     context.ana, context.bruno = flood.run_together(
         seconds,
         flood.Flood(addresses, "ana", entry, rate),
@@ -82,7 +82,7 @@
     "{seconds:f} s"
 )
 def _trickle_served(context, seconds):
-    wrong = scene.problems(context.bruno)
+    wrong = fleet_fixture.problems(context.bruno)
     assert not wrong, wrong
     assert _slowest_s(context.bruno) <= seconds, _slowest_s(context.bruno)
 
--- a/tests/steps/daemon_quarantine.py
+++ b/tests/steps/daemon_quarantine.py
@@ -7,15 +7,15 @@
 from behave import then
 from behave import when
 
+from tests.daemon import fleet_fixture
 from tests.daemon import poison
-from tests.daemon import scene
 from tests.support import fleet
 
 SETTLE_S = 0.3
 
 
 def _poisoned(context, engines, vms, after_tokens=0):
-    context.scene = scene.Scene(engines, 0, vms)
+    context.scene = fleet_fixture.FleetFixture(engines, 0, vms)
     context.closers.append(context.scene.close)
     context.poison = poison.Poison(context.scene, after_tokens)
 
@@ -121,6 +121,6 @@
 
 @then("the same requests are served again, as none is quarantined")
 def _none_quarantined(context):
-    context.scene.stream_again(20)
-    wrong = scene.problems(context.scene.answers())
+    context.scene.repeat_streams(20)
+    wrong = fleet_fixture.problems(context.scene.answers())
     assert not wrong, wrong
--- a/tests/steps/daemon_scene.py
+++ b/tests/steps/daemon_scene.py
@@ -8,13 +8,15 @@
 from behave import then
 from behave import when
 
-from tests.daemon import naive
-from tests.daemon import scene
+from tests.daemon import direct_streams
+from tests.daemon import fleet_fixture
 from tests.support import fleet
 
 
 def _start_fleet(context, engines, vms, services=0, **options):
-    context.scene = scene.Scene(engines, services, vms, **options)
+    context.scene = fleet_fixture.FleetFixture(
+        engines, services, vms, **options
+    )
     context.closers.append(context.scene.close)
 
 
@@ -73,7 +75,9 @@
     address = context.scene.fleet.address(
         context.scene.engines_in(data_centre)[0]
     )
-    context.direct_streams = naive.DirectStreams(address, count, tokens)
+    context.direct_streams = direct_streams.DirectStreams(
+        address, count, tokens
+    )
     context.closers.append(context.direct_streams.close)
 
 
@@ -144,7 +148,7 @@
 @then("every answer is whole and no token came twice")
 def _answers_whole(context):
     received = answers_of(context)
-    wrong = scene.problems(received)
+    wrong = fleet_fixture.problems(received)
     assert received and not wrong, (wrong, logs_of(context))
 
 
@@ -168,7 +172,7 @@
 @then("no more tokens were computed again than the dead runners had done")
 def _recomputed_at_most_lost(context):
     recomputed = context.scene.recomputed_tokens()
-    lost = naive.lost_tokens(logs_of(context))
+    lost = direct_streams.lost_tokens(logs_of(context))
     assert 0 < recomputed <= lost, (recomputed, lost)
 
 
--- a/tests/steps/daemon_silence.py
+++ b/tests/steps/daemon_silence.py
@@ -7,10 +7,10 @@
 from behave import then
 from behave import when
 
+from tests.daemon import direct_streams
+from tests.daemon import fleet_fixture
 from tests.daemon import lookups
-from tests.daemon import naive
 from tests.daemon import registrations
-from tests.daemon import scene
 from tests.support import fleet
 
 IN_PROGRESS_S = 0.25
@@ -33,7 +33,9 @@
 
 
 def _start_fleet(context, engines, services, vms, linked):
-    context.scene = scene.Scene(engines, services, vms, linked=linked)
+    context.scene = fleet_fixture.FleetFixture(
+        engines, services, vms, runner_relays=linked
+    )
     context.closers.append(context.scene.close)
     context.lookups = lookups.Lookups(context.scene)
     context.closers.append(context.lookups.close)
@@ -41,7 +43,7 @@
 
 @given("a relay in front of the store of {vms:d} entry VMs")
 def _store_behind_relay(context, vms):
-    context.scene = scene.Scene(1, 0, vms, linked_store=True)
+    context.scene = fleet_fixture.FleetFixture(1, 0, vms, store_relay=True)
     context.closers.append(context.scene.close)
 
 
@@ -64,7 +66,7 @@
 def _stream_directly(context, data_centre):
     [name] = context.scene.engines_in(data_centre)
     address = context.scene.relays[name].address
-    context.direct_streams = naive.DirectStreams(address, 2, 60)
+    context.direct_streams = direct_streams.DirectStreams(address, 2, 60)
     context.closers.append(context.direct_streams.close)
     time.sleep(IN_PROGRESS_S)
     context.scene.silence([name])
@@ -209,7 +211,9 @@
 @when("a catalogue is written to the store")
 def _write_catalogue(context):
     context.written_at = time.monotonic()
-    context.version = context.scene.fleet.put_catalogue(scene.catalogue())
+    context.version = context.scene.fleet.put_catalogue(
+        fleet_fixture.catalogue()
+    )
 
 
 @then("the catalogue is in force at each entry VM within {seconds:f} s")
--- a/tests/steps/daemon_store_outages.py
+++ b/tests/steps/daemon_store_outages.py
@@ -9,9 +9,9 @@
 from behave import when
 
 from tests.daemon import edits
+from tests.daemon import fleet_fixture
 from tests.daemon import followers
 from tests.daemon import outages
-from tests.daemon import scene
 from tests.support import answers
 from tests.support import caller
 from tests.support import fleet
@@ -91,7 +91,7 @@
 def _invalid(context):
     context.before = outages.versions(context.scene)
     document = followers.edited_catalogue(1)
-    document["entries"][scene.MODEL_ENTRY]["class"] = "no such class"
+    document["entries"][fleet_fixture.MODEL_ENTRY]["class"] = "no such class"
     context.scene.fleet.put_catalogue(document)
 
 
@@ -131,7 +131,9 @@
 def _lookups(context):
     client = context.scene.caller()
     context.lookups = [
-        client.service(scene.SERVICE_ENTRY, "GET", "/status", address=address)
+        client.service(
+            fleet_fixture.SERVICE_ENTRY, "GET", "/status", address=address
+        )
         for address in outages.addresses(context.scene).values()
     ]
 
@@ -158,7 +160,7 @@
 def _registered(client, operation, key, address):
     body = {"operation": operation}
     return client.service(
-        scene.SERVICE_ENTRY, "POST", "/entries", body, key, address
+        fleet_fixture.SERVICE_ENTRY, "POST", "/entries", body, key, address
     )
 
 
@@ -180,14 +182,16 @@
 def _register_with_own_key(context, headers):
     current_scene = context.scene
     headers = {
-        "Authorization": f"Bearer {scene.key_of(scene.CUSTOMERS[0])}",
+        "Authorization": (
+            f"Bearer {fleet_fixture.key_of(fleet_fixture.CUSTOMERS[0])}"
+        ),
         caller.KEY_HEADER: OWN_KEY,
         **headers,
     }
     return outages.http.call(
         current_scene.fleet.entries[0],
         "POST",
-        f"/v1/services/{scene.SERVICE_ENTRY}/entries",
+        f"/v1/services/{fleet_fixture.SERVICE_ENTRY}/entries",
         {"operation": OWN_KEY},
         headers,
     )
@@ -227,7 +231,12 @@
     def answered():
         return all(
             client.service(
-                scene.SERVICE_ENTRY, "POST", "/entries", body, OWN_KEY, address
+                fleet_fixture.SERVICE_ENTRY,
+                "POST",
+                "/entries",
+                body,
+                OWN_KEY,
+                address,
             ).done
             for address in context.scene.fleet.entries
         )
--- a/tests/steps/vms_catalogue_replicator.py
+++ b/tests/steps/vms_catalogue_replicator.py
@@ -14,8 +14,8 @@
 from apricotlever.vms import membership
 from apricotlever.vms import replication_actions
 from bench import fleets
-from bench import spreading
-from bench import virtual
+from bench import gossip_simulation
+from bench import replication_simulation
 from tests.vms import naive_replicator
 
 PROPERTY_SETTINGS = hypothesis.settings(
@@ -54,7 +54,10 @@
     replicator = catalogue_replicator.CatalogueReplicator(
         clock, random.Random(1), "me", "d0", check
     )
-    members = {vm: virtual.member_of(vm, "d0") for vm in ("me", "p1", "p2")}
+    members = {
+        vm: gossip_simulation.make_member(vm, "d0")
+        for vm in ("me", "p1", "p2")
+    }
     replicator.update_view(fleet_view.FleetView(members["me"], members, {}))
     return clock, replicator
 
@@ -134,12 +137,12 @@
 )
 def spread_fleet(context, count, places):
     """Start a fleet in which version 1 is in force at every VM."""
-    fleet = virtual.Fleet()
-    members = fleets.members_of(fleets.even_sizes(count, places))
+    fleet = gossip_simulation.Fleet()
+    members = fleets.make_members(fleets.split_evenly(count, places))
     context.seeds = [
         membership.Hint(m.vm, m.peers_address) for m in members[:2]
     ]
-    context.world = spreading.SpreadFleet(fleet)
+    context.world = replication_simulation.ReplicatedFleet(fleet)
     for member in members:
         context.world.join(fleet.add(member, context.seeds))
     context.world.put(_document(1))
@@ -167,8 +170,10 @@
 def starts_without(context):
     """The new VM knows only the seeds."""
     world = context.world
-    world.store.up = False
-    node = world.fleet.add(virtual.member_of("new", "d0"), context.seeds)
+    world.store.is_available = False
+    node = world.fleet.add(
+        gossip_simulation.make_member("new", "d0"), context.seeds
+    )
     world.join(node)
 
 
--- a/tests/steps/vms_duties.py
+++ b/tests/steps/vms_duties.py
@@ -25,8 +25,8 @@
 @behave.given("a duty view of {count:d} VMs in {places:d} data centres")
 def duty_view(context, count, places):
     """All VMs have the same view."""
-    sizes = fleets.even_sizes(count, places)
-    context.members = {m.vm: m for m in fleets.members_of(sizes)}
+    sizes = fleets.split_evenly(count, places)
+    context.members = {m.vm: m for m in fleets.make_members(sizes)}
 
 
 def _responsible_vms(context, duty):
--- a/tests/steps/vms_membership.py
+++ b/tests/steps/vms_membership.py
@@ -5,7 +5,7 @@
 from apricotlever.links import peer_pb2 as pb
 from apricotlever.vms import actions
 from apricotlever.vms import membership
-from bench import virtual
+from bench import gossip_simulation
 from tests.vms import gossip_fleet
 from tests.vms import naive_membership
 
@@ -131,7 +131,7 @@
 def cannot_reach(context, one, other, seconds):
     """All other links work."""
     fleet = context.world.fleet
-    fleet.cut = lambda a, b: {a.vm, b.vm} == {one, other}
+    fleet.is_cut_off = lambda a, b: {a.vm, b.vm} == {one, other}
     fleet.run(seconds)
 
 
@@ -151,7 +151,9 @@
     """The new process gets the address; the old one can still call."""
     fleet = context.world.fleet
     context.old = fleet.nodes[vm]
-    member = virtual.member_of(vm, context.old.member.data_centre, "", 2)
+    member = gossip_simulation.make_member(
+        vm, context.old.member.data_centre, "", 2
+    )
     hints = [membership.Hint("d1-v0", "d1-v0:81")]
     fleet.add(member, hints)
 
@@ -269,10 +271,10 @@
         places = (one.member.data_centre, other.member.data_centre)
         return (place in places) and places[0] != places[1]
 
-    world.fleet.cut = cut
+    world.fleet.is_cut_off = cut
     world.fleet.run(seconds)
     assert world.wrong_deaths()
-    world.fleet.cut = lambda one, other: False
+    world.fleet.is_cut_off = lambda one, other: False
     world.since = world.fleet.clock.now()
 
 
@@ -313,7 +315,7 @@
     fleet = context.world.fleet
     old = fleet.nodes[vm].member
     fleet.crash(vm)
-    member = virtual.member_of(new, old.data_centre)
+    member = gossip_simulation.make_member(new, old.data_centre)
     member.peers_address = old.peers_address
     fleet.add(member, [membership.Hint("d1-v0", "d1-v0:81")])
 
--- a/tests/vms/gossip_fleet.py
+++ b/tests/vms/gossip_fleet.py
@@ -7,18 +7,20 @@
 from apricotlever.vms import membership
 from apricotlever.vms import timing
 from bench import fleets
-from bench import virtual
+from bench import gossip_simulation
 
 
 class GossipFleet:
     """A simulated fleet and the actions of its VMs, by type."""
 
     def __init__(self, count, data_centres, make, **timings):
-        sizes = fleets.even_sizes(count, data_centres)
-        self.fleet = virtual.Fleet(timing=timing.MembershipTiming(**timings))
+        sizes = fleets.split_evenly(count, data_centres)
+        self.fleet = gossip_simulation.Fleet(
+            timing=timing.MembershipTiming(**timings)
+        )
         self.actions_by_type = collections.defaultdict(list)
-        self.fleet.watchers.append(self._record)
-        members = fleets.members_of(sizes)
+        self.fleet.observers.append(self._record)
+        members = fleets.make_members(sizes)
         hints = [membership.Hint(m.vm, m.peers_address) for m in members]
         all_known = make is not membership.Membership
         for member in members:
