--- a/bench/_slope_cases.py
+++ b/bench/_slope_cases.py
@@ -1,4 +1,4 @@
-"""What `bench slopes` measures: one function a slope, four sizes each."""
+"""Slopes that ``bench slopes`` measures: one function and four sizes each."""
 
 import gc
 import random
@@ -15,7 +15,7 @@
 from apricotlever.daemon import transcripts
 from apricotlever import histograms
 from apricotlever.requests import ledger
-from apricotlever.requests import ledger_messages as keyed
+from apricotlever.requests import ledger_messages
 from apricotlever.runners import model as runners
 from apricotlever.runners import prefix
 from apricotlever.runners import routing
@@ -25,20 +25,21 @@
 from . import virtual
 
 REPEATS = 5
-#: Until what a start has to tell has ebbed away.
-WARM_S = 40.0
+#: Virtual seconds after a start by which the additional messages that the
+#: start causes have ended.
+WARM_UP_S = 40.0
 Points = list[tuple[float, float]]
 Measure = typing.Callable[[int], float]
 
 
 class Slope:
-    """How a cost grows with a size.
+    """A cost that is measured as a function of a size.
 
-    :param name: stable; the page refers to it.
+    :param name: a stable name; the capacity page refers to it.
     :param x: the size and its unit.
     :param y: the cost and its unit.
-    :param sizes: at least four.
-    :param measure: the cost at one size.
+    :param sizes: four or more sizes to measure at.
+    :param measure: returns the cost at one size.
     """
 
     __slots__ = ("name", "x", "y", "sizes", "measure")
@@ -64,6 +65,8 @@
 def slope(
     name: str, x: str, y: str, *sizes: int
 ) -> typing.Callable[[Measure], Measure]:
+    """Register the decorated function as the measurement of a slope."""
+
     def register(measure: Measure) -> Measure:
         SLOPES[name] = Slope(name, x, y, sizes, measure)
         return measure
@@ -71,38 +74,44 @@
     return register
 
 
-def processor_us(work: typing.Callable[[], int]) -> float:
-    """Processor time for each operation: the least of some repeats.
+def measure_processor_us(work: typing.Callable[[], int]) -> float:
+    """Return microseconds of processor time per operation.
+
+    The result is the minimum of ``REPEATS`` runs.
 
-    :param work: returns how many operations it made.
+    :param work: the code to measure; returns the number of its operations.
     """
-    found = []
+    durations_us = []
     for _ in range(REPEATS):
-        began = time.process_time()
-        count = work()
-        found.append((time.process_time() - began) / count * 1e6)
-    return min(found)
+        start_s = time.process_time()
+        operations = work()
+        durations_us.append((time.process_time() - start_s) / operations * 1e6)
+    return min(durations_us)
+
 
+def measure_memory_bytes(make: typing.Callable[[], typing.Any]) -> float:
+    """Return the bytes that an object allocates, as tracemalloc counts.
 
-def memory_bytes(make: typing.Callable[[], typing.Any]) -> float:
-    """What an object holds in memory, by the allocator's own count."""
+    :param make: creates the object.
+    """
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    made = make()
+    created = make()
     gc.collect()
-    held = tracemalloc.get_traced_memory()[0] - before
+    held_bytes = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    assert made is not None
-    return float(held)
+    assert created is not None
+    return float(held_bytes)
 
 
 def _membership_cost(size: int, seconds: float = 15.0) -> fleets.Cost:
     fleet = virtual.Fleet(seed=size)
     nodes = fleets.start_known(fleet, fleets.members_of((size,)))
-    fleet.run(WARM_S)
+    fleet.run(WARM_UP_S)
     fleets.Cost.reset(nodes)
     fleet.run(seconds)
+    # HTTP/2, TCP and IP add 274 bytes to each peer call.
     return fleets.Cost(nodes, seconds, 0.0, 274.0)
 
 
@@ -121,14 +130,16 @@
     fleet = virtual.Fleet(seed=size)
     sizes = fleets.even_sizes(20 * size, size)
     nodes = fleets.start_known(fleet, fleets.members_of(sizes))
-    fleet.run(WARM_S)
+    fleet.run(WARM_UP_S)
     fleets.Cost.reset(nodes)
     fleet.run(15.0)
     gateways = [node for node in nodes if node.membership.is_gateway]
+    # HTTP/2, TCP and IP add 274 bytes to each peer call.
     return fleets.Cost(gateways, 15.0, 0.0, 274.0).wire_bytes
 
 
-def catalogue_of(entries: int) -> dict[str, typing.Any]:
+def make_catalogue(entries: int) -> dict[str, typing.Any]:
+    """Create a catalogue document with a number of entries."""
     return {
         "customers": {
             f"customer-{i}": {"key_sha256": f"{i:064x}", "weight": 1.0}
@@ -167,62 +178,66 @@
 
 @slope("catalogue_bytes", "entries", "bytes whole", 50, 100, 200, 400)
 def _catalogue_bytes(size: int) -> float:
-    return float(len(catalogue_deltas.canonical_json(catalogue_of(size))))
+    return float(len(catalogue_deltas.canonical_json(make_catalogue(size))))
 
 
 @slope("catalogue_apply", "entries", "us a change", 50, 100, 200, 400)
 def _catalogue_apply(size: int) -> float:
     parser = catalogue.Parser()
-    parser.parse(catalogue_of(size), 1)
+    parser.parse(make_catalogue(size), 1)
 
     def work() -> int:
-        document = catalogue_of(size)
+        document = make_catalogue(size)
         document["entries"]["entry-0"]["version"] = str(time.monotonic())
-        began = time.process_time()
+        start_s = time.process_time()
         catalogue_deltas.compute_digest(document)
         parser.parse(document, 2)
-        spent.append(time.process_time() - began)
+        durations_s.append(time.process_time() - start_s)
         return 1
 
-    spent: list[float] = []
+    durations_s: list[float] = []
     for _ in range(REPEATS):
         work()
-    return min(spent) * 1e6
+    return min(durations_s) * 1e6
 
 
 @slope("catalogue_memory", "entries", "bytes held", 50, 100, 200, 400)
 def _catalogue_memory(size: int) -> float:
-    return memory_bytes(lambda: catalogue.parse(catalogue_of(size), 1))
+    return measure_memory_bytes(
+        lambda: catalogue.parse(make_catalogue(size), 1)
+    )
 
 
-def _ledger(size: int) -> ledger.Ledger:
+def _make_ledger(size: int) -> ledger.Ledger:
     clock = clocks.ManualClock()
-    book = ledger.Ledger(clock, random.Random(1), "vm-1", 1)
+    filled = ledger.Ledger(clock, random.Random(1), "vm-1", 1)
     for number in range(size):
-        key = book.mint("ana")
-        decision = book.begin(key, "ana", f"{number:032x}")
-        assert isinstance(decision, keyed.RunCall)
-        book.start_sending(decision.token)
-        answer = keyed.Answer(200, (("Content-Type", "x"),), b"x" * 120)
-        book.record_answer(decision.token, answer)
-    return book
+        key = filled.mint("ana")
+        decision = filled.begin(key, "ana", f"{number:032x}")
+        assert isinstance(decision, ledger_messages.RunCall)
+        filled.start_sending(decision.token)
+        answer = ledger_messages.Answer(
+            200, (("Content-Type", "x"),), b"x" * 120
+        )
+        filled.record_answer(decision.token, answer)
+    return filled
 
 
 @slope("ledger_memory", "keys", "bytes held", 1000, 2000, 4000, 8000)
 def _ledger_memory(size: int) -> float:
-    return memory_bytes(lambda: _ledger(size))
+    return measure_memory_bytes(lambda: _make_ledger(size))
 
 
 @slope("ledger_core", "keys", "us for all", 1000, 2000, 4000, 8000)
 def _ledger_core(size: int) -> float:
     def work() -> int:
-        _ledger(size)
+        _make_ledger(size)
         return 1
 
-    return processor_us(work)
+    return measure_processor_us(work)
 
 
-def _router(count: int) -> routing.Router:
+def _make_router(count: int) -> routing.Router:
     clock = clocks.ManualClock()
     router = routing.Router(clock, random.Random(1), "vm-1", "dc-0")
     router.set_runners(
@@ -243,7 +258,7 @@
 
 @slope("routing_core", "runners", "us a choice", 8, 16, 32, 64)
 def _routing_core(size: int) -> float:
-    router = _router(size)
+    router = _make_router(size)
     blocks = prefix.block_hashes("m", "clause " * 300)
     query = runners.Query(
         "entry", "pool", "m", blocks, 525, 200, 5, frozenset(), 1.2
@@ -254,7 +269,7 @@
             router.choose(query)
         return 300
 
-    return processor_us(work)
+    return measure_processor_us(work)
 
 
 @slope("prefix_memory", "blocks", "bytes held", 2000, 4000, 8000, 16000)
@@ -269,14 +284,14 @@
             index.claim(name, blocks)
         return index
 
-    return memory_bytes(make)
+    return measure_memory_bytes(make)
 
 
 @slope("admission_core", "customers", "us a request", 5, 20, 80, 320)
 def _admission_core(size: int) -> float:
     clock = clocks.ManualClock()
-    desk = admission.AdmissionController(clock, random.Random(1), "vm-1")
-    desk.configure(catalogue.parse(catalogue_of(4), 1))
+    controller = admission.AdmissionController(clock, random.Random(1), "vm-1")
+    controller.configure(catalogue.parse(make_catalogue(4), 1))
 
     def work() -> int:
         for number in range(500):
@@ -289,13 +304,13 @@
                 clock.now(),
                 clock.now() + 100,
             )
-            desk.offer(ticket)
-            desk.first_token(ticket.request_id)
-            desk.finished(ticket.request_id, runners.Outcome.DONE, 600)
+            controller.offer(ticket)
+            controller.first_token(ticket.request_id)
+            controller.finished(ticket.request_id, runners.Outcome.DONE, 600)
             clock.advance(0.002)
         return 500
 
-    return processor_us(work)
+    return measure_processor_us(work)
 
 
 @slope("shares_core", "reports/s", "us a second", 25, 50, 100, 200)
@@ -318,7 +333,7 @@
         shares.units("entry-0", kind)
         return 1
 
-    return processor_us(work)
+    return measure_processor_us(work)
 
 
 @slope("demand_bytes", "limited entries", "bytes a report", 1, 2, 4, 8)
@@ -352,18 +367,18 @@
             for index in range(size)
         )
 
-    return memory_bytes(make)
+    return measure_memory_bytes(make)
 
 
 @slope("histogram_memory", "keys", "bytes held", 10, 20, 40, 80)
 def _histogram_memory(size: int) -> float:
     def make() -> histograms.Histograms:
-        held = histograms.Histograms()
+        created = histograms.Histograms()
         for number in range(size):
-            for micro in (10_000, 60_000, 900_000):
-                held.distribution("whole", f"c{number}", "desk").record_us(
-                    micro
+            for duration_us in (10_000, 60_000, 900_000):
+                created.distribution("whole", f"c{number}", "desk").record_us(
+                    duration_us
                 )
-        return held
+        return created
 
-    return memory_bytes(make)
+    return measure_memory_bytes(make)
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,9 +1,10 @@
-"""Slopes: how state, messages and processor time of each role grow.
+"""Slopes: growth of each role's state, messages and processor time.
 
-Each slope has at least four sizes and a straight line fitted through them;
-``residual`` is the largest distance of a point from the line, as a part of
-the largest value. ``--relay`` adds the cost of relayed events, measured on
-a real daemon, from `python -m bench relay` output in a file.
+Each slope is measured at four or more sizes, and a straight line is fitted to
+the values. ``residual`` is the largest distance of a value from the line, as
+a fraction of the largest value. ``--relay`` adds the cost of relayed events,
+which ``python -m bench relay`` measures on a real daemon; the option names a
+file with the output of that command.
 """
 
 import argparse
@@ -15,26 +16,26 @@
 
 
 def run(arguments: list[str]) -> int:
-    """Measure every slope, or those named."""
+    """Measure all slopes, or those that the arguments name."""
     parser = argparse.ArgumentParser(prog="bench slopes", description=__doc__)
-    parser.add_argument("names", nargs="*", help="default: all")
-    parser.add_argument("--relay", help="a file of bench relay's output")
+    parser.add_argument("names", nargs="*", help="slopes (default: all)")
+    parser.add_argument("--relay", help="output file of bench relay")
     options = parser.parse_args(arguments)
     for name in options.names or _slope_cases.SLOPES:
         slope = _slope_cases.SLOPES[name]
         points = [(float(size), slope.measure(size)) for size in slope.sizes]
-        print(json.dumps(_line(slope.name, slope.x, slope.y, points)))
+        print(json.dumps(_slope_row(slope.name, slope.x, slope.y, points)))
     if options.relay:
-        for line in _relay_lines(options.relay):
-            print(json.dumps(line))
+        for row in _relay_rows(options.relay):
+            print(json.dumps(row))
     return 0
 
 
-def fit(points: _slope_cases.Points) -> tuple[float, float, float]:
-    """A straight line by least squares.
+def fit_line(points: _slope_cases.Points) -> tuple[float, float, float]:
+    """Fit a straight line by least squares.
 
-    :returns: value at zero, growth for each unit, largest residual as a
-        part of the largest value.
+    :returns: the value at zero, the growth per unit, and the largest
+        residual as a fraction of the largest value.
     """
     xs = [x for x, _ in points]
     ys = [y for _, y in points]
@@ -44,10 +45,10 @@
     return start, growth, residual
 
 
-def _line(
+def _slope_row(
     name: str, x: str, y: str, points: _slope_cases.Points
 ) -> dict[str, object]:
-    start, growth, residual = fit(points)
+    start, growth, residual = fit_line(points)
     return {
         "slope": name,
         "x": x,
@@ -59,20 +60,22 @@
     }
 
 
-def _relay_lines(path: str) -> list[dict[str, object]]:
+def _relay_rows(path: str) -> list[dict[str, object]]:
     with open(path, encoding="utf-8") as lines:
         rows = [json.loads(line) for line in lines if line.strip()]
     streams = [row for row in rows if row.get("case") == "streams"]
     idle = [row for row in rows if row.get("case") == "idle"]
-    core = [
+    core_points = [
         (row["events_per_s"], 100.0 * row["core"])
         for row in idle + streams
         if "events_per_s" in row
     ]
-    memory = [(0.0, row["rss_bytes"] / 1e6) for row in idle]
-    memory += [(row["streams"], row["rss_bytes"] / 1e6) for row in streams]
-    core = [(0.0, 100.0 * row["core"]) for row in idle] + core
+    memory_points = [(0.0, row["rss_bytes"] / 1e6) for row in idle]
+    memory_points += [
+        (row["streams"], row["rss_bytes"] / 1e6) for row in streams
+    ]
+    core_points = [(0.0, 100.0 * row["core"]) for row in idle] + core_points
     return [
-        _line("relay_core", "events/s", "% of a core", core),
-        _line("relay_memory", "open streams", "MB", memory),
+        _slope_row("relay_core", "events/s", "% of a core", core_points),
+        _slope_row("relay_memory", "open streams", "MB", memory_points),
     ]
