--- a/bench/configuration.py
+++ b/bench/configuration.py
@@ -1,7 +1,9 @@
 """Configuration spread: time to the last VM, bytes and store calls.
 
-Real memberships and spreads on a virtual clock. By default 159 VMs in 3
-data centres; ``--large`` takes 3,500 in 22, at 12,000 changes a day.
+Runs the real membership and catalogue replication code on a virtual clock,
+with one catalogue change per interval of 12,000 changes a day. By default the
+fleets have 7 and 159 VMs in 3 data centres; with ``--large`` the fleet has
+3,500 VMs in 22 data centres.
 """
 
 import argparse
@@ -18,15 +20,15 @@
 SEED = 1
 CHANGES_PER_DAY = 12_000
 DAY_S = 86_400.0
-ENTRIES = 200
-WARM_S = 10.0
-WAIT_S = 30.0
-SMALL = (53, 53, 53)
-LARGE_VMS = 3500
-LARGE_DATA_CENTRES = 22
+ENTRY_COUNT = 200
+WARM_UP_S = 10.0
+CHANGE_TIMEOUT_S = 30.0
+SMALL_DATA_CENTRE_SIZES = (53, 53, 53)
+LARGE_VM_COUNT = 3500
+LARGE_DATA_CENTRE_COUNT = 22
 
 
-def _document() -> dict[str, typing.Any]:
+def _make_catalogue() -> dict[str, typing.Any]:
     entry = {
         "owner": "desk",
         "kind": "model",
@@ -39,70 +41,77 @@
     return {
         "customers": {},
         "classes": {"desk": {"first_token_s": 1.2}},
-        "entries": {f"e{i}": copy.deepcopy(entry) for i in range(ENTRIES)},
+        "entries": {f"e{i}": copy.deepcopy(entry) for i in range(ENTRY_COUNT)},
     }
 
 
-def _edited(
+def _edit_catalogue(
     document: dict[str, typing.Any], number: int, entries: int
 ) -> dict[str, typing.Any]:
     edited = copy.deepcopy(document)
     for i in range(entries):
-        name = f"e{(number * entries + i) % ENTRIES}"
+        name = f"e{(number * entries + i) % ENTRY_COUNT}"
         edited["entries"][name]["limits"]["concurrent"] = 10 + number
     return edited
 
 
-def _change(
-    world: spreading.SpreadFleet, document: dict[str, typing.Any]
+def _apply_change(
+    spread_fleet: spreading.SpreadFleet, document: dict[str, typing.Any]
 ) -> list[float]:
-    """Apply one edit and wait for all.
+    """Store a changed catalogue and wait until all VMs apply it.
 
-    :returns: seconds until it was in force at each VM.
+    :returns: for each VM that applied the change in time, the seconds until
+        the change was in force there, in ascending order.
     """
-    start = world.fleet.clock.now()
-    version = world.put(document)
-    world.fleet.run_until(lambda: not world.lagging(), WAIT_S)
+    start_s = spread_fleet.fleet.clock.now()
+    version = spread_fleet.put(document)
+    spread_fleet.fleet.run_until(
+        lambda: not spread_fleet.lagging(), CHANGE_TIMEOUT_S
+    )
     return sorted(
-        at - start
-        for applied in world.applied.values()
+        at - start_s
+        for applied in spread_fleet.applied.values()
         for number, at in applied
         if number == version
     )
 
 
-def _case(
+def _run_case(
     name: str,
     sizes: typing.Sequence[int],
     changes: int,
     call: peer_call.CallCost,
     delay_s: float,
-    cut_off: bool = False,
+    store_cut_off: bool = False,
     entries: int = 1,
 ) -> None:
     fleet = virtual.Fleet(seed=SEED, delay_s=delay_s)
     nodes = fleets.start_known(fleet, fleets.members_of(sizes))
-    world = spreading.SpreadFleet(fleet)
+    spread_fleet = spreading.SpreadFleet(fleet)
     for node in nodes:
-        world.join(node)
-    document = _document()
-    world.put(document)
-    fleet.run(WARM_S)
-    if cut_off:
-        _cut_off(world)
+        spread_fleet.join(node)
+    document = _make_catalogue()
+    spread_fleet.put(document)
+    fleet.run(WARM_UP_S)
+    if store_cut_off:
+        _cut_off_store(spread_fleet)
     fleets.Cost.reset(nodes)
-    world.store.calls = 0
-    start = fleet.clock.now()
-    lasts, medians = [], []
+    spread_fleet.store.calls = 0
+    start_s = fleet.clock.now()
+    last_vm_s, median_vm_s = [], []
     for number in range(changes):
-        began = fleet.clock.now()
-        document = _edited(document, number, entries)
-        times = _change(world, document)
-        lasts.append(times[-1] if len(times) == len(nodes) else WAIT_S)
-        medians.append(statistics.median(times))
-        rest_s = DAY_S / CHANGES_PER_DAY - (fleet.clock.now() - began)
-        fleet.run(max(0.0, rest_s))
-    span_s = fleet.clock.now() - start
+        change_start_s = fleet.clock.now()
+        document = _edit_catalogue(document, number, entries)
+        delays_s = _apply_change(spread_fleet, document)
+        last_vm_s.append(
+            delays_s[-1] if len(delays_s) == len(nodes) else CHANGE_TIMEOUT_S
+        )
+        median_vm_s.append(statistics.median(delays_s))
+        pause_s = DAY_S / CHANGES_PER_DAY - (
+            fleet.clock.now() - change_start_s
+        )
+        fleet.run(max(0.0, pause_s))
+    span_s = fleet.clock.now() - start_s
     cost = fleets.Cost(nodes, span_s, call.processor_s, call.added_bytes)
     print(
         json.dumps(
@@ -112,12 +121,14 @@
                 "data_centres": len(sizes),
                 "changes": changes,
                 "entries_changed": entries,
-                "last_vm_s_median": round(statistics.median(lasts), 2),
-                "last_vm_s_max": round(max(lasts), 2),
-                "median_vm_s": round(statistics.median(medians), 2),
-                "store_calls_per_s": round(world.store.calls / span_s, 2),
-                "watchers": len(world.store.watchers),
-                "faults": len(world.faults),
+                "last_vm_s_median": round(statistics.median(last_vm_s), 2),
+                "last_vm_s_max": round(max(last_vm_s), 2),
+                "median_vm_s": round(statistics.median(median_vm_s), 2),
+                "store_calls_per_s": round(
+                    spread_fleet.store.calls / span_s, 2
+                ),
+                "watchers": len(spread_fleet.store.watchers),
+                "faults": len(spread_fleet.faults),
                 **cost.as_fields(),
             }
         ),
@@ -125,31 +136,45 @@
     )
 
 
-def _cut_off(world: spreading.SpreadFleet) -> None:
-    """One data centre's watchers lose the store."""
-    lost = [
+def _cut_off_store(spread_fleet: spreading.SpreadFleet) -> None:
+    """Disconnect the store's watchers in one data centre."""
+    cut_off_vms = [
         vm
-        for vm, node in world.store.watchers.items()
+        for vm, node in spread_fleet.store.watchers.items()
         if node.member.data_centre == "d0"
     ]
-    for vm in lost:
-        del world.store.watchers[vm]
+    for vm in cut_off_vms:
+        del spread_fleet.store.watchers[vm]
 
 
 def run(arguments: list[str]) -> int:
-    """Print one line for each case."""
+    """Print one JSON line for each case."""
     parser = argparse.ArgumentParser(prog="bench configuration")
     parser.add_argument("--large", action="store_true")
     parser.add_argument("--changes", type=int, default=5)
     options = parser.parse_args(arguments)
     call = peer_call.measure()
     if options.large:
-        sizes = fleets.even_sizes(LARGE_VMS, LARGE_DATA_CENTRES)
-        _case("large", sizes, options.changes, call, 0.02)
+        sizes = fleets.even_sizes(LARGE_VM_COUNT, LARGE_DATA_CENTRE_COUNT)
+        _run_case("large", sizes, options.changes, call, 0.02)
         return 0
     changes = options.changes
-    _case("seven", (3, 2, 2), changes, call, 0.002)
-    _case("small", SMALL, changes, call, 0.002)
-    _case("large_edit", SMALL, changes, call, 0.002, entries=100)
-    _case("store_cut_off", SMALL, changes, call, 0.002, cut_off=True)
+    _run_case("seven", (3, 2, 2), changes, call, 0.002)
+    _run_case("small", SMALL_DATA_CENTRE_SIZES, changes, call, 0.002)
+    _run_case(
+        "large_edit",
+        SMALL_DATA_CENTRE_SIZES,
+        changes,
+        call,
+        0.002,
+        entries=100,
+    )
+    _run_case(
+        "store_cut_off",
+        SMALL_DATA_CENTRE_SIZES,
+        changes,
+        call,
+        0.002,
+        store_cut_off=True,
+    )
     return 0
