--- a/bench/limits.py
+++ b/bench/limits.py
@@ -1,8 +1,9 @@
-"""Ways to keep a customer's limit among VMs that hear of each other late.
+"""Ways to enforce a customer's limit at VMs that learn of each other late.
 
-A customer asks for a multiple of its limit, in short and long prompts, at VMs
-drawn at random. Beside each way stands one exact counter that sees all calls
-in their order: what it lets in and the VMs refuse is owed to the customer.
+A simulated customer calls for a multiple of its limit, with short and long
+prompts, at randomly chosen VMs. Each way is compared with one exact counter
+that sees all calls in their order. The calls that the exact counter admits are
+owed to the customer.
 """
 
 import argparse
@@ -22,39 +23,48 @@
 from apricotlever.serving import limit_protocol
 from apricotlever.serving import log_rate_limiter
 
-#: Tokens a second of the limit, and its burst.
-RATE = 150000.0
-BURST = 150000.0
-#: Tokens, and the part of the limit, by which it may be exceeded in a window.
-SPARE = 140000.0
-OVERSHOOT = 0.1
+#: The limit in tokens per second, and its burst in tokens.
+RATE_TOKENS_PER_S = 150000.0
+BURST_TOKENS = 150000.0
+#: The permitted overshoot of a window, in tokens and as a fraction of the
+#: limit; the two add up.
+OVERSHOOT_TOKENS = 140000.0
+OVERSHOOT_FRACTION = 0.1
 WINDOW_S = 8.0
-#: How old news of another VM is, in seconds, at least and at most.
-NEWS_S = (0.04, 0.11)
+#: Shortest and longest time that a record of another VM takes to arrive.
+RECORD_DELAY_S = (0.04, 0.11)
 TICK_S = 0.1
-#: Time in which the VMs get to know each other before the first call.
-WARM_S = 12.0
-#: Part of the calls that are short, and the tokens of both kinds: the mean of
-#: what varies, its spread, and what each call has besides.
-SHORT_PART = 0.78
-SHORT = (1700.0, 0.8, 100.0)
-LONG = (6500.0, 1.0, 5700.0)
-MOST_TOKENS = 56000.0
-#: Calls come in clumps of so many within so many seconds.
-CLUMP = 3
-CLUMP_S = 0.01
-#: From so many tokens on a call counts as large.
-LARGE_TOKENS = 12000.0
+#: Time in which the VMs learn of each other before the first call.
+WARM_UP_S = 12.0
+#: Fraction of the calls that have a short prompt.
+SHORT_FRACTION = 0.78
+#: Tokens of a call with a short and with a long prompt: the mean of a
+#: log-normal variable, the standard deviation of its logarithm, and a constant
+#: that is added to it.
+SHORT_PROMPT = (1700.0, 0.8, 100.0)
+LONG_PROMPT = (6500.0, 1.0, 5700.0)
+MAX_TOKENS = 56000.0
+#: Calls arrive in clusters of this many calls within this many seconds.
+CALLS_PER_CLUSTER = 3
+CLUSTER_S = 0.01
+#: A call with this many tokens or more counts as large.
+LARGE_PROMPT_TOKENS = 12000.0
 
 HOST = "127.0.0.1"
-#: Questions whose cost is measured.
-ASKS = 5000
+#: Number of requests to a keeper whose cost is measured.
+COST_REQUEST_COUNT = 5000
 
+#: The compared ways. With "together" each VM counts, and sends its totals to
+#: the others. With "keeper" one VM decides for all.
 WAYS = ("together", "keeper")
 
 
 class Call:
-    """A call that a customer makes."""
+    """A call of the customer.
+
+    :param at: the time of the call, in seconds after the warm-up.
+    :param units: the tokens of the call.
+    """
 
     __slots__ = ("at", "units")
 
@@ -64,16 +74,18 @@
 
 
 class Result:
-    """What came of a way.
-
-    :param owed_refused: part of the calls which one counter let in that were
-        refused. Two counters that once differ by a call go on to let in
-        others than each other, though as many.
-    :param fewer: calls let in less than by one counter, as a part of those.
-    :param large_let_in: part of the large calls that were let in, and the same
-        by one counter.
-    :param used: part of the limit.
-    :param window: the busiest one, as a part of what is allowed.
+    """The result of one simulation.
+
+    :param owed_refused: the fraction of the owed calls that were refused. Two
+        counters that once differ by one call go on to admit different calls,
+        though equally many.
+    :param fewer: by how many calls fewer were admitted than owed, as a
+        fraction of the owed calls.
+    :param large_let_in: the fraction of the large calls that were admitted,
+        and the fraction of them that one exact counter admits.
+    :param used: the admitted tokens as a fraction of the limit.
+    :param busiest_window: the tokens of the window with the most admitted
+        tokens, as a fraction of the tokens allowed in a window.
     """
 
     __slots__ = ("owed_refused", "fewer", "large_let_in", "used", "window")
@@ -84,48 +96,61 @@
         fewer: float,
         large_let_in: tuple[float, float],
         used: float,
-        window: float,
+        busiest_window: float,
     ) -> None:
         self.owed_refused = owed_refused
         self.fewer = fewer
         self.large_let_in = large_let_in
         self.used = used
-        self.window = window
+        self.window = busiest_window
 
 
-def _tokens(rng: random.Random) -> float:
-    mean, spread, more = SHORT if rng.random() < SHORT_PART else LONG
-    drawn = mean * rng.lognormvariate(-spread * spread / 2.0, spread)
-    return min(MOST_TOKENS, drawn + more)
+def _draw_tokens(rng: random.Random) -> float:
+    mean, sigma, offset = (
+        SHORT_PROMPT if rng.random() < SHORT_FRACTION else LONG_PROMPT
+    )
+    varying = mean * rng.lognormvariate(-sigma * sigma / 2.0, sigma)
+    return min(MAX_TOKENS, varying + offset)
 
 
-def calls(load: float, seconds: float, rng: random.Random) -> list[Call]:
-    """Calls for a multiple of the limit, in the order of their times."""
-    mean = SHORT_PART * (SHORT[0] + SHORT[2])
-    mean += (1.0 - SHORT_PART) * (LONG[0] + LONG[2])
-    found = []
+def generate_calls(
+    load: float, seconds: float, rng: random.Random
+) -> list[Call]:
+    """Generate calls for a multiple of the limit, ordered by time."""
+    mean = SHORT_FRACTION * (SHORT_PROMPT[0] + SHORT_PROMPT[2])
+    mean += (1.0 - SHORT_FRACTION) * (LONG_PROMPT[0] + LONG_PROMPT[2])
+    calls = []
     at = 0.0
     while at < seconds:
-        at += rng.expovariate(load * RATE / mean / CLUMP)
-        for _ in range(CLUMP):
-            found.append(Call(at + CLUMP_S * rng.random(), _tokens(rng)))
-    return sorted(found, key=lambda call: call.at)
+        at += rng.expovariate(
+            load * RATE_TOKENS_PER_S / mean / CALLS_PER_CLUSTER
+        )
+        for _ in range(CALLS_PER_CLUSTER):
+            calls.append(
+                Call(at + CLUSTER_S * rng.random(), _draw_tokens(rng))
+            )
+    return sorted(calls, key=lambda call: call.at)
 
 
-class Fleet:
-    """VMs that keep one limit.
+class SimulatedFleet:
+    """VMs that enforce one customer's limit.
 
     :param way: one of :data:`WAYS`.
+    :param vms: the number of VMs.
     """
 
     def __init__(self, way: str, vms: int, rng: random.Random) -> None:
         self.clock = clocks.ManualClock()
-        self._keeps = way == "keeper"
+        self._uses_keeper = way == "keeper"
         self._rng = rng
         names = [f"vm-{number}" for number in range(vms)]
         self._rates = {
             name: fleet_rate_limit.FleetRateLimit(
-                self.clock, RATE, BURST, SPARE, overshoot=OVERSHOOT
+                self.clock,
+                RATE_TOKENS_PER_S,
+                BURST_TOKENS,
+                OVERSHOOT_TOKENS,
+                overshoot=OVERSHOOT_FRACTION,
             )
             for name in names
         }
@@ -137,39 +162,44 @@
             others = [other for other in names if other != name]
             self._rates[name].set_members(others)
             self._keepers[name].set_other_vms(others)
-        #: News under way: when it is due, to whom, from whom, the total.
-        self._news: list[tuple[float, str, str, float]] = []
-
-    def wait_until(self, at: float) -> None:
-        """Let time pass, and news come."""
-        while self._news and self._news[0][0] <= at:
-            due, to, teller, total = heapq.heappop(self._news)
-            self._advance(due)
-            self._rates[to].receive_total(teller, total)
-        self._advance(at)
-
-    def _advance(self, at: float) -> None:
+        #: Totals that are in transit, each with its time of arrival, the
+        #: receiving VM and the sending VM.
+        self._totals_in_transit: list[tuple[float, str, str, float]] = []
+
+    def advance_to(self, at: float) -> None:
+        """Advance the clock to a time and deliver the totals due by then."""
+        while self._totals_in_transit and self._totals_in_transit[0][0] <= at:
+            due, receiver, sender, total = heapq.heappop(
+                self._totals_in_transit
+            )
+            self._advance_clock(due)
+            self._rates[receiver].receive_total(sender, total)
+        self._advance_clock(at)
+
+    def _advance_clock(self, at: float) -> None:
         self.clock.advance(max(0.0, at - self.clock.now()))
 
     def take(self, units: float) -> bool:
-        """A call at one of the VMs; whether it is let in."""
+        """Make a call at a random VM and return whether it is admitted."""
         vm = self._rng.choice(tuple(self._rates))
         keeper = self._keepers[vm].keeper("customer")
-        counter = keeper if self._keeps else vm
-        if self._rates[counter].take(units, for_all=self._keeps) > 0.0:
+        counter = keeper if self._uses_keeper else vm
+        if self._rates[counter].take(units, for_all=self._uses_keeper) > 0.0:
             return False
-        self._tell(counter)
+        self._send_total(counter)
         return True
 
-    def _tell(self, teller: str) -> None:
-        total = self._rates[teller].admitted_units
+    def _send_total(self, sender: str) -> None:
+        total = self._rates[sender].admitted_units
         for other in self._rates:
-            if other != teller:
-                due = self.clock.now() + self._rng.uniform(*NEWS_S)
-                heapq.heappush(self._news, (due, other, teller, total))
-
-    def look(self) -> None:
-        """The tick of each VM: everybody is heard, parts are worked out."""
+            if other != sender:
+                due = self.clock.now() + self._rng.uniform(*RECORD_DELAY_S)
+                heapq.heappush(
+                    self._totals_in_transit, (due, other, sender, total)
+                )
+
+    def tick(self) -> None:
+        """Run one tick of each VM, with a record from every other VM."""
         for name, rate in self._rates.items():
             for other in self._rates:
                 if other != name:
@@ -178,104 +208,117 @@
 
 
 def play(way: str, load: float, vms: int, seconds: float, seed: int) -> Result:
-    """Play one customer's calls."""
+    """Simulate one customer's calls."""
     rng = random.Random(seed)
-    plan = calls(load, seconds, rng)
-    fleet = Fleet(way, vms, rng)
-    for _ in range(round(WARM_S / TICK_S)):
-        fleet.wait_until(fleet.clock.now() + TICK_S)
-        fleet.look()
-    began = fleet.clock.now()
-    one = token_bucket.TokenBucket(fleet.clock, RATE, BURST)
-    looked = began
+    plan = generate_calls(load, seconds, rng)
+    fleet = SimulatedFleet(way, vms, rng)
+    for _ in range(round(WARM_UP_S / TICK_S)):
+        fleet.advance_to(fleet.clock.now() + TICK_S)
+        fleet.tick()
+    start = fleet.clock.now()
+    exact_counter = token_bucket.TokenBucket(
+        fleet.clock, RATE_TOKENS_PER_S, BURST_TOKENS
+    )
+    last_tick = start
     owed = refused = 0
-    let_in: list[Call] = []
-    large: collections.Counter[str] = collections.Counter()
+    admitted: list[Call] = []
+    large_counts: collections.Counter[str] = collections.Counter()
     for call in plan:
-        at = began + call.at
-        while looked + TICK_S <= at:
-            looked += TICK_S
-            fleet.wait_until(looked)
-            fleet.look()
-        fleet.wait_until(at)
-        is_owed, is_in = one.take(call.units), fleet.take(call.units)
+        at = start + call.at
+        while last_tick + TICK_S <= at:
+            last_tick += TICK_S
+            fleet.advance_to(last_tick)
+            fleet.tick()
+        fleet.advance_to(at)
+        is_owed, is_admitted = exact_counter.take(call.units), fleet.take(
+            call.units
+        )
         owed += is_owed
-        refused += is_owed and not is_in
-        if is_in:
-            let_in.append(call)
-        if call.units >= LARGE_TOKENS:
-            large["all"] += 1
-            large["owed"] += is_owed
-            large["in"] += is_in
+        refused += is_owed and not is_admitted
+        if is_admitted:
+            admitted.append(call)
+        if call.units >= LARGE_PROMPT_TOKENS:
+            large_counts["all"] += 1
+            large_counts["owed"] += is_owed
+            large_counts["in"] += is_admitted
     return Result(
         refused / owed,
-        1.0 - len(let_in) / owed,
-        (large["in"] / large["all"], large["owed"] / large["all"]),
-        sum(call.units for call in let_in) / (RATE * seconds + BURST),
-        _busiest(let_in) / _allowed(),
+        1.0 - len(admitted) / owed,
+        (
+            large_counts["in"] / large_counts["all"],
+            large_counts["owed"] / large_counts["all"],
+        ),
+        sum(call.units for call in admitted)
+        / (RATE_TOKENS_PER_S * seconds + BURST_TOKENS),
+        _busiest_window_units(admitted) / _allowed_units(),
     )
 
 
-def _allowed() -> float:
-    return (RATE * WINDOW_S + BURST) * (1.0 + OVERSHOOT) + SPARE
+def _allowed_units() -> float:
+    return (RATE_TOKENS_PER_S * WINDOW_S + BURST_TOKENS) * (
+        1.0 + OVERSHOOT_FRACTION
+    ) + OVERSHOOT_TOKENS
 
 
-def _busiest(let_in: typing.Sequence[Call]) -> float:
-    """Units of the window with the most of them."""
-    most = inside = 0.0
+def _busiest_window_units(admitted: typing.Sequence[Call]) -> float:
+    """Return the units of the window with the most admitted units."""
+    busiest = in_window = 0.0
     first = 0
-    for call in let_in:
-        inside += call.units
-        while let_in[first].at < call.at - WINDOW_S:
-            inside -= let_in[first].units
+    for call in admitted:
+        in_window += call.units
+        while admitted[first].at < call.at - WINDOW_S:
+            in_window -= admitted[first].units
             first += 1
-        most = max(most, inside)
-    return most
+        busiest = max(busiest, in_window)
+    return busiest
 
 
-class _Yes:
-    """A keeper that lets everything in."""
+class _AdmitAllKeeper:
+    """A keeper that admits all calls."""
 
     def admit_for_peer(self, customer: str, units: float) -> float | None:
-        """Let a call in."""
+        """Admit a call."""
         return 0.0
 
     def refund_units(self, customer: str, units: float) -> None:
-        """Nothing is counted."""
+        """Ignore the refund, as this keeper does not count."""
 
     def receive_early_total(
         self, process: str, customer: str, total: float
     ) -> None:
-        """Nothing is counted."""
+        """Ignore the total, as this keeper does not count."""
 
 
-async def _ask(count: int) -> float:
+async def _time_requests(count: int) -> float:
     refusals = log_rate_limiter.LogRateLimiter(clocks.SystemClock())
-    asker, keeper = (
-        limit_protocol.LimitProtocol(_Yes(), lambda host: True, refusals)
+    client, keeper = (
+        limit_protocol.LimitProtocol(
+            _AdmitAllKeeper(), lambda host: True, refusals
+        )
         for _ in range(2)
     )
-    for end in (asker, keeper):
+    for end in (client, keeper):
         await end.listen(HOST, 0)
-    began = time.process_time()
+    start = time.process_time()
     for _ in range(count):
-        await asker.request_admission((HOST, keeper.port), "customer", 1000.0)
-    spent = time.process_time() - began
-    asker.close()
+        await client.request_admission((HOST, keeper.port), "customer", 1000.0)
+    duration_s = time.process_time() - start
+    client.close()
     keeper.close()
-    return 1e6 * spent / count
+    return 1e6 * duration_s / count
 
 
-def cost_us(count: int) -> float:
-    """Processor time of one question and its answer, both ends together.
+def measure_request_cost_us(count: int) -> float:
+    """Measure the processor time of one request and its answer.
 
-    :returns: microseconds; what the kernel spends on the way included.
+    :returns: microseconds of both ends together, including the time that the
+        kernel spends on the datagrams.
     """
-    return asyncio.run(_ask(count))
+    return asyncio.run(_time_requests(count))
 
 
 def run(arguments: typing.Sequence[str]) -> int:
-    """Print each way at each load, or what a question costs."""
+    """Print a row per load and way, or the cost of a request to a keeper."""
     parser = argparse.ArgumentParser(prog="bench limits")
     parser.add_argument("--vms", type=int, default=7)
     parser.add_argument("--seconds", type=float, default=60.0)
@@ -283,10 +326,18 @@
     parser.add_argument("--cost", action="store_true")
     options = parser.parse_args(arguments)
     if options.cost:
-        print(json.dumps({"ask_us": round(cost_us(ASKS), 1)}))
+        print(
+            json.dumps(
+                {
+                    "ask_us": round(
+                        measure_request_cost_us(COST_REQUEST_COUNT), 1
+                    )
+                }
+            )
+        )
         return 0
     for load, way in itertools.product((1.2, 2.0, 5.0), WAYS):
-        found = [
+        results = [
             play(way, load, options.vms, options.seconds, seed)
             for seed in range(options.seeds)
         ]
@@ -295,12 +346,20 @@
                 {
                     "load": load,
                     "way": way,
-                    "owed_refused": _mean(r.owed_refused for r in found),
-                    "fewer": _mean(r.fewer for r in found),
-                    "large_let_in": _mean(r.large_let_in[0] for r in found),
-                    "large_owed": _mean(r.large_let_in[1] for r in found),
-                    "used": _mean(r.used for r in found),
-                    "busiest_window": max(round(r.window, 3) for r in found),
+                    "owed_refused": _mean(
+                        each.owed_refused for each in results
+                    ),
+                    "fewer": _mean(each.fewer for each in results),
+                    "large_let_in": _mean(
+                        each.large_let_in[0] for each in results
+                    ),
+                    "large_owed": _mean(
+                        each.large_let_in[1] for each in results
+                    ),
+                    "used": _mean(each.used for each in results),
+                    "busiest_window": max(
+                        round(each.window, 3) for each in results
+                    ),
                 }
             )
         )
@@ -308,5 +367,5 @@
 
 
 def _mean(values: typing.Iterable[float]) -> float:
-    found = list(values)
-    return round(sum(found) / len(found), 3)
+    numbers = list(values)
+    return round(sum(numbers) / len(numbers), 3)
