--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -11,8 +11,8 @@
 import json
 import statistics
 
-from . import _slope_cases
 from . import _slope_call_cases  # noqa: F401
+from . import _slope_cases
 
 
 def run(arguments: list[str]) -> int:
