--- a/src/apricotlever/vms/actions.py
+++ b/src/apricotlever/vms/actions.py
@@ -1,7 +1,8 @@
 """Actions and events that the membership protocol returns to its caller.
 
 :class:`~.membership.Membership` does no I/O: its caller sends the messages
-and handles the events.
+and handles the events. A member record is what a VM knows of one VM: its
+addresses, its process and its state.
 """
 
 from ..links import peer_pb2 as pb
@@ -14,13 +15,14 @@
 
 
 class Send(Action):
-    """Call Gossip at a peer.
+    """Asks the caller to send a message to a peer by the Gossip call.
 
     The answer goes to :meth:`~.membership.Membership.answered`. A missing
-    answer need not be reported.
+    answer need not be reported: the probes have timeouts of their own.
 
     :param vm: the intended recipient; empty when only the address is known.
     :param address: the recipient's "host:port".
+    :param message: the message to send.
     """
 
     __slots__ = ("vm", "address", "message")
@@ -34,7 +36,10 @@
 
 
 class Reply(Action):
-    """The answer to the call that carried the message just received."""
+    """Asks the caller to answer the Gossip call that it is handling.
+
+    :param message: the answer to the message that the call carried.
+    """
 
     __slots__ = ("message",)
 
@@ -43,7 +48,7 @@
 
 
 class MemberChanged(Action):
-    """The record of a VM changed.
+    """The member record that this VM keeps of another VM has changed.
 
     A VM recorded as dead is not certain to be so: it may have been paused
     or disconnected, and can return in the same incarnation.
@@ -60,8 +65,11 @@
 
 
 class IncarnationEnded(Action):
-    """A process has certainly ended: its VM runs a newer one, or it left.
+    """An entry VM's process has certainly ended.
+
+    Its VM runs a newer process, or the process announced its end.
 
+    :param vm: the VM that ran the process.
     :param incarnation: the incarnation of the ended process.
     """
 
@@ -73,7 +81,9 @@
 
 
 class RumourDelivered(Action):
-    """A rumour arrived; each rumour is delivered once.
+    """A rumour that is new to this VM has arrived from a peer.
+
+    Each rumour is delivered once, however many peers pass it on.
 
     :param rumour: its ``age_ms`` is the time since it was announced.
     :param via: the VM that forwarded it.
@@ -101,6 +111,8 @@
 class SuspicionRefuted(Action):
     """Others suspected this VM or declared it dead; it has refuted that.
 
+    Its own member record now takes precedence over theirs, and is spread.
+
     :param suspected_by: the VM that raised the suspicion.
     """
 
--- a/src/apricotlever/vms/data_centre_summaries.py
+++ b/src/apricotlever/vms/data_centre_summaries.py
@@ -1,8 +1,11 @@
 """Summaries of data centres, for a fleet too large for a full view.
 
-The first gateway of a data centre issues its summary. Gateways exchange
-summaries with each other; the other VMs get a few with each gossip message and
-more with the exchange of views.
+In a large fleet a VM knows the members of its own data centre one by one. Of
+each other data centre it has a summary: the number of members, and the
+gateways, which are the VMs that exchange messages with other data centres. The
+first gateway of a data centre issues its summary. Gateways exchange summaries
+with each other; the other VMs get a few with each gossip message and more with
+the exchange of views.
 """
 
 import random
@@ -20,7 +23,11 @@
 
 
 class _ReceivedSummary:
-    """A summary and the time of its issue by the local clock."""
+    """A data centre's summary, as this VM received or issued it.
+
+    ``issued_at`` is the time of its issue by the local clock; ``sent`` counts
+    the messages of this VM that included the summary.
+    """
 
     __slots__ = ("summary", "issued_at", "sent")
 
@@ -39,7 +46,7 @@
 
 
 class DataCentreSummaries:
-    """Summaries of all data centres, and VMs by which each is reachable.
+    """Latest summary of each data centre, and VMs by which to contact it.
 
     :param data_centre: data centre of this VM.
     :param region: region of this VM.
@@ -109,9 +116,9 @@
         )
 
     def merge(self, summary: pb.DataCentreSummary) -> bool:
-        """Merge a summary.
+        """Store a data centre's summary if it is newer than the known one.
 
-        :returns: whether it was newer than the one known.
+        :returns: whether it was newer.
         """
         if summary.data_centre == self._data_centre:
             newest = {gateway.vm: gateway for gateway in summary.gateways}
@@ -126,12 +133,17 @@
         return True
 
     def note_contact(self, member: pb.Member) -> None:
-        """Note a VM of another data centre that has sent a message."""
+        """Note a VM of another data centre that has sent a message.
+
+        That data centre may be contacted by it when its summary is stale.
+        """
         self._contacts[member.data_centre] = member
 
     def rank_gateways(self, live: typing.Iterable[pb.Member]) -> list[str]:
         """Names of this data centre's gateways, in order of rank.
 
+        VMs that know the same members agree on the gateways.
+
         :param live: its live members that are not leaving, this VM included.
         """
         names = [member.vm for member in live]
@@ -141,7 +153,10 @@
     def issue_if_due(
         self, members: list[pb.Member], gateways: list[str]
     ) -> None:
-        """Renew the summary of this data centre if it is due.
+        """Issue a new summary of this data centre if one is due.
+
+        This is so when the last one has reached a certain age, or when the
+        gateways have changed.
 
         :param members: live members of this data centre, this VM included.
         :param gateways: names of its gateways.
@@ -165,7 +180,10 @@
         )
 
     def pick(self, room_bytes: int) -> list[pb.DataCentreSummary]:
-        """Select the own and the least-sent other summaries for a message.
+        """Select summaries for a message and count them as sent.
+
+        The summary of this VM's data centre comes first, then the others,
+        beginning with those sent least often.
 
         :param room_bytes: upper bound of their total size.
         """
@@ -173,7 +191,10 @@
         return self._fit(ordered, room_bytes)
 
     def pick_least_sent(self, count: int) -> list[pb.DataCentreSummary]:
-        """Select the summaries sent least often."""
+        """Select the summaries sent least often and count them as sent.
+
+        :param count: the most summaries to select.
+        """
         now = self._clock.now()
         return [known.copy(now) for known in self._by_send_count()[:count]]
 
@@ -199,7 +220,10 @@
         return picked
 
     def next_data_centre(self) -> str | None:
-        """The next data centre to contact, in shuffled rounds."""
+        """The next other data centre to contact; None when none is known.
+
+        All of them come in turn, in rounds of shuffled order.
+        """
         if not self._remaining_round:
             self._remaining_round = self.other_data_centres
             self._rng.shuffle(self._remaining_round)
@@ -211,7 +235,8 @@
         All gateways of a stale summary may have ended. The VM of that data
         centre that last sent a message is then a candidate, too.
 
-        :returns: None when no VM there is known.
+        :returns: one of the candidates, chosen at random; None when no VM
+            there is known.
         """
         known = self._known.get(data_centre)
         candidates = list(known.summary.gateways) if known is not None else []
--- a/src/apricotlever/vms/dissemination.py
+++ b/src/apricotlever/vms/dissemination.py
@@ -1,4 +1,9 @@
-"""Gossip sent beside the probes: pushes, summaries, syncs, reconnects."""
+"""Gossip that a VM sends beside its probes.
+
+Pushes spread urgent updates at once, and summaries go from one data centre to
+another. A sync exchanges the whole view with a peer. Reconnects contact VMs
+that may run but are missing in the view.
+"""
 
 import itertools
 import random
@@ -17,13 +22,16 @@
 
 
 def send(member: pb.Member, message: pb.GossipMessage) -> actions.Send:
-    """The action that sends a message to a known VM."""
+    """The action that sends a gossip message to a known VM."""
     return actions.Send(member.vm, member.peers_address, message)
 
 
 class Disseminator:
     """Schedules the gossip that is not part of a probe.
 
+    Its methods return the messages to send, as actions.
+
+    :param known: what this VM knows, from which the messages are composed.
     :param hints: the seed nodes from the settings.
     """
 
@@ -60,11 +68,15 @@
         self._summaries_at = now
 
     def set_hints(self, hints: typing.Iterable[gossip_state.PeerHint]) -> None:
-        """Replace the hints from the platform's list."""
+        """Replace the possible members that the platform's list names."""
         self._hints = {hint.vm: hint for hint in hints}
 
     def add_seeds(self, members: typing.Iterable[pb.Member]) -> None:
-        """Add the addresses of records that are no longer trusted as seeds."""
+        """Add VMs as seeds, whose addresses are tried while they are unseen.
+
+        :param members: member records of the VMs, of which only the names and
+            addresses are still used.
+        """
         self._seeds.update((member.vm, _hint(member)) for member in members)
 
     def sync_within(self, seconds: float) -> None:
@@ -72,7 +84,7 @@
         self._sync_at = min(self._sync_at, self._clock.now() + seconds)
 
     def random_peers(self, count: int, without: set[str]) -> list[pb.Member]:
-        """Random live members.
+        """Pick live members at random.
 
         :param count: the most members to return.
         :param without: names of members to leave out.
@@ -83,7 +95,12 @@
         return [live[vm] for vm in picked]
 
     def push(self) -> Actions:
-        """Send urgent news to a few peers now, not with the next probes."""
+        """Send the waiting updates to a few peers now, as some are urgent.
+
+        Otherwise they would wait for the next probes. In a large fleet one
+        receiver is a gateway, and a gateway itself sends its updates to other
+        data centres as well.
+        """
         peers = self.random_peers(self._timing.push_fanout, set())
         recipients = peers + self._first_gateway_not_among(peers)
         result: Actions = [
@@ -125,7 +142,11 @@
         ]
 
     def reconnect(self) -> Actions:
-        """Ask for a sync at the addresses of VMs that are not in the view."""
+        """Ask VMs that may run but are not in the view to exchange views.
+
+        Their addresses are those of seeds and of the platform's list, of dead
+        members and of gateways named by summaries.
+        """
         now = self._clock.now()
         if now < self._contact_at:
             return []
--- a/src/apricotlever/vms/fleet_view.py
+++ b/src/apricotlever/vms/fleet_view.py
@@ -1,4 +1,4 @@
-"""A snapshot of the fleet as one VM knows it."""
+"""The view: a snapshot of the fleet as one VM knows it."""
 
 import typing
 
@@ -7,13 +7,14 @@
 
 
 class FleetView:
-    """Members that are not dead, this VM included.
+    """The members that one VM does not consider dead, itself included.
 
-    In a small fleet these are all members. In a large fleet they are those of
-    this VM's data centre, and ``summaries`` describe the other data centres.
+    In a small fleet these are all such members. In a large fleet they are
+    those of this VM's data centre, and ``summaries`` describe the other data
+    centres.
 
-    :param me: this VM's own record.
-    :param members: records by name.
+    :param me: this VM's own member record.
+    :param members: member records by name.
     :param summaries: fresh summaries by data centre; empty in a small fleet.
     """
 
@@ -31,7 +32,7 @@
 
     @property
     def size(self) -> int:
-        """Members of the whole fleet that are not dead."""
+        """Number of members of the whole fleet that are not dead."""
         return len(self.members) + sum(
             summary.members
             for name, summary in self.summaries.items()
@@ -59,7 +60,10 @@
         ]
 
     def serving_names(self, data_centre: str | None = None) -> list[str]:
-        """Names of the members that take new work."""
+        """Names of the members that take new work, in order.
+
+        :param data_centre: as for :meth:`serving`.
+        """
         return [member.vm for member in self.serving(data_centre)]
 
     def members_for_callers(self) -> list[pb.Member]:
--- a/src/apricotlever/vms/gossip_state.py
+++ b/src/apricotlever/vms/gossip_state.py
@@ -1,4 +1,4 @@
-"""Gossip state of one VM, and the messages composed from it."""
+"""What one VM knows by gossip, and the messages composed from that."""
 
 import random
 import typing
@@ -37,9 +37,11 @@
 
 
 class GossipState:
-    """Roster, rumours and data centre summaries held by one VM.
+    """Member records, rumours and data centre summaries held by one VM.
 
-    :param me: this VM's own record.
+    It composes the gossip messages to peers from them.
+
+    :param me: this VM's own member record.
     """
 
     __slots__ = (
@@ -118,7 +120,7 @@
         ]
 
     def view(self) -> fleet_view.FleetView:
-        """A snapshot of the members and summaries known now."""
+        """Take a snapshot of the members and summaries known now."""
         members = dict(self.roster.live)
         if self.me.state != pb.VM_DEAD:
             members[self.me.vm] = self.me
@@ -130,7 +132,11 @@
         return member.data_centre != self.me.data_centre
 
     def update_fleet_size(self) -> None:
-        """Return to a full view once the fleet has stayed small."""
+        """Count the fleet's members, and change the kind of view if needed.
+
+        A large fleet gets summaries at once. A full view returns once the
+        fleet has stayed small for a while.
+        """
         most = self._timing.full_view_max
         counted = self._count_members()
         self.observe_fleet_size(counted)
@@ -143,10 +149,12 @@
             self._large = False
 
     def observe_fleet_size(self, members: int) -> None:
-        """Note a VM's member count; switch to summaries if it is large.
+        """Note a count of the fleet's members; if large, use summaries.
 
         All VMs have to switch together. A VM with a full view would probe
         members in other data centres, which no longer have a record of it.
+
+        :param members: count of this VM, of a peer, or by summaries.
         """
         if members <= self._timing.full_view_max:
             return
@@ -158,14 +166,23 @@
     def merge_summaries(
         self, summaries: typing.Iterable[pb.DataCentreSummary]
     ) -> None:
-        """Merge summaries, which may show that the fleet is large."""
+        """Merge summaries of data centres received from a peer.
+
+        Their counts of members may show that the fleet is large.
+        """
         for summary in summaries:
             self.summaries.merge(summary)
         fresh = self.summaries.fresh.values() if summaries else ()
         self.observe_fleet_size(sum(summary.members for summary in fresh))
 
     def compose_message(self, to: pb.Member) -> pb.GossipMessage:
-        """Compose a message with the updates that are new to a VM."""
+        """Compose a gossip message with the updates that are due to be sent.
+
+        These are member records, rumours and, in a large fleet, summaries. In
+        a large fleet a VM of another data centre gets no member records.
+
+        :param to: receiver of the message.
+        """
         message = self._new_message()
         remote = self.is_remote(to)
         room = self._timing.packet_bytes
@@ -180,23 +197,27 @@
         return message
 
     def minimal_reply(self, to: pb.Member) -> pb.GossipMessage:
-        """Compose a message with only the records about the receiver."""
+        """Compose a gossip message without the updates that wait to be sent.
+
+        It has at most the record of the receiver, if that is news to it, such
+        as a suspicion that it has to refute.
+        """
         message = self._new_message()
         if not (self._large and self.is_remote(to)):
             message.members.extend(self._records_about(to))
         return message
 
     def attach_summaries(self, message: pb.GossipMessage) -> None:
-        """Add the summaries that gateways exchange to a message."""
+        """Add summaries to a message that goes to another data centre."""
         message.summaries.extend(
             self.summaries.pick(self._timing.packet_bytes)
         )
 
     def sync_request(self, to: pb.Member | None) -> pb.GossipMessage:
-        """Compose a request for the full view of another VM.
+        """Compose a request for another VM's full view, with this VM's own.
 
-        :param to: None when only an address is known. The own view is then
-            left out, as there may be no VM at that address.
+        :param to: receiver; None when only an address is known. This VM's view
+            is then left out, as there may be no VM at that address.
         """
         message = self._new_message()
         message.sync.question = True
@@ -205,7 +226,7 @@
         return message
 
     def sync_reply(self, to: pb.Member) -> pb.GossipMessage:
-        """Compose the reply to a sync request, with the own full view."""
+        """Compose the reply to a sync request, with this VM's full view."""
         message = self._new_message()
         message.sync.question = False
         self._fill_sync(message.sync, to)
--- a/src/apricotlever/vms/membership.py
+++ b/src/apricotlever/vms/membership.py
@@ -1,11 +1,11 @@
 """Membership of the entry VMs: a SWIM gossip protocol with Lifeguard.
 
-Each VM probes one other VM per interval, directly and then indirectly. A VM
-that does not answer is suspected; it is declared dead unless it refutes the
-suspicion in time. Member records and rumours are piggybacked on the probes;
-urgent ones are pushed at once. The class does no I/O: its caller calls
-:meth:`Membership.tick` about every ``TICK_S``, hands over received messages
-and performs the returned actions.
+Each VM probes one other VM per interval, first directly and then by asking
+other VMs to probe it. A VM that does not answer is suspected; it is declared
+dead unless it refutes the suspicion in time. Member records and rumours are
+piggybacked on the probes; urgent ones are pushed at once. The class does no
+I/O: its caller calls :meth:`Membership.tick` about every ``TICK_S``, hands
+over received messages and performs the returned actions.
 """
 
 import random
@@ -50,7 +50,10 @@
 class Membership:
     """This VM's side of the membership protocol.
 
-    :param me: this VM's own record: alive, with both addresses and the
+    Methods that process a message or the passage of time return the actions
+    that the caller has to perform.
+
+    :param me: this VM's own member record: alive, with both addresses and the
         incarnation of this process.
     :param timing: the protocol's intervals and bounds.
     :param hints: the seed nodes from the settings.
@@ -84,12 +87,15 @@
 
     @property
     def me(self) -> pb.Member:
-        """This VM's own record, as it is sent to others."""
+        """This VM's own member record, as it is sent to others."""
         return self._known.me
 
     @property
     def health_factor(self) -> int:
-        """The factor for probe interval and timeout; 1 when healthy."""
+        """The factor by which this VM lengthens probe interval and timeout.
+
+        It is 1 when this VM is healthy.
+        """
         return self._health.factor
 
     @property
@@ -103,11 +109,14 @@
         return self._known.view()
 
     def set_hints(self, hints: typing.Iterable[Hint]) -> None:
-        """Replace the hints from the platform's list, which may be stale."""
+        """Replace the possible members that the platform's list names.
+
+        The list may be stale.
+        """
         self._disseminator.set_hints(hints)
 
     def announce(self, rumour: pb.Rumour) -> pb.Rumour:
-        """Spread a rumour; it is not delivered to this VM itself.
+        """Spread a rumour to other VMs; it is not delivered to this VM itself.
 
         :param rumour: the body, ``scope``, ``lifetime_ms`` and, if newer
             rumours replace it, ``replaces_key``; other fields are filled in.
@@ -124,7 +133,10 @@
         )
 
     def tick(self) -> Actions:
-        """The actions that are due; to be called about every ``TICK_S``."""
+        """Return the messages and events that are due by the passage of time.
+
+        To be called about every ``TICK_S``.
+        """
         if self._exited:
             return []
         result = self._check_for_pause()
@@ -143,7 +155,7 @@
         return result
 
     def receive(self, message: pb.GossipMessage) -> Actions:
-        """Process the message of an incoming call.
+        """Process the message that a peer sent by a Gossip call.
 
         :returns: actions, among them one :class:`~.actions.Reply`; an empty
             list when the message must not be answered.
@@ -156,7 +168,7 @@
         return result
 
     def answered(self, message: pb.GossipMessage) -> Actions:
-        """Process the answer to a call that this VM made."""
+        """Process a peer's answer to a Gossip call that this VM made."""
         if self._exited or not message.sender.vm:
             return []
         return self._process(message)
--- a/src/apricotlever/vms/probing.py
+++ b/src/apricotlever/vms/probing.py
@@ -1,6 +1,8 @@
 """The failure detector: direct probe, indirect probes, then suspicion.
 
-One member is probed at a time.
+One member is probed at a time. If it does not ack a direct probe in time,
+other VMs are asked to probe it, too. If no ack arrives before the next probe
+is due, the member is suspected.
 """
 
 import random
@@ -13,7 +15,7 @@
 
 
 class ProbeStep:
-    """Base class of the steps that the prober requests.
+    """Base class of the steps that the prober asks its caller to perform.
 
     :param vm: the probed VM.
     :param sequence: the probe's sequence number.
@@ -33,7 +35,7 @@
 
 
 class ProbeIndirectly(ProbeStep):
-    """Ask other VMs to probe the VM."""
+    """Ask other VMs to probe the VM, as it has not answered this one."""
 
     __slots__ = ()
 
@@ -47,6 +49,11 @@
 class _ProbeInProgress:
     """The state of the probe in progress.
 
+    ``indirect_probes`` is the number of VMs asked to probe the target, and
+    ``nacks`` the number of those that reported that it did not answer.
+
+    :param vm: the target.
+    :param sequence: the probe's sequence number.
     :param sent_at: when the direct probe was sent, on the local monotonic
         clock.
     """
@@ -109,7 +116,7 @@
         self._next_at = clock.now() + rng.uniform(0, timing.probe_interval_s)
 
     def step(self, live: typing.Mapping[str, pb.Member]) -> list[ProbeStep]:
-        """The steps that are due.
+        """The steps of probing that are due.
 
         :param live: the members that may be probed, by name.
         """
@@ -135,7 +142,7 @@
             self._in_progress.indirect_probes = max(1, count)
 
     def acked(self, vm: str, sequence: int) -> None:
-        """Handle an ack, direct or relayed by another VM."""
+        """Handle a probed VM's ack, direct or relayed by another VM."""
         if self._matches(vm, sequence):
             assert self._in_progress is not None
             self._in_progress.acked = True
--- a/src/apricotlever/vms/relayed_probes.py
+++ b/src/apricotlever/vms/relayed_probes.py
@@ -5,7 +5,7 @@
 
 
 class RelayedProbe:
-    """One probe performed for another VM.
+    """A probe that this VM performs for another VM.
 
     :param origin: the VM that requested the probe.
     :param sequence: the requester's sequence number.
@@ -32,9 +32,9 @@
     """Relayed probes in progress, by this VM's own sequence number.
 
     :param timeout_s: when the target has not answered after this many
-        seconds, the requester gets a negative answer. It must arrive before
-        the requester's probe ends: it shows that the requester's own link
-        works.
+        seconds, the requester gets a negative answer. That answer must arrive
+        before the requester's probe ends: it shows that the requester's own
+        link works.
     """
 
     __slots__ = ("_clock", "_timeout_s", "_by_own_sequence")
@@ -47,10 +47,11 @@
     def begin(
         self, own_sequence: int, origin: pb.Member, request: pb.IndirectProbe
     ) -> None:
-        """Register a relayed probe.
+        """Register a probe that another VM has requested.
 
         :param own_sequence: the number of this VM's probe of the target.
         :param origin: the VM that requested the probe.
+        :param request: names the target and the requester's own number.
         """
         self._by_own_sequence[own_sequence] = RelayedProbe(
             origin,
--- a/src/apricotlever/vms/rendezvous.py
+++ b/src/apricotlever/vms/rendezvous.py
@@ -16,7 +16,7 @@
 
 
 def rank(key: str, names: typing.Iterable[str]) -> list[str]:
-    """All names by falling weight.
+    """Sort names by falling weight for a key.
 
     :param key: the key to assign.
     :param names: the candidates; order and duplicates do not matter.
@@ -27,5 +27,5 @@
 
 
 def pick(key: str, names: typing.Iterable[str]) -> str | None:
-    """The name with the greatest weight; None when there are no names."""
+    """The name with the greatest weight for a key; None without names."""
     return max(names, key=lambda name: (weight(key, name), name), default=None)
--- a/src/apricotlever/vms/roster.py
+++ b/src/apricotlever/vms/roster.py
@@ -1,4 +1,8 @@
-"""The records of other VMs, merged by a strict order of precedence."""
+"""Member records of the other VMs, merged by an order of precedence.
+
+A member record is what a VM knows of one VM: its addresses, its process and
+its state. VMs pass these records on to each other.
+"""
 
 import typing
 
@@ -9,7 +13,11 @@
 
 
 def precedence(member: pb.Member) -> Precedence:
-    """The precedence of a record; the greater one of a VM prevails."""
+    """The precedence of a member record among those of the same VM.
+
+    The record with the greatest precedence prevails: that of the newest
+    process, of its latest refutation and of the worst state.
+    """
     return member.incarnation, member.refutation, member.state
 
 
@@ -19,7 +27,10 @@
 
 
 def with_fields(member: pb.Member, **fields: typing.Any) -> pb.Member:
-    """A copy with some fields replaced; records themselves never change."""
+    """Copy a member record with some fields replaced.
+
+    The records themselves never change.
+    """
     copy = pb.Member()
     copy.CopyFrom(member)
     for name, value in fields.items():
@@ -28,7 +39,7 @@
 
 
 class MergeResult:
-    """The outcome of a merge that changed a record.
+    """The change of a VM's member record by a merge.
 
     :param before: the previous record; None when the VM was not known.
     :param after: the new record.
@@ -50,7 +61,7 @@
 
 
 class Roster:
-    """Records of the other VMs, with tombstones for the dead ones.
+    """Member records of the other VMs, with tombstones for the dead ones.
 
     Without tombstones, a stale record from another VM would make a dead VM
     live again, and work would be sent to it. The stale record loses against
@@ -78,7 +89,10 @@
 
     @property
     def changes(self) -> int:
-        """A counter that rises with every change of a record."""
+        """A counter that rises whenever a member record changes.
+
+        It does not count a record that differs in its accuser only.
+        """
         return self._change_count
 
     @property
@@ -88,20 +102,23 @@
 
     @property
     def all(self) -> typing.Mapping[str, pb.Member]:
-        """Every record by name, dead VMs included."""
+        """All member records by name, those of dead VMs included."""
         return self._records
 
     @property
     def dead(self) -> list[pb.Member]:
-        """The records of dead VMs that have not expired."""
+        """The member records of dead VMs that have not expired."""
         return [self._records[vm] for vm in self._died_at]
 
     def get(self, vm: str) -> pb.Member | None:
-        """The record of a VM, alive or dead; None when it is unknown."""
+        """The record of a VM, alive or dead; None when the VM is unknown."""
         return self._records.get(vm)
 
     def merge(self, member: pb.Member) -> MergeResult | None:
-        """Merge a received record.
+        """Merge a received member record by its precedence.
+
+        A record that does not prevail still shows that its VM is leaving, if
+        it is of the same process.
 
         :returns: the change; None when the record adds nothing new.
         """
@@ -117,6 +134,8 @@
     def update_accuser(self, member: pb.Member) -> None:
         """Store a record that differs from the known one in its accuser only.
 
+        The accuser is the VM that suspects the record's VM.
+
         :param member: a record of the same precedence.
         """
         self._records[member.vm] = member
--- a/src/apricotlever/vms/rumour_buffer.py
+++ b/src/apricotlever/vms/rumour_buffer.py
@@ -1,10 +1,11 @@
 """Rumours and member updates that are piggybacked on other messages.
 
-Each update is sent a number of times that grows with the logarithm of the
-count of members. That is enough for it to reach nearly all VMs; the exchange
-of full views brings it to the rest. Messages are bounded in bytes, and new and
-urgent updates go first: a flood of load digests delays load digests, not
-probes.
+A rumour is a message to all VMs of a data centre or of the fleet, such as one
+that a runner has gone. VMs pass it on to each other by gossip. Each update is
+sent a number of times that grows with the logarithm of the count of members.
+That is enough for it to reach nearly all VMs; the exchange of full views
+brings it to the rest. Messages are bounded in bytes, and new and urgent
+updates go first: a flood of load digests delays load digests, not probes.
 """
 
 import math
@@ -41,7 +42,7 @@
 def routine_send_limit(members: int) -> int:
     """How many times one VM sends a rumour that is not urgent.
 
-    :param members: size of the group.
+    :param members: number of members known to the VM, itself included.
     """
     return ROUTINE_SEND_FACTOR * max(1, math.ceil(math.log10(members + 1)))
 
@@ -52,7 +53,7 @@
     The count is capped: the push alone reaches nearly all VMs of a large
     group.
 
-    :param members: size of the group.
+    :param members: number of members known to the VM, itself included.
     """
     sends = URGENT_SEND_FACTOR * max(1, math.ceil(math.log2(members + 1)))
     return min(URGENT_SENDS_MAX, sends)
@@ -64,12 +65,15 @@
 
 
 def embedded_size_bytes(message: protobuf.Message) -> int:
-    """Size of a message when it is embedded in another one."""
+    """Size in bytes of a message when it is embedded in another one."""
     return message.ByteSize() + _FIELD_BYTES
 
 
 class _BufferedRumour:
-    """A rumour and its sends within and beyond this data centre."""
+    """A buffered rumour, and how often this VM has sent it.
+
+    Sends within this data centre and to other ones are counted separately.
+    """
 
     __slots__ = (
         "rumour",
@@ -92,7 +96,10 @@
 
 
 class RumourBuffer:
-    """Rumours that one VM has received and passes on.
+    """Rumours that one VM has announced or received, and passes on.
+
+    Each rumour is accepted once. It is passed on until it has been sent often
+    enough, its lifetime has ended or a newer rumour replaces it.
 
     :param vm: name of this VM.
     :param incarnation: incarnation of this process.
@@ -123,7 +130,7 @@
         return len(self._buffered)
 
     def add_own(self, rumour: pb.Rumour) -> pb.Rumour:
-        """Add a rumour that originates at this VM.
+        """Add a rumour that this VM announces.
 
         :param rumour: body, scope, ``lifetime_ms`` and ``replaces_key``.
         :returns: a copy with origin, sequence number and age filled in.
@@ -139,7 +146,7 @@
         return own
 
     def receive(self, rumour: pb.Rumour, via: str) -> bool:
-        """Buffer a received rumour.
+        """Buffer a received rumour, unless it is expired or already known.
 
         :param via: the VM that sent it; the rumour is not sent back there.
         :returns: whether it is new; expired rumours and duplicates are not.
@@ -171,7 +178,8 @@
         """Select rumours for one message and count them as sent.
 
         :param room_bytes: upper bound of their total size.
-        :param members: size of the group, which bounds the sends.
+        :param members: number of members known to this VM, itself included,
+            which determines how often each rumour is sent.
         :param to: receiver of the message.
         :param remote: whether the receiver is in another data centre; only
             rumours of fleet scope are selected then.
@@ -204,7 +212,7 @@
         ]
 
     def drop_expired(self) -> None:
-        """Drop expired rumours and identities."""
+        """Drop expired rumours, and identities that detect late copies."""
         now = self._clock.now()
         for identity in [
             identity
@@ -259,7 +267,10 @@
 
 
 class MemberUpdates:
-    """Updated member records, each sent a bounded number of times."""
+    """VMs whose member record has changed and is still to be passed on.
+
+    Each record is sent a bounded number of times.
+    """
 
     __slots__ = ("_sent", "_via")
 
@@ -268,7 +279,7 @@
         self._via: dict[str, str] = {}
 
     def add(self, vm: str, via: str = "", sent: int = 0) -> None:
-        """Start passing on the record of a VM.
+        """Start passing on the member record of a VM.
 
         :param via: the VM that sent it; the record is not sent back there.
         :param sent: sends to count as already made, for a record that most
@@ -284,10 +295,11 @@
         to: str,
         record_of: typing.Callable[[str], pb.Member | None],
     ) -> list[pb.Member]:
-        """Select records for one message and count them as sent.
+        """Select member records for one message and count them as sent.
 
         :param room_bytes: upper bound of their total size.
-        :param members: size of the group, which bounds the sends.
+        :param members: number of members known to this VM, itself included,
+            which determines how often each record is sent.
         :param to: receiver of the message.
         :param record_of: returns the current record of a VM, None if it is
             unknown.
--- a/src/apricotlever/vms/suspicion.py
+++ b/src/apricotlever/vms/suspicion.py
@@ -15,7 +15,7 @@
 
 
 class Suspicion:
-    """The timer of one suspected VM.
+    """The timer of one suspected VM, which is declared dead when it ends.
 
     :param started_at: when it started, in seconds.
     :param min_s: its duration once enough other VMs confirm the suspicion.
@@ -40,7 +40,7 @@
         return self._started_at + self._timeout_s()
 
     def add_accuser(self, vm: str) -> bool:
-        """Count a VM that suspects the same VM.
+        """Count a VM that suspects the same VM; it may shorten the timer.
 
         :param vm: the accuser: the VM that raised or confirms the suspicion.
         :returns: whether the accuser is new and confirmations still count.
@@ -63,7 +63,10 @@
 
 
 class LocalHealth:
-    """This VM's health score, from 0 (healthy) to ``MAX_HEALTH_SCORE``."""
+    """This VM's health score, from 0 (healthy) to ``MAX_HEALTH_SCORE``.
+
+    A VM with a high score probes less often and waits longer for acks.
+    """
 
     __slots__ = ("_score",)
 
--- a/src/apricotlever/vms/update_merger.py
+++ b/src/apricotlever/vms/update_merger.py
@@ -1,4 +1,4 @@
-"""Merges received records and rumours, and expires suspicions."""
+"""Merges member records and rumours from peers, and expires suspicions."""
 
 import typing
 
@@ -13,15 +13,17 @@
 
 Actions = list[actions.Action]
 
-# Most VMs already have a record that came with a full view. After many VMs
-# join, sending each such record the usual number of times would fill the
-# messages for a minute.
+# How often a member record that came with a full view is passed on. Most VMs
+# already have it. After many VMs join, sending each such record the usual
+# number of times would fill the messages for a minute.
 FULL_VIEW_SENDS = 2
 
 
 class UpdateMerger:
     """Merges updates from peers and declares members suspect or dead.
 
+    Its methods return the events that the caller has to handle, as actions.
+
     :param state: gossip state that the updates are merged into.
     :param health: worsened when other VMs suspect this one.
     """
@@ -51,7 +53,11 @@
         self._suspicions: dict[str, suspicion.Suspicion] = {}
 
     def merge_message(self, message: pb.GossipMessage) -> Actions:
-        """Merge all that a message carries beside its ``kind`` field."""
+        """Merge all that a gossip message carries beside its ``kind`` field.
+
+        This is the sender's own record, other member records, summaries of
+        data centres, rumours, and the catalogue version of the sender.
+        """
         sender = message.sender
         result = self._merge_sender(sender)
         result += self.merge_members(message.members, sender.vm)
@@ -64,6 +70,8 @@
     ) -> Actions:
         """Merge member records, which may include this VM's own.
 
+        This VM refutes a record by which it is suspect or dead.
+
         :param via: the VM that sent them.
         :param sent: sends to count as already made when they are passed on.
         """
@@ -99,18 +107,21 @@
     def merge_rumours(
         self, rumours: typing.Iterable[pb.Rumour], via: str
     ) -> Actions:
-        """Merge rumours; each one is delivered once."""
+        """Merge rumours; each new one is delivered here and passed on.
+
+        :param via: the VM that sent them.
+        """
         added = [r for r in rumours if self._state.rumours.receive(r, via)]
         self.push_due |= any(map(rumour_buffer.is_urgent, added))
         return [actions.RumourDelivered(rumour, via) for rumour in added]
 
     def suspect(self, vm: str) -> Actions:
-        """Declare a VM suspect, as it did not answer this one."""
+        """Declare a VM suspect, as it has not answered this VM's probe."""
         member = self._state.roster.live.get(vm)
         return [] if member is None else self._declare(member, pb.VM_SUSPECT)
 
     def expire_suspicions(self) -> Actions:
-        """Declare the suspects dead that did not refute in time."""
+        """Declare suspects dead that did not refute the suspicion in time."""
         now = self._clock.now()
         live = self._state.roster.live
         expired = [
@@ -125,7 +136,10 @@
         ]
 
     def raise_refutation(self, **fields: typing.Any) -> None:
-        """Raise the own refutation, so that the own record takes precedence.
+        """Raise the refutation number in this VM's own member record.
+
+        The record then takes precedence over those that other VMs have of
+        this VM.
 
         :param fields: fields of the own record to replace.
         """
@@ -261,7 +275,7 @@
 
 
 def _ended_incarnations(merged: rosters.MergeResult) -> list[int]:
-    """Incarnations that have certainly ended with this change."""
+    """Incarnations of a VM's processes that a change shows to have ended."""
     ended = []
     if merged.before is not None and merged.is_new_process:
         ended.append(merged.before.incarnation)
