--- a/src/apricotlever/vms/catalogue_deltas.py
+++ b/src/apricotlever/vms/catalogue_deltas.py
@@ -1,4 +1,9 @@
-"""Deltas between catalogue documents, and digests of documents."""
+"""Deltas between catalogue documents, and digests of documents.
+
+A catalogue document has sections, such as customers, each of which maps names
+to items. A delta lists the items that were set or removed, so that a peer
+with an older version need not be sent the whole document.
+"""
 
 import collections
 import itertools
@@ -23,12 +28,16 @@
 
 
 def compute_digest(document: Document) -> int:
-    """The 64-bit hash by which two copies of a version are compared."""
+    """The 64-bit hash by which copies of a catalogue version are compared."""
     return xxhash.xxh64_intdigest(canonical_json(document))
 
 
 def compute_changes(old: Document, new: Document) -> list[pb.CatalogueChange]:
-    """List the items of all sections that were set or removed."""
+    """List the items that differ between two catalogue documents.
+
+    :returns: changes by which :func:`apply_changes` turns the old document
+        into the new one, if :func:`can_express_change` holds.
+    """
     sections = sorted(set(old) | set(new))
     return list(
         itertools.chain.from_iterable(
@@ -41,7 +50,9 @@
 def apply_changes(
     document: Document, changes: typing.Iterable[pb.CatalogueChange]
 ) -> Document:
-    """Apply changes to a copy of a document; unchanged items are shared.
+    """Apply changes of items to a copy of a catalogue document.
+
+    Unchanged items are shared with the original.
 
     :raises ValueError: when a value is not JSON.
     """
@@ -56,10 +67,10 @@
 
 
 def can_express_change(old: Document, new: Document) -> bool:
-    """Whether a list of changes can express the whole difference.
+    """Whether changes of items express the whole difference of two documents.
 
-    A change names an item of a section. It can't express a section that is
-    added, removed or not a mapping.
+    A change names an item of a section. It can't express that a section was
+    added or removed, nor a section that is not a mapping.
     """
     sections = itertools.chain(old.values(), new.values())
     mappings = all(isinstance(section, dict) for section in sections)
@@ -67,7 +78,11 @@
 
 
 class _Delta:
-    """Changes from one version in force here to the next one."""
+    """Changes from one catalogue version in force at this VM to the next.
+
+    :param version: version that the changes start from.
+    :param digest: digest of that version.
+    """
 
     __slots__ = ("version", "digest", "changes")
 
@@ -80,7 +95,11 @@
 
 
 class DeltaHistory:
-    """The last deltas, to update peers that are a few versions behind."""
+    """The last changes of the catalogue in force at this VM.
+
+    A peer that is only a few versions behind can be sent these changes, not
+    the whole document.
+    """
 
     __slots__ = ("_deltas",)
 
@@ -100,13 +119,19 @@
         self._deltas.append(_Delta(version, digest, changes))
 
     def clear(self) -> None:
-        """Drop all deltas, as no changes lead to the next version."""
+        """Drop all deltas, when changes can't express the next version."""
         self._deltas.clear()
 
     def changes_since(
         self, version: int, digest: int
     ) -> list[pb.CatalogueChange] | None:
-        """All changes after a version; None when that version is not kept."""
+        """The changes that lead from a version to the one in force.
+
+        :param version: the older version.
+        :param digest: digest of the older version.
+        :returns: the last change of each item; None when the history does not
+            reach back to that version.
+        """
         deltas = list(
             itertools.dropwhile(
                 lambda delta: (delta.version, delta.digest)
--- a/src/apricotlever/vms/catalogue_replicator.py
+++ b/src/apricotlever/vms/catalogue_replicator.py
@@ -2,9 +2,10 @@
 
 The platform's store orders the versions. A few watchers in each data centre,
 picked by rendezvous hashing, hold a long-poll watch on the store. The other
-VMs learn of a version from peers and take the change from the rumour or fetch
-it from a peer. The version in force at a VM never decreases, whatever it
-receives. The class does no I/O.
+VMs learn of a version from messages of peers. They apply the change if a
+rumour carries it, and otherwise fetch it from a peer. The version in force at
+a VM never decreases, whatever the VM receives. The replicator does no I/O: it
+returns :mod:`actions <.replication_actions>` to its caller.
 """
 
 import random
@@ -35,7 +36,10 @@
 
 
 class CatalogueReplicator:
-    """One VM's part in replicating the catalogue.
+    """Decides when one VM fetches a catalogue and puts it in force.
+
+    Its methods take what the store and the peers report, and return the
+    actions that the caller has to take.
 
     :param vm: name of this VM.
     :param data_centre: data centre of this VM.
@@ -92,11 +96,16 @@
 
     @property
     def watching(self) -> bool:
-        """Whether this VM holds a watch on the store."""
+        """Whether this VM is one of those that watch the store themselves."""
         return self._watching
 
     def update_view(self, view: fleet_view.FleetView) -> Actions:
-        """Update the watchers and the peers to fetch from."""
+        """Set the view of the fleet, and decide whether to watch the store.
+
+        :param view: determines the watchers and the peers to fetch from.
+        :returns: the action that starts or stops watching, if this VM becomes
+            a watcher or ceases to be one.
+        """
         self._view = view
         names = view.serving_names(self._data_centre)
         key = f"watch/{self._data_centre}"
@@ -115,7 +124,11 @@
         ]
 
     def tick(self) -> Actions:
-        """Start fetches that are due; several if there is no catalogue yet."""
+        """Start the fetches from random peers that are due.
+
+        Several peers are asked while there is no catalogue yet, and one while
+        a newer version than the one in force is known.
+        """
         now = self._clock.now()
         self._fetching = {
             vm: until for vm, until in self._fetching.items() if until > now
@@ -129,7 +142,14 @@
         return []
 
     def peer_has_version(self, version: int, digest: int, via: str) -> Actions:
-        """Handle a peer's mention of the version in force there."""
+        """Handle a peer's message that names a catalogue version.
+
+        A version newer than the one in force is fetched from that peer, unless
+        a fetch is in progress or the version is known to be invalid. The
+        version in force with another digest is reported as a fault.
+
+        :param via: the VM that sent the message.
+        """
         current = self._versions.in_force
         if version == current.version and digest != current.digest and version:
             return self._report_clash(version, via)
@@ -139,10 +159,13 @@
         return [] if self._fetching else self._fetch_from([via])
 
     def receive_rumour(self, rumour: pb.Rumour, via: str) -> Actions:
-        """Handle a catalogue rumour, which may carry the change.
+        """Handle a rumour that announces a new catalogue version.
 
-        :param via: the VM that passed it on, which may not have the version
-            yet.
+        If the rumour carries the change from the version in force here, the
+        change is applied. Otherwise a newer version is fetched from ``via``.
+
+        :param via: the VM that passed the rumour on, which may not have the
+            version yet.
         """
         catalogue = rumour.catalogue
         current = self._versions.in_force
@@ -157,7 +180,15 @@
         return self.peer_has_version(catalogue.version, catalogue.digest, via)
 
     def receive_answer(self, vm: str, answer: pb.CatalogueDocument) -> Actions:
-        """Handle a peer's answer to a fetch."""
+        """Handle a peer's answer to a fetch.
+
+        A newer version is put in force if its document is valid. If this VM
+        is still behind, a later tick fetches again.
+
+        :param vm: the peer.
+        :param answer: the document, or the changes since the version that was
+            in force when the peer was asked.
+        """
         self._fetching.pop(vm, None)
         result = self._receive_document(answer, vm)
         if self._is_behind():
@@ -167,14 +198,20 @@
         return result
 
     def fetch_failed(self, vm: str) -> None:
-        """Note a failed fetch; a later tick asks a random peer."""
+        """Note that a peer's fetch failed; a later tick asks a random peer.
+
+        :param vm: the peer that was asked.
+        """
         self._fetching.pop(vm, None)
         self._retry_at = self._clock.now() + FETCH_RETRY_S
 
     def receive_stored(
         self, version: int, document: Document | None
     ) -> Actions:
-        """Handle the catalogue read from the store.
+        """Handle the catalogue that a watcher has read from the store.
+
+        A newer version is put in force if its document is valid. An older one,
+        as after the restore of a backup, is reported as a fault.
 
         :param version: version of the object; 0 when there is none.
         :param document: content of the object; None when there is none.
@@ -194,7 +231,7 @@
         return self._adopt(version, digest, document, STORE)
 
     def answer_fetch(self, request: pb.FetchCatalogue) -> pb.CatalogueDocument:
-        """Answer a peer's fetch."""
+        """Answer a peer's fetch with the catalogue in force at this VM."""
         return self._versions.answer_fetch(request)
 
     def _is_newer(self, version: int) -> bool:
@@ -206,8 +243,8 @@
         return self._is_newer(self._wanted)
 
     def _set_wanted(self, version: int) -> None:
-        # A wanted version expires, as all VMs that have it may be lost. While
-        # there are any, their messages mention the version again.
+        # A wanted version expires, as all VMs that have it may be lost. As
+        # long as a VM has it, the messages of that VM name it again.
         self._wanted = max(self._wanted, version)
         self._wanted_until = self._clock.now() + WANTED_VERSION_TTL_S
 
@@ -231,7 +268,8 @@
         if document is None:
             return self._fetch_from([via])
         if catalogue_deltas.compute_digest(document) != received.digest:
-            # The next fetch goes to a random peer.
+            # The version stays wanted: a later tick fetches it from a random
+            # peer.
             detail = "the document does not match its digest"
             return self._report(
                 replication_actions.Invalid(received.version, via, detail)
@@ -245,8 +283,8 @@
             return []
         error = self._check(document, version)
         if error is not None:
-            # The version is remembered, or it would be fetched again and
-            # again.
+            # The invalid version is remembered, or it would be fetched again
+            # and again.
             self._rejected.add(version)
             return self._report(
                 replication_actions.Invalid(version, source, error)
--- a/src/apricotlever/vms/catalogue_versions.py
+++ b/src/apricotlever/vms/catalogue_versions.py
@@ -9,12 +9,18 @@
 Document = catalogue_deltas.Document
 
 RUMOUR_LIFETIME_MS = 30_000
-# A change up to this size is sent with the rumour; a larger one is fetched.
+# Most bytes of a change that is sent with the rumour of a new version; peers
+# fetch a larger change.
 DELTA_BYTES_MAX = 600
 
 
 class CatalogueInForce:
-    """The catalogue in force, with its version and digest."""
+    """The catalogue in force at one VM.
+
+    :param version: version of the catalogue's object in the store; 0 while no
+        catalogue is in force.
+    :param digest: hash by which copies of the version are compared.
+    """
 
     __slots__ = ("version", "digest", "document")
 
@@ -28,7 +34,11 @@
 
 
 class CatalogueVersions:
-    """The catalogue in force and the last changes that led to it."""
+    """The catalogue in force at one VM and the last changes that led to it.
+
+    It encodes the catalogue for peers, as a document or as changes, and
+    decodes what peers send.
+    """
 
     __slots__ = ("_in_force", "_deltas")
 
@@ -46,14 +56,21 @@
     ) -> pb.Rumour:
         """Put a document in force.
 
-        :returns: a rumour that announces it, with the change if that is small.
+        :returns: a rumour that announces the version to peers, with the
+            change if that is small.
         """
         old = self._in_force
         self._in_force = CatalogueInForce(version, digest, document)
         return self._rumour(old, self._remember_delta(old, document))
 
     def answer_fetch(self, request: pb.FetchCatalogue) -> pb.CatalogueDocument:
-        """Answer a peer's fetch with a delta if that is smaller."""
+        """Encode the catalogue in force for a peer that fetches it.
+
+        :param request: names the version that the peer has.
+        :returns: only version and digest when the peer has the same version;
+            the changes since its version if they are known and smaller than
+            the document; otherwise the whole document.
+        """
         current = self._in_force
         answer = pb.CatalogueDocument(
             version=current.version, digest=current.digest
@@ -73,7 +90,8 @@
     def decode(self, received: pb.CatalogueDocument) -> Document | None:
         """Decode the document in a peer's message.
 
-        :returns: None for a delta whose base is not the version in force.
+        :returns: the whole document, also when the message has only changes;
+            None if these do not start from the version in force here.
         :raises ValueError: when the document can't be decoded.
         """
         current = self._in_force
@@ -107,9 +125,9 @@
     def _rumour(
         self, old: CatalogueInForce, changes: list[pb.CatalogueChange] | None
     ) -> pb.Rumour:
-        # The rumour's scope is this data centre only: each one has watchers of
-        # its own. When these are cut off from the store, its gateways learn of
-        # the version from other gateways.
+        # The rumour stays in this data centre, as each data centre has its own
+        # watchers. When those of a data centre are cut off from the store, its
+        # gateways learn of the version from the gateways of other ones.
         current = self._in_force
         rumour = pb.Rumour(
             scope=pb.SCOPE_DATA_CENTRE,
--- a/src/apricotlever/vms/replication_actions.py
+++ b/src/apricotlever/vms/replication_actions.py
@@ -1,17 +1,21 @@
-"""Actions that the catalogue replicator asks its owner to take."""
+"""Actions that the catalogue replicator asks its caller to take.
+
+They are returned by :class:`~.catalogue_replicator.CatalogueReplicator`, which
+does no I/O.
+"""
 
 from . import catalogue_deltas
 from ..links import peer_pb2 as pb
 
 
 class ReplicationAction:
-    """Base class of the actions."""
+    """Base class of the actions of the catalogue replicator."""
 
     __slots__ = ()
 
 
 class StartWatching(ReplicationAction):
-    """Read the object from the store, then watch it.
+    """Read the catalogue's object from the store, then watch it.
 
     Each result is passed to ``receive_stored``.
     """
@@ -20,13 +24,13 @@
 
 
 class StopWatching(ReplicationAction):
-    """Stop watching the store."""
+    """Stop watching the catalogue's object in the store."""
 
     __slots__ = ()
 
 
 class FetchFromPeer(ReplicationAction):
-    """Call Fetch at a peer.
+    """Fetch a newer catalogue from a peer by the Fetch call.
 
     The result is passed to ``receive_answer`` or ``fetch_failed``.
     """
@@ -42,9 +46,10 @@
 
 
 class ApplyCatalogue(ReplicationAction):
-    """Put a document in force.
+    """Put a catalogue document in force at this VM.
 
-    Its version and digest are also passed to ``Membership.set_catalogue``.
+    Its version and digest are also passed to ``Membership.set_catalogue``,
+    which advertises them to peers.
     """
 
     __slots__ = ("version", "digest", "document")
@@ -58,7 +63,7 @@
 
 
 class AnnounceRumour(ReplicationAction):
-    """Pass a rumour to ``Membership.announce``."""
+    """Announce a new version: pass a rumour to ``Membership.announce``."""
 
     __slots__ = ("rumour",)
 
@@ -69,7 +74,7 @@
 class Fault(ReplicationAction):
     """A fault reported to operators; the catalogue in force is unchanged.
 
-    :param version: version that was received.
+    :param version: catalogue version that was received.
     :param source: "store" or the name of the VM that sent it.
     :param detail: description of the fault in one sentence.
     """
@@ -83,21 +88,22 @@
 
 
 class StoreBehind(Fault):
-    """The store holds an older version, as after a restore of a backup.
+    """The store holds an older catalogue version than the one in force.
 
-    The catalogue in force stays.
+    It may do so after a restore of a backup, and may also hold none. The
+    catalogue in force stays.
     """
 
     __slots__ = ()
 
 
 class DigestClash(Fault):
-    """Two documents have one version number; the one in force stays."""
+    """Another document has the version in force; the one in force stays."""
 
     __slots__ = ()
 
 
 class Invalid(Fault):
-    """The document of a newer version is invalid; the old one stays."""
+    """The document of a newer version is invalid; the one in force stays."""
 
     __slots__ = ()
