--- a/src/apricotlever/vms/duties.py
+++ b/src/apricotlever/vms/duties.py
@@ -1,10 +1,10 @@
 """Duties that one VM at a time performs for the fleet, such as buying VMs.
 
-Each VM determines the responsible VM by rendezvous hashing over its live
-view, without exchanging messages. Views may differ for a short time, so the
-responsible VM must also hold a lease. Only that VM contends for the lease:
-the store receives one write per duty in each third of the lease's duration,
-whatever the size of the fleet.
+Each VM determines the responsible VM by rendezvous hashing over its view of
+the live VMs, without exchanging messages. Views may differ for a short time,
+so the responsible VM must also hold a lease. Only that VM contends for the
+lease: the store receives one write per duty in each third of the lease's
+duration, whatever the size of the fleet.
 """
 
 import random
@@ -132,9 +132,10 @@
             lease.want(False)
 
     def tick(self) -> list[lease_objects.LeaseAction]:
-        """The store calls that are due.
+        """The store calls that are due for the leases of the duties.
 
-        Each result is reported to the lease that :meth:`lease` returns.
+        The caller performs them, and reports each result to the lease that
+        :meth:`lease` returns.
         """
         due = (lease.tick() for lease in self._leases.values())
         return [action for action in due if action is not None]
@@ -148,7 +149,11 @@
         return self._leases[name.removeprefix(LEASE_PREFIX)]
 
     def may_order(self, name: str, order_s: float = 0.0) -> int | None:
-        """The fencing number for an order, checked just before sending it.
+        """The fencing number to send with an order, if it may be sent now.
+
+        An order is a call by which the VM that performs a duty directs an
+        upstream. This is to be called just before sending it, as the lease
+        may have expired since the order was decided on.
 
         :param name: the duty's name.
         :param order_s: the time needed to send the order, in seconds.
@@ -160,6 +165,9 @@
     def fencing_rejected(self, name: str, highest: int) -> None:
         """Handle an upstream's refusal of an order by its fencing number.
 
+        The number was too low. This VM sends no more orders for the duty until
+        it holds the lease with a number that is high enough.
+
         :param name: the duty's name.
         :param highest: the highest fencing number that the upstream saw.
         """
--- a/src/apricotlever/vms/lease_objects.py
+++ b/src/apricotlever/vms/lease_objects.py
@@ -1,4 +1,7 @@
-"""The lease object in the store, and the store calls that access it."""
+"""The lease object in the store, and the store calls that access it.
+
+A lease object names the VM that may perform a duty; see :mod:`.leases`.
+"""
 
 import typing
 
@@ -8,7 +11,7 @@
 
 
 class LeaseAction:
-    """Base class of the store calls that a lease requests.
+    """Base class of the store calls that :class:`~.leases.Lease` requests.
 
     :param name: the lease object's name.
     """
@@ -53,7 +56,9 @@
 
 
 class UnconfirmedWrite:
-    """A write without an answer: it may have taken effect, or still may.
+    """A write of the lease object to which the store gave no answer.
+
+    It may have taken effect, or still may.
 
     :param sent_at: when the write was sent, on the local monotonic clock.
     """
@@ -69,6 +74,7 @@
     """The lease object as this VM last observed it.
 
     :param version: None when the object does not exist.
+    :param value: the object's JSON value, with the holder of the lease.
     :param now: the time of the observation: ``since`` when this version was
         first observed, ``checked_at`` when it was last confirmed.
     """
--- a/src/apricotlever/vms/leases.py
+++ b/src/apricotlever/vms/leases.py
@@ -1,9 +1,11 @@
 """A lease on a duty: an object in the platform's store, with fencing.
 
 The object's value is ``{"holder", "incarnation", "fencing", "duration_s"}``.
-Each new holder raises the fencing number by one. Writes are conditional on
-the object's version, so only one of two concurrent writers succeeds. All
-times are local and monotonic; no clock of another machine is trusted:
+Each new holder raises the fencing number by one. The holder sends the number
+with each order, so that an upstream can refuse the late order of a former
+holder. Writes are conditional on the object's version, so only one of two
+concurrent writers succeeds. All times are local and monotonic; no clock of
+another machine is trusted:
 
 - the holder measures the duration from before it sent the renewal;
 - a contender measures it from its first observation of the current version,
@@ -24,14 +26,17 @@
 RENEW_FRACTION = 1 / 3
 # The rates of two machines' monotonic clocks may differ by this fraction.
 CLOCK_DRIFT_FRACTION = 0.01
-# Delay after a failed call; a random jitter is added to it.
+# Delay after a failed store call; a random jitter is added to it.
 RETRY_S = 1.0
 RETRY_JITTER_S = 0.5
 NEVER = float("-inf")
 
 
 class Lease:
-    """This VM's side of one lease.
+    """This VM's side of one lease: acquires, renews and releases it.
+
+    The caller makes the store calls that :meth:`tick` returns, and reports
+    their results.
 
     :param name: the lease object's name, such as "leases/capacity/sala-a".
     :param holder: this VM's name.
@@ -120,7 +125,9 @@
         return self._wanted
 
     def may_order(self, order_s: float = 0.0) -> int | None:
-        """The fencing number for an order, checked just before sending it.
+        """The fencing number to send with an order, if it may be sent now.
+
+        An order is a call by which the lease's holder directs an upstream.
 
         :param order_s: the time needed to send the order, in seconds; the
             lease must stay valid for that long.
@@ -157,14 +164,22 @@
         return surrendered
 
     def record_surrender(self, fencing: int) -> None:
-        """Record that a fencing number's holder has surrendered it."""
+        """Record that a fencing number's holder has surrendered it.
+
+        While the lease object still has that number, or a lower one, this VM
+        need not wait until the lease expires before it acquires it.
+        """
         if fencing > self._surrendered:
             self._surrendered = fencing
             self._surrendered_at = self._clock.now()
 
     @property
     def last_renewal(self) -> tuple[int, int] | None:
-        """The version and the fencing number while this VM holds the lease."""
+        """Version and fencing number of the object as this VM last wrote it.
+
+        The value is None while this VM does not hold the lease. Other VMs
+        learn of renewals by it.
+        """
         if not self.held or self._own_version is None:
             return None
         return self._own_version, self._fencing
@@ -240,7 +255,11 @@
     def read(
         self, version: int | None, value: dict[str, typing.Any] | None
     ) -> None:
-        """Report the object that was read; both None when there is none."""
+        """Report the result of a read of the lease object.
+
+        :param version: version of the object; None when there is no object.
+        :param value: JSON value of the object; None when there is no object.
+        """
         self._pending = None
         if value is not None and not lease_objects.is_lease_value(value):
             # Overwriting an object that somebody edited by hand would restart
@@ -256,7 +275,10 @@
             self._valid_until = NEVER
 
     def written(self, version: int) -> None:
-        """Report that the write took effect."""
+        """Report that the write of the lease object took effect.
+
+        :param version: version that the write gave to the object.
+        """
         write, self._pending = self._pending, None
         if not isinstance(write, lease_objects.WriteLease):
             return
@@ -274,7 +296,10 @@
         self._observed = None
 
     def ambiguous(self) -> None:
-        """Report a write without an answer; the object is read next."""
+        """Report a write to which the store gave no answer.
+
+        The object is read next, as the write may have taken effect.
+        """
         write, self._pending = self._pending, None
         self._observed = None
         if (
@@ -287,7 +312,7 @@
         self._backoff()
 
     def failed(self) -> None:
-        """Report a call that had no effect; it is retried after a delay."""
+        """Report a store call without effect; it is retried after a delay."""
         self._pending = None
         self._backoff()
 
@@ -299,7 +324,8 @@
         self, action: lease_objects.LeaseAction
     ) -> lease_objects.LeaseAction:
         self._pending = action
-        # Taken before the call: the store may apply it at any later moment.
+        # The time is taken before the call, as the store may apply a write at
+        # any later moment.
         self._sent_at = self._clock.now()
         return action
 
--- a/src/apricotlever/vms/orders.py
+++ b/src/apricotlever/vms/orders.py
@@ -19,7 +19,7 @@
 
 
 class OrderAction:
-    """Base class of the calls to upstreams.
+    """Base class of the calls to upstreams that :class:`Orders` requests.
 
     :param upstream: the upstream to call.
     """
@@ -31,9 +31,12 @@
 
 
 class SendOrder(OrderAction):
-    """Send the target; check ``Duties.may_order`` just before.
+    """Send an upstream its target; check ``Duties.may_order`` just before.
 
     Report the result by :meth:`Orders.sent` or :meth:`Orders.not_sent`.
+
+    :param order_id: identifies the order; a repeat of it has the same ID.
+    :param target: the target state to order.
     """
 
     __slots__ = ("order_id", "target")
@@ -45,7 +48,10 @@
 
 
 class ReadBack(OrderAction):
-    """Read the target in force; report it by :meth:`Orders.target_read`."""
+    """Read the target in force at an upstream.
+
+    Report the result by :meth:`Orders.target_read`.
+    """
 
     __slots__ = ()
 
@@ -70,6 +76,9 @@
 class Orders:
     """The targets of upstreams that this VM is responsible for.
 
+    Each target is sent and read back until the upstream shows it, and read
+    again from time to time after that.
+
     :param vm: this VM's name, part of the order IDs.
     :param incarnation: the incarnation of this process.
     """
@@ -111,7 +120,7 @@
         self._targets.pop(upstream, None)
 
     def tick(self) -> list[OrderAction]:
-        """The calls that are due.
+        """The calls to upstreams that are due.
 
         A call is due again after ``RETRY_S`` unless its result is reported.
         """
@@ -120,18 +129,27 @@
         return [self._next_action(upstream, now) for upstream in due]
 
     def sent(self, upstream: str) -> None:
-        """Report that the upstream accepted the order, or may have done so."""
+        """Report that the upstream accepted the order, or may have done so.
+
+        The target in force is read back next.
+        """
         self._schedule_read_back(upstream, 0.0)
 
     def not_sent(self, upstream: str) -> None:
-        """Report that the call had no effect or was refused; it is retried."""
+        """Report that the call had no effect or was refused.
+
+        The target is sent after a delay, also when the call was a read.
+        """
         state = self._targets.get(upstream)
         if state is not None:
             state.must_read = False
             state.due_at = self._clock.now() + RETRY_S
 
     def target_read(self, upstream: str, target: Target) -> None:
-        """Report the target in force, as read from the upstream."""
+        """Report the target in force, as read from the upstream.
+
+        If it is not the one that was set here, that one is sent again.
+        """
         state = self._targets.get(upstream)
         if state is None:
             return
