--- a/src/apricotlever/vms/aggregates.py
+++ b/src/apricotlever/vms/aggregates.py
@@ -1,9 +1,9 @@
 """Messages by which an aggregator reports on many VMs at once.
 
-In a large fleet each VM sends its records to one VM of its data centre, the
-aggregator. The aggregator sums the counters that can be summed and passes on
-changes of the other fields, to the VMs that it serves and to the other
-aggregators.
+In a large fleet each VM sends its status records (:mod:`.vm_records`) to one
+VM of its data centre, its aggregator, which is said to serve it. The
+aggregator sums the counters that can be summed and passes on changes of the
+other fields, to the VMs that it serves and to the other aggregators.
 """
 
 import typing
@@ -21,7 +21,7 @@
 
 
 class Aggregate:
-    """One message of an aggregator.
+    """A report that an aggregator sends on the state of many VMs.
 
     :param vm: name of the aggregator.
     :param incarnation: incarnation of its process.
@@ -29,20 +29,22 @@
     :param peer_address: where the aggregator receives messages of peers,
         ``host:port``.
     :param whole: whether the message covers the whole fleet, for the VMs that
-        the aggregator serves; otherwise it covers only these VMs, for the
-        other aggregators.
-    :param entries: records of VMs that have changed or are due for a repeat,
-        without the fields that are summed.
+        the aggregator serves; otherwise it covers only the VMs that the
+        aggregator serves, for the other aggregators.
+    :param entries: status records of VMs that have changed or are due for a
+        repeat, without the fields that are summed.
     :param ages: seconds since each live VM was last heard from; in most
         messages only of the VMs in ``entries``.
-    :param used: changed totals of admitted units, by process and customer.
+    :param used: totals of admitted units that have changed, by process and
+        customer; see :class:`.vm_records.VmRecord`.
     :param loads: load of each runner that has any, summed over VMs.
-    :param silent: number of VMs that find a runner silent.
-    :param failures: calls counted since the aggregator's process started;
-        empty in most messages.
+    :param silent: number of VMs that find a runner silent, by runner.
+    :param failures: failed calls and all calls by runner, counted since the
+        aggregator's process started; empty in most messages.
     :param included: sequence number of the last record of each VM that the
-        loads include.
-    :param trials: summed counts of calls at old and new versions.
+        loads include. By it a VM finds its own part of the loads.
+    :param trials: summed counts of calls at the old and new versions of
+        roll-outs.
     """
 
     __slots__ = (
@@ -93,11 +95,11 @@
 
     @property
     def process(self) -> str:
-        """Identifier of the aggregator's process, not only of its VM."""
+        """Identifier of the aggregator's process; a restart changes it."""
         return f"{self.vm}#{self.incarnation}"
 
     def to_record(self) -> list[typing.Any]:
-        """Encode as a list of the fields in order."""
+        """Encode as the list of its fields, in order, to be sent to peers."""
         record = [getattr(self, name) for name in self.__slots__]
         record[_ENTRIES_AT] = [entry.to_record() for entry in self.entries]
         return record
@@ -164,7 +166,10 @@
 
 
 class Tally:
-    """Counts of the VMs that an aggregator serves, for duty holders.
+    """Usage and work counts of the VMs that an aggregator serves.
+
+    It is sent to the VMs that hold the fleet's duties or may take them over,
+    as they need the counts of all VMs.
 
     :param vm: name of the aggregator.
     :param peer_address: where the aggregator receives messages of peers,
@@ -186,7 +191,7 @@
         self.counts = counts
 
     def to_record(self) -> list[typing.Any]:
-        """Encode as a list of the fields in order."""
+        """Encode as the list of its fields, in order, to be sent to peers."""
         return [getattr(self, name) for name in self.__slots__]
 
     @classmethod
--- a/src/apricotlever/vms/follower_selection.py
+++ b/src/apricotlever/vms/follower_selection.py
@@ -1,9 +1,9 @@
 """Selection of the VMs that follow the store on behalf of all.
 
-Each change of a followed object completes a long-poll call of every follower.
-Only a few VMs follow the store, therefore, and the others learn of changes
-from them. VMs whose calls fail don't count as followers, so that others
-replace them.
+A follower is a VM that learns of changes by long-poll calls to the store. Each
+change of a followed object completes a call of every follower. Only a few VMs
+follow the store, therefore, and the others learn of changes from them. VMs
+whose calls fail don't count as followers, so that others replace them.
 """
 
 import typing
@@ -13,12 +13,13 @@
 from . import rendezvous
 from . import vm_records
 
-#: If one follower is refused by the store and another has just ended, one is
-#: left.
+#: Number of VMs that follow the store. If one follower is refused by the store
+#: and another has just ended, one is left.
 FOLLOWER_COUNT = 3
 RANK_KEY = "follow"
-#: Seconds after its start in which a process does not decide, as it knows few
-#: peers. Otherwise each VM of a fleet that starts at once would select itself.
+#: Seconds after its start in which a process does not decide whether to follow
+#: the store, as it knows few peers. Otherwise each VM of a fleet that starts
+#: at once would select itself.
 START_UP_S = 1.0
 #: While no VM follows with success, the number of VMs that try doubles after
 #: each such time, in seconds: the first ones may be unable to reach the store.
@@ -26,7 +27,11 @@
 
 
 class FollowerSelection:
-    """Decides whether one VM follows the store.
+    """Decides whether one VM follows the store, by rendezvous hashing.
+
+    The VM is ranked with the peers that follow the store, or with all live
+    peers while none does. It follows the store if it is one of the first
+    :data:`FOLLOWER_COUNT`. While no peer follows, more and more VMs try.
 
     :param vm: name of the VM.
     """
@@ -55,9 +60,10 @@
         return self._follows
 
     def update(self, peers: typing.Iterable[vm_records.VmRecord]) -> None:
-        """Decide by the records of the live peers.
+        """Decide again whether this VM has to follow the store.
 
-        :param peers: records of the other live VMs.
+        :param peers: status records of the other live VMs, which tell whether
+            each one follows the store.
         """
         now = self._clock.now()
         if now - self._started_at < START_UP_S:
@@ -70,8 +76,8 @@
             self._no_follower_since = now
         inputs = (following, frozenset(p.vm for p in alive))
         if following and inputs == self._last_inputs:
-            # Ranking would take most of the time of a decision in a large
-            # fleet.
+            # The decision stays. Ranking would take most of its time in a
+            # large fleet.
             return
         self._last_inputs = inputs
         ranked = rendezvous.rank(
--- a/src/apricotlever/vms/peer_loads.py
+++ b/src/apricotlever/vms/peer_loads.py
@@ -1,4 +1,8 @@
-"""Loads of the other VMs at the runners, from records or aggregates."""
+"""Loads that the other VMs put on the runners.
+
+They are summed from the status records of the VMs. A VM that uses an
+aggregator takes them from its aggregates, which have sums over all VMs.
+"""
 
 import collections
 import typing
@@ -17,17 +21,18 @@
 
 
 class PeerLoads:
-    """Loads of the other VMs, by runner.
+    """Loads that the other VMs put on the runners.
 
-    :param in_flight: number of their calls.
-    :param pending: waiting prompt tokens of their calls.
-    :param silent: number of VMs that find the runner silent.
+    :param in_flight: number of their calls in flight, by runner.
+    :param pending: waiting prompt tokens of their calls, by runner.
+    :param silent: number of VMs that find a runner silent, by runner; counts
+        this VM, too, if ``from_aggregate`` is set.
     :param failures: counts of failed calls and of all calls, by the process
-        that counted them.
-    :param summed: whether the failures are those of all VMs, this one
-        included.
+        that reported them and by runner.
+    :param from_aggregate: whether the values come from an aggregate. The
+        failures are then those of all VMs, this one included.
     :param trials: counts of calls at old and new versions; includes those of
-        this VM if ``summed`` is set.
+        this VM if ``from_aggregate`` is set.
     """
 
     __slots__ = (
@@ -59,7 +64,7 @@
 def loads_of_records(
     records: typing.Sequence[vm_records.VmRecord],
 ) -> PeerLoads:
-    """Sum the loads in the records of the other VMs."""
+    """Sum the loads in the status records of the other VMs."""
     return PeerLoads(
         sum_counts(record.in_flight for record in records),
         sum_counts(record.pending for record in records),
@@ -70,7 +75,7 @@
 
 
 def sum_counts(parts: typing.Iterable[typing.Mapping[str, int]]) -> Counts:
-    """Sum counts by name."""
+    """Add up maps of counts, name by name."""
     sums: Counts = {}
     for part in parts:
         for name, count in part.items():
@@ -79,7 +84,7 @@
 
 
 class _SentLoads:
-    """This VM's own loads as sent with one of its records."""
+    """This VM's own loads as sent with one of its status records."""
 
     __slots__ = ("at", "in_flight", "pending")
 
@@ -117,7 +122,10 @@
         return self._loads
 
     def record_sent(self, record: vm_records.VmRecord) -> None:
-        """Note the loads sent with a record of this VM."""
+        """Note the loads that a status record of this VM reports.
+
+        They are subtracted from an aggregate that includes the record.
+        """
         now = self._clock.now()
         self._sent[record.number] = _SentLoads(
             now, record.in_flight, record.pending
@@ -126,7 +134,10 @@
             self._sent.popitem(last=False)
 
     def receive_aggregate(self, aggregate: aggregates.Aggregate) -> None:
-        """Set the loads from an aggregate, unless a later one came before."""
+        """Set the others' loads from an aggregate that includes this VM's.
+
+        An aggregate is ignored if a later one has been received before it.
+        """
         latest = (aggregate.process, aggregate.number)
         if (
             latest[0] == self._last_aggregate[0]
--- a/src/apricotlever/vms/peer_table.py
+++ b/src/apricotlever/vms/peer_table.py
@@ -1,4 +1,4 @@
-"""Latest records of the other VMs, and which of them are alive.
+"""Latest status records of the other VMs, and which of them are alive.
 
 A VM is alive while its own records or an aggregator's reports of it arrive.
 """
@@ -10,12 +10,12 @@
 
 from . import vm_records
 
-#: Seconds of silence after which a VM is no longer given to callers: five
-#: records in a row are hardly lost by chance.
+#: Seconds of silence after which a VM does not count as alive and is no longer
+#: given to callers: five records in a row are hardly lost by chance.
 ALIVE_TIMEOUT_S = 1.1
-#: The same where an aggregator reports the VMs: their records are less
-#: frequent, only every third aggregate has the ages of all VMs, and the change
-#: to another aggregator takes some time.
+#: Seconds of silence after which a VM does not count as alive if an aggregator
+#: reports it: its records are less frequent, only every third aggregate has
+#: the ages of all VMs, and the change to another aggregator takes some time.
 ALIVE_TIMEOUT_AGGREGATED_S = 2.4
 #: Mean seconds between two signs of life of a VM reported by an aggregator.
 MEAN_INTERVAL_AGGREGATED_S = 0.8
@@ -29,7 +29,7 @@
 
 
 class _Peer:
-    """A VM's latest record and the time of its last sign of life."""
+    """A VM's latest status record and the time of its last sign of life."""
 
     __slots__ = ("digest", "heard_at")
 
@@ -39,7 +39,9 @@
 
 
 class PeerTable:
-    """The other VMs, by their latest records.
+    """The latest status record of each other VM, and peer addresses.
+
+    It tells which VMs are alive, and to which addresses to send records.
 
     :param vm: name of this VM.
     :param address: where this VM receives messages of peers, ``host:port``.
@@ -71,7 +73,7 @@
         self._vm = vm
         self._address = address
         self._seeds = frozenset(seeds) - {address}
-        #: Time at which each address was noted.
+        #: Time at which each address of a possible member was first noted.
         self._hints: dict[str, float] = {}
         self._peers: dict[str, _Peer] = {}
         #: Offset of the last record's receivers among all addresses. It starts
@@ -95,7 +97,10 @@
 
     @property
     def is_large(self) -> bool:
-        """Whether there are more members than receivers of one record."""
+        """Whether there are more members than receivers of one record.
+
+        The VMs of such a fleet use aggregators.
+        """
         return len(self.member_addresses()) > FANOUT
 
     @property
@@ -112,7 +117,7 @@
         self._seeds = frozenset(seeds) - {self._address}
 
     def hint(self, addresses: typing.Iterable[str]) -> None:
-        """Note addresses of possible members."""
+        """Note peer addresses at which there may be members."""
         now = self._clock.now()
         for address in addresses:
             if address != self._address:
@@ -121,8 +126,11 @@
     def receive_record(
         self, digest: vm_records.VmRecord, age_s: float = 0.0
     ) -> vm_records.VmRecord | None:
-        """Merge a record.
+        """Store a VM's status record if it is later than the known one.
 
+        The peer addresses in the record are noted, too.
+
+        :param digest: the record.
         :param age_s: seconds since its VM sent it.
         :returns: the last record of the VM's former process if this record
             shows that the VM has restarted, else None.
@@ -155,7 +163,7 @@
             peer.heard_at = max(peer.heard_at, heard_at)
 
     def addresses(self, vms: typing.Iterable[str]) -> list[str]:
-        """Peer addresses of VMs, without those not known."""
+        """Peer addresses of the given VMs; unknown VMs are left out."""
         peers = map(self._peers.get, vms)
         return [peer.digest.peer_address for peer in peers if peer is not None]
 
@@ -165,17 +173,19 @@
         return peer.digest.data_centre if peer is not None else ""
 
     def processes(self, vms: typing.Iterable[str]) -> list[str]:
-        """Processes of VMs, without those not known."""
+        """Processes of the given VMs; unknown VMs are left out."""
         peers = map(self._peers.get, vms)
         return [peer.digest.process for peer in peers if peer is not None]
 
     def silent_addresses(self) -> list[str]:
-        """Addresses of possible members that are silent."""
+        """Addresses of possible members, without those of live VMs."""
         alive = {digest.peer_address for digest in self.alive()}
         return [a for a in self.member_addresses() if a not in alive]
 
     def receivers(self) -> list[str]:
-        """Select the receivers of the next record; all come in turn.
+        """Select the addresses to send this VM's next record to.
+
+        In a large fleet they are some of the members; all come in turn.
 
         If receivers were drawn at random, some VMs of a large fleet would get
         no record of another one for so long that they considered it silent,
@@ -203,7 +213,10 @@
         )
 
     def member_addresses(self) -> list[str]:
-        """Addresses of all possible members."""
+        """Peer addresses of all possible members, sorted.
+
+        These are the addresses of recent members, noted ones and the seeds.
+        """
         now = self._clock.now()
         members = {
             peer.digest.peer_address
@@ -218,19 +231,22 @@
         return sorted(members | set(self._hints) | self._seeds)
 
     def known(self) -> list[str]:
-        """Addresses of live members to include in a record."""
+        """Peer addresses of live members to include in this VM's record.
+
+        If there are too many for a record, some are chosen at random.
+        """
         addresses = [digest.peer_address for digest in self.alive()]
         if len(addresses) <= MAX_KNOWN_ADDRESSES:
             return addresses
         return self._rng.sample(addresses, MAX_KNOWN_ADDRESSES)
 
     def alive(self) -> list[vm_records.VmRecord]:
-        """Records of the VMs that are alive."""
+        """Status records of the VMs that are alive, as heard from recently."""
         since = self._clock.now() - self._alive_timeout_s()
         return [p.digest for p in self._peers.values() if p.heard_at > since]
 
     def members(self) -> list[vm_records.VmRecord]:
-        """Records of the VMs that may be alive, even if they are silent.
+        """Status records of VMs that may be alive, even if they are silent.
 
         A VM that announced its departure and then fell silent has ended.
         """
--- a/src/apricotlever/vms/record_aggregation.py
+++ b/src/apricotlever/vms/record_aggregation.py
@@ -1,9 +1,9 @@
 """State of the fleet at an aggregator, and the aggregates built from it.
 
-An aggregator receives the records of the VMs that use it, and the aggregates
-of the other aggregators. It sums the loads. Of the other fields it passes on
-only changes, and repeats each VM's record in turn to make up for lost
-messages.
+An aggregator receives the status records of the VMs that use it, which it is
+said to serve, and the aggregates of the other aggregators. It sums the loads.
+Of the other fields it passes on only changes, and repeats each VM's record in
+turn to make up for lost messages.
 """
 
 import itertools
@@ -21,9 +21,9 @@
 #: Seconds between two aggregates.
 AGGREGATE_INTERVAL_S = 0.1
 #: One aggregate in this many is sent even without changes. It has the age of
-#: each VM's last sign of life.
+#: the last sign of life of each VM, so that the receivers know who is alive.
 KEEPALIVE_EVERY = 3
-#: One aggregate in this many includes the counts of failures.
+#: One aggregate in this many includes the counts of failed calls.
 FAILURES_EVERY = 6
 #: Seconds for which the loads reported by another aggregator count. If that
 #: aggregator has ended, its VMs use another one by this time.
@@ -31,7 +31,7 @@
 
 
 class _ReportingVm:
-    """A VM whose records are received directly.
+    """A VM that sends its status records to this VM itself.
 
     ``usage`` and ``work`` are those of the last record that had them.
     """
@@ -46,7 +46,7 @@
 
 
 class _AggregatorReport:
-    """Latest sums that another aggregator reported of its VMs."""
+    """Sums in another aggregator's last report on the VMs that it serves."""
 
     __slots__ = (
         "number",
@@ -69,7 +69,10 @@
 
 
 class _LastSent:
-    """The sums in the aggregate that was sent last."""
+    """The sums in the aggregate that was sent last to a group of receivers.
+
+    An aggregate that has nothing new compared with it need not be sent.
+    """
 
     __slots__ = ("_loads", "_silent", "_trials")
 
@@ -81,7 +84,9 @@
     def if_changed(
         self, aggregate: aggregates.Aggregate, keepalive: bool
     ) -> aggregates.Aggregate | None:
-        """Return the aggregate if it has to be sent, else None.
+        """Return an aggregate if it has to be sent, else None.
+
+        The sums of an aggregate that is returned are remembered.
 
         :param keepalive: whether to send it even without changes.
         """
@@ -98,7 +103,7 @@
 
 
 class RecordAggregator:
-    """Collects records and reports, and builds aggregates from them.
+    """Builds aggregates from VMs' records and other aggregators' reports.
 
     :param vm: name of the aggregator.
     """
@@ -134,12 +139,12 @@
 
     @property
     def relay(self) -> record_relay.RecordRelay:
-        """Records of all VMs of the fleet."""
+        """The latest record of each VM of the fleet, to be passed on."""
         return self._relay
 
     @property
     def served(self) -> list[vm_records.VmRecord]:
-        """The last records of the VMs that use this one."""
+        """Last records of the live VMs that use this one as aggregator."""
         return [
             member.record
             for member in self._members.values()
@@ -148,7 +153,7 @@
 
     @property
     def counts(self) -> dict[str, tuple[typing.Any, typing.Any]]:
-        """Usage and work of the VMs that use this one, by process."""
+        """Usage and work counts of the served VMs, by process."""
         return {
             member.record.process: (member.usage, member.work)
             for member in self._members.values()
@@ -157,7 +162,7 @@
 
     @property
     def recent_aggregators(self) -> list[str]:
-        """Names of the aggregators with a recent report."""
+        """Names of the other aggregators that have reported recently."""
         since = self._clock.now() - REPORT_VALID_S
         return [
             vm
@@ -166,11 +171,14 @@
         ]
 
     def resend_records(self) -> None:
-        """Send all directly received records again, for a new aggregator."""
+        """Include all directly received records in the next aggregates again.
+
+        A newly selected aggregator does not have them yet.
+        """
         self._relay.resend(self._members)
 
     def receive_record(self, record: vm_records.VmRecord) -> bool:
-        """Handle a record sent by the VM itself.
+        """Merge a status record that its VM sent to this one itself.
 
         :returns: whether the VM has just begun to use this aggregator.
         """
@@ -192,7 +200,7 @@
         return serves and not (known is not None and self._serves(known))
 
     def receive_aggregate(self, aggregate: aggregates.Aggregate) -> None:
-        """Handle the aggregate of another aggregator about its VMs."""
+        """Merge another aggregator's report on the VMs that it serves."""
         now = self._clock.now()
         known = self._reports.get(aggregate.vm)
         if (
@@ -221,7 +229,7 @@
         number: int,
         runners: typing.Container[str],
     ) -> tuple[aggregates.Aggregate | None, aggregates.Aggregate | None]:
-        """Build the next aggregates.
+        """Build the next aggregates from what has been received.
 
         :param own: the aggregator's own next record.
         :param number: sequence number of the aggregates.
@@ -285,14 +293,23 @@
     def needs_catch_up(self, record: vm_records.VmRecord) -> bool:
         """Whether a served VM hears from fewer VMs than are known here.
 
-        That VM has just started, or messages about some VMs were lost.
+        That VM has just started, or messages about some VMs were lost. It can
+        then be sent the :meth:`full_state`.
+
+        :param record: the last record of the served VM.
         """
         return record.hears + 1 < self._relay.count_propagated()
 
     def ages_message(
         self, own: vm_records.VmRecord, number: int
     ) -> aggregates.Aggregate:
-        """Build the answer to a newly served VM: ages of all live VMs."""
+        """Build the answer to the first record of a newly served VM.
+
+        It has only the seconds since the last sign of life of each live VM.
+
+        :param own: a record of this VM.
+        :param number: sequence number of the aggregate.
+        """
         return aggregates.Aggregate(
             own.vm,
             own.incarnation,
@@ -305,12 +322,15 @@
     def full_state(
         self, own: vm_records.VmRecord, number: int, data_centre: str
     ) -> list[aggregates.Aggregate]:
-        """Build the aggregates for a VM that knows few others.
+        """Build the aggregates that tell a VM of all the others.
 
-        :param data_centre: data centre of that VM. In a remote data centre it
-            is sent only the records of that data centre, to find an aggregator
-            there: all VMs of a starting fleet ask the few VMs whose addresses
-            they know.
+        A VM of a remote data centre is sent only the records of that data
+        centre, to find an aggregator there: all VMs of a starting fleet ask
+        the few VMs whose addresses they know.
+
+        :param own: a record of this VM.
+        :param number: sequence number of the aggregates.
+        :param data_centre: data centre of the VM to be told.
         """
         is_local = data_centre == own.data_centre
         records = self._relay.live_records("" if is_local else data_centre)
@@ -337,7 +357,7 @@
         )
 
     def _update_trials(self, record: vm_records.VmRecord) -> None:
-        """Keep the counts of a process that uses this VM as aggregator.
+        """Keep the trial counts of a process that this VM serves.
 
         The last counts of a terminated process are kept; those of a process
         that uses another aggregator are counted there.
@@ -373,7 +393,7 @@
         }
 
     def _drop_ended(self, runners: typing.Container[str]) -> None:
-        """Drop VMs and runners that have ended."""
+        """Drop the state of VMs and runners that have ended."""
         self._relay.drop_expired()
         self._members = {
             vm: member
@@ -420,7 +440,7 @@
 def _sum_pairs(
     parts: typing.Iterable[typing.Mapping[str, tuple[int, int]]],
 ) -> dict[str, tuple[int, int]]:
-    """Sum pairs of counts by name."""
+    """Add up maps of pairs of counts, name by name."""
     sums: dict[str, tuple[int, int]] = {}
     for part in parts:
         for name, (one, two) in part.items():
--- a/src/apricotlever/vms/record_exchange.py
+++ b/src/apricotlever/vms/record_exchange.py
@@ -1,9 +1,10 @@
 """Exchange of status records between the VMs of a fleet.
 
 In a small fleet each record is sent to all other VMs. In a larger fleet a VM
-sends each changed record at once to the aggregator that it uses, and less
-often to the fallback aggregator, so that this one can take over. A VM without
-an aggregator sends its records to the other VMs itself, to some at a time.
+sends each changed record at once to the aggregator that it uses, which reports
+to the other VMs (:mod:`.aggregates`). It sends records less often to the
+fallback aggregator, too, so that this one can take over. A VM without an
+aggregator sends its records to the other VMs itself, to some at a time.
 """
 
 import itertools
@@ -31,7 +32,7 @@
 
 
 class OutgoingMessage:
-    """A message and the peer addresses to send it to."""
+    """A message of this VM and the peer addresses to send it to."""
 
     __slots__ = ("message", "receivers")
 
@@ -41,7 +42,7 @@
 
 
 class RecordSource(typing.Protocol):
-    """Builds this VM's records."""
+    """Builds this VM's status records, for :class:`RecordExchange`."""
 
     def record(
         self, number: int, known: list[str], whole: bool, aggregator: str
@@ -50,18 +51,22 @@
 
         :param number: sequence number of the record.
         :param known: peer addresses of other members.
-        :param whole: whether to include the fields that may be a second old.
+        :param whole: whether to include the fields that only full records
+            have, as these fields may be a second old.
         :param aggregator: VM that is to pass the record on; "" when it is sent
             to all peers.
         """
 
 
 class RecordExchange:
-    """One VM's part in the exchange of records.
+    """Decides which messages one VM sends in the exchange, and to whom.
+
+    It takes the peers' messages and the passage of time, and returns the
+    messages to send. While this VM is an aggregator, they include aggregates.
 
     :param vm: name of this VM.
     :param data_centre: data centre of this VM.
-    :param table: the other VMs.
+    :param table: latest records and addresses of the other VMs.
     :param source: builds the records of this VM.
     """
 
@@ -120,7 +125,7 @@
 
     @property
     def aggregator(self) -> str:
-        """Aggregator of this VM; "" while it sends to all peers itself."""
+        """VM that relays this VM's records; "" if it sends them to all."""
         return self._selector.current if self._is_large else ""
 
     @property
@@ -130,8 +135,9 @@
 
     @property
     def directory_sources(self) -> frozenset[str] | None:
-        """VMs to compare the directory of runners with; None for all.
+        """VMs whose directory of runners this VM compares its own with.
 
+        The value is None if it compares its directory with that of all VMs.
         If all VMs of a large fleet compared themselves with all others, some
         would always be slightly behind, and would fetch the whole directory
         repeatedly.
@@ -144,19 +150,25 @@
         return frozenset({self._selector.current, self._selector.fallback})
 
     def takes_loads_from(self, aggregate: aggregates.Aggregate) -> bool:
-        """Whether this VM takes the loads of peers from an aggregate."""
+        """Whether this VM takes the loads of peers from an aggregate.
+
+        It does so if its own aggregator sent it as a report on all VMs.
+        """
         return aggregate.whole and aggregate.vm == self.aggregator
 
     @property
     def loads(self) -> peer_loads.PeerLoads:
-        """Loads of the other VMs at the runners."""
+        """Loads that the other VMs put on the runners.
+
+        They come from the aggregator, or else from the records of the peers.
+        """
         summed = self._loads.loads
         if self.aggregator and summed is not None:
             return summed
         return peer_loads.loads_of_records(self._table.alive())
 
     def tick(self) -> list[OutgoingMessage]:
-        """Build the messages that are due.
+        """Select the aggregator again, and build the messages that are due.
 
         The caller calls this once in :data:`vm_records.RECORD_INTERVAL_S`.
         """
@@ -178,7 +190,11 @@
         )
 
     def publish_change(self) -> list[OutgoingMessage]:
-        """Build the messages that report a change of this VM."""
+        """Build the messages that report a change of this VM's status.
+
+        There are none while this VM is an aggregator: its next aggregate
+        includes the change.
+        """
         if not self.aggregator:
             return [self._record_for_all()]
         if self._selector.current == self._vm:
@@ -199,7 +215,8 @@
         """
         served = [r.vm for r in self._aggregation.served if r.vm != self._vm]
         serves = self._selector.is_aggregator or bool(served)
-        # After the last served VM has left, one more aggregate reports none.
+        # After the last served VM has left, one more aggregate is sent, which
+        # reports on none.
         tells, self._published = serves or self._published, serves
         if not self._is_large or not tells:
             return []
@@ -225,7 +242,7 @@
     def publish_tally(
         self, wanted_by: typing.Iterable[str]
     ) -> list[OutgoingMessage]:
-        """Build the tally of the served VMs for duty holders.
+        """Build the message with usage and work counts of the served VMs.
 
         :param wanted_by: names of the VMs that need the tally.
         """
@@ -239,7 +256,11 @@
     def receive_record(
         self, record: vm_records.VmRecord
     ) -> list[OutgoingMessage]:
-        """Handle a peer's record, which the table already has."""
+        """Handle a record that a peer sent to this VM itself.
+
+        :param record: the record, which the table already has.
+        :returns: messages that answer the peer, if it needs an answer.
+        """
         if not self._is_large:
             return []
         is_new = self._aggregation.receive_record(record)
@@ -256,7 +277,12 @@
     def receive_aggregate(
         self, aggregate: aggregates.Aggregate
     ) -> list[OutgoingMessage]:
-        """Handle an aggregate, whose entries the table already has."""
+        """Handle an aggregate of another VM.
+
+        :param aggregate: the aggregate, whose entries the table already has.
+        :returns: messages that answer a VM which is no aggregator by what this
+            VM knows, but considers itself one.
+        """
         if not aggregate.whole:
             self._aggregation.receive_aggregate(aggregate)
             is_unexpected = aggregate.vm not in self._aggregators
@@ -272,7 +298,8 @@
                     aggregate.peer_address, data_centre
                 )
         elif not aggregate.included:
-            # An aggregator sends this in answer to this VM's first record.
+            # An aggregator sends an aggregate without loads in answer to this
+            # VM's first record.
             self._selector.record_message(aggregate.vm)
         elif self._vm in aggregate.included:
             self._selector.record_message(aggregate.vm)
@@ -334,7 +361,10 @@
     def _answer_served(
         self, record: vm_records.VmRecord, is_new: bool
     ) -> list[OutgoingMessage]:
-        """Answer a VM that uses this one, if it needs an answer."""
+        """Answer a VM that uses this one as aggregator, if necessary.
+
+        :param is_new: whether the VM has just begun to do so.
+        """
         if self._aggregation.needs_catch_up(record) and self._may_answer_now(
             record.vm
         ):
@@ -350,7 +380,11 @@
     def _full_state_for(
         self, receiver: str, data_centre: str
     ) -> list[OutgoingMessage]:
-        """Build the messages with the whole known state of the fleet."""
+        """Build the messages that tell a VM of all the others known here.
+
+        :param receiver: peer address of that VM.
+        :param data_centre: data centre of that VM.
+        """
         own = self._next_record(False)
         parts = self._aggregation.full_state(own, own.number, data_centre)
         return [OutgoingMessage(part, [receiver]) for part in parts]
--- a/src/apricotlever/vms/record_relay.py
+++ b/src/apricotlever/vms/record_relay.py
@@ -1,8 +1,8 @@
-"""Relay of VMs' records by an aggregator.
+"""Selection of the VMs' status records that an aggregator passes on.
 
-A VM's record is sent when a status field has changed. All records are also
-repeated in turn, to make up for lost messages. Totals of admitted units are
-sent as they change.
+A VM's record is included in an aggregate when a status field has changed. All
+records are also repeated in turn, to make up for lost messages. Totals of
+admitted units (``used`` in a record) are sent as they change.
 """
 
 import typing
@@ -12,7 +12,7 @@
 from . import peer_table
 from . import vm_records
 
-#: How many messages include a changed record.
+#: How many messages include a changed record, as messages may be lost.
 SENDS_PER_CHANGE = 2
 #: Seconds within which each VM's record is repeated.
 RESEND_ROUND_S = 5.0
@@ -30,9 +30,10 @@
 
 
 class _RelayedRecord:
-    """The record of one VM and its sends.
+    """The latest status record of one VM and the state of its sends.
 
-    ``sends_left`` is the number of messages that are still to include it.
+    ``sends_left`` is the number of messages that are still to include the
+    record, and ``first_at`` the time at which its process was first heard.
     """
 
     __slots__ = ("record", "first_at", "heard_at", "sends_left", "sent_at")
@@ -51,7 +52,7 @@
 
 
 class RecordRelay:
-    """Latest records of all VMs, and the schedule of their sends."""
+    """Latest status records of all VMs, and when to pass each one on."""
 
     __slots__ = (
         "_by_vm",
@@ -66,7 +67,8 @@
         self._clock = clock
         self._by_vm: dict[str, _RelayedRecord] = {}
         self._used: dict[str, dict[str, float]] = {}
-        #: Changed totals of admitted units to send, by process and customer.
+        #: Totals of admitted units that have changed and are still to be sent,
+        #: by process and customer.
         self._used_changed: dict[str, dict[str, float]] = {}
         #: VMs with which others compare their directory of runners.
         self.directory_sources: frozenset[str] = frozenset()
@@ -87,7 +89,9 @@
         return sum(entry.first_at < until for entry in self._live.values())
 
     def live_records(self, data_centre: str = "") -> list[vm_records.VmRecord]:
-        """Records of the live VMs, with their totals of admitted units.
+        """Status records of the live VMs, for a VM that knows few of them.
+
+        Each record has the totals of units that its VM has admitted.
 
         :param data_centre: data centre of the VMs; "" for all.
         """
@@ -112,12 +116,12 @@
         }
 
     def resend(self, vms: typing.Iterable[str]) -> None:
-        """Send VMs' records as if they had changed."""
+        """Include the records of VMs in messages as if they had changed."""
         for vm in vms:
             self._by_vm[vm].sends_left = SENDS_PER_CHANGE
 
     def note_heard(self, vm: str, heard_at: float) -> None:
-        """Note a sign of life of a VM, reported by any VM.
+        """Note a sign of life of a VM that another aggregator reports.
 
         :param heard_at: time of it by the local clock.
         """
@@ -128,7 +132,13 @@
     def merge_record(
         self, record: vm_records.VmRecord, heard_at: float
     ) -> None:
-        """Merge a VM's record, if it is later than the known one."""
+        """Store a VM's status record if it is later than the known one.
+
+        It is passed on with the next messages if a status field has changed
+        or the VM's process is new.
+
+        :param heard_at: time by the local clock at which its VM was heard.
+        """
         known = self._by_vm.get(record.vm)
         self.merge_used(record.process, record.used)
         if known is None or known.record.process != record.process:
@@ -151,13 +161,16 @@
     def merge_used(
         self, process: str, used: typing.Mapping[str, float]
     ) -> None:
-        """Merge a process's totals of admitted units, by customer."""
+        """Merge the totals of units that a process has admitted.
+
+        :param used: totals by customer; those that have grown are passed on.
+        """
         known = self._used.setdefault(process, {})
         new = {
             customer: units
             for customer, units in used.items()
-            # Relayed totals may arrive late. Totals only grow, except for
-            # calls that did not run.
+            # A smaller total is not taken, as relayed totals may arrive late.
+            # Totals only grow, except for calls that did not run.
             if known.get(customer, -1.0) < units
         }
         if new:
@@ -165,14 +178,20 @@
             self._used_changed.setdefault(process, {}).update(new)
 
     def take_changed_used(self) -> dict[str, dict[str, float]]:
-        """Take the changed totals to send, by process and customer."""
+        """Take the totals of admitted units that have changed.
+
+        :returns: the changes since the last call, by process and customer.
+        """
         used, self._used_changed = self._used_changed, {}
         return used
 
     def select_due(
         self, since_last_turn_s: float
     ) -> list[vm_records.VmRecord]:
-        """Select changed records, and those due for a repeat.
+        """Select the records for the next message and count them as sent.
+
+        They are those that have changed, and those due for a repeat. Records
+        repeated in turn have all totals of admitted units.
 
         :param since_last_turn_s: seconds since records were last repeated in
             turn; 0 to repeat none now.
@@ -206,7 +225,7 @@
         ]
 
     def drop_expired(self) -> None:
-        """Drop VMs that have ended."""
+        """Drop the records of VMs that have been silent for too long."""
         since = self._clock.now() - peer_table.MEMBER_TTL_S
         self._by_vm = {
             vm: entry
@@ -226,7 +245,10 @@
         }
 
     def _with_used(self, record: vm_records.VmRecord) -> vm_records.VmRecord:
-        """Copy a record with all totals, as single updates may be lost."""
+        """Copy a record, with all its process's totals of admitted units.
+
+        They are repeated because single updates of them may be lost.
+        """
         copy = record.without_summed_fields()
         copy.used = self._used.get(record.process, {})
         return copy
--- a/src/apricotlever/vms/vm_records.py
+++ b/src/apricotlever/vms/vm_records.py
@@ -20,7 +20,7 @@
 
 
 class VmRecord:
-    """Status record of one VM.
+    """Status record of one VM: its state, loads, counts and versions.
 
     An empty field carries no information. ``levels``, ``failures`` and
     ``known`` are filled in only in full records, one in
@@ -41,7 +41,8 @@
     :param runners: checksum of the runners that the VM considers alive.
     :param in_flight: number of its calls in flight at each runner.
     :param pending: waiting prompt tokens of its calls at each runner.
-    :param used: totals of units that the VM has admitted, by customer.
+    :param used: totals, by customer, of the units of the customer's limit that
+        the VM has admitted since its process started.
     :param levels: units left of each customer's limit, as known to the VM.
     :param usage: its counts for usage reports, by window and customer.
     :param work: prompt tokens that runners have read for the VM, speed of a
@@ -61,7 +62,7 @@
         for none.
     :param aggregator: VM chosen to pass the record on; "" if the VM sends its
         records to all peers itself.
-    :param hears: number of other VMs from which the VM hears.
+    :param hears: number of other VMs that are alive as known to the VM.
     :param roll_outs: records of the roll-out orders known to the VM.
     :param trials: its own counts of calls at old and new versions.
     """
@@ -172,7 +173,7 @@
 
     @property
     def process(self) -> str:
-        """Identifier of the process, not only of its VM."""
+        """Identifier of the VM's process; a restart changes it."""
         return f"{self.vm}#{self.incarnation}"
 
     def supersedes(self, other: "VmRecord") -> bool:
@@ -183,7 +184,10 @@
         )
 
     def without_summed_fields(self) -> "VmRecord":
-        """A copy without the fields that aggregates carry in other ways."""
+        """Copy this record without what an aggregator sums or sends otherwise.
+
+        An aggregator passes on such copies.
+        """
         copy = VmRecord(*self.to_record())
         copy.in_flight, copy.pending, copy.failures = {}, {}, {}
         copy.levels, copy.usage, copy.work = {}, {}, {}
@@ -194,6 +198,8 @@
     def differs_from(self, other: "VmRecord", versions: bool) -> bool:
         """Whether the status fields differ from those of another record.
 
+        An aggregator passes a record on at once if they do.
+
         Counters and sequence numbers, which each record changes, are not
         compared, and neither are fields that aggregates carry in other ways.
 
@@ -208,7 +214,7 @@
         )
 
     def to_record(self) -> list[typing.Any]:
-        """Encode as a list of the fields in order."""
+        """Encode as the list of its fields, in order, to be sent to peers."""
         return [getattr(self, name) for name in self.__slots__]
 
     @classmethod
@@ -248,8 +254,9 @@
         validation.is_non_negative_number,
     ),
 )
-#: Name and check of each field, in order. An invalid field would otherwise
-#: raise where its value is used, in a task that many calls depend on.
+#: Name and check of each field, in order. Fields are checked when a record is
+#: decoded, as an invalid one would otherwise raise where its value is used, in
+#: a task that many calls depend on.
 _FIELDS: tuple[tuple[str, validation.Predicate], ...] = (
     ("vm", validation.is_non_empty_string),
     ("incarnation", validation.is_non_negative_int),
