--- a/bench/_platform_day_model.py
+++ b/bench/_platform_day_model.py
@@ -1,8 +1,9 @@
-"""A day of one service: prompts, runners that read them, waves of reclaims.
+"""Simulates a day of one service: prompts, runners and waves of reclaims.
 
-A plain step of a tenth of a second on a manual clock. A runner reads prompts
-one after the other; decoding and caches are left out, so figures compare
-rules with each other and are no forecast of a deployment.
+The simulation advances a manual clock in steps of a tenth of a second. A
+runner prefills prompts one after the other. Decoding and caches are not
+simulated, so the results compare rules with each other and do not predict
+the performance of a deployment.
 """
 
 import collections
@@ -14,60 +15,77 @@
 from apricotlever.data_centres import prefill_load
 
 STEP_S = 0.1
-#: Between two plans, in seconds.
-PLAN_S = 0.5
-#: Tokens that a runner reads in a second, and those of a prompt that its cache
-#: does not hold: means of the users' larger engine and its three kinds of
-#: prompts.
-READ_PER_S = 25_000.0
-PROMPT_TOKENS = (
+#: Interval between two plans, in seconds.
+PLAN_INTERVAL_S = 0.5
+#: Prefill speed of a runner: mean of the users' larger engine.
+PREFILL_TOKENS_PER_S = 25_000.0
+#: The three kinds of prompts of the users' larger engine: prompts a second,
+#: mean number of uncached tokens, latency objective in seconds, and worth of
+#: an answer.
+PROMPT_KINDS = (
     (18.5, 2890.0, 0.8, 3.4),
     (13.2, 1800.0, 0.6, 1.9),
     (20.5, 543.0, 0.4, 0.43),
 )
-#: A prompt's tokens are spread like this around their mean.
-SIGMA = 0.8
-LATE_WORTH = 0.1
-#: Nobody waits longer for a first answer, in seconds.
-PATIENCE_S = 2.0
-#: Part of a day's worth that a second of an on-demand runner costs, times the
-#: seconds of the day: 311.7 such seconds cost 0.205 on a day of 54 s.
-PRICE = 0.0356
-#: How the users weigh a day: the whole of it, its two worst windows of two
-#: seconds, and the kind of prompt that is served worst.
-WHOLE_PART = 0.5
-WINDOWS_PART = 0.35
-KIND_PART = 0.15
-WORST_WINDOWS = 2
+#: Standard deviation of the logarithm of the number of uncached tokens.
+PROMPT_TOKENS_SIGMA = 0.8
+#: Share of its worth that an answer after its objective earns.
+LATE_WORTH_SHARE = 0.1
+#: Time after which a caller gives up waiting for the first token, in seconds.
+MAX_WAIT_S = 2.0
+#: Price of a second of an on-demand runner as a share of a day's worth,
+#: multiplied by the duration of the day in seconds. On the users' platform
+#: 311.7 such seconds cost 0.205 on a day of 54 s.
+RUNNER_SECOND_PRICE = 0.0356
+#: Weights by which the users rate a day: the whole day, its two worst windows
+#: of two seconds, and the kind of prompt that is served worst.
+DAY_WEIGHT = 0.5
+WORST_WINDOWS_WEIGHT = 0.35
+WORST_KIND_WEIGHT = 0.15
+WORST_WINDOW_COUNT = 2
 WINDOW_S = 2.0
-NOTICE_S = 2.4
-#: Prompts that come at once, on average, as on the users' platform.
-CLUMP = 3.0
-DRY_S = 4.5
-PLACES = {"dc-a": 0.85, "dc-b": 1.2, "dc-c": 1.0}
+#: Time between the notice of a reclaim and the end of the runner, in seconds.
+RECLAIM_NOTICE_S = 2.4
+#: Mean number of prompts that arrive together, as on the users' platform.
+MEAN_CLUSTER_SIZE = 3.0
+#: Time after a reclaim in which no reclaimable runner can be ordered, in
+#: seconds.
+UNAVAILABLE_S = 4.5
+#: Price of an on-demand runner, by data centre.
+ON_DEMAND_PRICES = {"dc-a": 0.85, "dc-b": 1.2, "dc-c": 1.0}
 
 
 class Runner:
-    """One runner.
+    """A simulated runner.
 
-    :param serves_at: when it has booted.
+    :param ready_at: time at which the runner has booted.
     """
 
-    __slots__ = ("place", "reclaimable", "serves_at", "ends_at", "backlog")
+    __slots__ = (
+        "data_centre",
+        "reclaimable",
+        "ready_at",
+        "ends_at",
+        "backlog",
+    )
 
     def __init__(
-        self, place: str, reclaimable: bool, serves_at: float
+        self, data_centre: str, reclaimable: bool, ready_at: float
     ) -> None:
-        self.place = place
+        self.data_centre = data_centre
         self.reclaimable = reclaimable
-        self.serves_at = serves_at
+        self.ready_at = ready_at
         self.ends_at = float("inf")
-        #: Prompt tokens that wait to be read.
+        #: Prompt tokens that wait for prefill.
         self.backlog = 0.0
 
 
 class Sample:
-    """What there was at a moment, for a plot."""
+    """Runners held and needed at one time, for a plot.
+
+    :param needed: number of runners that the measured load requires.
+    :param late: late and lost prompts since the start of the day.
+    """
 
     __slots__ = ("at_s", "on_demand", "reclaimable", "needed", "late")
 
@@ -86,7 +104,7 @@
         self.late = late
 
 
-class Rule(typing.Protocol):
+class ScalingRule(typing.Protocol):
     """Decides how many runners to hold."""
 
     def plan(
@@ -95,22 +113,22 @@
         held: typing.Mapping[str, fleet_mix_planner.RunnerCounts],
         needed: float,
     ) -> dict[str, fleet_mix_planner.RunnerCounts]:
-        """The runners to hold from now on."""
+        """Compute the runners to hold, by data centre."""
 
-    def record_refusal(self, place: str) -> None:
-        """Reclaimable runners were not to be had."""
+    def record_refusal(self, data_centre: str) -> None:
+        """Record that reclaimable runners are unavailable."""
 
     def record_accepted_order(
-        self, place: str, reclaimable: bool, count: int, boot_s: float
+        self, data_centre: str, reclaimable: bool, count: int, boot_s: float
     ) -> None:
-        """An order was taken."""
+        """Record an accepted order."""
 
 
-class Day:
-    """One day under one rule.
+class DaySimulation:
+    """Simulates one day under one rule.
 
-    :param seed: of prompts, bursts and reclaims; equal for all rules.
-    :param load: times the usual traffic.
+    :param seed: seed of prompts, bursts and reclaims; the same for all rules.
+    :param load: traffic relative to the usual traffic.
     """
 
     def __init__(
@@ -118,143 +136,177 @@
         seed: int,
         seconds: float,
         load: float,
-        make_rule: typing.Callable[[clocks.Clock], Rule],
-        started_with: int = 3,
+        make_rule: typing.Callable[[clocks.Clock], ScalingRule],
+        initial_runners_per_data_centre: int = 3,
         boot_s: float = 4.0,
     ) -> None:
         self.clock = clocks.ManualClock(0.0)
         self._rng = random.Random(seed)
-        self._seconds = seconds
-        self._load = load
+        self._duration_s = seconds
+        self._traffic_factor = load
         self._rule = make_rule(self.clock)
         self._terms = fleet_mix_planner.ScalingTerms(
-            1, 40, boot_s, 0.22, PLACES
+            1, 40, boot_s, 0.22, ON_DEMAND_PRICES
+        )
+        self._prefill_meter = prefill_load.PrefillMeter()
+        self._prefill_load = prefill_load.PrefillLoad(self.clock)
+        self._unavailable_until = dict.fromkeys(
+            ON_DEMAND_PRICES, float("-inf")
+        )
+        self._reclaims = _generate_reclaims(self._rng, seconds)
+        self._bursts = _generate_bursts(self._rng, seconds)
+        self._initial_runners = initial_runners_per_data_centre * len(
+            ON_DEMAND_PRICES
         )
-        self._counter = prefill_load.PrefillMeter()
-        self._demand = prefill_load.PrefillLoad(self.clock)
-        self._dry_until = dict.fromkeys(PLACES, float("-inf"))
-        self._reclaims = _reclaims(self._rng, seconds)
-        self._bursts = _bursts(self._rng, seconds)
-        self._started_with = started_with * len(PLACES)
         self.runners = [
-            Runner(place, False, 0.0)
-            for place in PLACES
-            for _ in range(started_with)
+            Runner(data_centre, False, 0.0)
+            for data_centre in ON_DEMAND_PRICES
+            for _ in range(initial_runners_per_data_centre)
         ]
         self.samples: list[Sample] = []
-        #: Owed and earned worth, by window and by kind of prompt.
-        self._windows: dict[int, list[float]] = {}
-        self._kinds: dict[float, list[float]] = {}
-        self.on_demand_s = 0.0
+        # Possible and earned worth.
+        self._worth_by_window: dict[int, list[float]] = {}
+        self._worth_by_kind: dict[float, list[float]] = {}
+        #: Runner-seconds, weighted by their price relative to an on-demand
+        #: runner of price 1.
+        self.cost_runner_s = 0.0
         self.counts: collections.Counter[str] = collections.Counter()
 
     @property
     def worth(self) -> float:
-        """Earned of what was owed, less the price of the runners.
+        """Earned share of the possible worth, less the price of the runners.
 
-        As the users weigh it: the whole day, its worst windows and its
-        worst-served kind. By the whole day alone spare runners never pay.
+        The share is rated as the users do: the whole day, its worst windows
+        and the kind of prompt that is served worst. If only the whole day
+        counted, spare runners would never pay off.
         """
-        price = PRICE / self._seconds * self.on_demand_s
-        windows = sorted(map(_share, self._windows.values()))
-        worst = windows[:WORST_WINDOWS]
-        whole = [sum(pair) for pair in zip(*self._kinds.values())]
+        price = RUNNER_SECOND_PRICE / self._duration_s * self.cost_runner_s
+        windows = sorted(map(_earned_share, self._worth_by_window.values()))
+        worst = windows[:WORST_WINDOW_COUNT]
+        whole = [sum(pair) for pair in zip(*self._worth_by_kind.values())]
         return (
-            WHOLE_PART * _share(whole)
-            + WINDOWS_PART * sum(worst) / len(worst)
-            + KIND_PART * min(map(_share, self._kinds.values()))
+            DAY_WEIGHT * _earned_share(whole)
+            + WORST_WINDOWS_WEIGHT * sum(worst) / len(worst)
+            + WORST_KIND_WEIGHT
+            * min(map(_earned_share, self._worth_by_kind.values()))
             - price
         )
 
     def run(self) -> None:
-        """Play it."""
+        """Run the simulation."""
         next_plan = 0.0
-        while self.clock.now() < self._seconds:
-            self._reclaim()
+        while self.clock.now() < self._duration_s:
+            self._apply_reclaims()
             if self.clock.now() >= next_plan:
-                next_plan += PLAN_S
+                next_plan += PLAN_INTERVAL_S
                 self._plan()
-            self._arrive()
-            self._work()
+            self._send_prompts()
+            self._advance_runners()
             self.clock.advance(STEP_S)
 
     def _serving(self) -> list[Runner]:
         now = self.clock.now()
-        return [r for r in self.runners if r.serves_at <= now < r.ends_at]
+        return [r for r in self.runners if r.ready_at <= now < r.ends_at]
 
-    def _arrive(self) -> None:
+    def _send_prompts(self) -> None:
         now = self.clock.now()
-        burst = next((x for a, b, x in self._bursts if a <= now < b), 1.0)
-        for rate, tokens, objective_s, worth in PROMPT_TOKENS:
-            expected = rate * self._load * burst * STEP_S / CLUMP
-            for _ in range(_clumped(self._rng, expected)):
-                size = self._rng.lognormvariate(0.0, SIGMA)
-                self._prompt(tokens * size / 1.377, objective_s, worth)
-
-    def _prompt(self, tokens: float, objective_s: float, worth: float) -> None:
-        """Send a prompt to the emptier of two runners."""
-        self._account(objective_s, worth, 0.0)
-        drawn_from = [r for r in self._serving() if r.ends_at == float("inf")]
-        drawn_from = drawn_from or self._serving()
-        self._counter.record_sent(int(tokens))
-        if not drawn_from:
+        burst_factor = next(
+            (
+                factor
+                for start, end, factor in self._bursts
+                if start <= now < end
+            ),
+            1.0,
+        )
+        for per_s, tokens, objective_s, worth in PROMPT_KINDS:
+            mean_clusters = (
+                per_s
+                * self._traffic_factor
+                * burst_factor
+                * STEP_S
+                / MEAN_CLUSTER_SIZE
+            )
+            for _ in range(_clustered_arrivals(self._rng, mean_clusters)):
+                size = self._rng.lognormvariate(0.0, PROMPT_TOKENS_SIGMA)
+                # 1.377 is the mean of the distribution of sizes.
+                self._send_prompt(tokens * size / 1.377, objective_s, worth)
+
+    def _send_prompt(
+        self, tokens: float, objective_s: float, worth: float
+    ) -> None:
+        """Send a prompt to the one of two runners with less backlog."""
+        self._record_worth(objective_s, worth, 0.0)
+        candidates = [r for r in self._serving() if r.ends_at == float("inf")]
+        candidates = candidates or self._serving()
+        self._prefill_meter.record_sent(int(tokens))
+        if not candidates:
             self.counts["no_runner"] += 1
             return
-        drawn = self._rng.sample(drawn_from, min(2, len(drawn_from)))
-        runner = min(drawn, key=lambda r: r.backlog)
+        sampled = self._rng.sample(candidates, min(2, len(candidates)))
+        runner = min(sampled, key=lambda r: r.backlog)
         runner.backlog += tokens
-        took_s = runner.backlog / READ_PER_S
+        took_s = runner.backlog / PREFILL_TOKENS_PER_S
         lost = self.clock.now() + took_s > runner.ends_at
-        if lost or took_s > PATIENCE_S:
+        if lost or took_s > MAX_WAIT_S:
             self.counts["lost"] += 1
             return
-        self._counter.record_first_answer(int(tokens), took_s, objective_s)
+        self._prefill_meter.record_first_answer(
+            int(tokens), took_s, objective_s
+        )
         on_time = took_s <= objective_s
         self.counts["on_time" if on_time else "late"] += 1
-        earned = worth if on_time else worth * LATE_WORTH
-        self._account(objective_s, 0.0, earned)
+        earned = worth if on_time else worth * LATE_WORTH_SHARE
+        self._record_worth(objective_s, 0.0, earned)
+
+    def _record_worth(
+        self, kind: float, possible: float, earned: float
+    ) -> None:
+        """Add to the worth of the current window and of a kind of prompt.
 
-    def _account(self, kind: float, owed: float, earned: float) -> None:
+        :param kind: latency objective, which identifies the kind of prompt.
+        """
         window = int(self.clock.now() // WINDOW_S)
-        for known in (
-            self._windows.setdefault(window, [0.0, 0.0]),
-            self._kinds.setdefault(kind, [0.0, 0.0]),
+        for account in (
+            self._worth_by_window.setdefault(window, [0.0, 0.0]),
+            self._worth_by_kind.setdefault(kind, [0.0, 0.0]),
         ):
-            known[0] += owed
-            known[1] += earned
+            account[0] += possible
+            account[1] += earned
 
-    def _work(self) -> None:
+    def _advance_runners(self) -> None:
         for runner in self._serving():
-            read = READ_PER_S * STEP_S
-            runner.backlog = max(0.0, runner.backlog - read)
+            processed = PREFILL_TOKENS_PER_S * STEP_S
+            runner.backlog = max(0.0, runner.backlog - processed)
         now = self.clock.now()
         self.runners = [r for r in self.runners if now < r.ends_at]
         for runner in self.runners:
-            price = PLACES[runner.place] * STEP_S
-            self.on_demand_s += price * (0.22 if runner.reclaimable else 1.0)
+            price = ON_DEMAND_PRICES[runner.data_centre] * STEP_S
+            self.cost_runner_s += price * (0.22 if runner.reclaimable else 1.0)
 
-    def _reclaim(self) -> None:
+    def _apply_reclaims(self) -> None:
         now = self.clock.now()
         while self._reclaims and self._reclaims[0][0] <= now:
-            _, place = self._reclaims.pop(0)
+            _, data_centre = self._reclaims.pop(0)
             for runner in self.runners:
-                if runner.place == place and runner.reclaimable:
-                    runner.ends_at = min(runner.ends_at, now + NOTICE_S)
-            for name in PLACES:
-                self._dry_until[name] = now + DRY_S
+                if runner.data_centre == data_centre and runner.reclaimable:
+                    runner.ends_at = min(
+                        runner.ends_at, now + RECLAIM_NOTICE_S
+                    )
+            for name in ON_DEMAND_PRICES:
+                self._unavailable_until[name] = now + UNAVAILABLE_S
 
     def _plan(self) -> None:
         now = self.clock.now()
-        counter = self._counter
-        self._demand.receive_report(
+        meter = self._prefill_meter
+        self._prefill_load.receive_report(
             "vm",
-            counter.total_tokens,
-            counter.prefill_speed,
-            counter.latency_ratio,
+            meter.total_tokens,
+            meter.prefill_speed,
+            meter.latency_ratio,
         )
-        needed = self._demand.required_runners(0, 96)
-        if self._demand.observed_for_s < 6.0:
-            needed = max(needed, float(self._started_with))
+        needed = self._prefill_load.required_runners(0, 96)
+        if self._prefill_load.observed_for_s < 6.0:
+            needed = max(needed, float(self._initial_runners))
         held = self._held()
         late = self.counts["late"] + self.counts["lost"]
         self.samples.append(
@@ -266,84 +318,93 @@
                 late,
             )
         )
-        for place, wanted in self._rule.plan(
+        for data_centre, wanted in self._rule.plan(
             self._terms, held, needed
         ).items():
-            self._order(place, False, wanted.on_demand)
-            self._order(place, True, wanted.reclaimable)
+            self._order(data_centre, False, wanted.on_demand)
+            self._order(data_centre, True, wanted.reclaimable)
 
     def _held(self) -> dict[str, fleet_mix_planner.RunnerCounts]:
-        held = {place: fleet_mix_planner.RunnerCounts() for place in PLACES}
+        held = {
+            data_centre: fleet_mix_planner.RunnerCounts()
+            for data_centre in ON_DEMAND_PRICES
+        }
         for runner in self._serving():
             if runner.ends_at == float("inf"):
-                holding = held[runner.place]
-                holding.on_demand += not runner.reclaimable
-                holding.reclaimable += runner.reclaimable
+                counts_held = held[runner.data_centre]
+                counts_held.on_demand += not runner.reclaimable
+                counts_held.reclaimable += runner.reclaimable
         return held
 
-    def _order(self, place: str, reclaimable: bool, count: int) -> None:
+    def _order(self, data_centre: str, reclaimable: bool, count: int) -> None:
         now = self.clock.now()
-        there = [
+        current = [
             runner
             for runner in self.runners
-            if runner.place == place
+            if runner.data_centre == data_centre
             and runner.reclaimable == reclaimable
             and runner.ends_at == float("inf")
         ]
-        if count > len(there):
-            if reclaimable and now < self._dry_until[place]:
-                self._rule.record_refusal(place)
+        if count > len(current):
+            if reclaimable and now < self._unavailable_until[data_centre]:
+                self._rule.record_refusal(data_centre)
                 return
-            for _ in range(count - len(there)):
-                serves_at = now + self._terms.boot_s
-                self.runners.append(Runner(place, reclaimable, serves_at))
+            for _ in range(count - len(current)):
+                ready_at = now + self._terms.boot_s
+                self.runners.append(Runner(data_centre, reclaimable, ready_at))
             self._rule.record_accepted_order(
-                place, reclaimable, count, self._terms.boot_s
+                data_centre, reclaimable, count, self._terms.boot_s
             )
-        for runner in sorted(there, key=lambda r: -r.serves_at)[
-            : max(0, len(there) - count)
+        for runner in sorted(current, key=lambda r: -r.ready_at)[
+            : max(0, len(current) - count)
         ]:
-            runner.ends_at = max(now + 1.0, runner.serves_at)
+            runner.ends_at = max(now + 1.0, runner.ready_at)
 
 
-def _reclaims(rng: random.Random, seconds: float) -> list[tuple[float, str]]:
+def _generate_reclaims(
+    rng: random.Random, seconds: float
+) -> list[tuple[float, str]]:
+    """Time and data centre of each wave of reclaims."""
     count = max(1, round(seconds / 20.0))
     return sorted(
-        (rng.uniform(2.0, seconds), rng.choice(sorted(PLACES)))
+        (rng.uniform(2.0, seconds), rng.choice(sorted(ON_DEMAND_PRICES)))
         for _ in range(count)
     )
 
 
-def _bursts(
+def _generate_bursts(
     rng: random.Random, seconds: float
 ) -> list[tuple[float, float, float]]:
-    found = []
+    """Start, end and traffic factor of each burst."""
+    bursts = []
     for _ in range(max(1, round(seconds / 30.0))):
-        at = rng.uniform(5.0, seconds)
-        found.append((at, at + 5.0, rng.uniform(1.5, 2.5)))
-    return found
+        start = rng.uniform(5.0, seconds)
+        bursts.append((start, start + 5.0, rng.uniform(1.5, 2.5)))
+    return bursts
 
 
-def _share(account: typing.Sequence[float]) -> float:
-    """Earned of what was owed."""
-    owed, earned = account
-    return earned / owed if owed else 1.0
+def _earned_share(account: typing.Sequence[float]) -> float:
+    """Earned worth divided by the possible worth."""
+    possible, earned = account
+    return earned / possible if possible else 1.0
 
 
-def _clumped(rng: random.Random, expected: float) -> int:
-    """Arrivals in a step that come in clumps.
+def _clustered_arrivals(rng: random.Random, mean_clusters: float) -> int:
+    """Draw the number of prompts that arrive in a step, in clusters.
 
-    :param expected: clumps in a step, on average.
+    :param mean_clusters: mean number of clusters in a step.
     """
-    clumps = _poisson(rng, expected)
-    return sum(1 + _poisson(rng, CLUMP - 1.0) for _ in range(clumps))
+    clusters = _poisson(rng, mean_clusters)
+    return sum(
+        1 + _poisson(rng, MEAN_CLUSTER_SIZE - 1.0) for _ in range(clusters)
+    )
 
 
-def _poisson(rng: random.Random, expected: float) -> int:
-    """Arrivals in a step, as a sum of exponential pauses."""
+def _poisson(rng: random.Random, mean_count: float) -> int:
+    """Draw a Poisson variate by counting exponential intervals."""
     count = 0
-    left = expected - rng.expovariate(1.0)
-    while left > 0.0:
+    remaining = mean_count - rng.expovariate(1.0)
+    while remaining > 0.0:
         count += 1
-        left -= rng.expovariate(1.0)
+        remaining -= rng.expovariate(1.0)
     return count
--- a/bench/platform_day.py
+++ b/bench/platform_day.py
@@ -1,4 +1,4 @@
-"""Compares rules for ordering runners over days with reclaims and bursts.
+"""Compares rules for ordering runners on days with reclaims and bursts.
 
 ``python -m bench platform_day --days 20 --plot day.svg``
 """
@@ -15,49 +15,49 @@
 from . import _platform_day_model as model
 
 DAYS = 12
-SECONDS = 60.0
-#: Times the users' traffic: caches hold four in ten of its tokens on a calm
-#: day, and a busy one has twice as much.
+DURATION_S = 60.0
+#: Traffic relative to the users' traffic. On a calm day caches hold four in
+#: ten of its tokens; a busy day has twice as much traffic.
 LOADS = (0.6, 1.2)
 
-MakeRule = typing.Callable[[clocks.Clock], model.Rule]
+MakeRule = typing.Callable[[clocks.Clock], model.ScalingRule]
 RULES: dict[str, MakeRule] = {}
 
 
 def rule(name: str) -> typing.Callable[[MakeRule], MakeRule]:
-    """Register a maker of rules."""
+    """Register a rule or a function that creates one."""
 
-    def register(make: MakeRule) -> MakeRule:
-        RULES[name] = make
-        return make
+    def register(make_rule: MakeRule) -> MakeRule:
+        RULES[name] = make_rule
+        return make_rule
 
     return register
 
 
 @rule("fleet_size")
-def _ours(clock: clocks.Clock) -> model.Rule:
-    """The product's own."""
+def _production_rule(clock: clocks.Clock) -> model.ScalingRule:
+    """Create the rule that the product uses."""
     return fleet_mix_planner.FleetMixPlanner(clock)
 
 
-class _Simple:
-    """A rule that neither learns of refusals nor counts its orders."""
+class _StatelessRule:
+    """Base class of rules that ignore refusals and accepted orders."""
 
     def __init__(self, clock: clocks.Clock) -> None:
-        """It has no use for a clock."""
+        """Ignore the clock."""
 
-    def record_refusal(self, place: str) -> None:
-        """It asks again."""
+    def record_refusal(self, data_centre: str) -> None:
+        """Do nothing: the next plan orders the runners again."""
 
     def record_accepted_order(
-        self, place: str, reclaimable: bool, count: int, boot_s: float
+        self, data_centre: str, reclaimable: bool, count: int, boot_s: float
     ) -> None:
-        """Orders show by themselves."""
+        """Do nothing: the next plan depends on the runners held."""
 
 
 @rule("as_at_start")
-class AsAtStart(_Simple):
-    """What the deployment began with, on demand."""
+class AsAtStart(_StatelessRule):
+    """Holds the initial number of runners, all on demand."""
 
     def plan(
         self,
@@ -65,16 +65,16 @@
         held: typing.Mapping[str, fleet_mix_planner.RunnerCounts],
         needed: float,
     ) -> dict[str, fleet_mix_planner.RunnerCounts]:
-        """Three in each data centre."""
+        """Request three runners in each data centre."""
         return {
-            place: fleet_mix_planner.RunnerCounts(3, 0)
-            for place in terms.on_demand_prices
+            data_centre: fleet_mix_planner.RunnerCounts(3, 0)
+            for data_centre in terms.on_demand_prices
         }
 
 
 @rule("on_demand_at_need")
-class OnDemandAtNeed(_Simple):
-    """The measured need, on demand, spread evenly."""
+class OnDemandAtNeed(_StatelessRule):
+    """Holds the measured need on demand, spread evenly."""
 
     def plan(
         self,
@@ -82,17 +82,17 @@
         held: typing.Mapping[str, fleet_mix_planner.RunnerCounts],
         needed: float,
     ) -> dict[str, fleet_mix_planner.RunnerCounts]:
-        """The need, rounded up in each data centre."""
-        each = math.ceil(needed / len(terms.on_demand_prices))
+        """Request the need, rounded up in each data centre."""
+        count = math.ceil(needed / len(terms.on_demand_prices))
         return {
-            place: fleet_mix_planner.RunnerCounts(each, 0)
-            for place in terms.on_demand_prices
+            data_centre: fleet_mix_planner.RunnerCounts(count, 0)
+            for data_centre in terms.on_demand_prices
         }
 
 
 @rule("cheapest_place")
-class CheapestPlace(_Simple):
-    """The need as reclaimable runners where they are cheapest."""
+class CheapestDataCentre(_StatelessRule):
+    """Holds the need as reclaimable runners in the cheapest data centre."""
 
     def plan(
         self,
@@ -100,23 +100,23 @@
         held: typing.Mapping[str, fleet_mix_planner.RunnerCounts],
         needed: float,
     ) -> dict[str, fleet_mix_planner.RunnerCounts]:
-        """All in one place, and the least elsewhere."""
+        """Request the minimum on demand in the other data centres."""
         cheapest = min(
             terms.on_demand_prices,
-            key=lambda place: terms.on_demand_prices[place],
+            key=lambda data_centre: terms.on_demand_prices[data_centre],
         )
         return {
-            place: fleet_mix_planner.RunnerCounts(
-                0 if place == cheapest else terms.min_runners,
-                math.ceil(needed) if place == cheapest else 0,
+            data_centre: fleet_mix_planner.RunnerCounts(
+                0 if data_centre == cheapest else terms.min_runners,
+                math.ceil(needed) if data_centre == cheapest else 0,
             )
-            for place in terms.on_demand_prices
+            for data_centre in terms.on_demand_prices
         }
 
 
 @rule("even_spread")
-class EvenSpread(_Simple):
-    """The need, half on demand and half reclaimable, everywhere alike."""
+class EvenSpread(_StatelessRule):
+    """Holds half of the need on demand and half reclaimable, spread evenly."""
 
     def plan(
         self,
@@ -124,77 +124,90 @@
         held: typing.Mapping[str, fleet_mix_planner.RunnerCounts],
         needed: float,
     ) -> dict[str, fleet_mix_planner.RunnerCounts]:
-        """Half of the need of each kind."""
-        each = math.ceil(needed / 2 / len(terms.on_demand_prices))
+        """Request half of the need of each kind."""
+        count = math.ceil(needed / 2 / len(terms.on_demand_prices))
         return {
-            place: fleet_mix_planner.RunnerCounts(each, each)
-            for place in terms.on_demand_prices
+            data_centre: fleet_mix_planner.RunnerCounts(count, count)
+            for data_centre in terms.on_demand_prices
         }
 
 
 def run(arguments: list[str]) -> int:
-    """Play the days under each rule.
+    """Simulate the days under each rule and print a row for each.
 
     :returns: the exit code of the process.
     """
     parser = argparse.ArgumentParser("platform_day", description=__doc__)
     parser.add_argument("--days", type=int, default=DAYS)
-    parser.add_argument("--seconds", type=float, default=SECONDS)
+    parser.add_argument("--seconds", type=float, default=DURATION_S)
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--plot", metavar="FILE", help="of the first day")
+    parser.add_argument(
+        "--plot", metavar="FILE", help="SVG file for a plot of the first day"
+    )
     options = parser.parse_args(arguments)
-    firsts = {}
+    first_days = {}
     for load in LOADS:
-        for name, make in RULES.items():
+        for name, make_rule in RULES.items():
             seeds = range(options.seed, options.seed + options.days)
-            days = [_play(s, options.seconds, load, make) for s in seeds]
-            firsts[name, load] = days[0]
+            days = [
+                _simulate(s, options.seconds, load, make_rule) for s in seeds
+            ]
+            first_days[name, load] = days[0]
             print(json.dumps(_row(name, load, days)), flush=True)
     if options.plot:
-        _plot(firsts, options.plot)
+        _plot(first_days, options.plot)
     return 0
 
 
-def _play(seed: int, seconds: float, load: float, make: MakeRule) -> model.Day:
-    day = model.Day(seed, seconds, load, make)
+def _simulate(
+    seed: int, seconds: float, load: float, make_rule: MakeRule
+) -> model.DaySimulation:
+    day = model.DaySimulation(seed, seconds, load, make_rule)
     day.run()
     return day
 
 
 def _row(
-    name: str, load: float, days: typing.Sequence[model.Day]
+    name: str, load: float, days: typing.Sequence[model.DaySimulation]
 ) -> dict[str, typing.Any]:
     worths = [day.worth for day in days]
-    asked = sum(sum(day.counts.values()) for day in days)
+    prompt_count = sum(sum(day.counts.values()) for day in days)
     return {
         "rule": name,
         "load": load,
         "days": len(days),
         "worth": round(statistics.mean(worths), 3),
         "worst": round(min(worths), 3),
-        "on_time": round(sum(d.counts["on_time"] for d in days) / asked, 3),
-        "runner_s": round(statistics.mean(d.on_demand_s for d in days), 1),
+        "on_time": round(
+            sum(d.counts["on_time"] for d in days) / prompt_count, 3
+        ),
+        "runner_s": round(statistics.mean(d.cost_runner_s for d in days), 1),
     }
 
 
 def _plot(
-    firsts: typing.Mapping[tuple[str, float], model.Day], path: str
+    first_days: typing.Mapping[tuple[str, float], model.DaySimulation],
+    path: str,
 ) -> None:
-    """Runners by kind and what was needed, one panel a rule and load."""
+    """Plot runners held and needed, one panel for each rule and load."""
     import matplotlib
 
     matplotlib.use("svg")
     from matplotlib import figure
 
-    page = figure.Figure(figsize=(12, 14), layout="constrained")
-    panels = page.subplots(len(RULES), len(LOADS))
+    drawing = figure.Figure(figsize=(12, 14), layout="constrained")
+    panels = drawing.subplots(len(RULES), len(LOADS))
     for row, name in enumerate(RULES):
         for column, load in enumerate(LOADS):
-            _panel(panels[row][column], name, load, firsts[name, load])
-    page.savefig(path)
+            _plot_panel(
+                panels[row][column], name, load, first_days[name, load]
+            )
+    drawing.savefig(path)
 
 
-def _panel(panel: typing.Any, name: str, load: float, day: model.Day) -> None:
+def _plot_panel(
+    panel: typing.Any, name: str, load: float, day: model.DaySimulation
+) -> None:
     at = [sample.at_s for sample in day.samples]
     panel.stackplot(
         at,
