--- a/bench/overload.py
+++ b/bench/overload.py
@@ -1,9 +1,11 @@
-"""Admission under overload, against a FIFO queue and a fixed limit.
-
-``python -m bench overload [--seconds N]`` offers 1, 2 and 5 times what the
-runners can do, and once a flood by one customer, and prints one JSON line
-for each load and way: requests answered within their target each second,
-each customer's part of them, shed by class, and how long a refusal took.
+"""Compares admission control with a FIFO queue and fixed limits.
+
+``python -m bench overload [--seconds N]`` offers 1, 2 and 5 times the capacity
+of the runners, twice the capacity while one runner is degraded, and a flood of
+requests by one customer. It prints one JSON line for each load and admission
+policy ("way"): requests a second whose first token came within the target,
+the share of such requests for each customer and service class, and the time
+until a refusal.
 """
 
 import argparse
@@ -23,14 +25,21 @@
 from . import _overload_ways
 from . import engine_model
 
+#: Requests a second that the runners can serve.
 CAPACITY_PER_S = 12.0
-TICK_S = 0.1
+TICK_INTERVAL_S = 0.1
+#: Requests that arrive before this time are not measured.
 WARM_UP_S = 15.0
+#: Simulated time after the last arrival, in seconds.
 DRAIN_S = 30.0
+#: Slots of the degraded runner.
 DEGRADED_SLOTS = 4
-OFFERS = 20_000
+#: Number of offers whose duration is measured.
+MEASURED_OFFERS = 20_000
+#: Weight of each customer.
 WEIGHTS = {"alfa": 2.0, "beira": 1.0, "cinta": 1.0, "dogma": 1.0}
-FLOOD = {"alfa": 0.2, "beira": 0.1, "cinta": 0.1, "dogma": 5.0}
+#: Demand of each customer, as a share of the capacity, when "dogma" floods.
+FLOOD_DEMAND = {"alfa": 0.2, "beira": 0.1, "cinta": 0.1, "dogma": 5.0}
 
 
 def _catalogue() -> catalogue_model.Catalogue:
@@ -71,9 +80,9 @@
 
 
 class Request:
-    """One request and what became of it."""
+    """A request and its outcome."""
 
-    __slots__ = ("ticket", "job", "admitted", "refused", "first_s")
+    __slots__ = ("ticket", "job", "admitted", "refusal_s", "first_token_s")
 
     def __init__(
         self, ticket: admission.Ticket, job: engine_model.Job
@@ -81,21 +90,26 @@
         self.ticket = ticket
         self.job = job
         self.admitted = False
-        self.refused: float | None = None
-        self.first_s: float | None = None
+        #: Time from arrival to the refusal.
+        self.refusal_s: float | None = None
+        #: Time from arrival to the first token.
+        self.first_token_s: float | None = None
 
     @property
-    def good(self) -> bool:
-        """Whether the first token came within the target."""
+    def is_good(self) -> bool:
+        """Whether the first token arrived within the target."""
         target = CATALOGUE.classes[self.ticket.service_class].first_token_s
-        return self.first_s is not None and self.first_s <= target
+        return self.first_token_s is not None and self.first_token_s <= target
 
 
 class Trial:
-    """One way under one load.
+    """Simulates one admission policy under one load.
 
-    :param demand: of each customer, as part of the capacity.
-    :param degraded: whether a runner loses most of its slots on the way.
+    :param way: name of the admission policy.
+    :param demand: demand of each customer as a share of the capacity.
+    :param seconds: time during which requests arrive.
+    :param degraded: whether a runner loses most of its slots after the
+        warm-up.
     """
 
     def __init__(
@@ -110,150 +124,167 @@
         self._rng = random.Random(seed)
         self._seconds = seconds
         self._requests: dict[str, Request] = {}
-        self._ways = [self._make(way, vm) for vm in range(_overload_ways.VMS)]
+        self._policies = [
+            self._make_policy(way, vm) for vm in range(_overload_ways.VMS)
+        ]
         totals = engine_model.Totals()
         self._engines = [
             engine_model.Engine(self._events, _runner(n), 4000, totals)
             for n in range(_overload_ways.RUNNERS)
         ]
-        self._loads = [0] * _overload_ways.RUNNERS
-        for customer, part in demand.items():
-            self._plan(customer, part * CAPACITY_PER_S)
-        self._events.every(TICK_S, self._tick)
+        self._in_flight_by_engine = [0] * _overload_ways.RUNNERS
+        for customer, share in demand.items():
+            self._schedule_arrivals(customer, share * CAPACITY_PER_S)
+        self._events.every(TICK_INTERVAL_S, self._tick)
         if degraded:
-            self._events.at(WARM_UP_S, self._degrade)
+            self._events.at(WARM_UP_S, self._degrade_runner)
 
     def run(self) -> dict[str, typing.Any]:
-        """Run it and measure after the warm-up."""
+        """Run the simulation and measure requests after the warm-up."""
         self._events.run(self._seconds + DRAIN_S)
-        seen = [
+        measured = [
             request
             for request in self._requests.values()
             if request.ticket.arrived >= WARM_UP_S
         ]
         span_s = self._seconds - WARM_UP_S
-        good = [request for request in seen if request.good]
-        tokens = collections.Counter({c: _tokens(good, c) for c in WEIGHTS})
-        refused = sorted(r.refused for r in seen if r.refused is not None)
-        admitted = [r for r in seen if r.first_s is not None]
-        waits = sorted(r.first_s or 0.0 for r in admitted)
+        good_requests = [request for request in measured if request.is_good]
+        tokens = collections.Counter(
+            {c: _sum_tokens(good_requests, c) for c in WEIGHTS}
+        )
+        refusals_s = sorted(
+            r.refusal_s for r in measured if r.refusal_s is not None
+        )
+        answered = [r for r in measured if r.first_token_s is not None]
+        first_tokens_s = sorted(r.first_token_s or 0.0 for r in answered)
         return {
-            "offered_per_s": round(len(seen) / span_s, 2),
-            "good_per_s": round(len(good) / span_s, 2),
+            "offered_per_s": round(len(measured) / span_s, 2),
+            "good_per_s": round(len(good_requests) / span_s, 2),
             "good_tokens_per_s": round(sum(tokens.values()) / span_s),
             "admitted_within_target": round(
-                len(good) / max(1, len(admitted)), 3
+                len(good_requests) / max(1, len(answered)), 3
+            ),
+            "first_token_p95_s": round(
+                first_tokens_s[int(0.95 * len(first_tokens_s))], 3
             ),
-            "first_token_p95_s": round(waits[int(0.95 * len(waits))], 3),
             "token_shares": {
                 c: round(n / max(1, sum(tokens.values())), 3)
                 for c, n in sorted(tokens.items())
             },
-            "good_part": {c: _part(seen, c) for c in WEIGHTS},
+            "good_part": {c: _good_share(measured, c) for c in WEIGHTS},
             "good_part_by_class": {
-                c: _class_part(seen, c) for c in CATALOGUE.classes
+                c: _good_share_of_class(measured, c) for c in CATALOGUE.classes
             },
             "refusal_p95_s": (
-                round(refused[int(0.95 * len(refused))], 3)
-                if refused
+                round(refusals_s[int(0.95 * len(refusals_s))], 3)
+                if refusals_s
                 else None
             ),
         }
 
-    def _make(self, way: str, vm: int) -> _overload_ways.Way:
+    def _make_policy(
+        self, way: str, vm: int
+    ) -> _overload_ways.AdmissionPolicy:
         if way == "fifo":
-            return _overload_ways.Fifo()
+            return _overload_ways.FifoQueue()
         if way in _overload_ways.FIXED_LIMITS:
-            return _overload_ways.Fixed(_overload_ways.FIXED_LIMITS[way])
-        ours = admission.AdmissionController(
+            return _overload_ways.FixedLimit(_overload_ways.FIXED_LIMITS[way])
+        controller = admission.AdmissionController(
             self._events.clock, random.Random(vm), f"vm{vm}"
         )
-        ours.configure(CATALOGUE)
-        ours.set_members([f"vm{n}" for n in range(_overload_ways.VMS)])
-        ours.set_pool(
+        controller.configure(CATALOGUE)
+        controller.set_members([f"vm{n}" for n in range(_overload_ways.VMS)])
+        controller.set_pool(
             "pool", _overload_ways.RUNNERS * _overload_ways.SLOTS, 1.0
         )
-        return ours
+        return controller
 
-    def _plan(self, customer: str, per_s: float) -> None:
+    def _schedule_arrivals(self, customer: str, per_s: float) -> None:
         at = 0.0
         while at < self._seconds:
             at += self._rng.expovariate(per_s)
             entry = "desk" if self._rng.random() < 0.5 else "draft"
-            tokens = self._rng.randint(200, 2000)
-            answer = self._rng.randint(50, 200)
+            prompt_tokens = self._rng.randint(200, 2000)
+            answer_tokens = self._rng.randint(50, 200)
             service_class = CATALOGUE.classes[entry]
             ticket = admission.Ticket(
                 f"{customer}/{len(self._requests)}",
                 customer,
                 entry,
                 entry,
-                tokens + answer,
+                prompt_tokens + answer_tokens,
                 at,
                 at + service_class.deadline_s,
             )
-            job = engine_model.Job((), (), tokens, answer)
+            job = engine_model.Job((), (), prompt_tokens, answer_tokens)
             self._requests[ticket.request_id] = Request(ticket, job)
             vm = self._rng.randrange(_overload_ways.VMS)
             self._events.at(at, functools.partial(self._arrive, vm, ticket))
 
     def _arrive(self, vm: int, ticket: admission.Ticket) -> None:
-        self._apply(vm, self._ways[vm].offer(ticket))
+        self._apply_verdicts(vm, self._policies[vm].offer(ticket))
 
     def _tick(self) -> None:
-        for vm, way in enumerate(self._ways):
-            self._apply(vm, way.tick())
+        for vm, policy in enumerate(self._policies):
+            self._apply_verdicts(vm, policy.tick())
 
-    def _apply(self, vm: int, verdicts: list[admission.Verdict]) -> None:
+    def _apply_verdicts(
+        self, vm: int, verdicts: list[admission.Verdict]
+    ) -> None:
         for verdict in verdicts:
             request = self._requests[verdict.request_id]
             if isinstance(verdict, admission.Admitted):
                 self._send(vm, request)
             else:
                 now = self._events.clock.now()
-                request.refused = now - request.ticket.arrived
+                request.refusal_s = now - request.ticket.arrived
 
     def _send(self, vm: int, request: Request) -> None:
-        name = request.ticket.request_id
-        place = min(range(_overload_ways.RUNNERS), key=self._fill)
-        self._loads[place] += 1
+        request_id = request.ticket.request_id
+        engine_index = min(range(_overload_ways.RUNNERS), key=self._occupancy)
+        self._in_flight_by_engine[engine_index] += 1
 
         def on_first() -> None:
             now = self._events.clock.now()
-            request.first_s = now - request.ticket.arrived
-            self._ways[vm].first_token(name)
+            request.first_token_s = now - request.ticket.arrived
+            self._policies[vm].first_token(request_id)
 
         def on_end() -> None:
-            self._loads[place] -= 1
+            self._in_flight_by_engine[engine_index] -= 1
             done = models.Outcome.DONE
-            self._apply(vm, self._ways[vm].finished(name, done))
+            self._apply_verdicts(
+                vm, self._policies[vm].finished(request_id, done)
+            )
 
         request.job.on_first = on_first
         request.job.on_end = on_end
-        self._engines[place].submit(request.job)
+        self._engines[engine_index].submit(request.job)
 
-    def _fill(self, place: int) -> float:
-        return self._loads[place] / self._engines[place].runner.slots
+    def _occupancy(self, engine_index: int) -> float:
+        return (
+            self._in_flight_by_engine[engine_index]
+            / self._engines[engine_index].runner.slots
+        )
 
-    def _degrade(self) -> None:
-        """One runner can do less from now on, and nobody is told."""
+    def _degrade_runner(self) -> None:
+        """Reduce the slots of one runner without telling the VMs."""
         self._engines[0].runner.slots = DEGRADED_SLOTS
 
 
-def _tokens(requests: list[Request], customer: str) -> float:
+def _sum_tokens(requests: list[Request], customer: str) -> float:
     return sum(
         r.ticket.tokens for r in requests if r.ticket.customer == customer
     )
 
 
-def _part(requests: list[Request], customer: str) -> float:
-    own = [r for r in requests if r.ticket.customer == customer]
-    return round(sum(r.good for r in own) / max(1, len(own)), 3)
+def _good_share(requests: list[Request], customer: str) -> float:
+    selected = [r for r in requests if r.ticket.customer == customer]
+    return round(sum(r.is_good for r in selected) / max(1, len(selected)), 3)
 
 
-def _class_part(requests: list[Request], name: str) -> float:
-    own = [r for r in requests if r.ticket.service_class == name]
-    return round(sum(r.good for r in own) / max(1, len(own)), 3)
+def _good_share_of_class(requests: list[Request], name: str) -> float:
+    selected = [r for r in requests if r.ticket.service_class == name]
+    return round(sum(r.is_good for r in selected) / max(1, len(selected)), 3)
 
 
 def _runner(number: int) -> models.Runner:
@@ -270,24 +301,26 @@
 
 
 def loads() -> dict[str, dict[str, float]]:
-    """Each customer's demand, as part of the capacity, by load."""
+    """Demand of each customer as a share of the capacity, by load."""
     even = {customer: 1 / len(WEIGHTS) for customer in WEIGHTS}
     scaled = {
-        f"{factor}x": {c: part * factor for c, part in even.items()}
+        f"{factor}x": {c: share * factor for c, share in even.items()}
         for factor in (1, 2, 5)
     }
-    return {**scaled, "2x_degraded": scaled["2x"], "flood": FLOOD}
+    return {**scaled, "2x_degraded": scaled["2x"], "flood": FLOOD_DEMAND}
 
 
-def _offer_us(customers: int) -> dict[str, typing.Any]:
-    """The processor time of one offer while the desk is flooded."""
+def _measure_offers(customers: int) -> dict[str, typing.Any]:
+    """Measure the time of one offer to an overloaded controller."""
     clock = clocks.ManualClock()
-    desk = admission.AdmissionController(clock, random.Random(1), "vm0")
-    desk.configure(CATALOGUE)
-    desk.set_pool("pool", _overload_ways.RUNNERS * _overload_ways.SLOTS, 1.0)
-    spent = []
+    controller = admission.AdmissionController(clock, random.Random(1), "vm0")
+    controller.configure(CATALOGUE)
+    controller.set_pool(
+        "pool", _overload_ways.RUNNERS * _overload_ways.SLOTS, 1.0
+    )
+    durations_s = []
     running: collections.deque[str] = collections.deque()
-    for number in range(OFFERS):
+    for number in range(MEASURED_OFFERS):
         clock.advance(0.002)
         now = clock.now()
         ticket = admission.Ticket(
@@ -300,38 +333,40 @@
             now + 30.0,
         )
         start = time.perf_counter()
-        verdicts = desk.offer(ticket)
-        spent.append(time.perf_counter() - start)
+        verdicts = controller.offer(ticket)
+        durations_s.append(time.perf_counter() - start)
         if number % 50 == 0:
-            verdicts += desk.tick()
+            verdicts += controller.tick()
         if number % 20 == 0 and running:
-            verdicts += desk.finished(running.popleft(), models.Outcome.DONE)
+            verdicts += controller.finished(
+                running.popleft(), models.Outcome.DONE
+            )
         running.extend(
             verdict.request_id
             for verdict in verdicts
             if isinstance(verdict, admission.Admitted)
         )
-    spent.sort()
+    durations_s.sort()
     return {
         "trial": "offer",
         "customers": customers,
-        "mean_us": round(1e6 * statistics.mean(spent), 1),
-        "p99_us": round(1e6 * spent[int(0.99 * len(spent))], 1),
+        "mean_us": round(1e6 * statistics.mean(durations_s), 1),
+        "p99_us": round(1e6 * durations_s[int(0.99 * len(durations_s))], 1),
     }
 
 
-def _mean(values: list[typing.Any]) -> typing.Any:
-    """Averages, member by member."""
+def _mean_by_key(values: list[typing.Any]) -> typing.Any:
+    """Average results, each key on its own, and ignore missing values."""
     if isinstance(values[0], dict):
-        return {k: _mean([v[k] for v in values]) for k in values[0]}
-    known = [value for value in values if value is not None]
-    return round(statistics.mean(known), 3) if known else None
+        return {k: _mean_by_key([v[k] for v in values]) for k in values[0]}
+    present = [value for value in values if value is not None]
+    return round(statistics.mean(present), 3) if present else None
 
 
 def run(arguments: list[str]) -> int:
-    """Run the trials.
+    """Run the trials and print their results.
 
-    :param arguments: of the command line.
+    :param arguments: command-line arguments.
     :returns: the exit code.
     """
     parser = argparse.ArgumentParser(prog="bench overload")
@@ -346,9 +381,9 @@
                 ).run()
                 for seed in range(1, options.seeds + 1)
             ]
-            result = _mean(results)
-            line = {"load": load, "way": way, **result}
-            print(json.dumps(line), flush=True)
+            result = _mean_by_key(results)
+            row = {"load": load, "way": way, **result}
+            print(json.dumps(row), flush=True)
     for customers in (5, 200):
-        print(json.dumps(_offer_us(customers)), flush=True)
+        print(json.dumps(_measure_offers(customers)), flush=True)
     return 0
