--- a/bench/roll_outs.py
+++ b/bench/roll_outs.py
@@ -27,18 +27,21 @@
     "none": simulation.Fault(),
     "failures": simulation.Fault(failure_rate=0.25),
     "failures_late": simulation.Fault(failure_rate=0.25, starts_at=0.5),
-    "failures_loaded": simulation.Fault(failure_rate=0.4, least_in_flight=3),
+    "failures_loaded": simulation.Fault(failure_rate=0.4, min_in_flight=3),
     "failures_one_route": simulation.Fault(failure_rate=0.5, one_route=True),
     "slow": simulation.Fault(factor=4.0),
     "slow_late": simulation.Fault(factor=4.0, starts_at=0.5),
     "slow_one_route": simulation.Fault(factor=4.0, one_route=True),
 }
+#: Routes, calls a second and number of runners of each version.
 LOADS = {
     "light": (simulation.LOOKUPS, 18.0, 3),
     "plain": (simulation.LOOKUPS, 85.0, 3),
     "heavy": (simulation.STREAMS, 194.0, 45),
 }
-SIZES = (7, 70, 195)
+#: Fleet sizes in VMs.
+FLEET_SIZES = (7, 70, 195)
+#: Time limit of a roll-out, in seconds.
 DURATION_S = 12.0
 _STRATEGIES: dict[str, type[controllers.RollOutController]] = {}
 
@@ -48,6 +51,8 @@
 ) -> typing.Callable[
     [type[controllers.RollOutController]], type[controllers.RollOutController]
 ]:
+    """Register a strategy under the name used on the command line."""
+
     def decorate(
         strategy: type[controllers.RollOutController],
     ) -> type[controllers.RollOutController]:
@@ -58,48 +63,54 @@
 
 
 @_strategy("compared")
-class _Compared(controllers.RollOutController):
-    """The production controller."""
+class _ProductionController(controllers.RollOutController):
+    """The roll-out controller of the product."""
 
     __slots__ = ()
 
 
 @_strategy("steps")
-class _Steps(controllers.RollOutController):
-    """Fixed traffic steps and fixed thresholds."""
+class _FixedStepsController(controllers.RollOutController):
+    """Uses fixed traffic steps and fixed limits."""
 
     __slots__ = ()
 
+    #: End of each step as a share of the duration, and its share of the calls.
     STEPS = ((0.6, 0.05), (0.75, 0.25), (0.85, 0.5), (1.0, 1.0))
-    MOST_FAILED = 0.05
-    MOST_FACTOR = 2.0
-    LEAST_CALLS = 20
+    MAX_FAILURE_RATE = 0.05
+    MAX_LATENCY_FACTOR = 2.0
+    MIN_CALLS = 20
 
     def should_use_new_version(
         self, service: str, route: str, is_retry: bool = False
     ) -> bool:
-        """Choose the new version with the share of the current step."""
+        """Choose the new version with the probability of the current step."""
         roll_out = self._by_service[service]
         if roll_out.order.state is not model.RollOutState.RUNNING:
             return False
         if not roll_out.new_runners:
             return False
-        part = self._elapsed_s(roll_out) / roll_out.order.duration_s
-        share = next((s for until, s in self.STEPS if part < until), 1.0)
+        elapsed_share = self._elapsed_s(roll_out) / roll_out.order.duration_s
+        share = next(
+            (s for until, s in self.STEPS if elapsed_share < until), 1.0
+        )
         return self._rng.random() < share
 
     def tick(self) -> bool:
-        """Compare failure rate and latency with fixed limits."""
+        """Compare failure rate and latency with the fixed limits."""
         for roll_out in self._running():
-            self._set_phase(roll_out)
+            self._update_phase(roll_out)
             new = samples.sum_samples(
                 s for k, s in roll_out.fleet_counts.items() if k.runner
             )
-            if new.ended < self.LEAST_CALLS:
+            if new.ended < self.MIN_CALLS:
                 continue
             rate = new.failed / new.ended
             factor = 2.72**new.first_byte.mean
-            if rate > self.MOST_FAILED or factor > self.MOST_FACTOR:
+            if (
+                rate > self.MAX_FAILURE_RATE
+                or factor > self.MAX_LATENCY_FACTOR
+            ):
                 self._fail(
                     roll_out,
                     canary_analysis.Finding(
@@ -108,24 +119,24 @@
                 )
         return False
 
-    def _set_phase(self, roll_out: progress.RollOut) -> None:
-        """Complete once the old runners are idle, or when it is due."""
-        due = roll_out.schedule.phase(self._elapsed_s(roll_out))
-        is_due = due is schedule.Phase.DUE
+    def _update_phase(self, roll_out: progress.RollOut) -> None:
+        """Complete when the old runners are idle, or at the time limit."""
+        scheduled_phase = roll_out.schedule.phase(self._elapsed_s(roll_out))
+        is_due = scheduled_phase is schedule.Phase.DUE
         phase = schedule.Phase.DUE if is_due else schedule.Phase.TAKE_OVER
         roll_out.phase = phase
 
 
 @_strategy("time")
-class _Time(_Steps):
-    """Fixed traffic steps without any rollback."""
+class _TimeOnlyController(_FixedStepsController):
+    """Uses fixed traffic steps and never rolls back."""
 
     __slots__ = ()
 
     def tick(self) -> bool:
         """Advance without evaluating the new version."""
         for roll_out in self._running():
-            self._set_phase(roll_out)
+            self._update_phase(roll_out)
         return False
 
 
@@ -141,19 +152,19 @@
 
 def simulate(case: Case) -> simulation.Outcome:
     """Simulate one roll-out."""
-    routes, per_s, runners = LOADS[case.load]
+    routes, calls_per_s, runners = LOADS[case.load]
     strategy = _STRATEGIES[case.strategy]
 
-    def make(
-        clock: clocks.Clock, rng: random.Random, bounds: model.RollOutLimits
-    ) -> simulation.Participant:
-        return strategy(clock, rng, bounds)
+    def make_controller(
+        clock: clocks.Clock, rng: random.Random, limits: model.RollOutLimits
+    ) -> simulation.VmController:
+        return strategy(clock, rng, limits)
 
     return simulation.Simulation(
-        simulation.Load(case.vms, routes, per_s, runners, DURATION_S),
+        simulation.Load(case.vms, routes, calls_per_s, runners, DURATION_S),
         FAULTS[case.fault],
         model.RollOutLimits(),
-        make,
+        make_controller,
         case.seed,
     ).run()
 
@@ -162,14 +173,14 @@
     cases: typing.Sequence[Case], outcomes: typing.Sequence[simulation.Outcome]
 ) -> dict[str, typing.Any]:
     """Summarize the runs of one strategy, fault, load and fleet size."""
-    first = cases[0]
+    first_case = cases[0]
     completed = [o.state is model.RollOutState.COMPLETED for o in outcomes]
-    is_bad = FAULTS[first.fault].bad
+    is_bad = FAULTS[first_case.fault].bad
     return {
-        "way": first.strategy,
-        "fault": first.fault,
-        "load": first.load,
-        "vms": first.vms,
+        "way": first_case.strategy,
+        "fault": first_case.fault,
+        "load": first_case.load,
+        "vms": first_case.vms,
         "plays": len(outcomes),
         "wrong": sum(completed) if is_bad else len(outcomes) - sum(completed),
         "over_exposure": (
@@ -179,13 +190,17 @@
             sum(o.late_calls > 0 for o in outcomes) if is_bad else None
         ),
         "most_exposed": round(max(o.exposed / o.allowed for o in outcomes), 2),
-        "decided_s": round(statistics.median(o.took_s for o in outcomes), 1),
-        "cut": round(statistics.fmean(o.cut_calls for o in outcomes), 1),
+        "decided_s": round(
+            statistics.median(o.decided_after_s for o in outcomes), 1
+        ),
+        "cut": round(
+            statistics.fmean(o.interrupted_calls for o in outcomes), 1
+        ),
     }
 
 
 def run(arguments: list[str]) -> int:
-    """Run all cases and print a line for each combination."""
+    """Run all cases and print a row for each combination."""
     parser = argparse.ArgumentParser(prog="bench roll_outs")
     parser.add_argument("--seeds", type=int, default=20)
     parser.add_argument("--jobs", type=int, default=2)
@@ -195,7 +210,10 @@
     groups = [
         [Case(*group, seed) for seed in range(1, options.seeds + 1)]
         for group in itertools.product(
-            options.ways.split(","), options.faults.split(","), LOADS, SIZES
+            options.ways.split(","),
+            options.faults.split(","),
+            LOADS,
+            FLEET_SIZES,
         )
     ]
     with futures.ProcessPoolExecutor(options.jobs) as pool:
