--- a/bench/engine_model.py
+++ b/bench/engine_model.py
@@ -1,9 +1,10 @@
-"""A runner on a virtual clock, as plain arithmetic.
+"""Simulates a runner's inference engine on a virtual clock.
 
-Slots, one prefill after the other, decoding that slows down with the batch,
-and a prefix cache with a bounded number of blocks, the least recently used
-evicted first. Not a model of any product: it has just what routing and
-admission decisions depend on.
+An engine has a number of slots, prefills one prompt after the other and
+decodes more slowly the more requests run. Its prefix cache holds a bounded
+number of blocks and evicts the least recently used ones first. The simulation
+covers only what routing and admission decisions depend on; it does not
+reproduce a particular product.
 """
 
 import collections
@@ -15,40 +16,45 @@
 from apricotlever.runners import model as models
 from apricotlever.runners import prefix
 
-PREFILL_S = 0.0001
-DECODE_S = 0.02
-BASE_S = 0.02
+#: Time to prefill one token, in seconds.
+PREFILL_TOKEN_S = 0.0001
+#: Time to decode one token in an empty batch, in seconds.
+DECODE_TOKEN_S = 0.02
+#: Time from the end of the prefill to the first token in an empty batch, in
+#: seconds.
+FIRST_TOKEN_OVERHEAD_S = 0.02
+#: Relative slowdown of decoding when all slots are in use.
 BATCH_SLOWDOWN = 0.5
-SAMPLE_S = 0.25
+LOAD_SAMPLE_INTERVAL_S = 0.25
 
 
 class Events:
-    """What happens, in order of time, on a manual clock."""
+    """Runs scheduled actions in the order of time on a manual clock."""
 
     def __init__(self) -> None:
         self.clock = clocks.ManualClock(0.0)
         self._heap: list[tuple[float, int, typing.Callable[[], None]]] = []
-        self._numbers = itertools.count()
+        self._event_numbers = itertools.count()
 
     def at(self, when: float, action: typing.Callable[[], None]) -> None:
-        """Run an action at a time."""
-        heapq.heappush(self._heap, (when, next(self._numbers), action))
+        """Schedule an action at a time."""
+        heapq.heappush(self._heap, (when, next(self._event_numbers), action))
 
     def after(self, delay_s: float, action: typing.Callable[[], None]) -> None:
-        """Run an action after a delay."""
+        """Schedule an action after a delay."""
         self.at(self.clock.now() + delay_s, action)
 
     def every(self, step_s: float, action: typing.Callable[[], None]) -> None:
-        """Run an action again and again."""
+        """Schedule an action at regular intervals, first after one."""
 
-        def again() -> None:
+        def repeat() -> None:
             action()
-            self.after(step_s, again)
+            self.after(step_s, repeat)
 
-        self.after(step_s, again)
+        self.after(step_s, repeat)
 
     def run(self, until: float) -> None:
-        """Run everything that happens before a time."""
+        """Run all actions up to and including a time."""
         while self._heap and self._heap[0][0] <= until:
             when, _, action = heapq.heappop(self._heap)
             self.clock.advance(max(0.0, when - self.clock.now()))
@@ -56,12 +62,13 @@
 
 
 class Job:
-    """A request at a runner.
+    """A request to an engine.
 
-    :param blocks: of the prompt.
-    :param after: blocks of prompt and answer, cached when it ends.
-    :param tokens: of the prompt.
-    :param answer: tokens of the answer.
+    :param blocks: block hashes of the prompt.
+    :param after: block hashes of prompt and answer, which are cached when the
+        request ends.
+    :param tokens: number of tokens of the prompt.
+    :param answer: number of tokens of the answer.
     """
 
     __slots__ = ("blocks", "after", "tokens", "answer", "on_first", "on_end")
@@ -77,16 +84,16 @@
         self.after = after
         self.tokens = tokens
         self.answer = answer
-        self.on_first: typing.Callable[[], None] = _nothing
-        self.on_end: typing.Callable[[], None] = _nothing
+        self.on_first: typing.Callable[[], None] = _ignore
+        self.on_end: typing.Callable[[], None] = _ignore
 
 
-def _nothing() -> None:
+def _ignore() -> None:
     pass
 
 
 class Totals:
-    """What the runners of one trial did together."""
+    """Totals over all engines of one simulation."""
 
     def __init__(self) -> None:
         self.prompt_tokens = 0
@@ -94,13 +101,15 @@
         self.prefilled_tokens = 0
         self.recomputed_tokens = 0
         self.cost = 0.0
-        self.known_blocks: set[int] = set()
+        #: Blocks that any engine has computed; a block that is prefilled
+        #: although it is one of these counts as recomputed.
+        self.computed_blocks: set[int] = set()
 
 
 class Engine:
-    """One runner.
+    """Simulates the engine of one runner.
 
-    :param blocks: that its cache holds.
+    :param blocks: number of blocks that the cache holds.
     """
 
     def __init__(
@@ -115,102 +124,108 @@
         self._cache: collections.OrderedDict[int, None] = (
             collections.OrderedDict()
         )
-        self._blocks = blocks
+        self._cache_blocks = blocks
         self._totals = totals
         self._running = 0
         self._waiting: collections.deque[Job] = collections.deque()
-        self._prefill_free = 0.0
-        self._samples: collections.deque[tuple[float, int, int]] = (
+        self._prefill_free_at = 0.0
+        self._load_samples: collections.deque[tuple[float, int, int]] = (
             collections.deque([(0.0, 0, 0)])
         )
-        self.log: list[tuple[float, models.CacheEvent]] = []
-        self._seq = 0
-        events.every(SAMPLE_S, self._sample)
+        self.cache_log: list[tuple[float, models.CacheEvent]] = []
+        self._next_seq = 0
+        events.every(LOAD_SAMPLE_INTERVAL_S, self._sample_load)
 
     def submit(self, job: Job) -> None:
-        """Take in a request."""
+        """Start a request, or queue it if all slots are in use."""
         if self._running < self.runner.slots:
-            self._start(job)
+            self._start_job(job)
         else:
             self._waiting.append(job)
 
     def load(self, lag_s: float) -> models.LoadReport:
-        """The load as it was a while ago."""
-        then = self._events.clock.now() - lag_s
-        while len(self._samples) > 1 and self._samples[1][0] <= then:
-            self._samples.popleft()
-        _, running, waiting = self._samples[0]
+        """Report the load as it was ``lag_s`` seconds ago."""
+        cutoff = self._events.clock.now() - lag_s
+        while (
+            len(self._load_samples) > 1 and self._load_samples[1][0] <= cutoff
+        ):
+            self._load_samples.popleft()
+        _, running, waiting = self._load_samples[0]
         return models.LoadReport(
             running,
             waiting,
             self.runner.slots,
             len(self._cache),
-            self._blocks,
+            self._cache_blocks,
             0.0,
-            self._events.clock.now() - self._samples[0][0],
+            self._events.clock.now() - self._load_samples[0][0],
         )
 
     def cache_events(
-        self, after: int, lag_s: float, lost: typing.Callable[[int], bool]
+        self, after: int, lag_s: float, is_lost: typing.Callable[[int], bool]
     ) -> models.CacheEvents:
-        """The events after a number, late and with gaps.
+        """Report cache events from a sequence number on, late and with gaps.
 
-        :param lost: tells by its number whether an event got lost.
+        :param after: first sequence number to report.
+        :param is_lost: decides by its sequence number whether an event is
+            lost.
         """
         ready = self._events.clock.now() - lag_s
-        told = [
+        delivered = [
             event
-            for at, event in self.log[after:]
-            if at <= ready and not lost(event.seq)
+            for at, event in self.cache_log[after:]
+            if at <= ready and not is_lost(event.seq)
         ]
-        last = max((event.seq for event in told), default=after - 1)
-        return models.CacheEvents(tuple(told), last)
+        last = max((event.seq for event in delivered), default=after - 1)
+        return models.CacheEvents(tuple(delivered), last)
 
-    def _start(self, job: Job) -> None:
+    def _start_job(self, job: Job) -> None:
         now = self._events.clock.now()
         self._running += 1
-        held = itertools.takewhile(self._cache.__contains__, job.blocks)
-        cached = sum(1 for _ in held) * prefix.TOKENS_PER_BLOCK
+        cached_prefix = itertools.takewhile(
+            self._cache.__contains__, job.blocks
+        )
+        cached = sum(1 for _ in cached_prefix) * prefix.TOKENS_PER_BLOCK
         uncached = max(0, job.tokens - cached)
-        self._count(job, cached, uncached)
-        begin = max(now, self._prefill_free)
-        self._prefill_free = begin + uncached * PREFILL_S
-        fill = self._running / self.runner.slots
-        slow = 1.0 + BATCH_SLOWDOWN * fill
-        first_at = self._prefill_free + BASE_S * slow
-        end_at = first_at + job.answer * DECODE_S * slow
-        self._touch(job.blocks)
+        self._record_totals(job, cached, uncached)
+        prefill_at = max(now, self._prefill_free_at)
+        self._prefill_free_at = prefill_at + uncached * PREFILL_TOKEN_S
+        occupancy = self._running / self.runner.slots
+        slowdown = 1.0 + BATCH_SLOWDOWN * occupancy
+        first_at = self._prefill_free_at + FIRST_TOKEN_OVERHEAD_S * slowdown
+        end_at = first_at + job.answer * DECODE_TOKEN_S * slowdown
+        self._use_blocks(job.blocks)
         self._events.at(first_at, job.on_first)
-        self._events.at(end_at, lambda: self._end(job))
+        self._events.at(end_at, lambda: self._end_job(job))
 
-    def _count(self, job: Job, cached: int, uncached: int) -> None:
+    def _record_totals(self, job: Job, cached: int, uncached: int) -> None:
         totals = self._totals
         totals.prompt_tokens += job.tokens
         totals.cached_tokens += cached
         totals.prefilled_tokens += uncached
-        again = sum(
-            block in totals.known_blocks and block not in self._cache
+        recomputed_blocks = sum(
+            block in totals.computed_blocks and block not in self._cache
             for block in job.blocks
         )
-        totals.recomputed_tokens += again * prefix.TOKENS_PER_BLOCK
-        totals.known_blocks.update(job.after)
-        decode_s = job.answer * DECODE_S / self.runner.slots
+        totals.recomputed_tokens += recomputed_blocks * prefix.TOKENS_PER_BLOCK
+        totals.computed_blocks.update(job.after)
+        decode_s = job.answer * DECODE_TOKEN_S / self.runner.slots
         price_per_s = self.runner.price_per_hour / 3600.0
-        totals.cost += price_per_s * (uncached * PREFILL_S + decode_s)
+        totals.cost += price_per_s * (uncached * PREFILL_TOKEN_S + decode_s)
 
-    def _end(self, job: Job) -> None:
+    def _end_job(self, job: Job) -> None:
         self._running -= 1
-        self._touch(job.after)
+        self._use_blocks(job.after)
         job.on_end()
         if self._waiting:
-            self._start(self._waiting.popleft())
+            self._start_job(self._waiting.popleft())
 
-    def _touch(self, blocks: tuple[int, ...]) -> None:
+    def _use_blocks(self, blocks: tuple[int, ...]) -> None:
         new = tuple(b for b in blocks if b not in self._cache)
         for block in reversed(blocks):
             self._cache[block] = None
             self._cache.move_to_end(block)
-        excess = max(0, len(self._cache) - self._blocks)
+        excess = max(0, len(self._cache) - self._cache_blocks)
         evicted = tuple(itertools.islice(self._cache, excess))
         for block in evicted:
             del self._cache[block]
@@ -219,10 +234,10 @@
 
     def _publish(self, stored: bool, blocks: tuple[int, ...]) -> None:
         if blocks:
-            event = models.CacheEvent(self._seq, stored, blocks)
-            self.log.append((self._events.clock.now(), event))
-            self._seq += 1
+            event = models.CacheEvent(self._next_seq, stored, blocks)
+            self.cache_log.append((self._events.clock.now(), event))
+            self._next_seq += 1
 
-    def _sample(self) -> None:
+    def _sample_load(self) -> None:
         now = self._events.clock.now()
-        self._samples.append((now, self._running, len(self._waiting)))
+        self._load_samples.append((now, self._running, len(self._waiting)))
