--- a/bench/engine_model.py
+++ b/bench/engine_model.py
@@ -40,7 +40,9 @@
         """Schedule an action at a time."""
         heapq.heappush(self._heap, (when, next(self._event_numbers), action))
 
-    def after(self, delay_s: float, action: typing.Callable[[], None]) -> None:
+    def schedule_after(
+        self, delay_s: float, action: typing.Callable[[], None]
+    ) -> None:
         """Schedule an action after a delay."""
         self.at(self.clock.now() + delay_s, action)
 
@@ -49,9 +51,9 @@
 
         def repeat() -> None:
             action()
-            self.after(step_s, repeat)
+            self.schedule_after(step_s, repeat)
 
-        self.after(step_s, repeat)
+        self.schedule_after(step_s, repeat)
 
     def run(self, until: float) -> None:
         """Run all actions up to and including a time."""
@@ -65,23 +67,30 @@
     """A request to an engine.
 
     :param blocks: block hashes of the prompt.
-    :param after: block hashes of prompt and answer, which are cached when the
-        request ends.
+    :param blocks_at_end: block hashes of prompt and answer, which are cached
+        when the request ends.
     :param tokens: number of tokens of the prompt.
     :param answer: number of tokens of the answer.
     """
 
-    __slots__ = ("blocks", "after", "tokens", "answer", "on_first", "on_end")
+    __slots__ = (
+        "blocks",
+        "blocks_at_end",
+        "tokens",
+        "answer",
+        "on_first",
+        "on_end",
+    )
 
     def __init__(
         self,
         blocks: tuple[int, ...],
-        after: tuple[int, ...],
+        blocks_at_end: tuple[int, ...],
         tokens: int,
         answer: int,
     ) -> None:
         self.blocks = blocks
-        self.after = after
+        self.blocks_at_end = blocks_at_end
         self.tokens = tokens
         self.answer = answer
         self.on_first: typing.Callable[[], None] = _ignore
@@ -162,21 +171,24 @@
         )
 
     def cache_events(
-        self, after: int, lag_s: float, is_lost: typing.Callable[[int], bool]
+        self,
+        first_seq: int,
+        lag_s: float,
+        is_lost: typing.Callable[[int], bool],
     ) -> models.CacheEvents:
         """Report cache events from a sequence number on, late and with gaps.
 
-        :param after: first sequence number to report.
+        :param first_seq: first sequence number to report.
         :param is_lost: decides by its sequence number whether an event is
             lost.
         """
         ready = self._events.clock.now() - lag_s
         delivered = [
             event
-            for at, event in self.cache_log[after:]
+            for at, event in self.cache_log[first_seq:]
             if at <= ready and not is_lost(event.seq)
         ]
-        last = max((event.seq for event in delivered), default=after - 1)
+        last = max((event.seq for event in delivered), default=first_seq - 1)
         return models.CacheEvents(tuple(delivered), last)
 
     def _start_job(self, job: Job) -> None:
@@ -208,14 +220,14 @@
             for block in job.blocks
         )
         totals.recomputed_tokens += recomputed_blocks * prefix.TOKENS_PER_BLOCK
-        totals.computed_blocks.update(job.after)
+        totals.computed_blocks.update(job.blocks_at_end)
         decode_s = job.answer * DECODE_TOKEN_S / self.runner.slots
         price_per_s = self.runner.price_per_hour / 3600.0
         totals.cost += price_per_s * (uncached * PREFILL_TOKEN_S + decode_s)
 
     def _end_job(self, job: Job) -> None:
         self._running -= 1
-        self._use_blocks(job.after)
+        self._use_blocks(job.blocks_at_end)
         job.on_end()
         if self._waiting:
             self._start_job(self._waiting.popleft())
