--- a/bench/_news_world.py
+++ b/bench/_news_world.py
@@ -1,4 +1,7 @@
-"""Entry VMs that tell each other over a network on a clock set by hand."""
+"""Simulates entry VMs that exchange records over a network.
+
+The simulation advances a manual clock in fixed steps.
+"""
 
 import heapq
 import itertools
@@ -12,26 +15,29 @@
 from apricotlever.vms import vm_records
 
 STEP_S = 0.01
-#: One way, in seconds.
-DELAY_S = 0.0014
-#: Bytes a second that a VM can send: of the slowest links.
-LINK_BYTES = 625000
-#: Of news of a VM that are gathered into one record.
-GATHER_S = 0.02
-#: Bytes of a datagram's headers.
-HEADERS = 28
-SEEDS = 3
-#: Between two looks at what VMs know, in seconds.
-SAMPLE_S = 0.05
-PROBE = "probe-"
-#: VMs of which each change is followed.
-PROBES = 12
+#: Network latency in one direction, in seconds.
+LATENCY_S = 0.0014
+#: Bytes a second that a VM can send. The value is that of the slowest links.
+LINK_BYTES_PER_S = 625000
+#: Time in which the changes of a VM are collected into one record, in
+#: seconds.
+PUBLISH_DELAY_S = 0.02
+#: Size of the IP and UDP headers of a datagram, in bytes.
+HEADER_BYTES = 28
+#: Number of VMs whose addresses are configured as seeds.
+SEED_COUNT = 3
+#: Interval between two samples of the loads that VMs know, in seconds.
+SAMPLE_INTERVAL_S = 0.05
+#: Prefix of the names of the runners that count the changes of probed VMs.
+PROBE_PREFIX = "probe-"
+#: Number of probed VMs.
+PROBED_VMS = 12
 
 
 class Vm:
-    """An entry VM, whose records are made here.
+    """A simulated entry VM, which is also the source of its records.
 
-    :param number: of the VM, from 1 on.
+    :param number: number of the VM, from 1.
     """
 
     def __init__(self, world, number, data_centre, incarnation=1):
@@ -43,24 +49,25 @@
         self.address = f"10.{number // 250}.0.{number % 250}:7000"
         self.in_flight = {}
         self.used = {}
-        #: When each of this VM's changes came, the latest last.
-        self.changes = []
-        #: Times of day at which it does its repeated work, by name.
+        #: Times of this VM's changes, in ascending order.
+        self.change_times = []
+        #: Phase of the VM's periodic tasks, so that VMs do not act at once.
         self.phase_s = world.rng.random() * vm_records.RECORD_INTERVAL_S
+        #: Time until which the VM stalls.
         self.slow_until = 0.0
         self.link_free_at = 0.0
         self.inbox = []
-        self.told_soon_at = None
-        #: What it was told of each process's used units.
+        self.publish_at = None
+        #: Used units by customer, as received from each process.
         self.heard_used = {}
-        self.table = world.table(
+        self.table = world.table_class(
             world.clock,
             random.Random(number),
             self.name,
             self.address,
-            world.seeds,
+            world.seed_addresses,
         )
-        self.news = world.news(
+        self.news = world.exchange_class(
             world.clock,
             random.Random(number),
             self.name,
@@ -71,16 +78,16 @@
 
     @property
     def process(self):
-        """Names the process."""
+        """Name that distinguishes the VM's process from earlier ones."""
         return f"{self.name}#{self.incarnation}"
 
     @property
     def others(self):
-        """The living VMs that it hears."""
+        """Names of the other VMs that this VM considers alive."""
         return {digest.vm for digest in self.table.alive()}
 
     def record(self, number, known, whole, aggregator):
-        """This VM's next record."""
+        """Build this VM's next record."""
         return vm_records.VmRecord(
             self.name,
             self.incarnation,
@@ -102,51 +109,51 @@
             aggregator=aggregator,
         )
 
-    def call(self, runner, customer):
-        """Begin a call."""
+    def start_call(self, runner, customer):
+        """Start a call."""
         self.in_flight[runner] = self.in_flight.get(runner, 0) + 1
         self.used[customer] = self.used.get(customer, 0) + 1000
-        self.changed()
+        self.record_change()
 
-    def end(self, runner):
+    def end_call(self, runner):
         """End a call."""
         self.in_flight[runner] -= 1
         if not self.in_flight[runner]:
             del self.in_flight[runner]
-        self.changed()
+        self.record_change()
 
-    def changed(self):
-        """Tell what has changed soon."""
-        self.changes.append(self.world.clock.now())
-        if self.told_soon_at is None:
-            self.told_soon_at = self.world.clock.now() + GATHER_S
+    def record_change(self):
+        """Record a change and schedule its publication."""
+        self.change_times.append(self.world.clock.now())
+        if self.publish_at is None:
+            self.publish_at = self.world.clock.now() + PUBLISH_DELAY_S
 
-    def step(self, now, before):
-        """Do what is due between two moments."""
+    def step(self, now, previous):
+        """Run the tasks that became due since the previous step."""
         if now < self.slow_until:
             return
-        if self.told_soon_at is not None and self.told_soon_at <= now:
-            self.told_soon_at = None
+        if self.publish_at is not None and self.publish_at <= now:
+            self.publish_at = None
             self.send(self.news.publish_change())
-        if self._due(peer_datagrams.READ_INTERVAL_S, now, before):
-            self.read()
-        if self._due(record_aggregation.AGGREGATE_INTERVAL_S, now, before):
-            self.read()
+        if self._due(peer_datagrams.READ_INTERVAL_S, now, previous):
+            self.handle_inbox()
+        if self._due(record_aggregation.AGGREGATE_INTERVAL_S, now, previous):
+            self.handle_inbox()
             self.send(self.news.publish_aggregates(self.world.runners))
-        if self._due(vm_records.RECORD_INTERVAL_S, now, before):
+        if self._due(vm_records.RECORD_INTERVAL_S, now, previous):
             self.send(self.news.tick())
 
-    def read(self):
-        """Take in what has come."""
-        waiting, self.inbox = self.inbox, []
-        for message in waiting:
-            self.take(peer_datagrams.unpack(message))
+    def handle_inbox(self):
+        """Process the received datagrams."""
+        datagrams, self.inbox = self.inbox, []
+        for message in datagrams:
+            self.handle_message(peer_datagrams.unpack(message))
 
-    def take(self, message):
-        """Take a message in, as a VM's link does."""
+    def handle_message(self, message):
+        """Process a message in the way of a VM's peer link."""
         if isinstance(message, vm_records.VmRecord):
             self.table.receive_record(message)
-            self.note_used(message.process, message.used)
+            self.record_used(message.process, message.used)
             self.send(self.news.receive_record(message))
             return
         for entry in message.entries:
@@ -154,167 +161,172 @@
                 self.table.receive_record(
                     entry, message.ages.get(entry.vm, 0.0)
                 )
-                self.note_used(entry.process, entry.used)
+                self.record_used(entry.process, entry.used)
         for vm, age_s in message.ages.items():
             self.table.note_heard(vm, age_s)
         for process, used in message.used.items():
-            self.note_used(process, used)
+            self.record_used(process, used)
         self.send(self.news.receive_aggregate(message))
 
-    def note_used(self, process, used):
-        """Keep what a process has let in."""
+    def record_used(self, process, used):
+        """Store the used units that a process reported."""
         self.heard_used.setdefault(process, {}).update(used)
 
     def send(self, outgoing):
-        """Give messages to the network."""
-        for each in outgoing:
-            if each.receivers:
-                data = peer_datagrams.pack(each.message)
-                for receiver in each.receivers:
-                    self.world.carry(self, receiver, data)
+        """Send messages to their receivers over the network."""
+        for outgoing_message in outgoing:
+            if outgoing_message.receivers:
+                data = peer_datagrams.pack(outgoing_message.message)
+                for receiver in outgoing_message.receivers:
+                    self.world.transmit(self, receiver, data)
 
-    def _due(self, pause_s, now, before):
-        since = (now - self.phase_s) // pause_s
-        return since != (before - self.phase_s) // pause_s
+    def _due(self, interval_s, now, previous):
+        """Whether a periodic task became due since the previous step."""
+        periods = (now - self.phase_s) // interval_s
+        return periods != (previous - self.phase_s) // interval_s
 
 
 class World:
-    """A fleet in some data centres.
+    """Simulates a fleet of VMs and its network.
 
-    :param count: of VMs.
-    :param places: data centres.
-    :param table: what a VM knows of the others, and
-    :param news: to whom it tells what.
+    :param vm_count: number of VMs.
+    :param data_centre_count: number of data centres.
+    :param runner_count: number of runners.
+    :param table_class: class of a VM's table of its peers.
+    :param exchange_class: class that decides which messages a VM sends.
     """
 
     def __init__(
         self,
-        count,
-        places=5,
+        vm_count,
+        data_centre_count=5,
         seed=1,
-        runners=44,
-        table=peer_table.PeerTable,
-        news=record_exchange.RecordExchange,
+        runner_count=44,
+        table_class=peer_table.PeerTable,
+        exchange_class=record_exchange.RecordExchange,
     ):
-        self.table = table
-        self.news = news
+        self.table_class = table_class
+        self.exchange_class = exchange_class
         self.rng = random.Random(seed)
         self.clock = clocks.ManualClock()
-        #: Part of all datagrams that are lost.
+        #: Share of datagrams that are lost.
         self.loss = 0.0
-        self.places = [f"dc-{place}" for place in range(places)]
-        self.seeds = [
-            f"10.0.0.{number}:7000" for number in range(1, SEEDS + 1)
+        self.places = [f"dc-{n}" for n in range(data_centre_count)]
+        self.seed_addresses = [
+            f"10.0.0.{number}:7000" for number in range(1, SEED_COUNT + 1)
         ]
-        self.runners = {f"i-{n:010x}" for n in range(runners)}
+        self.runners = {f"i-{n:010x}" for n in range(runner_count)}
         self.customers = [f"customer-{n}" for n in range(19)]
-        #: Of the newest change of a runner.
+        #: Revision of the latest change of a runner.
         self.revision = 400
         self.vms = {}
-        self.by_address = {}
-        #: Pairs of names whose datagrams are lost, the sender first.
+        self.vms_by_address = {}
+        #: Pairs of sender and receiver between which all datagrams are lost.
         self.cut = set()
-        self.in_network = []
-        self.order = itertools.count()
-        #: Bytes and datagrams sent and received, by name.
+        self.in_transit = []
+        self.sequence = itertools.count()
+        #: Bytes sent and received, by VM.
         self.sent = {}
         self.received = {}
-        #: Bytes between data centres.
+        #: Bytes sent between data centres.
         self.crossed = 0
         self.datagrams = 0
-        for number in range(1, count + 1):
+        for number in range(1, vm_count + 1):
             self.add(number)
 
     def add(self, number, incarnation=1):
-        """Start a VM's process."""
-        place = self.places[number % len(self.places)]
-        vm = Vm(self, number, place, incarnation)
+        """Start the process of a VM."""
+        data_centre = self.places[number % len(self.places)]
+        vm = Vm(self, number, data_centre, incarnation)
         self.vms[vm.name] = vm
-        self.by_address[vm.address] = vm
+        self.vms_by_address[vm.address] = vm
         return vm
 
     def kill(self, vm):
-        """End a VM's process."""
+        """Stop the process of a VM."""
         del self.vms[vm.name]
-        del self.by_address[vm.address]
+        del self.vms_by_address[vm.address]
 
     def restart(self, vm):
-        """End a VM's process and start another."""
+        """Stop the process of a VM and start another one."""
         self.kill(vm)
         return self.add(vm.number, vm.incarnation + 1)
 
-    def carry(self, sender, receiver, data):
-        """Send a datagram on its way, or lose it."""
-        size = len(data) + HEADERS
+    def transmit(self, sender, receiver, data):
+        """Send a datagram, which may be lost."""
+        size = len(data) + HEADER_BYTES
         self.datagrams += 1
         self.sent[sender.name] = self.sent.get(sender.name, 0) + size
-        target = self.by_address.get(receiver)
-        if target is None or (sender.name, target.name) in self.cut:
+        recipient = self.vms_by_address.get(receiver)
+        if recipient is None or (sender.name, recipient.name) in self.cut:
             return
         if self.rng.random() < self.loss:
             return
-        self.received[target.name] = self.received.get(target.name, 0) + size
-        if target.data_centre != sender.data_centre:
+        self.received[recipient.name] = (
+            self.received.get(recipient.name, 0) + size
+        )
+        if recipient.data_centre != sender.data_centre:
             self.crossed += size
         now = self.clock.now()
-        sent_at = max(now, sender.link_free_at) + size / LINK_BYTES
+        sent_at = max(now, sender.link_free_at) + size / LINK_BYTES_PER_S
         sender.link_free_at = sent_at
-        arrives = sent_at + DELAY_S
-        entry = (arrives, next(self.order), receiver, data)
-        heapq.heappush(self.in_network, entry)
+        arrives = sent_at + LATENCY_S
+        entry = (arrives, next(self.sequence), receiver, data)
+        heapq.heappush(self.in_transit, entry)
 
     def run(self, seconds, load=None):
-        """Let time pass.
+        """Run the simulation.
 
-        :param load: called before each step.
+        :param load: called with the current time in each step.
         """
         for _ in range(round(seconds / STEP_S)):
-            before = self.clock.now()
+            previous = self.clock.now()
             self.clock.advance(STEP_S)
             now = self.clock.now()
             if load is not None:
                 load(now)
-            while self.in_network and self.in_network[0][0] <= now:
-                _, _, receiver, data = heapq.heappop(self.in_network)
-                if receiver in self.by_address:
-                    self.by_address[receiver].inbox.append(data)
+            while self.in_transit and self.in_transit[0][0] <= now:
+                _, _, receiver, data = heapq.heappop(self.in_transit)
+                if receiver in self.vms_by_address:
+                    self.vms_by_address[receiver].inbox.append(data)
             for vm in list(self.vms.values()):
                 if vm.name in self.vms:
-                    vm.step(now, before)
+                    vm.step(now, previous)
 
     def forget_traffic(self):
-        """Count bytes anew."""
+        """Reset the traffic counters."""
         self.sent.clear()
         self.received.clear()
         self.crossed = self.datagrams = 0
 
     def bytes_a_second(self, seconds):
-        """Bytes that a VM sent and received, on the mean."""
+        """Mean bytes a second sent and received by a VM."""
         whole = sum(self.sent.values()) + sum(self.received.values())
         return whole / seconds / len(self.vms)
 
     def loads_of_others(self, vm):
-        """What the other VMs have at the runners in truth."""
-        truth = {}
+        """Actual number of calls of the other VMs, by runner."""
+        actual = {}
         for other in self.vms.values():
             if other is not vm:
                 for runner, count in other.in_flight.items():
-                    truth[runner] = truth.get(runner, 0) + count
-        return truth
+                    actual[runner] = actual.get(runner, 0) + count
+        return actual
 
 
 class Calls:
-    """Calls that begin and end at random.
+    """Generates calls that start and end at random.
 
-    :param per_s: of the whole fleet.
+    :param per_s: calls a second of the whole fleet.
+    :param mean_duration_s: mean duration of a call, in seconds.
     """
 
-    def __init__(self, world, per_s, lasts_s=1.0):
+    def __init__(self, world, per_s, mean_duration_s=1.0):
         self.world = world
         self.per_s = per_s
-        self.lasts_s = lasts_s
+        self.mean_duration_s = mean_duration_s
         self.ends = []
-        self.order = itertools.count()
+        self.sequence = itertools.count()
 
     def __call__(self, now):
         rng = self.world.rng
@@ -324,48 +336,54 @@
         count = int(expected) + (rng.random() < expected % 1)
         for _ in range(count):
             vm, runner = rng.choice(vms), rng.choice(runners)
-            vm.call(runner, rng.choice(self.world.customers))
-            end = now + rng.expovariate(1.0 / self.lasts_s)
-            heapq.heappush(self.ends, (end, next(self.order), vm, runner))
+            vm.start_call(runner, rng.choice(self.world.customers))
+            end_at = now + rng.expovariate(1.0 / self.mean_duration_s)
+            heapq.heappush(
+                self.ends, (end_at, next(self.sequence), vm, runner)
+            )
         while self.ends and self.ends[0][0] <= now:
             _, _, vm, runner = heapq.heappop(self.ends)
             if self.world.vms.get(vm.name) is vm:
-                vm.end(runner)
+                vm.end_call(runner)
 
 
 class Probe:
-    """Follows how old the loads are that VMs know.
+    """Measures the age of the loads that VMs know.
 
-    Some VMs tell how many changes they have seen as calls at a runner that
-    nobody else uses, so that what another VM knows shows what it has missed.
+    A probed VM reports the number of its changes as calls at a runner that no
+    other VM uses. The number that another VM knows shows which changes that VM
+    has not received.
     """
 
     def __init__(self, world, calls):
         self.world = world
         self.calls = calls
-        self.probes = world.rng.sample(
-            list(world.vms.values()), min(PROBES, len(world.vms))
+        self.probed_vms = world.rng.sample(
+            list(world.vms.values()), min(PROBED_VMS, len(world.vms))
         )
         self.sampled_at = world.clock.now()
         self.ages_s = []
-        for vm in self.probes:
-            vm.changes.clear()
+        for vm in self.probed_vms:
+            vm.change_times.clear()
 
     def __call__(self, now):
-        before = {vm.name: len(vm.changes) for vm in self.probes}
+        change_counts = {
+            vm.name: len(vm.change_times) for vm in self.probed_vms
+        }
         self.calls(now)
-        for vm in self.probes:
-            if len(vm.changes) > before[vm.name]:
-                vm.in_flight[PROBE + vm.name] = len(vm.changes)
-        if now - self.sampled_at >= SAMPLE_S:
+        for vm in self.probed_vms:
+            if len(vm.change_times) > change_counts[vm.name]:
+                vm.in_flight[PROBE_PREFIX + vm.name] = len(vm.change_times)
+        if now - self.sampled_at >= SAMPLE_INTERVAL_S:
             self.sampled_at = now
             self.ages_s += self._ages(now)
 
     def _ages(self, now):
+        """Yield the age of each probed VM's load at each other VM."""
         for vm in self.world.vms.values():
             known = vm.news.loads.in_flight
-            for probe in self.probes:
-                if probe is not vm:
-                    count = known.get(PROBE + probe.name, 0)
-                    missed = probe.changes[count:]
+            for probed_vm in self.probed_vms:
+                if probed_vm is not vm:
+                    count = known.get(PROBE_PREFIX + probed_vm.name, 0)
+                    missed = probed_vm.change_times[count:]
                     yield now - missed[0] if missed else 0.0
