--- a/bench/_news_world.py
+++ b/bench/_record_exchange_simulation.py
@@ -54,12 +54,12 @@
         #: Phase of the VM's periodic tasks, so that VMs do not act at once.
         self.phase_s = world.rng.random() * vm_records.RECORD_INTERVAL_S
         #: Time until which the VM stalls.
-        self.slow_until = 0.0
+        self.stalled_until = 0.0
         self.link_free_at = 0.0
         self.inbox = []
         self.publish_at = None
         #: Used units by customer, as received from each process.
-        self.heard_used = {}
+        self.received_used = {}
         self.table = world.table_class(
             world.clock,
             random.Random(number),
@@ -67,7 +67,7 @@
             self.address,
             world.seed_addresses,
         )
-        self.news = world.exchange_class(
+        self.exchange = world.exchange_class(
             world.clock,
             random.Random(number),
             self.name,
@@ -82,7 +82,7 @@
         return f"{self.name}#{self.incarnation}"
 
     @property
-    def others(self):
+    def live_peers(self):
         """Names of the other VMs that this VM considers alive."""
         return {digest.vm for digest in self.table.alive()}
 
@@ -130,18 +130,18 @@
 
     def step(self, now, previous):
         """Run the tasks that became due since the previous step."""
-        if now < self.slow_until:
+        if now < self.stalled_until:
             return
         if self.publish_at is not None and self.publish_at <= now:
             self.publish_at = None
-            self.send(self.news.publish_change())
+            self.send(self.exchange.publish_change())
         if self._due(peer_datagrams.READ_INTERVAL_S, now, previous):
             self.handle_inbox()
         if self._due(record_aggregation.AGGREGATE_INTERVAL_S, now, previous):
             self.handle_inbox()
-            self.send(self.news.publish_aggregates(self.world.runners))
+            self.send(self.exchange.publish_aggregates(self.world.runners))
         if self._due(vm_records.RECORD_INTERVAL_S, now, previous):
-            self.send(self.news.tick())
+            self.send(self.exchange.tick())
 
     def handle_inbox(self):
         """Process the received datagrams."""
@@ -154,7 +154,7 @@
         if isinstance(message, vm_records.VmRecord):
             self.table.receive_record(message)
             self.record_used(message.process, message.used)
-            self.send(self.news.receive_record(message))
+            self.send(self.exchange.receive_record(message))
             return
         for entry in message.entries:
             if entry.vm != self.name:
@@ -166,11 +166,11 @@
             self.table.note_heard(vm, age_s)
         for process, used in message.used.items():
             self.record_used(process, used)
-        self.send(self.news.receive_aggregate(message))
+        self.send(self.exchange.receive_aggregate(message))
 
     def record_used(self, process, used):
         """Store the used units that a process reported."""
-        self.heard_used.setdefault(process, {}).update(used)
+        self.received_used.setdefault(process, {}).update(used)
 
     def send(self, outgoing):
         """Send messages to their receivers over the network."""
@@ -186,7 +186,7 @@
         return periods != (previous - self.phase_s) // interval_s
 
 
-class World:
+class FleetSimulation:
     """Simulates a fleet of VMs and its network.
 
     :param vm_count: number of VMs.
@@ -210,8 +210,8 @@
         self.rng = random.Random(seed)
         self.clock = clocks.ManualClock()
         #: Share of datagrams that are lost.
-        self.loss = 0.0
-        self.places = [f"dc-{n}" for n in range(data_centre_count)]
+        self.loss_rate = 0.0
+        self.data_centres = [f"dc-{n}" for n in range(data_centre_count)]
         self.seed_addresses = [
             f"10.0.0.{number}:7000" for number in range(1, SEED_COUNT + 1)
         ]
@@ -222,7 +222,7 @@
         self.vms = {}
         self.vms_by_address = {}
         #: Pairs of sender and receiver between which all datagrams are lost.
-        self.cut = set()
+        self.dropped_links = set()
         self.in_transit = []
         self.sequence = itertools.count()
         #: Bytes sent and received, by VM.
@@ -236,7 +236,7 @@
 
     def add(self, number, incarnation=1):
         """Start the process of a VM."""
-        data_centre = self.places[number % len(self.places)]
+        data_centre = self.data_centres[number % len(self.data_centres)]
         vm = Vm(self, number, data_centre, incarnation)
         self.vms[vm.name] = vm
         self.vms_by_address[vm.address] = vm
@@ -258,9 +258,12 @@
         self.datagrams += 1
         self.sent[sender.name] = self.sent.get(sender.name, 0) + size
         recipient = self.vms_by_address.get(receiver)
-        if recipient is None or (sender.name, recipient.name) in self.cut:
+        if (
+            recipient is None
+            or (sender.name, recipient.name) in self.dropped_links
+        ):
             return
-        if self.rng.random() < self.loss:
+        if self.rng.random() < self.loss_rate:
             return
         self.received[recipient.name] = (
             self.received.get(recipient.name, 0) + size
@@ -293,18 +296,18 @@
                 if vm.name in self.vms:
                     vm.step(now, previous)
 
-    def forget_traffic(self):
+    def reset_traffic(self):
         """Reset the traffic counters."""
         self.sent.clear()
         self.received.clear()
         self.crossed = self.datagrams = 0
 
-    def bytes_a_second(self, seconds):
+    def mean_bytes_per_s(self, seconds):
         """Mean bytes a second sent and received by a VM."""
         whole = sum(self.sent.values()) + sum(self.received.values())
         return whole / seconds / len(self.vms)
 
-    def loads_of_others(self, vm):
+    def actual_peer_loads(self, vm):
         """Actual number of calls of the other VMs, by runner."""
         actual = {}
         for other in self.vms.values():
@@ -314,7 +317,7 @@
         return actual
 
 
-class Calls:
+class CallGenerator:
     """Generates calls that start and end at random.
 
     :param per_s: calls a second of the whole fleet.
@@ -347,7 +350,7 @@
                 vm.end_call(runner)
 
 
-class Probe:
+class LoadAgeProbe:
     """Measures the age of the loads that VMs know.
 
     A probed VM reports the number of its changes as calls at a runner that no
@@ -381,7 +384,7 @@
     def _ages(self, now):
         """Yield the age of each probed VM's load at each other VM."""
         for vm in self.world.vms.values():
-            known = vm.news.loads.in_flight
+            known = vm.exchange.loads.in_flight
             for probed_vm in self.probed_vms:
                 if probed_vm is not vm:
                     count = known.get(PROBE_PREFIX + probed_vm.name, 0)
--- a/bench/_roll_out_world.py
+++ b/bench/_roll_out_simulation.py
@@ -114,7 +114,7 @@
         self.one_route = one_route
 
     @property
-    def bad(self) -> bool:
+    def is_bad(self) -> bool:
         """Whether the version is defective."""
         return self.failure_rate > 0.0 or self.factor > 1.0
 
@@ -128,7 +128,7 @@
         :param is_last: whether the call is on the last route.
         """
         return (
-            self.bad
+            self.is_bad
             and elapsed_share >= self.starts_at
             and in_flight >= self.min_in_flight
             and (is_last or not self.one_route)
@@ -220,8 +220,8 @@
 
     :param state: final state; None if none was written.
     :param decided_after_s: time from the order to the final state, in seconds.
-    :param exposed: number of calls sent to the new version.
-    :param allowed: number of calls that a bad version may receive.
+    :param exposed_calls: number of calls sent to the new version.
+    :param allowed_calls: number of calls that a bad version may receive.
     :param late_calls: number of calls sent to the new version after the time
         limit for the rollback.
     :param interrupted_calls: number of calls in flight at the old runners when
@@ -231,8 +231,8 @@
     __slots__ = (
         "state",
         "decided_after_s",
-        "exposed",
-        "allowed",
+        "exposed_calls",
+        "allowed_calls",
         "late_calls",
         "interrupted_calls",
     )
@@ -240,8 +240,8 @@
     def __init__(self) -> None:
         self.state: model.RollOutState | None = None
         self.decided_after_s = 0.0
-        self.exposed = 0
-        self.allowed = 0.0
+        self.exposed_calls = 0
+        self.allowed_calls = 0.0
         self.late_calls = 0
         self.interrupted_calls = 0
 
@@ -303,7 +303,7 @@
             self._clock.advance(at - self._clock.now())
             action()
         limits = self._limits
-        self.outcome.allowed = (
+        self.outcome.allowed_calls = (
             limits.exposure_share * self._calls + limits.exposure_slack
         )
         return self.outcome
@@ -378,7 +378,7 @@
         self._calls += 1
         is_new = runner.version == NEW_VERSION
         if is_new:
-            self.outcome.exposed += 1
+            self.outcome.exposed_calls += 1
             self.outcome.late_calls += self._clock.now() > self._rollback_due
         runner.calls += 1
         elapsed_share = self._elapsed_s / self._load.duration_s
--- a/bench/engine_model.py
+++ b/bench/engine_model.py
@@ -28,7 +28,7 @@
 LOAD_SAMPLE_INTERVAL_S = 0.25
 
 
-class Events:
+class EventQueue:
     """Runs scheduled actions in the order of time on a manual clock."""
 
     def __init__(self) -> None:
@@ -36,7 +36,9 @@
         self._heap: list[tuple[float, int, typing.Callable[[], None]]] = []
         self._event_numbers = itertools.count()
 
-    def at(self, when: float, action: typing.Callable[[], None]) -> None:
+    def schedule_at(
+        self, when: float, action: typing.Callable[[], None]
+    ) -> None:
         """Schedule an action at a time."""
         heapq.heappush(self._heap, (when, next(self._event_numbers), action))
 
@@ -44,9 +46,11 @@
         self, delay_s: float, action: typing.Callable[[], None]
     ) -> None:
         """Schedule an action after a delay."""
-        self.at(self.clock.now() + delay_s, action)
+        self.schedule_at(self.clock.now() + delay_s, action)
 
-    def every(self, step_s: float, action: typing.Callable[[], None]) -> None:
+    def schedule_every(
+        self, step_s: float, action: typing.Callable[[], None]
+    ) -> None:
         """Schedule an action at regular intervals, first after one."""
 
         def repeat() -> None:
@@ -69,16 +73,16 @@
     :param blocks: block hashes of the prompt.
     :param blocks_at_end: block hashes of prompt and answer, which are cached
         when the request ends.
-    :param tokens: number of tokens of the prompt.
-    :param answer: number of tokens of the answer.
+    :param prompt_tokens: number of tokens of the prompt.
+    :param answer_tokens: number of tokens of the answer.
     """
 
     __slots__ = (
         "blocks",
         "blocks_at_end",
-        "tokens",
-        "answer",
-        "on_first",
+        "prompt_tokens",
+        "answer_tokens",
+        "on_first_token",
         "on_end",
     )
 
@@ -86,14 +90,14 @@
         self,
         blocks: tuple[int, ...],
         blocks_at_end: tuple[int, ...],
-        tokens: int,
-        answer: int,
+        prompt_tokens: int,
+        answer_tokens: int,
     ) -> None:
         self.blocks = blocks
         self.blocks_at_end = blocks_at_end
-        self.tokens = tokens
-        self.answer = answer
-        self.on_first: typing.Callable[[], None] = _ignore
+        self.prompt_tokens = prompt_tokens
+        self.answer_tokens = answer_tokens
+        self.on_first_token: typing.Callable[[], None] = _ignore
         self.on_end: typing.Callable[[], None] = _ignore
 
 
@@ -123,7 +127,7 @@
 
     def __init__(
         self,
-        events: Events,
+        events: EventQueue,
         runner: models.Runner,
         blocks: int,
         totals: Totals,
@@ -143,7 +147,7 @@
         )
         self.cache_log: list[tuple[float, models.CacheEvent]] = []
         self._next_seq = 0
-        events.every(LOAD_SAMPLE_INTERVAL_S, self._sample_load)
+        events.schedule_every(LOAD_SAMPLE_INTERVAL_S, self._sample_load)
 
     def submit(self, job: Job) -> None:
         """Start a request, or queue it if all slots are in use."""
@@ -198,21 +202,21 @@
             self._cache.__contains__, job.blocks
         )
         cached = sum(1 for _ in cached_prefix) * prefix.TOKENS_PER_BLOCK
-        uncached = max(0, job.tokens - cached)
+        uncached = max(0, job.prompt_tokens - cached)
         self._record_totals(job, cached, uncached)
         prefill_at = max(now, self._prefill_free_at)
         self._prefill_free_at = prefill_at + uncached * PREFILL_TOKEN_S
         occupancy = self._running / self.runner.slots
         slowdown = 1.0 + BATCH_SLOWDOWN * occupancy
         first_at = self._prefill_free_at + FIRST_TOKEN_OVERHEAD_S * slowdown
-        end_at = first_at + job.answer * DECODE_TOKEN_S * slowdown
+        end_at = first_at + job.answer_tokens * DECODE_TOKEN_S * slowdown
         self._use_blocks(job.blocks)
-        self._events.at(first_at, job.on_first)
-        self._events.at(end_at, lambda: self._end_job(job))
+        self._events.schedule_at(first_at, job.on_first_token)
+        self._events.schedule_at(end_at, lambda: self._end_job(job))
 
     def _record_totals(self, job: Job, cached: int, uncached: int) -> None:
         totals = self._totals
-        totals.prompt_tokens += job.tokens
+        totals.prompt_tokens += job.prompt_tokens
         totals.cached_tokens += cached
         totals.prefilled_tokens += uncached
         recomputed_blocks = sum(
@@ -221,7 +225,7 @@
         )
         totals.recomputed_tokens += recomputed_blocks * prefix.TOKENS_PER_BLOCK
         totals.computed_blocks.update(job.blocks_at_end)
-        decode_s = job.answer * DECODE_TOKEN_S / self.runner.slots
+        decode_s = job.answer_tokens * DECODE_TOKEN_S / self.runner.slots
         price_per_s = self.runner.price_per_hour / 3600.0
         totals.cost += price_per_s * (uncached * PREFILL_TOKEN_S + decode_s)
 
--- a/bench/news.py
+++ b/bench/news.py
@@ -14,7 +14,7 @@
 
 from apricotlever.vms import peer_table
 from apricotlever.vms import record_exchange
-from bench import _news_world
+from bench import _record_exchange_simulation
 
 #: Time for the VMs to get to know each other, in seconds.
 START_UP_S = 3.0
@@ -57,22 +57,24 @@
     :param is_flat: whether each VM sends its records itself.
     """
     if is_flat:
-        world = _news_world.World(
+        world = _record_exchange_simulation.FleetSimulation(
             vms,
             data_centres,
             table_class=FlatTable,
             exchange_class=FlatExchange,
         )
     else:
-        world = _news_world.World(vms, data_centres)
+        world = _record_exchange_simulation.FleetSimulation(vms, data_centres)
     world.run(START_UP_S)
-    world.forget_traffic()
+    world.reset_traffic()
     world.run(MEASUREMENT_S)
-    idle = world.bytes_a_second(MEASUREMENT_S)
-    calls = _news_world.Calls(world, CALLS_PER_VM * vms)
+    idle = world.mean_bytes_per_s(MEASUREMENT_S)
+    calls = _record_exchange_simulation.CallGenerator(
+        world, CALLS_PER_VM * vms
+    )
     world.run(WARM_UP_S, calls)
-    world.forget_traffic()
-    probe = _news_world.Probe(world, calls)
+    world.reset_traffic()
+    probe = _record_exchange_simulation.LoadAgeProbe(world, calls)
     started_s = time.process_time()
     world.run(MEASUREMENT_S, probe)
     processor_s = time.process_time() - started_s
@@ -82,7 +84,7 @@
     )
     return {
         "idle_bytes": round(idle),
-        "bytes": round(world.bytes_a_second(MEASUREMENT_S)),
+        "bytes": round(world.mean_bytes_per_s(MEASUREMENT_S)),
         "most_bytes": round(max_bytes / MEASUREMENT_S),
         "between_data_centres": round(world.crossed / MEASUREMENT_S),
         "datagrams": round(world.datagrams / MEASUREMENT_S),
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -22,7 +22,7 @@
 from apricotlever.contracts import admission
 from apricotlever.runners import model as models
 
-from . import _overload_ways
+from . import _admission_policies
 from . import engine_model
 
 #: Requests a second that the runners can serve.
@@ -64,7 +64,10 @@
             None,
             catalogue_model.Limits(),
             catalogue_model.Capacity(
-                1, _overload_ways.RUNNERS, _overload_ways.SLOTS, "machine"
+                1,
+                _admission_policies.RUNNERS,
+                _admission_policies.SLOTS,
+                "machine",
             ),
         )
         for name in classes
@@ -102,7 +105,7 @@
         return self.first_token_s is not None and self.first_token_s <= target
 
 
-class Trial:
+class AdmissionSimulation:
     """Simulates one admission policy under one load.
 
     :param way: name of the admission policy.
@@ -120,24 +123,24 @@
         seed: int = 1,
         degraded: bool = False,
     ) -> None:
-        self._events = engine_model.Events()
+        self._events = engine_model.EventQueue()
         self._rng = random.Random(seed)
         self._seconds = seconds
         self._requests: dict[str, Request] = {}
         self._policies = [
-            self._make_policy(way, vm) for vm in range(_overload_ways.VMS)
+            self._make_policy(way, vm) for vm in range(_admission_policies.VMS)
         ]
         totals = engine_model.Totals()
         self._engines = [
             engine_model.Engine(self._events, _runner(n), 4000, totals)
-            for n in range(_overload_ways.RUNNERS)
+            for n in range(_admission_policies.RUNNERS)
         ]
-        self._in_flight_by_engine = [0] * _overload_ways.RUNNERS
+        self._in_flight_by_engine = [0] * _admission_policies.RUNNERS
         for customer, share in demand.items():
             self._schedule_arrivals(customer, share * CAPACITY_PER_S)
-        self._events.every(TICK_INTERVAL_S, self._tick)
+        self._events.schedule_every(TICK_INTERVAL_S, self._tick)
         if degraded:
-            self._events.at(WARM_UP_S, self._degrade_runner)
+            self._events.schedule_at(WARM_UP_S, self._degrade_runner)
 
     def run(self) -> dict[str, typing.Any]:
         """Run the simulation and measure requests after the warm-up."""
@@ -184,18 +187,24 @@
 
     def _make_policy(
         self, way: str, vm: int
-    ) -> _overload_ways.AdmissionPolicy:
+    ) -> _admission_policies.AdmissionPolicy:
         if way == "fifo":
-            return _overload_ways.FifoQueue()
-        if way in _overload_ways.FIXED_LIMITS:
-            return _overload_ways.FixedLimit(_overload_ways.FIXED_LIMITS[way])
+            return _admission_policies.FifoQueue()
+        if way in _admission_policies.FIXED_LIMITS:
+            return _admission_policies.FixedLimit(
+                _admission_policies.FIXED_LIMITS[way]
+            )
         controller = admission.AdmissionController(
             self._events.clock, random.Random(vm), f"vm{vm}"
         )
         controller.configure(CATALOGUE)
-        controller.set_members([f"vm{n}" for n in range(_overload_ways.VMS)])
+        controller.set_members(
+            [f"vm{n}" for n in range(_admission_policies.VMS)]
+        )
         controller.set_pool(
-            "pool", _overload_ways.RUNNERS * _overload_ways.SLOTS, 1.0
+            "pool",
+            _admission_policies.RUNNERS * _admission_policies.SLOTS,
+            1.0,
         )
         return controller
 
@@ -218,8 +227,10 @@
             )
             job = engine_model.Job((), (), prompt_tokens, answer_tokens)
             self._requests[ticket.request_id] = Request(ticket, job)
-            vm = self._rng.randrange(_overload_ways.VMS)
-            self._events.at(at, functools.partial(self._arrive, vm, ticket))
+            vm = self._rng.randrange(_admission_policies.VMS)
+            self._events.schedule_at(
+                at, functools.partial(self._arrive, vm, ticket)
+            )
 
     def _arrive(self, vm: int, ticket: admission.Ticket) -> None:
         self._apply_verdicts(vm, self._policies[vm].offer(ticket))
@@ -241,7 +252,9 @@
 
     def _send(self, vm: int, request: Request) -> None:
         request_id = request.ticket.request_id
-        engine_index = min(range(_overload_ways.RUNNERS), key=self._occupancy)
+        engine_index = min(
+            range(_admission_policies.RUNNERS), key=self._occupancy
+        )
         self._in_flight_by_engine[engine_index] += 1
 
         def on_first() -> None:
@@ -256,7 +269,7 @@
                 vm, self._policies[vm].finished(request_id, done)
             )
 
-        request.job.on_first = on_first
+        request.job.on_first_token = on_first
         request.job.on_end = on_end
         self._engines[engine_index].submit(request.job)
 
@@ -296,7 +309,7 @@
         "reclaimable",
         "machine",
         1.0,
-        _overload_ways.SLOTS,
+        _admission_policies.SLOTS,
     )
 
 
@@ -316,7 +329,7 @@
     controller = admission.AdmissionController(clock, random.Random(1), "vm0")
     controller.configure(CATALOGUE)
     controller.set_pool(
-        "pool", _overload_ways.RUNNERS * _overload_ways.SLOTS, 1.0
+        "pool", _admission_policies.RUNNERS * _admission_policies.SLOTS, 1.0
     )
     durations_s = []
     running: collections.deque[str] = collections.deque()
@@ -374,9 +387,9 @@
     parser.add_argument("--seeds", type=int, default=3)
     options = parser.parse_args(arguments)
     for load, demand in loads().items():
-        for way in ("ours", "fifo", *_overload_ways.FIXED_LIMITS):
+        for way in ("ours", "fifo", *_admission_policies.FIXED_LIMITS):
             results = [
-                Trial(
+                AdmissionSimulation(
                     way, demand, options.seconds, seed, "degraded" in load
                 ).run()
                 for seed in range(1, options.seeds + 1)
--- a/bench/platform_day.py
+++ b/bench/platform_day.py
@@ -12,7 +12,7 @@
 from apricotlever import clock as clocks
 from apricotlever.data_centres import fleet_mix_planner
 
-from . import _platform_day_model as model
+from . import _day_simulation as model
 
 DAYS = 12
 DURATION_S = 60.0
--- a/bench/roll_outs.py
+++ b/bench/roll_outs.py
@@ -21,7 +21,7 @@
 from apricotlever.roll_outs import samples
 from apricotlever.roll_outs import schedule
 
-from bench import _roll_out_world as simulation
+from bench import _roll_out_simulation as simulation
 
 FAULTS = {
     "none": simulation.Fault(),
@@ -175,7 +175,7 @@
     """Summarize the runs of one strategy, fault, load and fleet size."""
     first_case = cases[0]
     completed = [o.state is model.RollOutState.COMPLETED for o in outcomes]
-    is_bad = FAULTS[first_case.fault].bad
+    is_bad = FAULTS[first_case.fault].is_bad
     return {
         "way": first_case.strategy,
         "fault": first_case.fault,
@@ -184,12 +184,16 @@
         "plays": len(outcomes),
         "wrong": sum(completed) if is_bad else len(outcomes) - sum(completed),
         "over_exposure": (
-            sum(o.exposed > o.allowed for o in outcomes) if is_bad else None
+            sum(o.exposed_calls > o.allowed_calls for o in outcomes)
+            if is_bad
+            else None
         ),
         "sent_too_late": (
             sum(o.late_calls > 0 for o in outcomes) if is_bad else None
         ),
-        "most_exposed": round(max(o.exposed / o.allowed for o in outcomes), 2),
+        "most_exposed": round(
+            max(o.exposed_calls / o.allowed_calls for o in outcomes), 2
+        ),
         "decided_s": round(
             statistics.median(o.decided_after_s for o in outcomes), 1
         ),
--- a/bench/routing.py
+++ b/bench/routing.py
@@ -76,7 +76,7 @@
     def __init__(
         self, workload: Workload, policy: str, seed: int, seconds: float
     ) -> None:
-        self._events = engine_model.Events()
+        self._events = engine_model.EventQueue()
         self._totals = engine_model.Totals()
         self._rng = random.Random(seed)
         self._first_token_waits: list[tuple[float, float]] = []
@@ -108,10 +108,10 @@
             random.Random(seed), seconds, workload.requests_per_s, VMS
         )
         for number, arrival in enumerate(arrivals):
-            self._events.at(
+            self._events.schedule_at(
                 arrival.at, functools.partial(self._arrive, number, arrival)
             )
-        self._events.every(POLL_S, self._poll)
+        self._events.schedule_every(POLL_S, self._poll)
 
     def run(self) -> dict[str, float]:
         """Run the simulation and return its results."""
@@ -147,8 +147,8 @@
             "pool",
             "model",
             job.blocks,
-            job.tokens,
-            job.answer,
+            job.prompt_tokens,
+            job.answer_tokens,
             5,
             frozenset(),
             arrival.target_s,
@@ -167,9 +167,11 @@
                 self._first_token_waits.append((wait_s, arrival.target_s))
 
         def on_end() -> None:
-            router.request_finished(name, models.Outcome.DONE, job.answer)
+            router.request_finished(
+                name, models.Outcome.DONE, job.answer_tokens
+            )
 
-        job.on_first = on_first
+        job.on_first_token = on_first
         job.on_end = on_end
         router.request_started(name, route.runner.name, query)
         self._engines[route.runner.name].submit(job)
@@ -227,7 +229,12 @@
     for number, arrival in enumerate(arrivals):
         job = arrival.job
         query = models.Query(
-            "entry", "pool", "model", job.blocks, job.tokens, job.answer
+            "entry",
+            "pool",
+            "model",
+            job.blocks,
+            job.prompt_tokens,
+            job.answer_tokens,
         )
         start = time.perf_counter()
         route = router.choose(query)
@@ -237,7 +244,7 @@
         clock.advance(1 / 26.0)
         router.first_token(str(number - 30))
         router.request_finished(
-            str(number - 30), models.Outcome.DONE, job.answer
+            str(number - 30), models.Outcome.DONE, job.answer_tokens
         )
     durations_s.sort()
     return {
--- a/src/apricotlever/vms/membership.py
+++ b/src/apricotlever/vms/membership.py
@@ -71,7 +71,7 @@
         self._timing = timing or timings.MembershipTiming()
         self._known = gossip_state.GossipState(clock, rng, me, self._timing)
         self._health = suspicion.LocalHealth()
-        self._learner = update_merger.UpdateMerger(
+        self._merger = update_merger.UpdateMerger(
             clock, self._known, self._health, self._timing
         )
         self._prober = probing.Prober(clock, rng, self._timing, self._health)
@@ -123,7 +123,7 @@
         :returns: the rumour as it is sent.
         """
         stamped = self._known.rumours.add_own(rumour)
-        self._learner.push_due |= rumour_books.is_urgent(stamped)
+        self._merger.push_due |= rumour_books.is_urgent(stamped)
         return stamped
 
     def set_catalogue(self, version: int, digest: int) -> None:
@@ -146,7 +146,7 @@
             self._send_indirect_ack(late, alive=False)
             for late in self._relayed_probes.expired()
         ]
-        result += self._learner.expire_suspicions()
+        result += self._merger.expire_suspicions()
         result += self._push_if_due()
         result += self._disseminator.send_summaries()
         result += self._disseminator.sync()
@@ -177,12 +177,12 @@
         """Announce that this VM takes no new work; probing continues."""
         if self.me.leaving:
             return []
-        self._learner.raise_refutation(leaving=True, state=pb.VM_LEAVING)
+        self._merger.raise_refutation(leaving=True, state=pb.VM_LEAVING)
         return self._push_if_due()
 
     def announce_exit(self) -> Actions:
         """Tell some peers that this process ends; must be the last call."""
-        self._learner.raise_refutation(
+        self._merger.raise_refutation(
             state=pb.VM_DEAD, suspected_by=self.me.vm
         )
         result = self._push_if_due()
@@ -192,7 +192,7 @@
     def _process(self, message: pb.GossipMessage) -> Actions:
         result = self._check_for_pause()
         self._known.observe_fleet_size(message.fleet_members)
-        result += self._learner.merge_message(message)
+        result += self._merger.merge_message(message)
         handler = _handlers.get(message.WhichOneof("kind") or "")
         return result if handler is None else result + handler(self, message)
 
@@ -248,11 +248,11 @@
         sync = message.sync
         self._known.merge_summaries(sync.summaries)
         vm = message.sender.vm
-        result = self._learner.merge_full_view(sync.members, vm)
+        result = self._merger.merge_full_view(sync.members, vm)
         if any(map(_is_join, result)):
             # When many VMs join at once, a single view lacks some of them.
             self._disseminator.sync_within(JOIN_RESYNC_S)
-        result += self._learner.merge_rumours(sync.rumours, vm)
+        result += self._merger.merge_rumours(sync.rumours, vm)
         if sync.question:
             answer = self._known.sync_reply(message.sender)
             result.append(actions.Reply(answer))
@@ -271,7 +271,7 @@
         self, step: probing.ProbeStep, member: pb.Member
     ) -> Actions:
         if isinstance(step, probing.Suspect):
-            return self._learner.suspect(member.vm)
+            return self._merger.suspect(member.vm)
         if isinstance(step, probing.ProbeIndirectly):
             return self._send_indirect_probes(step.sequence, member)
         return [self._send_probe(member, step.sequence)]
@@ -306,9 +306,9 @@
         return dissemination.send(relayed.origin, message)
 
     def _push_if_due(self) -> Actions:
-        if not self._learner.push_due:
+        if not self._merger.push_due:
             return []
-        self._learner.push_due = False
+        self._merger.push_due = False
         return self._disseminator.push()
 
     def _check_for_pause(self) -> Actions:
@@ -324,11 +324,11 @@
         self._last_active_at = now
         if gap_s <= self._timing.pause_s:
             return []
-        self._learner.extend_suspicions(gap_s)
+        self._merger.extend_suspicions(gap_s)
         self._prober.cancel()
         self._relayed_probes.clear()
         self._health.degrade(PAUSE_HEALTH_PENALTY)
-        self._learner.raise_refutation()
+        self._merger.raise_refutation()
         self._disseminator.sync_within(0.0)
         if gap_s > self._timing.tombstone_s / 2:
             self._discard_records()
@@ -342,7 +342,7 @@
         self._disseminator.add_seeds(records)
         for member in records:
             self._known.roster.forget(member.vm)
-        self._learner.clear_suspicions()
+        self._merger.clear_suspicions()
 
     def _purge_expired(self) -> None:
         now = self._clock.now()
--- a/src/apricotlever/vms/peer_table.py
+++ b/src/apricotlever/vms/peer_table.py
@@ -31,10 +31,10 @@
 class _Peer:
     """A VM's latest status record and the time of its last sign of life."""
 
-    __slots__ = ("digest", "heard_at")
+    __slots__ = ("record", "heard_at")
 
-    def __init__(self, digest: vm_records.VmRecord, heard_at: float) -> None:
-        self.digest = digest
+    def __init__(self, record: vm_records.VmRecord, heard_at: float) -> None:
+        self.record = record
         self.heard_at = heard_at
 
 
@@ -124,32 +124,32 @@
                 self._hints.setdefault(address, now)
 
     def receive_record(
-        self, digest: vm_records.VmRecord, age_s: float = 0.0
+        self, record: vm_records.VmRecord, age_s: float = 0.0
     ) -> vm_records.VmRecord | None:
         """Store a VM's status record if it is later than the known one.
 
         The peer addresses in the record are noted, too.
 
-        :param digest: the record.
+        :param record: the record.
         :param age_s: seconds since its VM sent it.
         :returns: the last record of the VM's former process if this record
             shows that the VM has restarted, else None.
         """
-        known = self._peers.get(digest.vm)
-        if digest.vm == self._vm:
+        known = self._peers.get(record.vm)
+        if record.vm == self._vm:
             return None
         former = None
         if known is not None:
-            old = known.digest
-            if not digest.supersedes(old):
+            old = known.record
+            if not record.supersedes(old):
                 return None
-            former = old if old.incarnation != digest.incarnation else None
+            former = old if old.incarnation != record.incarnation else None
         heard_at = self._clock.now() - age_s
         if known is not None and former is None:
             heard_at = max(heard_at, known.heard_at)
-        self._peers[digest.vm] = _Peer(digest, heard_at)
-        self.hint([digest.peer_address])
-        self.hint(digest.known)
+        self._peers[record.vm] = _Peer(record, heard_at)
+        self.hint([record.peer_address])
+        self.hint(record.known)
         return former
 
     def note_heard(self, vm: str, age_s: float) -> None:
@@ -165,21 +165,21 @@
     def addresses(self, vms: typing.Iterable[str]) -> list[str]:
         """Peer addresses of the given VMs; unknown VMs are left out."""
         peers = map(self._peers.get, vms)
-        return [peer.digest.peer_address for peer in peers if peer is not None]
+        return [peer.record.peer_address for peer in peers if peer is not None]
 
     def data_centre(self, vm: str) -> str:
         """Data centre of a VM; "" when the VM is not known."""
         peer = self._peers.get(vm)
-        return peer.digest.data_centre if peer is not None else ""
+        return peer.record.data_centre if peer is not None else ""
 
     def processes(self, vms: typing.Iterable[str]) -> list[str]:
         """Processes of the given VMs; unknown VMs are left out."""
         peers = map(self._peers.get, vms)
-        return [peer.digest.process for peer in peers if peer is not None]
+        return [peer.record.process for peer in peers if peer is not None]
 
     def silent_addresses(self) -> list[str]:
         """Addresses of possible members, without those of live VMs."""
-        alive = {digest.peer_address for digest in self.alive()}
+        alive = {record.peer_address for record in self.alive()}
         return [a for a in self.member_addresses() if a not in alive]
 
     def receivers(self) -> list[str]:
@@ -219,7 +219,7 @@
         """
         now = self._clock.now()
         members = {
-            peer.digest.peer_address
+            peer.record.peer_address
             for peer in self._peers.values()
             if now - peer.heard_at < MEMBER_TTL_S
         }
@@ -235,7 +235,7 @@
 
         If there are too many for a record, some are chosen at random.
         """
-        addresses = [digest.peer_address for digest in self.alive()]
+        addresses = [record.peer_address for record in self.alive()]
         if len(addresses) <= MAX_KNOWN_ADDRESSES:
             return addresses
         return self._rng.sample(addresses, MAX_KNOWN_ADDRESSES)
@@ -243,7 +243,7 @@
     def alive(self) -> list[vm_records.VmRecord]:
         """Status records of the VMs that are alive, as heard from recently."""
         since = self._clock.now() - self._alive_timeout_s()
-        return [p.digest for p in self._peers.values() if p.heard_at > since]
+        return [p.record for p in self._peers.values() if p.heard_at > since]
 
     def members(self) -> list[vm_records.VmRecord]:
         """Status records of VMs that may be alive, even if they are silent.
@@ -253,10 +253,10 @@
         now = self._clock.now()
         alive_s = self._alive_timeout_s()
         return [
-            peer.digest
+            peer.record
             for peer in self._peers.values()
             if now - peer.heard_at < MEMBER_TTL_S
-            and not (peer.digest.leaving and now - peer.heard_at > alive_s)
+            and not (peer.record.leaving and now - peer.heard_at > alive_s)
         ]
 
     def mark_all_silent(self) -> None:
--- a/tests/steps/bench_platform_day.py
+++ b/tests/steps/bench_platform_day.py
@@ -9,7 +9,7 @@
 from behave import then
 from behave import when
 
-from bench import _platform_day_model as model
+from bench import _day_simulation as model
 from bench import platform_day
 
 DURATION_S = 60.0
--- a/tests/steps/contracts_admission.py
+++ b/tests/steps/contracts_admission.py
@@ -362,7 +362,9 @@
 
 
 def _run_trial(way, load):
-    return overload.Trial(way, overload.loads()[load], TRIAL_S).run()
+    return overload.AdmissionSimulation(
+        way, overload.loads()[load], TRIAL_S
+    ).run()
 
 
 @then("at 2x and 5x the goodput is within a tenth of the highest")
--- a/tests/steps/roll_outs_controller.py
+++ b/tests/steps/roll_outs_controller.py
@@ -336,7 +336,7 @@
     """Compare the number of expected results with the minimum."""
     expected_state = (
         model.RollOutState.ROLLED_BACK
-        if context.fault.bad
+        if context.fault.is_bad
         else model.RollOutState.COMPLETED
     )
     found = [outcome.state for outcome in context.outcomes]
@@ -346,7 +346,9 @@
 @then("no bad version that was detected received more calls than allowed")
 def step_exposure(context):
     """Compare the calls at bad versions with the limit."""
-    for outcome in context.outcomes if context.fault.bad else ():
+    for outcome in context.outcomes if context.fault.is_bad else ():
         if outcome.state is model.RollOutState.ROLLED_BACK:
-            assert outcome.exposed <= outcome.allowed, outcome.exposed
+            assert (
+                outcome.exposed_calls <= outcome.allowed_calls
+            ), outcome.exposed_calls
             assert not outcome.late_calls
--- a/tests/steps/vms_record_exchange.py
+++ b/tests/steps/vms_record_exchange.py
@@ -7,7 +7,7 @@
 from behave import then
 from behave import when
 
-from bench import _news_world as news_world
+from bench import _record_exchange_simulation as news_world
 
 #: Calls a second in scenarios that don't set a rate.
 FEW_CALLS = 40.0
@@ -19,8 +19,8 @@
 
 @given("{count:d} VMs in {places:d} data centres that start at once")
 def _start_at_once(context, count, places):
-    context.world = news_world.World(count, places)
-    context.calls = news_world.Calls(context.world, 0.0)
+    context.world = news_world.FleetSimulation(count, places)
+    context.calls = news_world.CallGenerator(context.world, 0.0)
 
 
 @given("{count:d} VMs in {places:d} data centres that know each other")
@@ -33,10 +33,10 @@
     "at seed {seed:d}"
 )
 def _start_complete_with_seed(context, count, places, seed):
-    context.world = news_world.World(count, places, seed)
+    context.world = news_world.FleetSimulation(count, places, seed)
     context.world.run(3.0)
     _all_alive(context)
-    context.calls = news_world.Calls(context.world, FEW_CALLS)
+    context.calls = news_world.CallGenerator(context.world, FEW_CALLS)
     context.world.run(1.0, context.calls)
     context.calls.per_s = 0.0
 
@@ -49,15 +49,15 @@
 @when("{calls:g} calls a second begin and end for {seconds:g} seconds")
 def _run_with_calls(context, calls, seconds):
     world = context.world
-    world.forget_traffic()
+    world.reset_traffic()
     world.run(seconds)
-    context.idle = world.bytes_a_second(seconds)
+    context.idle = world.mean_bytes_per_s(seconds)
     context.calls.per_s = calls
     world.run(1.0, context.calls)
-    world.forget_traffic()
-    probe = news_world.Probe(world, context.calls)
+    world.reset_traffic()
+    probe = news_world.LoadAgeProbe(world, context.calls)
     world.run(seconds, probe)
-    context.loaded = world.bytes_a_second(seconds)
+    context.loaded = world.mean_bytes_per_s(seconds)
     context.ages_s = sorted(probe.ages_s)
 
 
@@ -85,9 +85,9 @@
 def _all_alive(context):
     names = set(context.world.vms)
     wrong = {
-        vm.name: vm.others ^ (names - {vm.name})
+        vm.name: vm.live_peers ^ (names - {vm.name})
         for vm in context.world.vms.values()
-        if vm.others != names - {vm.name}
+        if vm.live_peers != names - {vm.name}
     }
     assert not wrong, (len(wrong), next(iter(wrong.items())))
 
@@ -96,9 +96,9 @@
 def _loads_are_exact(context):
     world = context.world
     for vm in world.vms.values():
-        known = vm.news.loads.in_flight
+        known = vm.exchange.loads.in_flight
         known = {runner: count for runner, count in known.items() if count}
-        truth = world.loads_of_others(vm)
+        truth = world.actual_peer_loads(vm)
         assert known == truth, (vm.name, known, truth)
 
 
@@ -106,13 +106,13 @@
     return [
         vm
         for vm in world.vms.values()
-        if vm.data_centre == data_centre and vm.news.is_aggregator
+        if vm.data_centre == data_centre and vm.exchange.is_aggregator
     ]
 
 
 @when("all aggregators of a data centre end")
 def _end_aggregators(context):
-    for vm in _aggregators(context.world, context.world.places[0]):
+    for vm in _aggregators(context.world, context.world.data_centres[0]):
         context.world.kill(vm)
 
 
@@ -120,7 +120,7 @@
 def _none_dead(context):
     names = set(context.world.vms)
     for vm in context.world.vms.values():
-        missed = names - {vm.name} - vm.others
+        missed = names - {vm.name} - vm.live_peers
         assert not missed, (vm.name, missed)
 
 
@@ -130,32 +130,34 @@
     inside = {
         vm.name
         for vm in world.vms.values()
-        if vm.data_centre == world.places[0]
+        if vm.data_centre == world.data_centres[0]
     }
     outside = set(world.vms) - inside
     pairs = {(a, b) for a in inside for b in outside}
-    world.cut = pairs | {(b, a) for a, b in pairs}
+    world.dropped_links = pairs | {(b, a) for a, b in pairs}
     world.run(seconds)
     for vm in world.vms.values():
         side = inside if vm.name in inside else outside
-        assert vm.others == side - {vm.name}, (vm.name, len(vm.others))
-    world.cut = set()
+        assert vm.live_peers == side - {vm.name}, (vm.name, len(vm.live_peers))
+    world.dropped_links = set()
 
 
 def _served_vm(world):
     """Pick a VM that uses another one as its aggregator."""
-    return next(vm for vm in world.vms.values() if not vm.news.is_aggregator)
+    return next(
+        vm for vm in world.vms.values() if not vm.exchange.is_aggregator
+    )
 
 
 @when("a VM receives nothing from its aggregator for {seconds:g} seconds")
 def _lose_aggregates(context, seconds):
     world = context.world
     vm = _served_vm(world)
-    world.cut = {(vm.news.aggregator, vm.name)}
+    world.dropped_links = {(vm.exchange.aggregator, vm.name)}
     context.fewest = len(world.vms)
 
     def look(now):
-        context.fewest = min(context.fewest, len(vm.others))
+        context.fewest = min(context.fewest, len(vm.live_peers))
 
     world.run(seconds, look)
 
@@ -168,17 +170,17 @@
 @when("an aggregator stalls for {seconds:g} seconds")
 def _stall(context, seconds):
     world = context.world
-    stalled, *_ = _aggregators(world, world.places[0])
+    stalled, *_ = _aggregators(world, world.data_centres[0])
     used_it = [
-        v for v in world.vms.values() if v.news.aggregator == stalled.name
+        v for v in world.vms.values() if v.exchange.aggregator == stalled.name
     ]
     used_it.remove(stalled)
     assert used_it
-    stalled.slow_until = world.clock.now() + seconds
+    stalled.stalled_until = world.clock.now() + seconds
     context.fewest = len(world.vms)
 
     def look(now):
-        fewest = min(len(vm.others - {stalled.name}) for vm in used_it)
+        fewest = min(len(vm.live_peers - {stalled.name}) for vm in used_it)
         context.fewest = min(context.fewest, fewest)
 
     world.run(seconds, look)
@@ -209,7 +211,7 @@
 )
 def _restart_in_turn(context, seconds, pause_s):
     world = context.world
-    world.forget_traffic()
+    world.reset_traffic()
     context.seconds = seconds
     context.calls.per_s = CALLS_PER_VM * len(world.vms)
     turns = list(world.vms.values())
@@ -234,7 +236,7 @@
             world.add(vm.number, vm.incarnation + 1)
         names = {vm.name for vm in context.running}
         for vm in context.running:
-            missed = names - vm.others - {vm.name}
+            missed = names - vm.live_peers - {vm.name}
             if missed:
                 context.missed[(round(now, 2), vm.name)] = missed
 
@@ -261,7 +263,7 @@
 )
 def _lose_and_restart(context, seconds, percent):
     world = context.world
-    world.loss = percent / 100.0
+    world.loss_rate = percent / 100.0
     context.calls.per_s = FEW_CALLS
 
     def load(now):
@@ -286,7 +288,7 @@
 @then("no received total exceeds the true one")
 def _true_totals(context):
     for vm in context.world.vms.values():
-        for process, used in vm.heard_used.items():
+        for process, used in vm.received_used.items():
             truth = context.processes[process].used
             for customer, units in used.items():
                 assert units <= truth[customer], (vm.name, process, customer)
@@ -294,7 +296,7 @@
 
 @when("the network loses nothing for {seconds:g} seconds")
 def _lose_nothing(context, seconds):
-    context.world.loss = 0.0
+    context.world.loss_rate = 0.0
     context.world.run(seconds)
 
 
@@ -304,5 +306,5 @@
     for vm in vms:
         for other in vms:
             if other is not vm:
-                heard = vm.heard_used.get(other.process, {})
+                heard = vm.received_used.get(other.process, {})
                 assert heard == other.used, (vm.name, other.process)
