--- a/src/apricotlever/daemon/access.py
+++ b/src/apricotlever/daemon/access.py
@@ -13,7 +13,7 @@
 
 from . import context as contexts
 
-_BEARER = "bearer "
+_BEARER_PREFIX = "bearer "
 
 
 def current_catalogue(context: contexts.Context) -> catalogues.Catalogue:
@@ -99,8 +99,8 @@
 
 def _bearer_key(call: caller_server.Call) -> str:
     value = call.header("Authorization")
-    if value[: len(_BEARER)].lower() != _BEARER:
+    if value[: len(_BEARER_PREFIX)].lower() != _BEARER_PREFIX:
         raise refusals.Refusal(
             refusals.UNAUTHENTICATED, "a bearer key is required"
         )
-    return value[len(_BEARER) :].strip()
+    return value[len(_BEARER_PREFIX) :].strip()
--- a/src/apricotlever/daemon/admission_refusals.py
+++ b/src/apricotlever/daemon/admission_refusals.py
@@ -1,4 +1,4 @@
-"""Maps refusals by admission to the refusals that callers receive."""
+"""Converts refusals of the admission control to those of callers."""
 
 from .. import refusals
 from ..contracts import admission
@@ -16,7 +16,7 @@
 def refusal_of(verdict: admission.Refused) -> refusals.Refusal:
     """The refusal that a caller receives.
 
-    :param verdict: admission's refusal, with its reason.
+    :param verdict: the refusal of the admission control, with its reason.
     """
     limited = verdict.reason in _LIMIT_REASONS
     kind = refusals.RATE_LIMITED if limited else refusals.OVERLOADED
--- a/src/apricotlever/daemon/attempt_reports.py
+++ b/src/apricotlever/daemon/attempt_reports.py
@@ -17,29 +17,29 @@
 CRASH_REPORT_WAIT_S = 0.15
 
 
-def ask_retry(
+def request_retry(
     context: contexts.Context,
-    question: dispatcher_messages.DecideRetry,
+    message: dispatcher_messages.DecideRetry,
     refusal: runner_selection.RefusalFactory,
 ) -> retry_policy.Retry:
     """Ask the dispatcher whether a failed attempt may be retried.
 
     :param context: the daemon's tasks.
-    :param question: describes the failed attempt.
+    :param message: describes the failed attempt.
     :param refusal: makes a refusal that states whether the request was
         executed.
     :returns: the permission, which lists the runners to avoid.
     :raises Refusal: when no retry is allowed.
     """
-    answer = context.wait_for_reply(context.dispatcher.ask(question))
-    if isinstance(answer, retry_policy.NoRetry):
+    decision = context.wait_for_reply(context.dispatcher.ask(message))
+    if isinstance(decision, retry_policy.NoRetry):
         raise refusal(
             refusals.GAVE_UP,
             f"the upstream failed and the request is not retried: "
-            f"{answer.reason.value}",
+            f"{decision.reason.value}",
             1.0,
         )
-    return answer
+    return decision
 
 
 def send_report(
@@ -76,12 +76,12 @@
 def end_trial(
     context: contexts.Context, pool: str, fingerprint: str, request_id: str
 ) -> None:
-    """Tell the judge that the trial that it allowed is over.
+    """Report to the judge of a pool that a trial has ended.
 
     :param context: the daemon's tasks.
-    :param pool: the pool whose judge is told.
+    :param pool: name of the pool.
     :param fingerprint: fingerprint of the suspect.
     :param request_id: ID of the request that ran as the trial.
     """
-    over = quarantine.TrialEnded(fingerprint, request_id)
-    context.fleet.tell(fleet_link.ReportTrialEnd(pool, over))
+    report = quarantine.TrialEnded(fingerprint, request_id)
+    context.fleet.tell(fleet_link.ReportTrialEnd(pool, report))
--- a/src/apricotlever/daemon/autoscaler.py
+++ b/src/apricotlever/daemon/autoscaler.py
@@ -40,18 +40,18 @@
 class UpdatePlatform:
     """The platform's list of VMs and its prices were read.
 
-    :param per_hour: price per hour by data centre, machine class and market.
+    :param prices: price per hour by data centre, machine class and market.
     """
 
-    __slots__ = ("vms", "per_hour")
+    __slots__ = ("vms", "prices")
 
     def __init__(
         self,
         vms: tuple[platform.Vm, ...],
-        per_hour: typing.Mapping[tuple[str, str, str], float],
+        prices: typing.Mapping[tuple[str, str, str], float],
     ) -> None:
         self.vms = vms
-        self.per_hour = per_hour
+        self.prices = prices
 
 
 class UpdateDemand:
@@ -160,7 +160,7 @@
         self._prices.update(
             {
                 model.Place(dc, machine, model.Market(market)): price
-                for (dc, machine, market), price in message.per_hour.items()
+                for (dc, machine, market), price in message.prices.items()
             }
         )
         listed = {vm.vm for vm in message.vms}
@@ -184,12 +184,12 @@
     @mailbox.handles(UpdateDemand)
     def _update_demand(self, message: UpdateDemand) -> None:
         report = message.report
-        figures = {
+        values = {
             (demand.entry, demand.limit): demand.demand
             for demand in report.demands
         }
         if not any(
-            limit == demand_meter.ARRIVAL_RATE_FIELD for _, limit in figures
+            limit == demand_meter.ARRIVAL_RATE_FIELD for _, limit in values
         ):
             # A report on the fleet's limits, which capacity planning does
             # not use.
@@ -198,12 +198,12 @@
         self._demand[report.vm] = {
             pool: _PoolDemand(
                 rate,
-                figures.get(
+                values.get(
                     (pool, demand_meter.SERVICE_TIME_FIELD), DEFAULT_SERVICE_S
                 ),
                 now,
             )
-            for (pool, limit), rate in figures.items()
+            for (pool, limit), rate in values.items()
             if limit == demand_meter.ARRIVAL_RATE_FIELD
         }
 
--- a/src/apricotlever/daemon/catalogue_watcher.py
+++ b/src/apricotlever/daemon/catalogue_watcher.py
@@ -35,7 +35,7 @@
 # store, which may have been restored from an old copy.
 INITIAL_PEER_WAIT_S = 1.0
 
-InForce = typing.Callable[[catalogues.Catalogue], None]
+InForceCallback = typing.Callable[[catalogues.Catalogue], None]
 
 
 class ViewChanged:
@@ -90,14 +90,14 @@
     """The result of a fetch from a peer.
 
     :param vm: name of the peer.
-    :param answer: the answer, or None when the fetch failed.
+    :param reply: the reply, or None when the fetch failed.
     """
 
-    __slots__ = ("vm", "answer")
+    __slots__ = ("vm", "reply")
 
-    def __init__(self, vm: str, answer: pb.CatalogueDocument | None) -> None:
+    def __init__(self, vm: str, reply: pb.CatalogueDocument | None) -> None:
         self.vm = vm
-        self.answer = answer
+        self.reply = reply
 
 
 class CatalogueWatcher(mailbox.Task):
@@ -106,7 +106,7 @@
     :param config: the settings.
     :param store: the task that runs reads and watches.
     :param fleet_link: the task that fetches from peers and spreads rumours.
-    :param in_force: called with each catalogue that comes into force.
+    :param on_in_force: called with each catalogue that comes into force.
     """
 
     def __init__(
@@ -116,13 +116,13 @@
         config: settings.Settings,
         store: mailbox.Task,
         fleet_link: mailbox.Task,
-        in_force: InForce,
+        on_in_force: InForceCallback,
     ) -> None:
         super().__init__("watcher", clock, TICK_S)
         self._config = config
         self._store = store
         self._fleet_link = fleet_link
-        self._in_force = in_force
+        self._on_in_force = on_in_force
         self._parser = catalogues.Parser()
         self._parsed = catalogues.EMPTY
         self._replicator = catalogue_replicator.CatalogueReplicator(
@@ -157,11 +157,11 @@
     @mailbox.handles(_Fetched)
     def _on_fetched(self, message: _Fetched) -> None:
         self._fetches_in_progress -= 1
-        if message.answer is None:
+        if message.reply is None:
             self._replicator.fetch_failed(message.vm)
         else:
             actions = self._replicator.receive_answer(
-                message.vm, message.answer
+                message.vm, message.reply
             )
             self._execute(actions)
         if self._starting and not self._fetches_in_progress:
@@ -272,7 +272,7 @@
         self._fleet_link.tell(
             fleet_messages.AdvertiseCatalogue(action.version, action.digest)
         )
-        self._in_force(self._parsed)
+        self._on_in_force(self._parsed)
         logs.event(
             "catalogue_in_force",
             version=action.version,
@@ -292,8 +292,8 @@
 
         def on_done(future: "futures.Future[typing.Any]") -> None:
             failed = future.exception() is not None
-            answer = None if failed else future.result()
-            self.tell(_Fetched(action.vm, answer))
+            reply = None if failed else future.result()
+            self.tell(_Fetched(action.vm, reply))
 
         self._fleet_link.ask(call).add_done_callback(on_done)
 
--- a/src/apricotlever/daemon/claim_storage.py
+++ b/src/apricotlever/daemon/claim_storage.py
@@ -96,14 +96,14 @@
         self._store.ask(call).add_done_callback(on_done)
 
 
-def after_read(
+def apply_read_result(
     batcher: claims.ClaimBatcher, message: BucketRead
 ) -> list[claims.Action]:
-    """Pass the result of a read to the claims.
+    """Pass the result of a read to the claim batcher.
 
-    :param batcher: the claims.
+    :param batcher: the claim batcher.
     :param message: the result.
-    :returns: the actions that the claims request next.
+    :returns: the actions that the claim batcher requests next.
     """
     name = message.name
     outcome = message.outcome
@@ -115,14 +115,14 @@
     return batcher.on_failure(name)
 
 
-def after_write(
+def apply_write_result(
     batcher: claims.ClaimBatcher, message: BucketWritten
 ) -> list[claims.Action]:
-    """Pass the result of a write to the claims.
+    """Pass the result of a write to the claim batcher.
 
-    :param batcher: the claims.
+    :param batcher: the claim batcher.
     :param message: the result.
-    :returns: the actions that the claims request next.
+    :returns: the actions that the claim batcher requests next.
     """
     name = message.name
     outcome = message.outcome
--- a/src/apricotlever/daemon/dispatcher_messages.py
+++ b/src/apricotlever/daemon/dispatcher_messages.py
@@ -100,9 +100,11 @@
 
     __slots__ = ("pool", "trial_request")
 
-    def __init__(self, pool: str, question: quarantine.TrialRequest) -> None:
+    def __init__(
+        self, pool: str, trial_request: quarantine.TrialRequest
+    ) -> None:
         self.pool = pool
-        self.trial_request = question
+        self.trial_request = trial_request
 
 
 class DecideTrial:
@@ -110,8 +112,8 @@
 
     __slots__ = ("trial_request",)
 
-    def __init__(self, question: quarantine.TrialRequest) -> None:
-        self.trial_request = question
+    def __init__(self, trial_request: quarantine.TrialRequest) -> None:
+        self.trial_request = trial_request
 
 
 class TrialEnded:
--- a/src/apricotlever/daemon/fleet_link.py
+++ b/src/apricotlever/daemon/fleet_link.py
@@ -1,6 +1,6 @@
 """The task that communicates with the other entry VMs.
 
-It runs the membership protocol over the peer link, delivers rumours, spreads
+It runs the membership protocol over the peer link, delivers rumours, sends
 crash reports, asks judges for trials, and calls peers for other tasks.
 """
 
@@ -96,7 +96,7 @@
 class _GossipReceived:
     """A gossip message arrived.
 
-    :param is_call: whether a peer called; if False, the message is the answer
+    :param is_call: whether a peer called; if False, the message is the reply
         to a call of this VM.
     """
 
@@ -159,15 +159,15 @@
     @mailbox.handles(_GossipReceived)
     def _gossip_received(self, received: _GossipReceived) -> pb.GossipMessage:
         if not received.is_call:
-            self._carry_out(self._membership.answered(received.message))
+            self._execute(self._membership.answered(received.message))
             return pb.GossipMessage()
-        due = self._membership.receive(received.message)
+        pending_actions = self._membership.receive(received.message)
         replies = [
             action.message
-            for action in due
+            for action in pending_actions
             if isinstance(action, actions.Reply)
         ]
-        self._carry_out(due)
+        self._execute(pending_actions)
         return replies[0] if replies else pb.GossipMessage()
 
     @mailbox.handles(fleet_messages.AnnounceRumour)
@@ -190,7 +190,7 @@
 
     @mailbox.handles(fleet_messages.AnnounceLeave)
     def _announce_leave(self, message: fleet_messages.AnnounceLeave) -> None:
-        self._carry_out(self._membership.announce_leave())
+        self._execute(self._membership.announce_leave())
 
     @mailbox.handles(fleet_messages.AnnounceExit)
     def _announce_exit(
@@ -232,7 +232,9 @@
         return mailbox.DEFERRED
 
     @mailbox.handles(BroadcastCrashReport)
-    def _spread_crash(self, message: BroadcastCrashReport) -> mailbox.Deferred:
+    def _broadcast_crash_report(
+        self, message: BroadcastCrashReport
+    ) -> mailbox.Deferred:
         report = gossip_messages.encode_crash_report(
             self._config.vm, message.report
         )
@@ -252,7 +254,7 @@
         return mailbox.DEFERRED
 
     @mailbox.handles(SendCrashReport)
-    def _send_crash(self, message: SendCrashReport) -> None:
+    def _send_crash_report(self, message: SendCrashReport) -> None:
         member = self._membership.view.members.get(message.vm)
         if member is not None:
             report = gossip_messages.encode_crash_report(
@@ -292,7 +294,7 @@
 
     def tick(self) -> None:
         """Run the membership protocol."""
-        self._carry_out(self._membership.tick())
+        self._execute(self._membership.tick())
 
     def failed(self, error: Exception) -> None:
         """Log an unexpected error of a handler."""
@@ -307,17 +309,20 @@
             return None
         return view.members[vm]
 
-    def _carry_out(self, due: list[actions.Action]) -> None:
-        for action in due:
-            self._carry_out_one(action)
-        if any(isinstance(action, actions.MemberChanged) for action in due):
+    def _execute(self, pending_actions: list[actions.Action]) -> None:
+        for action in pending_actions:
+            self._execute_one(action)
+        if any(
+            isinstance(action, actions.MemberChanged)
+            for action in pending_actions
+        ):
             self._listener.on_view(self._membership.view)
 
     @functools.singledispatchmethod
-    def _carry_out_one(self, action: typing.Any) -> None:
+    def _execute_one(self, action: typing.Any) -> None:
         """Ignore a reply, which is returned to the peer that called."""
 
-    @_carry_out_one.register
+    @_execute_one.register
     def _send(self, action: actions.Send) -> None:
         self._send_gossip(action)
 
@@ -330,10 +335,10 @@
             action.message,
             self._config.timing.peer_timeout_s,
         )
-        future.add_done_callback(self._handle_answer)
+        future.add_done_callback(self._handle_gossip_reply)
         return future
 
-    @_carry_out_one.register
+    @_execute_one.register
     def _member_changed(self, action: actions.MemberChanged) -> None:
         after = action.after
         before = action.before
@@ -350,24 +355,24 @@
             data_centre=after.data_centre,
         )
 
-    @_carry_out_one.register
+    @_execute_one.register
     def _incarnation_ended(self, action: actions.IncarnationEnded) -> None:
         self._listener.on_incarnation_ended(action.vm, action.incarnation)
 
-    @_carry_out_one.register
+    @_execute_one.register
     def _rumour_delivered(self, action: actions.RumourDelivered) -> None:
         self._listener.on_rumour(action.rumour, action.via)
 
-    @_carry_out_one.register
+    @_execute_one.register
     def _pause_detected(self, action: actions.PauseDetected) -> None:
         logs.event("paused", seconds=round(action.seconds, 3))
         self._listener.on_paused(action.seconds)
 
-    @_carry_out_one.register
+    @_execute_one.register
     def _superseded(self, action: actions.Superseded) -> None:
         self._listener.on_superseded()
 
-    @_carry_out_one.register
+    @_execute_one.register
     def _catalogue_advertised(
         self, action: actions.CatalogueAdvertised
     ) -> None:
@@ -387,9 +392,9 @@
         if not call.cancelled() and call.exception() is not None:
             self._metrics.count("peers.failed")
 
-    def _handle_answer(self, call: "futures.Future[typing.Any]") -> None:
+    def _handle_gossip_reply(self, call: "futures.Future[typing.Any]") -> None:
         if call.cancelled() or call.exception() is not None:
             return
-        answer = call.result()
-        if answer.sender.vm:
-            self.tell(_GossipReceived(answer, False))
+        reply = call.result()
+        if reply.sender.vm:
+            self.tell(_GossipReceived(reply, False))
--- a/src/apricotlever/daemon/fleet_messages.py
+++ b/src/apricotlever/daemon/fleet_messages.py
@@ -50,7 +50,7 @@
 class CallPeer:
     """Call a method of another entry VM.
 
-    The result is the peer's answer, or the error of the peer link.
+    The result is the peer's reply, or the error of the peer link.
 
     :param vm: the name of the entry VM.
     :param incarnation: the incarnation to call; 0 for any.
--- a/src/apricotlever/daemon/gateway.py
+++ b/src/apricotlever/daemon/gateway.py
@@ -22,13 +22,13 @@
 from . import service_gateway
 from . import vm_presence as presences
 
-KEYS_MAX = 1000
+MAX_KEYS_PER_CALL = 1000
 
 _routes = caller_routes.Routes()
 
 
 class Gateway:
-    """Routes HTTP calls to their handlers; one instance serves all threads.
+    """Routes HTTP calls to their handlers; thread-safe.
 
     :param context: the daemon's tasks.
     :param presence: this VM's state among the entry VMs.
@@ -48,7 +48,7 @@
     def __call__(
         self, call: caller_server.Call
     ) -> caller_server.Reply | caller_server.StreamingReply:
-        """Answer a call.
+        """Handle a call.
 
         :param call: the HTTP call.
         :raises Refusal: when the call is refused.
@@ -96,10 +96,11 @@
         document = openai_format.parse_json_object(call.body or b"{}")
         count = document.get("count", 1)
         is_integer = isinstance(count, int) and not isinstance(count, bool)
-        if not is_integer or not 1 <= count <= KEYS_MAX:
+        if not is_integer or not 1 <= count <= MAX_KEYS_PER_CALL:
             raise refusals.Refusal(
                 refusals.BAD_JSON,
-                f"field count: expected an integer from 1 to {KEYS_MAX}",
+                "field count: expected an integer from 1 to "
+                f"{MAX_KEYS_PER_CALL}",
             )
         keys = self._services.mint_keys(customer.name, count)
         vm = self._context.config.vm
@@ -115,9 +116,9 @@
     def _status(self, call: caller_server.Call) -> caller_server.Reply:
         context = self._context
         access.check_operator(context, call)
-        question = dispatcher_messages.GetStatus()
+        message = dispatcher_messages.GetStatus()
         sections = [
-            context.wait_for_reply(task.ask(question))
+            context.wait_for_reply(task.ask(message))
             for task in context.status_tasks
         ]
         ledger_counts = context.wait_for_reply(
@@ -157,43 +158,46 @@
         context = self._context
         catalogue = access.current_catalogue(context)
         customer = access.authenticate(catalogue, call)
-        request = openai_format.parse_request(call.body, chat)
+        completion_request = openai_format.parse_request(call.body, chat)
         entry = access.authorized_entry(
-            catalogue, customer, request.catalogue_entry, catalogues.KIND_MODEL
+            catalogue,
+            customer,
+            completion_request.catalogue_entry,
+            catalogues.KIND_MODEL,
         )
         self._admission.check_serving()
         service_class = catalogue.class_of(entry)
-        flight = self._new_flight(
-            call, customer, entry, service_class, request
+        request = self._new_request(
+            call, customer, entry, service_class, completion_request
         )
-        self._admission.admit(_ticket(flight), service_class)
+        self._admission.admit(_ticket(request), service_class)
         accepted = context.wait_for_reply(
-            context.registry.ask(request_registry.Open(flight))
+            context.registry.ask(request_registry.RegisterRequest(request))
         )
         if not accepted:
             context.dispatcher.tell(
-                dispatcher_messages.Withdraw(flight.request_id)
+                dispatcher_messages.Withdraw(request.request_id)
             )
             raise refusals.Refusal(
                 refusals.OVERLOADED,
-                "too many requests are running here",
+                "this entry VM runs too many requests",
                 retry_after_s=1.0,
-                request_id=flight.request_id,
+                request_id=request.request_id,
             )
-        responder = model_responses.ModelResponder(context, flight)
+        responder = model_responses.ModelResponder(context, request)
         return (
             responder.respond_streaming()
-            if request.stream
+            if completion_request.stream
             else responder.respond_whole()
         )
 
-    def _new_flight(
+    def _new_request(
         self,
         call: caller_server.Call,
         customer: catalogues.Customer,
         entry: catalogues.Entry,
         service_class: catalogues.ServiceClass,
-        request: openai_format.ModelRequest,
+        completion_request: openai_format.ModelRequest,
     ) -> model_request.ModelRequest:
         now = self._context.clock.now()
         return model_request.ModelRequest(
@@ -202,21 +206,21 @@
             customer.name,
             entry,
             service_class,
-            request,
+            completion_request,
             call.body,
             quarantine.fingerprint(entry.name, customer.name, call.body),
             now + service_class.deadline_s,
         )
 
 
-def _ticket(flight: model_request.ModelRequest) -> admission.Ticket:
+def _ticket(request: model_request.ModelRequest) -> admission.Ticket:
     return admission.Ticket(
-        flight.request_id,
-        flight.customer,
-        flight.entry.name,
-        flight.service_class.name,
-        flight.completion_request.prompt_tokens
-        + flight.completion_request.max_tokens,
-        flight.arrived_at,
-        flight.deadline,
+        request.request_id,
+        request.customer,
+        request.entry.name,
+        request.service_class.name,
+        request.completion_request.prompt_tokens
+        + request.completion_request.max_tokens,
+        request.arrived_at,
+        request.deadline,
     )
--- a/src/apricotlever/daemon/gossip_messages.py
+++ b/src/apricotlever/daemon/gossip_messages.py
@@ -2,7 +2,7 @@
 
 from ..contracts import fleet_shares
 from ..links import peer_pb2 as pb
-from ..requests import ledger_messages as keyed
+from ..requests import ledger_messages
 from ..runners import crashes
 from ..runners import model as runners
 
@@ -113,7 +113,8 @@
 
 
 def ledger_moved_rumour(
-    owner: keyed.VmIncarnation, successor: keyed.VmIncarnation
+    owner: ledger_messages.VmIncarnation,
+    successor: ledger_messages.VmIncarnation,
 ) -> pb.Rumour:
     """A rumour that another VM has adopted the ledger of a leaving VM.
 
--- a/src/apricotlever/daemon/incoming_handover.py
+++ b/src/apricotlever/daemon/incoming_handover.py
@@ -9,11 +9,11 @@
 from ..links import peer_pb2 as pb
 from ..requests import errors as request_errors
 from ..requests import handover_receiver
-from ..requests import ledger_messages as keyed
+from ..requests import ledger_messages
 from ..requests import records
 from ..runners import quarantine
 
-from . import answer_reader as readers
+from . import answer_reader
 from . import context as contexts
 from . import dispatcher_messages
 from . import fleet_messages
@@ -45,8 +45,10 @@
     def __init__(self, clock: clocks.Clock, context: contexts.Context) -> None:
         super().__init__("heir", clock)
         self._context = context
-        me = keyed.VmIncarnation(context.config.vm, context.incarnation)
-        self._receiver = handover_receiver.HandoverReceiver(me)
+        own_incarnation = ledger_messages.VmIncarnation(
+            context.config.vm, context.incarnation
+        )
+        self._receiver = handover_receiver.HandoverReceiver(own_incarnation)
         self._threads = futures.ThreadPoolExecutor(
             ADOPTED_STREAM_THREADS, "adopted"
         )
@@ -98,7 +100,9 @@
         The sender redirects callers to this VM only after the receipt, so a
         redirected caller finds its request.
         """
-        adoption = self._context.registry.ask(request_registry.Adopt(adopted))
+        adoption = self._context.registry.ask(
+            request_registry.AdoptRecords(adopted)
+        )
         running = adoption.result()
         for record in running:
             self._resume(record)
@@ -108,15 +112,15 @@
         request = self._create_request(record)
         if request is None:
             outcome = request_registry.outcome_failed("unknown", "not_found")
-            close = request_registry.Close(record.request_id, outcome)
+            close = request_registry.RecordOutcome(record.request_id, outcome)
             self._context.registry.tell(close)
             return
         self._context.registry.ask(
             request_registry.AttachRequest(request)
         ).result()
-        wanted = dispatcher_messages.GetRunner(record.runner)
-        runner = self._context.dispatcher.ask(wanted).result()
-        reader = readers.AnswerReader(self._context, request, runner)
+        message = dispatcher_messages.GetRunner(record.runner)
+        runner = self._context.dispatcher.ask(message).result()
+        reader = answer_reader.AnswerReader(self._context, request, runner)
         self._threads.submit(
             model_responses.read_adopted, self._context, reader
         )
--- a/src/apricotlever/daemon/keyed_answer_codec.py
+++ b/src/apricotlever/daemon/keyed_answer_codec.py
@@ -2,7 +2,7 @@
 
 from .. import refusals
 from ..links import peer_pb2 as pb
-from ..requests import ledger_messages as keyed
+from ..requests import ledger_messages
 
 _EXECUTED_FROM_WIRE = {
     pb.EXECUTED_UNKNOWN: refusals.Executed.UNKNOWN,
@@ -14,7 +14,7 @@
 }
 
 
-def decode_answer(message: pb.KeyedAnswer) -> keyed.Answer:
+def decode_answer(message: pb.KeyedAnswer) -> ledger_messages.Answer:
     """Decode the answer of the entry VM that owns a key.
 
     :param message: the owner's message.
@@ -29,10 +29,12 @@
             message.request_id,
         )
     headers = (("Content-Type", message.content_type),)
-    return keyed.Answer(message.status, headers, message.body)
+    return ledger_messages.Answer(message.status, headers, message.body)
 
 
-def encode_answer(request_id: str, answer: keyed.Answer) -> pb.KeyedAnswer:
+def encode_answer(
+    request_id: str, answer: ledger_messages.Answer
+) -> pb.KeyedAnswer:
     """Encode an answer for the entry VM that forwarded the call.
 
     :param request_id: the request's ID.
--- a/src/apricotlever/daemon/ledger_task.py
+++ b/src/apricotlever/daemon/ledger_task.py
@@ -23,7 +23,7 @@
 TICK_S = 0.25
 
 
-class Mint:
+class MintKey:
     """Asks for a new key that is bound to a customer and to this VM."""
 
     __slots__ = ("customer",)
@@ -32,7 +32,7 @@
         self.customer = customer
 
 
-class Begin:
+class BeginCall:
     """Asks what to do with a call that has an idempotency key.
 
     The result is a RunCall, ReplayAnswer, ForwardCall or RefuseCall. It comes
@@ -87,7 +87,7 @@
         self.answer = answer
 
 
-class NotSent:
+class CallNotSent:
     """Reports that no byte of a call reached the upstream."""
 
     __slots__ = ("token",)
@@ -143,13 +143,13 @@
         self.successor = successor
 
 
-class Freeze:
-    """Forbids the ledger to start further runs."""
+class FreezeLedger:
+    """Makes the ledger refuse to start further runs."""
 
     __slots__ = ()
 
 
-class Export:
+class ExportLedger:
     """Exports the ledger to a successor; the result is its state.
 
     :param successor: the successor.
@@ -157,8 +157,8 @@
 
     __slots__ = ("successor",)
 
-    def __init__(self, heir: ledger_messages.VmIncarnation) -> None:
-        self.successor = heir
+    def __init__(self, successor: ledger_messages.VmIncarnation) -> None:
+        self.successor = successor
 
 
 class ReceiptReceived:
@@ -170,7 +170,7 @@
         self.receipt = receipt
 
 
-class PendingOutcomes:
+class GetPendingOutcomes:
     """Asks for the calls that have ended since the export."""
 
     __slots__ = ()
@@ -216,12 +216,12 @@
 
 
 class _PendingCall:
-    """A :class:`Begin` message whose result is still open."""
+    """A :class:`BeginCall` message that has no result yet."""
 
     __slots__ = ("begin", "future")
 
     def __init__(
-        self, begin: Begin, future: "futures.Future[typing.Any]"
+        self, begin: BeginCall, future: "futures.Future[typing.Any]"
     ) -> None:
         self.begin = begin
         self.future = future
@@ -251,12 +251,12 @@
         self._claiming: dict[int, _PendingCall] = {}
         self._waiting: dict[int, list[_PendingCall]] = {}
 
-    @mailbox.handles(Mint)
-    def _mint(self, message: Mint) -> str:
+    @mailbox.handles(MintKey)
+    def _mint(self, message: MintKey) -> str:
         return self._ledger.mint(message.customer)
 
-    @mailbox.handles(Begin)
-    def _begin(self, message: Begin) -> mailbox.Deferred:
+    @mailbox.handles(BeginCall)
+    def _begin(self, message: BeginCall) -> mailbox.Deferred:
         self._decide(_PendingCall(message, self.defer()))
         return mailbox.DEFERRED
 
@@ -269,8 +269,8 @@
         self._ledger.record_answer(message.token, message.answer)
         self._decide_waiting([message.token])
 
-    @mailbox.handles(NotSent)
-    def _record_not_sent(self, message: NotSent) -> None:
+    @mailbox.handles(CallNotSent)
+    def _record_not_sent(self, message: CallNotSent) -> None:
         self._ledger.record_not_sent(message.token)
         self._decide_waiting([message.token])
 
@@ -292,25 +292,25 @@
         )
 
     @mailbox.handles(LedgerMoved)
-    def _on_ledger_transferred(self, message: LedgerMoved) -> None:
+    def _on_ledger_moved(self, message: LedgerMoved) -> None:
         self._ledger.on_ledger_transferred(message.owner, message.successor)
 
-    @mailbox.handles(Freeze)
-    def _freeze(self, message: Freeze) -> None:
+    @mailbox.handles(FreezeLedger)
+    def _freeze(self, message: FreezeLedger) -> None:
         self._ledger.freeze()
 
-    @mailbox.handles(Export)
-    def _export(self, message: Export) -> ledger_state.LedgerState:
-        heir = message.successor
-        return self._ledger.export_to(heir.vm, heir.incarnation)
+    @mailbox.handles(ExportLedger)
+    def _export(self, message: ExportLedger) -> ledger_state.LedgerState:
+        successor = message.successor
+        return self._ledger.export_to(successor.vm, successor.incarnation)
 
     @mailbox.handles(ReceiptReceived)
     def _apply_receipt(self, message: ReceiptReceived) -> None:
         self._ledger.transfer.apply_receipt(message.receipt)
 
-    @mailbox.handles(PendingOutcomes)
+    @mailbox.handles(GetPendingOutcomes)
     def _pending_outcomes(
-        self, message: PendingOutcomes
+        self, message: GetPendingOutcomes
     ) -> list[ledger_state.SettledCall]:
         return self._ledger.transfer.pending_outcomes()
 
@@ -332,14 +332,14 @@
 
     @mailbox.handles(claim_storage.BucketRead)
     def _on_bucket_read(self, message: claim_storage.BucketRead) -> None:
-        self._execute(claim_storage.after_read(self._claims, message))
+        self._execute(claim_storage.apply_read_result(self._claims, message))
 
     @mailbox.handles(claim_storage.BucketWritten)
     def _on_bucket_written(self, message: claim_storage.BucketWritten) -> None:
-        self._execute(claim_storage.after_write(self._claims, message))
+        self._execute(claim_storage.apply_write_result(self._claims, message))
 
     def tick(self) -> None:
-        """Expire keys and give up runs that took too long."""
+        """Expire keys and give up runs that exceed their time limit."""
         self._decide_waiting(self._ledger.tick())
 
     def _decide(self, call: _PendingCall) -> None:
--- a/src/apricotlever/daemon/main.py
+++ b/src/apricotlever/daemon/main.py
@@ -59,7 +59,7 @@
         print(f"can't listen: {error}", file=sys.stderr)
         return errors.EXIT_FAILURE
     for signal_number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(signal_number, lambda *_: daemon.ask_to_stop())
+        signal.signal(signal_number, lambda *_: daemon.request_stop())
     return daemon.run()
 
 
--- a/src/apricotlever/daemon/model_attempts.py
+++ b/src/apricotlever/daemon/model_attempts.py
@@ -124,7 +124,7 @@
         :raises Refusal: when no retry is allowed.
         """
         request = self._request
-        query = dispatcher_messages.DecideRetry(
+        message = dispatcher_messages.DecideRetry(
             request.entry.name,
             request.entry.pool,
             error.sent,
@@ -133,7 +133,9 @@
             request.left_s,
             tried,
         )
-        return attempt_reports.ask_retry(self._context, query, self._refusal)
+        return attempt_reports.request_retry(
+            self._context, message, self._refusal
+        )
 
     def retry_without_runner(
         self,
@@ -371,7 +373,7 @@
         request = self._request
 
         def dispatch(
-            only: str, on_trial: bool
+            required_runner: str, on_trial: bool
         ) -> dispatcher_messages.Dispatch:
             return dispatcher_messages.Dispatch(
                 request.request_id,
@@ -379,7 +381,7 @@
                 request.fingerprint,
                 request.attempt,
                 request,
-                only,
+                required_runner,
                 on_trial,
             )
 
--- a/src/apricotlever/daemon/model_responses.py
+++ b/src/apricotlever/daemon/model_responses.py
@@ -9,7 +9,7 @@
 from ..links import openai_format
 from ..runners import model as runners
 
-from . import answer_reader as readers
+from . import answer_reader
 from . import context as contexts
 from . import model_request
 from . import request_registry
@@ -84,7 +84,7 @@
     ) -> None:
         self._context = context
         self._request = request
-        self._reader = readers.AnswerReader(context, request)
+        self._reader = answer_reader.AnswerReader(context, request)
         self._runner: runners.Runner | None = None
 
     def respond_streaming(
@@ -98,7 +98,7 @@
         request = self._request
         try:
             first_events = self._reader.read_first()
-        except readers.RequestMoved:
+        except answer_reader.RequestMoved:
             return redirect_reply(request.request_id, request.moved_to)
         except refusals.Refusal as refusal:
             self._record_refusal(refusal)
@@ -122,7 +122,7 @@
         try:
             self._reader.read_first()
             self._reader.read_rest(discard)
-        except readers.RequestMoved:
+        except answer_reader.RequestMoved:
             return redirect_reply(request.request_id, request.moved_to)
         except refusals.Refusal as refusal:
             self._record_refusal(refusal)
@@ -161,13 +161,13 @@
             if request.runner is not self._runner:
                 self._runner = request.runner
                 token = resumption_token(self._context, request)
-                writer(resumption_tokens.event(token))
+                writer(resumption_tokens.encode_event(token))
             writer(data)
 
         try:
             writer(first_events)
             self._reader.read_rest(sink)
-        except readers.RequestMoved:
+        except answer_reader.RequestMoved:
             return moved_event(request.request_id, request.moved_to)
         except refusals.Refusal as refusal:
             self._record_refusal(refusal)
@@ -213,7 +213,7 @@
 
 
 def read_adopted(
-    context: contexts.Context, reader: readers.AnswerReader
+    context: contexts.Context, reader: answer_reader.AnswerReader
 ) -> None:
     """Read the answer to a request taken over from another entry VM.
 
@@ -224,7 +224,7 @@
     """
     try:
         reader.read_first()
-    except readers.RequestMoved:
+    except answer_reader.RequestMoved:
         return
     except refusals.Refusal as refusal:
         _record_outcome(context, reader.request, refusal)
@@ -233,7 +233,9 @@
 
 
 def read_to_end(
-    context: contexts.Context, reader: readers.AnswerReader, linger_s: float
+    context: contexts.Context,
+    reader: answer_reader.AnswerReader,
+    linger_s: float,
 ) -> None:
     """Read an answer to its end while no caller is connected.
 
@@ -245,7 +247,7 @@
     refusal = None
     try:
         reader.read_rest(discard, linger_s)
-    except readers.RequestMoved:
+    except answer_reader.RequestMoved:
         return
     except refusals.Refusal as error:
         refusal = error
@@ -263,7 +265,9 @@
         outcome = request_registry.outcome_failed(
             refusal.executed.value, refusal.kind.name
         )
-    context.registry.tell(request_registry.Close(request.request_id, outcome))
+    context.registry.tell(
+        request_registry.RecordOutcome(request.request_id, outcome)
+    )
 
 
 def redirect_reply(request_id: str, address: str) -> caller_server.Reply:
--- a/src/apricotlever/daemon/node.py
+++ b/src/apricotlever/daemon/node.py
@@ -71,7 +71,7 @@
         self._stop_requested = threading.Event()
         self._reclaimed_at: float | None = None
         self._task_notifier = task_notifier.TaskNotifier(
-            config, self._presence, self._metrics, self.ask_to_stop
+            config, self._presence, self._metrics, self.request_stop
         )
         self._task_threads = futures.ThreadPoolExecutor(TASK_THREADS, "task")
         self._task_futures: list[futures.Future[None]] = []
@@ -100,7 +100,7 @@
         self._stop_requested.wait()
         return self._stop()
 
-    def ask_to_stop(self, notice_s: float | None = None) -> None:
+    def request_stop(self, notice_s: float | None = None) -> None:
         """Request a graceful shutdown; may be called from any thread.
 
         :param notice_s: seconds until the platform reclaims the VM; None
@@ -386,8 +386,8 @@
             threading.Event().wait(min(left_s, 0.25))
 
     def _shut_down(self) -> None:
-        left = self._fleet_link.ask(fleet_messages.AnnounceExit())
-        futures.wait([left], self._config.timing.peer_timeout_s)
+        announced = self._fleet_link.ask(fleet_messages.AnnounceExit())
+        futures.wait([announced], self._config.timing.peer_timeout_s)
         self._server.close()
         self._stream_loop.stop()
         for task in self._tasks:
@@ -408,7 +408,7 @@
         error = ended.exception()
         if error is not None:
             logs.event("task_failed", task="ended", error=repr(error))
-            self.ask_to_stop(0.0)
+            self.request_stop(0.0)
 
     def _log_server_error(self, error: Exception) -> None:
         logs.event("task_failed", task="callers", error=repr(error))
--- a/src/apricotlever/daemon/orphaned_streams.py
+++ b/src/apricotlever/daemon/orphaned_streams.py
@@ -32,7 +32,7 @@
 
     def resume(
         self,
-        payload: resumption_tokens.ResumptionToken,
+        token: resumption_tokens.ResumptionToken,
         catalogue: catalogues.Catalogue,
         customer: catalogues.Customer,
     ) -> model_request.ModelRequest:
@@ -41,7 +41,7 @@
         The runner still has all tokens of the answer, so the answer is read
         from its start. The caller continues after its last token.
 
-        :param payload: the payload of the resumption token, already verified.
+        :param token: the resumption token, already verified.
         :param catalogue: the catalogue in force for the caller's request.
         :param customer: the customer that presented the token.
         :returns: the resumed request.
@@ -49,25 +49,25 @@
             when this VM has no room for another request.
         """
         context = self._context
-        entry = catalogue.entries.get(payload.entry)
-        lookup = dispatcher_messages.GetRunner(payload.runner)
-        runner = context.wait_for_reply(context.dispatcher.ask(lookup))
+        entry = catalogue.entries.get(token.entry)
+        message = dispatcher_messages.GetRunner(token.runner)
+        runner = context.wait_for_reply(context.dispatcher.ask(message))
         if entry is None or runner is None:
-            raise _not_found(payload.request_id)
+            raise _not_found(token.request_id)
         service_class = catalogue.class_of(entry)
         request = self._create_request(
-            payload, customer, entry, service_class, runner
+            token, customer, entry, service_class, runner
         )
         has_room = context.wait_for_reply(
-            context.registry.ask(request_registry.Open(request))
+            context.registry.ask(request_registry.RegisterRequest(request))
         )
         if not has_room:
             raise refusals.Refusal(
                 refusals.OVERLOADED,
-                "too many requests are running here",
+                "this entry VM runs too many requests",
                 refusals.Executed.UNKNOWN,
                 1.0,
-                payload.request_id,
+                token.request_id,
             )
         reader = answer_reader.AnswerReader(context, request, runner)
         self._threads.submit(model_responses.read_adopted, context, reader)
@@ -75,7 +75,7 @@
 
     def _create_request(
         self,
-        payload: resumption_tokens.ResumptionToken,
+        token: resumption_tokens.ResumptionToken,
         customer: catalogues.Customer,
         entry: catalogues.Entry,
         service_class: catalogues.ServiceClass,
@@ -84,16 +84,16 @@
         document = {
             "model": entry.name,
             "prompt": "",
-            "max_tokens": payload.max_tokens,
+            "max_tokens": token.max_tokens,
         }
         now = self._context.clock.now()
         request = model_request.ModelRequest(
             self._context.clock,
-            payload.request_id,
+            token.request_id,
             customer.name,
             entry,
             service_class,
-            openai_format.ModelRequest(document, payload.chat, ""),
+            openai_format.ModelRequest(document, token.chat, ""),
             b"",
             "",
             now + service_class.deadline_s,
--- a/src/apricotlever/daemon/outgoing_handover.py
+++ b/src/apricotlever/daemon/outgoing_handover.py
@@ -10,7 +10,7 @@
 from ..links import peer_pb2 as pb
 from ..requests import handover_parts
 from ..requests import handover_sender
-from ..requests import ledger_messages as keyed
+from ..requests import ledger_messages
 from ..vms import fleet_view as views
 
 from . import context as contexts
@@ -49,7 +49,7 @@
 
     __slots__ = ("owner",)
 
-    def __init__(self, owner: keyed.VmIncarnation) -> None:
+    def __init__(self, owner: ledger_messages.VmIncarnation) -> None:
         self.owner = owner
 
 
@@ -74,7 +74,7 @@
         config = context.config
         self._handover_sender = handover_sender.HandoverSender(
             clock,
-            keyed.VmIncarnation(config.vm, context.incarnation),
+            ledger_messages.VmIncarnation(config.vm, context.incarnation),
             config.data_centre,
             deadline,
         )
@@ -83,16 +83,16 @@
     @mailbox.handles(StartHandover)
     def _hand_over(self, message: StartHandover) -> mailbox.Deferred:
         self._completion = self.defer()
-        self._context.ledger.ask(ledger_task.Freeze()).result()
-        future = self._context.registry.ask(request_registry.Snapshot())
-        snapshot = future.result()
-        due = self._handover_sender.start(
+        self._context.ledger.ask(ledger_task.FreezeLedger()).result()
+        future = self._context.registry.ask(request_registry.GetRecords())
+        all_records = future.result()
+        actions = self._handover_sender.start(
             self._peers(),
-            snapshot.running,
-            snapshot.ended,
+            all_records.running,
+            all_records.ended,
             self._keyed_calls_in_flight(),
         )
-        self._carry_out(due)
+        self._execute(actions)
         return mailbox.DEFERRED
 
     @mailbox.handles(_PartResult)
@@ -100,27 +100,27 @@
         if message.accepted is None:
             return
         if message.accepted:
-            due = self._handover_sender.on_receipt(message.sequence)
+            actions = self._handover_sender.on_receipt(message.sequence)
         else:
-            due = self._handover_sender.on_refusal(message.sequence)
-        self._carry_out(due)
+            actions = self._handover_sender.on_refusal(message.sequence)
+        self._execute(actions)
 
     @mailbox.handles(PeerGone)
     def _peer_gone(self, message: PeerGone) -> None:
-        self._carry_out(self._handover_sender.on_peer_gone(message.owner))
+        self._execute(self._handover_sender.on_peer_gone(message.owner))
 
     def tick(self) -> None:
         """Resend parts without a receipt, and send late outcomes."""
         if self._completion is None:
             return
         late_outcomes = self._context.ledger.ask(
-            ledger_task.PendingOutcomes()
+            ledger_task.GetPendingOutcomes()
         ).result()
-        due = self._handover_sender.send_outcomes(
+        actions = self._handover_sender.send_outcomes(
             late_outcomes, self._keyed_calls_in_flight()
         )
-        self._carry_out(due)
-        self._carry_out(self._handover_sender.tick())
+        self._execute(actions)
+        self._execute(self._handover_sender.tick())
 
     def _keyed_calls_in_flight(self) -> int:
         return int(
@@ -133,21 +133,23 @@
             return []
         return [
             handover_sender.Peer(
-                keyed.VmIncarnation(member.vm, member.incarnation),
+                ledger_messages.VmIncarnation(member.vm, member.incarnation),
                 member.data_centre,
             )
             for member in _other_serving_members(view, self._context.config.vm)
         ]
 
-    def _carry_out(self, due: typing.Iterable[handover_sender.Action]) -> None:
-        for action in due:
-            self._carry_out_one(action)
+    def _execute(
+        self, actions: typing.Iterable[handover_sender.Action]
+    ) -> None:
+        for action in actions:
+            self._execute_one(action)
 
     @functools.singledispatchmethod
-    def _carry_out_one(self, action: typing.Any) -> None:
+    def _execute_one(self, action: typing.Any) -> None:
         raise TypeError(type(action))
 
-    @_carry_out_one.register
+    @_execute_one.register
     def _send_part(self, action: handover_sender.SendPart) -> None:
         part = action.part
         call = fleet_messages.CallPeer(
@@ -165,7 +167,7 @@
 
         self._context.fleet.ask(call).add_done_callback(ended)
 
-    @_carry_out_one.register
+    @_execute_one.register
     def _redirect_callers(
         self, action: handover_sender.RedirectCallers
     ) -> None:
@@ -179,12 +181,14 @@
             )
         )
 
-    @_carry_out_one.register
+    @_execute_one.register
     def _export_ledger(self, action: handover_sender.ExportLedger) -> None:
-        future = self._context.ledger.ask(ledger_task.Export(action.successor))
-        self._carry_out(self._handover_sender.on_exported(future.result()))
+        future = self._context.ledger.ask(
+            ledger_task.ExportLedger(action.successor)
+        )
+        self._execute(self._handover_sender.on_exported(future.result()))
 
-    @_carry_out_one.register
+    @_execute_one.register
     def _deliver_receipt(self, action: handover_sender.DeliverReceipt) -> None:
         receipt = action.receipt
         self._context.ledger.tell(ledger_task.ReceiptReceived(receipt))
@@ -194,7 +198,7 @@
             )
             self._context.fleet.tell(fleet_messages.AnnounceRumour(rumour))
 
-    @_carry_out_one.register
+    @_execute_one.register
     def _acknowledge_outcomes(
         self, action: handover_sender.AcknowledgeOutcomes
     ) -> None:
@@ -202,7 +206,7 @@
             ledger_task.OutcomesAcknowledged(action.settled)
         )
 
-    @_carry_out_one.register
+    @_execute_one.register
     def _finish(self, action: handover_sender.HandoverFinished) -> None:
         if not action.complete:
             logs.event(
@@ -213,9 +217,9 @@
             self._completion.set_result(action.complete)
 
 
-def vm_incarnation(vm: str, incarnation: int) -> keyed.VmIncarnation:
+def vm_incarnation(vm: str, incarnation: int) -> ledger_messages.VmIncarnation:
     """The incarnation of a VM, as the handover identifies it."""
-    return keyed.VmIncarnation(vm, incarnation)
+    return ledger_messages.VmIncarnation(vm, incarnation)
 
 
 def _other_serving_members(view: views.FleetView, vm: str) -> list[pb.Member]:
--- a/src/apricotlever/daemon/peer_handlers.py
+++ b/src/apricotlever/daemon/peer_handlers.py
@@ -21,7 +21,7 @@
 
 
 class PeerServiceTasks:
-    """The tasks that handle the calls of peers."""
+    """The tasks that handle calls from peers."""
 
     __slots__ = (
         "fleet_link",
@@ -69,7 +69,7 @@
     @handlers.register("Run")
     def _run(message: pb.KeyedCall) -> typing.Any:
         return context.background.submit(
-            run_forwarded, context, services, message
+            run_forwarded_call, context, services, message
         )
 
     @handlers.register("Handover")
@@ -105,7 +105,7 @@
         )
 
 
-def run_forwarded(
+def run_forwarded_call(
     context: contexts.Context,
     services: service_calls.ServiceCalls,
     message: pb.KeyedCall,
@@ -114,14 +114,14 @@
 
     :param context: the daemon's tasks.
     :param services: runs the call.
-    :param message: the call; the sender has authenticated its customer.
+    :param message: the call; the sender has authenticated the customer.
     :returns: the answer or refusal for the sender.
     """
     catalogue = context.catalogue
     entry = catalogue.entries.get(message.entry)
     if entry is None:
-        # The call may have run here before. Only the ledger knows, and it
-        # is not asked, so the outcome is reported as unknown.
+        # The call may have run here before. The ledger, which would know, is
+        # not asked, so the outcome is reported as unknown.
         refusal = refusals.Refusal(
             refusals.NOT_READY,
             "this entry VM's catalogue does not have the entry",
--- a/src/apricotlever/daemon/request_admission.py
+++ b/src/apricotlever/daemon/request_admission.py
@@ -1,4 +1,4 @@
-"""Names new requests and waits until the dispatcher admits them."""
+"""Creates request IDs and waits until the dispatcher admits requests."""
 
 import secrets
 
@@ -10,7 +10,8 @@
 from . import dispatcher_messages
 from . import vm_presence as presences
 
-#: Time for the dispatcher's answer after a request's time in the queue.
+#: Seconds that the dispatcher may take to reply, in addition to the longest
+#: time of a request in the queue.
 ADMISSION_GRACE_S = 2.0
 
 
@@ -44,7 +45,7 @@
     def new_request_id(self) -> str:
         """A new request ID.
 
-        The ID can't be guessed: a customer could otherwise make up the ID of
+        The ID is unpredictable, so that a customer can't guess the ID of
         another customer's stream.
         """
         context = self._context
@@ -63,8 +64,8 @@
         :param ticket: describes the request to admission.
         :param service_class: the request's class, which limits its time in
             the queue.
-        :raises Refusal: when the request is not admitted; at once if that is
-            known on arrival.
+        :raises Refusal: when the request is not admitted; raised without a
+            wait in the queue if that is known on arrival.
         """
         context = self._context
         future = context.dispatcher.ask(dispatcher_messages.Admit(ticket))
--- a/src/apricotlever/daemon/request_lookup.py
+++ b/src/apricotlever/daemon/request_lookup.py
@@ -16,7 +16,7 @@
 from . import resumption_tokens
 from . import vm_presence as presences
 
-TOKEN_INDEX_DIGITS_MAX = 9
+MAX_TOKEN_INDEX_DIGITS = 9
 
 
 class RequestLookup:
@@ -26,14 +26,14 @@
     :param presence: this VM's state among the entry VMs.
     """
 
-    __slots__ = ("_context", "_presence", "_rescues")
+    __slots__ = ("_context", "_presence", "_orphaned_streams")
 
     def __init__(
         self, context: contexts.Context, presence: presences.VmPresence
     ) -> None:
         self._context = context
         self._presence = presence
-        self._rescues = orphaned_streams.OrphanedStreams(context)
+        self._orphaned_streams = orphaned_streams.OrphanedStreams(context)
 
     def answer(
         self, call: caller_server.Call, request_id: str
@@ -49,7 +49,9 @@
         catalogue = access.current_catalogue(self._context)
         customer = access.authenticate(catalogue, call)
         last_index = _last_event_id(call)
-        resume = request_registry.Resume(request_id, customer.name, last_index)
+        resume = request_registry.ResumeRequest(
+            request_id, customer.name, last_index
+        )
         future = self._context.registry.ask(resume)
         found = self._context.wait_for_reply(future)
         if found is None:
@@ -74,34 +76,34 @@
         """Answer for a request that another entry VM accepted.
 
         :param call: the HTTP call.
-        :param catalogue: the catalogue that the call is held to.
+        :param catalogue: the catalogue that the call uses.
         :param customer: the caller's customer.
         :param request_id: the request's ID.
         :param last_index: index of the last token that the caller has, or
             None.
-        :returns: a redirect to that VM, or the stream, when that VM has
-            ended and the runner still has the stream.
+        :returns: a redirect to that VM. If that VM has ended and the runner
+            still has the stream, the rest of the stream.
         :raises Refusal: when neither the request nor its stream is found.
         """
-        owner = self._presence.address_of_minting_vm(request_id)
-        if owner:
-            return model_responses.redirect_reply(request_id, owner)
-        payload = resumption_tokens.decode(
+        owner_address = self._presence.address_of_minting_vm(request_id)
+        if owner_address:
+            return model_responses.redirect_reply(request_id, owner_address)
+        token = resumption_tokens.decode(
             call.header(resumption_tokens.HEADER), customer
         )
-        if payload is None or payload.request_id != request_id:
+        if token is None or token.request_id != request_id:
             raise refusals.Refusal(
                 refusals.NOT_FOUND,
                 "this entry VM knows no such request of this customer",
                 refusals.Executed.UNKNOWN,
                 request_id=request_id,
             )
-        flight = self._rescues.resume(payload, catalogue, customer)
+        request = self._orphaned_streams.resume(token, catalogue, customer)
         headers = model_responses.answer_headers(
             request_id, model_responses.STREAM_TYPE
         )
         events = model_responses.follow_stream(
-            flight, _first_index(last_index), call.is_disconnected
+            request, _first_index(last_index), call.is_disconnected
         )
         return caller_server.Reply(200, headers, events)
 
@@ -132,7 +134,7 @@
     if record.state is records.RequestState.RUNNING:
         raise refusals.Refusal(
             refusals.LEAVING,
-            "the request is moving between entry VMs; ask again",
+            "the request is being handed over to another entry VM; retry",
             refusals.Executed.UNKNOWN,
             0.2,
             record.request_id,
@@ -152,7 +154,7 @@
     if not text:
         return None
     is_number = text.isascii() and text.isdigit()
-    if not is_number or len(text) > TOKEN_INDEX_DIGITS_MAX:
+    if not is_number or len(text) > MAX_TOKEN_INDEX_DIGITS:
         raise refusals.Refusal(
             refusals.BAD_REQUEST,
             "Last-Event-ID: expected the index of a token",
@@ -174,8 +176,8 @@
 def _describe(found: request_registry.FoundRequest) -> dict[str, typing.Any]:
     """The outcome of a request as JSON."""
     record = found.record
-    flight = found.request
-    tokens = len(flight.transcript) if flight else len(record.tokens)
+    request = found.request
+    tokens = len(request.transcript) if request else len(record.tokens)
     document: dict[str, typing.Any] = {
         "request": record.request_id,
         "entry": record.entry,
--- a/src/apricotlever/daemon/request_registry.py
+++ b/src/apricotlever/daemon/request_registry.py
@@ -1,28 +1,28 @@
-"""The task that records requests, so that callers can resume them."""
+"""The task that keeps records of requests, so that callers can resume them."""
 
 from .. import clock as clocks
 from .. import mailbox
-from ..requests import ledger_messages as request_messages
+from ..requests import ledger_messages
 from ..requests import records
 
 from . import model_request
 
-EXPIRE_S = 1.0
+EXPIRY_INTERVAL_S = 1.0
 
 
-class Open:
+class RegisterRequest:
     """Registers a new model request.
 
-    The result is whether there is room for its record.
+    The result is whether the registry has room for its record.
     """
 
     __slots__ = ("request",)
 
-    def __init__(self, flight: model_request.ModelRequest) -> None:
-        self.request = flight
+    def __init__(self, request: model_request.ModelRequest) -> None:
+        self.request = request
 
 
-class Close:
+class RecordOutcome:
     """Records the outcome of a request.
 
     :param outcome: the outcome.
@@ -37,11 +37,11 @@
         self.outcome = outcome
 
 
-class Resume:
+class ResumeRequest:
     """Looks up a request for a caller that reconnects.
 
-    The result is a :class:`Found`, or None when the customer has no such
-    request here.
+    The result is a :class:`FoundRequest`, or None when the customer has no
+    such request at this VM.
 
     :param last_event_id: index of the last token that the caller has, or
         None.
@@ -78,7 +78,7 @@
         self.request = request
 
 
-class Adopt:
+class AdoptRecords:
     """Adopts records of another VM.
 
     The result is the list of adopted records whose requests are running.
@@ -97,14 +97,14 @@
 
     __slots__ = ("request",)
 
-    def __init__(self, flight: model_request.ModelRequest) -> None:
-        self.request = flight
+    def __init__(self, request: model_request.ModelRequest) -> None:
+        self.request = request
 
 
-class Snapshot:
+class GetRecords:
     """Asks for all records, for a handover to another VM.
 
-    The result is an :class:`Everything`. The record of a running request
+    The result is an :class:`AllRecords`. The record of a running request
     has the tokens received so far.
     """
 
@@ -164,14 +164,14 @@
     def __init__(
         self, clock: clocks.Clock, keep_s: float, keep_bytes: int
     ) -> None:
-        super().__init__("archive", clock, EXPIRE_S)
+        super().__init__("archive", clock, EXPIRY_INTERVAL_S)
         self._records = records.RequestRecords(
             clock, ended_bytes=keep_bytes, keep_s=keep_s
         )
         self._requests: dict[str, model_request.ModelRequest] = {}
 
-    @mailbox.handles(Open)
-    def _open(self, message: Open) -> bool:
+    @mailbox.handles(RegisterRequest)
+    def _register_request(self, message: RegisterRequest) -> bool:
         request = message.request
         record = self._records.open(
             request.request_id,
@@ -186,8 +186,8 @@
         self._requests[request.request_id] = request
         return True
 
-    @mailbox.handles(Close)
-    def _close(self, message: Close) -> None:
+    @mailbox.handles(RecordOutcome)
+    def _record_outcome(self, message: RecordOutcome) -> None:
         record = self._records.get(message.request_id)
         request = self._requests.pop(message.request_id, None)
         if record is None or record.state is not records.RequestState.RUNNING:
@@ -196,8 +196,8 @@
             record.tokens = list(request.transcript.tokens())
         self._records.end(message.request_id, message.outcome)
 
-    @mailbox.handles(Resume)
-    def _resume(self, message: Resume) -> FoundRequest | None:
+    @mailbox.handles(ResumeRequest)
+    def _resume(self, message: ResumeRequest) -> FoundRequest | None:
         request = self._requests.get(message.request_id)
         resumed = self._records.resume(
             message.request_id, message.customer, message.last_event_id
@@ -207,8 +207,8 @@
             return None
         return FoundRequest(record, resumed, request)
 
-    @mailbox.handles(Adopt)
-    def _adopt(self, message: Adopt) -> list[records.RequestRecord]:
+    @mailbox.handles(AdoptRecords)
+    def _adopt(self, message: AdoptRecords) -> list[records.RequestRecord]:
         unknown = [
             record
             for record in message.adopted
@@ -222,11 +222,11 @@
         ]
 
     @mailbox.handles(AttachRequest)
-    def _join(self, message: AttachRequest) -> None:
+    def _attach_request(self, message: AttachRequest) -> None:
         self._requests[message.request.request_id] = message.request
 
-    @mailbox.handles(Snapshot)
-    def _snapshot(self, message: Snapshot) -> AllRecords:
+    @mailbox.handles(GetRecords)
+    def _get_records(self, message: GetRecords) -> AllRecords:
         running = []
         for record in self._records.running:
             request = self._requests.get(record.request_id)
@@ -239,7 +239,7 @@
         return AllRecords(running, self._records.ended)
 
     @mailbox.handles(RedirectCallers)
-    def _tell_moved(self, message: RedirectCallers) -> None:
+    def _redirect_callers(self, message: RedirectCallers) -> None:
         for request_id in message.request_ids:
             request = self._requests.pop(request_id, None)
             self._records.record_move(request_id, message.address)
@@ -257,7 +257,7 @@
 
 def outcome_done() -> records.RequestOutcome:
     """The outcome of a request that was answered in full."""
-    return records.RequestOutcome(request_messages.Executed.YES)
+    return records.RequestOutcome(ledger_messages.Executed.YES)
 
 
 def outcome_failed(executed: str, error: str) -> records.RequestOutcome:
@@ -267,4 +267,4 @@
         ``unknown``.
     :param error: the type of the refusal, as callers see it.
     """
-    return records.RequestOutcome(request_messages.Executed(executed), error)
+    return records.RequestOutcome(ledger_messages.Executed(executed), error)
--- a/src/apricotlever/daemon/resumption_tokens.py
+++ b/src/apricotlever/daemon/resumption_tokens.py
@@ -1,9 +1,10 @@
 """Tokens by which a caller resumes its stream after an entry VM has crashed.
 
-The records of the crashed VM are lost, but the runner keeps the stream for a
-while. The token names the runner. It is authenticated with the hash of the
-customer's key, which every entry VM has in the catalogue. Request IDs can't
-be guessed, so a customer can't make a token for another customer's request.
+The records of the crashed VM are lost, but the runner retains the stream for
+a limited time. The token names the runner. It is authenticated with the hash
+of the customer's key, which every entry VM has in the catalogue. Request IDs
+can't be guessed, so a customer can't make a token for another customer's
+request.
 """
 
 import base64
@@ -45,18 +46,18 @@
         self.max_tokens = max_tokens
 
 
-def encode(content: ResumptionToken, customer: catalogues.Customer) -> str:
+def encode(token: ResumptionToken, customer: catalogues.Customer) -> str:
     """Encode a token and append its authentication code.
 
-    :param content: the content of the token.
+    :param token: the content of the token.
     :param customer: the customer whose request it is.
     """
     fields = [
-        content.request_id,
-        content.entry,
-        content.runner,
-        content.chat,
-        content.max_tokens,
+        token.request_id,
+        token.entry,
+        token.runner,
+        token.chat,
+        token.max_tokens,
     ]
     payload = base64.urlsafe_b64encode(json.dumps(fields).encode())
     return f"{payload.decode()}.{_mac(payload, customer)}"
@@ -65,7 +66,7 @@
 def decode(text: str, customer: catalogues.Customer) -> ResumptionToken | None:
     """Verify and decode a token.
 
-    :param text: the token.
+    :param text: the encoded token.
     :param customer: the customer that presents it.
     :returns: the content; None when the token is malformed or belongs to
         another customer.
@@ -81,12 +82,12 @@
         return None
 
 
-def event(token: str) -> bytes:
+def encode_event(text: str) -> bytes:
     """The SSE event that gives a caller a new token for its stream.
 
-    :param token: replaces every earlier token.
+    :param text: the encoded token, which replaces all earlier ones.
     """
-    return f"event: {EVENT}\ndata: {token}\n\n".encode()
+    return f"event: {EVENT}\ndata: {text}\n\n".encode()
 
 
 def _mac(payload: bytes, customer: catalogues.Customer) -> str:
--- a/src/apricotlever/daemon/runner_monitor.py
+++ b/src/apricotlever/daemon/runner_monitor.py
@@ -107,13 +107,16 @@
         """
 
     def on_load(
-        self, runner: str, report: runners.LoadReport | None, tell: bool
+        self,
+        runner: str,
+        report: runners.LoadReport | None,
+        report_to_peers: bool,
     ) -> None:
         """Handle a runner's load.
 
         :param runner: name of the runner.
         :param report: the load, or None when the runner did not answer.
-        :param tell: whether this VM announces the load to the other VMs.
+        :param report_to_peers: whether this VM reports the load to its peers.
         """
 
     def on_connection_refused(self, runner: str) -> None:
@@ -123,13 +126,14 @@
         """
 
     def on_cache_events(
-        self, runner: str, events: runners.CacheEvents, tell: bool
+        self, runner: str, events: runners.CacheEvents, report_to_peers: bool
     ) -> None:
         """Handle a runner's cache events.
 
         :param runner: name of the runner.
         :param events: the events.
-        :param tell: whether this VM announces the events to the other VMs.
+        :param report_to_peers: whether this VM reports the events to its
+            peers.
         """
 
 
@@ -222,7 +226,7 @@
         self._waiting_for_notices = False
         self._cache_seqs: dict[str, int] = {}
         self._polled_runners: frozenset[str] = frozenset()
-        self._refusing: set[str] = set()
+        self._refusing_runners: set[str] = set()
         self._backoffs = {
             call: call_backoff.CallBackoff(clock)
             for call in (VMS, PRICES, NOTICES)
@@ -285,23 +289,23 @@
     @mailbox.handles(_RunnerPolled)
     def _on_runner_polled(self, message: _RunnerPolled) -> None:
         name = message.runner
-        if message.refused and name not in self._refusing:
+        if message.refused and name not in self._refusing_runners:
             # Reported once for each crash. A second report would count as
             # the crash of another runner, and could clear the request that
             # caused the first one.
-            self._refusing.add(name)
+            self._refusing_runners.add(name)
             self._listener.on_connection_refused(name)
         if message.load is not None:
-            self._refusing.discard(name)
+            self._refusing_runners.discard(name)
         known = self._runners.get(name)
-        tell = (
+        report_to_peers = (
             known is not None and self._assignment.load_reader_rank(known) == 0
         )
-        self._listener.on_load(name, message.load, tell)
+        self._listener.on_load(name, message.load, report_to_peers)
         if message.events is None or not message.events.events:
             return
         self._cache_seqs[name] = message.events.last
-        self._listener.on_cache_events(name, message.events, tell)
+        self._listener.on_cache_events(name, message.events, report_to_peers)
 
     @mailbox.handles(dispatcher_messages.GetStatus)
     def _status(
--- a/src/apricotlever/daemon/runner_selection.py
+++ b/src/apricotlever/daemon/runner_selection.py
@@ -1,4 +1,4 @@
-"""Selects the runner of an attempt, with a trial for suspect requests."""
+"""Selects the runner of an attempt; a suspect request needs a trial."""
 
 import time
 import typing
@@ -21,8 +21,8 @@
     """The runner that was selected for an attempt.
 
     :param route: the runner and its expected performance.
-    :param on_trial: whether the attempt is a suspect's run that a judge
-        allowed.
+    :param on_trial: whether the attempt is a trial of a suspect
+        request, granted by a judge.
     """
 
     __slots__ = ("route", "on_trial")
@@ -54,24 +54,24 @@
         self._refusal = refusal
 
     def select(
-        self, dispatch: DispatchFactory, only: str = ""
+        self, dispatch: DispatchFactory, required_runner: str = ""
     ) -> RunnerSelection:
-        """Ask the dispatcher, and the judge if the request is a suspect.
+        """Select a runner, with a trial by the judge for a suspect request.
 
         :param dispatch: makes the message to the dispatcher from the name of
             the required runner and whether the run is a trial.
-        :param only: name of the required runner; empty for any.
+        :param required_runner: name of the required runner; empty for any.
         :returns: the selected runner.
         :raises Refusal: when no runner is available or allowed.
         """
         on_trial = False
         while True:
-            answer = self._ask_dispatcher(dispatch(only, on_trial))
-            if isinstance(answer, runners.Route):
-                return RunnerSelection(answer, on_trial)
-            question = fleet_link.AskJudge(answer.pool, answer.trial_request)
-            future = self._context.fleet.ask(question)
-            only, on_trial = self._apply_verdict(
+            reply = self._ask_dispatcher(dispatch(required_runner, on_trial))
+            if isinstance(reply, runners.Route):
+                return RunnerSelection(reply, on_trial)
+            message = fleet_link.AskJudge(reply.pool, reply.trial_request)
+            future = self._context.fleet.ask(message)
+            required_runner, on_trial = self._apply_decision(
                 self._context.wait_for_reply(future)
             )
 
@@ -87,30 +87,30 @@
                 refusal.kind, refusal.message, refusal.retry_after_s
             ) from refusal
 
-    def _apply_verdict(
-        self, verdict: quarantine.TrialDecision
+    def _apply_decision(
+        self, decision: quarantine.TrialDecision
     ) -> tuple[str, bool]:
-        """Turn a judge's verdict into the next message to the dispatcher.
+        """Convert a judge's decision to arguments of the next dispatch.
 
         :returns: the name of the required runner, empty for any, and whether
             the run is a trial.
         :raises Refusal: when the request may not run before its deadline.
         """
-        if isinstance(verdict, quarantine.RejectRequest):
+        if isinstance(decision, quarantine.RejectRequest):
             raise self._refusal(
                 refusals.QUARANTINED,
                 "requests like this one crashed the runners they ran on",
-                verdict.retry_after_s,
+                decision.retry_after_s,
             )
-        if isinstance(verdict, quarantine.RunAsTrial):
-            return verdict.runner, True
-        if isinstance(verdict, quarantine.RunNormally):
+        if isinstance(decision, quarantine.RunAsTrial):
+            return decision.runner, True
+        if isinstance(decision, quarantine.RunNormally):
             return "", True
-        if self._deadline - self._context.clock.now() < verdict.retry_after_s:
+        if self._deadline - self._context.clock.now() < decision.retry_after_s:
             raise self._refusal(
                 refusals.QUARANTINED,
                 "a similar request is on trial at another runner",
-                verdict.retry_after_s,
+                decision.retry_after_s,
             )
-        time.sleep(verdict.retry_after_s)
+        time.sleep(decision.retry_after_s)
         return "", False
--- a/src/apricotlever/daemon/service_attempts.py
+++ b/src/apricotlever/daemon/service_attempts.py
@@ -1,10 +1,10 @@
-"""Sends one call to a plain service, retries it and reports the outcome."""
+"""Sends one call to a plain service, with retries, and reports its outcome."""
 
 from .. import histograms
 from .. import logs
 from .. import refusals
 from ..links import upstream_exchange
-from ..requests import ledger_messages as keyed
+from ..requests import ledger_messages
 from ..runners import model as runners
 
 from . import attempt_reports
@@ -28,7 +28,7 @@
         "_context",
         "_request",
         "_attempt",
-        "_tried",
+        "_tried_runners",
         "_sent",
         "_runner",
         "_address",
@@ -45,7 +45,7 @@
         self._context = context
         self._request = request
         self._attempt = 0
-        self._tried: frozenset[str] = frozenset()
+        self._tried_runners: frozenset[str] = frozenset()
         self._sent = False
         self._runner = ""
         self._address = ""
@@ -56,7 +56,7 @@
             context, request.deadline, self._refusal
         )
 
-    def run_idempotent(self) -> keyed.Answer:
+    def run_idempotent(self) -> ledger_messages.Answer:
         """Send an idempotent call until it is answered.
 
         :returns: the answer of the upstream.
@@ -85,11 +85,11 @@
                 ):
                     self._handle_failure(error, idempotent=True)
 
-    def run_at_most_once(self, token: int) -> keyed.Answer:
-        """Send a call at most once; only connecting is retried.
+    def run_at_most_once(self, token: int) -> ledger_messages.Answer:
+        """Send a call at most once; only failed connections are retried.
 
-        :param token: issued by the ledger for this run. The ledger allows
-            the sending only while it still owns the key.
+        :param token: issued by the ledger for this run. The ledger permits
+            the call to be sent only while it still owns the key.
         :returns: the answer of the upstream.
         :raises Refusal: states correctly whether the call ran.
         """
@@ -97,7 +97,7 @@
         try:
             exchange = self._connect()
         except refusals.Refusal:
-            context.ledger.tell(ledger_task.NotSent(token))
+            context.ledger.tell(ledger_task.CallNotSent(token))
             raise
         if not context.wait_for_reply(
             context.ledger.ask(ledger_task.StartSending(token))
@@ -177,19 +177,19 @@
             request.entry.pool,
             "",
             priority=request.service_class.priority,
-            excluded=self._tried,
+            excluded=self._tried_runners,
             wanted_first_token_s=request.service_class.first_token_s,
         )
 
         def dispatch(
-            only: str, on_trial: bool
+            required_runner: str, on_trial: bool
         ) -> dispatcher_messages.Dispatch:
             return dispatcher_messages.Dispatch(
                 request.request_id,
                 query,
                 request.fingerprint,
                 self._attempt,
-                required_runner=only,
+                required_runner=required_runner,
                 on_trial=on_trial,
             )
 
@@ -197,10 +197,10 @@
         self._on_trial = selection.on_trial
         self._runner = selection.route.runner.name
         self._address = selection.route.runner.address
-        left_s = request.deadline - self._context.clock.now()
+        remaining_s = request.deadline - self._context.clock.now()
         exchange = upstream_exchange.Exchange(
             self._address,
-            max(0.1, min(request.response_timeout_s, left_s)),
+            max(0.1, min(request.response_timeout_s, remaining_s)),
             pool,
         )
         exchange.open()
@@ -208,7 +208,7 @@
 
     def _send_and_read(
         self, exchange: upstream_exchange.Exchange, retry_errors: bool
-    ) -> keyed.Answer:
+    ) -> ledger_messages.Answer:
         request = self._request
         headers = {
             **request.headers,
@@ -223,7 +223,9 @@
         exchange.finish()
         if retry_errors and status in _TRANSIENT_STATUSES:
             raise upstream_exchange.UpstreamErrorResponse(status, body[:256])
-        return keyed.Answer(status, (("Content-Type", content_type),), body)
+        return ledger_messages.Answer(
+            status, (("Content-Type", content_type),), body
+        )
 
     def _handle_failure(
         self, error: upstream_exchange.UpstreamError, idempotent: bool
@@ -236,12 +238,12 @@
         """
         request = self._request
         context = self._context
-        crashed = self._process_ended(error)
+        crashed = self._has_crashed(error)
         runner_ended = crashed or isinstance(
             error, upstream_exchange.ConnectFailed
         )
-        uncharged = runner_ended or self._fell_silent_with_others(error)
-        self._tried |= {self._runner}
+        uncharged = runner_ended or self._all_connections_fell_silent(error)
+        self._tried_runners |= {self._runner}
         self._report_attempt_end(runners.Outcome.FAILED, crashed)
         logs.event(
             "request_retried",
@@ -249,29 +251,29 @@
             runner=self._runner,
             error=error.message,
         )
-        question = dispatcher_messages.DecideRetry(
+        message = dispatcher_messages.DecideRetry(
             request.entry.name,
             request.entry.pool,
             error.sent,
             idempotent,
             self._attempt,
             request.deadline - context.clock.now(),
-            self._tried,
+            self._tried_runners,
             uncharged,
         )
-        answer = attempt_reports.ask_retry(context, question, self._refusal)
+        retry = attempt_reports.request_retry(context, message, self._refusal)
         if runner_ended and not crashed:
             attempt_reports.wait_for_crash_reports()
-        self._tried = answer.excluded
+        self._tried_runners = retry.excluded
         context.metrics.count("requests.retried")
 
-    def _fell_silent_with_others(
+    def _all_connections_fell_silent(
         self, error: upstream_exchange.UpstreamError
     ) -> bool:
         """Whether all kept connections to the upstream fell silent together.
 
         A network path that loses the state of these connections drops
-        whatever is sent over them. Such a failure must not be charged to the
+        all data sent over them. Such a failure must not be charged to the
         retry budget: with a dozen calls in flight at that moment, a budget
         of three retries plus a tenth of the successes refused some of them
         although every upstream was healthy.
@@ -304,12 +306,13 @@
         self._report_attempt_end(runners.Outcome.CANCELLED, False)
         return True
 
-    def _process_ended(self, error: upstream_exchange.UpstreamError) -> bool:
-        """Whether the upstream's process has ended.
+    def _has_crashed(self, error: upstream_exchange.UpstreamError) -> bool:
+        """Whether the upstream has crashed.
 
         A connection can break while its upstream is healthy. If that counted
         as a crash, similar calls would be quarantined for minutes as its
-        suspected cause. A new connection is therefore tried first.
+        suspected cause. The upstream has crashed only if a new connection
+        to it fails as well.
         """
         if not isinstance(error, upstream_exchange.ConnectionBroken):
             return False
@@ -331,8 +334,8 @@
         )
         context = self._context
         report = context.wait_for_reply(context.dispatcher.ask(ended))
-        # The other entry VMs must know of a crash before the call runs again
-        # anywhere.
+        # The other entry VMs must know of a crash before any of them runs the
+        # call again.
         attempt_reports.send_report(context, report, True)
 
     def _outcome_unknown(
@@ -341,7 +344,7 @@
         request = self._request
         context = self._context
         self._report_attempt_end(
-            runners.Outcome.FAILED, self._process_ended(error)
+            runners.Outcome.FAILED, self._has_crashed(error)
         )
         context.metrics.count("requests.unknown")
         logs.event(
--- a/src/apricotlever/daemon/service_calls.py
+++ b/src/apricotlever/daemon/service_calls.py
@@ -1,4 +1,4 @@
-"""Runs calls of plain services: idempotent ones, and others at most once."""
+"""Runs calls of plain services, non-idempotent ones at most once."""
 
 from concurrent import futures
 import functools
@@ -7,7 +7,7 @@
 from .. import refusals
 from ..links import peer_link
 from ..links import peer_pb2 as pb
-from ..requests import ledger_messages as keyed
+from ..requests import ledger_messages
 from ..runners import model as runners
 
 from . import context as contexts
@@ -17,20 +17,20 @@
 from . import service_attempts
 from . import service_request
 
-#: Time that the owner of a key may need in addition to the run, for
-#: connecting to the service.
+#: Seconds that the owner of a key may take in addition to the run, to connect
+#: to the service.
 FORWARD_GRACE_S = 3.0
 
 _REFUSAL_KINDS = {
-    keyed.KeyRefusalReason.MALFORMED: refusals.BAD_REQUEST,
-    keyed.KeyRefusalReason.NOT_YOURS: refusals.KEY_CONFLICT,
-    keyed.KeyRefusalReason.CONFLICT: refusals.KEY_CONFLICT,
-    keyed.KeyRefusalReason.EXPIRED: refusals.KEY_EXPIRED,
-    keyed.KeyRefusalReason.MOVING: refusals.LEAVING,
-    keyed.KeyRefusalReason.LEAVING: refusals.LEAVING,
-    keyed.KeyRefusalReason.FULL: refusals.OVERLOADED,
-    keyed.KeyRefusalReason.STORE_DOWN: refusals.CLAIMS_UNAVAILABLE,
-    keyed.KeyRefusalReason.CLAIMS_FULL: refusals.CLAIMS_UNAVAILABLE,
+    ledger_messages.KeyRefusalReason.MALFORMED: refusals.BAD_REQUEST,
+    ledger_messages.KeyRefusalReason.NOT_YOURS: refusals.KEY_CONFLICT,
+    ledger_messages.KeyRefusalReason.CONFLICT: refusals.KEY_CONFLICT,
+    ledger_messages.KeyRefusalReason.EXPIRED: refusals.KEY_EXPIRED,
+    ledger_messages.KeyRefusalReason.MOVING: refusals.LEAVING,
+    ledger_messages.KeyRefusalReason.LEAVING: refusals.LEAVING,
+    ledger_messages.KeyRefusalReason.FULL: refusals.OVERLOADED,
+    ledger_messages.KeyRefusalReason.STORE_DOWN: refusals.CLAIMS_UNAVAILABLE,
+    ledger_messages.KeyRefusalReason.CLAIMS_FULL: refusals.CLAIMS_UNAVAILABLE,
 }
 
 
@@ -45,7 +45,9 @@
     def __init__(self, context: contexts.Context) -> None:
         self._context = context
 
-    def run(self, request: service_request.ServiceRequest) -> keyed.Answer:
+    def run(
+        self, request: service_request.ServiceRequest
+    ) -> ledger_messages.Answer:
         """Run an idempotent call, with retries at other upstreams.
 
         :param request: the call.
@@ -59,25 +61,27 @@
         self,
         request: service_request.ServiceRequest,
         key: str,
-        first: bool,
+        first_attempt: bool,
         forwarded: bool = False,
-    ) -> keyed.Answer:
+    ) -> ledger_messages.Answer:
         """Run a call at most once under a key, here or at the key's owner.
 
         :param request: the call.
         :param key: the idempotency key.
-        :param first: whether the caller declares that it never sent the key
-            before.
+        :param first_attempt: whether the caller declares that it has not sent
+            the key before.
         :param forwarded: whether another entry VM forwarded the call.
         :returns: the answer of the upstream, possibly of an earlier run.
         :raises Refusal: states correctly whether the call was executed.
         """
-        begin = ledger_task.Begin(
-            key, request.customer, request.digest, first, forwarded
+        begin = ledger_task.BeginCall(
+            key, request.customer, request.digest, first_attempt, forwarded
         )
-        left_s = request.deadline - self._context.clock.now()
+        remaining_s = request.deadline - self._context.clock.now()
         try:
-            decision = self._context.ledger.ask(begin).result(max(0.1, left_s))
+            decision = self._context.ledger.ask(begin).result(
+                max(0.1, remaining_s)
+            )
         except futures.TimeoutError as error:
             raise refusals.Refusal(
                 refusals.OUTCOME_UNKNOWN,
@@ -86,11 +90,11 @@
                 1.0,
                 request.request_id,
             ) from error
-        if isinstance(decision, keyed.ReplayAnswer):
+        if isinstance(decision, ledger_messages.ReplayAnswer):
             return decision.answer
-        if isinstance(decision, keyed.ForwardCall):
+        if isinstance(decision, ledger_messages.ForwardCall):
             return self._forward(request, key, decision)
-        if isinstance(decision, keyed.RefuseCall):
+        if isinstance(decision, ledger_messages.RefuseCall):
             raise _refusal_of(request, decision)
         attempts = service_attempts.ServiceAttempts(self._context, request)
         run = functools.partial(attempts.run_at_most_once, decision.token)
@@ -100,8 +104,8 @@
         self,
         request: service_request.ServiceRequest,
         key: str,
-        forward: keyed.ForwardCall,
-    ) -> keyed.Answer:
+        forward: ledger_messages.ForwardCall,
+    ) -> ledger_messages.Answer:
         """Forward a call to the entry VM that owns its key.
 
         The owner alone decides whether the call runs. If its answer is lost
@@ -114,12 +118,12 @@
         :raises Refusal: the owner's refusal, or an unknown outcome when the
             owner does not answer.
         """
-        left_s = request.deadline - self._context.clock.now()
+        remaining_s = request.deadline - self._context.clock.now()
         # An owner that never answers would hold the caller until the
         # deadline. After wait_s the caller gets OUTCOME_UNKNOWN instead and
         # may repeat the call.
         wait_s = max(
-            0.1, min(left_s, request.response_timeout_s + FORWARD_GRACE_S)
+            0.1, min(remaining_s, request.response_timeout_s + FORWARD_GRACE_S)
         )
         message = pb.KeyedCall(
             request_id=request.request_id,
@@ -130,7 +134,7 @@
             path=request.path,
             headers=request.headers,
             body=request.body,
-            deadline_s=left_s,
+            deadline_s=remaining_s,
         )
         call = fleet_messages.CallPeer(
             forward.vm,
@@ -140,7 +144,7 @@
             wait_s,
         )
         try:
-            answer = self._context.fleet.ask(call).result(wait_s + 1.0)
+            reply = self._context.fleet.ask(call).result(wait_s + 1.0)
         except (peer_link.PeerError, futures.TimeoutError) as error:
             raise refusals.Refusal(
                 refusals.OUTCOME_UNKNOWN,
@@ -149,18 +153,18 @@
                 1.0,
                 request.request_id,
             ) from error
-        return keyed_answer_codec.decode_answer(answer)
+        return keyed_answer_codec.decode_answer(reply)
 
 
 def _run_and_report(
     attempts: service_attempts.ServiceAttempts,
-    run: typing.Callable[[], keyed.Answer],
-) -> keyed.Answer:
-    """Run attempts, and report the end of the request in any case.
+    run: typing.Callable[[], ledger_messages.Answer],
+) -> ledger_messages.Answer:
+    """Run attempts, and report the end of the request even after a refusal.
 
     :param attempts: reports the end.
     :param run: makes the attempts.
-    :raises Refusal: the one that ``run`` raised.
+    :raises Refusal: when ``run`` raises it.
     """
     try:
         answer = run()
@@ -172,7 +176,8 @@
 
 
 def _refusal_of(
-    request: service_request.ServiceRequest, decision: keyed.RefuseCall
+    request: service_request.ServiceRequest,
+    decision: ledger_messages.RefuseCall,
 ) -> refusals.Refusal:
     kind = _REFUSAL_KINDS.get(decision.reason, refusals.OUTCOME_UNKNOWN)
     return refusals.Refusal(
--- a/src/apricotlever/daemon/service_gateway.py
+++ b/src/apricotlever/daemon/service_gateway.py
@@ -7,7 +7,7 @@
 from ..contracts import admission
 from ..links import caller_server
 from ..requests import errors as request_errors
-from ..requests import ledger_messages as keyed
+from ..requests import ledger_messages
 
 from . import access
 from . import context as contexts
@@ -24,7 +24,7 @@
 
 
 class ServiceGateway:
-    """Answers calls to plain services; one instance serves all threads.
+    """Handles calls to plain services; thread-safe.
 
     :param context: the daemon's tasks.
     :param request_admission: admits the requests.
@@ -44,7 +44,7 @@
     def answer(
         self, call: caller_server.Call, entry_name: str, path: str
     ) -> caller_server.Reply:
-        """Run a call and answer it.
+        """Run a call and return the reply to its caller.
 
         :param call: the HTTP call.
         :param entry_name: name of the service's catalogue entry.
@@ -66,8 +66,8 @@
                 self._check_and_admit(request)
                 answer = self._calls.run(request)
         finally:
-            # This ends the admission of a call that was answered or refused
-            # by the ledger or forwarded. It has no effect on other calls.
+            # Ends the admission of a call that the ledger answered or refused,
+            # or that was forwarded. It has no effect on other calls.
             withdraw = dispatcher_messages.Withdraw(request.request_id)
             self._context.dispatcher.tell(withdraw)
         return _reply(request, answer)
@@ -80,7 +80,7 @@
         :raises Refusal: when the ledger is being handed over to another VM.
         """
         context = self._context
-        mint = ledger_task.Mint(customer)
+        mint = ledger_task.MintKey(customer)
         try:
             futures = [context.ledger.ask(mint) for _ in range(count)]
             return [context.wait_for_reply(future) for future in futures]
@@ -120,7 +120,7 @@
         self,
         call: caller_server.Call,
         request: service_request.ServiceRequest,
-    ) -> keyed.Answer:
+    ) -> ledger_messages.Answer:
         key = call.header(KEY_HEADER)
         if len(key) > KEY_CHARS_MAX:
             raise refusals.Refusal(
@@ -132,8 +132,8 @@
             self._admission.check_serving()
             if not key:
                 # A call without a key can't be recognised when its caller
-                # repeats it. The minted key only ensures that it is sent to
-                # the service at most once for this HTTP call.
+                # repeats it. The minted key only ensures that the call is
+                # sent to the service at most once for this HTTP request.
                 [key] = self.mint_keys(request.customer, 1)
                 first_attempt = True
             self._admit(request)
@@ -165,11 +165,11 @@
 
 
 def _normalized_path(path: str) -> str:
-    """Normalise a service's path before it is matched against call patterns.
+    """Normalise a service's path before matching it against call patterns.
 
     A service resolves ``/x/../entries`` and ``//entries`` to ``/entries``.
     Without normalisation, such calls would not match the entry's patterns of
-    non-idempotent calls and would be sent again after a lost answer.
+    non-idempotent calls, and would be retried after a lost answer.
 
     :param path: the decoded path at the service.
     :raises Refusal: when a segment is ``.`` or ``..``.
@@ -183,12 +183,12 @@
 
 
 def _is_first_attempt(call: caller_server.Call) -> bool:
-    """Whether the caller declares that it never sent this key before."""
+    """Whether the caller declares that it has not sent this key before."""
     return call.header(FIRST_ATTEMPT_HEADER).lower() in ("yes", "true", "1")
 
 
 def _cannot_have_run(call: caller_server.Call) -> bool:
-    """Whether no earlier attempt at this call can have run under its key."""
+    """Whether no earlier attempt with the call's key can have run."""
     key = call.header(KEY_HEADER)
     return not key or len(key) > KEY_CHARS_MAX or _is_first_attempt(call)
 
@@ -213,7 +213,7 @@
 
 
 def _reply(
-    request: service_request.ServiceRequest, answer: keyed.Answer
+    request: service_request.ServiceRequest, answer: ledger_messages.Answer
 ) -> caller_server.Reply:
     content_type = (
         dict(answer.headers).get("Content-Type") or caller_server.JSON_TYPE
--- a/src/apricotlever/daemon/service_request.py
+++ b/src/apricotlever/daemon/service_request.py
@@ -1,4 +1,4 @@
-"""The description of one call of a plain service."""
+"""One call of a plain service and its timeouts."""
 
 import hashlib
 
@@ -6,7 +6,8 @@
 from ..links import caller_server
 from ..runners import quarantine
 
-#: An upstream has this many times its class's target for the first token.
+#: Timeout for the start of an upstream's response, as a multiple of the
+#: service class's target for the first token.
 RESPONSE_TIMEOUT_FACTOR = 5
 MIN_RESPONSE_TIMEOUT_S = 1.0
 
@@ -25,8 +26,8 @@
     :param headers: the headers that are forwarded.
     :param body: the body, unchanged.
     :param arrived_at: time of arrival on this VM's clock, in seconds.
-    :param deadline: time after which the answer has no use, on this VM's
-        clock, in seconds.
+    :param deadline: time after which the caller no longer needs the answer,
+        on this VM's clock, in seconds.
     :param non_idempotent: whether the call must run at most once.
     """
 
@@ -72,7 +73,7 @@
 
     @property
     def digest(self) -> str:
-        """A hash that tells this call from another with the same key."""
+        """A hash that differs between calls that share a key."""
         head = f"{self.entry.name}\n{self.method}\n{self.path}\n"
         return hashlib.sha256(head.encode() + self.body).hexdigest()[:32]
 
--- a/src/apricotlever/daemon/store.py
+++ b/src/apricotlever/daemon/store.py
@@ -37,38 +37,41 @@
     A call that the budget does not admit in time fails with Throttled and has
     no effect.
 
-    :param rank: the priority of the call.
+    :param priority: the priority of the call.
     :param kind: read or write.
     :param run: makes the call.
     """
 
     __slots__ = ("priority", "kind", "run")
 
-    def __init__(self, rank: Priority, kind: Kind, run: Run) -> None:
-        self.priority = rank
+    def __init__(self, priority: Priority, kind: Kind, run: Run) -> None:
+        self.priority = priority
         self.kind = kind
         self.run = run
 
 
-def read_call(rank: Priority, name: str) -> StoreCall:
+def read_call(priority: Priority, name: str) -> StoreCall:
     """A call that reads an object.
 
-    :param rank: the priority of the call.
+    :param priority: the priority of the call.
     :param name: the object's name.
     """
 
     def run(api: platform.ObjectApi) -> typing.Any:
         return api.get(name)
 
-    return StoreCall(rank, Kind.READ, run)
+    return StoreCall(priority, Kind.READ, run)
 
 
 def write_call(
-    rank: Priority, name: str, value: typing.Any, expected_version: int | None
+    priority: Priority,
+    name: str,
+    value: typing.Any,
+    expected_version: int | None,
 ) -> StoreCall:
     """A call that writes an object only if it has the expected version.
 
-    :param rank: the priority of the call.
+    :param priority: the priority of the call.
     :param name: the object's name.
     :param value: the new value, which can be encoded as JSON.
     :param expected_version: the version to replace; with None, the write
@@ -78,7 +81,7 @@
     def run(api: platform.ObjectApi) -> typing.Any:
         return api.put(name, value, expected_version)
 
-    return StoreCall(rank, Kind.WRITE, run)
+    return StoreCall(priority, Kind.WRITE, run)
 
 
 class FleetSize:
--- a/src/apricotlever/daemon/task_notifier.py
+++ b/src/apricotlever/daemon/task_notifier.py
@@ -9,7 +9,7 @@
 from .. import settings
 from ..links import peer_pb2 as pb
 from ..links import platform
-from ..requests import ledger_messages as keyed
+from ..requests import ledger_messages
 from ..runners import model as runners
 from ..runners import quarantine
 from ..vms import fleet_view as views
@@ -121,8 +121,8 @@
         )
         self._tasks.store.tell(store.FleetSize(view.size))
         for member in view.members.values():
-            seen = ledger_task.IncarnationAlive(member.vm, member.incarnation)
-            self._tasks.ledger.tell(seen)
+            alive = ledger_task.IncarnationAlive(member.vm, member.incarnation)
+            self._tasks.ledger.tell(alive)
 
     def on_rumour(self, rumour: pb.Rumour, via: str) -> None:
         """Pass a rumour to the tasks that it concerns."""
@@ -146,8 +146,10 @@
                 )
             case "ledger_moved":
                 moved = rumour.ledger_moved
-                owner = keyed.VmIncarnation(moved.vm, moved.incarnation)
-                successor = keyed.VmIncarnation(
+                owner = ledger_messages.VmIncarnation(
+                    moved.vm, moved.incarnation
+                )
+                successor = ledger_messages.VmIncarnation(
                     moved.heir, moved.heir_incarnation
                 )
                 self._tasks.ledger.tell(
@@ -159,10 +161,10 @@
                 )
             case "load":
                 load = gossip_messages.decode_load(rumour)
-                seen = dispatcher_messages.LoadObserved(
+                observed = dispatcher_messages.LoadObserved(
                     rumour.load.runner, load, False
                 )
-                self._tasks.dispatcher.tell(seen)
+                self._tasks.dispatcher.tell(observed)
             case "prefix":
                 events = gossip_messages.decode_cache_events(rumour)
                 cached = dispatcher_messages.CacheEventsObserved(
@@ -254,11 +256,15 @@
         )
 
     def on_load(
-        self, runner: str, report: runners.LoadReport | None, tell: bool
+        self,
+        runner: str,
+        report: runners.LoadReport | None,
+        report_to_peers: bool,
     ) -> None:
         """Pass on the load of a runner, or that the runner did not answer.
 
-        :param tell: whether this VM is to report the load to its peers.
+        :param report_to_peers: whether this VM is to report the load to its
+            peers.
         """
         if report is None:
             self._tasks.dispatcher.tell(
@@ -268,7 +274,7 @@
         self._tasks.dispatcher.tell(
             dispatcher_messages.LoadObserved(runner, report, True)
         )
-        if tell:
+        if report_to_peers:
             self.announce(gossip_messages.load_rumour(runner, report))
 
     def on_connection_refused(self, runner: str) -> None:
@@ -276,9 +282,11 @@
         reply = self._tasks.dispatcher.ask(
             dispatcher_messages.CrashDetected(runner)
         )
-        reply.add_done_callback(self._spread_crash)
+        reply.add_done_callback(self._broadcast_crash_report)
 
-    def _spread_crash(self, reply: "futures.Future[typing.Any]") -> None:
+    def _broadcast_crash_report(
+        self, reply: "futures.Future[typing.Any]"
+    ) -> None:
         if reply.exception() is None and reply.result() is not None:
             report = reply.result()
             self._tasks.fleet.tell(fleet_link.BroadcastCrashReport(report))
@@ -300,16 +308,17 @@
         reply.add_done_callback(send_reports)
 
     def on_cache_events(
-        self, runner: str, events: runners.CacheEvents, tell: bool
+        self, runner: str, events: runners.CacheEvents, report_to_peers: bool
     ) -> None:
         """Pass on a runner's cache events.
 
-        :param tell: whether this VM is to report the events to its peers.
+        :param report_to_peers: whether this VM is to report the events to its
+            peers.
         """
         self._tasks.dispatcher.tell(
             dispatcher_messages.CacheEventsObserved(runner, events)
         )
-        if tell:
+        if report_to_peers:
             self.announce(gossip_messages.cache_rumour(runner, events))
 
     def on_notice(self, vm: str, left_s: float) -> None:
--- a/src/apricotlever/daemon/trial_messages.py
+++ b/src/apricotlever/daemon/trial_messages.py
@@ -67,7 +67,7 @@
 def complete_with_decision(
     future: "futures.Future[typing.Any]", call: "futures.Future[typing.Any]"
 ) -> None:
-    """Complete a future with the decision in a judge's answer.
+    """Complete a future with the decision in a judge's reply.
 
     When the call to the judge fails, the request has to be retried later; a
     suspect must not run without a judge. Two VMs that each took themselves
@@ -79,13 +79,13 @@
     if call.exception() is not None:
         future.set_result(quarantine.RetryLater(JUDGE_RETRY_S))
         return
-    answer = call.result()
+    reply = call.result()
     decisions = {
         pb.TrialAnswer.TRIAL_FREE: quarantine.RunNormally(),
-        pb.TrialAnswer.TRIAL_AT: quarantine.RunAsTrial(answer.runner),
-        pb.TrialAnswer.TRIAL_HOLD: quarantine.RetryLater(answer.retry_after_s),
+        pb.TrialAnswer.TRIAL_AT: quarantine.RunAsTrial(reply.runner),
+        pb.TrialAnswer.TRIAL_HOLD: quarantine.RetryLater(reply.retry_after_s),
         pb.TrialAnswer.TRIAL_REFUSED: quarantine.RejectRequest(
-            answer.retry_after_s
+            reply.retry_after_s
         ),
     }
-    future.set_result(decisions[answer.verdict])
+    future.set_result(decisions[reply.verdict])
