--- a/src/apricotlever/daemon/autoscaler.py
+++ b/src/apricotlever/daemon/autoscaler.py
@@ -264,7 +264,7 @@
             if holding.state is model.RunnerState.LIVE:
                 self._reclaim_risk.record_held(holding.place, 1, TICK_S)
         for order in planner.tick(self._total_demand(pool), holdings):
-            self._carry_out(order, pool)
+            self._execute_order(order, pool)
 
     def _holdings(self, pool: str) -> list[model.HeldRunner]:
         return [
@@ -292,10 +292,10 @@
         return model.Demand(rate, service_s, self._max_wait_s.get(pool, 0.5))
 
     @functools.singledispatchmethod
-    def _carry_out(self, order: typing.Any, pool: str) -> None:
+    def _execute_order(self, order: typing.Any, pool: str) -> None:
         raise TypeError(type(order))
 
-    @_carry_out.register
+    @_execute_order.register
     def _buy(self, order: model.Buy, pool: str) -> None:
         def run() -> None:
             # The lease is checked again on the sending thread. A VM that was
@@ -314,12 +314,12 @@
 
         self._threads.submit(run)
 
-    @_carry_out.register
+    @_execute_order.register
     def _drain_runner(self, order: model.Release, pool: str) -> None:
         self._release_due_at[order.vm] = self._clock.now() + DRAIN_S
         self._drain(order.vm, DRAIN_S)
 
-    @_carry_out.register
+    @_execute_order.register
     def _end_load(self, order: model.LoadModel, pool: str) -> None:
         # DutyHolder orders model loads, under the duty of the pool's
         # orders. Here the load only has to be marked as ended.
--- a/src/apricotlever/daemon/call_backoff.py
+++ b/src/apricotlever/daemon/call_backoff.py
@@ -31,7 +31,7 @@
         """Whether the call may be made now."""
         return self._clock.now() >= self._due_at
 
-    def failed(self) -> bool:
+    def record_failure(self) -> bool:
         """Record a failure, after which the next wait doubles up to a limit.
 
         :returns: whether the previous call had not failed.
@@ -42,7 +42,7 @@
         self._wait_s = min(MAX_WAIT_S, 2 * self._wait_s)
         return first
 
-    def answered(self) -> bool:
+    def record_success(self) -> bool:
         """Record a success, after which the call is due at any time.
 
         :returns: whether the previous call had failed.
--- a/src/apricotlever/daemon/dispatcher_messages.py
+++ b/src/apricotlever/daemon/dispatcher_messages.py
@@ -36,7 +36,7 @@
 
 
 class Withdraw:
-    """Withdraw a request whose caller disconnected before its admission."""
+    """Withdraw a request that is queued or admitted and has not ended."""
 
     __slots__ = ("request_id",)
 
--- a/src/apricotlever/daemon/fleet_link.py
+++ b/src/apricotlever/daemon/fleet_link.py
@@ -269,7 +269,7 @@
         future = self.defer()
         judge = self._remote_judge(message.pool)
         if judge is None:
-            decision = self._listener.judge(message.request)
+            decision = self._listener.decide_trial(message.request)
             decision.add_done_callback(
                 functools.partial(future_chaining.copy_result, future)
             )
--- a/src/apricotlever/daemon/listeners.py
+++ b/src/apricotlever/daemon/listeners.py
@@ -56,7 +56,7 @@
     def on_superseded(self) -> None:
         """Called when a newer process runs under this VM's name."""
 
-    def judge(
+    def decide_trial(
         self, request: quarantine.TrialRequest
     ) -> "futures.Future[quarantine.TrialDecision]":
         """Decide, as the judge of its pool, whether a suspect may run.
--- a/src/apricotlever/daemon/runner_monitor.py
+++ b/src/apricotlever/daemon/runner_monitor.py
@@ -448,11 +448,11 @@
         :returns: whether the call succeeded.
         """
         if isinstance(outcome, result.Success):
-            if self._backoffs[call].answered():
+            if self._backoffs[call].record_success():
                 logs.event("platform_call_recovered", call=call)
             return True
         error = outcome.failure()
-        if self._backoffs[call].failed():
+        if self._backoffs[call].record_failure():
             logs.event(
                 "platform_call_failed",
                 call=call,
--- a/src/apricotlever/daemon/task_notifier.py
+++ b/src/apricotlever/daemon/task_notifier.py
@@ -203,7 +203,7 @@
         """Shut down because a newer process runs under this VM's name."""
         self._stop(0.0)
 
-    def judge(
+    def decide_trial(
         self, request: quarantine.TrialRequest
     ) -> "futures.Future[quarantine.TrialDecision]":
         """Ask the dispatcher for a decision on a trial.
--- a/tests/steps/daemon_repeats.py
+++ b/tests/steps/daemon_repeats.py
@@ -23,13 +23,15 @@
     context.first_in_row = []
     context.waits = []
     for _ in range(count):
-        context.first_in_row.append(context.backoff.failed())
+        context.first_in_row.append(context.backoff.record_failure())
         context.waits.append(waits.waited_s(context.clock, context.backoff))
 
 
 @when("the periodic call succeeds {count:d} times")
 def _answers(context, count):
-    context.first_in_row = [context.backoff.answered() for _ in range(count)]
+    context.first_in_row = [
+        context.backoff.record_success() for _ in range(count)
+    ]
 
 
 @then("the periodic call waited {seconds} s")
