--- a/tests/client/fleet_commands.feature
+++ b/tests/client/fleet_commands.feature
@@ -25,12 +25,12 @@
     wrongly says that all VMs have the version.
     Given a fleet of 1 engines and 3 entry VMs
     And an operator's command line for that fleet
-    When vm-2 stands still
+    When vm-2 is sent SIGSTOP
     And the operator runs "catalogue delete summaries"
     And the operator waits until that version is in force
     Then the command exits with 0 and prints "vm-1"
     And the output does not name vm-2
-    When vm-2 runs on 2.0 s after it stood still
+    When vm-2 is sent SIGCONT 2.0 s after SIGSTOP
     Then within 3.0 s the output names vm-2 with that version
 
   Scenario: Commands fail if no entry VM answers
--- a/tests/daemon/capacity.feature
+++ b/tests/daemon/capacity.feature
@@ -30,6 +30,6 @@
     And 3 more engines can be bought
     And the cloud sells no VM in dc-a
     When the catalogue requires at least 3 runners
-    And the runners of dc-a are taken after a notice of 1.0 s
+    And the runners of dc-a are reclaimed after a notice of 1.0 s
     Then the cloud has sold 2 VMs
     And each entry VM has 4 runners that are not leaving
--- a/tests/daemon/fleet_views.py
+++ b/tests/daemon/fleet_views.py
@@ -12,7 +12,7 @@
 DAEMON_WITH_RELAYS = "tests.daemon.relayed_daemon"
 
 
-class PartitionableScene(fleet_fixture.FleetFixture):
+class PartitionableFleet(fleet_fixture.FleetFixture):
     """A fleet in which the network between two entry VMs can be cut.
 
     The network between these two and the other VMs stays intact.
@@ -54,22 +54,22 @@
             relay.close()
 
 
-def listed_by(running: fleet_fixture.FleetFixture, vm: str) -> set[str]:
+def listed_by(fixture: fleet_fixture.FleetFixture, vm: str) -> set[str]:
     """The entry VMs that a VM lists for callers."""
-    reply = http.call(running.fleet.address(vm), "GET", "/v1/entries")
+    reply = http.call(fixture.fleet.address(vm), "GET", "/v1/entries")
     return {row["vm"] for row in reply.payload["entries"]}
 
 
 def listed_by_any(
-    running: fleet_fixture.FleetFixture, vms: typing.Iterable[str]
+    fixture: fleet_fixture.FleetFixture, vms: typing.Iterable[str]
 ) -> set[str]:
     """The entry VMs that at least one of some VMs lists for callers."""
-    listed = (listed_by(running, vm) for vm in vms)
+    listed = (listed_by(fixture, vm) for vm in vms)
     return set(itertools.chain.from_iterable(listed))
 
 
 def incarnation_at(
-    running: fleet_fixture.FleetFixture, vm: str, subject: str
+    fixture: fleet_fixture.FleetFixture, vm: str, subject: str
 ) -> int | None:
     """The incarnation of another VM in the view of a VM.
 
@@ -77,7 +77,7 @@
     :param subject: the other VM.
     :returns: the incarnation; None if the VM does not know the other one.
     """
-    rows = running.status(vm)["peers"]
+    rows = fixture.status(vm)["peers"]
     incarnations = (
         row.get("incarnation") for row in rows if row["vm"] == subject
     )
--- a/tests/daemon/followers.py
+++ b/tests/daemon/followers.py
@@ -26,7 +26,7 @@
 
 
 def edited_catalogue(edit: int) -> Document:
-    """The scene's catalogue with the two customers' keys of an edit."""
+    """The fixture's catalogue with the two customers' keys of an edit."""
     document = copy.deepcopy(fleet_fixture.catalogue())
     for customer in EDITED_CUSTOMERS:
         key = bearer_key(customer, edit).encode()
--- a/tests/daemon/handovers.feature
+++ b/tests/daemon/handovers.feature
@@ -8,8 +8,8 @@
     And 10 callers are streaming 120 tokens each at vm-0
     When vm-0 is asked to stop
     Then every answer is whole and no token came twice
-    And some callers were told where to go on
-    And no token was computed again
+    And some callers were redirected to another entry VM
+    And no token was recomputed
     And vm-0 exits with 0
 
   Scenario: An entry VM is reclaimed in the middle of streams
@@ -20,8 +20,8 @@
     And 10 callers are streaming 160 tokens each at vm-0
     When vm-0 gets a reclaim notice of 2.5 s
     Then every answer is whole and no token came twice
-    And some callers were told where to go on
-    And no token was computed again
+    And some callers were redirected to another entry VM
+    And no token was recomputed
 
   Scenario: An entry VM dies in the middle of streams
     Guards against callers whose stream can't be found after SIGKILL. They go
@@ -31,7 +31,7 @@
     And 10 callers are streaming 120 tokens each at vm-0
     When vm-0 is killed
     Then every answer is whole and no token came twice
-    And no token was computed again
+    And no token was recomputed
 
   Scenario: An answer that is not streamed is fetched after a handover
     Guards against an error at a caller that does not stream when its entry
@@ -50,7 +50,7 @@
     another runner overlap.
     Given a fleet of 6 engines and 3 entry VMs
     And 12 callers are streaming 160 tokens each at vm-0
-    When the runners of dc-a are taken after a notice of 3.0 s
+    When the runners of dc-a are reclaimed after a notice of 3.0 s
     And vm-0 gets a reclaim notice of 3.0 s
     Then every answer is whole and no token came twice
 
--- a/tests/daemon/lookups.py
+++ b/tests/daemon/lookups.py
@@ -12,14 +12,14 @@
 class Lookups:
     """Makes lookups and checks that each caller got its own answer.
 
-    :param fleet: the fleet that serves the lookups.
+    :param fixture: the fleet that serves the lookups.
     """
 
-    def __init__(self, fleet: fleet_fixture.FleetFixture) -> None:
-        self._scene = fleet
+    def __init__(self, fixture: fleet_fixture.FleetFixture) -> None:
+        self._fixture = fixture
         self._numbers = itertools.count()
         self._callers = [
-            fleet.caller(customer) for customer in fleet_fixture.CUSTOMERS
+            fixture.caller(customer) for customer in fleet_fixture.CUSTOMERS
         ]
         self._pool = futures.ThreadPoolExecutor(THREADS)
         self._started: list[tuple[int, futures.Future[answers.Answer]]] = []
--- a/tests/daemon/membership.feature
+++ b/tests/daemon/membership.feature
@@ -8,10 +8,10 @@
     VM may act as if it had not been paused.
     Given a fleet of 1 engines, 1 services and 3 entry VMs
     And vm-2 has minted 6 keys
-    When vm-2 stands still
+    When vm-2 is sent SIGSTOP
     Then vm-0 and vm-1 no longer list vm-2 within 3.0 s
     When registrations with 3 of the keys are sent to vm-0
-    And vm-2 runs on 4.0 s after it stood still
+    And vm-2 is sent SIGCONT 4.0 s after SIGSTOP
     Then all entry VMs list vm-2 again in the same incarnation
     And vm-2 has logged that it was paused
     When registrations with all the keys are sent to every entry VM
--- a/tests/daemon/outages.py
+++ b/tests/daemon/outages.py
@@ -22,7 +22,7 @@
 }
 
 
-class RelayedStore(fleet_fixture.FleetFixture):
+class StoreRelayFixture(fleet_fixture.FleetFixture):
     """A fleet whose connections to the store can be made silent."""
 
     def _start_platform(self) -> None:
@@ -38,23 +38,23 @@
         self.relay.close()
 
 
-def addresses(current_scene: fleet_fixture.FleetFixture) -> dict[str, str]:
+def addresses(fixture: fleet_fixture.FleetFixture) -> dict[str, str]:
     """The address at which each entry VM listens for callers."""
-    return {vm: current_scene.fleet.address(vm) for vm in current_scene.vms}
+    return {vm: fixture.fleet.address(vm) for vm in fixture.vms}
 
 
-def versions(current_scene: fleet_fixture.FleetFixture) -> dict[str, int]:
+def versions(fixture: fleet_fixture.FleetFixture) -> dict[str, int]:
     """The catalogue version in force at each entry VM."""
     return {
         vm: followers.catalogue_version(address)
-        for vm, address in addresses(current_scene).items()
+        for vm, address in addresses(fixture).items()
     }
 
 
-def stored(current_scene: fleet_fixture.FleetFixture) -> typing.Any:
+def stored(fixture: fleet_fixture.FleetFixture) -> typing.Any:
     """The catalogue's object in the store, with version and value."""
     path = f"/v1/objects/{CURRENT}"
-    return http.call(current_scene.fleet.address(STORE), "GET", path).payload
+    return http.call(fixture.fleet.address(STORE), "GET", path).payload
 
 
 def write_document(
@@ -70,9 +70,9 @@
 
 
 def wait_in_force(
-    current_scene: fleet_fixture.FleetFixture, version: int, timeout_s: float
+    fixture: fleet_fixture.FleetFixture, version: int, timeout_s: float
 ) -> None:
     """Wait until a version is in force at every entry VM."""
     fleet.wait_for(
-        lambda: set(versions(current_scene).values()) == {version}, timeout_s
+        lambda: set(versions(fixture).values()) == {version}, timeout_s
     )
--- a/tests/daemon/poison.py
+++ b/tests/daemon/poison.py
@@ -22,24 +22,24 @@
 class Poison:
     """Sends the request and keeps each answer.
 
-    :param fleet_scene: the fleet.
+    :param fixture: the fleet.
     :param after_tokens: number of tokens after which an engine crashes.
     """
 
     def __init__(
-        self, fleet_scene: fleet_fixture.FleetFixture, after_tokens: int
+        self, fixture: fleet_fixture.FleetFixture, after_tokens: int
     ) -> None:
-        self._scene = fleet_scene
+        self._fixture = fixture
         self.sent: list[answers.Answer] = []
-        for name in fleet_scene.engines:
-            fleet_scene.fleet.faults(
+        for name in fixture.engines:
+            fixture.fleet.faults(
                 name, crash_on=CRASH_WORD, crash_after_tokens=after_tokens
             )
 
     def send(self, vm: str, customer: str = "ana") -> answers.Answer:
         """Send the request once to an entry VM; redirects are not followed."""
-        client = self._scene.caller(customer)
-        address = self._scene.fleet.address(vm)
+        client = self._fixture.caller(customer)
+        address = self._fixture.fleet.address(vm)
         answer = client.stream("/v1/completions", BODY, address)
         self.sent.append(answer)
         return answer
@@ -47,20 +47,20 @@
     def send_in_turn(self, times: int) -> None:
         """Send the request to one entry VM after another."""
         for number in range(times):
-            vms = self._scene.vms
+            vms = self._fixture.vms
             self.send(vms[number % len(vms)])
 
     def send_concurrently(self, callers: int, times: int) -> None:
         """Send the request from several callers, each to its own entry VM."""
-        vms = self._scene.vms
+        vms = self._fixture.vms
         with futures.ThreadPoolExecutor(callers) as pool:
             for _ in range(times):
                 list(pool.map(self.send, vms[:callers]))
 
     def send_to_each_engine(self) -> None:
         """Send the request to each engine, as a caller without the system."""
-        for name in self._scene.engines:
-            address = self._scene.fleet.address(name)
+        for name in self._fixture.engines:
+            address = self._fixture.fleet.address(name)
             try:
                 http.call(address, "POST", "/v1/completions", BODY)
             except (OSError, http.http.client.HTTPException):
@@ -69,28 +69,30 @@
     def disarm(self) -> None:
         """Make the request harmless to the engines that still run."""
         for name in self.running_engines():
-            self._scene.fleet.faults(name, crash_on="")
+            self._fixture.fleet.faults(name, crash_on="")
 
     def running_engines(self) -> list[str]:
         """The engines that still run."""
-        fleet = self._scene.fleet
+        fleet = self._fixture.fleet
         return [
-            name for name in self._scene.engines if fleet.process(name).running
+            name
+            for name in self._fixture.engines
+            if fleet.process(name).running
         ]
 
     def crashed(self) -> list[str]:
         """The engines that the request has crashed."""
-        fleet = self._scene.fleet
+        fleet = self._fixture.fleet
         return [
             name
-            for name in self._scene.engines
+            for name in self._fixture.engines
             if fleet.process(name).exit_code
             == _batch_scheduler.CRASH_EXIT_CODE
         ]
 
     def false_denials(self) -> list[typing.Any]:
         """Errors reported as not executed although an engine began to run."""
-        journals = self._scene.fleet.journals()
+        journals = self._fixture.fleet.journals()
         return [
             answer.error
             for answer in self.sent
--- a/tests/daemon/registrations.py
+++ b/tests/daemon/registrations.py
@@ -56,12 +56,12 @@
 class Registrations:
     """Sends registrations to entry VMs and keeps every answer.
 
-    :param running: the fleet.
+    :param fixture: the fleet under test.
     """
 
-    def __init__(self, running: fleet_fixture.FleetFixture) -> None:
-        self._scene = running
-        self._caller = running.caller()
+    def __init__(self, fixture: fleet_fixture.FleetFixture) -> None:
+        self._fixture = fixture
+        self._caller = fixture.caller()
         self._numbers = itertools.count()
         self._lock = threading.Lock()
         self._pool = futures.ThreadPoolExecutor(THREADS)
@@ -182,14 +182,14 @@
 
     def _journals(self, suffix: str) -> dict[str, int]:
         total: dict[str, int] = {}
-        for name in self._scene.services:
-            path = f"{self._scene.fleet.journal_path(name)}{suffix}"
+        for name in self._fixture.services:
+            path = f"{self._fixture.fleet.journal_path(name)}{suffix}"
             for operation, count in _journal.read_counts(path).items():
                 total[operation] = total.get(operation, 0) + count
         return total
 
     def _address(self, vm: str) -> str:
-        return self._scene.fleet.address(vm or self._scene.vms[0])
+        return self._fixture.fleet.address(vm or self._fixture.vms[0])
 
 
 def http_errors() -> tuple[type[Exception], ...]:
--- a/tests/daemon/silence.feature
+++ b/tests/daemon/silence.feature
@@ -16,7 +16,7 @@
     And 9 callers are streaming 100 tokens each
     When the open connections to dc-a go silent
     Then every answer is whole and no token came twice
-    And no token was computed again
+    And no token was recomputed
     And at most 2.5 s passed between two tokens
 
   Scenario: Connections fall silent twice during streams
@@ -28,7 +28,7 @@
     When all open connections go silent
     And 1.8 s later all open connections go silent
     Then every answer is whole and no token came twice
-    And no token was computed again
+    And no token was recomputed
 
   Scenario: Connections are silent before the first token
     Guards against a caller that waits for its first token for ever. For half a
--- a/tests/steps/daemon_at_most_once.py
+++ b/tests/steps/daemon_at_most_once.py
@@ -15,9 +15,9 @@
 IN_PROGRESS_S = 0.25
 
 
-def _start(context, services, vms, linked=False):
+def _start(context, services, vms, runner_relays=False):
     context.scene = fleet_fixture.FleetFixture(
-        1, services, vms, runner_relays=linked
+        1, services, vms, runner_relays=runner_relays
     )
     context.closers.append(context.scene.close)
     context.registrations = registrations.Registrations(context.scene)
@@ -48,7 +48,7 @@
     "VMs"
 )
 def _behind_relays(context, services, vms):
-    _start(context, services, vms, linked=True)
+    _start(context, services, vms, runner_relays=True)
 
 
 @given("each service takes {seconds:f} s for a call")
--- a/tests/steps/daemon_capacity.py
+++ b/tests/steps/daemon_capacity.py
@@ -10,15 +10,15 @@
 
 @given("{count:d} more engines can be bought")
 def _spares(context, count):
-    running = context.scene
+    fixture = context.scene
     names = [f"spare-{number}" for number in range(count)]
-    running.fleet.start_engines(
+    fixture.fleet.start_engines(
         names,
         fleet_fixture.MODEL_POOL,
         fleet_fixture.DATA_CENTRES,
         register=False,
     )
-    running.fleet.offer(names, fleet_fixture.MODEL_POOL)
+    fixture.fleet.offer(names, fleet_fixture.MODEL_POOL)
     prices = [
         {
             "data_centre": data_centre,
@@ -34,7 +34,7 @@
             ("on_demand", 3.0 + extra),
         )
     ]
-    running.fleet.control("cloud", "prices", {"prices": prices})
+    fixture.fleet.control("cloud", "prices", {"prices": prices})
 
 
 @given("the cloud loses the next {count:d} answers")
--- a/tests/steps/daemon_duties.py
+++ b/tests/steps/daemon_duties.py
@@ -17,12 +17,12 @@
 
 
 def _orders_in_force(context):
-    running = context.scene
+    fixture = context.scene
     return {
         name: http.call(
-            running.fleet.address(name), "GET", "/v1/orders"
+            fixture.fleet.address(name), "GET", "/v1/orders"
         ).payload
-        for name in running.engines
+        for name in fixture.engines
     }
 
 
@@ -59,11 +59,11 @@
 
 @when("the holder of the duty is paused")
 def _pause(context):
-    running = context.scene
-    context.holder = fleet.wait_for(lambda: running.holder_of(DUTY))
-    context.fencing = running.status(context.holder)["duties"][DUTY]
-    running.fleet.pause(context.holder)
-    context.closers.append(lambda: running.fleet.resume(context.holder))
+    fixture = context.scene
+    context.holder = fleet.wait_for(lambda: fixture.holder_of(DUTY))
+    context.fencing = fixture.status(context.holder)["duties"][DUTY]
+    fixture.fleet.pause(context.holder)
+    context.closers.append(lambda: fixture.fleet.resume(context.holder))
 
 
 @when("the paused holder is resumed")
--- a/tests/steps/daemon_handovers.py
+++ b/tests/steps/daemon_handovers.py
@@ -19,22 +19,22 @@
 
 @when("bruno asks each entry VM for ana's request")
 def _request_of_another_customer(context):
-    running = context.scene
-    log = running.fleet.log("vm-0")
+    fixture = context.scene
+    log = fixture.fleet.log("vm-0")
     headers = {
         "Authorization": "Bearer key-bruno",
         "Accept": "text/event-stream",
     }
-    request_id = running.first_request_id("vm-0")
+    request_id = fixture.first_request_id("vm-0")
     assert request_id, log
     context.replies = [
         http.call(
-            running.fleet.address(vm),
+            fixture.fleet.address(vm),
             "GET",
             f"/v1/requests/{request_id}",
             headers=headers,
         )
-        for vm in running.vms
+        for vm in fixture.vms
     ]
 
 
@@ -51,24 +51,24 @@
 
 @when("a keyed call is executed at {vm}")
 def _keyed_call(context, vm):
-    running = context.scene
-    address = running.fleet.address(vm)
-    caller = running.caller()
+    fixture = context.scene
+    address = fixture.fleet.address(vm)
+    caller = fixture.caller()
     context.key = caller.mint_keys(1, address)[0]
-    context.first_answer = _register(running, context.key, address)
+    context.first_answer = _register(fixture, context.key, address)
     assert context.first_answer.done, context.first_answer.error
 
 
 @then("each other entry VM repeats the same answer")
 def _same_answer(context):
-    running = context.scene
-    for vm in running.vms[1:]:
-        reply = _register(running, context.key, running.fleet.address(vm))
+    fixture = context.scene
+    for vm in fixture.vms[1:]:
+        reply = _register(fixture, context.key, fixture.fleet.address(vm))
         assert reply.payload == context.first_answer.payload, (vm, reply.error)
 
 
-def _register(running, key, address):
+def _register(fixture, key, address):
     body = {"operation": "registration-1"}
-    return running.caller().service(
+    return fixture.caller().service(
         "registry", "POST", "/entries", body, key, address
     )
--- a/tests/steps/daemon_membership.py
+++ b/tests/steps/daemon_membership.py
@@ -26,7 +26,7 @@
 
 @given("a fleet of {vms:d} entry VMs whose network can be cut")
 def _partitionable(context, vms):
-    context.scene = fleet_views.PartitionableScene(1, 0, vms)
+    context.scene = fleet_views.PartitionableFleet(1, 0, vms)
     context.closers.append(context.scene.close)
 
 
@@ -38,16 +38,16 @@
     context.registration_answers = []
 
 
-@when("{vm} stands still")
+@when("{vm} is sent SIGSTOP")
 def _pause(context, vm):
-    running = context.scene
-    context.incarnation = running.status(vm)["incarnation"]
+    fixture = context.scene
+    context.incarnation = fixture.status(vm)["incarnation"]
     context.paused_at = time.monotonic()
-    running.fleet.pause(vm)
-    context.closers.append(lambda: running.fleet.resume(vm))
+    fixture.fleet.pause(vm)
+    context.closers.append(lambda: fixture.fleet.resume(vm))
 
 
-@when("{vm} runs on {seconds:f} s after it stood still")
+@when("{vm} is sent SIGCONT {seconds:f} s after SIGSTOP")
 def _resume(context, vm, seconds):
     time.sleep(max(0.0, context.paused_at + seconds - time.monotonic()))
     context.scene.fleet.resume(vm)
@@ -128,9 +128,9 @@
 @then("{observers} no longer list {vm} within {seconds:f} s")
 def _no_longer_listed(context, observers, vm, seconds):
     vms = re.findall(r"vm-\d+", observers)
-    running = context.scene
+    fixture = context.scene
     fleet.wait_for(
-        lambda: vm not in fleet_views.listed_by_any(running, vms), seconds
+        lambda: vm not in fleet_views.listed_by_any(fixture, vms), seconds
     )
 
 
@@ -150,15 +150,15 @@
 
 
 def _wait_listed(context, vm, is_expected):
-    running = context.scene
+    fixture = context.scene
 
     def listed():
         incarnations = [
-            fleet_views.incarnation_at(running, each, vm)
-            for each in running.vms
+            fleet_views.incarnation_at(fixture, each, vm)
+            for each in fixture.vms
         ]
         listed_everywhere = all(
-            vm in fleet_views.listed_by(running, each) for each in running.vms
+            vm in fleet_views.listed_by(fixture, each) for each in fixture.vms
         )
         return listed_everywhere and all(
             incarnation is not None and is_expected(incarnation)
@@ -206,11 +206,11 @@
 
 @then("every entry VM lists all entry VMs within {seconds:f} s")
 def _all_listed_within(context, seconds):
-    running = context.scene
-    all_vms = set(running.vms)
+    fixture = context.scene
+    all_vms = set(fixture.vms)
     fleet.wait_for(
         lambda: all(
-            fleet_views.listed_by(running, vm) == all_vms for vm in running.vms
+            fleet_views.listed_by(fixture, vm) == all_vms for vm in fixture.vms
         ),
         seconds,
     )
--- a/tests/steps/daemon_scene.py
+++ b/tests/steps/daemon_scene.py
@@ -68,7 +68,7 @@
 
 
 @when(
-    "{count:d} callers stream {tokens:d} tokens straight from the runners "
+    "{count:d} callers stream {tokens:d} tokens directly from the runners "
     "of {data_centre}"
 )
 def _stream_directly(context, count, tokens, data_centre):
@@ -81,21 +81,26 @@
     context.closers.append(context.direct_streams.close)
 
 
-@when("the runners of {data_centre} are taken after a notice of {seconds:f} s")
+@when(
+    "the runners of {data_centre} are reclaimed after a notice of "
+    "{seconds:f} s"
+)
 def _reclaimed(context, data_centre, seconds):
     context.scene.fleet.reclaim(context.scene.engines_in(data_centre), seconds)
 
 
-@when("the runners of {data_centre} are announced with {seconds:f} s")
-def _announced(context, data_centre, seconds):
+@when("the runners of {data_centre} get a reclaim notice of {seconds:f} s")
+def _noticed(context, data_centre, seconds):
     names = context.scene.engines_in(data_centre)
     context.scene.fleet.reclaim(names, seconds, kill=False)
 
 
-@when("the runners of {data_centre} are announced again with {seconds:f} s")
-def _announced_again(context, data_centre, seconds):
+@when(
+    "the runners of {data_centre} get a second reclaim notice of {seconds:f} s"
+)
+def _noticed_again(context, data_centre, seconds):
     time.sleep(0.1)
-    _announced(context, data_centre, seconds)
+    _noticed(context, data_centre, seconds)
 
 
 @when("the runners of {data_centre} are killed without a notice")
@@ -163,13 +168,13 @@
     assert "event=stream_moved" in logs_of(context)
 
 
-@then("no token was computed again")
+@then("no token was recomputed")
 def _no_token_recomputed(context):
     recomputed = context.scene.recomputed_tokens()
     assert recomputed == 0, (recomputed, logs_of(context))
 
 
-@then("no more tokens were computed again than the dead runners had done")
+@then("no more tokens were recomputed than the killed runners had computed")
 def _recomputed_at_most_lost(context):
     recomputed = context.scene.recomputed_tokens()
     lost = direct_streams.lost_tokens(logs_of(context))
@@ -195,7 +200,7 @@
     assert process.exit_code == code, (process.exit_code, process.log)
 
 
-@then("some callers were told where to go on")
+@then("some callers were redirected to another entry VM")
 def _callers_redirected(context):
     assert any(answer.moves for answer in answers_of(context))
 
--- a/tests/steps/daemon_silence.py
+++ b/tests/steps/daemon_silence.py
@@ -21,7 +21,7 @@
     "{vms:d} entry VMs"
 )
 def _behind_relays(context, engines, services, vms):
-    _start_fleet(context, engines, services, vms, linked=True)
+    _start_fleet(context, engines, services, vms, runner_relays=True)
 
 
 @given(
@@ -29,12 +29,12 @@
     "and {vms:d} entry VMs"
 )
 def _without_relays(context, engines, services, vms):
-    _start_fleet(context, engines, services, vms, linked=False)
+    _start_fleet(context, engines, services, vms, runner_relays=False)
 
 
-def _start_fleet(context, engines, services, vms, linked):
+def _start_fleet(context, engines, services, vms, runner_relays):
     context.scene = fleet_fixture.FleetFixture(
-        engines, services, vms, runner_relays=linked
+        engines, services, vms, runner_relays=runner_relays
     )
     context.closers.append(context.scene.close)
     context.lookups = lookups.Lookups(context.scene)
--- a/tests/steps/daemon_store_outages.py
+++ b/tests/steps/daemon_store_outages.py
@@ -28,7 +28,7 @@
     "the store"
 )
 def _relayed(context, engines, vms):
-    context.scene = outages.RelayedStore(
+    context.scene = outages.StoreRelayFixture(
         engines, 0, vms, timing={"watch_s": DEFAULT_WATCH_S}
     )
     context.closers.append(context.scene.close)
@@ -43,9 +43,9 @@
 
 @when('the store has the fault "{fault}"')
 def _fault(context, fault):
-    current_scene = context.scene
-    context.before = outages.versions(current_scene)
-    current_scene.fleet.faults(outages.STORE, **outages.FAULTS[fault])
+    fixture = context.scene
+    context.before = outages.versions(fixture)
+    fixture.fleet.faults(outages.STORE, **outages.FAULTS[fault])
 
 
 @when("the store works again")
@@ -66,15 +66,13 @@
 
 @when("all open connections to the store go silent")
 def _connections_silenced(context):
-    current_scene = context.scene
+    fixture = context.scene
     fleet.wait_for(
-        lambda: current_scene.fleet.counts(outages.STORE)["watches_waiting"]
-        >= len(current_scene.vms)
-    )
-    assert current_scene.relay.silence() >= len(current_scene.vms)
-    current_scene.fleet.node(outages.STORE).address = (
-        current_scene.store_address
+        lambda: fixture.fleet.counts(outages.STORE)["watches_waiting"]
+        >= len(fixture.vms)
     )
+    assert fixture.relay.silence() >= len(fixture.vms)
+    fixture.fleet.node(outages.STORE).address = fixture.store_address
 
 
 @when("the store is restored with edit {edit:d}")
@@ -180,7 +178,7 @@
 
 
 def _register_with_own_key(context, headers):
-    current_scene = context.scene
+    fixture = context.scene
     headers = {
         "Authorization": (
             f"Bearer {fleet_fixture.key_of(fleet_fixture.CUSTOMERS[0])}"
@@ -189,7 +187,7 @@
         **headers,
     }
     return outages.http.call(
-        current_scene.fleet.entries[0],
+        fixture.fleet.entries[0],
         "POST",
         f"/v1/services/{fleet_fixture.SERVICE_ENTRY}/entries",
         {"operation": OWN_KEY},
@@ -252,18 +250,16 @@
 
 @when("{vm} is started again while its peers are paused at first")
 def _restarted_alone(context, vm):
-    current_scene = context.scene
-    others = [other for other in current_scene.vms if other != vm]
-    current_scene.fleet.kill(vm)
+    fixture = context.scene
+    others = [other for other in fixture.vms if other != vm]
+    fixture.fleet.kill(vm)
     for other in others:
-        current_scene.fleet.pause(other)
-        context.closers.append(
-            functools.partial(current_scene.fleet.resume, other)
-        )
-    current_scene.fleet.restart(vm)
+        fixture.fleet.pause(other)
+        context.closers.append(functools.partial(fixture.fleet.resume, other))
+    fixture.fleet.restart(vm)
     time.sleep(PEERS_PAUSE_S)
     for other in others:
-        current_scene.fleet.resume(other)
+        fixture.fleet.resume(other)
 
 
 @then("{vm} has the same version in force as before")
