--- a/src/apricotlever/contracts/admission.py
+++ b/src/apricotlever/contracts/admission.py
@@ -1,4 +1,10 @@
-"""Decides which requests an entry VM admits and when, and which it refuses."""
+"""Decides which requests an entry VM admits and when, and which it refuses.
+
+A request asks for admission by a ticket. Each ticket gets one verdict, at once
+or after a wait in the queue of its pool: it is admitted, and the request may
+be sent to a runner, or it is refused. The module does no I/O; its caller
+passes the events in and carries the verdicts out.
+"""
 
 import random
 import typing
@@ -24,6 +30,8 @@
 class PoolCapacity:
     """The size and price of a pool of runners.
 
+    A slot is room for one request that a runner processes concurrently.
+
     :param slots: slots of all runners of the pool that accept new work.
     :param price_per_slot_hour: average price of a slot per hour, in the
         currency of the cloud API's prices.
@@ -134,7 +142,11 @@
             )
 
     def set_members(self, vms: typing.Iterable[str]) -> None:
-        """Set which entry VMs are in the fleet, this one included."""
+        """Set which entry VMs are in the fleet, this one included.
+
+        The fleet-wide limits are split among these VMs. Their number also
+        determines the least concurrency limit of each pool on this VM.
+        """
         self._fleet_shares.set_members(vms)
         self._apply_shares()
         self._resize_pools()
@@ -142,8 +154,12 @@
     def offer(self, ticket: Ticket) -> list[Verdict]:
         """Ask for the admission of a request.
 
+        A ticket without a verdict waits in the queue of its pool; a later
+        call of this object returns its verdict.
+
         :returns: the verdict on this request if there is one at once, and
-            the verdicts on requests that it displaced.
+            the verdicts on queued requests that can start or are refused as
+            a consequence.
         """
         entry = self._catalogue.entries.get(ticket.entry)
         if (
@@ -164,7 +180,10 @@
         )
 
     def first_token(self, request_id: str) -> None:
-        """Note that the first token of an answer arrived."""
+        """Note that the first token of an answer arrived.
+
+        The time that it took adjusts the concurrency limit of the pool.
+        """
         pool = self._pool_by_request.get(request_id)
         if pool is not None:
             self._pool_admissions[pool].record_first_token(request_id)
@@ -206,9 +225,10 @@
         return self.finished(request_id, runner_model.Outcome.CANCELLED)
 
     def tick(self) -> list[Verdict]:
-        """Decide what depends on the time.
+        """Refuse overdue tickets, admit those with room, and renew the shares.
 
-        The caller calls this method about ten times a second.
+        Deadlines pass and limits refill without any event, so the caller calls
+        this method about ten times a second.
 
         :returns: the verdicts on queued requests that can start now or can
             no longer start in time.
--- a/src/apricotlever/contracts/call_budget.py
+++ b/src/apricotlever/contracts/call_budget.py
@@ -1,8 +1,9 @@
 """Each VM's share of the call rate that the object API allows the fleet.
 
-The object API's rate grows more slowly than the fleet, so a VM's share
-shrinks as VMs join. Within the share, a call of lower priority must leave
-tokens for calls of higher priority. This module does no I/O: the caller
+The object API is the store that all VMs of the fleet use. Each VM gets an
+equal share of its rates. The rates grow more slowly than the fleet, so the
+share shrinks as VMs join. Within the share, a call of lower priority must
+leave tokens for calls of higher priority. This module does no I/O: the caller
 passes the clock and does the waiting.
 """
 
@@ -10,11 +11,14 @@
 
 from .. import clock as clocks
 
+#: The size of a bucket, in seconds of this VM's share of the rate.
 BURST_S = 2.0
 #: Fleet size assumed until the first membership view.
 INITIAL_FLEET_SIZE = 100
 #: Seconds for which a smaller fleet size must last before it applies.
 SHRINK_HOLD_S = 300.0
+#: Each refusal because of the rate multiplies the VM's rate by this factor,
+#: down to MIN_FACTOR of its share. The factor then recovers linearly to 1.
 THROTTLE_FACTOR = 0.5
 MIN_FACTOR = 0.05
 FACTOR_RECOVERY_PER_S = 0.05
@@ -37,7 +41,15 @@
 
 
 class _PriorityBucket:
-    """A token bucket whose last tokens are reserved for higher priorities."""
+    """A token bucket whose last tokens are reserved for higher priorities.
+
+    Each call takes one token. A call may take one only if a quarter of the
+    bucket remains for each higher priority. The rate falls when the object API
+    throttles calls, and recovers with time.
+
+    :param fleet_rate_per_s: the rate of the whole fleet, in calls per second.
+    :param now: monotonic time in seconds.
+    """
 
     __slots__ = (
         "_fleet_rate_per_s",
@@ -68,14 +80,18 @@
         self._refilled_at = max(self._refilled_at, now)
 
     def take(self, rank: CallPriority, fleet_size: int) -> bool:
-        """Take a token if the priority allows it."""
+        """Take a token for a call of this priority.
+
+        :returns: whether there was a token besides those reserved for higher
+            priorities.
+        """
         if self._missing(rank, fleet_size) > 0:
             return False
         self._tokens -= 1
         return True
 
     def wait_s(self, rank: CallPriority, now: float, fleet_size: int) -> float:
-        """Return the seconds until the priority allows a call.
+        """Return the seconds until a call of this priority may take a token.
 
         The result assumes that no other call takes a token meanwhile.
         """
@@ -156,7 +172,7 @@
     def try_acquire(
         self, rank: CallPriority, kind: CallKind = CallKind.WRITE
     ) -> bool:
-        """Take a token for one call if the priority allows it.
+        """Take a token for one call, unless it is kept for higher priorities.
 
         A watch takes one read when it starts and one at each renewal.
 
--- a/src/apricotlever/contracts/concurrency_limit.py
+++ b/src/apricotlever/contracts/concurrency_limit.py
@@ -3,12 +3,20 @@
 Too few requests in flight leave runners idle. Too many wait in the runners'
 own queues, where they can be neither reordered nor refused. The limit rises
 while first tokens arrive within the target and falls when they don't.
+
+The latency of a first token is compared with the target of its class as a
+fraction, so that requests of different classes adjust the same limit. The
+samples are collected in a window, and each decision to change or keep the
+limit discards them.
 """
 
 import math
 
 from .. import clock as clocks
 
+#: The limit is multiplied by DECREASE_FACTOR if more than the first fraction
+#: of the samples is late, and by STRONG_DECREASE_FACTOR if at least the second
+#: fraction is.
 DECREASE_LATE_FRACTION = 0.1
 STRONG_DECREASE_LATE_FRACTION = 0.4
 DECREASE_FACTOR = 0.9
@@ -17,9 +25,10 @@
 #: The rest of the target is for the queue before the limit and for
 #: unforeseen delays.
 LATE_TARGET_FRACTION = 0.5
-#: Where prompts are so long that first tokens always take that much, a first
-#: token is late only if it takes this many times the baseline latency, but
-#: in any case beyond the target.
+#: Long prompts may take more than LATE_TARGET_FRACTION of the target on idle
+#: runners. Then a first token is late only if it takes this many times the
+#: baseline latency, the latency without queueing; beyond the target, it is
+#: always late.
 LATE_BASELINE_FACTOR = 2.5
 #: A first token is early if it takes at most this fraction of the latency at
 #: which it would be late. The limit rises only if enough are early.
@@ -28,9 +37,13 @@
 #: of the target.
 BASELINE_RISE_STEP = 0.01
 BASELINE_FALL_STEP = 0.02
+#: The fraction of the samples that must be early for the limit to rise.
 INCREASE_EARLY_FRACTION = 0.85
-#: Below this utilization, the limit was not what delayed requests.
+#: The limit rises only if the requests in flight reached this fraction of it.
+#: Otherwise it was not the limit that delayed requests.
 MIN_UTILIZATION = 0.8
+#: The limit may change once there are this many samples and this many seconds
+#: have passed since its last change, or after MAX_WINDOW_S with any sample.
 MIN_SAMPLES = 8
 MIN_WINDOW_S = 0.5
 MAX_WINDOW_S = 3.0
@@ -134,17 +147,24 @@
         self._early_samples += fraction <= EARLY_FACTOR * late
 
     def record_failure(self, admitted_at: float) -> None:
-        """Record a request that failed before its first token as late."""
+        """Count a request that failed before its first token as late.
+
+        :param admitted_at: when the request was admitted; requests admitted
+            before the last change of the limit are not counted.
+        """
         if admitted_at >= self._changed_at:
             self._samples += 1
             self._late_samples += 1
 
     def record_in_flight(self, in_flight: int) -> None:
-        """Record the number of requests in flight."""
+        """Record how many requests are in flight now.
+
+        The limit rises only if this number came close to the limit.
+        """
         self._peak_in_flight = max(self._peak_in_flight, in_flight)
 
     def update(self) -> None:
-        """Change the limit if there are enough samples."""
+        """Raise or lower the limit if the window has enough samples."""
         age_s = self._clock.now() - self._changed_at
         enough = self._samples >= MIN_SAMPLES and age_s >= MIN_WINDOW_S
         if not enough and not (self._samples and age_s >= MAX_WINDOW_S):
@@ -163,11 +183,13 @@
             )
 
     def _update_baseline(self, fraction: float) -> None:
-        """Update the latency of a first token without queueing.
+        """Move the baseline latency towards the latency of one first token.
 
-        The baseline rises only while the limit is at its floor. Above the
-        floor, a higher latency may be the queueing that the limit is there to
-        prevent, and a limit whose baseline includes queueing never falls.
+        The baseline is an estimate of the latency without queueing, as a
+        fraction of the target. The baseline rises only while the limit is at
+        its floor. Above the floor, a higher latency may be the queueing that
+        the limit is there to prevent, and a limit whose baseline includes
+        queueing never falls.
         """
         if fraction < self._baseline:
             self._baseline = max(fraction, self._baseline - BASELINE_FALL_STEP)
--- a/src/apricotlever/contracts/demand_meter.py
+++ b/src/apricotlever/contracts/demand_meter.py
@@ -1,17 +1,27 @@
-"""Measures each pool's arrival rate and the time requests hold a slot."""
+"""Measures each pool's arrival rate and the time requests hold a slot.
+
+Each entry VM measures the requests that it receives and reports the figures
+once a second, for the planning of the capacity.
+"""
 
 from .. import clock as clocks
 from ..links import peer_pb2 as pb
 
+#: Weight of a new sample in the moving averages.
 SMOOTHING_FACTOR = 0.2
 REPORT_INTERVAL_S = 1.0
+#: Pools with a lower rate, in requests per second, are not reported.
 MIN_REPORTED_RATE = 1e-3
 ARRIVAL_RATE_FIELD = "arrivals_per_s"
 SERVICE_TIME_FIELD = "service_s"
 
 
 class _PoolDemand:
-    """A pool's arrivals since the last report, and its smoothed figures."""
+    """A pool's arrivals since the last report, and its moving averages.
+
+    ``rate`` is in arrivals per second; ``service_s`` is the time for which a
+    request holds its slot, in seconds, and 0 until the first request ended.
+    """
 
     __slots__ = ("arrival_count", "rate", "service_s")
 
@@ -42,11 +52,17 @@
         self._pools.setdefault(pool, _PoolDemand()).arrival_count += 1
 
     def record_start(self, request_id: str, pool: str) -> None:
-        """Note that a request was sent to a runner; only the first counts."""
+        """Note that a request was sent to a runner and holds a slot from now.
+
+        Further calls for the request before it ends have no effect.
+        """
         self._started.setdefault(request_id, (pool, self._clock.now()))
 
     def record_end(self, request_id: str) -> None:
-        """Note that a request released its slot."""
+        """Note that a request ended, and record how long it held its slot.
+
+        Requests without a recorded start are ignored.
+        """
         start = self._started.pop(request_id, None)
         if start is None:
             return
--- a/src/apricotlever/contracts/entry_limits.py
+++ b/src/apricotlever/contracts/entry_limits.py
@@ -1,4 +1,9 @@
-"""This VM's shares of the limits of one catalogue entry."""
+"""This VM's shares of the limits of one catalogue entry.
+
+A catalogue entry may limit the requests in flight, the requests per second,
+the tokens per second and the spend per hour of the whole fleet. Each VM
+enforces its share of each limit.
+"""
 
 import math
 
@@ -12,11 +17,14 @@
 
 
 class LimitWait:
-    """How long a limit delays a ticket.
-
-    :param seconds: until the ticket can start; inf if that is unknown.
-    :param reason: the reason of the refusal if that is too long.
-    :param interval_s: seconds between the starts of two such requests.
+    """How long a limit delays a ticket, a request that asks for admission.
+
+    :param seconds: seconds until the ticket can start; inf if the limit is 0
+        and lets nothing start.
+    :param reason: the reason to refuse the ticket with if it can't wait so
+        long.
+    :param interval_s: seconds between the starts of two such requests while
+        the limit is fully used; 0 for the limit on spend.
     """
 
     __slots__ = ("seconds", "reason", "interval_s")
@@ -32,6 +40,9 @@
 class EntryLimits:
     """The limits of one entry on rates, concurrency and spend, and its demand.
 
+    The demand is the recent rate of requests and tokens that callers asked
+    for, admitted or not. The VMs split the fleet-wide limits by their demands.
+
     :param clock: the source of time.
     :param entry: the name of the entry.
     :param spending: the meter of this VM's spend.
@@ -83,14 +94,14 @@
 
     @property
     def has_request_limit(self) -> bool:
-        """Whether a limit counts requests."""
+        """Whether the entry has a limit on request rate or concurrency."""
         return (
             self._request_bucket is not None or self._concurrency is not None
         )
 
     @property
     def has_token_limit(self) -> bool:
-        """Whether a limit counts tokens."""
+        """Whether the entry has a limit on tokens per second."""
         return self._token_bucket is not None
 
     def set_limits(
@@ -117,7 +128,10 @@
         self._spending.set_limit(self._entry, spend_per_hour)
 
     def record_demand(self, tokens: float) -> None:
-        """Add a request to the demand, whether it is admitted or not."""
+        """Add a request to the demand, whether it is admitted or not.
+
+        :param tokens: tokens of the prompt and of the expected answer.
+        """
         self._decay_demand()
         self._requests_demand += 1.0 / DEMAND_DECAY_S
         self._tokens_demand += tokens / DEMAND_DECAY_S
@@ -148,7 +162,7 @@
     def record_finished(
         self, charged_tokens: float, actual_tokens: float | None
     ) -> None:
-        """Settle a request that ended.
+        """Release the concurrency of a request and correct its token charge.
 
         :param charged_tokens: the tokens charged at its admission.
         :param actual_tokens: the tokens that it used; None if unknown.
@@ -160,11 +174,12 @@
     def longest_wait(
         self, requests_ahead: float, tokens: float, mean_hold_s: float
     ) -> LimitWait:
-        """Return the longest wait that a limit causes for a ticket.
+        """Return the wait for the limit that delays a ticket the most.
 
-        :param requests_ahead: requests of this entry that are served first.
+        :param requests_ahead: queued requests of this entry that are served
+            before the ticket.
         :param tokens: the tokens of those requests and of the ticket.
-        :param mean_hold_s: mean time that a request is in flight.
+        :param mean_hold_s: mean seconds that a request is in flight.
         """
         reason = tickets.RefusalReason
         waits = [
--- a/src/apricotlever/contracts/fair_queue.py
+++ b/src/apricotlever/contracts/fair_queue.py
@@ -1,9 +1,13 @@
-"""Weighted fair queueing by customer.
+"""Weighted fair queueing of tickets by customer.
 
-The customer that has had the least service for its weight is served next
-(start-time fair queueing, counted in tokens). Within a customer, the class
-that is shed last is served first, and within a class, the ticket with the
-earliest deadline.
+A ticket is a request that asks for admission. The customer that has had the
+least service for its weight is served next (start-time fair queueing, counted
+in tokens). Within a customer, the class that is shed last is served first, and
+within a class, the ticket with the earliest deadline.
+
+Service is measured in virtual time: a ticket advances its customer's start tag
+by its tokens divided by the customer's weight, and the customer with the
+lowest start tag is served next.
 """
 
 import bisect
@@ -11,7 +15,9 @@
 
 from . import tickets
 
+#: The weight of a customer without a configured one.
 DEFAULT_WEIGHT = 1.0
+#: A ticket counts as at least this many tokens.
 MIN_TOKENS = 1.0
 
 
@@ -39,7 +45,10 @@
 
 
 class _Flow:
-    """One customer's queue."""
+    """One customer's queued tickets, in the order in which they are served.
+
+    ``tokens`` is the sum of their tokens.
+    """
 
     __slots__ = (
         "start_tag",
@@ -50,7 +59,8 @@
     )
 
     def __init__(self, weight: float) -> None:
-        #: Virtual time up to which the customer has been served.
+        #: Virtual time up to which the customer has been served. The customer
+        #: with the lowest start tag is served next.
         self.start_tag = 0.0
         self.weight = weight
         self.waiting: list[QueuedTicket] = []
@@ -125,12 +135,14 @@
         may_start: typing.Callable[[tickets.Ticket], bool],
         has_room: typing.Callable[[str], bool] | None = None,
     ) -> tickets.Ticket | None:
-        """Remove the ticket that is served next.
+        """Remove the next ticket that can start, and charge its customer.
 
-        :param may_start: returns whether the limits of a ticket's entry have
-            room for it; tickets without room keep their places.
+        Tickets that can't start keep their positions; later tickets, also
+        those of other customers, may overtake them.
+
+        :param may_start: returns whether a ticket can start now.
         :param has_room: returns whether there is room for any ticket of a
-            customer.
+            customer; by default, there is.
         :returns: the ticket; None if no ticket can start.
         """
         turns = sorted(
@@ -149,7 +161,11 @@
         return None
 
     def charge_unqueued(self, customer: str, tokens: float) -> None:
-        """Charge a customer for a ticket admitted without queueing."""
+        """Charge a customer for a ticket that was admitted without queueing.
+
+        Without the charge, service outside the queue would not count when the
+        customer's later tickets compete with those of others.
+        """
         flow = self._flow(customer)
         flow.start_tag = max(flow.start_tag, self._virtual_time)
         if not self._by_request:
@@ -165,7 +181,12 @@
         return queued.ticket
 
     def backlogged_s(self, customer: str, now: float) -> float:
-        """Return for how many seconds a customer has had queued tickets."""
+        """Return for how many seconds a customer's queue has not been empty.
+
+        :param customer: the customer's name.
+        :param now: monotonic time in seconds, as for :meth:`push`.
+        :returns: the seconds; 0 if the queue is empty.
+        """
         flow = self._flows.get(customer)
         return now - flow.backlogged_since if flow and flow.waiting else 0.0
 
@@ -175,7 +196,10 @@
         return len(flow.waiting) if flow else 0
 
     def oldest_to_shed(self, customer: str) -> QueuedTicket:
-        """Return a customer's oldest ticket of the class shed first."""
+        """Return a customer's oldest ticket of the class that is shed first.
+
+        The customer must have a queued ticket.
+        """
         waiting = self._flows[customer].waiting
         shed_order = waiting[-1].shed_order
         return min(
@@ -193,11 +217,12 @@
         queued: QueuedTicket,
         measure: typing.Callable[[QueuedTicket], float] | None = None,
     ) -> float:
-        """Return the work that is served before a queued ticket.
+        """Return the queued work that is served before a queued ticket.
 
-        While the customer's own earlier tickets are served, each other
-        customer gets the service that brings it level with this customer, as
-        far as it has tickets.
+        This is an estimate for the wait of the ticket. While the customer's
+        own earlier tickets are served, each other customer gets the service
+        that brings it level with this customer, as far as it has tickets. If
+        that is a part of its queue, it counts as the same part of its work.
 
         :param queued: the ticket, as returned by :meth:`push`.
         :param measure: returns the work of one ticket; by default, its
@@ -245,7 +270,11 @@
         return flow
 
     def _forget_idle(self) -> None:
-        """Forget customers without queued tickets or service in advance."""
+        """Forget customers whose state no longer affects the order.
+
+        They have no queued tickets, and their start tags have been reached by
+        the virtual time, so a new flow would be equal.
+        """
         self._flows = {
             customer: flow
             for customer, flow in self._flows.items()
--- a/src/apricotlever/contracts/fleet_rate_limit.py
+++ b/src/apricotlever/contracts/fleet_rate_limit.py
@@ -1,9 +1,11 @@
 """A customer's rate limit that all entry VMs enforce together.
 
-Each VM counts the units that it admitted and sends its total to the others
-several times a second. Each VM keeps one token bucket of the whole limit and
-charges it with the totals of all VMs. So a VM can use what the others leave,
-wherever the demand is, and no call to the store is needed.
+The limit counts units, of which each call uses a number. Each VM counts the
+units that it admitted and sends its total to the others several times a
+second, in its records: the datagrams by which VMs tell each other their state.
+Each VM keeps one token bucket of the whole limit and charges it with the
+totals of all VMs. Its level is the number of units left. So a VM can use what
+the others leave, wherever the demand is, and no call to the store is needed.
 
 A member that falls silent may be alive and still admitting work. Its equal
 share of the limit stays reserved until the member is known to be gone, and a
@@ -21,14 +23,16 @@
 from .. import clock as clocks
 from . import token_bucket
 
-#: Seconds without contact after which a member's share is reserved. Records
+#: Seconds without contact after which a member, another VM that may admit
+#: work, counts as silent and its equal share of a limit is reserved. Records
 #: arrive every 0.2 s, and five in a row are rarely lost by chance.
 SILENCE_TIMEOUT_S = 1.2
 #: The same timeout in record intervals, for fleets so large that records
 #: are sent less often.
 SILENCE_TIMEOUT_RECORDS = 2.5
-#: Fleet size that a process assumes before its first contact. If all
-#: processes start at once, each of them would otherwise admit a whole burst.
+#: Fleet size that a process assumes before its first contact, to use only
+#: its share of each limit. If all processes start at once, each of them would
+#: otherwise admit a whole burst.
 ASSUMED_FLEET_SIZE = 8
 #: Seconds after the start for which :data:`ASSUMED_FLEET_SIZE` applies. The
 #: records of all members arrive within less.
@@ -44,12 +48,12 @@
 TICK_SHARE_FACTOR = 2.0
 #: The longest time in seconds that a record takes to arrive.
 MAX_RECORD_DELAY_S = 0.5
-#: Fraction of the permitted overshoot, in units, that totals received late
-#: may use. The rest is left to processes that start without knowing the
-#: level.
+#: Fraction of the units by which a limit may be exceeded for a while
+#: (``overshoot_units``) that calls admitted because of late totals may use.
+#: The rest is left to processes that start without knowing the level.
 LATE_TOTALS_FRACTION = 0.25
-#: The corresponding fraction of the overshoot that is permitted at all
-#: times, which is a fraction of the limit.
+#: The same for the fraction of the limit by which it may be exceeded at all
+#: times (``overshoot``).
 LATE_TOTALS_OVERSHOOT_FRACTION = 0.5
 
 
@@ -91,14 +95,15 @@
         )
 
     def heard(self, member: str) -> None:
-        """Note that a record of a member arrived."""
+        """Note a contact with a member, such as the arrival of its record."""
         self.last_contact[member] = self._clock.now()
 
 
 class FleetRateLimit:
-    """One VM's instance of a customer's limit.
+    """One VM's instance of the rate limit of one customer.
 
-    :param rate: units per second of the whole fleet.
+    :param clock: the source of time.
+    :param rate: units per second of the whole fleet; 0 for no limit.
     :param burst: units that the fleet may admit in addition to the rate.
     :param overshoot_units: units by which the fleet may exceed the limit
         for a while. A process that starts without knowing the level begins
@@ -307,7 +312,8 @@
 
         :param units: the units of the call.
         :param for_all: whether this VM decides for all VMs, as the keeper of
-            the limit. Then it need not leave the others a share of the level.
+            the limit (see :mod:`.limit_keepers`). Then it need not leave the
+            others a share of the level.
         :returns: 0 if the call was admitted, else the seconds until it may
             be.
         """
@@ -329,7 +335,11 @@
         return 0.0
 
     def _tick_share(self) -> float:
-        """Units that this VM may admit until the next tick."""
+        """Return the units that this VM may admit from one tick to the next.
+
+        The rest of the level is left to the other VMs, whose totals arrive
+        only later.
+        """
         fleet_size = len(self._presence.members) + 1
         return self._tick_level * min(1.0, TICK_SHARE_FACTOR / fleet_size)
 
@@ -342,9 +352,12 @@
     def tick(self, silent: int | None = None) -> None:
         """Recompute the fraction of the limit that this VM may use.
 
-        The caller calls this method several times a second.
+        The shares of silent members are reserved for them. The call also
+        starts a new tick, in which :data:`TICK_SHARE_FACTOR` bounds what this
+        VM admits. The caller calls this method several times a second.
 
-        :param silent: the number of silent members; None to count them.
+        :param silent: the number of members that have been silent for too
+            long; None to count them.
         """
         now = self._clock.now()
         self._tick_level = max(0.0, self._bucket.level)
--- a/src/apricotlever/contracts/fleet_shares.py
+++ b/src/apricotlever/contracts/fleet_shares.py
@@ -1,4 +1,9 @@
-"""This VM's shares of all fleet-wide limits."""
+"""This VM's shares of all fleet-wide limits in the catalogue.
+
+A share is the part of a limit that one VM may use. Each VM reports its demand
+to the others about every second, and :mod:`.limit_share` computes the shares
+of all VMs from these demands.
+"""
 
 import enum
 import typing
@@ -19,7 +24,11 @@
 
 
 class Demand:
-    """The demand for one limited entry at one VM."""
+    """The demand of one VM for one limit of a catalogue entry.
+
+    ``amount`` is in the units of the demand. Only its ratio to the demands of
+    the other VMs matters, so a limit on spend takes the demand in tokens.
+    """
 
     __slots__ = ("entry", "kind", "amount")
 
@@ -94,19 +103,25 @@
             self._shares[key] = share
 
     def set_members(self, members: typing.Iterable[str]) -> None:
-        """Set which VMs are in the fleet."""
+        """Set which VMs are in the fleet and split the limits.
+
+        A VM that is missing here may still run behind a broken link, so its
+        share stays reserved for some time.
+
+        :param members: the names of the VMs, this one included.
+        """
         self._members = frozenset(members)
         for share in self._shares.values():
             share.set_members(self._members)
 
     def remove_member(self, vm: str) -> None:
-        """Remove a VM that has certainly ended."""
+        """Remove a VM that has certainly ended, which frees its shares."""
         self._members -= {vm}
         for share in self._shares.values():
             share.remove_member(vm)
 
     def receive(self, report: DemandReport, age_s: float = 0.0) -> None:
-        """Receive the demand of another VM.
+        """Apply another VM's demand to the shares.
 
         :param report: the report of that VM.
         :param age_s: seconds since the report was made.
@@ -142,6 +157,9 @@
         return share.amount if share else None
 
     def units(self, entry: str, kind: LimitKind) -> int | None:
-        """Return this VM's share in whole units; None without a limit."""
+        """Return this VM's share in whole units; None without a limit.
+
+        The whole units of all VMs sum to the limit if their shares do.
+        """
         share = self._shares.get((entry, kind))
         return share.whole_units if share else None
--- a/src/apricotlever/contracts/limit_keepers.py
+++ b/src/apricotlever/contracts/limit_keepers.py
@@ -26,6 +26,8 @@
 class LimitKeepers:
     """Finds the keeper of each customer's limit.
 
+    The keeper is the VM that decides on all calls of the customer.
+
     :param clock: the source of time.
     :param vm: this VM's name.
     """
@@ -48,7 +50,11 @@
         self._keeper_cache: dict[str, str] = {}
 
     def set_other_vms(self, others: typing.Iterable[str]) -> None:
-        """Set which other VMs may be keepers."""
+        """Set which other VMs may be keepers.
+
+        A VM that failed to answer is eligible again from the first call of
+        this method after :data:`UNAVAILABLE_S`.
+        """
         now = self._clock.now()
         available_again = [
             r for r, at in self._unavailable_until.items() if at <= now
@@ -61,7 +67,10 @@
             self._keeper_cache.clear()
 
     def keeper(self, customer: str) -> str:
-        """Return the name of a customer's keeper, which may be this VM."""
+        """Return the name of the VM that decides on a customer's calls.
+
+        It may be this VM, which is also the result if no VM is available.
+        """
         found = self._keeper_cache.get(customer)
         if found is None:
             candidates = self._vms - self._unavailable_until.keys()
@@ -70,6 +79,10 @@
         return found
 
     def record_timeout(self, vm: str) -> None:
-        """Note that a VM did not answer, and skip it for a while."""
+        """Note that a keeper did not answer.
+
+        For :data:`UNAVAILABLE_S`, the next VM in the order is the keeper of
+        its customers.
+        """
         self._unavailable_until[vm] = self._clock.now() + UNAVAILABLE_S
         self._keeper_cache.clear()
--- a/src/apricotlever/contracts/limit_share.py
+++ b/src/apricotlever/contracts/limit_share.py
@@ -40,6 +40,8 @@
 
 
 class _Peer:
+    """The last announcement of another member, and when it was made."""
+
     __slots__ = ("demand", "number", "heard_at")
 
     def __init__(self, demand: float, number: int, heard_at: float) -> None:
@@ -147,7 +149,11 @@
         self._peers.pop(member, None)
 
     def announce(self, demand: float) -> None:
-        """Set this member's demand; the caller sends it to the others."""
+        """Set this member's demand; the caller sends it to the others.
+
+        A higher demand takes effect on this member's share only after
+        :data:`PROPAGATION_S`, when all others have received it.
+        """
         now = self._clock.now()
         self._announced.append((now, _significant_demand(demand)))
         while (
@@ -176,7 +182,15 @@
         )
 
     def amounts(self) -> dict[str, float]:
-        """Return the shares of all members, as far as this member knows."""
+        """Return the shares of all members, as far as this member knows.
+
+        Each member gets a part of an equal share that does not depend on
+        demand, and a part of the rest in proportion to its demand. The longer
+        a member has been silent, the closer its share is to an equal one.
+
+        :returns: the shares by member, reserved ones included; empty if this
+            member is not in the fleet.
+        """
         now = self._clock.now()
         others = (self._members | self._reserved_members(now)) - {
             self._own_name
@@ -208,7 +222,11 @@
         return {m for m, until in self._reserved_until.items() if until > now}
 
     def _freshness(self, member: str, now: float) -> float:
-        """Return 1.0 for a recent contact, falling to 0.0 in long silence."""
+        """Return how current the known demand of a member is.
+
+        :returns: 1.0 up to :data:`STALE_S` after its last announcement, then
+            falling linearly to 0.0, when only its equal share counts.
+        """
         peer = self._peers.get(member)
         if peer is None:
             return 0.0
@@ -234,4 +252,5 @@
 
 
 def _significant_demand(demand: float) -> float:
+    """Return the demand, or 0.0 if it is below :data:`MIN_DEMAND`."""
     return demand if demand >= MIN_DEMAND else 0.0
--- a/src/apricotlever/contracts/pool_admission.py
+++ b/src/apricotlever/contracts/pool_admission.py
@@ -1,4 +1,9 @@
-"""Admission of this VM's requests to one pool of runners."""
+"""Admission of this VM's requests to one pool of runners.
+
+A request is admitted if the pool's concurrency limit and the limits of its
+catalogue entry have room for it. Until then its ticket waits in the pool's
+queue, and it is refused once it can't start in time any more.
+"""
 
 import random
 import typing
@@ -14,16 +19,23 @@
 from . import tickets
 from . import wait_estimator
 
-#: Tickets of all customers that the queue of a pool may hold.
+#: The greatest number of tickets, of all customers together, in the queue of
+#: a pool. Further ones are refused at once.
 MAX_QUEUE_LENGTH = 4096
-#: Requests in flight per slot; those beyond 1.0 wait at the runners.
+#: Requests that may be in flight per slot of the pool; those beyond 1.0 wait
+#: at the runners.
 OVERCOMMIT_FACTOR = 1.25
-#: The least concurrency limit, as a fraction of a VM's equal share.
+#: The least concurrency limit of a VM, as a fraction of its equal share of
+#: the pool's slots.
 FLOOR_FRACTION = 0.25
 
 
 class InFlightRequest:
-    """A request that was admitted."""
+    """A request that was admitted and has not ended.
+
+    ``first_token_at`` is None until the first token arrives. All times are in
+    monotonic seconds.
+    """
 
     __slots__ = ("ticket", "admitted_at", "first_token_at")
 
@@ -96,7 +108,10 @@
         return self._queue
 
     def set_slots(self, slots: int, vms: int) -> None:
-        """Set the size of the pool.
+        """Set the size of the pool, which bounds the concurrency limit.
+
+        One VM may use the whole pool. Before its first requests, its limit
+        starts at an equal share.
 
         :param slots: the slots of all its runners.
         :param vms: the number of entry VMs that send to it.
@@ -118,7 +133,14 @@
         self._load_shedder.usage.set_weights(weights)
 
     def offer(self, ticket: tickets.Ticket) -> list[tickets.Verdict]:
-        """Admit, queue or refuse a ticket, and refuse tickets it displaces."""
+        """Admit, queue or refuse a new ticket.
+
+        In the queue, it may displace other tickets of its customer, which are
+        refused because they can't start in time any more.
+
+        :returns: the verdicts that this leads to; none on this ticket if it
+            is queued.
+        """
         now = self._clock.now()
         customer = ticket.customer
         shed_order = self._class_of(ticket.service_class).shed_order
@@ -178,7 +200,11 @@
         return self._queue.remove(request_id)
 
     def refresh(self) -> list[tickets.Verdict]:
-        """Refuse tickets that can't start in time any more, admit others."""
+        """Decide on queued tickets after some time has passed.
+
+        :returns: the verdicts on tickets that can't start in time any more
+            and on tickets that can start now.
+        """
         now = self._clock.now()
         self._limit.update()
         self._load_shedder.tick()
@@ -196,7 +222,10 @@
         return [*late, *shed, *self.dispatch()]
 
     def dispatch(self) -> list[tickets.Verdict]:
-        """Admit queued tickets while there is room."""
+        """Admit queued tickets in the fair order while there is room.
+
+        Tickets whose time to start has passed are refused instead.
+        """
         verdicts: list[tickets.Verdict] = []
         now = self._clock.now()
         while len(self._queue):
@@ -215,9 +244,10 @@
     ) -> list[tickets.Verdict]:
         """Refuse a customer's last tickets while they can't start in time.
 
-        The last tickets are of the class that is shed first. A ticket that
-        stayed would be refused later anyway, when its caller has lost the
-        time to try elsewhere.
+        The last tickets of its queue are of the class that is shed first. A
+        ticket that stayed would be refused later anyway, when its caller has
+        lost the time to try elsewhere. If it is the pool that is full, the
+        oldest ticket of the class is refused instead of the last one.
         """
         verdicts: list[tickets.Verdict] = []
         last = self._queue.last_to_serve(customer)
@@ -235,13 +265,16 @@
         return verdicts
 
     def _keeps_only_ticket(self, customer: str, remaining_s: float) -> bool:
-        """Return whether a customer's only ticket stays despite its wait.
+        """Return whether a customer's only queued ticket is not shed.
 
-        If the queue were empty, the next free slot would go to whoever asks
-        next, whatever the customers' weights. So each customer keeps its
-        newest ticket, as long as the ticket is young enough to meet its
-        target.
+        A ticket is a request that asks for admission. It is shed if its
+        estimated wait in the full pool is too long, but if the queue were
+        empty, the next free slot would go to whoever asks next, whatever the
+        customers' weights. So each customer keeps its newest ticket, as long
+        as half the mean time until the next slot is free is shorter than the
+        time that the ticket has left, so that it may still meet its target.
 
+        :param customer: the customer's name.
         :param remaining_s: seconds until the ticket must leave the queue.
         """
         slot_interval_s = self._wait_estimator.mean_hold_s / self._limit.limit
@@ -274,6 +307,11 @@
         )
 
     def _start_deadline(self, ticket: tickets.Ticket) -> float:
+        """Return the latest time at which a ticket may leave the queue.
+
+        The load shedder is told first how long the customer's queue has not
+        been empty, because tickets in a standing queue may wait less.
+        """
         service_class = self._class_of(ticket.service_class)
         customer = ticket.customer
         backlogged_s = self._queue.backlogged_s(customer, self._clock.now())
@@ -298,6 +336,12 @@
         wait: entry_limits.LimitWait,
         now: float,
     ) -> tickets.Verdict:
+        """Remove a ticket from the queue and refuse it.
+
+        The reason is that of the estimated wait, or the deadline if that ends
+        the ticket's time in the queue. The retry delay covers the time by
+        which the estimated wait is too long, up to a maximum.
+        """
         ticket = queued.ticket
         start_deadline = self._start_deadline(ticket)
         reason = wait.reason
--- a/src/apricotlever/contracts/pool_usage.py
+++ b/src/apricotlever/contracts/pool_usage.py
@@ -1,4 +1,9 @@
-"""Tracks which customers recently used more than their share of a pool."""
+"""Tracks which customers recently used their fair share of a pool.
+
+The customers with recent requests have fair shares of the tokens that were
+recently admitted, in proportion to their weights. Load shedding treats a
+customer below its fair share better than the others.
+"""
 
 import math
 import typing
@@ -11,6 +16,7 @@
 #: The fraction of its fair share at which a customer counts as having used
 #: that share.
 FULL_SHARE_FRACTION = 0.9
+#: Usage that has decayed to this many tokens is forgotten.
 MIN_TOKENS = 1e-3
 
 
@@ -51,14 +57,18 @@
         self._recompute_totals()
 
     def record_request(self, customer: str) -> None:
-        """Record a request of a customer, admitted or not."""
+        """Record a request of a customer, admitted or not.
+
+        A customer with a recent request counts among those that have a fair
+        share.
+        """
         if customer not in self._last_request_at:
             self._total_weight += self._weight(customer)
             self._any_below_share = None
         self._last_request_at[customer] = self._clock.now()
 
     def record_admitted(self, customer: str, tokens: float) -> None:
-        """Record the tokens of an admitted request."""
+        """Add the tokens of an admitted request to the customer's usage."""
         self._decay()
         self._used[customer] = self._used.get(customer, 0.0) + tokens
         self._total_used += tokens
@@ -73,7 +83,10 @@
         return len(self._last_request_at) > 1 and self._reached_share(customer)
 
     def all_used_share(self) -> bool:
-        """Return whether no customer is below its fair share."""
+        """Return whether no customer with recent requests is below its share.
+
+        Then no customer needs to be preferred to the others.
+        """
         if self._any_below_share is None:
             self._any_below_share = not all(
                 map(self._reached_share, self._last_request_at)
@@ -81,7 +94,10 @@
         return not self._any_below_share
 
     def tick(self) -> None:
-        """Forget customers without recent requests."""
+        """Forget customers without requests for :data:`DECAY_S`.
+
+        They no longer count in the fair shares of the others.
+        """
         self._decay()
         oldest = self._clock.now() - DECAY_S
         self._last_request_at = {
--- a/src/apricotlever/contracts/retry_after.py
+++ b/src/apricotlever/contracts/retry_after.py
@@ -1,4 +1,4 @@
-"""Decides when a refused caller should retry."""
+"""Computes the retry delay that a refused caller is told."""
 
 import random
 
@@ -50,7 +50,7 @@
         return (retry_at - now) * (1.0 + JITTER_FRACTION * self._rng.random())
 
     def tick(self) -> None:
-        """Forget retry times that have passed."""
+        """Forget retry times that have passed, to bound the memory."""
         now = self._clock.now()
         self._latest_by_customer = {
             c: retry_at
--- a/src/apricotlever/contracts/retry_allowance.py
+++ b/src/apricotlever/contracts/retry_allowance.py
@@ -3,7 +3,7 @@
 The limit for a time window is a fraction of the fleet's requests plus a fixed
 number of retries. Each VM may send that fraction of its own requests plus an
 equal share of the fixed number. So the sum stays within the limit even while
-VMs can't reach each other.
+VMs can't reach each other. Requests and retries are counted by service.
 """
 
 import collections
@@ -16,11 +16,12 @@
 
 
 class RetryAllowance:
-    """Counts requests and retries by service.
+    """One VM's allowance of retries, for each service.
 
     :param clock: the source of time.
     :param ratio: retries allowed per request.
-    :param min_retries: retries that the whole fleet may send in addition.
+    :param min_retries: retries that the whole fleet may send in a window in
+        addition.
     :param window_s: the length of the sliding window in seconds.
     """
 
@@ -50,7 +51,10 @@
         self._retries: dict[str, collections.deque[float]] = {}
 
     def set_members(self, count: int) -> None:
-        """Set how many VMs share the fixed number, this one included."""
+        """Set how many VMs share the fixed number of retries.
+
+        :param count: the number of VMs, this one included.
+        """
         self._members = max(1, count)
 
     def record_request(self, service: str) -> None:
@@ -58,7 +62,12 @@
         self._append_time(self._requests, service)
 
     def remaining(self, service: str) -> float:
-        """Return the retries of a service that may be sent now."""
+        """Return how many retries of a service this VM may still send.
+
+        Requests and retries of the last ``window_s`` seconds count.
+
+        :returns: the number of retries, which may be fractional or negative.
+        """
         requests = self._count_recent(self._requests, service)
         allowed = self._ratio * requests + self._min_retries / self._members
         return USABLE_FRACTION * allowed - self._count_recent(
@@ -66,7 +75,10 @@
         )
 
     def try_acquire(self, service: str) -> bool:
-        """Count a retry if the allowance has one; return whether it had."""
+        """Take one retry of a service from the allowance.
+
+        :returns: whether the retry may be sent; otherwise it is not counted.
+        """
         if self.remaining(service) < 1.0:
             return False
         self._append_time(self._retries, service)
--- a/src/apricotlever/contracts/retry_policy.py
+++ b/src/apricotlever/contracts/retry_policy.py
@@ -1,10 +1,14 @@
-"""Decides whether a request whose attempt failed is sent again."""
+"""Decides whether a request whose attempt failed is sent again.
+
+An attempt is one sending of the request to a runner.
+"""
 
 import enum
 import typing
 
 from . import retry_budget
 
+#: Attempts allowed for one request by default, the first one included.
 MAX_ATTEMPTS = 3
 
 
@@ -21,9 +25,10 @@
     :param tried: the runners that the request was sent to.
     :param takers: the runners that accept new work now, without those that
         are leaving.
-    :param announced: whether the runner was known to be leaving. The request
-        did not cause the runner's end, and the number of such retries is
-        bounded by the reclaim, so they are not charged to the budget.
+    :param announced: whether the runner was known to be leaving, for example
+        because the cloud reclaims its VM. The request did not cause the
+        runner's end, and the number of such retries is bounded by the
+        reclaim, so they are not charged to the budget.
     """
 
     __slots__ = (
@@ -64,7 +69,8 @@
 class Retry:
     """The decision to send the request again.
 
-    :param excluded: the runners that must not receive it.
+    :param excluded: the runners that must not receive it: those tried before,
+        or none if all that accept work have been tried.
     """
 
     __slots__ = ("excluded",)
@@ -99,8 +105,9 @@
 ) -> typing.Union[Retry, NoRetry]:
     """Decide on another attempt; a retry is charged to the budget.
 
-    The budget is asked last, so that no token is spent on a request that
-    could not be sent again anyway.
+    If the runner was known to be leaving, neither the budget nor the number of
+    attempts limits the retry. The budget is asked last, so that no token is
+    spent on a request that could not be sent again anyway.
 
     :param failure: the failed attempt.
     :param budget: the retry budget of the entries.
--- a/src/apricotlever/contracts/spend_meter.py
+++ b/src/apricotlever/contracts/spend_meter.py
@@ -1,11 +1,18 @@
-"""Measures what requests cost, by customer and entry."""
+"""Measures what requests cost, by customer and catalogue entry.
+
+A request's cost is the price of the runner time for which it held a slot, the
+room for one of the requests that the runner processes concurrently.
+"""
 
 from .. import clock as clocks
 from . import token_bucket
 
 SECONDS_PER_HOUR = 3600.0
-#: The spend that idle time can save up, in seconds of the limit.
+#: The spend that an entry may save up while it has no requests, in seconds of
+#: its limit.
 BURST_S = 60.0
+#: Pairs of customer and entry that have totals of their own. The bound keeps
+#: the memory limited.
 MAX_TOTALS = 10_000
 
 
@@ -20,7 +27,7 @@
 
 
 class SpendTotal:
-    """The total that a customer has spent on an entry.
+    """The total that a customer has spent on an entry at this VM.
 
     :param customer: the customer's name.
     :param entry: the entry's name.
@@ -64,7 +71,12 @@
         return tuple(self._totals.values())
 
     def set_limit(self, entry: str, per_hour: float | None) -> None:
-        """Set an entry's limit on this VM; None removes it."""
+        """Set this VM's share of an entry's limit on spend.
+
+        :param entry: the entry's name.
+        :param per_hour: the share, in the currency of the cloud API's prices
+            per hour; None for no limit.
+        """
         if per_hour is None:
             self._buckets.pop(entry, None)
             return
@@ -78,12 +90,16 @@
             bucket.set_rate(rate, rate * BURST_S)
 
     def wait_s(self, entry: str) -> float:
-        """Return the seconds until the entry may spend; inf if never."""
+        """Return the seconds until the entry's debt allows its next request.
+
+        :returns: the seconds; 0 without a limit, and inf if a debt is never
+            paid off because the limit is 0.
+        """
         bucket = self._buckets.get(entry)
         return bucket.wait_s(1e-12) if bucket else 0.0
 
     def record(self, customer: str, entry: str, amount: float) -> None:
-        """Add the cost of a request that ended.
+        """Add the cost of a request to its total and charge it to the limit.
 
         Beyond :data:`MAX_TOTALS` totals, costs of new pairs of customer and
         entry are added up under empty names.
--- a/src/apricotlever/contracts/tickets.py
+++ b/src/apricotlever/contracts/tickets.py
@@ -1,11 +1,15 @@
-"""The messages that admission receives and returns."""
+"""The messages that admission receives and returns.
+
+A ticket asks for the admission of one request. Its verdict says whether the
+request may be sent to a runner.
+"""
 
 import enum
 import typing
 
 
 class Ticket:
-    """A request for admission.
+    """What admission knows of a request that is to be sent to a runner.
 
     :param request_id: the ID of the request.
     :param customer: the name of the customer that sent it.
@@ -49,11 +53,13 @@
 class RefusalReason(enum.Enum):
     """Why a request was refused; it was sent to no upstream."""
 
+    #: The catalogue has no such entry or service class.
     UNKNOWN_ENTRY = "unknown_entry"
-    #: The request could not have started within its class's ``queue_s``.
+    #: The pool had no room for the request within its class's ``queue_s``.
     OVERLOAD = "overload"
     #: The request could not have started before its deadline.
     DEADLINE = "deadline"
+    #: This VM's share of one of the entry's limits had no room in time.
     CONCURRENCY = "concurrency_limit"
     RATE = "rate_limit"
     TOKENS = "token_limit"
@@ -74,7 +80,8 @@
 
     :param request_id: the ID of the request.
     :param reason: why it was refused.
-    :param retry_after_s: seconds until the backlog is expected to have room.
+    :param retry_after_s: seconds after which the caller should retry. By
+        then, the backlog is expected to have room.
     """
 
     __slots__ = ("request_id", "reason", "retry_after_s")
--- a/src/apricotlever/contracts/token_bucket.py
+++ b/src/apricotlever/contracts/token_bucket.py
@@ -1,7 +1,12 @@
-"""A token bucket that limits a rate."""
+"""A token bucket that limits a rate.
+
+The bucket holds units, which may be tokens of a model, requests or money.
+"""
 
 from .. import clock as clocks
 
+#: The burst of an entry's limits on requests and tokens, in seconds of the
+#: rate.
 DEFAULT_BURST_S = 2.0
 
 
@@ -61,14 +66,19 @@
         return missing / self._rate if self._rate > 0 else float("inf")
 
     def backlog_s(self, units: float) -> float:
-        """Return the seconds until ``units`` are taken one after the other."""
+        """Return the seconds until ``units`` are taken one after the other.
+
+        Unlike :meth:`wait_s`, it counts units beyond the burst, because they
+        belong to several pieces of work that wait for each other. The result
+        is inf if the bucket is not refilled.
+        """
         missing = units - self.level
         if missing <= 0.0:
             return 0.0
         return missing / self._rate if self._rate > 0 else float("inf")
 
     def take(self, units: float) -> bool:
-        """Take units if they are available now."""
+        """Take units if they are available now; return whether they were."""
         if self.wait_s(units) > 0.0:
             return False
         self._level -= units
--- a/src/apricotlever/contracts/usage_windows.py
+++ b/src/apricotlever/contracts/usage_windows.py
@@ -18,7 +18,9 @@
 
 
 class UsageWindows:
-    """This VM's counts and those received from other VMs.
+    """Call counts of this VM and those received from other VMs.
+
+    Windows are numbered by wall-clock time, so all VMs number them alike.
 
     :param clock: the source of time.
     :param process: the name of this VM's process, which changes when the
@@ -74,7 +76,13 @@
     def merge_counts(
         self, process: str, windows: typing.Mapping[int, CallCounts]
     ) -> None:
-        """Merge the counts received from another VM's process."""
+        """Merge the counts received from another VM's process.
+
+        Of two counts of one window, the greater one is the newer one.
+
+        :param process: the name of that process.
+        :param windows: its counts by window and customer.
+        """
         for window, counts in windows.items():
             by_process = self._counts.setdefault(window, {})
             known = by_process.setdefault(process, {})
--- a/src/apricotlever/contracts/wait_estimator.py
+++ b/src/apricotlever/contracts/wait_estimator.py
@@ -1,15 +1,24 @@
-"""Estimates how long a ticket waits in the queue of a pool."""
+"""Estimates how long a ticket waits in the queue of a pool.
+
+The estimate decides whether a ticket, a request that asks for admission, can
+start in time or is refused at once.
+"""
 
 from . import entry_limits
 from . import fair_queue
 from . import tickets
 
+#: Weight of a new sample in the moving averages.
 SMOOTHING_FACTOR = 0.1
 
 
 class WaitEstimator:
     """Estimates waits from the mean time and tokens of a pool's requests.
 
+    The work ahead of a ticket, in tokens, is converted into a number of
+    requests. In the mean time that a request is in flight, the pool is taken
+    to start as many requests as its concurrency limit allows.
+
     :param queue: the queue of the pool.
     """
 
@@ -48,6 +57,8 @@
     ) -> entry_limits.LimitWait:
         """Return the longest wait for the pool or one of the entry's limits.
 
+        The ticket can start only when both the pool and all limits have room.
+
         :param queued: the ticket in the queue.
         :param limits: the limits of the ticket's entry.
         :param in_flight: requests in flight at the pool.
