--- a/src/apricotlever/contracts/pool_admission.py
+++ b/src/apricotlever/contracts/pool_admission.py
@@ -267,12 +267,12 @@
     def _keeps_only_ticket(self, customer: str, remaining_s: float) -> bool:
         """Return whether a customer's only queued ticket is not shed.
 
-        A ticket is a request that asks for admission. It is shed if its
-        estimated wait in the full pool is too long, but if the queue were
-        empty, the next free slot would go to whoever asks next, whatever the
-        customers' weights. So each customer keeps its newest ticket, as long
-        as half the mean time until the next slot is free is shorter than the
-        time that the ticket has left, so that it may still meet its target.
+        A ticket, a request that asks for admission, is shed if its estimated
+        wait for the full pool is too long. But if the queue were empty, the
+        next free slot would go to whoever asks next, whatever the customers'
+        weights. So each customer keeps its newest ticket, as long as half the
+        mean time until the next slot is free is shorter than the time that the
+        ticket has left, so that it may still meet its target.
 
         :param customer: the customer's name.
         :param remaining_s: seconds until the ticket must leave the queue.
--- a/src/apricotlever/data_centres/capacity_planner.py
+++ b/src/apricotlever/data_centres/capacity_planner.py
@@ -1,8 +1,10 @@
-"""Plans the runners of one entry: their number, places and markets.
+"""Plans the runners of one catalogue entry: their number and places.
 
-The planner performs no input or output. The holder of the capacity duty
-passes it the demand, prices, the list of VMs and the cloud's answers, and
-carries out its orders.
+A place (:class:`.model.Place`) includes the market. A runner counts as held
+from its order until it is drained or announced for reclaim. The planner
+performs no input or output. The holder of the capacity duty passes it the
+demand, prices, the list of VMs and the cloud's answers, and carries out its
+orders.
 """
 
 import collections
@@ -23,13 +25,15 @@
 
 #: Time from the order of a runner until it serves, in seconds.
 RUNNER_START_S = 180.0
+#: Defaults of the safety margins of :class:`CapacityPolicy`.
 DEFAULT_SURVIVING_SHARE = 0.6
 DEFAULT_HEADROOM = 1.15
 #: Time for which a surplus must last before runners are released, in seconds.
 SCALE_DOWN_DELAY_S = 120.0
-#: Discount on the cost of runners that are held already.
+#: Discount on the cost of runners that are held already, so that the plan does
+#: not move them for a small saving.
 HELD_DISCOUNT = 0.15
-#: Cost of one reclaim, in hours of the runner's price.
+#: Cost of one reclaim of a runner, in hours of the runner's price.
 RECLAIM_COST_HOURS = 0.2
 #: Maximum share of the serving runners that is released at a time.
 MAX_RELEASE_SHARE = 0.1
@@ -77,6 +81,10 @@
 class CapacityPlanner:
     """Plans the runners of one entry.
 
+    Each tick compares the runners that the demand needs with those that are
+    held, and returns the orders that bring the two together.
+
+    :param policy: the limits and safety margins of the entry.
     :param entry: name of the entry; becomes part of the order tokens.
     :param price_book: shared by all entries.
     :param reclaim_risk: shared by all entries.
@@ -131,6 +139,8 @@
         :param demand: the present demand on the entry.
         :param holdings: the entry's runners, from the cloud's list and the
             termination notices received since.
+        :returns: orders to buy VMs, including those whose answers are overdue,
+            to load models and to release runners.
         """
         self._forecast.observe(demand.requests_per_s)
         staying = [
@@ -156,7 +166,11 @@
         )
 
     def record_grant(self, token: str, vm: str) -> None:
-        """Record that the cloud starts a VM for an order."""
+        """Record that the cloud starts a VM for an order.
+
+        :param token: the idempotency token of the order.
+        :param vm: the name of the VM.
+        """
         place = self._purchases.record_grant(token, vm)
         if place is not None:
             self._backoff.record_grant(place)
@@ -180,6 +194,11 @@
         )
 
     def _runners_needed(self, demand: model.Demand, rate: float) -> int:
+        """The runners needed at a request rate, within the policy's limits.
+
+        :param demand: gives the service time and the allowed wait.
+        :param rate: requests per second.
+        """
         expected = model.Demand(rate, demand.service_s, demand.wait_s)
         runners = sizing.runners_needed(
             expected, self._policy.slots_per_runner
@@ -193,6 +212,11 @@
         holdings: typing.Sequence[model.HeldRunner],
         staying: list[model.HeldRunner],
     ) -> collections.Counter[model.Place]:
+        """The number of runners that are held or ordered, by place.
+
+        :param holdings: all runners that the cloud lists.
+        :param staying: those of them that are not leaving.
+        """
         listed = frozenset(holding.vm for holding in holdings)
         held = collections.Counter(holding.place for holding in staying)
         held.update(self._purchases.unlisted_places(listed))
@@ -201,6 +225,7 @@
     def _offers(
         self, held: collections.Counter[model.Place]
     ) -> list[placement.Offer]:
+        """The places at which runners may be kept or bought, with costs."""
         # Runners that are held get a discount: a move for a small saving
         # would pay for two runners at a time and load the weights again.
         kept = [
@@ -222,6 +247,7 @@
         plan: placement.Plan,
         held: collections.Counter[model.Place],
     ) -> list[model.PlannerAction]:
+        """Orders for planned runners that are not held, up to the limit."""
         room = max(0, self._policy.max_runners - held.total())
         missing = [
             place
@@ -233,6 +259,7 @@
     def _load_orders(
         self, staying: list[model.HeldRunner]
     ) -> list[model.PlannerAction]:
+        """Orders to load the model on live runners, as many as may start."""
         return [
             model.LoadModel(holding.vm)
             for holding in staying
@@ -248,6 +275,16 @@
         needed: int,
         surviving: int,
     ) -> list[model.PlannerAction]:
+        """Orders to release runners that the plan no longer holds.
+
+        The most expensive and least busy ones go first. A runner stays if too
+        few others serve without it, now or after the loss of a data centre,
+        and until the surplus has lasted for :data:`SCALE_DOWN_DELAY_S`.
+
+        :param needed: the number of serving runners that must remain.
+        :param surviving: the number of them that must remain after the loss
+            of any one data centre.
+        """
         serving = [
             holding
             for holding in staying
@@ -285,6 +322,7 @@
         return released
 
     def _may_scale_down(self) -> bool:
+        """Whether the surplus has lasted; a new surplus starts its time."""
         now = self._clock.now()
         if self._surplus_since is None:
             self._surplus_since = now
--- a/src/apricotlever/data_centres/demand_forecast.py
+++ b/src/apricotlever/data_centres/demand_forecast.py
@@ -13,7 +13,8 @@
 class DemandForecast:
     """Smooths the request rate and extrapolates its trend.
 
-    :param lead_s: prediction horizon, in seconds.
+    :param lead_s: time from the order of a runner until it serves, in seconds;
+        the trend is extrapolated so far.
     """
 
     __slots__ = ("_clock", "_lead_s", "_samples", "_smoothed", "_observed_at")
@@ -53,11 +54,14 @@
         return self.smoothed + max(0.0, self._slope()) * self._lead_s
 
     def peak_rate(self) -> float:
-        """The highest smoothed rate of the window."""
+        """The highest smoothed rate of the last :data:`TREND_WINDOW_S`."""
         return max((rate for _, rate in self._samples), default=0.0)
 
     def _slope(self) -> float:
-        """The slope of the linear regression over the window."""
+        """The trend of the smoothed rate, in requests per second per second.
+
+        It is the slope of the linear regression over :data:`TREND_WINDOW_S`.
+        """
         count = len(self._samples)
         if count < 2:
             return 0.0
--- a/src/apricotlever/data_centres/fleet_mix_planner.py
+++ b/src/apricotlever/data_centres/fleet_mix_planner.py
@@ -1,11 +1,12 @@
 """Plans how many runners of each kind to hold in each data centre.
 
-Reclaimable runners cost a fraction of the on-demand price, but the cloud may
-reclaim all of one data centre at once and offer no others for a while. The
-planner therefore holds enough of them for the load even after the loss of one
-data centre's. It adds on-demand runners when the reclaimable ones may not
-suffice: from the notice of a reclaim until reclaimable runners are available
-again.
+The kinds are reclaimable and on-demand runners, and the need is the number of
+runners that the load of a service keeps busy. Reclaimable runners cost a
+fraction of the on-demand price, but the cloud may reclaim all of one data
+centre at once and offer no others for a while. The planner therefore holds
+enough of them for the load even after the loss of one data centre's. It adds
+on-demand runners when the reclaimable ones may not suffice: from the notice of
+a reclaim until reclaimable runners are available again.
 """
 
 import collections
@@ -14,8 +15,9 @@
 
 from .. import clock as clocks
 
-#: The need is the maximum over this window, in seconds. A released runner
-#: loses its cache, and a replacement takes seconds to boot.
+#: A plan covers the greatest need of this window, in seconds, so that a runner
+#: is not released at once. A released runner loses its cache, and a
+#: replacement takes seconds to boot.
 PEAK_WINDOW_S = 5.0
 #: The window for reclaimable runners, in seconds. It is longer because they
 #: cost a quarter of the on-demand price and are ready for the next burst.
@@ -46,7 +48,10 @@
 
 
 class RunnerCounts:
-    """Numbers of runners in one data centre, by kind."""
+    """Numbers of runners in one data centre, by kind.
+
+    The numbers are of runners that are held, expected or planned.
+    """
 
     __slots__ = ("on_demand", "reclaimable")
 
@@ -66,7 +71,7 @@
 
 
 class ScalingTerms:
-    """Limits on the number of runners, and their prices.
+    """A service's limits on the number of runners, and their prices.
 
     :param min_runners: minimum per data centre, both kinds together.
     :param max_runners: maximum per data centre, both kinds together.
@@ -103,7 +108,7 @@
     """The number of runners needed at one time.
 
     :param at: time of the sample, in seconds.
-    :param measured: runners that the load kept busy.
+    :param measured: runners that the load kept busy at the target utilization.
     :param assumed: runners assumed to be needed until the load is known; 0
         afterwards.
     """
@@ -117,7 +122,11 @@
 
 
 class FleetMixPlanner:
-    """Plans the runners of one service."""
+    """Plans the runners of one service.
+
+    The caller passes it the serving runners and the need, and tells it which
+    orders the cloud accepted or refused.
+    """
 
     __slots__ = (
         "_clock",
@@ -132,6 +141,8 @@
         #: Time of the last refusal or reclaim; reset by an accepted order for
         #: more reclaimable runners.
         self._refused_at = float("-inf")
+        #: Reclaimable runners that served at the last observation, by data
+        #: centre.
         self._last_reclaimable: dict[str, int] = {}
         #: Number of runners in the last accepted order, and the time until
         #: which they count without being seen. The key is the data centre and
@@ -148,17 +159,26 @@
 
     @property
     def _scarce(self) -> bool:
+        """Whether reclaimable runners were refused or reclaimed recently."""
         return self._clock.now() < self._refused_at + SCARCITY_S
 
     def record_refusal(self, data_centre: str) -> None:
-        """Record that reclaimable runners are unavailable in a data centre."""
+        """Record that the cloud refused or reclaimed reclaimable runners.
+
+        They count as scarce in all data centres for :data:`SCARCITY_S`, and no
+        more of them are ordered for :data:`REORDER_DELAY_S`.
+        """
         self._refused_at = self._clock.now()
         self._accepted_orders.pop((data_centre, True), None)
 
     def record_accepted_order(
         self, data_centre: str, reclaimable: bool, count: int, boot_s: float
     ) -> None:
-        """Record an accepted order.
+        """Record an order that the cloud accepted.
+
+        For the boot time and :data:`BOOT_GRACE_S`, plans use its count instead
+        of that of the observed runners. An order for more reclaimable runners
+        ends their scarcity.
 
         :param count: runners of this kind that the data centre will hold.
         :param boot_s: time until the runners serve, in seconds.
@@ -266,10 +286,12 @@
         return max(minimum, min(keep, current))
 
     def _recent_needs(self, window_s: float) -> list[_NeedSample]:
+        """The samples of the last ``window_s`` seconds."""
         since = self._clock.now() - window_s
         return [need for need in self._need_samples if need.at >= since]
 
     def _peak(self, window_s: float) -> float:
+        """The greatest measured need of the last ``window_s`` seconds."""
         return max(need.measured for need in self._recent_needs(window_s))
 
     def _expected_count(
@@ -293,6 +315,7 @@
     def _detect_reclaims(
         self, held: typing.Mapping[str, RunnerCounts]
     ) -> None:
+        """Record a reclaim where the last reclaimable runner has gone."""
         current = {
             data_centre: holding.reclaimable
             for data_centre, holding in held.items()
@@ -308,7 +331,12 @@
         data_centres: list[str],
         held: typing.Mapping[str, RunnerCounts],
     ) -> dict[str, int]:
-        """The reclaimable runners to hold in each data centre."""
+        """The reclaimable runners to hold in each data centre.
+
+        All data centres get the same number, so that the others have enough
+        after the reclaim of one data centre's. While orders are delayed, the
+        expected runners are kept.
+        """
         if terms.reclaimable_price_ratio is None:
             return dict.fromkeys(data_centres, 0)
         expected = {
@@ -332,7 +360,10 @@
 
 
 def _surviving_reclaimable(holdings: typing.Mapping[str, RunnerCounts]) -> int:
-    """The reclaimable runners that remain after the largest reclaim."""
+    """The reclaimable runners that remain after the largest reclaim.
+
+    That is the loss of all of the data centre that has the most of them.
+    """
     counts = [holding.reclaimable for holding in holdings.values()]
     return sum(counts) - max(counts, default=0)
 
@@ -344,10 +375,14 @@
 ) -> dict[str, int]:
     """The minimum number of on-demand runners in each data centre.
 
-    A planned reclaimable runner does not count towards a data centre's
-    minimum, because its order may be refused. Counting it would stop an
-    on-demand runner before each refused order and start another one after it,
-    30 times a minute.
+    They make up for reclaimable runners that a data centre lacks to reach
+    ``min_runners``. A planned reclaimable runner does not count towards a data
+    centre's minimum, because its order may be refused. Counting it would stop
+    an on-demand runner before each refused order and start another one after
+    it, 30 times a minute.
+
+    :param reclaimable: planned reclaimable runners, by data centre.
+    :param serving: runners that count as serving, by data centre.
     """
     minimums = {}
     for data_centre, wanted in reclaimable.items():
@@ -421,9 +456,11 @@
     on_demand: typing.Mapping[str, int],
     reclaimable: typing.Mapping[str, int],
 ) -> dict[str, RunnerCounts]:
-    """Add the reclaimable runners for which the limits leave room.
+    """Combine the two kinds into a plan within the limits.
 
-    On-demand runners fill up a data centre that is below its minimum.
+    The reclaimable runners are reduced to those for which the on-demand ones
+    leave room below ``max_runners``. On-demand runners fill up a data centre
+    that is below its minimum.
     """
     plan = {}
     for data_centre, count in on_demand.items():
--- a/src/apricotlever/data_centres/model.py
+++ b/src/apricotlever/data_centres/model.py
@@ -1,4 +1,8 @@
-"""Places to buy runners at, runners that are held, and planner orders."""
+"""Places to buy runners at, runners that are held, and planner orders.
+
+The fleet pays for a held runner. A plan counts only those that are not about
+to end.
+"""
 
 import enum
 import typing
@@ -7,12 +11,17 @@
 class Market(enum.StrEnum):
     """How a VM is bought; the values are those of the cloud API."""
 
+    #: Cheaper, but the cloud may take the VM back at short notice.
     RECLAIMABLE = "reclaimable"
+    #: The VM stays until the fleet releases it.
     ON_DEMAND = "on_demand"
 
 
 class Place:
-    """A machine class in one market of one data centre."""
+    """A machine class in one market of one data centre.
+
+    It is the unit in which the cloud prices VMs and grants or refuses orders.
+    """
 
     __slots__ = ("data_centre", "machine", "market", "_key", "_hash")
 
@@ -41,6 +50,7 @@
 
     #: Ordered or starting; it can't serve yet.
     STARTING = "starting"
+    #: Running; it serves once its model is loaded.
     LIVE = "live"
     #: Drained, or announced for reclaim; it no longer counts as held.
     LEAVING = "leaving"
@@ -49,6 +59,7 @@
 class HeldRunner:
     """A runner that the fleet pays for.
 
+    :param vm: the name of the VM that it runs on.
     :param loaded: whether the entry's model is in its memory.
     :param busy: number of requests that it is processing.
     """
@@ -74,7 +85,8 @@
     """The demand of customers on an entry.
 
     :param requests_per_s: arrival rate, with or without smoothing.
-    :param service_s: time for which one request occupies a slot, in seconds.
+    :param service_s: time for which one request occupies a slot, the room for
+        one of a runner's concurrent requests, in seconds.
     :param wait_s: maximum wait for a slot within the latency target, in
         seconds.
     """
@@ -90,7 +102,7 @@
 
 
 class Buy:
-    """Buy a VM.
+    """The order to buy a VM for a runner.
 
     :param token: idempotency token; the cloud treats orders with the same
         token as one order.
@@ -104,7 +116,7 @@
 
 
 class Release:
-    """Drain a runner, then return its VM to the cloud."""
+    """The order to drain a runner, then return its VM to the cloud."""
 
     __slots__ = ("vm",)
 
@@ -113,7 +125,7 @@
 
 
 class LoadModel:
-    """Load the entry's model on a runner."""
+    """The order to load the entry's model on a runner."""
 
     __slots__ = ("vm",)
 
@@ -121,4 +133,5 @@
         self.vm = vm
 
 
+#: An order of a planner, which its caller carries out.
 PlannerAction: typing.TypeAlias = Buy | Release | LoadModel
--- a/src/apricotlever/data_centres/model_load_limiter.py
+++ b/src/apricotlever/data_centres/model_load_limiter.py
@@ -1,8 +1,13 @@
-"""Limits concurrent model loads to what the weight store allows."""
+"""Limits concurrent model loads to what the weight store allows.
+
+A runner that has started loads the weights of its model from this store.
+"""
 
 from .. import clock as clocks
 
+#: The limit of concurrent loads at the start.
 INITIAL_CONCURRENCY = 4.0
+#: The greatest value of the limit.
 MAX_CONCURRENCY = 256.0
 #: Time after which an unreported load counts as ended, in seconds.
 LOAD_TIMEOUT_S = 300.0
@@ -27,7 +32,7 @@
 
     @property
     def running(self) -> int:
-        """Number of running loads."""
+        """Number of loads that were started and have not ended or expired."""
         return len(self._running)
 
     @property
--- a/src/apricotlever/data_centres/pending_purchases.py
+++ b/src/apricotlever/data_centres/pending_purchases.py
@@ -12,7 +12,10 @@
 
 
 class _PendingPurchase:
-    """An order; its VM is empty until the cloud grants it."""
+    """An order whose VM the cloud doesn't list yet.
+
+    ``vm`` is the name of the VM, and empty until the cloud grants the order.
+    """
 
     __slots__ = ("order", "sent_at", "created_at", "vm")
 
@@ -42,7 +45,10 @@
         self._next_numbers: dict[model.Place, int] = {}
 
     def unlisted_places(self, listed: frozenset[str]) -> list[model.Place]:
-        """The places of orders whose VMs may still appear.
+        """The places of orders whose VMs may still appear in the cloud's list.
+
+        Their runners count as held, so that they are not ordered twice. Orders
+        whose VMs are listed or overdue are forgotten.
 
         :param listed: names of the VMs that the cloud lists.
         """
@@ -55,7 +61,7 @@
         return [purchase.order.place for purchase in self._pending.values()]
 
     def create(self, place: model.Place) -> model.Buy:
-        """Create an order."""
+        """Create the order for one VM, with a new idempotency token."""
         window = int(self._clock.wall() // TOKEN_WINDOW_S)
         if window != self._window:
             self._window, self._next_numbers = window, {}
@@ -67,7 +73,10 @@
         return buy
 
     def take_overdue(self) -> list[model.PlannerAction]:
-        """The orders to send again, as their answers are overdue."""
+        """The orders to send again, as their answers are overdue.
+
+        They keep their tokens, so the cloud doesn't carry them out twice.
+        """
         now = self._clock.now()
         overdue = [
             purchase
@@ -79,8 +88,10 @@
         return [purchase.order for purchase in overdue]
 
     def record_grant(self, token: str, vm: str) -> model.Place | None:
-        """Record that the cloud starts a VM.
+        """Record that the cloud starts a VM for an order.
 
+        :param token: the idempotency token of the order.
+        :param vm: the name of the VM.
         :returns: the place of the order; None if the order is not pending.
         """
         purchase = self._pending.get(token)
@@ -90,8 +101,9 @@
         return purchase.order.place
 
     def record_refusal(self, token: str) -> model.Place | None:
-        """Record that the cloud has no capacity for an order.
+        """Record that the cloud has no capacity for an order, and drop it.
 
+        :param token: the idempotency token of the order.
         :returns: the place of the order; None if the order is not pending.
         """
         purchase = self._pending.pop(token, None)
--- a/src/apricotlever/data_centres/placement.py
+++ b/src/apricotlever/data_centres/placement.py
@@ -1,4 +1,8 @@
-"""Chooses the cheapest places for the runners of an entry."""
+"""Chooses the cheapest places for the runners of an entry.
+
+A place (:class:`.model.Place`) lies in one data centre. The runners must be
+spread so that enough remain after the loss of any one data centre.
+"""
 
 import typing
 
@@ -8,7 +12,8 @@
 class Offer:
     """A place and the cost of a runner there.
 
-    :param cost: cost per hour, including that of expected reclaims.
+    :param cost: cost of one runner per hour, including that of expected
+        reclaims.
     :param most: maximum number of runners at this cost; None for no limit. A
         place may have several offers.
     """
@@ -23,6 +28,7 @@
         self.most = most
 
 
+#: The number of runners to hold at each place.
 Plan: typing.TypeAlias = dict[model.Place, int]
 
 
@@ -31,9 +37,10 @@
 ) -> Plan:
     """Choose how many runners to hold at each place.
 
-    For a given total, no data centre may hold more runners than the excess
-    over ``surviving``. The algorithm fills the cheapest places up to that
-    limit, for each possible total in turn.
+    For a given total, no data centre may hold more runners than the excess of
+    the total over ``surviving``, so that its loss leaves enough. The algorithm
+    fills the cheapest places up to that limit, for each possible total in
+    turn.
 
     :param needed: minimum number of runners.
     :param surviving: number of runners that must remain after the loss of any
@@ -59,15 +66,16 @@
 
 
 def survivors(plan: Plan) -> int:
-    """The number of runners that remain after the loss of any data centre.
+    """The number of a plan's runners that remain after the worst loss.
 
-    The data centre with the most runners determines it.
+    That is the loss of the data centre with the most runners.
     """
     total = sum(plan.values())
     return total - max(_by_data_centre(plan).values(), default=0)
 
 
 def _by_data_centre(plan: Plan) -> dict[str, int]:
+    """The number of a plan's runners in each data centre."""
     counts: dict[str, int] = {}
     for place, count in plan.items():
         counts[place.data_centre] = counts.get(place.data_centre, 0) + count
@@ -75,7 +83,7 @@
 
 
 class _CostedPlan:
-    """A plan with its cost."""
+    """A plan with its cost per hour."""
 
     __slots__ = ("plan", "cost")
 
@@ -91,6 +99,12 @@
 def _fill_cheapest(
     offers: typing.Sequence[Offer], total: int, per_data_centre: int
 ) -> _CostedPlan | None:
+    """Fill the cheapest offers first.
+
+    :param total: the number of runners.
+    :param per_data_centre: the greatest number of runners in a data centre.
+    :returns: the plan; None if the offers have no room for the total.
+    """
     remaining = total
     room = {offer.place.data_centre: per_data_centre for offer in offers}
     candidate = _CostedPlan()
@@ -106,8 +120,11 @@
 
 
 def _most_even(offers: typing.Sequence[Offer], needed: int) -> Plan:
-    # The offers don't allow the required spread, for example after refused
-    # starts. The plan is as even as they allow.
+    """A plan of the needed runners that is as even as the offers allow.
+
+    It is used if they don't allow the required spread, for example after
+    refused starts. If they have too little room, all of them are used.
+    """
     for per_data_centre in range(1, needed + 1):
         candidate = _fill_cheapest(offers, needed, per_data_centre)
         if candidate is not None:
--- a/src/apricotlever/data_centres/prefill_load.py
+++ b/src/apricotlever/data_centres/prefill_load.py
@@ -4,6 +4,11 @@
 depends on the contents of its cache. The load is therefore measured in
 uncached prompt tokens per second, relative to the prefill speed observed for
 single long prompts.
+
+Each VM measures the prompts that it sends (:class:`PrefillMeter`) and reports
+its figures; :class:`PrefillLoad` combines the reports of all VMs. The latency
+ratio of a call is its time to the first answer divided by the objective for
+that time.
 """
 
 import collections
@@ -16,22 +21,25 @@
 #: orders runners for a burst of a second, which ends before they are ready;
 #: a longer one reacts late to a rising load.
 RATE_WINDOW_S = 4.0
-#: Fraction of a runner's prefill speed to use. Calls arrive in bursts, so
-#: busier runners answer late although they are idle at times.
+#: Fraction of a runner's prefill speed that the load should use. Calls arrive
+#: in bursts, so busier runners answer late although they are idle at times.
 TARGET_PREFILL_UTILIZATION = 1.0
 #: Prompts with fewer uncached tokens measure the network latency rather than
 #: the prefill speed.
 MIN_SAMPLE_TOKENS = 800
+#: The number of latest prefill speeds that a VM keeps for a service.
 SPEED_SAMPLES = 64
-#: About two seconds of one VM's calls on a busy day.
+#: The number of latest latency ratios that a VM keeps for a service: about two
+#: seconds of one VM's calls on a busy day.
 LATENCY_SAMPLES = 24
 #: Factor by which the retained peak speed falls with each prompt that shows a
 #: lower one. It halves after 700 prompts, some minutes of one VM's calls.
 PEAK_SPEED_DECAY = 0.999
-#: Quantile of the observed speeds that is used. It is high because waiting
-#: can only lower an observed speed.
+#: Quantile of the observed speeds that is taken as the prefill speed. It is
+#: high because waiting can only lower an observed speed.
 SPEED_QUANTILE = 0.9
-#: Fraction of a runner's slots to use on average.
+#: Fraction of a runner's slots, the calls that it processes at the same time,
+#: that the load should use on average.
 TARGET_SLOT_UTILIZATION = 0.2
 #: A VM without a report for this time, in seconds, does not count. Until then
 #: its last report counts, since a late report does not mean that the load has
@@ -41,6 +49,8 @@
 #: means that more runners are needed than the token rate indicates, because
 #: caches were lost or a runner is slower than the others.
 TARGET_LATENCY_RATIO = 0.6
+#: Upper limit of the factor by which the latency ratio raises the number of
+#: runners.
 MAX_LATENCY_FACTOR = 2.5
 #: Upper limit of the latency ratio of a single call.
 MAX_LATENCY_RATIO = 3.0
@@ -85,7 +95,10 @@
 
     @property
     def latency_ratio(self) -> float:
-        """Mean time to the first answer, relative to its objective."""
+        """Mean latency ratio of this VM's latest calls; 0 while unknown.
+
+        The ratio is the time to the first answer divided by its objective.
+        """
         if not self._latency_ratios:
             return 0.0
         return sum(self._latency_ratios) / len(self._latency_ratios)
@@ -119,7 +132,7 @@
 
 
 class _ProcessReports:
-    """The reports of one process.
+    """The reports of one VM's process.
 
     ``totals`` holds pairs of a time in seconds and a token total.
     """
@@ -144,14 +157,14 @@
 
     @property
     def observed_for_s(self) -> float:
-        """Time since the first reported load, in seconds."""
+        """Time since the first reported load, in seconds; 0 before it."""
         if self._since is None:
             return 0.0
         return self._clock.now() - self._since
 
     @property
     def tokens_per_s(self) -> float:
-        """Uncached prompt tokens per second."""
+        """Uncached prompt tokens per second that all VMs send together."""
         now = self._clock.now()
         return sum(
             _token_rate(process.totals)
@@ -161,7 +174,10 @@
 
     @property
     def prefill_speed(self) -> float:
-        """Prefill speed of a runner in tokens per second; 0 while unknown."""
+        """Prefill speed of a runner in tokens per second; 0 while unknown.
+
+        It is the median of the speeds that the VMs report.
+        """
         speeds = sorted(
             process.prefill_speed
             for process in self._processes.values()
@@ -171,7 +187,10 @@
 
     @property
     def latency_ratio(self) -> float:
-        """Mean time to the first answer, relative to its objective."""
+        """Mean of the latency ratios that the VMs report; 0 while unknown.
+
+        The ratio is the time to the first answer divided by its objective.
+        """
         now = self._clock.now()
         reported = [
             process.latency_ratio
@@ -211,6 +230,9 @@
     def required_runners(self, in_flight: int, slots: int) -> float:
         """The number of runners that the load requires.
 
+        It is the greater one of what the slots and what the prefill of the
+        prompts require, but at least 1.
+
         :param in_flight: calls at all runners together.
         :param slots: calls that one runner processes at the same time.
         """
--- a/src/apricotlever/data_centres/price_book.py
+++ b/src/apricotlever/data_centres/price_book.py
@@ -1,4 +1,4 @@
-"""The latest known VM prices."""
+"""The latest known VM prices, by place (:class:`.model.Place`)."""
 
 import typing
 
@@ -6,7 +6,10 @@
 
 
 class PriceBook:
-    """Prices per hour by place; a place without a price is not offered."""
+    """Prices of a VM per hour, by place.
+
+    A place without a price is not offered by the cloud at present.
+    """
 
     __slots__ = ("_prices",)
 
@@ -14,7 +17,11 @@
         self._prices: dict[model.Place, float] = {}
 
     def update(self, prices: typing.Mapping[model.Place, float]) -> None:
-        """Replace all prices; a missing place is no longer offered."""
+        """Replace all prices.
+
+        :param prices: the price of a VM per hour at each place that the cloud
+            offers now.
+        """
         self._prices = dict(prices)
 
     def price_per_hour(self, place: model.Place) -> float | None:
--- a/src/apricotlever/data_centres/sizing.py
+++ b/src/apricotlever/data_centres/sizing.py
@@ -1,11 +1,16 @@
-"""Computes the number of slots that keep waits within the latency target."""
+"""Computes how many runners keep the waits within the latency target.
+
+A runner has a number of slots, each of which is room for one of its concurrent
+requests. A request that finds no free slot waits. It starts late if it waits
+longer than ``wait_s`` of the demand, what the latency target allows.
+"""
 
 import functools
 import math
 
 from . import model
 
-#: Default share of requests that may wait longer than allowed.
+#: Default share of requests that may start late.
 LATE_SHARE = 0.05
 #: Maximum load, in busy slots, for which the exact formula is used.
 MAX_EXACT_LOAD = 2000
@@ -14,8 +19,9 @@
 def runners_needed(
     demand: model.Demand, slots_per_runner: int, late_share: float = LATE_SHARE
 ) -> int:
-    """The number of runners that start enough requests in time.
+    """The minimum number of runners at which few enough requests start late.
 
+    :param demand: rate and service time of the requests, and allowed wait.
     :param late_share: share of requests that may wait longer than ``wait_s``.
     """
     slots = slots_needed(demand, late_share)
@@ -23,7 +29,7 @@
 
 
 def slots_needed(demand: model.Demand, late_share: float = LATE_SHARE) -> int:
-    """The minimum number of slots that meets the share of late starts.
+    """The minimum number of slots at which few enough requests start late.
 
     Uses the Erlang C formula. For large loads, for which the formula is slow
     to compute, the square-root staffing rule differs by only a few slots.
@@ -60,6 +66,10 @@
 
 @functools.lru_cache(maxsize=4096)
 def _erlang_c(load: float, slots: int) -> float:
+    """The probability that a request finds no free slot.
+
+    :param load: the mean number of busy slots, lower than ``slots``.
+    """
     blocked = 1.0
     for number in range(1, slots + 1):
         blocked = load * blocked / (number + load * blocked)
--- a/src/apricotlever/data_centres/start_backoff.py
+++ b/src/apricotlever/data_centres/start_backoff.py
@@ -1,11 +1,17 @@
-"""Delays further VM orders at a place after a refused one."""
+"""Delays further VM orders at a place after a refused one.
+
+The cloud refuses an order if it has no capacity at the place
+(:class:`.model.Place`).
+"""
 
 import random
 
 from .. import clock as clocks
 from . import model
 
+#: The delay after the first refusal, before jitter.
 INITIAL_DELAY_S = 10.0
+#: Factor by which each further refusal in a row increases the delay.
 DELAY_FACTOR = 2.0
 MAX_DELAY_S = 600.0
 
@@ -26,7 +32,11 @@
         self._blocked_until: dict[model.Place, float] = {}
 
     def record_refusal(self, place: model.Place) -> None:
-        """Record a refusal; refusals during a delay don't extend it."""
+        """Record that the cloud refused an order at a place.
+
+        A refusal during a delay is that of an earlier order and doesn't extend
+        the delay.
+        """
         if not self.may_start(place):
             return
         previous_s = self._delays_s.get(place)
@@ -42,7 +52,7 @@
         )
 
     def record_grant(self, place: model.Place) -> None:
-        """Record a VM that the cloud granted."""
+        """Record that the cloud granted a VM, which ends the place's delay."""
         self._delays_s.pop(place, None)
         self._blocked_until.pop(place, None)
 
