--- a/src/apricotlever/contracts/admission.py
+++ b/src/apricotlever/contracts/admission.py
@@ -24,6 +24,8 @@
 RefusalReason = tickets.RefusalReason
 Verdict = tickets.Verdict
 
+#: Retry delay in seconds for a request whose entry or service class is not in
+#: the catalogue.
 UNKNOWN_ENTRY_RETRY_S = 5.0
 
 
@@ -105,7 +107,10 @@
         return self._pool_admissions
 
     def configure(self, catalogue: catalogue_model.Catalogue) -> None:
-        """Apply a catalogue; queued and running requests stay."""
+        """Apply a new catalogue, with its limits and the customers' weights.
+
+        Queued and running requests are kept.
+        """
         self._catalogue = catalogue
         self._classes.update(catalogue.classes)
         kinds = fleet_shares.LimitKind
--- a/src/apricotlever/contracts/call_budget.py
+++ b/src/apricotlever/contracts/call_budget.py
@@ -25,7 +25,10 @@
 
 
 class CallPriority(enum.IntEnum):
-    """The priority of a call; the lowest number goes first."""
+    """The priority of a call to the object API; the lowest number goes first.
+
+    Each priority is named after what the call reads or writes.
+    """
 
     CLAIM = 0
     LEASE = 1
@@ -71,7 +74,7 @@
         return self._fleet_rate_per_s * self._factor / fleet_size
 
     def refill(self, now: float, fleet_size: int) -> None:
-        """Add the tokens gained since the last call."""
+        """Add the tokens gained since the last call and recover the rate."""
         elapsed_s = max(0.0, now - max(self._refilled_at, self._paused_until))
         recovered = self._factor + elapsed_s * FACTOR_RECOVERY_PER_S
         self._factor = min(1.0, recovered)
--- a/src/apricotlever/contracts/entry_limits.py
+++ b/src/apricotlever/contracts/entry_limits.py
@@ -137,7 +137,10 @@
         self._tokens_demand += tokens / DEMAND_DECAY_S
 
     def may_start(self, tokens: float) -> bool:
-        """Return whether a request of so many tokens may be admitted now."""
+        """Return whether all limits have room for a request now.
+
+        :param tokens: tokens of the prompt and of the expected answer.
+        """
         return (
             (self._concurrency is None or self._in_flight < self._concurrency)
             and (
@@ -152,7 +155,12 @@
         )
 
     def record_admitted(self, tokens: float) -> None:
-        """Charge an admitted request to the limits."""
+        """Charge an admitted request to the limits.
+
+        Its spend is charged by the spend meter when it ends.
+
+        :param tokens: tokens of the prompt and of the expected answer.
+        """
         self._in_flight += 1
         if self._request_bucket is not None:
             self._request_bucket.charge(1.0)
--- a/src/apricotlever/contracts/fair_queue.py
+++ b/src/apricotlever/contracts/fair_queue.py
@@ -173,7 +173,10 @@
         flow.start_tag += max(MIN_TOKENS, tokens) / flow.weight
 
     def remove(self, request_id: str) -> tickets.Ticket | None:
-        """Remove a ticket from any position; None if it is not queued."""
+        """Remove a ticket from the queue without serving it.
+
+        :returns: the ticket; None if it is not queued.
+        """
         queued = self._by_request.get(request_id)
         if queued is None:
             return None
@@ -208,7 +211,12 @@
         )
 
     def last_to_serve(self, customer: str) -> QueuedTicket | None:
-        """Return the ticket of a customer that is served last, if any."""
+        """Return the last of a customer's tickets to be served.
+
+        It is of the class that is shed first.
+
+        :returns: the ticket; None if the customer has none in the queue.
+        """
         flow = self._flows.get(customer)
         return flow.waiting[-1] if flow and flow.waiting else None
 
--- a/src/apricotlever/contracts/fleet_rate_limit.py
+++ b/src/apricotlever/contracts/fleet_rate_limit.py
@@ -302,7 +302,10 @@
         self._tick_level = max(0.0, usable_level)
 
     def remove_member(self, member: str) -> None:
-        """Forget a VM's process that has ended."""
+        """Forget the total of a VM's process that has ended.
+
+        The units that it admitted stay charged.
+        """
         self._totals.pop(member, None)
         self._early_at.pop(member, None)
         self._presence.last_contact.pop(member, None)
@@ -344,7 +347,10 @@
         return self._tick_level * min(1.0, TICK_SHARE_FACTOR / fleet_size)
 
     def refund(self, units: float) -> None:
-        """Refund the units of an admitted call that did not run."""
+        """Give back the units that an admitted call took but did not use.
+
+        :param units: the units of the call, which did not run.
+        """
         self._credit(units)
         self._tick_admitted = max(0.0, self._tick_admitted - units)
         self._admitted_units -= units
--- a/src/apricotlever/contracts/pool_admission.py
+++ b/src/apricotlever/contracts/pool_admission.py
@@ -45,6 +45,7 @@
         self.first_token_at: float | None = None
 
 
+#: Finds the limits of an entry and a service class by their names.
 LimitsLookup = typing.Callable[[str], entry_limits.EntryLimits]
 ClassLookup = typing.Callable[[str], catalogue_model.ServiceClass]
 
--- a/src/apricotlever/contracts/retry_after.py
+++ b/src/apricotlever/contracts/retry_after.py
@@ -4,6 +4,7 @@
 
 from .. import clock as clocks
 
+#: The least and the greatest retry delay, before jitter.
 MIN_RETRY_S = 0.2
 MAX_RETRY_S = 30.0
 #: The greatest jitter, as a fraction of the retry delay.
--- a/src/apricotlever/contracts/retry_policy.py
+++ b/src/apricotlever/contracts/retry_policy.py
@@ -82,10 +82,15 @@
 class NoRetryReason(enum.Enum):
     """Why a request is not sent again."""
 
+    #: It may have run, and running it twice may do harm.
     NOT_IDEMPOTENT = "not_idempotent"
+    #: It has had all its attempts.
     ATTEMPTS = "attempts"
+    #: Another attempt is not expected to answer before the deadline.
     DEADLINE = "deadline"
+    #: No runner accepts new work.
     NO_RUNNER = "no_runner"
+    #: The retry budget of its entry is used up.
     BUDGET = "budget"
 
 
--- a/src/apricotlever/data_centres/reclaim_risk.py
+++ b/src/apricotlever/data_centres/reclaim_risk.py
@@ -59,7 +59,7 @@
         self._counts_of(place).vm_hours += vms * seconds / HOUR_S
 
     def record_reclaims(self, place: model.Place, vms: int = 1) -> None:
-        """Record VMs that the cloud reclaimed."""
+        """Record that the cloud reclaimed a number of VMs at a place."""
         self._counts_of(place).reclaims += vms
 
     def reclaims_per_hour(self, place: model.Place) -> float:
--- a/src/apricotlever/runners/circuit_breaker.py
+++ b/src/apricotlever/runners/circuit_breaker.py
@@ -24,6 +24,7 @@
 MAX_OPEN_S = 30.0
 #: A probe whose end was not reported expires after this time.
 PROBE_TIMEOUT_S = 30.0
+#: Duration of the slow start.
 SLOW_START_S = 10.0
 #: The share of its slots that a runner may use when its slow start begins.
 SLOW_START_SHARE = 0.2
@@ -116,7 +117,10 @@
         self._probe_until = 0.0
 
     def succeeded(self) -> None:
-        """Record an answered request and close the circuit."""
+        """Record an answered request and close the circuit.
+
+        If it was not closed, the runner begins a slow start.
+        """
         if self._open_duration_s:
             self._slow_start_until = self._clock.now() + SLOW_START_S
         self._failures = 0
--- a/src/apricotlever/runners/crash_blocklist.py
+++ b/src/apricotlever/runners/crash_blocklist.py
@@ -147,7 +147,10 @@
         self._quarantine.set_sizes(sizes)
 
     def connection_broken(self, runner: str, fingerprint: str) -> None:
-        """Record that a call's connection broke before the answer ended."""
+        """Record that a call's connection broke before the answer ended.
+
+        The call becomes a suspect if its runner turns out to have crashed.
+        """
         now = self._clock.now()
         calls = self._broken_calls.setdefault(runner, [])
         calls.append(_BrokenCall(now, fingerprint))
--- a/src/apricotlever/runners/in_flight.py
+++ b/src/apricotlever/runners/in_flight.py
@@ -84,8 +84,8 @@
     def first_token(self, request_id: str) -> None:
         """Record the arrival of the first token or byte of an answer.
 
-        The latency model learns this time only from requests that found a
-        free slot, as it does not include waiting.
+        The latency model learns only from requests that found a free slot,
+        since the time to the first token that it gives excludes waiting.
         """
         request = self._requests.get(request_id)
         if request is None or request.first_at is not None:
--- a/src/apricotlever/runners/load.py
+++ b/src/apricotlever/runners/load.py
@@ -14,7 +14,8 @@
 from .. import clock as clocks
 from . import model as models
 
-#: How long past counts of own requests are kept to correct a report.
+#: How long, and how many, past counts of this VM's requests at a runner are
+#: kept. A report is corrected by the count at the time at which it was made.
 HISTORY_S = 30.0
 HISTORY_ENTRIES = 512
 #: Age from which a report says nothing about other VMs' requests.
@@ -151,7 +152,7 @@
             self._history.popleft()
 
     def _own_at(self, when: float) -> int:
-        """The number of own requests in flight at a past time."""
+        """The number of this VM's requests in flight at a past time."""
         index = bisect.bisect_right(
             self._history, when, key=lambda item: item[0]
         )
--- a/src/apricotlever/runners/outlier_detector.py
+++ b/src/apricotlever/runners/outlier_detector.py
@@ -36,8 +36,9 @@
 #: A runner with a lower failure share is not ejected, as such shares occur in
 #: normal operation.
 MIN_FAILURE_SHARE = 0.15
-#: Duration of the first ejection, in seconds. It doubles each time that the
-#: runner is ejected again soon after. An ejected runner is not observed.
+#: Duration of the first ejection, in seconds. It doubles, up to a maximum,
+#: each time that the runner is ejected again soon after. An ejected runner is
+#: not observed.
 INITIAL_EJECTION_S = 3.0
 MAX_EJECTION_S = 24.0
 #: A runner that is not ejected for this many seconds after its return starts
--- a/src/apricotlever/runners/silence_detector.py
+++ b/src/apricotlever/runners/silence_detector.py
@@ -92,7 +92,11 @@
             activity.calls -= 1
 
     def set_peer_counts(self, counts: typing.Mapping[str, int]) -> None:
-        """Set how many other VMs report each runner as silent."""
+        """Set how many other VMs report each runner as silent.
+
+        Runners with at least :data:`MIN_PEER_REPORTS` reports count as silent
+        here, too, unless this VM has just received bytes from them.
+        """
         self._reported_silent = frozenset(
             runner
             for runner, count in counts.items()
--- a/src/apricotlever/runners/subset.py
+++ b/src/apricotlever/runners/subset.py
@@ -10,6 +10,7 @@
 
 from ..vms import rendezvous
 
+#: The number of runners that a VM gets on average, by default.
 DEFAULT_SUBSET_SIZE = 64
 
 
