--- a/src/apricotlever/contracts/retry_after.py
+++ b/src/apricotlever/contracts/retry_after.py
@@ -1,9 +1,10 @@
-"""Decides when a refused caller should retry."""
+"""Computes the retry delay that a refused caller is told."""
 
 import random
 
 from .. import clock as clocks
 
+#: The least and the greatest retry delay, before jitter.
 MIN_RETRY_S = 0.2
 MAX_RETRY_S = 30.0
 #: The greatest jitter, as a fraction of the retry delay.
@@ -50,7 +51,7 @@
         return (retry_at - now) * (1.0 + JITTER_FRACTION * self._rng.random())
 
     def tick(self) -> None:
-        """Forget retry times that have passed."""
+        """Forget retry times that have passed, to bound the memory."""
         now = self._clock.now()
         self._latest_by_customer = {
             c: retry_at
