--- a/src/apricotlever/daemon/gateway.py
+++ b/src/apricotlever/daemon/gateway.py
@@ -180,7 +180,7 @@
             )
             raise refusals.Refusal(
                 refusals.OVERLOADED,
-                "this entry VM runs too many requests",
+                "too many requests are running here",
                 retry_after_s=1.0,
                 request_id=request.request_id,
             )
--- a/src/apricotlever/daemon/incoming_handover.py
+++ b/src/apricotlever/daemon/incoming_handover.py
@@ -61,7 +61,7 @@
             return _refusal(error.message)
         match action:
             case handover_receiver.WrongSuccessor():
-                return _refusal("the part is addressed to another incarnation")
+                return _refusal("meant for another incarnation")
             case handover_receiver.AdoptRecords():
                 self._adopt_requests(action.sender.vm, action.records)
             case handover_receiver.AdoptLedger():
@@ -82,9 +82,7 @@
         adopt = ledger_task.AdoptLedger(action.state)
         receipt = self._context.ledger.ask(adopt).result()
         if not receipt.accepted:
-            return _refusal(
-                "this VM does not adopt a ledger because it is leaving"
-            )
+            return _refusal("this VM is leaving too")
         logs.event("handover_taken", sender=receipt.sender.vm, ledger=True)
         rumour = gossip_messages.ledger_moved_rumour(
             receipt.sender, receipt.successor
--- a/src/apricotlever/daemon/orphaned_streams.py
+++ b/src/apricotlever/daemon/orphaned_streams.py
@@ -64,7 +64,7 @@
         if not has_room:
             raise refusals.Refusal(
                 refusals.OVERLOADED,
-                "this entry VM runs too many requests",
+                "too many requests are running here",
                 refusals.Executed.UNKNOWN,
                 1.0,
                 token.request_id,
--- a/src/apricotlever/daemon/request_lookup.py
+++ b/src/apricotlever/daemon/request_lookup.py
@@ -134,7 +134,7 @@
     if record.state is records.RequestState.RUNNING:
         raise refusals.Refusal(
             refusals.LEAVING,
-            "the request is being handed over to another entry VM; retry",
+            "the request is moving between entry VMs; ask again",
             refusals.Executed.UNKNOWN,
             0.2,
             record.request_id,
