--- a/src/apricotlever/serving/call_execution.py
+++ b/src/apricotlever/serving/call_execution.py
@@ -18,30 +18,31 @@
 if typing.TYPE_CHECKING:
     from . import call_relay
 
-#: Runners that may be unreachable or reject the call before the call is
-#: refused.
+#: Number of runners that may be unreachable or reject a call before the call
+#: is refused.
 MAX_REJECTIONS = 3
 #: A call that may be repeated waits for a runner's response to begin for this
 #: multiple of the route's objective, and at least for this many seconds.
 FIRST_RESPONSE_OBJECTIVE_FACTOR = 2.5
 MIN_FIRST_RESPONSE_TIMEOUT_S = 0.6
-#: Share of the time left that this wait must stay below, so that the rest
-#: suffices for a second runner; otherwise the wait ends only at the deadline.
+#: Share of the call's remaining time that the wait for the start of a response
+#: must stay below, so that the rest suffices for a second runner; otherwise
+#: the wait ends only at the deadline.
 FIRST_ATTEMPT_SHARE = 0.7
 #: Time left below which a failure is not retried, in seconds.
 MIN_RETRY_TIME_S = 0.05
-#: ``Retry-After`` of a call that no runner has taken, in seconds.
+#: ``Retry-After`` of a call that no runner has accepted, in seconds.
 NO_RUNNER_RETRY_AFTER_S = 0.4
-#: Least time that a runner is given for a call, in seconds, so that no runner
-#: receives a zero.
+#: Minimum time limit that a runner is given for a call, in seconds, so that no
+#: runner receives a limit of zero.
 MIN_RUNNER_TIME_S = 0.001
 
 
 class NotServed(Exception):
     """The call ends without a runner's response.
 
-    :param status: 503 promises that the call has not run; 502 and 504
-        promise nothing.
+    :param status: 503 guarantees that the call has not run; 502 and 504
+        guarantee nothing.
     :param retry_after_s: after how many seconds the caller may retry.
     """
 
@@ -57,7 +58,7 @@
 class CallExecution:
     """Runs one call by attempts at one runner after another.
 
-    Implements :class:`.attempt.EventSink` for the attempts of a stream.
+    Implements :class:`.runner_attempt.EventSink` for the attempts of a stream.
 
     :param service: the service whose runners may run the call.
     """
@@ -183,7 +184,9 @@
             raise self._not_served("no_runner")
         self.runner_id = runner.runner_id
         self._tried_runners.add(runner.runner_id)
-        errand = self._errand(runner, upstreams.fetch_source(query, runner))
+        parameters = self._runner_call_parameters(
+            runner, upstreams.fetch_source(query, runner)
+        )
         logs.event(
             "request_routed",
             request=self._call.request_id,
@@ -191,14 +194,14 @@
             runner=runner.runner_id,
             in_flight=upstreams.in_flight.get(runner.runner_id, 0),
             revision=runner.revision,
-            copy_from=errand.copy_from,
-            left_s=errand.remaining_s,
+            copy_from=parameters.copy_from,
+            left_s=parameters.remaining_s,
             attempt=self.sends + 1,
         )
         attempt = attempts.Attempt(
             f"{self._call.request_id}.{self._relay.next_attempt_number()}",
             self._call,
-            errand,
+            parameters,
             runner,
             query,
             upstreams,
@@ -242,10 +245,10 @@
         return outcome
 
     def _check_crash_blocklist(self, crashes: crash_watch.CrashWatch) -> None:
-        """Stop a call that matches calls which crashed their runners.
+        """Refuse a call that matches calls which crashed their runners.
 
-        Runs before each attempt: a failed connection may just have shown
-        that the runner of an earlier attempt crashed.
+        This check runs before each attempt, because a failed connection may
+        just have shown that the runner of an earlier attempt crashed.
 
         :raises NotServed: when the call is blocked.
         """
@@ -257,7 +260,7 @@
             error.retry_after_s = wait_s
         raise error
 
-    def _errand(
+    def _runner_call_parameters(
         self, runner: runners.Runner, copy_from: str | None
     ) -> messages.RunnerCallParameters:
         left_s = (
@@ -351,7 +354,7 @@
         self._reply.send_whole(outcome.head.status, headers, outcome.body)
         self.served = 200 <= outcome.head.status < 300
 
-    # Methods of attempt.EventSink.
+    # Methods of runner_attempt.EventSink.
 
     def write_events(
         self, head: messages.RunnerResponseHead, data: bytes, count: int
--- a/src/apricotlever/serving/runner_attempt.py
+++ b/src/apricotlever/serving/runner_attempt.py
@@ -24,9 +24,10 @@
 #: A cancelled call without any response counts as a failure of the runner if
 #: it had waited for more than this multiple of its objective.
 HANG_OBJECTIVE_FACTOR = 2.0
-#: Timeout for opening a connection to a runner, in seconds. Opening one takes
-#: a few milliseconds. After a lost first packet, or to an unreachable runner,
-#: it takes a second or more, in which another runner could have answered.
+#: Timeout for opening a connection to a runner, in seconds. Opening a
+#: connection takes a few milliseconds. After a lost first packet, or to an
+#: unreachable runner, opening it takes a second or more, in which another
+#: runner could have answered.
 CONNECT_TIMEOUT_S = 0.35
 
 
@@ -37,7 +38,7 @@
     ANSWERED = "answered"
     #: No byte of the call was sent.
     NOT_SENT = "not_sent"
-    #: The runner promised that it has not run the call and never will.
+    #: The runner guaranteed that it has not run the call and never will.
     NOT_RUN = "not_run"
     #: The call may have run, and no complete response will come.
     BROKEN = "broken"
@@ -99,19 +100,19 @@
 class Attempt:
     """Sends a call to a runner and reads the response.
 
-    :param name: unique among this VM's attempts.
-    :param errand: what the runner is told in addition to the call.
+    :param attempt_id: unique among this VM's attempts.
+    :param parameters: values that the runner receives with the call.
     :param sink: receives the events of a stream; None if the response is not
         a stream.
     """
 
     __slots__ = (
         "_dialect",
-        "_errand",
+        "_parameters",
         "_call",
         "_failure",
         "_head",
-        "_name",
+        "_attempt_id",
         "_pool",
         "_query",
         "_runner",
@@ -121,18 +122,18 @@
 
     def __init__(
         self,
-        name: str,
+        attempt_id: str,
         call: messages.CallerCall,
-        errand: messages.RunnerCallParameters,
+        parameters: messages.RunnerCallParameters,
         runner: runners.Runner,
         query: models.Query,
         upstreams_: upstreams.Upstreams,
         dialect: dialects.RunnerDialect,
         sink: EventSink | None,
     ) -> None:
-        self._name = name
+        self._attempt_id = attempt_id
         self._call = call
-        self._errand = errand
+        self._parameters = parameters
         self._runner = runner
         self._query = query
         self._upstreams = upstreams_
@@ -172,10 +173,12 @@
         result = models.Outcome.CANCELLED
         outlier_failure = reusable = False
         started_at = asyncio.get_running_loop().time()
-        self._upstreams.call_started(self._name, self._runner, self._query)
+        self._upstreams.call_started(
+            self._attempt_id, self._runner, self._query
+        )
         try:
             channel.send(
-                self._dialect.encode_request(self._call, self._errand),
+                self._dialect.encode_request(self._call, self._parameters),
                 self._is_own_response,
             )
             outcome = await self._read_response(
@@ -201,7 +204,7 @@
             raise
         finally:
             self._upstreams.call_finished(
-                self._name,
+                self._attempt_id,
                 self._runner,
                 result,
                 outlier_failure=outlier_failure,
@@ -260,8 +263,8 @@
                 AttemptStatus.BROKEN, reason="no_answer_in_time"
             )
         if head.other_runner or head.not_run:
-            # The head alone promises that the call has not run; the promise
-            # holds even if the body is lost.
+            # The head alone guarantees that the call has not run, even if
+            # the body is lost.
             with contextlib.suppress(client_channel.Broken):
                 await _read_body(channel)
             if head.other_runner:
@@ -275,7 +278,7 @@
             return AttemptOutcome(AttemptStatus.BROKEN, reason="unsigned")
         if self._is_stream(head):
             return await self._forward_stream(channel, head, expect_more)
-        self._upstreams.response_started(self._name)
+        self._upstreams.response_started(self._attempt_id)
         body = await _read_body(channel)
         return AttemptOutcome(AttemptStatus.ANSWERED, head, body)
 
@@ -301,7 +304,7 @@
             before = self._sink.splitter.last_id
             self._forward(head, data)
             if self._sink.splitter.last_id != before:
-                self._upstreams.response_started(self._name)
+                self._upstreams.response_started(self._attempt_id)
                 return True
         return False
 
--- a/standins/plain_dialect.py
+++ b/standins/plain_dialect.py
@@ -67,20 +67,20 @@
     A runner marks its own answers with the header Signed.
     """
 
-    def encode_request(self, call, errand):
+    def encode_request(self, call, parameters):
         """Encode a request with its headers and body."""
         lines = [
             f"{call.method} {call.target} HTTP/1.1",
             f"Host: {call.host}",
             f"Call-Id: {call.request_id}",
-            f"For-Runner: {errand.runner}",
-            f"Left-S: {errand.remaining_s:.3f}",
+            f"For-Runner: {parameters.runner}",
+            f"Left-S: {parameters.remaining_s:.3f}",
             f"Content-Length: {len(call.body)}",
         ]
-        if errand.customer is not None:
-            lines.append(f"Customer: {errand.customer}")
-        if errand.resume_after is not None:
-            lines.append(f"After: {errand.resume_after}")
+        if parameters.customer is not None:
+            lines.append(f"Customer: {parameters.customer}")
+        if parameters.resume_after is not None:
+            lines.append(f"After: {parameters.resume_after}")
         return "\r\n".join([*lines, "", ""]).encode() + call.body
 
     def parse_response_head(self, status, headers):
