--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -66,31 +66,31 @@
     :param folder: for logs and the runners' journal.
     """
     rng = random.Random(seed)
-    processes = fleet.Fleet(folder)
+    test_fleet = fleet.Fleet(folder)
     schedule = faults.plan(rng, seconds)
     try:
-        await processes.start(VM_COUNT, RUNNER_COUNT)
-        caller_group = callers.CallerGroup(processes, rng)
+        await test_fleet.start(VM_COUNT, RUNNER_COUNT)
+        caller_group = callers.CallerGroup(test_fleet, rng)
         tasks = [
             asyncio.ensure_future(caller_group.run())
             for _ in range(CALLER_COUNT)
         ]
-        await _inject_faults(processes, schedule, rng)
+        await _inject_faults(test_fleet, schedule, rng)
         await asyncio.sleep(RECOVERY_S)
         quiet_since_s = caller_group.elapsed_s
         await asyncio.sleep(QUIET_PERIOD_S)
         caller_group.stop()
         await asyncio.gather(*tasks)
         violations = checks.find_violations(
-            caller_group.calls, processes.executions(), quiet_since_s
+            caller_group.calls, test_fleet.executions(), quiet_since_s
         )
         return SoakResult(seed, caller_group.calls, schedule, violations)
     finally:
-        processes.close()
+        test_fleet.close()
 
 
 async def _inject_faults(
-    processes: fleet.Fleet,
+    test_fleet: fleet.Fleet,
     schedule: list[tuple[float, str]],
     rng: random.Random,
 ) -> None:
@@ -102,7 +102,7 @@
         await asyncio.sleep(max(0.0, at - now))
         fault_rng = random.Random(rng.random())
         tasks.append(
-            asyncio.ensure_future(faults.FAULTS[name](processes, fault_rng))
+            asyncio.ensure_future(faults.FAULTS[name](test_fleet, fault_rng))
         )
     await asyncio.gather(*tasks)
 
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -16,7 +16,7 @@
 #: The deadline that a caller declares in each call, in seconds.
 CALL_TIMEOUT_S = 5.0
 #: Probability that a connection is kept open after a call.
-KEEP_ALIVE_SHARE = 0.7
+KEEP_ALIVE_PROBABILITY = 0.7
 TRAILING_READ_BYTES = 4096
 #: Call id, customer and path of each execution on a runner.
 Executions = typing.Sequence[typing.Sequence[str]]
@@ -111,12 +111,12 @@
 class CallerGroup:
     """Independent callers; each sends one call at a time.
 
-    :param processes: the fleet that the callers call.
+    :param test_fleet: the fleet that the callers call.
     :param rng: source of all random choices of the callers.
     """
 
-    def __init__(self, processes: fleet.Fleet, rng: random.Random) -> None:
-        self._fleet = processes
+    def __init__(self, test_fleet: fleet.Fleet, rng: random.Random) -> None:
+        self._fleet = test_fleet
         self._rng = rng
         self._call_numbers = itertools.count(1)
         self._started_at = asyncio.get_running_loop().time()
@@ -160,7 +160,7 @@
             f"c-{next(self._call_numbers)}", prefix, vm_name, self.elapsed_s
         )
         self.calls.append(call)
-        keep = self._rng.random() < KEEP_ALIVE_SHARE
+        keep = self._rng.random() < KEEP_ALIVE_PROBABILITY
         try:
             async with asyncio.timeout(CALL_TIMEOUT_S + 1.0):
                 if connection is None:
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -40,7 +40,7 @@
     executions: callers.Executions,
     execution_counts: dict[str, int],
 ) -> list[str]:
-    """Check that each execution was requested and none repeated wrongly."""
+    """Check that each execution was requested and none wrongly repeated."""
     sent = {call.call_id: call for call in calls}
     violations = []
     for call_id, customer, path in executions:
--- a/soak/dialect.py
+++ b/soak/dialect.py
@@ -16,7 +16,7 @@
 RUNNERS_KIND = "runners"
 
 
-#: Predicate of each field of a runner's entry.
+#: The predicate that each field of a runner's entry must satisfy.
 _ENTRY_FIELDS: dict[str, validation.Predicate] = {
     "service": validation.is_non_empty_string,
     "host": validation.is_non_empty_string,
@@ -35,7 +35,7 @@
     )
 
 
-class Documents:
+class SoakPlatformDialect:
     """Platform dialect of the soak test."""
 
     configuration_kind = CONFIGURATION_KIND
@@ -61,7 +61,10 @@
         )
 
     def parse_runner(self, stored: store.StoredObject) -> runners.RunnerEntry:
-        """Decode the entry of a runner; an invalid one is unreadable."""
+        """Decode the entry of a runner.
+
+        :returns: an :class:`.UnreadableEntry` for an invalid entry.
+        """
         spec = stored.spec
         if not _is_valid_entry(spec):
             return runners.UnreadableEntry(
@@ -152,8 +155,8 @@
     ) -> store.Call:
         """Replace the value of an object.
 
-        :param revision: that the object must be at, 0 for one that must not
-            exist yet; None for any.
+        :param revision: the revision that the object must have; 0 if the
+            object must not exist yet, None for any revision.
         """
         query = "" if revision is None else f"?at={revision}"
         body = json.dumps({"value": spec}).encode()
@@ -167,7 +170,7 @@
         """Decode a list."""
         document = json.loads(body)
         return store.Page(
-            [_stored(item) for item in document["items"]],
+            [_stored_object(item) for item in document["items"]],
             False,
             document["version"],
         )
@@ -177,7 +180,7 @@
         document = json.loads(body)
         return store.Changes(
             [
-                store.Change(_stored(event), event["value"] is None)
+                store.Change(_stored_object(event), event["value"] is None)
                 for event in document["events"]
             ],
             document["version"],
@@ -185,10 +188,10 @@
 
     def decode_object(self, body: bytes) -> store.StoredObject:
         """Decode one object; the answer to a write has no value."""
-        return _stored(json.loads(body))
+        return _stored_object(json.loads(body))
 
 
-def _stored(document: dict[str, typing.Any]) -> store.StoredObject:
+def _stored_object(document: dict[str, typing.Any]) -> store.StoredObject:
     name = document["name"].rpartition("/")[2]
     return store.StoredObject(
         name, document["version"], document.get("value"), None
@@ -196,10 +199,10 @@
 
 
 @dialects.register_dialect("soak")
-def make() -> dialects.Dialect:
+def make_dialect() -> dialects.Dialect:
     """Make the dialect of the soak test."""
     return dialects.Dialect(
         plain_dialect.PlainCallerDialect(),
         plain_dialect.PlainRunnerDialect(),
-        Documents(),
+        SoakPlatformDialect(),
     )
--- a/soak/runner.py
+++ b/soak/runner.py
@@ -100,15 +100,17 @@
     return head[0].split()[1], headers
 
 
-def _response(status: int, call_id: str, body: str, *more: str) -> bytes:
+def _response(
+    status: int, call_id: str, body: str, *extra_headers: str
+) -> bytes:
     return _response_head(
-        status, call_id, f"Content-Length: {len(body)}", *more
+        status, call_id, f"Content-Length: {len(body)}", *extra_headers
     ) + (body.encode())
 
 
-def _response_head(status: int, call_id: str, *more: str) -> bytes:
+def _response_head(status: int, call_id: str, *extra_headers: str) -> bytes:
     lines = [f"HTTP/1.1 {status} X", f"Call-Id: {call_id}", "Signed: yes"]
-    return "\r\n".join([*lines, *more, "", ""]).encode()
+    return "\r\n".join([*lines, *extra_headers, "", ""]).encode()
 
 
 async def _send_stream(
--- a/soak/vm.py
+++ b/soak/vm.py
@@ -15,7 +15,7 @@
 
 HOST = "127.0.0.1"
 #: How long a VM may take to shut down, in seconds.
-SHUTDOWN_S = 4.0
+SHUTDOWN_TIMEOUT_S = 4.0
 
 
 def read_settings(path: pathlib.Path) -> settings.NodeSettings:
@@ -39,7 +39,7 @@
         None,
         False,
         False,
-        settings.FleetBounds(shutdown_s=SHUTDOWN_S),
+        settings.FleetBounds(shutdown_s=SHUTDOWN_TIMEOUT_S),
         settings.Address(HOST, 0),
     )
 
