--- a/standins/_batch_scheduler.py
+++ b/standins/_batch_scheduler.py
@@ -64,8 +64,8 @@
 class BatchScheduler:
     """Queues sequences by priority and runs them in a limited number of slots.
 
-    A sequence that nobody has read for ``linger_s`` seconds is cancelled and
-    forgotten.
+    A sequence that has had no reader for ``linger_s`` seconds is cancelled
+    and removed.
 
     :param cache: the prefix cache; :attr:`lock` guards it.
     :param slowdown: returns the factor by which each step takes longer.
@@ -157,7 +157,7 @@
             self._lock.notify_all()
 
     def find_sequence(self, request_id: str) -> _sequence.Sequence | None:
-        """The latest sequence of a request; None once it is forgotten."""
+        """The latest sequence of a request; None once it is removed."""
         return self._sequences.get(request_id)
 
     def end_sequence(
--- a/standins/_fault_settings.py
+++ b/standins/_fault_settings.py
@@ -59,13 +59,13 @@
         self._notify_listeners()
 
     def consume(self, name: str) -> bool:
-        """Decide whether a counted fault hits this call.
+        """Decide whether a counted fault applies to this call.
 
-        A finite count is reduced by one for each hit.
+        A finite count is reduced by one each time the fault applies.
 
         :param name: a fault whose value is True for every call, or the
-            number of calls that it still hits.
-        :returns: whether the fault hits.
+            number of calls that it still applies to.
+        :returns: whether the fault applies.
         """
         with self._lock:
             remaining = self._values[name]
--- a/standins/_journal.py
+++ b/standins/_journal.py
@@ -1,4 +1,4 @@
-"""Counters that survive the death of their process."""
+"""Counters that are kept in a file and outlive their process."""
 
 import collections
 import os
--- a/standins/_load_history.py
+++ b/standins/_load_history.py
@@ -14,14 +14,14 @@
 class LoadHistory:
     """Keeps snapshots of the load and of the rate of generated tokens.
 
-    :param read: returns the current load.
+    :param read_load: returns the current load.
     """
 
     __slots__ = ("_read_load", "_initial_load", "_snapshots", "_token_counts")
 
-    def __init__(self, read: typing.Callable[[], Load]) -> None:
-        self._read_load = read
-        self._initial_load = read()
+    def __init__(self, read_load: typing.Callable[[], Load]) -> None:
+        self._read_load = read_load
+        self._initial_load = read_load()
         self._snapshots: collections.deque[tuple[float, Load]] = (
             collections.deque(maxlen=MAX_SNAPSHOTS)
         )
--- a/standins/_sequence.py
+++ b/standins/_sequence.py
@@ -158,12 +158,12 @@
         return self.tokens[index:]
 
     def add_reader(self) -> None:
-        """Count one more reader."""
+        """Count one more reader, until :meth:`remove_reader`."""
         with self._condition:
             self._readers += 1
 
     def remove_reader(self) -> None:
-        """Count one reader less."""
+        """Count one reader fewer."""
         with self._condition:
             self._readers -= 1
             self._unread_since = time.monotonic()
--- a/standins/cloud_api.py
+++ b/standins/cloud_api.py
@@ -1,7 +1,7 @@
 """Stand-in for the cloud API: VMs, prices and reclaim notices.
 
-The stand-in only keeps records. Whoever starts the processes of the VMs must
-end them when the deadline of a notice has passed.
+The stand-in only keeps records. The test or benchmark that starts the
+processes of the VMs must end them at the deadline of a notice.
 
 ``python -m standins.cloud_api --port 0``
 """
@@ -123,9 +123,9 @@
         order = request.json()
         with self._lock:
             self._counts["buy"] += 1
-            bought_before = self._vm_by_token.get(order.get("token", ""))
-            if bought_before is not None:
-                return self._purchase_response(bought_before)
+            known_vm = self._vm_by_token.get(order.get("token", ""))
+            if known_vm is not None:
+                return self._purchase_response(known_vm)
             spare = self._take_spare(order)
             if spare is None:
                 self._counts["refused"] += 1
@@ -261,7 +261,7 @@
             return None
         if not self._has_spares:
             return {}
-        fitting = (
+        matching = (
             spare
             for spare in self._spares
             if all(
@@ -269,7 +269,7 @@
                 for field in ("pool", "data_centre", "machine", "market")
             )
         )
-        spare = next(fitting, None)
+        spare = next(matching, None)
         if spare is not None:
             self._spares.remove(spare)
         return spare
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -206,7 +206,7 @@
 
     @_http.route("POST", "/control/silence")
     def _silence(self, request: _http.Request) -> _http.Response:
-        """Stop the output of all streams that are open now, for good."""
+        """Stop the output of all streams that are open now, permanently."""
         with self._lock:
             self._silence_calls += 1
         return _http.Response(200, {})
--- a/standins/object_api.py
+++ b/standins/object_api.py
@@ -220,8 +220,8 @@
     """
     if request.header("If-None-Match") == "*":
         return current == 0
-    wanted = request.header("If-Match") or request.params.get("at")
-    return not wanted or int(wanted) == current
+    required = request.header("If-Match") or request.params.get("at")
+    return not required or int(required) == current
 
 
 def main(arguments: list[str]) -> int:
--- a/tests/serving/fleet_of_directories.py
+++ b/tests/serving/fleet_of_directories.py
@@ -58,7 +58,7 @@
         state = self.current[name]
         self._put(name, EntryState(False, state.born, 0, readable=False))
 
-    def write_late(self, name, state):
+    def write_delayed(self, name, state):
         """Apply a heartbeat long after it was sent."""
         self._put(name, state)
 
@@ -77,7 +77,7 @@
         state = self.entries.pop(name)
         self.changes.append((self.revision, name, state, True))
 
-    def after(self, revision):
+    def changes_after(self, revision):
         """The changes after a revision, as a watch returns them."""
         found = []
         last = {}
@@ -98,7 +98,8 @@
 
     def __init__(self, naive=False):
         self._naive = naive
-        #: The true start in each entry that was read, by name and revision.
+        #: The true start number in each entry that was read, by name and
+        #: revision.
         self.born = {}
 
     def parse_runner(self, stored):
@@ -133,16 +134,16 @@
             self.directory, self._platform, lambda ended: None, clock
         )
         #: State that the VM creates for a runner when it first sees it, by
-        #: incarnation: here the true start of the runner's process.
+        #: incarnation: here the true start number of the runner's process.
         self.incarnation_states = {}
         self._history = history
         self._revision = 0
         #: When the directory began to differ from that of another VM.
         self._differs_since = {}
 
-    def read(self):
+    def read_changes(self):
         """Read the changes from the store's watch."""
-        self._entries.changed(self._history.after(self._revision))
+        self._entries.changed(self._history.changes_after(self._revision))
         self._revision = self._history.revision
 
     def update_states(self):
@@ -155,7 +156,7 @@
             for runner_id, runner in listed.items()
         }
 
-    def receive(self, other, now):
+    def merge_from(self, other, now):
         """Receive another VM's record, and fetch missing changes."""
         mine, theirs = self.directory, other.directory
         if theirs.revision > mine.revision:
@@ -171,13 +172,15 @@
     """The VMs and the store.
 
     :param seed: determines the random changes and when VMs receive them.
-    :param vms: the number of VMs.
-    :param count: the number of runners at the start.
+    :param vm_count: the number of VMs.
+    :param runner_count: the number of runners at the start.
     :param platform: decodes the entries.
     :param restarts: whether runners also restart under their names.
     """
 
-    def __init__(self, seed, vms, count, platform=None, restarts=False):
+    def __init__(
+        self, seed, vm_count, runner_count, platform=None, restarts=False
+    ):
         self._restarts = random.Random(seed) if restarts else None
         platform = platform or Platform()
         #: Delayed heartbeats: when they are applied, the name and the state.
@@ -185,14 +188,14 @@
         self._rng = random.Random(seed)
         self._clock = clocks.ManualClock()
         self.history = History()
-        for number in range(count):
+        for number in range(runner_count):
             self.history.write(f"r{number}")
-        self._next = count
+        self._next_number = runner_count
         self.vms = [
-            Vm(self._clock, self.history, platform) for _ in range(vms)
+            Vm(self._clock, self.history, platform) for _ in range(vm_count)
         ]
         for vm in self.vms:
-            vm.read()
+            vm.read_changes()
         #: When the watch of a VM that receives no changes resumes.
         self._resumes_at = {}
         #: Runners whose entries have expired and will be written again.
@@ -216,8 +219,8 @@
             self.history.write(name)
         draw = rng.random()
         if draw < 0.03:
-            self.history.write(f"r{self._next}")
-            self._next += 1
+            self.history.write(f"r{self._next_number}")
+            self._next_number += 1
         elif draw < 0.06 and entries:
             self.history.write(rng.choice(sorted(entries)), leaving=True)
         elif draw < 0.09 and entries:
@@ -250,7 +253,7 @@
             self._late_heartbeats.remove(heartbeat)
             _, name, state = heartbeat
             if name in history.entries:
-                history.write_late(name, state)
+                history.write_delayed(name, state)
         listed = sorted(history.entries)
         if listed and rng.random() < 0.08:
             name = rng.choice(listed)
@@ -267,9 +270,9 @@
         for vm in self.vms:
             is_paused = random_changes and self._resumes_at.get(vm, 0.0) > now
             if not is_paused and rng.random() < 0.6:
-                vm.read()
+                vm.read_changes()
             others = [other for other in self.vms if other is not vm]
-            vm.receive(rng.choice(others), now)
+            vm.merge_from(rng.choice(others), now)
             vm.directory.tick()
 
     def settle(self):
--- a/tests/serving/memory_store.py
+++ b/tests/serving/memory_store.py
@@ -76,7 +76,7 @@
 
     def __init__(self):
         self.sent = []
-        self.highest = 0
+        self.highest_fencing = 0
         self.busy = 0
 
     async def send(self, path, body, fencing):
@@ -84,9 +84,9 @@
         if self.busy:
             self.busy -= 1
             raise duty_lease.CloudBusy("injected fault")
-        if fencing < self.highest:
+        if fencing < self.highest_fencing:
             return False
-        self.highest = fencing
+        self.highest_fencing = fencing
         self.sent.append((path, body, fencing))
         return True
 
--- a/tests/serving/runner_standin.py
+++ b/tests/serving/runner_standin.py
@@ -28,22 +28,24 @@
     writer.transport.abort()
 
 
-def _response_head(status, call, *more):
+def _response_head(status, call, *extra_headers):
     lines = [
         f"HTTP/1.1 {status} X",
         f"Call-Id: {call['call-id']}",
         "Signed: yes",
         "Keep-Alive: timeout=30",
-        *more,
+        *extra_headers,
         "",
         "",
     ]
     return "\r\n".join(lines).encode()
 
 
-def _response(status, call, body, *more):
+def _response(status, call, body, *extra_headers):
     return (
-        _response_head(status, call, f"Content-Length: {len(body)}", *more)
+        _response_head(
+            status, call, f"Content-Length: {len(body)}", *extra_headers
+        )
         + body
     )
 
@@ -196,16 +198,16 @@
     writer.write(b"0\r\n\r\n")
 
 
-class RunnerStandin:
+class RunnerStandIn:
     """A runner with a port of its own.
 
-    :param names: names of the behaviours for its calls in order; the last
-        one applies to all further calls.
+    :param behaviour_names: names of the behaviours for its calls in order;
+        the last one applies to all further calls.
     """
 
-    def __init__(self, name, names):
+    def __init__(self, name, behaviour_names):
         self.name = name
-        self.names = list(names)
+        self.behaviour_names = list(behaviour_names)
         self.executed_call_ids = []
         self.received_calls = []
         self.disconnects = 0
@@ -229,9 +231,9 @@
                 call = await self._read(reader)
                 self.executed_call_ids.append(call["call-id"])
                 self.received_calls.append(call)
-                name = self.names[0]
-                if len(self.names) > 1:
-                    self.names.pop(0)
+                name = self.behaviour_names[0]
+                if len(self.behaviour_names) > 1:
+                    self.behaviour_names.pop(0)
                 work = asyncio.ensure_future(
                     BEHAVIOURS[name](self, writer, call)
                 )
--- a/tests/serving/strict_http.py
+++ b/tests/serving/strict_http.py
@@ -17,7 +17,7 @@
     rb"(?:[\x20-\x7e\x80-\xff\t]*[\x21-\x7e\x80-\xff])?|)[ \t]*" % TOKEN
 )
 CHUNK_SIZE = re.compile(rb"([0-9A-Fa-f]{1,8})(?:;[\x20-\x7e\t]*)?")
-FRAMING = {b"content-length", b"transfer-encoding"}
+FRAMING_HEADERS = {b"content-length", b"transfer-encoding"}
 DIGITS = re.compile(rb"[0-9]{1,12}")
 
 
@@ -145,7 +145,7 @@
         size = int(found[1], 16)
         if not size:
             trailers, data = _read_headers(data)
-            if {name for name, _ in trailers} & FRAMING:
+            if {name for name, _ in trailers} & FRAMING_HEADERS:
                 raise Malformed("a framing header in the trailers")
             return body, data
         if len(data) < size + 2:
--- a/tests/serving/world.py
+++ b/tests/serving/world.py
@@ -34,11 +34,11 @@
         self.complete = complete
 
 
-def _route(kind, **more):
-    more.setdefault("max_attempts", 2)
-    more.setdefault("timeout_s", 5.0)
+def _route(kind, **options):
+    options.setdefault("max_attempts", 2)
+    options.setdefault("timeout_s", 5.0)
     return configuration_model.Route(
-        "r", HOST, "/s/", (("service", 1.0),), kind, **more
+        "r", HOST, "/s/", (("service", 1.0),), kind, **options
     )
 
 
@@ -82,13 +82,13 @@
         self.port = await self.server.listen("127.0.0.1", 0)
         self.sweeper = asyncio.ensure_future(self.server.sweep_forever())
 
-    async def add_runner(self, names):
+    async def add_runner(self, behaviour_names):
         """Start a fake runner.
 
-        :param names: names of the runner's behaviours.
+        :param behaviour_names: names of the runner's behaviours.
         """
         name = f"runner-{len(self.standins) + 1}"
-        standin = runner_standin.RunnerStandin(name, names)
+        standin = runner_standin.RunnerStandIn(name, behaviour_names)
         await standin.start()
         self.standins.append(standin)
         self.directory.apply_entry(
@@ -136,7 +136,7 @@
         """Read one response."""
         reader, _ = self.connection
         try:
-            return await self._read(reader)
+            return await self._read_reply(reader)
         except (asyncio.IncompleteReadError, ConnectionError) as error:
             self.connection = None
             partial = getattr(error, "partial", b"")
@@ -147,7 +147,7 @@
         await self.send(**more)
         return await self.receive()
 
-    async def _read(self, reader):
+    async def _read_reply(self, reader):
         head = await reader.readuntil(b"\r\n\r\n")
         lines = head.decode().split("\r\n")
         headers = dict(
@@ -159,10 +159,10 @@
             return Reply(
                 status, headers, await reader.readexactly(length), True
             )
-        body, complete = await self._chunks(reader)
+        body, complete = await self._read_chunks(reader)
         return Reply(status, headers, body, complete)
 
-    async def _chunks(self, reader):
+    async def _read_chunks(self, reader):
         body = bytearray()
         try:
             while True:
--- a/tests/standins/engine_client.py
+++ b/tests/standins/engine_client.py
@@ -58,11 +58,11 @@
     connection, response = open_stream(address, method, path, body, headers)
     answers.note_headers(answer, response.status, response.headers)
     try:
-        for event in answers.events_of(response):
-            answers.take(answer, event, time.monotonic())
+        for event in answers.read_events(response):
+            answers.add_event(answer, event, time.monotonic())
             if limit is not None and len(answer.tokens) >= limit:
                 break
-    except answers.Ended:
+    except answers.RequestEnded:
         pass
     response.close()
     connection.close()
--- a/tests/support/answers.py
+++ b/tests/support/answers.py
@@ -23,11 +23,6 @@
 class Answer:
     """What a client received for one request, over all its connections.
 
-    Times are in seconds: ``first_token_s``, ``last_token_s`` and ``whole_s``
-    count from the sending of the request, and ``gaps_s`` are the pauses
-    between tokens. ``moves`` counts redirects to another entry VM,
-    ``breaks`` the connections that failed.
-
     :param expected_tokens: the correct tokens; None if they are not checked.
     """
 
@@ -59,14 +54,20 @@
         self.tokens: list[str] = []
         self.ids: list[int] = []
         self.done = False
+        #: Seconds from the sending of the request to the first token.
         self.first_token_s: float | None = None
+        #: Pauses between tokens, in seconds.
         self.gaps_s: list[float] = []
+        #: Seconds from the sending of the request to the last token.
         self.last_token_s = 0.0
+        #: Number of redirects to another entry VM.
         self.moves = 0
+        #: Number of connections that failed.
         self.breaks = 0
         self.expected_tokens = expected_tokens
         self.payload: typing.Any = None
         self.retry_after_s: float | None = None
+        #: Seconds from the sending of the request to the end of its answer.
         self.whole_s = 0.0
         self.resume_token = ""
 
@@ -76,7 +77,9 @@
         if not self.done:
             return f"not whole: status {self.status}, error {self.error}"
         if self.ids != list(range(len(self.ids))):
-            return f"event IDs out of order, missing or duplicated: {self.ids}"
+            return (
+                "event IDs out of order, missing or duplicated: " f"{self.ids}"
+            )
         if (
             self.expected_tokens is not None
             and self.tokens != self.expected_tokens
@@ -90,7 +93,7 @@
         return self.status >= 400 and self.executed == "no"
 
 
-class Ended(Exception):
+class RequestEnded(Exception):
     """The request has ended; no more events will follow."""
 
 
@@ -116,7 +119,7 @@
         self.data = data
 
 
-def events_of(
+def read_events(
     response: http.client.HTTPResponse,
 ) -> typing.Iterator[_SseEvent]:
     """Yield the events of a stream until the connection closes."""
@@ -144,7 +147,7 @@
         entry VM may still have its stream.
     :raises StreamMoved: when the response redirects to another entry VM.
     :raises OSError: when a resumed stream is not available here.
-    :raises Ended: when the response has any other status but 200.
+    :raises RequestEnded: when the response has any other status but 200.
     """
     if response.status == 200:
         note_headers(answer, 200, response.headers)
@@ -157,7 +160,7 @@
         raise OSError(f"no stream to resume: {response.status} {content}")
     note_headers(answer, response.status, response.headers)
     answer.error = content
-    raise Ended
+    raise RequestEnded
 
 
 def note_headers(
@@ -176,11 +179,11 @@
     answer.retry_after_s = float(retry_after) if retry_after else None
 
 
-def take(answer: Answer, event: _SseEvent, started_at: float) -> None:
+def add_event(answer: Answer, event: _SseEvent, started_at: float) -> None:
     """Add one event to a request's result.
 
     :param started_at: when the request was sent, in monotonic seconds.
-    :raises Ended: after the last event.
+    :raises RequestEnded: after the last event.
     :raises StreamMoved: when another entry VM continues the stream.
     """
     if event.name == MOVED_EVENT:
@@ -191,11 +194,11 @@
     if event.name == ERROR_EVENT:
         answer.error = json.loads(event.data)["error"]
         answer.executed = answer.error["executed"]
-        raise Ended
+        raise RequestEnded
     if event.data == DONE_MARKER:
         answer.done = True
         answer.error = None
-        raise Ended
+        raise RequestEnded
     if not event.event_id:
         return
     now = time.monotonic() - started_at
--- a/tests/support/caller.py
+++ b/tests/support/caller.py
@@ -116,7 +116,7 @@
             self._follow_stream(
                 answer, target, path, body, headers or {}, deadline
             )
-        except answers.Ended:
+        except answers.RequestEnded:
             pass
         answer.whole_s = time.monotonic() - started_at
         return answer
@@ -136,7 +136,7 @@
             self._await_outcome(answer, answer.payload["entry"], deadline)
         answer.whole_s = time.monotonic() - started_at
         if answer.done:
-            answer.tokens = _tokens_in(answer.payload)
+            answer.tokens = _extract_tokens(answer.payload)
             answer.ids = list(range(len(answer.tokens)))
         return answer
 
@@ -160,7 +160,8 @@
         """Call a plain service once, without a retry.
 
         :param path: the part after ``/v1/services/ENTRY``.
-        :param key: an idempotency key, minted or invented; none if empty.
+        :param key: an idempotency key, minted by an entry VM or made up by the
+            test; none if empty.
         """
         answer = answers.Answer()
         started_at = time.monotonic()
@@ -343,8 +344,8 @@
             )
             response = connection.getresponse()
             answers.require_stream(answer, response, resuming=method == "GET")
-            for event in answers.events_of(response):
-                answers.take(answer, event, started_at)
+            for event in answers.read_events(response):
+                answers.add_event(answer, event, started_at)
         finally:
             connection.close()
         # The connection closed before the last event of the stream.
@@ -352,16 +353,17 @@
 
 
 def _require_never_sent(error: Exception) -> None:
-    """Give the request up unless it certainly reached no entry VM.
+    """End the request unless it certainly did not reach any entry VM.
 
-    :raises Ended: unless the connection was refused; the request may
-        have been executed, so sending it again could execute it twice.
+    :raises answers.RequestEnded: unless the connection was refused; the
+        request may have been executed, so sending it again could execute it
+        twice.
     """
     if not isinstance(error, ConnectionRefusedError):
-        raise answers.Ended from error
+        raise answers.RequestEnded from error
 
 
-def _tokens_in(payload: dict[str, typing.Any]) -> list[str]:
+def _extract_tokens(payload: dict[str, typing.Any]) -> list[str]:
     """The tokens of a response without a stream, or of an outcome's text."""
     choice = payload.get("choices", [payload])[0]
     text = choice.get("text") or choice["message"]["content"]
--- a/tests/support/launcher.py
+++ b/tests/support/launcher.py
@@ -236,7 +236,7 @@
         )
 
     def offer(self, names: typing.Iterable[str], pool: str) -> None:
-        """Let the cloud sell running runners that are not on its list.
+        """Let the cloud API sell running runners that are not in its list.
 
         :param pool: the pool that the runners belong to.
         """
--- a/tests/support/pages.py
+++ b/tests/support/pages.py
@@ -1,6 +1,6 @@
 """Reads the tables of the operators' pages and derives them from schemas.
 
-Tests compare both, so that the pages can't fall behind the code.
+Tests compare the two, so that a page that is out of date fails a test.
 """
 
 import pathlib
