--- a/soak/vm.py
+++ b/soak/vm.py
@@ -45,7 +45,7 @@
 
 
 def run(arguments: typing.Sequence[str]) -> int:
-    """Serve until the process is told to stop.
+    """Serve until the process is asked to shut down.
 
     :param arguments: path of the settings file.
     :returns: exit code of the process.
--- a/src/apricotlever/serving/runner_attempt.py
+++ b/src/apricotlever/serving/runner_attempt.py
@@ -17,7 +17,8 @@
 from . import runners
 from . import upstreams
 
-#: Longest response body that is buffered in order to be forwarded as a whole.
+#: Maximum size of a response body that is buffered and then forwarded in one
+#: piece, in bytes.
 MAX_BODY_BYTES = 16 * 1024 * 1024
 #: Seconds deducted from a runner's time limit for the response's transfer.
 RESPONSE_MARGIN_S = 0.01
@@ -350,8 +351,8 @@
     def _forward(self, head: messages.RunnerResponseHead, data: bytes) -> bool:
         assert self._sink is not None
         self._upstreams.bytes_received(self._runner)
-        whole, count = self._sink.splitter.feed(data)
-        return not count or self._sink.write_events(head, whole, count)
+        events, count = self._sink.splitter.feed(data)
+        return not count or self._sink.write_events(head, events, count)
 
 
 async def _read_body(channel: client_channel.Channel) -> bytes:
--- a/standins/_server.py
+++ b/standins/_server.py
@@ -88,14 +88,14 @@
         the change, and a request sent right after the fault was cleared would
         sometimes be refused.
         """
-        step = self._stop_listening if refusing else self._listen_again
+        change = self._stop_listening if refusing else self._listen_again
         done = threading.Event()
 
-        def run_step() -> None:
-            step()
+        def apply_change() -> None:
+            change()
             done.set()
 
-        self._server.trigger.pull_trigger(run_step)
+        self._server.trigger.pull_trigger(apply_change)
         if self._loop_running:
             done.wait(LOOP_TIMEOUT_S)
 
--- a/tests/serving/memory_store.py
+++ b/tests/serving/memory_store.py
@@ -18,6 +18,11 @@
         self.applies_unanswered = False
 
     def _check(self):
+        """Raise the next injected error.
+
+        :returns: an error that the write raises once it has taken effect;
+            None if the call succeeds.
+        """
         error = self.errors.pop(0) if self.errors else None
         if error is not None and not (
             self.applies_unanswered and error is store.Unanswered
--- a/tests/serving/runner_standin.py
+++ b/tests/serving/runner_standin.py
@@ -228,25 +228,26 @@
         self.connections += 1
         try:
             while True:
-                call = await self._read(reader)
+                call = await self._read_call(reader)
                 self.executed_call_ids.append(call["call-id"])
                 self.received_calls.append(call)
                 name = self.behaviour_names[0]
                 if len(self.behaviour_names) > 1:
                     self.behaviour_names.pop(0)
-                work = asyncio.ensure_future(
+                handler_task = asyncio.ensure_future(
                     BEHAVIOURS[name](self, writer, call)
                 )
-                gone = asyncio.ensure_future(reader.read(1))
+                disconnect_task = asyncio.ensure_future(reader.read(1))
                 done, _ = await asyncio.wait(
-                    {work, gone}, return_when=asyncio.FIRST_COMPLETED
+                    {handler_task, disconnect_task},
+                    return_when=asyncio.FIRST_COMPLETED,
                 )
-                if gone in done and work not in done:
+                if disconnect_task in done and handler_task not in done:
                     self.disconnects += 1
-                    work.cancel()
+                    handler_task.cancel()
                     return
-                gone.cancel()
-                await asyncio.gather(gone, return_exceptions=True)
+                disconnect_task.cancel()
+                await asyncio.gather(disconnect_task, return_exceptions=True)
                 await writer.drain()
         except (
             asyncio.IncompleteReadError,
@@ -257,7 +258,7 @@
         finally:
             writer.close()
 
-    async def _read(self, reader):
+    async def _read_call(self, reader):
         head = await reader.readuntil(b"\r\n\r\n")
         lines = head.decode().split("\r\n")
         call = {"line": lines[0]}
--- a/tests/serving/strict_http.py
+++ b/tests/serving/strict_http.py
@@ -58,9 +58,9 @@
     requests = []
     try:
         while data:
-            request, last, data = _read_request(data)
+            request, is_last, data = _read_request(data)
             requests.append(request)
-            if last:
+            if is_last:
                 break
     except Incomplete:
         return requests, False
@@ -78,7 +78,7 @@
     found = REQUEST_LINE.fullmatch(line)
     if not found:
         raise Malformed(line)
-    method, target, minor = found.groups()
+    method, target, minor_version = found.groups()
     headers, data = _read_headers(data)
     body, data = _read_body(headers, data)
     tokens = [
@@ -87,10 +87,10 @@
         if name == b"connection"
         for token in value.split(b",")
     ]
-    last = b"close" in tokens or (
-        minor == b"0" and b"keep-alive" not in tokens
+    is_last = b"close" in tokens or (
+        minor_version == b"0" and b"keep-alive" not in tokens
     )
-    return Request(method, target, headers, body), last, data
+    return Request(method, target, headers, body), is_last, data
 
 
 def _read_line(data):
--- a/tests/serving/world.py
+++ b/tests/serving/world.py
@@ -1,4 +1,4 @@
-"""The request path of one entry VM with fake runners, on one event loop."""
+"""The request path of one entry VM with runner stand-ins, on one loop."""
 
 import asyncio
 import random
@@ -43,7 +43,7 @@
 
 
 class World:
-    """The request path, its fake runners and a caller."""
+    """The request path, its runner stand-ins and a caller."""
 
     def __init__(self):
         self.clock = clocks.ManualClock()
@@ -83,7 +83,7 @@
         self.sweeper = asyncio.ensure_future(self.server.sweep_forever())
 
     async def add_runner(self, behaviour_names):
-        """Start a fake runner.
+        """Start a runner stand-in.
 
         :param behaviour_names: names of the runner's behaviours.
         """
@@ -176,7 +176,7 @@
             return bytes(body), False
 
     async def stop(self):
-        """Stop the server and all fake runners."""
+        """Stop the server and all runner stand-ins."""
         self.sweeper.cancel()
         self.server.close()
         for standin in self.standins:
--- a/tests/support/caller.py
+++ b/tests/support/caller.py
@@ -1,7 +1,7 @@
 """A client of the entry VMs that follows redirects and resumes streams.
 
 It collects what a customer would see: each token and its event ID, the end
-of the answer, and the headers that tell whether a refused request was
+of the answer, and the headers that state whether a refused request was
 executed.
 """
 
@@ -29,7 +29,7 @@
     :param addresses: ``host:port`` of some entry VMs to start with.
     :param bearer_key: the customer's API key.
     :param gap_timeout_s: seconds without data after which a connection is
-        given up.
+        closed.
     :param total_timeout_s: seconds after which a request is no longer
         retried or followed.
     """
