--- a/tests/serving/memory_store.py
+++ b/tests/serving/memory_store.py
@@ -18,6 +18,11 @@
         self.applies_unanswered = False
 
     def _check(self):
+        """Raise the next injected error.
+
+        :returns: an error that the write raises once it has taken effect;
+            None if the call succeeds.
+        """
         error = self.errors.pop(0) if self.errors else None
         if error is not None and not (
             self.applies_unanswered and error is store.Unanswered
@@ -76,7 +81,7 @@
 
     def __init__(self):
         self.sent = []
-        self.highest = 0
+        self.highest_fencing = 0
         self.busy = 0
 
     async def send(self, path, body, fencing):
@@ -84,9 +89,9 @@
         if self.busy:
             self.busy -= 1
             raise duty_lease.CloudBusy("injected fault")
-        if fencing < self.highest:
+        if fencing < self.highest_fencing:
             return False
-        self.highest = fencing
+        self.highest_fencing = fencing
         self.sent.append((path, body, fencing))
         return True
 
--- a/tests/serving/strict_http.py
+++ b/tests/serving/strict_http.py
@@ -17,7 +17,7 @@
     rb"(?:[\x20-\x7e\x80-\xff\t]*[\x21-\x7e\x80-\xff])?|)[ \t]*" % TOKEN
 )
 CHUNK_SIZE = re.compile(rb"([0-9A-Fa-f]{1,8})(?:;[\x20-\x7e\t]*)?")
-FRAMING = {b"content-length", b"transfer-encoding"}
+FRAMING_HEADERS = {b"content-length", b"transfer-encoding"}
 DIGITS = re.compile(rb"[0-9]{1,12}")
 
 
@@ -58,9 +58,9 @@
     requests = []
     try:
         while data:
-            request, last, data = _read_request(data)
+            request, is_last, data = _read_request(data)
             requests.append(request)
-            if last:
+            if is_last:
                 break
     except Incomplete:
         return requests, False
@@ -78,7 +78,7 @@
     found = REQUEST_LINE.fullmatch(line)
     if not found:
         raise Malformed(line)
-    method, target, minor = found.groups()
+    method, target, minor_version = found.groups()
     headers, data = _read_headers(data)
     body, data = _read_body(headers, data)
     tokens = [
@@ -87,10 +87,10 @@
         if name == b"connection"
         for token in value.split(b",")
     ]
-    last = b"close" in tokens or (
-        minor == b"0" and b"keep-alive" not in tokens
+    is_last = b"close" in tokens or (
+        minor_version == b"0" and b"keep-alive" not in tokens
     )
-    return Request(method, target, headers, body), last, data
+    return Request(method, target, headers, body), is_last, data
 
 
 def _read_line(data):
@@ -145,7 +145,7 @@
         size = int(found[1], 16)
         if not size:
             trailers, data = _read_headers(data)
-            if {name for name, _ in trailers} & FRAMING:
+            if {name for name, _ in trailers} & FRAMING_HEADERS:
                 raise Malformed("a framing header in the trailers")
             return body, data
         if len(data) < size + 2:
