--- a/bench/_capacity_rules.py
+++ b/bench/_capacity_rules.py
@@ -9,7 +9,7 @@
 from apricotlever.data_centres import capacity_planner
 from apricotlever.data_centres import demand_forecast
 from apricotlever.data_centres import model
-from apricotlever.data_centres import price_book
+from apricotlever.data_centres import price_table
 from apricotlever.data_centres import sizing
 
 SURPLUS_HOLD_S = 300.0
@@ -37,7 +37,7 @@
         self,
         clock: clocks.Clock,
         policy: capacity_planner.CapacityPolicy,
-        prices: price_book.PriceBook,
+        prices: price_table.PriceTable,
         extra_factor: float,
     ) -> None:
         self._clock = clock
--- a/bench/_demo_report.py
+++ b/bench/_demo_report.py
@@ -53,7 +53,7 @@
     for name, machine in fleet.billed_vms.items():
         if machine.pool:
             counts = by_request if name in engines else by_operation
-            counts.update(fleet.journal(name))
+            counts.update(fleet.execution_counts(name))
     return Executions(by_request, by_operation)
 
 
--- a/bench/_load_client.py
+++ b/bench/_load_client.py
@@ -65,13 +65,13 @@
         self.outcome = _classify_outcome(answer)
         first = answer.first_token_s
         self.first_token_s = None if first is None else started_s + first
-        self.whole_s = started_s + answer.whole_s
+        self.whole_s = started_s + answer.total_s
 
     def as_record(self) -> dict[str, typing.Any]:
         """The sample as a JSON object for the run file."""
         arrival = self.arrival
         answer = self.answer
-        gaps = [round(gap * 1e6) for gap in answer.gaps_s]
+        gaps = [round(gap * 1e6) for gap in answer.token_gaps_s]
         return {
             "record": "request",
             "number": arrival.number,
@@ -88,14 +88,15 @@
             "error": None if answer.done else str(answer.error)[:400],
             "problem": answer.problem[:400] if arrival.is_stream else "",
             "tokens": len(answer.tokens),
-            "doubled_tokens": len(answer.ids) - len(set(answer.ids)),
+            "doubled_tokens": len(answer.event_ids)
+            - len(set(answer.event_ids)),
             "first_token_s": self.first_token_s,
             "whole_s": self.whole_s,
             "gaps_us": gaps,
             "lag_s": round(self.lag_s, 6),
             "tries": self.tries,
-            "moves": answer.moves,
-            "breaks": answer.breaks,
+            "moves": answer.redirects,
+            "breaks": answer.broken_connections,
         }
 
 
@@ -168,7 +169,7 @@
     """Get a key from an entry VM; empty if the entry VM minted none."""
     try:
         return client.mint_keys(1, address)[0]
-    except (AssertionError, *caller.BROKEN):
+    except (AssertionError, *caller.CONNECTION_ERRORS):
         return ""
 
 
@@ -184,7 +185,7 @@
     if arrival.key == MINTED and not key:
         # Only the request for a key was sent, so the call was not executed.
         return _key_refusal()
-    return client.service(
+    return client.call_service(
         arrival.entry,
         arrival.method,
         arrival.path,
--- a/bench/_load_faults.py
+++ b/bench/_load_faults.py
@@ -146,7 +146,7 @@
 @fault("kill")
 def _kill(fleet: _load_fleet.LoadFleet, arguments: list[str]) -> Document:
     """Kill a process without notice."""
-    fleet.vanish(arguments[:1])
+    fleet.kill_without_notice(arguments[:1])
     fleet.record_end(arguments[0])
     return {"vms": arguments[:1]}
 
@@ -204,13 +204,14 @@
     deadline = time.monotonic() + notice_s
     fleet.reclaim(names, notice_s, kill=False)
     time.sleep(min(NEW_WORK_DEADLINE_S, 0.6 * notice_s))
-    executed_before = {name: fleet.journal(name) for name in names}
+    executed_before = {name: fleet.execution_counts(name) for name in names}
     time.sleep(max(0.0, deadline - time.monotonic()))
     fleet.poll_counts()
     new_work = [
         request
         for name in names
-        for request in set(fleet.journal(name)) - set(executed_before[name])
+        for request in set(fleet.execution_counts(name))
+        - set(executed_before[name])
     ]
     for name in names:
         fleet.kill(name)
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -19,7 +19,7 @@
 from apricotlever.data_centres import capacity_planner
 from apricotlever.data_centres import model
 from apricotlever.data_centres import model_load_limiter
-from apricotlever.data_centres import price_book
+from apricotlever.data_centres import price_table
 from apricotlever.data_centres import reclaim_risk
 from apricotlever.data_centres import sizing
 from bench import _capacity_day as days
@@ -78,7 +78,7 @@
         self._rng = random.Random(7)
         self.clock = clocks.ManualClock(0.0)
         self.day = day
-        self.prices = price_book.PriceBook()
+        self.prices = price_table.PriceTable()
         self.reclaim_risk = reclaim_risk.ReclaimRisk(self.clock)
         self.load_limiter = model_load_limiter.ModelLoadLimiter(self.clock)
         self.rule = make_rule(self)
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -77,7 +77,7 @@
 ) -> Document:
     schedule = _load_faults.parse_schedule(options.faults)
     load_run = _load_generator.LoadRun(
-        fleet.entries,
+        fleet.entry_addresses,
         options.seed,
         options.per_s,
         options.seconds,
--- a/bench/load.py
+++ b/bench/load.py
@@ -121,7 +121,7 @@
         cpu_before_s = {
             name: fleet.process(name).cpu_s for name in fleet.daemons
         }
-        load_run = _start_load(options, fleet.entries)
+        load_run = _start_load(options, fleet.entry_addresses)
         injector = _load_faults.FaultInjector(
             fleet, schedule, load_run.start_at
         )
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -78,7 +78,7 @@
     @property
     def entries(self) -> list[str]:
         """The daemons' addresses for callers."""
-        return self._fleet.entries
+        return self._fleet.entry_addresses
 
     def close(self) -> None:
         """Stop all processes of the testbed."""
--- a/bench/retries.py
+++ b/bench/retries.py
@@ -40,7 +40,7 @@
 STRATEGIES: dict[str, typing.Callable[[], retry_budget.RetryBudget]] = {
     "budget": retry_budget.RetryBudget,
     "unbounded": _Unbounded,
-    "none": lambda: retry_budget.RetryBudget(most=0.0),
+    "none": lambda: retry_budget.RetryBudget(max_tokens=0.0),
 }
 
 
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -59,7 +59,9 @@
         }
 
 
-async def soak(seed: int, seconds: float, folder: pathlib.Path) -> SoakResult:
+async def run_soak_test(
+    seed: int, seconds: float, folder: pathlib.Path
+) -> SoakResult:
     """Run one soak test.
 
     :param seconds: length of the period in which faults start.
@@ -67,7 +69,7 @@
     """
     rng = random.Random(seed)
     test_fleet = fleet.Fleet(folder)
-    schedule = faults.plan(rng, seconds)
+    schedule = faults.plan_faults(rng, seconds)
     try:
         await test_fleet.start(VM_COUNT, RUNNER_COUNT)
         caller_group = callers.CallerGroup(test_fleet, rng)
@@ -112,7 +114,7 @@
 ) -> SoakResult:
     """Run one soak test; keep its folder if a guarantee was violated."""
     folder = pathlib.Path(tempfile.mkdtemp(prefix="soak-"))
-    result = asyncio.run(soak(seed, seconds, folder))
+    result = asyncio.run(run_soak_test(seed, seconds, folder))
     if result.violations:
         kept = keep_folder / f"seed-{seed}"
         shutil.rmtree(kept, ignore_errors=True)
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -214,7 +214,7 @@
     link.set_mode(proxy.Mode.PASS)
 
 
-def plan(rng: random.Random, seconds: float) -> list[tuple[float, str]]:
+def plan_faults(rng: random.Random, seconds: float) -> list[tuple[float, str]]:
     """Draw start times and names of the faults.
 
     Some faults start so shortly after the previous one that they overlap.
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -138,7 +138,7 @@
     def __init__(self, folder: pathlib.Path) -> None:
         self._folder = folder
         self._runner_numbers = itertools.count(1)
-        self._ports = ports.Reservations()
+        self._ports = ports.PortReservations()
         self._store_port = self._ports.reserve()
         self._version = 0
         self.store = ChildProcess(
--- a/src/apricotlever/contracts/call_budget.py
+++ b/src/apricotlever/contracts/call_budget.py
@@ -82,23 +82,25 @@
         self._tokens = min(_depth(self, fleet_size), self._tokens + gained)
         self._refilled_at = max(self._refilled_at, now)
 
-    def take(self, rank: CallPriority, fleet_size: int) -> bool:
+    def take(self, priority: CallPriority, fleet_size: int) -> bool:
         """Take a token for a call of this priority.
 
         :returns: whether there was a token besides those reserved for higher
             priorities.
         """
-        if self._missing(rank, fleet_size) > 0:
+        if self._missing(priority, fleet_size) > 0:
             return False
         self._tokens -= 1
         return True
 
-    def wait_s(self, rank: CallPriority, now: float, fleet_size: int) -> float:
+    def wait_s(
+        self, priority: CallPriority, now: float, fleet_size: int
+    ) -> float:
         """Return the seconds until a call of this priority may take a token.
 
         The result assumes that no other call takes a token meanwhile.
         """
-        missing = self._missing(rank, fleet_size)
+        missing = self._missing(priority, fleet_size)
         if missing <= 0:
             return 0.0
         paused_s = max(0.0, self._paused_until - now)
@@ -113,8 +115,8 @@
         self._paused_until = max(self._paused_until, until)
         self._factor = max(MIN_FACTOR, self._factor * THROTTLE_FACTOR)
 
-    def _missing(self, rank: CallPriority, fleet_size: int) -> float:
-        reserved = rank * _depth(self, fleet_size) / len(CallPriority)
+    def _missing(self, priority: CallPriority, fleet_size: int) -> float:
+        reserved = priority * _depth(self, fleet_size) / len(CallPriority)
         return reserved + 1.0 - self._tokens
 
 
@@ -173,7 +175,7 @@
         self._reported_size = size
 
     def try_acquire(
-        self, rank: CallPriority, kind: CallKind = CallKind.WRITE
+        self, priority: CallPriority, kind: CallKind = CallKind.WRITE
     ) -> bool:
         """Take a token for one call, unless it is kept for higher priorities.
 
@@ -182,17 +184,17 @@
         :returns: whether the call may be made now.
         """
         bucket = self._refilled(kind)
-        return bucket.take(rank, self._fleet_size)
+        return bucket.take(priority, self._fleet_size)
 
     def wait_s(
-        self, rank: CallPriority, kind: CallKind = CallKind.WRITE
+        self, priority: CallPriority, kind: CallKind = CallKind.WRITE
     ) -> float:
         """Return the seconds until :meth:`try_acquire` may succeed.
 
         No token is taken.
         """
         bucket = self._refilled(kind)
-        return bucket.wait_s(rank, self._clock.now(), self._fleet_size)
+        return bucket.wait_s(priority, self._clock.now(), self._fleet_size)
 
     def record_throttling(self, kind: CallKind, retry_after_s: float) -> None:
         """Note that the object API refused a call because of its rate.
--- a/src/apricotlever/contracts/retry_budget.py
+++ b/src/apricotlever/contracts/retry_budget.py
@@ -17,10 +17,10 @@
     """Token buckets, one for each catalogue entry, refilled by successes.
 
     Over any time, the retries of an entry are at most
-    ``tokens_per_success`` times its successes plus ``most``.
+    ``tokens_per_success`` times its successes plus ``max_tokens``.
 
     :param tokens_per_success: tokens that one success adds.
-    :param most: the size of a bucket, in tokens.
+    :param max_tokens: the size of a bucket, in tokens.
     :param initial_tokens: tokens of a new bucket.
     """
 
@@ -34,12 +34,12 @@
     def __init__(
         self,
         tokens_per_success: float = RETRIES_PER_SUCCESS,
-        most: float = MAX_TOKENS,
+        max_tokens: float = MAX_TOKENS,
         initial_tokens: float = INITIAL_TOKENS,
     ) -> None:
         self._tokens_per_success = tokens_per_success
-        self._max_tokens = most
-        self._initial_tokens = min(initial_tokens, most)
+        self._max_tokens = max_tokens
+        self._initial_tokens = min(initial_tokens, max_tokens)
         self._tokens: dict[str, float] = {}
 
     def record_success(self, entry: str) -> None:
--- a/src/apricotlever/daemon/autoscaler.py
+++ b/src/apricotlever/daemon/autoscaler.py
@@ -20,7 +20,7 @@
 from ..data_centres import capacity_planner
 from ..data_centres import model
 from ..data_centres import model_load_limiter
-from ..data_centres import price_book
+from ..data_centres import price_table
 from ..data_centres import reclaim_risk
 from ..links import peer_pb2 as pb
 from ..links import platform
@@ -127,7 +127,7 @@
         self._may_order = may_order
         self._drain = drain
         self._threads = futures.ThreadPoolExecutor(THREADS, "buyer")
-        self._prices = price_book.PriceBook()
+        self._prices = price_table.PriceTable()
         self._reclaim_risk = reclaim_risk.ReclaimRisk(clock)
         self._load_limiter = model_load_limiter.ModelLoadLimiter(clock)
         self._policies: dict[str, capacity_planner.CapacityPolicy] = {}
--- a/src/apricotlever/daemon/fleet_link.py
+++ b/src/apricotlever/daemon/fleet_link.py
@@ -24,10 +24,10 @@
 from ..vms import rendezvous
 from ..vms import timing
 
+from . import fleet_listener
 from . import fleet_messages
 from . import future_chaining
 from . import gossip_messages
-from . import listeners
 from . import peer_calls
 from . import trial_messages
 
@@ -124,7 +124,7 @@
         link: peer_link.PeerLink,
         me: pb.Member,
         metrics: metrics_.Metrics,
-        listener: listeners.Listener,
+        listener: fleet_listener.Listener,
     ) -> None:
         super().__init__("fleet", clock, timing.TICK_S)
         self._config = config
@@ -159,7 +159,7 @@
     @mailbox.handles(_GossipReceived)
     def _gossip_received(self, received: _GossipReceived) -> pb.GossipMessage:
         if not received.is_call:
-            self._execute(self._membership.answered(received.message))
+            self._execute(self._membership.receive_reply(received.message))
             return pb.GossipMessage()
         pending_actions = self._membership.receive(received.message)
         replies = [
--- a/src/apricotlever/data_centres/capacity_planner.py
+++ b/src/apricotlever/data_centres/capacity_planner.py
@@ -18,7 +18,7 @@
 from . import model_load_limiter
 from . import pending_purchases
 from . import placement
-from . import price_book
+from . import price_table
 from . import reclaim_risk
 from . import sizing
 from . import start_backoff
@@ -86,7 +86,7 @@
 
     :param policy: the limits and safety margins of the entry.
     :param entry: name of the entry; becomes part of the order tokens.
-    :param price_book: shared by all entries.
+    :param prices: shared by all entries.
     :param reclaim_risk: shared by all entries.
     :param load_limiter: shared by all entries. The code that carries out a
         :class:`model.LoadModel` order reports the end of the load to it.
@@ -112,14 +112,14 @@
         rng: random.Random,
         entry: str,
         policy: CapacityPolicy,
-        price_book: price_book.PriceBook,
+        prices: price_table.PriceTable,
         reclaim_risk: reclaim_risk.ReclaimRisk,
         load_limiter: model_load_limiter.ModelLoadLimiter,
         start_s: float = RUNNER_START_S,
     ) -> None:
         self._clock = clock
         self._policy = policy
-        self._prices = price_book
+        self._prices = prices
         self._risk = reclaim_risk
         self._load_limiter = load_limiter
         self._backoff = start_backoff.StartBackoff(clock, rng)
--- a/src/apricotlever/data_centres/price_book.py
+++ b/src/apricotlever/data_centres/price_table.py
@@ -5,7 +5,7 @@
 from . import model
 
 
-class PriceBook:
+class PriceTable:
     """Prices of a VM per hour, by place.
 
     A place without a price is not offered by the cloud at present.
--- a/src/apricotlever/vms/membership.py
+++ b/src/apricotlever/vms/membership.py
@@ -167,7 +167,7 @@
             result.append(actions.Reply(self._default_reply(message)))
         return result
 
-    def answered(self, message: pb.GossipMessage) -> Actions:
+    def receive_reply(self, message: pb.GossipMessage) -> Actions:
         """Process a peer's answer to a Gossip call that this VM made."""
         if self._exited or not message.sender.vm:
             return []
--- a/tests/daemon/fleet_fixture.py
+++ b/tests/daemon/fleet_fixture.py
@@ -8,7 +8,7 @@
 
 from tests.support import answers
 from tests.support import caller
-from tests.support import cuttable
+from tests.support import fault_relay
 from tests.support import fleet
 
 CUSTOMERS = ("ana", "bruno")
@@ -149,7 +149,7 @@
         self.engines = [f"engine-{i}" for i in range(engines)]
         self.services = [f"service-{i}" for i in range(services)]
         self.vms = [f"vm-{i}" for i in range(vms)]
-        self.relays: dict[str, cuttable.Relay] = {}
+        self.relays: dict[str, fault_relay.FaultRelay] = {}
         self._slots = slots
         self._has_runner_relays = runner_relays
         self._has_store_relay = store_relay
@@ -175,7 +175,7 @@
         :param new_too: whether new connections drop all data as well.
         :returns: how many connections went silent.
         """
-        return sum(self.relays[name].silence(new_too) for name in names)
+        return sum(self.relays[name].blackhole(new_too) for name in names)
 
     def data_centre(self, name: str) -> str:
         """The data centre of an engine or service."""
@@ -189,7 +189,7 @@
     def caller(self, customer: str = CUSTOMERS[0]) -> caller.Caller:
         """A new caller with a customer's key."""
         return caller.Caller(
-            self.fleet.entries, key_of(customer), gap_timeout_s=10.0
+            self.fleet.entry_addresses, key_of(customer), idle_timeout_s=10.0
         )
 
     def stream(
@@ -250,7 +250,10 @@
             sender = self.caller()
             self._running.append(
                 self._pool.submit(
-                    sender.whole, "/v1/completions", body, address
+                    sender.complete_unstreamed,
+                    "/v1/completions",
+                    body,
+                    address,
                 )
             )
 
@@ -314,7 +317,7 @@
             MODEL_POOL,
             DATA_CENTRES,
             flags=["--step-ms", STEP_MS, "--slots", str(self._slots), *flags],
-            register=not self._has_runner_relays,
+            register_vm=not self._has_runner_relays,
         )
         fleet_.start_services(
             self.services,
@@ -334,13 +337,13 @@
     def _start_platform(self) -> None:
         self.fleet.start_platform()
         if self._has_store_relay:
-            relay = cuttable.Relay(self.fleet.address("objects"))
+            relay = fault_relay.FaultRelay(self.fleet.address("objects"))
             self.relays["objects"] = relay
             self.fleet.node("objects").address = relay.address
 
     def _add_relays(self, names: typing.Sequence[str], pool: str) -> None:
         for name in names:
-            relay = cuttable.Relay(self.fleet.address(name))
+            relay = fault_relay.FaultRelay(self.fleet.address(name))
             self.relays[name] = relay
             self.fleet.register_runner(
                 name, pool, self.data_centre(name), address=relay.address
--- a/tests/daemon/fleet_views.py
+++ b/tests/daemon/fleet_views.py
@@ -6,7 +6,7 @@
 
 from tests.daemon import fleet_fixture
 from tests.daemon import relayed_daemon
-from tests.support import cuttable
+from tests.support import fault_relay
 from tests.support import http
 
 DAEMON_WITH_RELAYS = "tests.daemon.relayed_daemon"
@@ -20,15 +20,15 @@
 
     def _start_platform(self) -> None:
         super()._start_platform()
-        self.partition_relays: list[cuttable.Relay] = []
-        self.fleet.use_daemon(DAEMON_WITH_RELAYS)
+        self.partition_relays: list[fault_relay.FaultRelay] = []
+        self.fleet.set_daemon_module(DAEMON_WITH_RELAYS)
 
     def partition(self, first: str, second: str) -> None:
         """Drop all data between two VMs without closing connections."""
         for source, target in itertools.permutations((first, second)):
-            address = self.fleet.node(target).peers
-            relay = cuttable.Relay(address)
-            relay.silence(new_too=True)
+            address = self.fleet.node(target).peer_address
+            relay = fault_relay.FaultRelay(address)
+            relay.blackhole(new_too=True)
             self.partition_relays.append(relay)
             path = relayed_daemon.path_for(self.fleet.settings_path(source))
             path.write_text(json.dumps({address: relay.address}))
@@ -39,7 +39,7 @@
 
         It is the smaller number of the two directions.
         """
-        return min(relay.accepted for relay in self.partition_relays)
+        return min(relay.accepted_count for relay in self.partition_relays)
 
     def restore(self) -> None:
         """Restore the network between all VMs."""
--- a/tests/daemon/lookups.py
+++ b/tests/daemon/lookups.py
@@ -58,7 +58,7 @@
 
     def _look_up(self, number: int) -> answers.Answer:
         caller = self._callers[number % len(self._callers)]
-        return caller.service(
+        return caller.call_service(
             fleet_fixture.SERVICE_ENTRY, "GET", _path(number)
         )
 
@@ -69,13 +69,13 @@
 
 def _problem(number: int, answer: answers.Answer, within_s: float) -> str:
     if not answer.done:
-        return f"{answer.status} {answer.error} after {answer.whole_s:.1f} s"
+        return f"{answer.status} {answer.error} after {answer.total_s:.1f} s"
     payload = answer.payload
     if (payload["path"], payload["request"]) != (
         _path(number),
         answer.request_id,
     ):
         return f"the answer to another lookup: {payload}"
-    if answer.whole_s > within_s:
-        return f"took {answer.whole_s:.1f} s"
+    if answer.total_s > within_s:
+        return f"took {answer.total_s:.1f} s"
     return ""
--- a/tests/daemon/outages.py
+++ b/tests/daemon/outages.py
@@ -6,7 +6,7 @@
 
 from tests.daemon import fleet_fixture
 from tests.daemon import followers
-from tests.support import cuttable
+from tests.support import fault_relay
 from tests.support import fleet
 from tests.support import http
 
@@ -29,7 +29,7 @@
         super()._start_platform()
         node = self.fleet.node(STORE)
         self.store_address = node.address
-        self.relay = cuttable.Relay(node.address)
+        self.relay = fault_relay.FaultRelay(node.address)
         node.address = self.relay.address
 
     def close(self) -> None:
--- a/tests/daemon/poison.py
+++ b/tests/daemon/poison.py
@@ -32,7 +32,7 @@
         self._fixture = fixture
         self.sent: list[answers.Answer] = []
         for name in fixture.engines:
-            fixture.fleet.faults(
+            fixture.fleet.set_faults(
                 name, crash_on=CRASH_WORD, crash_after_tokens=after_tokens
             )
 
@@ -69,7 +69,7 @@
     def disarm(self) -> None:
         """Make the request harmless to the engines that still run."""
         for name in self.running_engines():
-            self._fixture.fleet.faults(name, crash_on="")
+            self._fixture.fleet.set_faults(name, crash_on="")
 
     def running_engines(self) -> list[str]:
         """The engines that still run."""
@@ -92,7 +92,7 @@
 
     def false_denials(self) -> list[typing.Any]:
         """Errors reported as not executed although an engine began to run."""
-        journals = self._fixture.fleet.journals()
+        journals = self._fixture.fleet.total_execution_counts()
         return [
             answer.error
             for answer in self.sent
--- a/tests/daemon/registrations.py
+++ b/tests/daemon/registrations.py
@@ -112,7 +112,7 @@
                 },
                 TIMEOUT_S,
             )
-            answers.note_headers(answer, reply.status, reply.headers)
+            answers.record_headers(answer, reply.status, reply.headers)
             answer.payload = reply.payload
             answer.done = reply.status == 200
         except http_errors() as error:
--- a/tests/serving/fleet_of_directories.py
+++ b/tests/serving/directory_simulation.py
@@ -40,22 +40,24 @@
         self.entries = {}
         self.changes = []
         #: The latest state of the runner that now runs under each name.
-        self.current = {}
+        self.current_states = {}
 
     def write(self, name, leaving=False):
         """Write an entry with the next sequence number."""
-        before = self.current.get(name, EntryState(False, 1, 0))
+        before = self.current_states.get(name, EntryState(False, 1, 0))
         self._update(
             name, EntryState(leaving, before.born, before.sequence + 1)
         )
 
     def restart(self, name):
         """Restart a runner under its name."""
-        self._update(name, EntryState(False, self.current[name].born + 1, 1))
+        self._update(
+            name, EntryState(False, self.current_states[name].born + 1, 1)
+        )
 
     def corrupt(self, name):
         """Overwrite an entry with unreadable content."""
-        state = self.current[name]
+        state = self.current_states[name]
         self._put(name, EntryState(False, state.born, 0, readable=False))
 
     def write_delayed(self, name, state):
@@ -63,7 +65,7 @@
         self._put(name, state)
 
     def _update(self, name, state):
-        self.current[name] = state
+        self.current_states[name] = state
         self._put(name, state)
 
     def _put(self, name, state):
@@ -90,7 +92,7 @@
         return store.Changes(found, self.revision)
 
 
-class Platform:
+class RunnerEntryDecoder:
     """A dialect of the platform that decodes entries of runners.
 
     :param naive: whether to identify a runner by its name alone.
@@ -168,7 +170,7 @@
             mine.merge_changes(*theirs.changes_after(ALL_REVISIONS))
 
 
-class Fleet:
+class SimulatedFleet:
     """The VMs and the store.
 
     :param seed: determines the random changes and when VMs receive them.
@@ -182,7 +184,7 @@
         self, seed, vm_count, runner_count, platform=None, restarts=False
     ):
         self._restarts = random.Random(seed) if restarts else None
-        platform = platform or Platform()
+        platform = platform or RunnerEntryDecoder()
         #: Delayed heartbeats: when they are applied, the name and the state.
         self._late_heartbeats = []
         self._rng = random.Random(seed)
@@ -259,7 +261,9 @@
             name = rng.choice(listed)
             if rng.random() < 0.5:
                 at = now + rng.uniform(0.1, 2.0)
-                self._late_heartbeats.append((at, name, history.current[name]))
+                self._late_heartbeats.append(
+                    (at, name, history.current_states[name])
+                )
             for _ in range(rng.choice((1, 1, 2))):
                 history.restart(name)
         if listed and rng.random() < 0.04:
@@ -275,13 +279,15 @@
             vm.merge_from(rng.choice(others), now)
             vm.directory.tick()
 
-    def settle(self):
+    def restore_entries(self):
         """Restore expired and outdated entries, and drop late heartbeats."""
         for name in self._expired:
             self.history.write(name)
         self._expired.clear()
         self._late_heartbeats.clear()
         for name, state in self.history.entries.items():
-            if state is not self.history.current[name]:
+            if state is not self.history.current_states[name]:
                 # The next heartbeat of the current process.
-                self.history.write(name, self.history.current[name].leaving)
+                self.history.write(
+                    name, self.history.current_states[name].leaving
+                )
--- a/tests/serving/memory_store.py
+++ b/tests/serving/memory_store.py
@@ -80,23 +80,23 @@
     """
 
     def __init__(self):
-        self.sent = []
+        self.accepted_reports = []
         self.highest_fencing = 0
-        self.busy = 0
+        self.remaining_busy_answers = 0
 
     async def send(self, path, body, fencing):
         """Accept a report if its fencing number is not outdated."""
-        if self.busy:
-            self.busy -= 1
+        if self.remaining_busy_answers:
+            self.remaining_busy_answers -= 1
             raise duty_lease.CloudBusy("injected fault")
         if fencing < self.highest_fencing:
             return False
         self.highest_fencing = fencing
-        self.sent.append((path, body, fencing))
+        self.accepted_reports.append((path, body, fencing))
         return True
 
 
-class PlainDocuments:
+class PlainReportDialect:
     """A dialect that sends reports without encoding them."""
 
     def usage_report_request(self, window, counts):
--- a/tests/serving/world.py
+++ b/tests/serving/request_path.py
@@ -42,7 +42,7 @@
     )
 
 
-class World:
+class RequestPath:
     """The request path, its runner stand-ins and a caller."""
 
     def __init__(self):
--- a/tests/serving/strict_http.py
+++ b/tests/serving/strict_http.py
@@ -50,7 +50,7 @@
         return self.method, self.target, self.headers, self.body
 
 
-def read_all(data):
+def parse_requests(data):
     """Parse all requests in a connection's bytes.
 
     :returns: the requests, and whether the bytes after them are malformed.
--- a/tests/standins/engine_client.py
+++ b/tests/standins/engine_client.py
@@ -56,7 +56,7 @@
 ):
     """Read a stream to its end, or until ``answer`` has ``limit`` tokens."""
     connection, response = open_stream(address, method, path, body, headers)
-    answers.note_headers(answer, response.status, response.headers)
+    answers.record_headers(answer, response.status, response.headers)
     try:
         for event in answers.read_events(response):
             answers.add_event(answer, event, time.monotonic())
--- a/tests/steps/catalogue_schema.py
+++ b/tests/steps/catalogue_schema.py
@@ -10,7 +10,7 @@
 from behave import when
 
 from tests.catalogue import examples
-from tests.support import pages
+from tests.support import operator_pages
 
 
 def _parse_invalid(context, document):
@@ -78,4 +78,6 @@
     loaded = documents.load_schema(
         "apricotlever.catalogue", schema.SCHEMA_NAME
     )
-    assert pages.rows("catalogue.md", "Fields") == pages.fields(loaded)
+    assert operator_pages.table_rows(
+        "catalogue.md", "Fields"
+    ) == operator_pages.schema_field_rows(loaded)
--- a/tests/steps/client_main.py
+++ b/tests/steps/client_main.py
@@ -13,7 +13,7 @@
 from tests.client import command_runner
 from tests.client import fake_entry_vm
 from tests.standins import scenario_server
-from tests.support import pages
+from tests.support import operator_pages
 
 
 @given("an operator's command line with an object API")
@@ -31,7 +31,7 @@
         "--objects",
         running.platform_urls["objects"],
     ]
-    context.operator_connection += ["--entry", running.entries[0]]
+    context.operator_connection += ["--entry", running.entry_addresses[0]]
 
 
 @when("the operator waits until that version is in force")
@@ -115,7 +115,7 @@
 
 @then("the operators' page lists exactly the exit codes")
 def _check_exit_code_page(context):
-    listed = pages.rows("refusals.md", "Exit codes")
+    listed = operator_pages.table_rows("refusals.md", "Exit codes")
     known = [(str(c), m) for c, m in exit_codes.MEANINGS.items()]
     assert listed == known
 
@@ -126,4 +126,4 @@
         (f"`{name}`", str(kind.status), kind.meaning)
         for name, kind in refusals.kinds().items()
     ]
-    assert pages.rows("refusals.md", "Types") == known
+    assert operator_pages.table_rows("refusals.md", "Types") == known
--- a/tests/steps/daemon_at_most_once.py
+++ b/tests/steps/daemon_at_most_once.py
@@ -28,7 +28,7 @@
 def _service_faults(context, **faults):
     for name in context.scene.services:
         if context.scene.fleet.process(name).running:
-            context.scene.fleet.faults(name, **faults)
+            context.scene.fleet.set_faults(name, **faults)
 
 
 def _send_again(context, vms):
@@ -195,12 +195,12 @@
 
 @when("the object API is down")
 def _store_down(context):
-    context.scene.fleet.faults("objects", down=True)
+    context.scene.fleet.set_faults("objects", down=True)
 
 
 @when("the object API works again")
 def _store_works(context):
-    context.scene.fleet.faults("objects", down=False)
+    context.scene.fleet.set_faults("objects", down=False)
 
 
 @when("a registration with {article} {key} key is sent to {vm}")
@@ -253,7 +253,7 @@
 
 @when("the object API loses the answer of each write")
 def _store_loses_answers(context):
-    context.scene.fleet.faults("objects", lose_answer=True)
+    context.scene.fleet.set_faults("objects", lose_answer=True)
 
 
 @when(
@@ -332,7 +332,7 @@
 @when("service-0 is killed while the registrations run")
 def _service_killed(context):
     time.sleep(0.3)
-    context.scene.fleet.vanish(["service-0"])
+    context.scene.fleet.kill_without_notice(["service-0"])
     context.registrations.wait()
 
 
--- a/tests/steps/daemon_bad_input.py
+++ b/tests/steps/daemon_bad_input.py
@@ -77,7 +77,7 @@
 
 @then("no upstream has received any of the inputs")
 def _nothing_received(context):
-    assert not context.scene.fleet.journals()
+    assert not context.scene.fleet.total_execution_counts()
 
 
 @then("another customer is served after {count:d} requests with a bad seed")
--- a/tests/steps/daemon_repeats.py
+++ b/tests/steps/daemon_call_backoff.py
@@ -1,4 +1,4 @@
-"""Steps for tests/daemon/repeats.feature."""
+"""Steps for tests/daemon/call_backoff.feature."""
 
 import re
 
--- a/tests/steps/daemon_capacity.py
+++ b/tests/steps/daemon_capacity.py
@@ -18,7 +18,7 @@
         fleet_fixture.DATA_CENTRES,
         register=False,
     )
-    fixture.fleet.offer(names, fleet_fixture.MODEL_POOL)
+    fixture.fleet.add_spares(names, fleet_fixture.MODEL_POOL)
     prices = [
         {
             "data_centre": data_centre,
@@ -39,12 +39,12 @@
 
 @given("the cloud loses the next {count:d} answers")
 def _lost_answers(context, count):
-    context.scene.fleet.faults("cloud", lose_answer=count)
+    context.scene.fleet.set_faults("cloud", lose_answer=count)
 
 
 @given("the cloud sells no VM in {data_centre}")
 def _sold_out(context, data_centre):
-    context.scene.fleet.faults("cloud", no_capacity=[data_centre])
+    context.scene.fleet.set_faults("cloud", no_capacity=[data_centre])
 
 
 @when("the catalogue requires at least {minimum:d} runners")
--- a/tests/steps/daemon_readings.py
+++ b/tests/steps/daemon_catalogue_reads.py
@@ -1,4 +1,4 @@
-"""Steps for tests/daemon/readings.feature."""
+"""Steps for tests/daemon/catalogue_reads.feature."""
 
 from apricotlever import clock as clocks
 from apricotlever.daemon import catalogue_reads
--- a/tests/steps/daemon_duties.py
+++ b/tests/steps/daemon_duties.py
@@ -45,7 +45,7 @@
 @when("runners ignore fencing numbers")
 def _no_fencing(context):
     for name in context.scene.engines:
-        context.scene.fleet.faults(name, fencing=False)
+        context.scene.fleet.set_faults(name, fencing=False)
 
 
 @when("the catalogue asks for version {version} of the model")
--- a/tests/steps/daemon_scene.py
+++ b/tests/steps/daemon_fleet.py
@@ -48,23 +48,23 @@
 @given("exports take {seconds:f} s at the runners of {data_centre}")
 def _exports_slow(context, seconds, data_centre):
     for name in context.scene.engines_in(data_centre):
-        context.scene.fleet.faults(name, export_delay_s=seconds)
+        context.scene.fleet.set_faults(name, export_delay_s=seconds)
 
 
 @given("imports fail at the runners of {data_centre}")
 def _imports_fail(context, data_centre):
     for name in context.scene.engines_in(data_centre):
-        context.scene.fleet.faults(name, import_fails=True)
+        context.scene.fleet.set_faults(name, import_fails=True)
 
 
 @given("the platform's list lags by {seconds:f} s")
 def _list_lags(context, seconds):
-    context.scene.fleet.faults("cloud", lag_s=seconds)
+    context.scene.fleet.set_faults("cloud", lag_s=seconds)
 
 
 @when("no VM can be bought")
 def _no_vm_for_sale(context):
-    context.scene.fleet.faults("cloud", no_capacity=True)
+    context.scene.fleet.set_faults("cloud", no_capacity=True)
 
 
 @when(
@@ -105,7 +105,9 @@
 
 @when("the runners of {data_centre} are killed without a notice")
 def _killed(context, data_centre):
-    context.scene.fleet.vanish(context.scene.engines_in(data_centre))
+    context.scene.fleet.kill_without_notice(
+        context.scene.engines_in(data_centre)
+    )
 
 
 @when(
@@ -183,14 +185,16 @@
 
 @then("at most {seconds:f} s passed between two tokens")
 def _token_gap_at_most(context, seconds):
-    longest = max(max(a.gaps_s, default=0.0) for a in answers_of(context))
+    longest = max(
+        max(a.token_gaps_s, default=0.0) for a in answers_of(context)
+    )
     assert longest <= seconds, longest
 
 
 @then("the runners of {data_centre} executed nothing")
 def _executed_nothing(context, data_centre):
     for name in context.scene.engines_in(data_centre):
-        assert not context.scene.fleet.journal(name), name
+        assert not context.scene.fleet.execution_counts(name), name
 
 
 @then("{vm} exits with {code:d}")
@@ -202,7 +206,7 @@
 
 @then("some callers were redirected to another entry VM")
 def _callers_redirected(context):
-    assert any(answer.moves for answer in answers_of(context))
+    assert any(answer.redirects for answer in answers_of(context))
 
 
 def in_background(function):
--- a/tests/steps/daemon_handovers.py
+++ b/tests/steps/daemon_handovers.py
@@ -69,6 +69,6 @@
 
 def _register(fixture, key, address):
     body = {"operation": "registration-1"}
-    return fixture.caller().service(
+    return fixture.caller().call_service(
         "registry", "POST", "/entries", body, key, address
     )
--- a/tests/steps/daemon_membership.py
+++ b/tests/steps/daemon_membership.py
@@ -78,7 +78,7 @@
     caller = context.scene.caller()
     for vm in vms:
         for operation in operations:
-            answer = caller.service(
+            answer = caller.call_service(
                 fleet_fixture.SERVICE_ENTRY,
                 "POST",
                 "/entries",
@@ -91,7 +91,7 @@
 
 @then("the reported outcome of each registration is correct")
 def _reported_outcomes_correct(context):
-    runs = context.scene.fleet.journals()
+    runs = context.scene.fleet.total_execution_counts()
     assert all(runs.get(name, 0) <= 1 for name in context.minted), runs
     for operation, answer in context.registration_answers:
         run_count = runs.get(operation, 0)
@@ -112,7 +112,7 @@
     sent_before = {
         operation for operation, _ in context.registration_answers[:2]
     }
-    runs = context.scene.fleet.journals()
+    runs = context.scene.fleet.total_execution_counts()
     late = set(runs) & set(context.minted) - sent_before
     assert not late, (late, runs)
     answers = [
--- a/tests/steps/daemon_overload.py
+++ b/tests/steps/daemon_overload.py
@@ -47,7 +47,7 @@
     "sends a trickle"
 )
 def _flood_entries(context, times, seconds):
-    _run_floods(context, context.scene.fleet.entries, seconds, times)
+    _run_floods(context, context.scene.fleet.entry_addresses, seconds, times)
 
 
 @when(
@@ -56,7 +56,7 @@
 )
 def _flood_two_classes(context, times, seconds):
     rate = times * context.capacity_per_s
-    entries = context.scene.fleet.entries
+    entries = context.scene.fleet.entry_addresses
     context.drafts, context.summaries = flood.run_together(
         seconds,
         flood.Flood(entries, "ana", "drafts", rate),
@@ -95,12 +95,12 @@
     refused = [a for a in context.sent_by_ana if not a.done]
     assert refused
     wrong = [
-        (a.status, a.executed, a.retry_after_s, a.whole_s, a.error)
+        (a.status, a.executed, a.retry_after_s, a.total_s, a.error)
         for a in refused
-        if not (a.refused and a.retry_after_s and a.whole_s <= seconds)
+        if not (a.refused and a.retry_after_s and a.total_s <= seconds)
     ]
     assert not wrong, (len(wrong), wrong[:3])
-    executed = context.scene.fleet.journals()
+    executed = context.scene.fleet.total_execution_counts()
     ran = [a.error for a in refused if a.request_id in executed]
     assert not ran, ran[:3]
 
@@ -114,7 +114,7 @@
 
 @then("the extra executions are at most {share:f} of the executed requests")
 def _extra_executions(context, share):
-    journals = context.scene.fleet.journals()
+    journals = context.scene.fleet.total_execution_counts()
     extra = sum(journals.values()) - len(journals)
     assert extra <= share * len(journals), (extra, len(journals))
 
--- a/tests/steps/daemon_quarantine.py
+++ b/tests/steps/daemon_quarantine.py
@@ -95,9 +95,9 @@
         (
             answer.status,
             answer.executed,
-            len(answer.ids),
+            len(answer.event_ids),
             answer.error,
-            round(answer.whole_s, 1),
+            round(answer.total_s, 1),
         )
         for answer in context.poison.sent
     ]
--- a/tests/steps/daemon_silence.py
+++ b/tests/steps/daemon_silence.py
@@ -50,13 +50,13 @@
 @given("each plain service takes {seconds:f} s")
 def _set_service_delay(context, seconds):
     for name in context.scene.services:
-        context.scene.fleet.faults(name, delay_s=seconds)
+        context.scene.fleet.set_faults(name, delay_s=seconds)
 
 
 @given("service-0 takes {slow:f} s and the others {fast:f} s")
 def _set_service_delays(context, slow, fast):
     _set_service_delay(context, fast)
-    context.scene.fleet.faults("service-0", delay_s=slow)
+    context.scene.fleet.set_faults("service-0", delay_s=slow)
 
 
 @when(
@@ -92,7 +92,7 @@
 @when("all open connections are reset")
 def _reset_all(context):
     for relay in context.scene.relays.values():
-        relay.cut()
+        relay.reset_connections()
 
 
 @when("open and new connections to {data_centre} are silent for {seconds:f} s")
@@ -158,7 +158,7 @@
 def _idle_connections(context, count):
     context.lookups.start(count)
     _lookups_answered(context, 6.0)
-    assert any(relay.open for relay in context.scene.relays.values())
+    assert any(relay.open_count for relay in context.scene.relays.values())
 
 
 @then("{count:d} new lookups get their own answers within {seconds:f} s")
--- a/tests/steps/daemon_store_edits.py
+++ b/tests/steps/daemon_store_edits.py
@@ -71,7 +71,7 @@
 def _apply_concurrently(context):
     base = outages.stored(context.scene)["version"]
     # The delay makes both commands read before either of them writes.
-    context.scene.fleet.faults(outages.STORE, slow_s=RACE_CALL_S)
+    context.scene.fleet.set_faults(outages.STORE, slow_s=RACE_CALL_S)
     command = [*COMMAND, "catalogue", "apply", "--expect", str(base)]
     runs = [
         subprocess.Popen(
@@ -84,7 +84,7 @@
         for edit in (1, 2)
     ]
     texts = [run.communicate(timeout=30.0) for run in runs]
-    context.scene.fleet.faults(outages.STORE, slow_s=0.0)
+    context.scene.fleet.set_faults(outages.STORE, slow_s=0.0)
     context.concurrent_results = [
         (run.returncode, *text) for run, text in zip(runs, texts)
     ]
--- a/tests/steps/daemon_store_outages.py
+++ b/tests/steps/daemon_store_outages.py
@@ -45,7 +45,7 @@
 def _fault(context, fault):
     fixture = context.scene
     context.before = outages.versions(fixture)
-    fixture.fleet.faults(outages.STORE, **outages.FAULTS[fault])
+    fixture.fleet.set_faults(outages.STORE, **outages.FAULTS[fault])
 
 
 @when("the store works again")
@@ -61,7 +61,7 @@
 
 @when("the store loses the next {count:d} answers")
 def _loses(context, count):
-    context.scene.fleet.faults(outages.STORE, lose_answer=count)
+    context.scene.fleet.set_faults(outages.STORE, lose_answer=count)
 
 
 @when("all open connections to the store go silent")
@@ -71,7 +71,7 @@
         lambda: fixture.fleet.counts(outages.STORE)["watches_waiting"]
         >= len(fixture.vms)
     )
-    assert fixture.relay.silence() >= len(fixture.vms)
+    assert fixture.relay.blackhole() >= len(fixture.vms)
     fixture.fleet.node(outages.STORE).address = fixture.store_address
 
 
@@ -129,7 +129,7 @@
 def _lookups(context):
     client = context.scene.caller()
     context.lookups = [
-        client.service(
+        client.call_service(
             fleet_fixture.SERVICE_ENTRY, "GET", "/status", address=address
         )
         for address in outages.addresses(context.scene).values()
@@ -157,14 +157,14 @@
 
 def _registered(client, operation, key, address):
     body = {"operation": operation}
-    return client.service(
+    return client.call_service(
         fleet_fixture.SERVICE_ENTRY, "POST", "/entries", body, key, address
     )
 
 
 @then("each registration was answered and ran once")
 def _ran_once(context):
-    runs = context.scene.fleet.journals()
+    runs = context.scene.fleet.total_execution_counts()
     for operation, sent in context.registrations.items():
         assert all(answer.done for answer in sent), [
             (operation, answer.status, answer.error) for answer in sent
@@ -187,7 +187,7 @@
         **headers,
     }
     return outages.http.call(
-        fixture.fleet.entries[0],
+        fixture.fleet.entry_addresses[0],
         "POST",
         f"/v1/services/{fleet_fixture.SERVICE_ENTRY}/entries",
         {"operation": OWN_KEY},
@@ -211,7 +211,7 @@
 @then("the registration is refused and was not run")
 def _refused(context):
     _check_refused(context, "no")
-    assert OWN_KEY not in context.scene.fleet.journals()
+    assert OWN_KEY not in context.scene.fleet.total_execution_counts()
 
 
 def _check_refused(context, executed):
@@ -228,7 +228,7 @@
 
     def answered():
         return all(
-            client.service(
+            client.call_service(
                 fleet_fixture.SERVICE_ENTRY,
                 "POST",
                 "/entries",
@@ -236,11 +236,11 @@
                 OWN_KEY,
                 address,
             ).done
-            for address in context.scene.fleet.entries
+            for address in context.scene.fleet.entry_addresses
         )
 
     fleet.wait_for(answered, DEFAULT_TIMEOUT_S)
-    assert context.scene.fleet.journals()[OWN_KEY] == 1
+    assert context.scene.fleet.total_execution_counts()[OWN_KEY] == 1
 
 
 @when("{vm} is killed and started again")
--- a/tests/steps/data_centres_capacity_planner.py
+++ b/tests/steps/data_centres_capacity_planner.py
@@ -11,7 +11,7 @@
 from apricotlever.data_centres import model
 from apricotlever.data_centres import model_load_limiter
 from apricotlever.data_centres import placement
-from apricotlever.data_centres import price_book
+from apricotlever.data_centres import price_table
 from apricotlever.data_centres import reclaim_risk
 from apricotlever.data_centres import sizing
 
@@ -30,7 +30,7 @@
 
     def __init__(self, planner_of, least):
         self.clock = clock.ManualClock(60_000.0)
-        self.price_book = price_book.PriceBook()
+        self.price_table = price_table.PriceTable()
         self.load_limiter = model_load_limiter.ModelLoadLimiter(self.clock)
         self.places = [
             model.Place(data_centre, "large", market)
@@ -51,7 +51,7 @@
         self.load_refusals = 0
 
     def fluctuate(self, share):
-        self.price_book.update(
+        self.price_table.update(
             {
                 place: (3.0 if place.market == "on_demand" else 1.0)
                 * (1 + 0.01 * number)
@@ -131,7 +131,7 @@
             random.Random(1),
             "drafts",
             policy,
-            cloud.price_book,
+            cloud.price_table,
             reclaim_risk.ReclaimRisk(cloud.clock),
             cloud.load_limiter,
         )
--- a/tests/steps/links_peer_link.py
+++ b/tests/steps/links_peer_link.py
@@ -104,7 +104,7 @@
 @behave.then("a peer call to a closed port is unavailable and was not sent")
 def closed_port(context):
     """Call a port on which no process listens."""
-    reserved = ports.Reservations()
+    reserved = ports.PortReservations()
     context.closers.append(reserved.close)
     address = f"{ports.HOST}:{reserved.reserve()}"
     call = _call(context, "Gossip", address=address)
--- a/tests/steps/links_platform.py
+++ b/tests/steps/links_platform.py
@@ -16,7 +16,7 @@
 
 from tests.links import blind_writer
 from tests.standins import scenario_server
-from tests.support import cuttable
+from tests.support import fault_relay
 
 TIMEOUT_S = 1.0
 SHORT_TIMEOUT_S = 0.2
@@ -110,7 +110,7 @@
 )
 def _read_then_lose_packets(context, name):
     _read_through_relay(context, name)
-    context.platform_relay.silence()
+    context.platform_relay.blackhole()
 
 
 @given(
@@ -118,12 +118,12 @@
 )
 def _read_then_close(context, name):
     _read_through_relay(context, name)
-    context.platform_relay.cut()
+    context.platform_relay.reset_connections()
 
 
 def _read_through_relay(context, name):
     context.platform.put(name, "one", None)
-    context.platform_relay = cuttable.Relay(context.platform_address)
+    context.platform_relay = fault_relay.FaultRelay(context.platform_address)
     context.closers.append(context.platform_relay.close)
     url = f"http://{context.platform_relay.address}"
     context.platform = platform.ObjectApi(url, SHORT_TIMEOUT_S)
@@ -219,7 +219,7 @@
 
 @then("the platform accepted {count:d} connections")
 def _accepted_connections(context, count):
-    assert context.platform_relay.accepted == count
+    assert context.platform_relay.accepted_count == count
 
 
 @given("the platform's cloud API is up with a spare runner")
--- a/tests/steps/logs.py
+++ b/tests/steps/logs.py
@@ -12,7 +12,7 @@
 from behave import then
 from behave import when
 
-from tests.support import pages
+from tests.support import operator_pages
 
 PACKAGE = pathlib.Path("src/apricotlever")
 PAGE = "logs-and-metrics.md"
@@ -28,7 +28,8 @@
 
 def _rows_under(heading):
     return [
-        (name[1:-1], meaning) for name, meaning in pages.rows(PAGE, heading)
+        (name[1:-1], meaning)
+        for name, meaning in operator_pages.table_rows(PAGE, heading)
     ]
 
 
--- a/tests/steps/serving_call_relay.py
+++ b/tests/steps/serving_call_relay.py
@@ -10,7 +10,7 @@
 from apricotlever import clock as clocks
 from apricotlever.serving import configuration_model
 from apricotlever.serving import customer_limits
-from tests.serving import world as worlds
+from tests.serving import request_path
 
 KINDS = {
     "idempotent calls": (configuration_model.CallKind.IDEMPOTENT, {}),
@@ -34,7 +34,7 @@
 def _world(context):
     if not hasattr(context, "world"):
         context.loop = asyncio.Runner()
-        context.world = worlds.World()
+        context.world = request_path.RequestPath()
         _run(context, context.world.start())
         context.closers.append(context.loop.close)
         context.closers.append(lambda: _run(context, context.world.stop()))
@@ -201,8 +201,8 @@
 @when("a caller sends a chunked body")
 def _send_chunked_body(context):
     head = (
-        f"POST /s/x HTTP/1.1\r\nHost: {worlds.HOST}\r\nCall-Id: c\r\n"
-        f"Key: {worlds.KEY}\r\nTransfer-Encoding: chunked\r\n\r\n"
+        f"POST /s/x HTTP/1.1\r\nHost: {request_path.HOST}\r\nCall-Id: c\r\n"
+        f"Key: {request_path.KEY}\r\nTransfer-Encoding: chunked\r\n\r\n"
     )
     _send_bytes(
         context, head.encode() + b"6\r\nhello \r\n5\r\nworld\r\n0\r\n\r\n"
--- a/tests/steps/serving_directory_fuzz.py
+++ b/tests/steps/serving_directory_fuzz.py
@@ -4,7 +4,7 @@
 from behave import then
 from behave import when
 
-from tests.serving import fleet_of_directories
+from tests.serving import directory_simulation
 
 
 @given("{vms:d} VMs' directories and a store with {count:d} runners")
@@ -18,7 +18,7 @@
 )
 def _random_changes(context, seconds, first, last):
     context.fleets = {
-        seed: fleet_of_directories.Fleet(seed, *context.sizes)
+        seed: directory_simulation.SimulatedFleet(seed, *context.sizes)
         for seed in range(first, last + 1)
     }
     for fleet in context.fleets.values():
@@ -29,7 +29,7 @@
 def _converged(context, seconds):
     wrong = {}
     for seed, fleet in context.fleets.items():
-        fleet.settle()
+        fleet.restore_entries()
         fleet.run(seconds, random_changes=False)
         entries = fleet.history.entries
         wanted = {name: state.leaving for name, state in entries.items()}
@@ -48,10 +48,12 @@
 )
 def _changes_with_restarts(context, seconds, first, last, how):
     context.fleets = {
-        seed: fleet_of_directories.Fleet(
+        seed: directory_simulation.SimulatedFleet(
             seed,
             *context.sizes,
-            fleet_of_directories.Platform(naive=how == "by name alone"),
+            directory_simulation.RunnerEntryDecoder(
+                naive=how == "by name alone"
+            ),
             restarts=True,
         )
         for seed in range(first, last + 1)
@@ -65,9 +67,9 @@
 
     :returns: pairs of the VM's number and the runner's name.
     """
-    fleet.settle()
+    fleet.restore_entries()
     fleet.run(4, random_changes=False)
-    current = fleet.history.current
+    current = fleet.history.current_states
     return [
         (number, runner.name)
         for number, vm in enumerate(fleet.vms)
--- a/tests/steps/serving_duty_lease.py
+++ b/tests/steps/serving_duty_lease.py
@@ -439,7 +439,7 @@
         context.windows,
         context.store,
         context.cloud,
-        memory_store.PlainDocuments(),
+        memory_store.PlainReportDialect(),
         FixedKeeper(),
         lambda: {"customer": 70.0},
     )
@@ -459,7 +459,7 @@
 
 @step("the cloud is busy for {count:d} calls")
 def _cloud_is_busy(context, count):
-    context.cloud.busy = count
+    context.cloud.remaining_busy_answers = count
 
 
 @step("the store loses answers of writes that take effect")
@@ -486,7 +486,11 @@
 @then("the window was reported as {count:d} calls, once")
 def _reported_once(context, count):
     path = f"/report/{context.window}"
-    found = [body for sent, body, _ in context.cloud.sent if sent == path]
+    found = [
+        body
+        for sent, body, _ in context.cloud.accepted_reports
+        if sent == path
+    ]
     assert found == [{"customer": count}], found
 
 
--- a/tests/steps/serving_fuzz.py
+++ b/tests/steps/serving_fuzz.py
@@ -186,7 +186,7 @@
     @hypothesis.given(_connections())
     def check(parts):
         data = b"".join(parts)
-        expected, malformed = strict_http.read_all(data)
+        expected, malformed = strict_http.parse_requests(data)
         # Some lines show what is wrong with them only by the next one.
         found, transport = _read([*parts, *[b"\r\n\r\n"] * malformed])
         assert found == expected, (data, found, expected)
--- a/tests/steps/settings.py
+++ b/tests/steps/settings.py
@@ -9,7 +9,7 @@
 from behave import then
 from behave import when
 
-from tests.support import pages
+from tests.support import operator_pages
 
 EXAMPLE = "examples/settings.json"
 
@@ -78,4 +78,6 @@
 @then("the settings' page lists exactly the schema's fields")
 def _page(context):
     schema = documents.load_schema("apricotlever", settings.SCHEMA_NAME)
-    assert pages.rows("settings.md", "Fields") == pages.fields(schema)
+    assert operator_pages.table_rows(
+        "settings.md", "Fields"
+    ) == operator_pages.schema_field_rows(schema)
--- a/tests/steps/soak_checks.py
+++ b/tests/steps/soak_checks.py
@@ -27,7 +27,7 @@
     assert (vms, runners) == (soak_main.VM_COUNT, soak_main.RUNNER_COUNT)
     with tempfile.TemporaryDirectory() as folder:
         context.result = asyncio.run(
-            soak_main.soak(seed, seconds, pathlib.Path(folder))
+            soak_main.run_soak_test(seed, seconds, pathlib.Path(folder))
         )
 
 
@@ -154,7 +154,7 @@
 )
 def _compare_plans(context, first_seed, other_seed):
     plans = [
-        faults.plan(random.Random(s), 12.0)
+        faults.plan_faults(random.Random(s), 12.0)
         for s in (first_seed, first_seed, other_seed)
     ]
     assert plans[0] == plans[1] != plans[2]
--- a/tests/steps/standins_engine.py
+++ b/tests/steps/standins_engine.py
@@ -261,7 +261,7 @@
 
 @when("a prompt that matches the crash fault is sent to the engine process")
 def _send_crash_prompt(context):
-    context.fleet.faults("e1", crash_on=CRASH_TEXT)
+    context.fleet.set_faults("e1", crash_on=CRASH_TEXT)
     try:
         engine_client.call(
             context.fleet.address("e1"),
@@ -270,7 +270,7 @@
             engine_client.body(4, f"a {CRASH_TEXT} prompt"),
             engine_client.headers(),
         )
-    except caller.BROKEN as error:
+    except caller.CONNECTION_ERRORS as error:
         context.error = error
 
 
--- a/tests/steps/standins_object_api.py
+++ b/tests/steps/standins_object_api.py
@@ -59,7 +59,7 @@
     context.standin.faults.set({fault: 1})
     try:
         _update(context, SECOND)
-    except caller.BROKEN:
+    except caller.CONNECTION_ERRORS:
         return
     raise AssertionError("the update got a response")
 
@@ -217,7 +217,7 @@
         return _stored_value(context) == FIRST["value"]
     except ConnectionRefusedError:
         return False
-    except caller.BROKEN:
+    except caller.CONNECTION_ERRORS:
         return True
 
 
--- a/tests/steps/standins_services.py
+++ b/tests/steps/standins_services.py
@@ -62,7 +62,7 @@
 
 @given("the plain service has the fault {fault} for one call")
 def _set_service_fault(context, fault):
-    context.fleet.faults("s1", **{fault: 1})
+    context.fleet.set_faults("s1", **{fault: 1})
 
 
 @when("the same purchase is sent to the cloud API twice")
@@ -115,7 +115,7 @@
                 {"operation": OPERATION},
                 {"Apricotlever-Request": "vm-1.1.1"},
             )
-        except caller.BROKEN as error:
+        except caller.CONNECTION_ERRORS as error:
             context.errors.append(error)
 
 
--- a/tests/steps/standins_support.py
+++ b/tests/steps/standins_support.py
@@ -12,7 +12,7 @@
 from tests.standins import faulty_entry_vm
 from tests.standins import scenario_server
 from tests.support import caller
-from tests.support import cuttable
+from tests.support import fault_relay
 from tests.support import fleet
 from tests.support import http as calls
 from tests.support import ports
@@ -48,7 +48,7 @@
         calls.call(address, "GET", "/v1/entries")
     except ConnectionRefusedError:
         return False
-    except caller.BROKEN:
+    except caller.CONNECTION_ERRORS:
         return True
     return True
 
@@ -57,7 +57,7 @@
 def _relay_before_service(context):
     context.service = plain_service.PlainService()
     address = scenario_server.serve_in_scenario(context, context.service)
-    context.relay = cuttable.Relay(address)
+    context.relay = fault_relay.FaultRelay(address)
     context.closers.append(context.relay.close)
 
 
@@ -82,7 +82,7 @@
     with futures.ThreadPoolExecutor(1) as pool:
         pending_call = pool.submit(_call_service, context)
         fleet.wait_for(lambda: context.service.counts()["in_flight"])
-        context.relay.silence()
+        context.relay.blackhole()
         context.error = pending_call.exception(10.0)
 
 
@@ -98,7 +98,7 @@
 
 @when("the relay refuses connections")
 def _refuse_connections(context):
-    context.relay.refuse()
+    context.relay.refuse_connections()
 
 
 @then(
@@ -119,7 +119,7 @@
 def _check_complete(context, moves, breaks):
     answer = context.answer
     assert not answer.problem, answer.problem
-    assert (answer.moves, answer.breaks) == (moves, breaks)
+    assert (answer.redirects, answer.broken_connections) == (moves, breaks)
 
 
 @then("the caller's check of the answer reports {problem}")
@@ -151,7 +151,7 @@
 
 @when("a port is reserved for a process")
 def _reserve_port(context):
-    reservations = ports.Reservations()
+    reservations = ports.PortReservations()
     context.closers.append(reservations.close)
     context.port = reservations.reserve()
 
--- a/tests/support/answers.py
+++ b/tests/support/answers.py
@@ -32,17 +32,17 @@
         "executed",
         "error",
         "tokens",
-        "ids",
+        "event_ids",
         "done",
         "first_token_s",
-        "gaps_s",
+        "token_gaps_s",
         "last_token_s",
-        "moves",
-        "breaks",
+        "redirects",
+        "broken_connections",
         "expected_tokens",
         "payload",
         "retry_after_s",
-        "whole_s",
+        "total_s",
         "resume_token",
     )
 
@@ -52,23 +52,23 @@
         self.executed = ""
         self.error: typing.Any = None
         self.tokens: list[str] = []
-        self.ids: list[int] = []
+        self.event_ids: list[int] = []
         self.done = False
         #: Seconds from the sending of the request to the first token.
         self.first_token_s: float | None = None
         #: Pauses between tokens, in seconds.
-        self.gaps_s: list[float] = []
+        self.token_gaps_s: list[float] = []
         #: Seconds from the sending of the request to the last token.
         self.last_token_s = 0.0
         #: Number of redirects to another entry VM.
-        self.moves = 0
+        self.redirects = 0
         #: Number of connections that failed.
-        self.breaks = 0
+        self.broken_connections = 0
         self.expected_tokens = expected_tokens
         self.payload: typing.Any = None
         self.retry_after_s: float | None = None
         #: Seconds from the sending of the request to the end of its answer.
-        self.whole_s = 0.0
+        self.total_s = 0.0
         self.resume_token = ""
 
     @property
@@ -76,9 +76,10 @@
         """What is wrong with the result; empty if it is complete and right."""
         if not self.done:
             return f"not whole: status {self.status}, error {self.error}"
-        if self.ids != list(range(len(self.ids))):
+        if self.event_ids != list(range(len(self.event_ids))):
             return (
-                "event IDs out of order, missing or duplicated: " f"{self.ids}"
+                "event IDs out of order, missing or duplicated: "
+                f"{self.event_ids}"
             )
         if (
             self.expected_tokens is not None
@@ -150,7 +151,7 @@
     :raises RequestEnded: when the response has any other status but 200.
     """
     if response.status == 200:
-        note_headers(answer, 200, response.headers)
+        record_headers(answer, 200, response.headers)
         return
     content = response.read().decode(errors="replace")
     if response.status == SEE_OTHER:
@@ -158,12 +159,12 @@
         raise StreamMoved(json.loads(content)["entry"])
     if resuming and response.status in (404, 429, 502, 503, 504):
         raise OSError(f"no stream to resume: {response.status} {content}")
-    note_headers(answer, response.status, response.headers)
+    record_headers(answer, response.status, response.headers)
     answer.error = content
     raise RequestEnded
 
 
-def note_headers(
+def record_headers(
     answer: Answer, status: int, headers: http.client.HTTPMessage
 ) -> None:
     """Record the status and the project's headers of a response.
@@ -205,12 +206,12 @@
     if answer.first_token_s is None:
         answer.first_token_s = now
     else:
-        answer.gaps_s.append(now - answer.last_token_s)
+        answer.token_gaps_s.append(now - answer.last_token_s)
     answer.last_token_s = now
     choice = json.loads(event.data)["choices"][0]
     delta = choice.get("delta") or {}
     answer.tokens.append(choice.get("text") or delta.get("content", ""))
-    answer.ids.append(int(event.event_id))
+    answer.event_ids.append(int(event.event_id))
 
 
 def expected_tokens_for(body: dict[str, typing.Any]) -> list[str]:
--- a/tests/support/caller.py
+++ b/tests/support/caller.py
@@ -19,7 +19,7 @@
 IDLE_TIMEOUT_S = 10.0
 TOTAL_TIMEOUT_S = 60.0
 RETRY_DELAY_S = 0.1
-BROKEN = (OSError, http.client.HTTPException)
+CONNECTION_ERRORS = (OSError, http.client.HTTPException)
 KEY_HEADER = "Idempotency-Key"
 
 
@@ -28,7 +28,7 @@
 
     :param addresses: ``host:port`` of some entry VMs to start with.
     :param bearer_key: the customer's API key.
-    :param gap_timeout_s: seconds without data after which a connection is
+    :param idle_timeout_s: seconds without data after which a connection is
         closed.
     :param total_timeout_s: seconds after which a request is no longer
         retried or followed.
@@ -38,13 +38,13 @@
         self,
         addresses: typing.Iterable[str],
         bearer_key: str,
-        gap_timeout_s: float = IDLE_TIMEOUT_S,
+        idle_timeout_s: float = IDLE_TIMEOUT_S,
         total_timeout_s: float = TOTAL_TIMEOUT_S,
     ) -> None:
         self._addresses = list(addresses)
         self._known_addresses = list(self._addresses)
         self._bearer_key = bearer_key
-        self._idle_timeout_s = gap_timeout_s
+        self._idle_timeout_s = idle_timeout_s
         self._total_timeout_s = total_timeout_s
         self._rotation = itertools.count()
         self._lock = threading.Lock()
@@ -63,7 +63,7 @@
         for address in [*self._addresses, *self._known_addresses]:
             try:
                 reply = self._call(address, "GET", "/v1/entries")
-            except BROKEN:
+            except CONNECTION_ERRORS:
                 continue
             if reply.status == 200:
                 return self._update_addresses(reply.payload)
@@ -118,10 +118,10 @@
             )
         except answers.RequestEnded:
             pass
-        answer.whole_s = time.monotonic() - started_at
+        answer.total_s = time.monotonic() - started_at
         return answer
 
-    def whole(
+    def complete_unstreamed(
         self, path: str, body: dict[str, typing.Any], address: str = ""
     ) -> answers.Answer:
         """Request a completion without a stream and wait for its outcome."""
@@ -131,13 +131,13 @@
             answer, address or self.next_address(), "POST", path, body, {}
         )
         if answer.status == answers.SEE_OTHER:
-            answer.moves += 1
+            answer.redirects += 1
             deadline = started_at + self._total_timeout_s
             self._await_outcome(answer, answer.payload["entry"], deadline)
-        answer.whole_s = time.monotonic() - started_at
+        answer.total_s = time.monotonic() - started_at
         if answer.done:
             answer.tokens = _extract_tokens(answer.payload)
-            answer.ids = list(range(len(answer.tokens)))
+            answer.event_ids = list(range(len(answer.tokens)))
         return answer
 
     def mint_keys(self, count: int = 1, address: str = "") -> list[str]:
@@ -148,7 +148,7 @@
         assert reply.status in (200, 201), (reply.status, reply.payload)
         return reply.payload["keys"]
 
-    def service(
+    def call_service(
         self,
         entry: str,
         method: str,
@@ -169,7 +169,7 @@
         full_path = f"/v1/services/{entry}{path}"
         target = address or self.next_address()
         self._send_unstreamed(answer, target, method, full_path, body, headers)
-        answer.whole_s = time.monotonic() - started_at
+        answer.total_s = time.monotonic() - started_at
         return answer
 
     def call_service_until_settled(
@@ -188,10 +188,10 @@
         deadline = time.monotonic() + self._total_timeout_s
         breaks = 0
         while True:
-            answer = self.service(entry, method, path, body, key)
+            answer = self.call_service(entry, method, path, body, key)
             settled = answer.done or answer.executed == "unknown"
             if settled or time.monotonic() > deadline:
-                answer.breaks = breaks
+                answer.broken_connections = breaks
                 return answer
             breaks += 1
             time.sleep(answer.retry_after_s or RETRY_DELAY_S)
@@ -261,10 +261,10 @@
     ) -> None:
         try:
             reply = self._call(address, method, path, body, headers)
-        except BROKEN as error:
+        except CONNECTION_ERRORS as error:
             answer.error = f"{type(error).__name__}: {error}"
             return
-        answers.note_headers(answer, reply.status, reply.headers)
+        answers.record_headers(answer, reply.status, reply.headers)
         answer.payload = reply.payload
         answer.done = reply.status < 400
         answer.error = None if answer.done else reply.payload
@@ -294,10 +294,10 @@
                     started_at,
                 )
             except answers.StreamMoved as moved:
-                answer.moves += 1
+                answer.redirects += 1
                 address = moved.address or self.next_address()
-            except BROKEN as error:
-                answer.breaks += 1
+            except CONNECTION_ERRORS as error:
+                answer.broken_connections += 1
                 answer.error = f"{type(error).__name__}: {error}"
                 time.sleep(RETRY_DELAY_S)
                 address = self._other_address(address)
@@ -307,7 +307,9 @@
             method, content = "GET", None
             path = f"/v1/requests/{answer.request_id}"
             resume_headers = (
-                {"Last-Event-ID": str(answer.ids[-1])} if answer.ids else {}
+                {"Last-Event-ID": str(answer.event_ids[-1])}
+                if answer.event_ids
+                else {}
             )
             extra_headers = {"Accept": "text/event-stream", **resume_headers}
             if answer.resume_token:
--- a/tests/support/cuttable.py
+++ b/tests/support/fault_relay.py
@@ -62,7 +62,7 @@
             end.close()
 
 
-class Relay:
+class FaultRelay:
     """Relays TCP connections to one address.
 
     :param target: ``host:port`` that connections are relayed to.
@@ -90,7 +90,7 @@
         # The port stays reserved while the relay refuses connections;
         # otherwise another process could bind it before
         # :meth:`restore` does.
-        self._ports = ports.Reservations()
+        self._ports = ports.PortReservations()
         self._port = self._ports.reserve()
         self._listen()
 
@@ -100,12 +100,12 @@
         return f"{HOST}:{self._port}"
 
     @property
-    def accepted(self) -> int:
+    def accepted_count(self) -> int:
         """The number of connections relayed so far."""
         return self._accepted
 
     @property
-    def open(self) -> int:
+    def open_count(self) -> int:
         """The number of open connections that are not black-holed."""
         with self._lock:
             return sum(
@@ -114,7 +114,7 @@
                 for connection in self._connections
             )
 
-    def silence(self, new_too: bool = False) -> int:
+    def blackhole(self, new_too: bool = False) -> int:
         """Drop all data on the open connections from now on.
 
         :param new_too: whether later connections are black-holed as well,
@@ -127,14 +127,14 @@
                 connection.blackholed = True
             return len(self._connections)
 
-    def cut(self) -> None:
+    def reset_connections(self) -> None:
         """Reset the open connections."""
         with self._lock:
             connections, self._connections = self._connections, []
         for connection in connections:
             connection.close()
 
-    def refuse(self) -> None:
+    def refuse_connections(self) -> None:
         """Refuse new connections until :meth:`restore`."""
         if self._listener is not None:
             self._listener.shutdown(socket.SHUT_RDWR)
@@ -149,8 +149,8 @@
 
     def close(self) -> None:
         """Stop listening, reset all connections and release the port."""
-        self.refuse()
-        self.cut()
+        self.refuse_connections()
+        self.reset_connections()
         self._ports.close()
 
     def _listen(self) -> None:
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -40,7 +40,7 @@
     def __enter__(self) -> "Fleet":
         return self
 
-    def faults(self, name: str, **faults: typing.Any) -> None:
+    def set_faults(self, name: str, **faults: typing.Any) -> None:
         """Set the fault settings of a stand-in."""
         self.control(name, "faults", faults)
 
@@ -48,18 +48,18 @@
         """Fetch the counters of a stand-in."""
         return self.control(name, "counts")
 
-    def journal(self, name: str) -> dict[str, int]:
+    def execution_counts(self, name: str) -> dict[str, int]:
         """Executions by request, or runs by key, of a runner.
 
         The journal file holds them, so they outlive a killed process.
         """
         return dict(_journal.read_counts(str(self.journal_path(name))))
 
-    def journals(self) -> dict[str, int]:
+    def total_execution_counts(self) -> dict[str, int]:
         """The execution counts of all runners, added up by request or key."""
         total: dict[str, int] = {}
         counts = itertools.chain.from_iterable(
-            self.journal(name).items() for name in self.names
+            self.execution_counts(name).items() for name in self.names
         )
         for name, count in counts:
             total[name] = total.get(name, 0) + count
@@ -106,7 +106,7 @@
             timer.start()
             self._timers.append(timer)
 
-    def vanish(self, names: typing.Sequence[str]) -> None:
+    def kill_without_notice(self, names: typing.Sequence[str]) -> None:
         """Kill processes without a notice.
 
         The cloud's VM list drops their VMs after its configured lag.
--- a/tests/support/launcher.py
+++ b/tests/support/launcher.py
@@ -38,19 +38,19 @@
     :param peers: ``host:port`` for the peers of an entry VM; empty for others.
     """
 
-    __slots__ = ("process", "address", "control_address", "peers")
+    __slots__ = ("process", "address", "control_address", "peer_address")
 
     def __init__(
         self,
         process: processes.Process,
         address: str,
         control_address: str = "",
-        peers: str = "",
+        peer_address: str = "",
     ) -> None:
         self.process = process
         self.address = address
         self.control_address = control_address
-        self.peers = peers
+        self.peer_address = peer_address
 
 
 class Launcher:
@@ -75,7 +75,7 @@
         self._region = region
         self._daemons: list[str] = []
         self._daemon_module = DAEMON_MODULE
-        self._ports = ports.Reservations()
+        self._ports = ports.PortReservations()
 
     @property
     def folder(self) -> pathlib.Path:
@@ -96,7 +96,7 @@
         return list(self._daemons)
 
     @property
-    def entries(self) -> list[str]:
+    def entry_addresses(self) -> list[str]:
         """The entry VMs' addresses for callers, as ``host:port``."""
         return [self._nodes[name].address for name in self._daemons]
 
@@ -129,7 +129,7 @@
         """The output of a process since its latest start."""
         return self.process(name).log
 
-    def use_daemon(self, module: str) -> None:
+    def set_daemon_module(self, module: str) -> None:
         """Set the module that :meth:`start_daemons` runs from now on.
 
         :param module: the module's full name, for ``python -m``.
@@ -152,7 +152,7 @@
         data_centres: typing.Sequence[str] = ("dc-a",),
         market: str = "reclaimable",
         flags: typing.Sequence[str] = (),
-        register: bool = True,
+        register_vm: bool = True,
     ) -> None:
         """Start engine stand-ins, distributed over data centres in rotation.
 
@@ -162,7 +162,7 @@
         :param register: whether the cloud lists the VMs at once.
         """
         self._start_runners(
-            "engine", names, pool, data_centres, market, flags, register
+            "engine", names, pool, data_centres, market, flags, register_vm
         )
 
     def start_services(
@@ -191,7 +191,7 @@
             self._nodes[name] = Node(
                 self._daemon_process(name),
                 f"{HOST}:{self._ports.reserve()}",
-                peers=f"{HOST}:{self._ports.reserve()}",
+                peer_address=f"{HOST}:{self._ports.reserve()}",
             )
         self._daemons += data_centre_by_vm
         for name, data_centre in data_centre_by_vm.items():
@@ -208,7 +208,7 @@
             the state have defaults.
         """
         node = self._nodes[name]
-        address = node.peers or node.address
+        address = node.peer_address or node.address
         vm = {"vm": name, "address": address, **fields}
         self.control("cloud", "register", vm)
 
@@ -235,7 +235,7 @@
             market=market,
         )
 
-    def offer(self, names: typing.Iterable[str], pool: str) -> None:
+    def add_spares(self, names: typing.Iterable[str], pool: str) -> None:
         """Let the cloud API sell running runners that are not in its list.
 
         :param pool: the pool that the runners belong to.
@@ -357,10 +357,11 @@
             "data_centre": data_centre,
             "region": self._region,
             "callers": node.address,
-            "peers": node.peers,
+            "peers": node.peer_address,
             "platform": self.platform_urls,
             "seeds": [
-                {"vm": vm, "address": self._nodes[vm].peers} for vm in others
+                {"vm": vm, "address": self._nodes[vm].peer_address}
+                for vm in others
             ],
             "log_level": "info",
             "timing": self._timing,
--- a/tests/support/pages.py
+++ b/tests/support/operator_pages.py
@@ -13,7 +13,7 @@
 NAME_PLACEHOLDER = "NAME"
 
 
-def rows(page: str, heading: str) -> list[tuple[str, ...]]:
+def table_rows(page: str, heading: str) -> list[tuple[str, ...]]:
     """The cells of the table under a heading, without its header row.
 
     :param page: the page's file name.
@@ -25,7 +25,7 @@
     return [tuple(line.split(" | ")) for line in lines[1:]]
 
 
-def fields(schema: Json) -> list[tuple[str, ...]]:
+def schema_field_rows(schema: Json) -> list[tuple[str, ...]]:
     """The table rows that describe a JSON schema, one per field.
 
     :returns: for each field its path, ``required``, ``optional`` or the
--- a/tests/support/ports.py
+++ b/tests/support/ports.py
@@ -12,7 +12,7 @@
 HOST = "127.0.0.1"
 
 
-class Reservations:
+class PortReservations:
     """Keeps ports reserved until :meth:`close`, also across restarts."""
 
     __slots__ = ("_sockets",)
