--- a/bench/_load_fleet.py
+++ b/bench/_load_fleet.py
@@ -231,14 +231,14 @@
 
     def start_engine(self, name: str, pool: str, data_centre: str) -> None:
         """Start another engine and register it with the cloud API."""
-        self.start_engines([name], pool, register_vm=False)
+        self.start_engines([name], pool, register=False)
         self._register(name, pool, data_centre, "reclaimable")
 
     def offer_engines(self, pools: typing.Sequence[str]) -> None:
         """Start engines that the cloud API sells when VMs are ordered."""
         for number, pool in enumerate(pools):
             name = f"{SPARE_PREFIX}{number}"
-            self.start_engines([name], pool, register_vm=False)
+            self.start_engines([name], pool, register=False)
             self.add_spares([name], pool)
 
     def record_purchases(self) -> None:
--- a/tests/daemon/fleet_fixture.py
+++ b/tests/daemon/fleet_fixture.py
@@ -317,7 +317,7 @@
             MODEL_POOL,
             DATA_CENTRES,
             flags=["--step-ms", STEP_MS, "--slots", str(self._slots), *flags],
-            register_vm=not self._has_runner_relays,
+            register=not self._has_runner_relays,
         )
         fleet_.start_services(
             self.services,
--- a/tests/support/launcher.py
+++ b/tests/support/launcher.py
@@ -152,7 +152,7 @@
         data_centres: typing.Sequence[str] = ("dc-a",),
         market: str = "reclaimable",
         flags: typing.Sequence[str] = (),
-        register_vm: bool = True,
+        register: bool = True,
     ) -> None:
         """Start engine stand-ins, distributed over data centres in rotation.
 
@@ -162,7 +162,7 @@
         :param register: whether the cloud lists the VMs at once.
         """
         self._start_runners(
-            "engine", names, pool, data_centres, market, flags, register_vm
+            "engine", names, pool, data_centres, market, flags, register
         )
 
     def start_services(
