--- a/src/apricotlever/serving/checkpoint.py
+++ b/src/apricotlever/serving/checkpoint.py
@@ -1,7 +1,8 @@
 """Checkpoint that the holder of the usage duty writes to the store.
 
 One object holds the usage counts that are not reported yet and the level of
-each customer's limit. Both survive the end of all processes that knew them.
+each customer's limit, the units left. Both survive the end of all processes
+that knew them.
 """
 
 import typing
@@ -12,19 +13,22 @@
 
 from . import store
 
+#: Kind and name of the checkpoint's object in the store.
 KIND = "usage"
 NAME = "checkpoint"
+#: Fields of the object's value.
 COUNTS = "counts"
 LEVELS = "levels"
 WRITTEN_AT = "written_at"
-#: Maximum age of a checkpoint, in seconds, for its levels to be used.
+#: Maximum age of a checkpoint, in seconds, for its levels to be used. The
+#: usage counts are used at any age.
 MAX_LEVEL_AGE_S = 30.0
 
 
 def compose_checkpoint(
     counts: store.Json, levels: typing.Mapping[str, float], wall: float
 ) -> store.Json:
-    """Build the checkpoint document.
+    """Build the value of the checkpoint's object.
 
     :param counts: usage counts by window, process and customer.
     :param levels: units left of each limit, by customer.
@@ -61,8 +65,11 @@
 
 
 def parse_fixed_counts(spec: store.Json) -> dict[str, int] | None:
-    """Read the final counts of a window, as stored before its report.
+    """Read the usage counts of one window that were fixed for its report.
 
+    They are in an object of their own, of the same kind as the checkpoint.
+
+    :param spec: the object's value.
     :returns: counts by customer; None if the stored object is malformed.
     """
     return dict(spec) if _IS_COUNTS(spec) else None
@@ -71,7 +78,7 @@
 async def read_levels(
     store_: store.Store, clock: clocks.Clock
 ) -> dict[str, float]:
-    """Read the levels of all limits from the checkpoint.
+    """Read the levels of all customers' limits from the checkpoint.
 
     :returns: units left, by customer; empty if the checkpoint is missing, too
         old or malformed.
--- a/src/apricotlever/serving/duty_lease.py
+++ b/src/apricotlever/serving/duty_lease.py
@@ -1,4 +1,11 @@
-"""The fleet's lease on its duties, and calls to the cloud API under it."""
+"""The fleet's lease on its duties, and calls to the cloud API under it.
+
+A duty is a task that one VM at a time performs for the fleet. That VM holds
+the lease: an object in the store that it must renew before the lease's
+duration ends. Each new holder gets a greater fencing number, which it sends
+with its calls to the cloud API, so that late calls of a former holder can be
+refused. The rules of the lease are in :mod:`~apricotlever.vms.leases`.
+"""
 
 import random
 import typing
@@ -16,11 +23,13 @@
 from . import settings
 from . import store
 
+#: Kind of the lease's object in the store.
 KIND = "leases"
+#: Interval between two steps of the lease manager, in seconds.
 TICK_S = 0.1
-#: Duration of the lease as a multiple of the bound within which two holders
-#: must not alternate; more than 1, so that a lease outlasts a short outage of
-#: the store.
+#: Duration of the lease as a multiple of the setting ``lease_s``, the bound
+#: within which two holders must not alternate. The factor is more than 1, so
+#: that a lease outlasts a short outage of the store.
 LEASE_DURATION_FACTOR = 1.5
 #: A field that each write changes, added to the fields of the lease. A store
 #: may ignore a write that changes nothing, and keep the revision. Contenders
@@ -29,6 +38,7 @@
 RENEWAL_FIELD = "renewal"
 #: Number of VMs that contend for a free lease; all others don't read it.
 MAX_CONTENDERS = 2
+#: Timeout of a call to the cloud API, in seconds.
 CALL_TIMEOUT_S = 1.5
 #: Number of consecutive failed store calls after which the holder surrenders
 #: the lease, if other VMs reach the store. A single call may fail by chance.
@@ -42,10 +52,11 @@
 def possible_holders(
     name: str, peers: typing.Sequence[vm_records.VmRecord]
 ) -> list[str]:
-    """The other VMs that hold a lease, or would contend for a free one.
+    """The other VMs that hold the lease, or would contend for a free one.
 
     :param name: the name of the lease.
-    :param peers: the records of the other live VMs.
+    :param peers: the status records of the other live VMs.
+    :returns: the names of the VMs.
     """
     holders = [p.vm for p in peers if p.lease]
     ready = [p.vm for p in peers if p.ready and not p.leaving]
@@ -56,9 +67,17 @@
 class LeaseManager:
     """Acquires, renews and surrenders one lease by calls to the store.
 
+    A VM contends for the lease if it is among the first
+    :data:`MAX_CONTENDERS` of the live VMs in the order given by rendezvous
+    hashing. A holder surrenders the lease, rather than letting it expire, when
+    it stops or can't reach the store: it announces the fencing number that it
+    no longer uses, and other VMs need not wait until the lease expires.
+
     :param name: the name of the lease.
     :param vm: this VM's name.
     :param incarnation: the incarnation of this process.
+    :param bounds: determine the lease's duration, and whether the platform
+        checks fencing numbers.
     """
 
     __slots__ = (
@@ -97,11 +116,12 @@
         self._contends = False
         self._renewals = 0
         self._clock = clock
-        #: Number of consecutive failed calls.
+        #: Number of consecutive failed calls to the store.
         self._failed_calls = 0
         self._surrendered = 0
         self._surrendered_until = leases.NEVER
-        #: Whether another VM announces that it follows the store.
+        #: Whether another VM's status record says that it follows the store,
+        #: and so reaches it.
         self._others_follow = False
         self._duration_s = LEASE_DURATION_FACTOR * bounds.lease_s
         self._lease = leases.Lease(
@@ -120,17 +140,29 @@
 
     @property
     def fencing(self) -> int | None:
-        """The fencing number of this VM's calls; None if it must not act."""
+        """The fencing number to send with a call to the cloud API now.
+
+        The value is None if this VM must not act, as it does not hold the
+        lease or the lease expires within :data:`TICK_S`.
+        """
         return self._lease.may_order(TICK_S)
 
     @property
     def last_renewal(self) -> tuple[int, int] | None:
-        """The version and fencing number while this VM holds the lease."""
+        """The object version and fencing number of this VM's last renewal.
+
+        The value is None while this VM does not hold the lease. It is sent in
+        this VM's status records, from which other VMs learn of the renewal.
+        """
         return self._lease.last_renewal
 
     @property
     def surrendered_fencing(self) -> int:
-        """The fencing number that this VM surrendered recently; 0 if none."""
+        """The fencing number that this VM surrendered recently; 0 if none.
+
+        It is sent in this VM's status records, so that another VM can acquire
+        the lease at once.
+        """
         is_recent = self._clock.now() < self._surrendered_until
         return self._surrendered if is_recent else 0
 
@@ -142,9 +174,9 @@
         A VM that hears less than half of the fleet releases the lease: it
         would send reports and orders based on its own small part of the work.
 
-        :param peers: the records of the other live VMs.
+        :param peers: the status records of the other live VMs.
         :param members: the number of VMs that may be alive, including this
-            one.
+            one and silent ones.
         """
         self._others_follow = any(p.follows for p in peers)
         for peer in peers:
@@ -169,23 +201,27 @@
         )
 
     def release(self) -> None:
-        """Release the lease and announce this to the other VMs.
+        """Surrender the lease, and stop contending for it, as this VM stops.
 
-        Without the announcement the other VMs would notice much later.
+        Without the surrender, which this VM's status records announce, the
+        other VMs would wait until the lease expires.
         """
         if self._lease.held:
             self._surrender()
         self._lease.want(False)
 
     def fencing_rejected(self, fencing: int) -> None:
-        """Handle a call rejected because of a higher fencing number.
+        """Handle a call that the cloud API rejected by its fencing number.
+
+        The cloud API has seen a greater number. This VM must not act until it
+        holds the lease with a number that is high enough.
 
         :param fencing: the rejected number.
         """
         self._lease.fencing_rejected(fencing + 1)
 
     async def step(self) -> None:
-        """Make the store call that is due, if any."""
+        """Make the call to the store that is due for the lease, if any."""
         action = self._lease.tick()
         if action is not None:
             await self._execute(action)
@@ -223,9 +259,9 @@
     def _handle_failure(self, error: store.StoreError) -> None:
         """Surrender the lease if other VMs reach the store and this one fails.
 
-        Otherwise the duties would be undone for nine seconds, until the lease
-        has expired for this holder and for the other VMs, which measure its
-        duration from when they observed the last renewal.
+        Otherwise no VM would perform the duties for nine seconds, until the
+        lease has expired for this holder and for the other VMs, which measure
+        its duration from when they observed the last renewal.
         """
         logs.event("lease_call_failed", duty=self._name, error=str(error))
         self._failed_calls += 1
@@ -261,11 +297,11 @@
 
 
 class CloudBusy(Exception):
-    """The call had no effect, or its effect is unknown."""
+    """The call to the cloud API had no effect, or its effect is unknown."""
 
 
 class CloudClient:
-    """Calls to the platform's cloud API with a fencing number.
+    """Calls to the platform's cloud API by the holder of the lease.
 
     :param vm: this VM's name, sent as the holder of the lease.
     :param may_act: tells whether this VM may use a fencing number now.
@@ -289,8 +325,10 @@
         self.calls = 0
 
     async def send(self, path: str, body: bytes, fencing: int) -> bool:
-        """Send an order or a report.
+        """Send an order for runners or a usage report.
 
+        :param path: the path of the HTTP request.
+        :param fencing: the fencing number to send with it.
         :returns: whether it was accepted. If not, another holder has acted
             in the meantime, or the ordered capacity is unavailable.
         :raises CloudBusy: if the call may be repeated.
--- a/src/apricotlever/serving/duty_roster.py
+++ b/src/apricotlever/serving/duty_roster.py
@@ -1,4 +1,9 @@
-"""The duties that this VM performs while it holds the fleet's lease."""
+"""The duties that this VM performs while it holds the fleet's lease.
+
+A duty is a task that one VM at a time performs for the fleet: to order
+runners, to report usage, or to write the status of roll-outs. The roster is
+the set of the duties that the settings enable.
+"""
 
 import random
 import typing
@@ -29,7 +34,13 @@
 class DutyRoster:
     """All duties enabled in the settings, under one lease.
 
+    Every VM has a roster and runs the tasks of its duties. They act only on
+    the VM that holds the lease.
+
+    :param config: the settings of this process.
     :param incarnation: the incarnation of this process.
+    :param store_: keeps the lease.
+    :param dialect: the platform's protocol for calls to the cloud API.
     """
 
     __slots__ = (
@@ -90,7 +101,7 @@
         upstreams_: upstreams.Upstreams,
         dialect: dialects.PlatformDialect,
     ) -> None:
-        """Add the duty to order runners.
+        """Add the duty to order runners, if there is a cloud API.
 
         :param workload: the fleet's workload, which determines the orders.
         """
@@ -114,8 +125,9 @@
         store_: store.Store,
         dialect: dialects.PlatformDialect,
     ) -> None:
-        """Add the duty to report usage.
+        """Add the duty to report usage, if there is a cloud API.
 
+        :param windows: the usage counts of all VMs by time window.
         :param limits_: customers' limits; what is left of them is stored
             with the usage counts.
         """
@@ -153,7 +165,7 @@
         )
 
     def start(self, running: task_supervisor.TaskSupervisor) -> None:
-        """Start the tasks of the added duties."""
+        """Start the tasks of the added duties and of their lease."""
         if (self._runners, self._usage, self._roll_outs) == (None, None, None):
             return
         running.repeat(duty_lease.TICK_S, self._keeper.step)
@@ -167,34 +179,44 @@
     def configure(
         self, configuration: configuration_model.Configuration
     ) -> None:
-        """Apply a version of the configuration."""
+        """Apply a version of the configuration to the duties."""
         if self._runners is not None:
             self._runners.configuration = configuration
 
     def observe_reported_window(self, window: int) -> None:
-        """Record that another VM knows a usage window to be reported."""
+        """Record that another VM knows the usage of a window to be reported.
+
+        :param window: the newest such window; 0 if there is none.
+        """
         if self._usage is not None:
             self._usage.observe_reported_window(window)
 
     def update_view(
         self, peers: typing.Sequence[vm_records.VmRecord], members: int
     ) -> None:
-        """Decide whether to contend for the lease.
+        """Decide whether this VM contends for the lease on the duties.
 
-        :param peers: the records of the other live VMs.
+        :param peers: the status records of the other live VMs.
         :param members: the number of VMs that may be alive, including this
-            one.
+            one and silent ones.
         """
         self._keeper.update_view(peers, members)
 
     @property
     def last_renewal(self) -> tuple[int, int] | None:
-        """The version and fencing number while this VM holds the lease."""
+        """The object version and fencing number of the last lease renewal.
+
+        The value is None while this VM does not hold the lease.
+        """
         return self._keeper.last_renewal
 
     @property
     def surrendered_fencing(self) -> int:
-        """The fencing number that this VM surrendered recently; 0 if none."""
+        """The fencing number of the lease that this VM surrendered recently.
+
+        It is 0 if there is none. Once other VMs know it, one of them can
+        acquire the lease without waiting until it expires.
+        """
         return self._keeper.surrendered_fencing
 
     @property
@@ -203,5 +225,5 @@
         return self._cloud.calls if self._cloud is not None else 0
 
     def release_lease(self) -> None:
-        """Release the lease."""
+        """Surrender the lease on the duties, as this VM stops."""
         self._keeper.release()
--- a/src/apricotlever/serving/roll_out_duty.py
+++ b/src/apricotlever/serving/roll_out_duty.py
@@ -1,8 +1,10 @@
 """The duty to write the status of each roll-out to the store.
 
-All VMs evaluate roll-outs; a single writer limits the calls to the store.
-Each write is conditional on the revision read just before, so that concurrent
-holders don't overwrite each other and a late write of a former holder fails.
+A roll-out moves a service to another version of its runners' software, as an
+order in the store requests. All VMs evaluate roll-outs; a single writer, the
+holder of the fleet's lease, limits the calls to the store. Each write is
+conditional on the revision read just before, so that concurrent holders don't
+overwrite each other and a late write of a former holder fails.
 """
 
 import typing
@@ -34,16 +36,19 @@
 
 
 class LeaseHolder(typing.Protocol):
-    """Tells whether this VM holds the fleet's duties."""
+    """Tells whether this VM holds the lease on the fleet's duties."""
 
     @property
     def fencing(self) -> int | None:
-        """The fencing token; None while another VM holds the duties."""
+        """The lease's fencing number; None while another VM holds it."""
 
 
 class RollOutDuty:
-    """Writes results while this VM holds the fleet's lease.
+    """Writes the states of roll-outs while this VM holds the fleet's lease.
 
+    It also records when each roll-out started.
+
+    :param controller: evaluates the roll-outs, and knows their orders.
     :param lease: tells whether this VM holds the lease.
     :param in_flight: counts the calls of all VMs in flight at the given
         runners.
@@ -87,7 +92,10 @@
         self._written: dict[str, tuple[str, model.RollOutState]] = {}
 
     async def step(self) -> None:
-        """Write all results that are due, while this VM holds the lease."""
+        """Write the states of roll-outs that are due.
+
+        Without the lease, forget what was written before.
+        """
         if self._lease.fencing is None:
             # Another VM may hold the lease and write in the meantime.
             self._recorded_versions.clear()
@@ -112,7 +120,8 @@
         if self._recorded_versions.get(order.service) != order.version:
             await self._record_start(order)
             self._recorded_versions[order.service] = order.version
-            # The recorded start may change the state that is due.
+            # The recorded start may change the state that is due, so the
+            # next step evaluates it again.
             return
         target = (order.version, result.state)
         if self._written.get(order.service) == target:
@@ -154,7 +163,11 @@
             self._changed()
 
     async def _record_start(self, order: model.RollOutOrder) -> None:
-        """Record when a roll-out started, or restore the recorded time."""
+        """Store when a roll-out started, or restore the time stored before.
+
+        Without the stored time, a restart of all processes would restart the
+        roll-out's time limit.
+        """
         record = {"version": order.version, "started_at": order.started_at}
         found = await self._store.get(START_RECORDS_KIND, order.service)
         if found is None:
--- a/src/apricotlever/serving/roll_out_orders.py
+++ b/src/apricotlever/serving/roll_out_orders.py
@@ -1,4 +1,10 @@
-"""Receives roll-out orders from the store and from other VMs."""
+"""Receives roll-out orders from the store and from other VMs.
+
+An order asks to move a service to another version of its runners' software. A
+few VMs, the followers, read the orders from the store; all VMs pass the orders
+that they know on in their status records
+(:mod:`~apricotlever.vms.vm_records`).
+"""
 
 import typing
 
@@ -15,6 +21,10 @@
 class RollOutOrders:
     """Passes orders from the store and from other VMs to the controller.
 
+    It is the listener of the store's watcher of roll-out orders. Unreadable
+    orders are logged and ignored.
+
+    :param controller: merges the orders and evaluates the roll-outs.
     :param changed: called when an order changed.
     """
 
@@ -40,7 +50,10 @@
         self._log_limit = log_rate_limiter.LogRateLimiter(clock)
 
     def listed(self, page: store.Page) -> None:
-        """Handle a complete list of the orders in the store."""
+        """Handle a complete list of the orders in the store.
+
+        Known orders that are missing in a list that is newer are withdrawn.
+        """
         orders = [self._read(stored) for stored in page.objects]
         present = {stored.name for stored in page.objects}
         missing = [
@@ -58,12 +71,15 @@
         self._merge(filter(None, orders), deleted, changes.revision)
 
     def store_recovered(self) -> None:
-        """Do nothing, as orders don't expire."""
+        """Do nothing, as the objects of orders don't expire."""
 
     def merge_records(
         self, records: typing.Iterable[list[typing.Any]]
     ) -> None:
-        """Handle orders received from another VM."""
+        """Handle the orders in a status record of another VM.
+
+        :param records: the encoded orders.
+        """
         self._merge(map(model.RollOutOrder.from_record, records))
 
     def _merge(
--- a/src/apricotlever/serving/runner_duty.py
+++ b/src/apricotlever/serving/runner_duty.py
@@ -1,4 +1,11 @@
-"""The duty to order runners, by data centre and capacity type."""
+"""The duty to order runners, by data centre and capacity type.
+
+The holder of the fleet's lease computes from the load of each service how many
+runners it needs, and sends the target numbers to the cloud API as orders. An
+order for more runners than there are starts some; one for fewer releases some.
+The capacity types are on-demand and reclaimable. The cloud may reclaim
+reclaimable runners, which cost less.
+"""
 
 import typing
 
@@ -27,15 +34,17 @@
 #: are listed one by one; a VM that takes the first of nine for the whole
 #: fleet would release the other eight.
 STARTUP_HEARTBEATS = 2.5
-#: Delay before an order without effect is sent again, in seconds. Its answer
-#: may have been lost, or an order of the previous holder may have arrived
-#: after it.
+#: Delay before an accepted order without effect is sent again, in seconds. Its
+#: answer may have been lost, or an order of the previous holder of the lease
+#: may have arrived after it.
 REPEAT_ORDER_S = 9.0
 
 
 class _Order:
     """The last order sent for a target.
 
+    :param count: the ordered number of runners.
+    :param sent_at: when it was sent, on the monotonic clock.
     :param taken: whether the cloud accepted it.
     """
 
@@ -92,7 +101,7 @@
 
 
 class _ServiceLoad:
-    """The current and the required runners of a service.
+    """The serving and the required runners of a service.
 
     :param held: the runners that serve, by data centre.
     :param required_runners: the number of runners that the load requires.
@@ -117,7 +126,11 @@
 
 
 class FleetWorkload:
-    """The load and the fleet mix planner of each service."""
+    """The load of each service and the planner of its runners.
+
+    The loads combine the counters of all VMs. VMs that do not hold the lease
+    keep them, too, so that a new holder knows them at once.
+    """
 
     __slots__ = ("_clock", "_loads", "_planners", "_initial_runners")
 
@@ -130,11 +143,12 @@
     def merge_counters(
         self, process: str, work: typing.Mapping[str, typing.Any]
     ) -> None:
-        """Merge the counters of one VM's process.
+        """Merge the load counters of one VM's process.
 
         :param process: the process, which is the VM and its incarnation.
-        :param work: by service, the total tokens, the prefill speed in tokens
-            per second and the latency ratio.
+        :param work: by service, the total of uncached prompt tokens sent to
+            runners, the prefill speed in tokens per second and the latency
+            ratio; see :mod:`~apricotlever.data_centres.prefill_load`.
         """
         for service, (total, speed, pressure) in work.items():
             known = self._loads.get(service)
@@ -144,7 +158,10 @@
             known.receive_report(process, total, speed, pressure)
 
     def retain_processes(self, processes: typing.Container[str]) -> None:
-        """Drop the counters of all other processes, which have ended."""
+        """Drop the counters of ended processes.
+
+        :param processes: the processes that may still run.
+        """
         for known in self._loads.values():
             known.retain_processes(processes)
 
@@ -166,7 +183,7 @@
         in_flight: int,
         log_inputs: bool,
     ) -> float:
-        """The number of runners that a service requires now.
+        """The number of runners that a service's load requires now.
 
         :param present: the number of runners that serve now.
         :param in_flight: the number of calls in flight at its runners.
@@ -194,7 +211,11 @@
         return measured
 
     def startup_runners(self, service: str) -> float:
-        """The number of runners assumed until the load is known; then 0."""
+        """The number of runners assumed to be required at the start.
+
+        Until the load of the service is known, this is the number of runners
+        that served when the service was first evaluated; it is 0 afterwards.
+        """
         known = self._loads.get(service)
         if known is None or known.observed_for_s < MIN_OBSERVATION_S:
             return float(self._initial_runners.get(service, 0))
@@ -204,7 +225,13 @@
 class RunnerDuty:
     """Orders runners while this VM holds the lease.
 
+    While another VM holds it, this VM only records the load, so that it could
+    take over the duty.
+
+    :param work: the load of all services.
+    :param directory: lists the runners.
     :param in_flight: counts the calls of all VMs at a service's runners.
+    :param keeper: manages the lease.
     :param heartbeat_s: the interval between two heartbeats of a runner, in
         seconds.
     :param serves: tells whether a runner serves regular calls; only these
@@ -256,7 +283,10 @@
         self.configuration: configuration_model.Configuration | None = None
 
     async def step(self) -> None:
-        """Order missing runners and release surplus ones."""
+        """Order missing runners and release surplus ones, of all services.
+
+        Without the lease, record the loads for later plans.
+        """
         configuration = self.configuration
         if configuration is None or self._clock.now() < self._ready_at:
             return
@@ -347,7 +377,11 @@
         return held
 
     async def _order_if_due(self, target: _Target) -> bool:
-        """Send the order for a target if it is due.
+        """Send the order for a target number of runners if it is due.
+
+        An order is due if the number differs from that of the serving runners
+        or from the last accepted order. The same order is repeated only after
+        a delay.
 
         :returns: whether to continue with the other targets; false if this VM
             has lost the lease.
--- a/src/apricotlever/serving/store.py
+++ b/src/apricotlever/serving/store.py
@@ -1,10 +1,17 @@
-"""The client of the platform's object store."""
+"""Client of the platform's object store.
+
+An object has a kind and a name, which identify it, a JSON value (its spec) and
+a JSON status. The store numbers the changes of its objects by revisions. A
+write may name the revision that the object must have. A watch is a long-poll
+call that returns the changes of one kind after a revision.
+"""
 
 import typing
 
 from . import client_channel
 from . import connection_pool as pools
 
+#: A decoded JSON value.
 Json = typing.Any
 
 #: Timeout of a call, in seconds. A working store answers in milliseconds.
@@ -33,17 +40,22 @@
 
 
 class Conflict(StoreError):
-    """The object is not at the expected revision."""
+    """The object does not have the expected revision, or exists already."""
 
 
 class HistoryGone(StoreError):
-    """The store no longer has the changes after the given revision."""
+    """The store no longer has the changes after the given revision.
+
+    The list of the objects has to be read again.
+    """
 
 
 class StoredObject:
-    """An object in the store.
+    """An object in the store, as a call to the store returned it.
 
     :param revision: the store's revision of the object's last change.
+    :param spec: the object's value.
+    :param status: the object's status, which is written separately.
     """
 
     __slots__ = ("name", "revision", "spec", "status")
@@ -58,7 +70,7 @@
 
 
 class Page:
-    """One page of a list of objects.
+    """One page of the list of all objects of a kind.
 
     :param more: whether more objects follow the last one.
     :param revision: the revision of the whole store when the list was read.
@@ -95,7 +107,7 @@
 
 
 class Changes:
-    """The answer to a watch call.
+    """The answer to a watch call: the changes of objects of one kind.
 
     :param revision: the revision from which the next watch call continues.
     :param unreadable: the number of changes that can't be read.
@@ -112,7 +124,7 @@
 
 
 class Call:
-    """The HTTP request of a call to the store."""
+    """The HTTP request by which a call to the store is made."""
 
     __slots__ = ("method", "target", "body")
 
@@ -123,7 +135,7 @@
 
 
 class Codec(typing.Protocol):
-    """Encodes calls to the store and decodes its answers.
+    """Builds the requests of calls to the store, and decodes their answers.
 
     The decoding methods raise :class:`ValueError` for unreadable bodies.
     """
@@ -133,7 +145,7 @@
         """Whether the store keeps every acknowledged write."""
 
     def list_call(self, kind: str, after: str | None, stale: bool) -> Call:
-        """List the objects of a kind.
+        """Build the call that reads one page of the objects of a kind.
 
         :param after: the name after which the page starts; None if it is the
             first page.
@@ -141,21 +153,21 @@
         """
 
     def watch_call(self, kind: str, revision: int, wait_s: float) -> Call:
-        """Wait for changes of a kind after a revision.
+        """Build the call that waits for changes of a kind after a revision.
 
         :param wait_s: the time to wait if there are none, in seconds.
         """
 
     def get_call(self, kind: str, name: str) -> Call:
-        """Read one object."""
+        """Build the call that reads one object."""
 
     def create_call(self, kind: str, name: str, spec: Json) -> Call:
-        """Create an object."""
+        """Build the call that creates an object."""
 
     def replace_call(
         self, kind: str, name: str, spec: Json, revision: int | None
     ) -> Call:
-        """Replace an object's value.
+        """Build the call that replaces an object's value.
 
         :param revision: the revision that the object must have; None for any.
         """
@@ -163,25 +175,30 @@
     def status_call(
         self, kind: str, name: str, status: Json, revision: int
     ) -> Call:
-        """Replace an object's status if it has the given revision."""
+        """Build the call that replaces the status of an object.
+
+        :param revision: the revision that the object must have.
+        """
 
     def delete_call(self, kind: str, name: str) -> Call:
-        """Delete an object."""
+        """Build the call that deletes an object."""
 
     def decode_page(self, body: bytes) -> Page:
-        """Decode a page of a list."""
+        """Decode the answer to a call of :meth:`list_call`."""
 
     def decode_changes(self, body: bytes) -> Changes:
         """Decode the answer to a watch call."""
 
     def decode_object(self, body: bytes) -> StoredObject:
-        """Decode one object."""
+        """Decode one object, which a read or a write returned."""
 
 
 class Store:
     """Client of the store. Each call returns an answer or raises `StoreError`.
 
-    :param codec: the encoding of the calls and the answers.
+    Watch calls use a connection pool of their own for each kind.
+
+    :param codec: builds the requests of the calls and decodes the answers.
     """
 
     __slots__ = ("_codec", "_host", "_port", "_pool", "_watches", "calls")
@@ -204,6 +221,7 @@
         """Get all objects of a kind, page by page.
 
         :param stale: whether the list may be slightly out of date.
+        :returns: all objects as one page, with the revision of the last page.
         """
         objects: list[StoredObject] = []
         unreadable = 0
@@ -223,6 +241,7 @@
         """Wait for changes of a kind after a revision.
 
         :param wait_s: the time to wait if there are none, in seconds.
+        :returns: the changes; none if the time has passed without any.
         :raises HistoryGone: if the list has to be read again.
         """
         pool = self._watches.setdefault(
@@ -317,7 +336,7 @@
 def _read(
     decode: typing.Callable[[bytes], _Found], answer: pools.HttpResponse
 ) -> _Found:
-    """Decode an answer.
+    """Decode the answer to a call.
 
     :raises Unanswered: if the answer is unreadable: a write took effect, but
         its result, such as the new revision, is unknown.
--- a/src/apricotlever/serving/store_listeners.py
+++ b/src/apricotlever/serving/store_listeners.py
@@ -1,4 +1,8 @@
-"""Listeners of the store's watchers, which pass changes on to the process."""
+"""Listeners that apply what this VM reads from the store.
+
+There is one for the configuration and one for the entries of runners. The
+listener for roll-out orders is in :mod:`.roll_out_orders`.
+"""
 
 import random
 import typing
@@ -23,8 +27,8 @@
     """Passes on each stored version of the configuration.
 
     :param name: name of the configuration's object in the store.
-    :param adopt: receives the document, and decides whether it is newer than
-        the active one.
+    :param adopt: receives the configuration document, and decides whether it
+        is newer than the active one.
     """
 
     __slots__ = ("_adopt", "_name")
@@ -36,18 +40,18 @@
         self._adopt = adopt
 
     def listed(self, page: store.Page) -> None:
-        """Process a complete list of objects."""
+        """Pass on the configuration from the list of its kind."""
         for stored in page.objects:
             self._take(stored)
 
     def changed(self, changes: store.Changes) -> None:
-        """Process changes of objects."""
+        """Pass on a changed configuration; a deletion is ignored."""
         for change in changes.changes:
             if not change.deleted:
                 self._take(change.stored)
 
     def store_recovered(self) -> None:
-        """Do nothing, as objects of this kind do not expire."""
+        """Do nothing, as the object of the configuration does not expire."""
 
     def _take(self, stored: store.StoredObject) -> None:
         if stored.name == self._name:
@@ -55,7 +59,7 @@
 
 
 class RunnerEntryListener:
-    """Updates the runner directory from the store.
+    """Updates this VM's runner directory from the runner entries in the store.
 
     An unreadable entry does not affect the other entries.
 
@@ -82,12 +86,12 @@
         )
 
     def listed(self, page: store.Page) -> None:
-        """Process a complete list of entries."""
+        """Apply the complete list of runner entries to the directory."""
         entries = [self._read(stored) for stored in page.objects]
         self._tell(self._directory.apply_list(entries, page.revision))
 
     def changed(self, changes: store.Changes) -> None:
-        """Process added, changed and removed entries.
+        """Apply added, changed and removed runner entries to the directory.
 
         A removal gets the revision that the watch has reached. The revision
         of the entry itself is that of its last change. Peers compare
@@ -111,7 +115,10 @@
             self._tell(ended)
 
     def store_recovered(self) -> None:
-        """Allow entries that expired during the outage to reappear."""
+        """Have the directory tolerate missing entries for a while.
+
+        Entries of live runners expire during an outage, and reappear after it.
+        """
         self._directory.extend_removal_grace()
 
     def _read(self, stored: store.StoredObject) -> runners.RunnerEntry:
@@ -137,12 +144,15 @@
     wanted: typing.Callable[[], bool],
     orders_wanted: typing.Callable[[], bool],
 ) -> list[store_watch.Watcher]:
-    """Create the watchers of the store.
+    """Create the watchers of the store, one for each kind of objects.
 
+    :param configurations: listens to versions of the configuration.
+    :param entries: listens to the entries of runners.
     :param orders: listens to roll-out orders; None if these are disabled.
-    :param wanted: whether this VM has to follow the store now.
-    :param orders_wanted: whether this VM has to follow roll-out orders now.
-        A stricter condition than `wanted` prevents all VMs from listing
+    :param wanted: returns whether this VM has to follow the configuration and
+        the runner entries now.
+    :param orders_wanted: returns whether this VM has to follow roll-out orders
+        now. A stricter condition than `wanted` prevents all VMs from listing
         orders when they briefly replace followers that lost the store.
     """
     kinds: tuple[tuple[str, store_watch.Listener, float], ...] = (
--- a/src/apricotlever/serving/store_watch.py
+++ b/src/apricotlever/serving/store_watch.py
@@ -1,4 +1,10 @@
-"""Follows one kind of objects in the platform's store."""
+"""Watcher that follows one kind of objects in the platform's store.
+
+To follow a kind is to read the list of its objects once and then each change
+of them by long-poll watch calls. Only some VMs, the followers, do so
+(:mod:`~apricotlever.vms.follower_selection`); the other VMs learn of the
+changes from their peers.
+"""
 
 import asyncio
 import random
@@ -10,7 +16,8 @@
 from . import log_rate_limiter
 from . import store
 
-#: Bounds of the delay after a failed call, in seconds.
+#: Bounds of the delay after a failed call, in seconds. The delay doubles with
+#: each consecutive failure.
 MIN_RETRY_DELAY_S = 0.1
 MAX_RETRY_DELAY_S = 0.8
 #: Wait of the first watch call after a failure, in seconds; short, so that it
@@ -18,30 +25,37 @@
 RECOVERY_WATCH_WAIT_S = 0.05
 #: Consecutive failures for longer than this count as an outage, in seconds.
 MIN_OUTAGE_S = 0.4
-#: Interval between two checks whether a watch is wanted, in seconds.
+#: Interval between two checks whether this VM has become a follower, in
+#: seconds.
 WANTED_CHECK_INTERVAL_S = 0.2
 
 
 class Listener(typing.Protocol):
-    """Receives the lists and the changes that a watcher reads."""
+    """Receives the lists and the changes that a :class:`Watcher` reads."""
 
     def listed(self, page: store.Page) -> None:
-        """Handle the complete list of the objects."""
+        """Handle the complete list of the objects of the followed kind."""
 
     def changed(self, changes: store.Changes) -> None:
-        """Handle created, changed and deleted objects."""
+        """Handle created, changed and deleted objects of that kind."""
 
     def store_recovered(self) -> None:
-        """Handle the end of an outage of the store."""
+        """Handle the end of an outage of the store.
+
+        Shorter failures than :data:`MIN_OUTAGE_S` are not reported.
+        """
 
 
 class Watcher:
     """Follows one kind of objects until it is cancelled.
 
+    Failed calls are repeated after a delay. The list is read again if the
+    store no longer has the changes after the last known revision.
+
     :param kind: the kind of the objects.
     :param listener: called in the event loop with lists and changes.
-    :param wanted: returns whether this VM has to follow the store itself;
-        otherwise it receives the same updates from its peers.
+    :param wanted: returns whether this VM is a follower and has to watch the
+        store now; otherwise it receives the same updates from its peers.
     :param gather_s: the delay after a watch call that returned changes, in
         seconds. Changes come in series, and the store charges for each call,
         so that one call should return several of them.
@@ -87,7 +101,7 @@
 
     @property
     def is_connected(self) -> bool:
-        """Whether this VM follows the store, and the last call succeeded."""
+        """Whether this VM follows the kind, and the last call succeeded."""
         return self._watching and self._failing_since is None
 
     def invalidate(self) -> None:
@@ -100,7 +114,7 @@
         return self._kind
 
     async def run(self) -> None:
-        """Follow the store until cancelled; errors of the listener propagate.
+        """Follow the kind until cancelled; errors of the listener propagate.
 
         After a restart the list is read again: an object that the listener
         failed to handle would otherwise be missing until its next change.
--- a/src/apricotlever/serving/usage_duty.py
+++ b/src/apricotlever/serving/usage_duty.py
@@ -1,5 +1,9 @@
 """The duty to report the usage of each window exactly once.
 
+Usage is the number of calls of each customer in a window, a numbered period of
+wall-clock time. The holder of the fleet's lease reports the counts of all VMs
+to the cloud API.
+
 The counts of a window are fixed in the store before they are first sent, so
 that another holder, or the same one after a restart, can only send the same
 counts again. Between reports the holder writes a checkpoint of all received
@@ -19,6 +23,7 @@
 from . import duty_lease
 from . import store
 
+#: Kind of the objects with the fixed counts, which is that of the checkpoint.
 KIND = checkpoint.KIND
 #: Delay from the end of a window until its counts are fixed. By then the
 #: calls that began in the window are counted and known to all VMs.
@@ -39,7 +44,9 @@
     """Reports usage while this VM holds the lease.
 
     :param windows: the counts of this VM and those received from others.
-    :param levels: returns what is left of each customer's limit.
+    :param keeper: manages the lease.
+    :param levels: returns the units left of each customer's limit, which the
+        checkpoint includes.
     """
 
     __slots__ = (
@@ -86,11 +93,17 @@
         return self._last_reported
 
     def observe_reported_window(self, window: int) -> None:
-        """Record that another VM knows a window to be reported."""
+        """Record that another VM knows the usage of a window to be reported.
+
+        :param window: the newest such window; 0 if there is none.
+        """
         self._last_reported = max(self._last_reported, window)
 
     async def step(self) -> None:
-        """Send the reports and write the checkpoint that are due."""
+        """Send the reports that are due, and write the checkpoint.
+
+        Without the lease, this does nothing.
+        """
         if self._keeper.fencing is None:
             self._recovered = False
             return
@@ -112,7 +125,10 @@
             )
 
     async def _recover(self) -> None:
-        """Merge the counts from the checkpoint of the previous holder."""
+        """Merge the counts from the last checkpoint in the store.
+
+        A previous holder of the lease may have written it.
+        """
         found = await self._store.get(KIND, checkpoint.NAME)
         if found is not None:
             for window, table in checkpoint.parse_counts(found.spec).items():
@@ -162,7 +178,10 @@
     async def _fix_counts(
         self, window: int
     ) -> usage_windows.CallCounts | None:
-        """Fix a window's counts by creating an object only if none exists.
+        """Fix the counts that will be reported for a window, in the store.
+
+        An object with the counts is created only if none exists, so the first
+        holder to do so determines them.
 
         :returns: the fixed counts; None if the stored ones are unreadable.
         """
