--- a/src/apricotlever/serving/customer_limits.py
+++ b/src/apricotlever/serving/customer_limits.py
@@ -1,7 +1,14 @@
 """Rate limits of all customers, enforced by all VMs of the fleet together.
 
+A limit counts units, calls or tokens, of which each call uses a number. The
+level of a limit is the number of units left. The total of a process is the
+number of units that it has admitted for a customer since it started; each VM
+sends its totals to the other VMs in its status records, and charges the limits
+with theirs.
+
 The keeper of a limit is the VM that admits calls against the limit for all VMs
-that can reach it.
+that can reach it, so that calls are admitted in the order in which they
+arrive.
 """
 
 import typing
@@ -17,6 +24,7 @@
 class AdmissionResult:
     """The decision of a customer's limit on one call.
 
+    :param customer: name of the customer.
     :param units: the units of the call.
     :param wait_s: 0 if the call was admitted, else the seconds until it may
         be admitted.
@@ -35,7 +43,7 @@
 
 
 class CustomerLimits:
-    """The fleet-wide limits of all customers.
+    """This VM's side of the fleet-wide limits of all customers.
 
     :param clock: the time source of the token buckets.
     :param slack: units by which a limit may be exceeded temporarily.
@@ -70,13 +78,13 @@
         self._process = process
         self._clock = clock
         self._keepers = limit_keepers.LimitKeepers(clock, vm)
-        #: Addresses of the other VMs that may be keepers, by name.
+        #: Addresses of the other VMs that may be keepers of limits, by name.
         self._addresses: dict[str, limit_protocol.Address] = {}
         self._protocol: limit_protocol.LimitProtocol | None = None
         self._slack = slack
         self._overshoot = overshoot
         self._liveness = fleet_rate_limit.MemberLiveness(clock)
-        #: The latest totals of each process, by customer.
+        #: The latest totals of each other VM's process, by customer.
         self._last_totals: dict[str, typing.Mapping[str, float]] = {}
         self._rates: dict[str, fleet_rate_limit.FleetRateLimit] = {}
         #: Levels received from other processes, kept for customers whose
@@ -85,7 +93,7 @@
 
     @property
     def admitted_units(self) -> dict[str, float]:
-        """Units that this VM has admitted since it started, by customer."""
+        """This process's total of each customer, for its status records."""
         return {
             name: _compact_number(rate.admitted_units)
             for name, rate in self._rates.items()
@@ -102,15 +110,23 @@
 
     @property
     def usable_fractions(self) -> dict[str, float]:
-        """The fraction of each limit that this VM may use, by customer."""
+        """The fraction of each limit that this VM may use, by customer.
+
+        The rest is reserved for VMs that have fallen silent, as these may
+        still admit calls.
+        """
         return {
             name: rate.usable_fraction for name, rate in self._rates.items()
         }
 
     def initialize_levels(self, levels: typing.Mapping[str, float]) -> None:
-        """Set the levels of limits whose level is not known yet.
+        """Set the levels of limits whose level this VM does not know yet.
 
-        :param levels: units left, by customer.
+        A process that starts does not know what was admitted before. Known
+        levels don't change.
+
+        :param levels: units left of each limit, by customer, according to
+            another VM or the checkpoint in the store.
         """
         self._initial_levels.update(levels)
         for name, level in levels.items():
@@ -145,10 +161,15 @@
     def set_members(
         self, processes: frozenset[str], between_s: float = 0.0
     ) -> None:
-        """Set which other processes may admit calls.
+        """Set which processes of other VMs may admit calls against the limits.
+
+        While one of them is silent, its share of each limit is reserved for
+        it. The totals of processes that are not included any more are dropped.
+        The caller calls this several times a second.
 
+        :param processes: the names of the processes, silent ones included.
         :param between_s: mean time between two records of one process, in
-            seconds.
+            seconds, which determines when a process counts as silent.
         """
         gone = self._liveness.members - processes
         self._liveness.set_members(processes, between_s)
@@ -163,8 +184,9 @@
     def receive_totals(
         self, process: str, used: typing.Mapping[str, float]
     ) -> None:
-        """Apply the totals of another VM's process.
+        """Charge the limits with the totals in another VM's status record.
 
+        :param process: the other VM's process.
         :param used: admitted units by customer since the process started.
         """
         self._liveness.heard(process)
@@ -177,8 +199,11 @@
     def receive_relayed_totals(
         self, process: str, used: typing.Mapping[str, float]
     ) -> None:
-        """Apply the totals of another VM's process that a third VM relays.
+        """Charge the limits with another VM's totals that a third VM relays.
+
+        A relayed total may be outdated, so lower ones than known are ignored.
 
+        :param process: the process that admitted the units.
         :param used: admitted units by customer since the process started.
         """
         for name, total in used.items():
@@ -186,29 +211,43 @@
                 self._rates[name].receive_relayed_total(process, total)
 
     def record_contact(self, processes: typing.Iterable[str]) -> None:
-        """Record that some VM has heard from these processes."""
+        """Record that an aggregator has heard from processes of other VMs.
+
+        A process without contact for too long counts as silent, and its share
+        of each limit is then reserved for it.
+
+        :param processes: the names of the processes.
+        """
         for process in processes:
             self._liveness.heard(process)
 
     def enable_keepers(self, protocol: limit_protocol.LimitProtocol) -> None:
-        """From now on, ask the limits' keepers by this protocol."""
+        """From now on, have the keepers of the limits decide on calls.
+
+        :param protocol: sends the requests to the keepers.
+        """
         self._protocol = protocol
 
     def set_keepers(
         self, others: typing.Mapping[str, limit_protocol.Address]
     ) -> None:
-        """Set which other VMs may be keepers.
+        """Set which other VMs may be keepers of limits.
 
-        :param others: the VMs' addresses by name.
+        Rendezvous hashing of a customer's name selects the keeper of its limit
+        among these VMs and this one.
+
+        :param others: addresses for requests to these VMs, by VM name.
         """
         self._addresses = dict(others)
         self._keepers.set_other_vms(others)
 
     async def admit(self, customer: str, units: float) -> AdmissionResult:
-        """Admit a call if the customer's limit allows it.
+        """Admit a call of a customer if the customer's limit allows it.
 
         The limit's keeper decides. If the keeper can't, or does not answer in
         time, this VM decides by itself.
+
+        :param units: the units of the call.
         """
         rate = self._rates[customer]
         if self._protocol is None or not rate.is_limited:
@@ -233,10 +272,10 @@
         return AdmissionResult(customer, units, wait_s)
 
     def _report_total(self, customer: str) -> None:
-        """Tell the keeper the total that this VM has admitted.
+        """Send the keeper of a limit this VM's total, after it decided itself.
 
-        This VM's records contain the total as well, but arrive later. Until
-        then the keeper would admit calls that exceed the limit.
+        This VM's status records contain the total as well, but arrive later.
+        Until then the keeper would admit calls that exceed the limit.
         """
         address = self._addresses.get(self._keepers.keeper(customer))
         if address is not None and self._protocol is not None:
@@ -246,7 +285,10 @@
             )
 
     def refund(self, admission: AdmissionResult) -> None:
-        """Refund the units of an admitted call that did not run."""
+        """Refund the units of an admitted call that did not run.
+
+        If another VM counted the call as keeper, it is told to refund them.
+        """
         address = self._addresses.get(admission.keeper)
         if not admission.keeper:
             self.refund_units(admission.customer, admission.units)
@@ -258,6 +300,7 @@
     def admit_for_peer(self, customer: str, units: float) -> float | None:
         """Decide on a call of another VM, as the keeper of the limit.
 
+        :param units: the units of the call.
         :returns: 0 if the call was admitted, else the seconds until it may
             be admitted; None if this process does not know the limit's level.
         """
@@ -267,17 +310,21 @@
         return rate.take(units, for_all=True)
 
     def refund_units(self, customer: str, units: float) -> None:
-        """Refund the units of a call that this VM counted and did not run."""
+        """Refund the units of a call that this VM counted.
+
+        The call was admitted, but did not run.
+        """
         if customer in self._rates:
             self._rates[customer].refund(units)
 
     def receive_early_total(
         self, process: str, customer: str, total: float
     ) -> None:
-        """Apply another VM's total that arrives ahead of the VM's records.
+        """Charge a limit with another VM's total that overtook its records.
 
         :param process: the other VM's process.
-        :param total: units of the customer since that process started.
+        :param total: units that the process has admitted for the customer
+            since it started.
         """
         if customer in self._rates:
             self._rates[customer].receive_early_total(process, total)
@@ -285,13 +332,13 @@
     def rate_limit(
         self, customer: configuration_model.Customer
     ) -> fleet_rate_limit.FleetRateLimit:
-        """The limit of a customer."""
+        """This VM's instance of a customer's limit."""
         return self._rates[customer.name]
 
 
 def _compact_number(units: float) -> float:
-    """Convert a whole number to an integer.
+    """Convert a whole number of units to an integer.
 
-    In a record, an integer takes three bytes instead of nine.
+    In a status record, an integer takes three bytes instead of nine.
     """
     return int(units) if units == int(units) else units
--- a/src/apricotlever/serving/fleet_link.py
+++ b/src/apricotlever/serving/fleet_link.py
@@ -1,7 +1,14 @@
-"""Exchange of records between this VM and the other VMs of the fleet.
+"""Exchange of messages between this VM and the other VMs of the fleet.
 
-The link sends and receives records, tracks which VMs are alive, and fetches
-configurations and runner entries that this VM is missing from its peers.
+Each VM sends its status record, which tells its state, loads and counts,
+several times a second (:mod:`~apricotlever.vms.vm_records`). In a large fleet
+it sends the record to its aggregator, a VM that relays the records of others
+and reports on them in aggregates and tallies
+(:mod:`~apricotlever.vms.aggregates`).
+
+The link sends and receives these messages, tracks which VMs are alive, and
+fetches configurations and runner entries that this VM is missing from its
+peers.
 """
 
 import asyncio
@@ -38,68 +45,85 @@
 #: fetches the update from any VM. Otherwise all VMs would send requests to the
 #: few that have the update first.
 AGGREGATOR_GRACE_S = 1.0
-#: Minimum time between a record and the next one that is sent because of a
-#: change, in seconds.
+#: Minimum time between a status record and the next one that is sent because
+#: of a change, in seconds.
 MIN_CHANGE_INTERVAL_S = 0.03
-#: How long changes are collected into one record, in seconds. Calls arrive in
-#: bursts, and each call changes this VM's record.
+#: How long changes are collected into one status record, in seconds. Calls
+#: arrive in bursts, and each call changes this VM's record.
 CHANGE_BATCH_S = 0.01
 #: A revision before the first one, to request the whole runner directory.
 ALL_REVISIONS = -1
 #: How long a VM must have followed the store without interruption to count
 #: as a stable follower, in seconds.
 STABLE_FOLLOWER_S = 2.0
-#: Time between two tallies of an aggregator, in seconds.
+#: Time between two tallies of an aggregator, in seconds. A tally is a message
+#: with usage and work counts, for the VMs that may perform the fleet's duties.
 TALLY_INTERVAL_S = 1.0
 
 
 class LocalVm(typing.Protocol):
-    """This VM, as the link reads and updates it."""
+    """This VM, which builds the records that the link sends.
+
+    The link passes it what the other VMs report.
+    """
 
     @property
     def version(self) -> int:
-        """Version of the active configuration, 0 without one."""
+        """Version of this VM's active configuration, 0 without one."""
 
     def record(
         self, number: int, known: list[str], whole: bool, aggregator: str
     ) -> vm_records.VmRecord:
-        """Create this VM's next record.
+        """Create this VM's next status record.
 
         The parameters are those of
         :meth:`record_exchange.RecordSource.record`.
         """
 
     def receive_record(self, record: vm_records.VmRecord) -> None:
-        """Apply a record of another VM."""
+        """Apply a status record of another VM."""
 
     def receive_relayed_totals(
         self, process: str, used: dict[str, float]
     ) -> None:
         """Apply the units admitted by a process, as an aggregator relays them.
 
+        :param process: the process of another VM, which admits calls against
+            customers' limits.
         :param used: admitted units by customer since the process started.
         """
 
     def merge_counts(
         self, counts: dict[str, tuple[typing.Any, typing.Any]]
     ) -> None:
-        """Merge usage and work counts of many processes.
+        """Merge usage and work counts of other VMs' processes, from a tally.
 
-        :param counts: usage and work by process.
+        :param counts: usage and work by process; see
+            :class:`vm_records.VmRecord`.
         """
 
     def record_contact(self, processes: typing.Iterable[str]) -> None:
-        """Record that an aggregator has heard from these processes."""
+        """Record that an aggregator has heard from processes of other VMs.
+
+        Otherwise they would count as silent, and shares of the customers'
+        limits would be reserved for them.
+
+        :param processes: the names of the processes.
+        """
 
     def duty_candidates(self) -> typing.Iterable[str]:
-        """Names of the VMs that hold duties or may take them over."""
+        """Names of the other VMs that hold duties or may take them over.
+
+        An aggregator sends its tallies to them.
+        """
 
     def observe_loads(self, loads: peer_loads.PeerLoads) -> None:
-        """Apply the loads that the other VMs put on runners."""
+        """Apply the loads that the other VMs put on the runners."""
 
     def configure(self, spec: store.Json) -> bool:
         """Activate a configuration if it is newer than the active one.
 
+        :param spec: the configuration document.
         :returns: whether the configuration was activated.
         """
 
@@ -111,7 +135,7 @@
 
 
 class FleetLink:
-    """Sends this VM's records to the other VMs and receives theirs.
+    """Sends this VM's messages to the other VMs and receives theirs.
 
     :param config: this VM's settings.
     :param local: this VM.
@@ -168,22 +192,25 @@
         )
         self._following_since: float | None = None
         self._published_at = float("-inf")
-        #: Whether a record is scheduled because of a change.
+        #: Whether a status record is scheduled because of a change.
         self._publish_scheduled = False
 
     @property
     def alive(self) -> list[vm_records.VmRecord]:
-        """Records of the VMs that have been heard from recently."""
+        """Status records of the VMs that were heard from recently."""
         return self._table.alive()
 
     @property
     def members(self) -> list[vm_records.VmRecord]:
-        """Records of the VMs that may be alive, including silent ones."""
+        """Status records of the VMs that may be alive, even if silent."""
         return self._table.members()
 
     @property
     def limit_keepers(self) -> dict[str, tuple[str, int]]:
-        """Addresses of the other VMs that may keep limits, by name."""
+        """Addresses of the other VMs that may be keepers of limits, by name.
+
+        The keeper of a limit admits the calls of a customer for all VMs.
+        """
         return {
             peer.vm: address
             for peer in self.alive
@@ -194,12 +221,19 @@
 
     @property
     def must_follow_store(self) -> bool:
-        """Whether this VM has to follow the store itself."""
+        """Whether this VM has to be a follower.
+
+        A follower learns of changes by calls to the store. A few VMs are
+        followers; the others learn of changes from their peers.
+        """
         return self._followers.follows
 
     @property
     def is_stable_follower(self) -> bool:
-        """Whether `follows` has held for at least STABLE_FOLLOWER_S."""
+        """Whether this VM has been a follower for STABLE_FOLLOWER_S.
+
+        VMs that replace followers for a shorter time don't count.
+        """
         since = self._following_since
         if since is None:
             return False
@@ -207,7 +241,10 @@
 
     @property
     def mean_message_interval_s(self) -> float:
-        """Mean time between two messages from a VM, in seconds."""
+        """Mean time between two signs of life of another VM, in seconds.
+
+        A sign of life is a record of the VM or an aggregator's report of it.
+        """
         return self._table.mean_sign_of_life_interval_s
 
     @property
@@ -217,14 +254,14 @@
 
     @property
     def aggregator(self) -> str:
-        """Name of the VM that relays this VM's records.
+        """Name of the VM that relays this VM's status records.
 
         It is "" while this VM sends its records to the other VMs itself.
         """
         return self._record_exchange.aggregator
 
     def listen(self, address: settings.Address) -> None:
-        """Open the socket and start sending and receiving records."""
+        """Open the socket and start sending and receiving messages."""
         self._datagrams.listen(address.host, address.port)
         self._tasks.repeat(
             peer_datagrams.READ_INTERVAL_S, self._receive_pending
@@ -238,29 +275,34 @@
         self._tasks.repeat(TALLY_INTERVAL_S, self._publish_tally)
 
     def close(self) -> None:
-        """Close the socket."""
+        """Close the socket for messages of other VMs."""
         self._datagrams.close()
 
     def set_seeds(self, seeds: typing.Iterable[str]) -> None:
-        """Replace the seed addresses."""
+        """Replace the seeds, addresses at which there may be VMs of the fleet.
+
+        :param seeds: peer addresses from the settings; may be stale.
+        """
         self._table.set_seeds(seeds)
 
     def is_peer(self, host: str) -> bool:
-        """Whether an IP address belongs to a member of the fleet."""
+        """Whether an IP address may belong to a VM of the fleet."""
         return self._table.is_member(host)
 
     def handle_stall(self) -> None:
-        """Discard stale records after the process was suspended.
+        """Discard stale messages after the process was suspended.
 
-        All peers count as silent until they send new records.
+        All other VMs count as silent until they are heard from again.
         """
         self._datagrams.discard_pending()
         self._table.mark_all_silent()
 
     def publish_now(self) -> None:
-        """Send this VM's record immediately.
+        """Send this VM's status record without waiting for the next period.
 
-        An aggregator also sends its aggregates.
+        This is for changes that the other VMs must learn of at once. The
+        record goes to this VM's aggregator or, without one, to the other VMs.
+        An aggregator also sends its aggregates, which include its own record.
         """
         self._published_at = self._clock.now()
         self._send(self._record_exchange.publish_change())
@@ -268,7 +310,7 @@
             self._send(self._pending_aggregates())
 
     def publish_soon(self) -> None:
-        """Schedule a record because of a change.
+        """Schedule a status record because this VM's state has changed.
 
         Changes in quick succession share one record.
         """
@@ -282,7 +324,10 @@
         )
 
     def update_members(self) -> None:
-        """Log joined and lost members, and reselect the store's followers."""
+        """Log joined and lost VMs, and decide whether this VM is a follower.
+
+        The caller calls this several times a second.
+        """
         alive = self._table.alive()
         names = {record.vm for record in alive}
         for vm in sorted(names - self._alive):
@@ -302,7 +347,7 @@
             self._following_since = self._clock.now()
 
     def receive_message(self, message: record_exchange.Message) -> None:
-        """Process a message of another VM."""
+        """Process a status record, aggregate or tally of another VM."""
         if isinstance(message, vm_records.VmRecord):
             self._receive_record(message)
             self._send(self._record_exchange.receive_record(message))
@@ -364,8 +409,8 @@
 
     async def _publish_aggregates(self) -> None:
         if self._record_exchange.is_aggregator:
-            # The aggregates should include records that arrived since the
-            # socket was last read.
+            # The aggregates should include status records that arrived since
+            # the socket was last read.
             self._datagrams.receive_pending()
         self._send(self._pending_aggregates())
         if self._record_exchange.is_aggregator:
@@ -380,7 +425,11 @@
         self._datagrams.receive_pending()
 
     def _check_for_missing_updates(self, record: vm_records.VmRecord) -> None:
-        """Fetch updates of a peer that the store did not deliver in time."""
+        """Fetch updates that a peer has and this VM lacks for too long.
+
+        :param record: the peer's status record, which names the versions of
+            its configuration and runner directory.
+        """
         grace_s = STORE_GRACE_S if self.must_follow_store else 0.0
         sources = self._record_exchange.directory_sources
         compared = sources is None or record.vm in sources
--- a/src/apricotlever/serving/limit_protocol.py
+++ b/src/apricotlever/serving/limit_protocol.py
@@ -1,9 +1,9 @@
 """Protocol by which VMs ask the keeper of a limit to admit calls, over UDP.
 
 The keeper of a limit is the VM that admits calls against the limit for all VMs
-that can reach it.
-If a datagram is lost, the asking VM decides by itself, and the caller has only
-waited for the timeout.
+that can reach it; each call uses a number of units of the limit. If a datagram
+is lost, the asking VM decides by itself, and the caller has only waited for
+the timeout.
 """
 
 import asyncio
@@ -17,14 +17,15 @@
 
 from . import log_rate_limiter
 
-#: How long a VM waits for an answer, in seconds: several round trips, and less
-#: than callers notice.
+#: How long a VM waits for a keeper's answer, in seconds: several round trips,
+#: and less than callers notice.
 ANSWER_TIMEOUT_S = 0.02
 #: How long after its request an answer is still processed, in seconds. An
 #: answer after the timeout may admit a call that the asking VM has counted
 #: already; the units of that call must be refunded.
 LATE_ANSWER_S = 2.0
-#: Kinds of messages, the first field of each message.
+#: Kinds of messages, the first field of each message: a request to admit a
+#: call, its answer, a refund, and the units that the sender has admitted.
 ASK = 0
 ANSWER = 1
 REFUND = 2
@@ -59,17 +60,20 @@
     LOCAL_TOTAL: _IS_LOCAL_TOTAL,
 }
 
+#: IP address and UDP port.
 Address = tuple[str, int]
 
 
 class Keeper(typing.Protocol):
-    """Counts calls of other VMs against the limits that this VM keeps."""
+    """Decides on calls of other VMs, for the limits that this VM keeps."""
 
     def admit_for_peer(self, customer: str, units: float) -> float | None:
         """Admit a call of another VM if the customer's limit allows it.
 
+        :param units: the units of the call.
         :returns: 0 if the call was admitted, else the seconds until it may
-            be admitted; None if this VM does not know the level of the limit.
+            be admitted; None if this VM does not know the level of the limit,
+            the units left.
         """
 
     def refund_units(self, customer: str, units: float) -> None:
@@ -78,10 +82,11 @@
     def receive_early_total(
         self, process: str, customer: str, total: float
     ) -> None:
-        """Receive the units that another VM has counted by itself.
+        """Receive a total of another VM that is newer than its status records.
 
         :param process: the other VM's process.
-        :param total: units of the customer since that process started.
+        :param total: units that the process has admitted for the customer
+            since it started.
         """
 
 
@@ -105,7 +110,8 @@
     """Sends requests to keepers of limits, and answers those of other VMs.
 
     :param keeper: decides on calls of other VMs against this VM's limits.
-    :param is_peer: whether an IP address belongs to a member of the fleet.
+    :param is_peer: whether an IP address may belong to a VM of the fleet;
+        messages from other addresses are refused.
     :param refusals: limits the log lines about refused messages.
     """
 
@@ -131,9 +137,11 @@
         self._refusals = refusals
         self._transport: asyncio.DatagramTransport | None = None
         self._numbers = itertools.count()
-        #: Requests by number, until LATE_ANSWER_S have passed.
+        #: Requests by number, until they are answered in time or
+        #: LATE_ANSWER_S have passed.
         self._pending: dict[int, _PendingRequest] = {}
-        #: Numbers of requests sent and of requests not answered in time.
+        #: How many requests were sent, and how many of them were not answered
+        #: in time.
         self.request_count = 0
         self.timeout_count = 0
 
@@ -145,7 +153,7 @@
         return int(self._transport.get_extra_info("sockname")[1])
 
     async def listen(self, host: str, port: int) -> None:
-        """Open the socket."""
+        """Open the socket for requests and answers."""
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(
             lambda: self, local_addr=(host, port)
@@ -160,9 +168,10 @@
     async def request_admission(
         self, address: Address, customer: str, units: float
     ) -> float | None:
-        """Ask a keeper to admit a call.
+        """Ask the keeper of a customer's limit to admit a call.
 
         :param address: the keeper's address.
+        :param units: the units of the call.
         :returns: as :meth:`Keeper.admit_for_peer`.
         :raises TimeoutError: if the keeper did not answer in time.
         """
@@ -187,19 +196,23 @@
     def send_refund(
         self, address: Address, customer: str, units: float
     ) -> None:
-        """Tell a keeper that a call which it admitted did not run."""
+        """Tell a keeper that a call which it admitted did not run.
+
+        :param units: the units of the call.
+        """
         self._send([REFUND, customer, units], address)
 
     def send_local_total(
         self, address: Address, process: str, customer: str, total: float
     ) -> None:
-        """Tell a keeper the units that this VM has counted by itself.
+        """Tell a keeper the units that this VM has admitted by itself.
 
-        This VM's records contain the total as well, but arrive later. Until
-        then the keeper would admit calls that exceed the limit.
+        This VM's status records contain the total as well, but arrive later.
+        Until then the keeper would admit calls that exceed the limit.
 
         :param process: this VM's process.
-        :param total: units of the customer since this process started.
+        :param total: units that this process has admitted for the customer
+            since it started.
         """
         self._send([LOCAL_TOTAL, process, customer, total], address)
 
@@ -210,7 +223,7 @@
         self._transport = typing.cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        """Process a message of another VM."""
+        """Process a request, an answer or another message of another VM."""
         if not self._is_peer(addr[0]):
             self._log_refusal(addr[0], "stranger")
             return
--- a/src/apricotlever/serving/peer_datagrams.py
+++ b/src/apricotlever/serving/peer_datagrams.py
@@ -1,4 +1,9 @@
-"""Messages between entry VMs, sent and received as UDP datagrams."""
+"""Messages between entry VMs, sent and received as UDP datagrams.
+
+The messages are the status records of VMs, and the aggregates and tallies by
+which an aggregator, a VM that relays the records of others, reports on many
+VMs (:mod:`~apricotlever.vms.aggregates`).
+"""
 
 import socket
 import typing
@@ -13,8 +18,8 @@
 
 #: Time between two reads of the socket, in seconds. Reading each record on
 #: arrival would wake the process more than a hundred times a second in a large
-#: fleet, which would be most of the work of an idle VM. Records are sent less
-#: often than the socket is read, so waiting adds little to their age.
+#: fleet, which would be most of the work of an idle VM. A VM sends its records
+#: less often than the socket is read, so waiting adds little to their age.
 READ_INTERVAL_S = 0.05
 #: Maximum number of datagrams in one read. A VM receives about six between two
 #: reads, 120 a second. A flood of datagrams must not delay callers.
@@ -31,7 +36,8 @@
 
 
 _Decoder = typing.Callable[[typing.Any], record_exchange.Message]
-#: Kinds of messages, the first field of each message that is not a record.
+#: Kinds of messages, the first field of each message that is not a status
+#: record.
 AGGREGATE = 1
 TALLY = 2
 _DECODERS: dict[int, _Decoder] = {
@@ -44,7 +50,7 @@
 def pack(message: record_exchange.Message) -> bytes:
     """Encode a message as a datagram.
 
-    A record is encoded without a kind before its fields.
+    A status record is encoded without a kind before its fields.
     """
     fields: list[typing.Any] = message.to_record()
     kind = _KIND_BY_TYPE.get(type(message))
@@ -74,7 +80,7 @@
 
 
 class MessageReceiver(typing.Protocol):
-    """Processes messages of other VMs."""
+    """Processes the valid messages that a :class:`PeerSocket` receives."""
 
     def receive_message(self, message: record_exchange.Message) -> None:
         """Process a message of another VM."""
@@ -83,6 +89,8 @@
 class PeerSocket:
     """UDP socket for messages between VMs.
 
+    Messages are queued in the socket's buffer until the owner has them read.
+
     :param receiver: processes the valid messages.
     """
 
@@ -99,7 +107,7 @@
         return self._socket.getsockname()[1] if self._socket else 0
 
     def listen(self, host: str, port: int) -> None:
-        """Open the socket."""
+        """Open the socket at the address that other VMs send to."""
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._socket.setblocking(False)
         self._socket.bind((host, port))
@@ -112,8 +120,9 @@
     def discard_pending(self) -> None:
         """Discard the messages that have arrived since the last read.
 
-        After a suspension of the process, waiting messages may be as old as
-        the suspension. They would show VMs as alive that have ended since.
+        This is for the end of a suspension of the process. The messages may be
+        as old as the suspension, and would show VMs as alive that have ended
+        since.
         """
         for _ in self._pending_datagrams():
             pass
@@ -121,7 +130,7 @@
     def send(
         self, message: record_exchange.Message, receivers: typing.Sequence[str]
     ) -> None:
-        """Send a message to several VMs.
+        """Send a message to several VMs, without retries.
 
         :param receivers: peer addresses as ``host:port``.
         """
--- a/src/apricotlever/serving/peer_http.py
+++ b/src/apricotlever/serving/peer_http.py
@@ -1,4 +1,4 @@
-"""Client and server by which entry VMs fetch news from each other over HTTP.
+"""HTTP client and server by which entry VMs fetch updates from each other.
 
 A VM fetches configurations and runner entries that the store did not deliver
 in time.
@@ -45,7 +45,10 @@
 
 
 class PeerClient:
-    """Fetches from other VMs what the store did not deliver."""
+    """Fetches updates that the store did not deliver from other VMs.
+
+    It is the client of their :class:`PeerServer`.
+    """
 
     __slots__ = ("_pools",)
 
@@ -77,6 +80,7 @@
         """Fetch the changes of a peer's runner directory since a revision.
 
         :param address: the peer's address as ``host:port``.
+        :param above: the store revision after which the changes were made.
         :returns: entries, and the revisions of removals by runner name; None
             if the fetch failed.
         """
@@ -153,25 +157,28 @@
 
 
 class NewsSource(typing.Protocol):
-    """A VM's configuration and runner directory, served to peers."""
+    """This VM's configuration and runner directory, served to peers."""
 
     @property
     def version(self) -> int:
-        """Version of the active configuration, 0 without one."""
+        """Version of this VM's active configuration, 0 without one."""
 
     def configuration_after(self, version: int) -> store.Json | None:
-        """The configuration document; None unless newer than a version."""
+        """The active configuration's document, if it is newer than a version.
+
+        :returns: None if it is not newer, or there is none.
+        """
 
     def runners_after(
         self, revision: int
     ) -> tuple[list[runners.Runner], dict[str, int]]:
-        """Changes of the runner directory since a store revision.
+        """Changes of this VM's runner directory since a store revision.
 
         :returns: entries, and the revisions of removals by runner name.
         """
 
     def is_peer(self, host: str) -> bool:
-        """Whether an IP address belongs to a member of the fleet."""
+        """Whether an IP address may belong to a VM of the fleet."""
 
 
 class PeerServer:
@@ -181,14 +188,17 @@
 
     def __init__(self, source: NewsSource) -> None:
         self._source = source
-        #: The last encoded version and its data. All other VMs request the
-        #: same version within a second.
+        #: The last encoded configuration: its version and data. All other VMs
+        #: request the same version within a second.
         self._packed: tuple[int, bytes] = (0, b"")
 
     async def answer(
         self, raw: caller_server.RawRequest, reply: reply_writer.ReplyWriter
     ) -> None:
-        """Answer one fetch; hosts outside the fleet get status 403."""
+        """Answer one fetch of a peer.
+
+        Hosts outside the fleet get status 403.
+        """
         if not self._source.is_peer(reply.caller_host):
             logs.event(
                 "peer_refused", peer=reply.caller_host, reason="stranger"
@@ -209,7 +219,7 @@
             reply.send_whole(404, ())
 
     def _configuration(self, above: int) -> bytes:
-        """The encoded configuration; empty if it is not newer."""
+        """The encoded configuration; empty if not newer than a version."""
         spec = self._source.configuration_after(above)
         if spec is None:
             return b""
