--- a/src/apricotlever/serving/aligned_timer.py
+++ b/src/apricotlever/serving/aligned_timer.py
@@ -2,7 +2,8 @@
 
 Each wake-up of the process costs about as much as the task that it runs. With
 independent timers, ten periodic tasks wake an idle VM 75 times a second.
-Timers that expire on a common grid wake it 20 times.
+Timers that expire on a common grid wake it 20 times: the ticks of a task are
+multiples of its period after an offset that all tasks of the process share.
 """
 
 import asyncio
@@ -20,7 +21,10 @@
 def seconds_until_tick(
     now: float, pause_s: float, phase_s: float = PHASE_S
 ) -> float:
-    """Compute the time until the next suitable tick of the grid.
+    """Compute how long a periodic task waits for its next step.
+
+    The ticks of the grid are the offset plus the multiples of the period. The
+    next tick is skipped if it comes sooner than half a period from now.
 
     :param now: the time on a monotonic clock, in seconds.
     :param pause_s: period of the task, in seconds.
@@ -32,7 +36,7 @@
 
 
 async def sleep_until_tick(pause_s: float) -> None:
-    """Wait for the next suitable tick of the grid.
+    """Wait until a periodic task is due for its next step.
 
     :param pause_s: period of the task, in seconds.
     """
--- a/src/apricotlever/serving/log_rate_limiter.py
+++ b/src/apricotlever/serving/log_rate_limiter.py
@@ -10,7 +10,10 @@
 
 
 class LogRateLimiter:
-    """Decides whether a line about a subject may be logged."""
+    """Decides whether a line about a subject may be logged.
+
+    A subject is any text, such as the name of an unreadable object.
+    """
 
     __slots__ = ("_clock", "_logged_at")
 
@@ -19,7 +22,10 @@
         self._logged_at: dict[str, float] = {}
 
     def allows(self, subject: str) -> bool:
-        """Whether a line may be logged now; if so, it counts as logged."""
+        """Whether a line about a subject may be logged now.
+
+        If so, it counts as logged.
+        """
         now = self._clock.now()
         self._logged_at = {
             name: at
--- a/src/apricotlever/serving/log_writer.py
+++ b/src/apricotlever/serving/log_writer.py
@@ -8,11 +8,12 @@
 
 from . import aligned_timer
 
+#: File descriptor of the standard output.
 STANDARD_OUTPUT = 1
 #: Time between two writes, in seconds. Lines are collected, so that one system
 #: call writes many of them.
 FLUSH_INTERVAL_S = 0.1
-#: Maximum number of lines of one event name in a period. A fault that affects
+#: Maximum number of lines of one event name in PERIOD_S. A fault that affects
 #: every call would otherwise use up the processor for its log lines.
 MAX_LINES_PER_EVENT = 100
 #: Number of unwritten bytes above which lines are dropped.
@@ -22,7 +23,7 @@
 
 
 class LogWriter:
-    """Collects lines and writes them to a file descriptor.
+    """Collects log lines and writes them to a file descriptor.
 
     Lines are dropped if there are too many of one event or the reader does not
     read. The dropped lines are counted, and their count is logged.
--- a/src/apricotlever/serving/main.py
+++ b/src/apricotlever/serving/main.py
@@ -13,9 +13,9 @@
 from . import node
 from . import settings
 
-#: Number of new objects that triggers a collection of the youngest generation.
-#: With the default of 700, collections run many times a second, although
-#: requests create no reference cycles.
+#: Number of new objects that triggers a garbage collection of the youngest
+#: generation. With the default of 700, collections run many times a second,
+#: although requests create no reference cycles.
 GC_THRESHOLD = 20000
 
 
@@ -24,9 +24,10 @@
     read_settings: settings.SettingsReader,
     listening: listening_sockets.ListeningSockets | None = None,
 ) -> int:
-    """Serve calls until a signal stops the process.
+    """Serve calls as one entry VM until a signal stops the process.
 
-    :param dialect: the registered name of the dialect.
+    :param dialect: the registered name of the dialect, the protocols of
+        callers, runners and platform.
     :param read_settings: reads the settings file.
     :param listening: listening sockets that are already open.
     :returns: the exit code.
--- a/src/apricotlever/serving/node.py
+++ b/src/apricotlever/serving/node.py
@@ -1,4 +1,10 @@
-"""Connects all components of one entry VM on one event loop."""
+"""Connects all components of one entry VM on one event loop.
+
+The terms are explained where their components are: status records and
+aggregators in :mod:`.fleet_link`, followers in :mod:`.store_watch`, limits and
+their keepers in :mod:`.customer_limits`, duties and their lease in
+:mod:`.duty_lease`, the checkpoint in :mod:`.checkpoint`.
+"""
 
 import asyncio
 import random
@@ -43,18 +49,19 @@
 from . import task_supervisor
 from . import upstreams
 
+#: Time between two calls of :meth:`Node._tick`, in seconds.
 TICK_S = 0.1
-#: How long a process must have run before it competes for a duty, in seconds.
-#: A new process knows few other VMs: when a whole fleet starts at once, each
-#: VM would compete for every duty.
+#: How long a process must have run before it contends for the lease on the
+#: fleet's duties, in seconds. A new process knows few other VMs: when a whole
+#: fleet starts at once, each VM would contend for the lease.
 MIN_UPTIME_FOR_DUTIES_S = 1.0
-#: Time between two ticks, in seconds, above which the process is taken to have
-#: been suspended.
+#: Time between two such calls, in seconds, above which the process is taken to
+#: have been suspended.
 STALL_THRESHOLD_S = 1.0
 
 
 class Node:
-    """One entry VM.
+    """One entry VM: owns its components and passes events between them.
 
     :param read_settings: reads the settings file, at the start and at each
         reload.
@@ -158,14 +165,18 @@
 
     @property
     def ready(self) -> bool:
-        """Whether callers should be sent to this VM."""
+        """Whether callers should be sent to this VM.
+
+        It must have a configuration, and must not be stopping.
+        """
         return self._configuration is not None and self._leaving_since is None
 
     @property
     def _is_following_store(self) -> bool:
-        """Whether all watchers are connected to the store.
+        """Whether this VM is a follower whose calls to the store succeed.
 
-        The watcher of roll-out orders is ignored.
+        Its watchers of the configuration and of runner entries must be
+        connected; the watcher of roll-out orders is ignored.
         """
         orders = self._dialect.platform.roll_outs_kind
         return all(
@@ -176,11 +187,11 @@
 
     @property
     def version(self) -> int:
-        """Version of the active configuration, 0 without one."""
+        """Version of this VM's active configuration, 0 without one."""
         return self._configuration.version if self._configuration else 0
 
     async def run(self) -> None:
-        """Serve calls until the shutdown has ended."""
+        """Serve calls until a graceful shutdown has ended."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self.begin_shutdown)
         loop.add_signal_handler(signal.SIGHUP, self._reloader.reload)
@@ -208,7 +219,11 @@
         logs.event("stopped")
 
     def begin_shutdown(self) -> None:
-        """Begin a graceful shutdown; later calls do nothing."""
+        """Begin a graceful shutdown; later calls do nothing.
+
+        The other VMs are told, so that callers are sent to them and one of
+        them takes over the lease on the duties.
+        """
         if self._leaving_since is not None:
             return
         self._leaving_since = self._clock.now()
@@ -246,7 +261,7 @@
         return True
 
     def runners_changed(self, ended: list[str]) -> None:
-        """Apply changes of the runner directory.
+        """Apply changes of the runner directory to the other components.
 
         :param ended: IDs of runners that are leaving or were removed.
         """
@@ -262,14 +277,18 @@
             )
 
     def _roll_outs_changed(self) -> None:
-        """Apply changed roles of runners in roll-outs and tell the fleet."""
+        """Apply changed roll-outs to the routing of calls, and tell the fleet.
+
+        A roll-out moves a service to another version of its runners.
+        """
         self._upstreams.refresh()
         self._fleet.publish_now()
 
     async def _restore_limit_levels(self) -> None:
-        """Restore the levels of the limits from the checkpoint in the store.
+        """Restore the levels of customers' limits from the checkpoint.
 
-        If all processes were killed at once, no running VM knows the levels.
+        A level is the units left of a limit. If all processes were killed at
+        once, no running VM knows the levels, but the store has the checkpoint.
         """
         try:
             levels = await checkpoint.read_levels(self._store, self._clock)
@@ -281,7 +300,7 @@
     def record(
         self, number: int, known: list[str], whole: bool, aggregator: str
     ) -> vm_records.VmRecord:
-        """Create this VM's next record for its peers.
+        """Create this VM's next status record for the other VMs.
 
         :param number: the record's sequence number.
         :param known: peer addresses that this VM knows.
@@ -332,7 +351,7 @@
         )
 
     def receive_record(self, record: vm_records.VmRecord) -> None:
-        """Apply a record of another VM."""
+        """Apply a status record of another VM to the components."""
         self._limits.initialize_levels(record.levels)
         self._limits.receive_totals(record.process, record.used)
         self._usage.merge_counts(record.process, record.usage)
@@ -347,6 +366,8 @@
     ) -> None:
         """Apply the units admitted by a process, as an aggregator relays them.
 
+        :param process: the process of another VM, which admits calls against
+            customers' limits.
         :param used: total units by customer since the process started.
         """
         self._limits.receive_relayed_totals(process, used)
@@ -354,48 +375,65 @@
     def merge_counts(
         self, counts: dict[str, tuple[typing.Any, typing.Any]]
     ) -> None:
-        """Merge usage and work counts of many processes.
+        """Merge usage and work counts of other VMs' processes, from a tally.
 
-        :param counts: usage and work by process.
+        :param counts: usage and work by process; see
+            :class:`vm_records.VmRecord`.
         """
         for process, (usage, work) in counts.items():
             self._usage.merge_counts(process, usage)
             self._work.merge_counters(process, work)
 
     def record_contact(self, processes: typing.Iterable[str]) -> None:
-        """Record that an aggregator has heard from these processes."""
+        """Record that an aggregator has heard from processes of other VMs.
+
+        Otherwise they would count as silent, and shares of the customers'
+        limits would be reserved for them.
+
+        :param processes: the names of the processes.
+        """
         self._limits.record_contact(processes)
 
     def duty_candidates(self) -> list[str]:
-        """Names of the VMs that hold duties or may take them over."""
+        """Names of the other VMs that hold duties or may take them over."""
         return duty_lease.possible_holders(
             duty_roster.LEASE_NAME, self._fleet.alive
         )
 
     def observe_loads(self, loads: peer_loads.PeerLoads) -> None:
-        """Apply the loads that the other VMs put on runners."""
+        """Apply what the other VMs report of the runners.
+
+        :param loads: their calls in flight and waiting prompt tokens, and the
+            faults and roll-out counts that they observed.
+        """
         self._upstreams.update_peer_loads(loads)
         self._roll_outs.update_fleet_counts(loads.trials, loads.from_aggregate)
 
     def configuration_after(self, version: int) -> store.Json | None:
-        """The configuration document; None unless newer than a version."""
+        """The active configuration's document, if it is newer than a version.
+
+        :returns: None if it is not newer, or there is none.
+        """
         return self._configuration_spec if self.version > version else None
 
     def runners_after(
         self, revision: int
     ) -> tuple[list[runners.Runner], dict[str, int]]:
-        """Changes of the runner directory since a store revision.
+        """Changes of this VM's runner directory since a store revision.
 
         :returns: entries, and the revisions of removals by runner name.
         """
         return self._directory.changes_after(revision)
 
     def is_peer(self, host: str) -> bool:
-        """Whether an IP address belongs to a member of the fleet."""
+        """Whether an IP address may belong to a VM of the fleet."""
         return self._fleet.is_peer(host)
 
     def caller_addresses(self) -> list[str]:
-        """Addresses of the VMs that serve callers, this VM's own first."""
+        """Addresses at which callers may call, this VM's own first.
+
+        They are those of the live VMs that are ready.
+        """
         alive = [
             peer.caller_address
             for peer in self._fleet.alive
@@ -405,7 +443,7 @@
         return own + sorted(alive)
 
     def metrics(self) -> str:
-        """All metrics in the text format of Prometheus."""
+        """All metrics of this VM, in the text format of Prometheus."""
         gauges = {
             "store_calls_total": self._store.calls,
             "runner_connections_total": self._upstreams.connections_opened,
@@ -448,7 +486,11 @@
             self._servers.set_ready()
 
     def _start_watchers(self) -> None:
-        """Start the watchers of the store, one for each kind of object."""
+        """Start the watchers of the store, one for each kind of object.
+
+        A VM that is no follower reads the configuration and the runner entries
+        once, but does not watch them.
+        """
         self._watchers = store_listeners.create_watchers(
             self._store,
             self._dialect.platform,
@@ -497,7 +539,7 @@
         self._update()
 
     def _handle_stall(self, for_s: float) -> None:
-        """Discard knowledge that a suspension of the process made stale.
+        """Discard what a suspension of the process has made stale.
 
         :param for_s: how long the process was suspended, in seconds.
         """
--- a/src/apricotlever/serving/settings.py
+++ b/src/apricotlever/serving/settings.py
@@ -14,18 +14,22 @@
     :param drain_s: time after a runner has left within which calls to it must
         stop.
     :param shutdown_s: time from the stop signal until the process is killed.
-    :param retry_ratio: maximum number of retries for each request.
+    :param retry_ratio: maximum number of retries that the fleet may make, as a
+        fraction of its requests.
     :param retry_min: retries that the fleet may make in addition.
-    :param retry_window_s: period over which retries are counted.
+    :param retry_window_s: period over which requests and retries are counted.
     :param limit_slack: units by which a customer's limit may be exceeded
-        for a while.
+        for a while. A limit counts calls or tokens as its units.
     :param limit_overshoot: fraction of a limit by which it may be exceeded at
         all times.
     :param fencing_checked: whether the platform refuses calls with a fencing
-        number lower than one that it has seen.
-    :param lease_s: how long the holder of a duty may act after its lease was
-        last confirmed.
-    :param usage_window_s: length of a window of usage reports.
+        number lower than one that it has seen. Each new holder of the lease on
+        the fleet's duties gets a greater number.
+    :param lease_s: time within which two holders of that lease must not
+        alternate. A holder may act for a multiple of it after the lease was
+        last confirmed (:data:`~.duty_lease.LEASE_DURATION_FACTOR`).
+    :param usage_window_s: length of a window, the period that one usage report
+        covers.
     :param usage_due_s: time after the end of a window at which its report is
         due.
     :param resolve_ttl_s: maximum time for which callers keep a list of VMs.
@@ -94,14 +98,16 @@
     :param checks: address of the readiness check; None if disabled.
     :param lookups: address at which callers look up VMs; None if disabled.
     :param peers: address for other VMs, by TCP and UDP.
-    :param limits: address for other VMs' requests about limits, by UDP; None
-        if disabled.
+    :param limits: address at which other VMs ask this one to admit calls
+        against customers' limits, by UDP; None if disabled.
     :param metrics: address at which metrics are served; None if disabled.
-    :param seeds: peer addresses of some VMs; they may be stale.
+    :param seeds: peer addresses of some VMs, by which the process finds the
+        fleet; they may be stale.
     :param store: address of the platform's object store.
     :param cloud: address of the platform's cloud API; None without one.
     :param reports_usage: whether this fleet reports usage.
     :param orders_runners: whether this fleet orders runners.
+    :param bounds: bounds that the fleet guarantees.
     """
 
     __slots__ = (
@@ -162,4 +168,5 @@
         return (self.callers, self.lookups, self.checks)
 
 
+#: Reads the settings file and returns its contents.
 SettingsReader = typing.Callable[[], NodeSettings]
--- a/src/apricotlever/serving/settings_reloader.py
+++ b/src/apricotlever/serving/settings_reloader.py
@@ -1,4 +1,7 @@
-"""Reloads the settings of a process while it runs."""
+"""Reloads the settings of a process while it runs.
+
+Only changes of the seeds, the addresses of some other VMs, take effect.
+"""
 
 import typing
 
@@ -7,14 +10,16 @@
 from . import settings
 
 #: Time between two reads of the settings file, in seconds. The file may change
-#: without a signal. A VM that starts between two reads is found through other
-#: VMs anyway.
+#: without a signal to the process. A VM that starts between two reads is found
+#: through other VMs anyway.
 RELOAD_INTERVAL_S = 5.0
 
 
 class SettingsReloader:
     """Reads the settings at the start, and later the seeds again.
 
+    The seeds are peer addresses by which this VM finds the fleet.
+
     :param read: reads the settings file.
     :param on_seeds: called with changed seeds. They are the only setting that
         may change without a restart of the process.
@@ -40,7 +45,10 @@
         return self._settings
 
     def reload(self) -> None:
-        """Read the file again; an invalid file changes nothing."""
+        """Read the settings file again, and apply changed seeds.
+
+        A file that is invalid or can't be read changes nothing.
+        """
         try:
             seeds = self._read().seeds
         except (OSError, ValueError, KeyError) as error:
--- a/src/apricotlever/serving/task_supervisor.py
+++ b/src/apricotlever/serving/task_supervisor.py
@@ -17,7 +17,7 @@
 
 
 class TaskSupervisor:
-    """Keeps references to tasks, and logs their failures.
+    """Keeps references to asyncio tasks, and logs their failures.
 
     A task without references may be garbage-collected, and an exception that
     is never retrieved goes unnoticed. In both cases, a part of the process
@@ -46,18 +46,20 @@
     def repeat(
         self, pause_s: float, step: typing.Callable[[], typing.Awaitable[None]]
     ) -> None:
-        """Repeat a step periodically, even if it fails.
+        """Run a step periodically, even after it has failed.
 
         :param pause_s: period of the step, in seconds.
+        :param step: starts one run of the step.
         """
         self.spawn(_repeat(pause_s, step))
 
     def supervise(
         self, name: str, start: typing.Callable[[], typing.Awaitable[None]]
     ) -> None:
-        """Run a task, and restart it whenever it ends.
+        """Run a task, and restart it after a delay whenever it ends.
 
         :param name: name of the task in the log and the metrics.
+        :param start: starts the task.
         """
         self._restarts[name] = 0
         self.spawn(self._restart_forever(name, start))
