--- a/src/apricotlever/serving/call_relay.py
+++ b/src/apricotlever/serving/call_relay.py
@@ -1,4 +1,10 @@
-"""Handles callers' calls: authentication, limits, attempts, response."""
+"""Takes each call of a caller from its receipt to a response.
+
+The relay finds the call's route in the configuration, authenticates its
+customer and applies the customer's rate limit. Then a
+:class:`.call_execution.CallExecution` sends the call to runners. A call that
+ends without a runner's response is refused with an error status.
+"""
 
 import asyncio
 import random
@@ -18,11 +24,12 @@
 from . import reply_writer
 from . import upstreams
 
-#: ``Retry-After`` of a call refused without a configuration, in seconds. The
-#: configuration normally reaches a VM within this time.
+#: ``Retry-After`` of a call that is refused because this VM has no
+#: configuration yet, in seconds. A VM normally receives it within this time.
 NOT_READY_RETRY_AFTER_S = 0.3
-#: Added to the time until a limit admits a call, in seconds. At exactly that
-#: time, another call of the customer may be admitted first.
+#: Added to ``Retry-After`` of a customer over its rate limit, in seconds. At
+#: the exact time at which the limit could admit the call, another call of the
+#: customer may be admitted first.
 LIMIT_MARGIN_S = 0.05
 #: Lower limit of ``Retry-After``, in seconds.
 MIN_RETRY_AFTER_S = 0.01
@@ -33,11 +40,12 @@
 class Refusal(Exception):
     """A call ends without a runner's response.
 
-    :param status: of the response; 429 and 503 promise that the call has not
-        run.
+    :param status: HTTP status of the response; 429 and 503 promise that the
+        call has not run.
+    :param reason: why the call is refused, for the log and the metrics.
     :param retry_after_s: after how many seconds the caller may retry; None
         for no ``Retry-After`` header.
-    :param inputs: the inputs of the decision, for the log.
+    :param inputs: values on which the decision rests, for the log.
     """
 
     def __init__(
@@ -57,7 +65,15 @@
 class CallRelay:
     """Handles each call that this VM receives.
 
-    :param dialect: the protocols of callers and runners.
+    In its methods, a permit is the admission of a call by its customer's rate
+    limit. It is refunded if the call has certainly not run.
+
+    :param dialect: translates the protocols of callers and runners.
+    :param upstreams_: the runners and this VM's connections to them.
+    :param limits_: the customers' rate limits.
+    :param budget: the allowance of retries to runners.
+    :param usage: the customers' call counts by time window.
+    :param rng: selects a service for a route that splits its traffic.
     """
 
     __slots__ = (
@@ -105,7 +121,7 @@
 
     @property
     def usage(self) -> usage_windows.UsageWindows:
-        """Customers' usage."""
+        """The customers' call counts by time window, for usage reports."""
         return self._usage
 
     @property
@@ -115,7 +131,7 @@
 
     @property
     def dialect(self) -> dialects.Dialect:
-        """The protocols of callers and runners."""
+        """Translates the protocols of callers and runners."""
         return self._dialect
 
     def refuse_new_calls(self) -> None:
@@ -125,7 +141,7 @@
     def configure(
         self, configuration: configuration_model.Configuration
     ) -> None:
-        """Apply a version of the configuration."""
+        """Use a new version of the configuration for the calls that follow."""
         self._configuration = configuration
 
     def next_attempt_number(self) -> int:
@@ -136,7 +152,11 @@
     async def answer(
         self, raw: caller_server.RawRequest, reply: reply_writer.ReplyWriter
     ) -> None:
-        """Handle one call, whatever its outcome."""
+        """Handle one call, and answer it with an error if it is refused.
+
+        :param raw: the call as received.
+        :param reply: writes the response.
+        """
         call: messages.CallerCall | None = None
         try:
             call = self._parse(raw)
--- a/src/apricotlever/serving/caller_server.py
+++ b/src/apricotlever/serving/caller_server.py
@@ -1,4 +1,9 @@
-"""HTTP/1.1 server for callers, peer VMs and the platform's health checks."""
+"""HTTP/1.1 server for callers, peer VMs and the platform's health checks.
+
+Whoever opens a connection is called its caller, and each request on it a
+call. The server parses calls and passes each one to a handler, which writes
+the response.
+"""
 
 import asyncio
 import collections
@@ -42,13 +47,18 @@
         self.received_at = received_at
 
 
+#: Handles one request and writes its response.
 RequestHandler = typing.Callable[
     [RawRequest, reply_writer.ReplyWriter], typing.Awaitable[None]
 ]
 
 
 class CallerChannel(asyncio.Protocol):
-    """A caller's connection; pipelined calls are answered in order."""
+    """The server's end of one HTTP connection from a caller.
+
+    It parses received bytes into calls and queues complete ones. The handler
+    runs for one call at a time, so pipelined calls are answered in order.
+    """
 
     __slots__ = (
         "_body",
@@ -106,7 +116,7 @@
 
     @property
     def write_paused(self) -> bool:
-        """Whether the write buffer is above its limit."""
+        """Whether writers should wait, as the write buffer is too full."""
         return self._write_paused
 
     @property
@@ -122,19 +132,20 @@
         return self._task is not None or bool(self._pending_calls)
 
     def write(self, data: bytes) -> None:
-        """Queue bytes for the caller.
+        """Send bytes, or buffer them until the caller reads.
 
-        :raises replies.CallerGone: when the connection is closed.
+        :raises reply_writer.CallerGone: when the connection is closed.
         """
         if self._transport is None or self._transport.is_closing():
             raise reply_writer.CallerGone()
         self._transport.write(data)
 
     async def drain(self) -> None:
-        """Wait until the write buffer is below its limit.
+        """Wait while the write buffer is too full to write on.
 
-        :raises replies.CallerGone: when the caller closes the connection, or
-            does not read for :data:`WRITE_TIMEOUT_S`.
+        :raises reply_writer.CallerGone: when the caller closes the
+            connection, or the buffer stays too full for
+            :data:`WRITE_TIMEOUT_S`.
         """
         if not self._write_paused:
             return
@@ -158,6 +169,9 @@
     ) -> None:
         """Close the connection if it is idle or its caller sends too slowly.
 
+        A call that arrives too slowly is answered with 408. A connection with
+        a call in progress is left open.
+
         :param now: on the event loop's clock, in seconds.
         """
         if self.busy:
@@ -237,19 +251,19 @@
     # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        """Start a new call."""
+        """Prepare for the next call, whose first bytes have arrived."""
         self._current_call = RawRequest(self._loop.time())
         self._body = []
         self._body_bytes = 0
         self._reading_head = True
 
     def on_url(self, url: bytes) -> None:
-        """Append a part of the request target."""
+        """Append a part of the request target, which may come in pieces."""
         if self._current_call is not None:
             self._current_call.target += url.decode("latin-1")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Append a header; trailers are ignored."""
+        """Append a header of the call; trailers are ignored."""
         if self._current_call is not None and self._reading_head:
             # Fields after the body are trailers. They are ignored, as an API
             # key or a length among them was not present when the headers
@@ -257,9 +271,10 @@
             self._current_call.headers.append((name, value.rstrip(b" \t")))
 
     def on_headers_complete(self) -> None:
-        """Check the complete request head.
+        """Check the request head, which is complete, before the body is read.
 
-        :raises framing.RequestRejected: when the call must not be read on.
+        :raises request_checks.RequestRejected: when the head is malformed, or
+            it or the announced body is over its limit.
         """
         call = self._current_call
         if call is None:
@@ -277,9 +292,10 @@
             self.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, data: bytes) -> None:
-        """Append a part of the body.
+        """Append a part of the call's body.
 
-        :raises framing.RequestRejected: when the body is over its limit.
+        :raises request_checks.RequestRejected: when the body is over its
+            limit.
         """
         self._body_bytes += len(data)
         if self._body_bytes > self._server.limits.body_bytes:
@@ -287,7 +303,10 @@
         self._body.append(data)
 
     def on_message_complete(self) -> None:
-        """Queue the complete call."""
+        """Queue the call for the handler, as its whole body has arrived.
+
+        The call is started at once if the connection has no earlier one.
+        """
         call, self._current_call = self._current_call, None
         if call is None or self._closing:
             return
@@ -323,9 +342,10 @@
                 self._start_next_call()
 
     def _reject(self, status: int) -> None:
-        """Reject an invalid or late call; close after the calls before it.
+        """Reject a call that is malformed, too large or too slow, and close.
 
-        The status is sent only if no earlier call is in progress.
+        If earlier calls of the connection are still being answered, no status
+        is sent: the connection closes after their responses.
         """
         if self._closing:
             return
@@ -349,7 +369,7 @@
 class CallerServer:
     """HTTP server on one address.
 
-    :param handler: answers one call.
+    :param handler: answers each call.
     """
 
     __slots__ = ("handler", "limits", "channels", "_leaving", "_server")
@@ -368,13 +388,13 @@
 
     @property
     def busy(self) -> int:
-        """Number of connections with a call in progress."""
+        """Number of connections with a call in progress or queued."""
         return sum(channel.busy for channel in self.channels)
 
     async def listen(self, host: str, port: int) -> int:
         """Accept connections at an address.
 
-        :returns: the port; differs from the argument if that is 0.
+        :returns: the port; if the argument is 0, one that the system chose.
         """
         address = addresses.Address(host, port)
         return await self.serve(
@@ -395,7 +415,7 @@
         return int(sock.getsockname()[1])
 
     def disable_keep_alive(self) -> None:
-        """Close each connection after its current response."""
+        """From now on, close each connection after its next response."""
         self._leaving = True
 
     async def sweep_forever(self) -> None:
--- a/src/apricotlever/serving/client_channel.py
+++ b/src/apricotlever/serving/client_channel.py
@@ -64,10 +64,11 @@
 
 
 class Channel(asyncio.Protocol):
-    """One client connection.
+    """One client connection to an HTTP server, its peer.
 
-    Only one task may use it at a time: :meth:`send`, then :meth:`read_head`,
-    then :meth:`read_chunk` until it returns None.
+    Only one task may use it at a time. For each request it calls
+    :meth:`send`, then :meth:`read_head`, then :meth:`read_chunk` until that
+    returns None.
 
     :param on_end: called once when the connection ends.
     """
@@ -145,7 +146,10 @@
 
     @property
     def idle_since(self) -> float:
-        """When the last response ended, on the event loop's clock."""
+        """When the last response ended, on the event loop's clock.
+
+        Before the first response, when the channel was created.
+        """
         return self._idle_since
 
     def send(
@@ -176,9 +180,10 @@
         return self._head
 
     async def read_chunk(self) -> bytes | None:
-        """Wait for more of the body.
+        """Wait for the next part of the response body.
 
-        :returns: None at the end of the body.
+        :returns: the part, which is empty if the body callback has just
+            stopped receiving; None at the end of the body.
         :raises Broken: when the connection has failed.
         """
         while not self._body_chunks:
@@ -199,13 +204,14 @@
         Waking a task for each event costs an event loop iteration and a
         system call per event. The callback is removed when it returns False,
         which wakes :meth:`read_chunk` with an empty chunk, or at the end of
-        the response. It is not set while unread chunks are buffered.
+        the response. If unread chunks are buffered, the callback is not set,
+        as it would get later bytes before them.
         """
         if not self._body_chunks:
             self._body_callback = callback
 
     def read_buffered(self) -> bytes:
-        """Return the buffered body bytes without waiting."""
+        """Take the buffered body bytes without waiting for more."""
         ready = []
         while self._body_chunks and self._body_chunks[0] is not None:
             ready.append(self._body_chunks.popleft())
@@ -287,7 +293,11 @@
                 self._transport.pause_reading()
 
     def eof_received(self) -> bool:
-        """End a body that lasts until close; fail any other exchange."""
+        """Handle that the peer has closed its sending side.
+
+        This ends a response body of unannounced length. Any other pending
+        request fails.
+        """
         if (
             self._awaiting_response
             and self._in_response
@@ -307,7 +317,7 @@
     # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        """Start a new response."""
+        """Prepare for a response, whose first bytes have arrived."""
         if not self._awaiting_response:
             # Bytes after a complete response answer no request.
             self._reject_unexpected_bytes()
@@ -319,7 +329,11 @@
         self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Deliver the head, or skip an interim or late response."""
+        """Hand the response head over to :meth:`read_head`.
+
+        Interim responses (1xx) are skipped, and so are those which the head
+        filter takes for late responses to earlier requests.
+        """
         if not self._awaiting_response or self._error is not None:
             return
         status = self._parser.get_status_code()
@@ -342,7 +356,7 @@
             self._wake()
 
     def on_body(self, data: bytes) -> None:
-        """Deliver a part of the body."""
+        """Pass a part of the body to the callback, or buffer it."""
         if (
             not self._awaiting_response
             or self._skipping_response
@@ -359,7 +373,7 @@
         self._wake()
 
     def on_message_complete(self) -> None:
-        """End the response, or go on after a skipped one."""
+        """End the response; after a skipped one, wait for the next."""
         if not self._awaiting_response or self._error is not None:
             return
         if self._skipping_response:
--- a/src/apricotlever/serving/connection_pool.py
+++ b/src/apricotlever/serving/connection_pool.py
@@ -1,4 +1,4 @@
-"""Pools of keep-alive connections, one pool per address."""
+"""Pools of keep-alive client connections, one pool per address."""
 
 import asyncio
 import typing
@@ -9,13 +9,15 @@
 #: keep-alive timeout, in seconds. ``Keep-Alive`` has a resolution of a second,
 #: so shorter timeouts are not announced.
 DEFAULT_IDLE_S = 0.3
-#: Share of the announced keep-alive timeout that is used. If the peer closes
-#: an idle connection while a request is sent, the request may have run.
+#: Share of the announced keep-alive timeout for which an idle connection may
+#: be reused. The rest is a margin: if the peer closes the connection while a
+#: request is sent, the request may have run.
 KEEP_ALIVE_SHARE = 0.7
 #: Default timeout for opening a connection, in seconds.
 CONNECT_TIMEOUT_S = 1.0
-#: Keep-alive timeout assumed for the store, the cloud and peers if they
-#: announce none, in seconds. A close is noticed before the next request.
+#: Keep-alive timeout that :func:`exchange` assumes if the peer announces none,
+#: in seconds. It serves requests to the store, the cloud and other VMs, where
+#: a close by the peer is noticed before the next request.
 DEFAULT_KEEP_ALIVE_S = 5.0
 
 
@@ -68,7 +70,7 @@
         self._limit = limit
 
     def take_idle(self) -> client_channel.Channel | None:
-        """Take an idle connection that may be reused, if there is one."""
+        """Take an idle connection that may be reused; None without one."""
         now = asyncio.get_running_loop().time()
         while self._idle:
             channel = self._idle.pop()
@@ -83,7 +85,8 @@
         """Take an idle connection or open one, for one request.
 
         :param fresh: open a connection even if an idle one is available.
-        :raises channels.NotConnected: when the connection fails or times out.
+        :raises client_channel.NotConnected: when the connection fails or
+            times out.
         :raises PoolFull: when the connection limit is reached.
         """
         kept = None if fresh else self.take_idle()
@@ -106,7 +109,8 @@
     ) -> None:
         """Return a connection to the pool after a complete response.
 
-        :param closing: whether the peer announced that it closes it.
+        :param closing: whether the peer announced that it closes the
+            connection after this response.
         :param keep_alive_s: keep-alive timeout that the peer announced, in
             seconds; None if it announced none.
         """
@@ -132,12 +136,15 @@
             self._close_channel(channel)
 
     def disable_reuse(self) -> None:
-        """Close idle connections now and those in use when released."""
+        """Close idle connections now, and those in use once released."""
         self._retired = True
         self.close_idle()
 
     def abort_all(self) -> None:
-        """Abort all connections, as if the peer had reset them."""
+        """Abort all connections, as if the peer had reset them.
+
+        Their pending requests fail.
+        """
         self._retired = True
         while self._open:
             self._open.pop().fail_as_reset()
@@ -166,7 +173,7 @@
 
 
 class HttpResponse:
-    """A complete response."""
+    """A response with its complete body."""
 
     __slots__ = ("status", "headers", "body")
 
@@ -177,7 +184,10 @@
 
 
 class NotWanted(client_channel.ChannelError):
-    """A request was no longer wanted once connected; nothing was sent."""
+    """A request became unwanted while its connection opened; it was not sent.
+
+    See the parameter ``still`` of :func:`exchange`.
+    """
 
 
 async def exchange(
@@ -189,16 +199,19 @@
 ) -> HttpResponse:
     """Send a request and read the complete response.
 
-    :param timeout_s: limit for the response, and up to
-        :data:`CONNECT_TIMEOUT_S` also for the connection, in seconds.
+    :param timeout_s: time limit from sending the request to the end of its
+        response, in seconds. Opening a connection may take as long in
+        addition, but at most :data:`CONNECT_TIMEOUT_S`.
     :param fresh: open a connection even if an idle one is available.
     :param still: called just before sending; tells whether the request is
         still wanted.
     :raises PoolFull: nothing was sent.
-    :raises channels.NotConnected: nothing was sent.
+    :raises client_channel.NotConnected: nothing was sent.
     :raises NotWanted: nothing was sent.
-    :raises channels.Broken: the request was sent, but no response came.
-    :raises TimeoutError: the request was sent, but no response came.
+    :raises client_channel.Broken: the connection failed before the response
+        was complete; the peer may have processed the request.
+    :raises TimeoutError: the response was not complete in time; the peer may
+        have processed the request.
     """
     channel = await pool.acquire(min(CONNECT_TIMEOUT_S, timeout_s), fresh)
     if not still():
@@ -233,7 +246,11 @@
 
 
 def _announced_keep_alive_s(head: client_channel.ResponseHead) -> float | None:
-    """The keep-alive timeout of a head in seconds, or the default."""
+    """The keep-alive timeout that a response head announces, in seconds.
+
+    :returns: :data:`DEFAULT_KEEP_ALIVE_S` without a ``Keep-Alive`` header;
+        None if the header states no timeout.
+    """
     for name, value in head.headers:
         if name.lower() == b"keep-alive":
             return parse_keep_alive_s(value)
@@ -241,7 +258,10 @@
 
 
 def parse_keep_alive_s(value: bytes) -> float | None:
-    """The timeout of a ``Keep-Alive`` header in seconds, None if absent."""
+    """The timeout in the value of a ``Keep-Alive`` header, in seconds.
+
+    :returns: None if the value states no timeout.
+    """
     for part in value.split(b","):
         key, _, number = part.strip().partition(b"=")
         if key.lower() == b"timeout" and number.strip().isdigit():
--- a/src/apricotlever/serving/crash_watch.py
+++ b/src/apricotlever/serving/crash_watch.py
@@ -1,4 +1,8 @@
-"""Detects crashes of runners, and delays the calls that may cause more."""
+"""Detects crashes of runners, and delays the calls that may cause more.
+
+A call that crashes its runner and is then retried would crash one runner after
+another.
+"""
 
 import collections
 import typing
@@ -14,8 +18,9 @@
 from . import messages
 from . import runners
 
-#: Interval between two connection checks of a runner that breaks off answers,
-#: in seconds. A runner that ends breaks all its connections at once.
+#: Minimum time between two connection checks of one runner, in seconds (see
+#: :meth:`CrashWatch.refuses`). A runner that ends breaks all its connections
+#: at once, and each would otherwise lead to a check.
 CHECK_INTERVAL_S = 0.5
 #: Timeout of a connection check, in seconds: slightly more than a round trip.
 CHECK_TIMEOUT_S = 0.1
@@ -24,9 +29,10 @@
 class CrashWatch:
     """Reports what this VM observes to a crash blocklist.
 
-    The blocklist is a :class:`..runners.crash_blocklist.CrashBlocklist`.
-    Calls are fingerprinted only when one breaks off or while the blocklist is
-    active, so that other calls don't bear the cost.
+    The blocklist, a :class:`..runners.crash_blocklist.CrashBlocklist`, decides
+    which calls are blocked. It knows a call by its fingerprint, a hash that
+    repetitions share. Calls are fingerprinted only when one breaks off or
+    while the blocklist is active, so that other calls don't bear the cost.
 
     :param vm: this VM's name.
     """
@@ -42,7 +48,10 @@
         self._runners: dict[str, runners.Runner] = {}
 
     def update_runners(self, present: typing.Iterable[runners.Runner]) -> None:
-        """Apply the list of runners; one missing from it has ended."""
+        """Apply the current list of runners.
+
+        A runner that has disappeared since the last list is handled as lost.
+        """
         now = {runner.runner_id: runner for runner in present}
         gone = [r for name, r in self._runners.items() if name not in now]
         self._runners = now
@@ -56,7 +65,11 @@
             self.runner_lost(runner)
 
     def runner_lost(self, runner: runners.Runner) -> None:
-        """Handle a runner that refuses connections or is no longer listed."""
+        """Handle a runner that refuses connections or is no longer listed.
+
+        The blocklist decides whether it has crashed and which of its calls are
+        suspected of it.
+        """
         charged = self._blocklist.runner_crashed(
             runner.runner_id, runner.data_centre, runner.leaving
         )
@@ -75,7 +88,7 @@
         call: messages.CallerCall,
         customer: configuration_model.Customer | None,
     ) -> None:
-        """Handle a connection that the runner closed before its answer."""
+        """Handle a connection that a runner closed before the answer's end."""
         self._blocklist.connection_broken(
             runner.runner_id, fingerprint(call, customer)
         )
@@ -83,13 +96,17 @@
     async def refuses(
         self, runner: runners.Runner, pool: pools.ConnectionPool
     ) -> bool:
-        """Whether a runner that broke off an answer refuses connections.
+        """Check whether a runner refuses connections, so that it has ended.
 
-        A runner that has ended refuses them at once. Without this check its
-        entry shows the end only four seconds later, and a call that crashes
-        runners may have crashed two more by then. Checks are rate-limited; a
-        skipped check returns false. A connection that opens late tells
-        nothing, as a busy runner opens it late, too.
+        To be called when the runner has broken off an answer. A runner that
+        has ended refuses connections at once. Without this check, only the
+        removal of its entry from the store's list would show the end four
+        seconds later, and a call that crashes runners may have crashed two
+        more by then.
+
+        :returns: whether it refused one. False if the runner was checked less
+            than :data:`CHECK_INTERVAL_S` ago, and also if the connection times
+            out, as a busy runner may open it late, too.
         """
         now = self._clock.now()
         last = self._checked_at.get(runner.runner_id)
@@ -110,7 +127,7 @@
         call: messages.CallerCall,
         customer: configuration_model.Customer | None,
     ) -> None:
-        """Handle a complete answer to a call."""
+        """Clear a call of suspicion, as it got a complete answer."""
         if self._blocklist.active:
             self._blocklist.answered(fingerprint(call, customer))
 
@@ -119,18 +136,21 @@
         call: messages.CallerCall,
         customer: configuration_model.Customer | None,
     ) -> float | None:
-        """The time until a call may run, in seconds; None if at once."""
+        """Seconds until a blocked call may run; None if it may run now."""
         if not self._blocklist.active:
             return None
         return self._blocklist.retry_after_s(fingerprint(call, customer))
 
     def tick(self) -> None:
-        """Remove expired records."""
+        """Remove expired crashes and blocks from the blocklist."""
         self._blocklist.tick()
 
     def next_record(self, whole: bool) -> crash_blocklist.CrashRecord | None:
         """The crashes to include in this VM's next record.
 
+        A record is the datagram by which a VM tells its peers its state
+        several times a second.
+
         :param whole: whether to include the blocked calls. Peers may receive
             these a second late, so that only some records include them.
         """
@@ -142,6 +162,7 @@
         """Merge the crashes in a peer's record.
 
         :param vm: the peer's name.
+        :param told: the crashes; None if the record has none.
         """
         if told is not None:
             self._blocklist.merge_record(vm, told)
@@ -150,7 +171,10 @@
 def fingerprint(
     call: messages.CallerCall, customer: configuration_model.Customer | None
 ) -> str:
-    """A fingerprint that a call shares with its repetitions."""
+    """A hash that a call shares with its repetitions.
+
+    It covers customer, method, target and body.
+    """
     return quarantine.fingerprint(
         "",
         customer.name if customer is not None else "",
--- a/src/apricotlever/serving/event_splitter.py
+++ b/src/apricotlever/serving/event_splitter.py
@@ -1,8 +1,12 @@
-"""Splits a stream of server-sent events and checks the order of their ids."""
+"""Splits a stream of server-sent events and checks the order of their ids.
+
+A stream is a runner's response that consists of such events. If the runner
+fails, another runner may resume the stream after the last event sent on.
+"""
 
 
 class EventOrderError(Exception):
-    """An event is missing, is repeated or has no id."""
+    """An event of a stream is missing, is repeated or has no id."""
 
 
 class EventSplitter:
@@ -13,8 +17,8 @@
     complete one. Without the check of the ids, a stream joined from two
     runners could omit or repeat an event unnoticed.
 
-    :param last_id: the event after which the stream is resumed; None for a
-        stream from its start.
+    :param last_id: id of the event after which the caller resumes a stream;
+        None for a stream from its start.
     """
 
     __slots__ = ("_buffer", "_last_id")
@@ -25,7 +29,10 @@
 
     @property
     def last_id(self) -> int | None:
-        """The id of the last complete event, None before the first one."""
+        """The id of the last complete event; None before the first one.
+
+        A stream that the caller resumes begins with the id that it gave.
+        """
         return self._last_id
 
     @property
@@ -34,13 +41,17 @@
         return bool(self._buffer)
 
     def discard_partial(self) -> None:
-        """Drop an incomplete event, as another runner resumes the stream."""
+        """Drop an incomplete event before another runner resumes the stream.
+
+        That runner sends the event again as a whole.
+        """
         self._buffer = b""
 
     def feed(self, data: bytes) -> tuple[bytes, int]:
-        """Add received bytes.
+        """Add received bytes; those of an incomplete event are kept.
 
-        :returns: the bytes of complete events, and the number of events.
+        :returns: the bytes of the events that are now complete, and the
+            number of these events.
         :raises EventOrderError: when an id is missing or out of order.
         """
         buffer = self._buffer + data
--- a/src/apricotlever/serving/reply_writer.py
+++ b/src/apricotlever/serving/reply_writer.py
@@ -1,4 +1,4 @@
-"""Writes HTTP responses to callers."""
+"""Writes HTTP responses to callers, as a whole or as a stream of chunks."""
 
 import typing
 
@@ -19,7 +19,7 @@
 
 
 class ReplyChannel(typing.Protocol):
-    """The part of a caller's connection that a reply uses."""
+    """The part of a caller's connection that :class:`ReplyWriter` uses."""
 
     @property
     def closing(self) -> bool:
@@ -31,16 +31,16 @@
 
     @property
     def write_paused(self) -> bool:
-        """Whether the write buffer is above its limit."""
+        """Whether writers should wait, as the write buffer is too full."""
 
     def write(self, data: bytes) -> None:
-        """Queue bytes for the caller.
+        """Send bytes, or buffer them until the caller reads.
 
         :raises CallerGone: when the connection is closed.
         """
 
     async def drain(self) -> None:
-        """Wait until the write buffer is below its limit.
+        """Wait while the write buffer is too full to write on.
 
         :raises CallerGone: when the caller disconnects or does not read.
         """
@@ -50,14 +50,15 @@
 
 
 class CallerGone(Exception):
-    """The caller's connection is closed or timed out."""
+    """The caller closed its connection, or stopped reading for too long."""
 
 
 class ReplyWriter:
     """Writes the response to one call.
 
-    The response is either written by :meth:`whole`, or by
-    :meth:`start_stream`, :meth:`send_chunk` and :meth:`finish`.
+    The response is either written by :meth:`send_whole`, or by
+    :meth:`start_stream`, :meth:`send_chunk` and :meth:`finish`. Its ``status``
+    is 0 until the head is written.
 
     :param channel: the caller's connection.
     """
@@ -113,9 +114,9 @@
         self._channel.write(b"".join(lines))
 
     def send_chunk(self, data: bytes) -> bool:
-        """Write a chunk.
+        """Write a part of a chunked response.
 
-        :returns: False when the write buffer is above its limit; await
+        :returns: False when the write buffer is too full; await
             :meth:`drain` then.
         :raises CallerGone: when the connection is closed.
         """
@@ -123,7 +124,7 @@
         return not self._channel.write_paused
 
     async def drain(self) -> None:
-        """Wait until the write buffer is below its limit.
+        """Wait while the write buffer is too full to write on.
 
         :raises CallerGone: when the caller disconnects or does not read.
         """
@@ -138,7 +139,7 @@
         self._channel.write(b"0\r\n\r\n")
 
     def abort(self) -> None:
-        """Abort the connection, so that the response is seen as incomplete."""
+        """Abort the connection, which shows the response to be incomplete."""
         self._ended = True
         self._channel.close()
 
--- a/src/apricotlever/serving/request_checks.py
+++ b/src/apricotlever/serving/request_checks.py
@@ -31,7 +31,8 @@
 ) -> None:
     """Check a request's head and its announced body length.
 
-    :raises Refused: when the request must not be read on.
+    :raises RequestRejected: when the head is malformed or ambiguous, or the
+        head or the body is too large.
     """
     size = sum(len(name) + len(value) + 4 for name, value in headers)
     if size + len(target) > limits.header_bytes:
--- a/src/apricotlever/serving/runner_directory.py
+++ b/src/apricotlever/serving/runner_directory.py
@@ -1,4 +1,11 @@
-"""This VM's view of the runners that the platform lists."""
+"""This VM's view of the runners that the platform lists in its store.
+
+The directory merges the store's entries with those that peers, the other entry
+VMs, have received. An entry is missing if its runner has ended, but also if
+an outage of the store kept the runner from renewing it. So the removal of an
+entry is applied only after a delay, unless its runner had announced that it is
+leaving.
+"""
 
 import typing
 
@@ -8,32 +15,34 @@
 
 from . import runners as runners_
 
-#: After an outage of the store a missing entry is tolerated for this time.
-#: The entries of live runners expire during an outage and are written again
-#: within about this time.
+#: After an outage of the store, a runner whose entry is missing is kept for
+#: this time, in seconds. The entries of live runners expire during an outage
+#: and are written again within about this time.
 REAPPEAR_TIMEOUT_S = 2.0
-#: Delay before a removal without a leaving notice is applied, in seconds. It
-#: shows whether the removal is one of many. A removed runner serves on for
-#: longer than this.
+#: Delay before the removal of an entry is applied if its runner had not
+#: announced that it is leaving, in seconds. By its end it is known whether the
+#: removal is one of many. A removed runner serves on for longer than this.
 REMOVAL_HOLD_S = 0.4
-#: At least this number of removals without a notice at once, and this share
-#: of the runners that accept work, count as expired entries: the store was
-#: out of service, which a watch that waited during the outage does not report.
+#: If entries of at least this many runners, and of at least this share of the
+#: runners that accept work, are removed at once without announcement, they are
+#: taken to have expired in an outage of the store. A watch request that just
+#: waited during the outage does not report it.
 MASS_REMOVAL_MIN_COUNT = 3
 MASS_REMOVAL_SHARE = 0.5
-#: The delay of a mass removal as a share of the time within which a runner
-#: that has left must stop receiving work. Runners of a data centre that are
-#: reclaimed without a notice look the same as expired entries; the rest of
-#: the time is for propagating the removal.
+#: Delay of such a mass removal, as a share of the time within which a runner
+#: that has left must stop receiving work. The removal must be in time, as the
+#: runners of a data centre that are reclaimed without a notice look the same
+#: as expired entries. The rest of the time is for propagating the removal.
 MASS_REMOVAL_DRAIN_SHARE = 0.65
-#: Limit on the remembered removals. They prevent a late entry from restoring
-#: a removed runner.
+#: Maximum number of removals that are remembered. They prevent an entry that
+#: arrives late from restoring a removed runner.
 MAX_TOMBSTONES = 4096
 
 
 class _PendingRemoval:
-    """A removal that is not applied yet, as the entry may have expired.
+    """An entry's removal that is not applied yet, as the runner may be alive.
 
+    :param removed_at: when the removal was received, on the monotonic clock.
     :param until: when the removal is applied, on the monotonic clock.
     :param revision: the store's revision of the removal.
     """
@@ -47,11 +56,13 @@
 
 
 class RunnerDirectory:
-    """The runners that are alive, and those that accept new work.
+    """The runners known to this VM, one incarnation for each name.
 
     Updates arrive from the store and from peers in any order. Of two entries
     with the same name the one with the later start takes precedence, and of
-    two entries of one incarnation the one with the higher revision.
+    two entries of one incarnation the one with the higher revision;
+    :func:`_supersedes` has the exceptions. A revision is the store's number of
+    a change.
 
     :param drain_s: the time within which a runner that has left must stop
         receiving work, in seconds.
@@ -76,7 +87,7 @@
         self._mass_removal_hold_s = min(
             REAPPEAR_TIMEOUT_S, MASS_REMOVAL_DRAIN_SHARE * drain_s
         )
-        #: Runners by name.
+        #: Runners by name, with placeholders for entries never readable.
         self._runners: dict[str, runners_.Runner] = {}
         #: The same runners by incarnation.
         self._by_id: dict[str, runners_.Runner] = {}
@@ -90,15 +101,16 @@
 
     @property
     def revision(self) -> int:
-        """The highest revision of all updates."""
+        """The highest store revision of the updates applied so far."""
         return self._revision
 
     @property
     def checksum(self) -> int:
-        """A checksum of the runners that are alive and accept new work.
+        """A checksum of all known runners and of which accept new work.
 
-        Comparing revisions does not reveal a removal that one VM delays: its
-        peers have received later revisions by the time it is applied.
+        VMs compare it to find differences between their directories. Comparing
+        revisions does not reveal a removal that one VM delays: its peers have
+        received later revisions by the time it is applied.
         """
         if self._checksum is None:
             states = sorted(r.state_key for r in self._runners.values())
@@ -108,7 +120,7 @@
 
     @property
     def runners(self) -> list[runners_.Runner]:
-        """All live runners, including those that are leaving."""
+        """All known runners, including those that are leaving."""
         return [r for r in self._runners.values() if not r.is_placeholder]
 
     def available_runners(self, service: str) -> list[runners_.Runner]:
@@ -120,11 +132,15 @@
         ]
 
     def get(self, runner_id: str) -> runners_.Runner | None:
-        """The runner with this incarnation; None if unknown or removed."""
+        """The incarnation with this id; None if unknown or removed."""
         return self._by_id.get(runner_id)
 
     def extend_removal_grace(self) -> None:
-        """Tolerate missing entries for a while after a store outage."""
+        """Keep runners with missing entries for a while, after a store outage.
+
+        Removals that arrive from now on are not applied before
+        :data:`REAPPEAR_TIMEOUT_S` has passed, except those of leaving runners.
+        """
         self._grace_until = self._clock.now() + REAPPEAR_TIMEOUT_S
 
     def apply_list(
@@ -132,6 +148,9 @@
     ) -> list[str]:
         """Apply the store's complete list of entries.
 
+        A known runner that the list lacks is treated as removed, unless its
+        entry is newer than the list.
+
         :param revision: the store's revision of the list.
         :returns: the incarnations that this list marks as leaving or removes.
         """
@@ -150,7 +169,7 @@
         return ended
 
     def apply_entry(self, entry: runners_.RunnerEntry) -> list[str]:
-        """Apply one entry.
+        """Apply one entry from the store or a peer, unless it is outdated.
 
         :returns: the incarnations that this entry marks as leaving or ends.
         """
@@ -180,7 +199,7 @@
         return ended
 
     def apply_removal(self, name: str, revision: int) -> list[str]:
-        """Apply the removal of an entry, at once or after a delay.
+        """Handle the removal of an entry from the store.
 
         A leaving runner is removed at once. The removal of any other runner
         is delayed, as the runner may be alive and its entry may have expired
@@ -218,7 +237,7 @@
     def mark_ended(self, runner_id: str) -> list[str]:
         """Remove an incarnation at whose address another process answers.
 
-        :returns: the incarnation, if it was known.
+        :returns: the incarnation's id, if it was known.
         """
         runner = self._by_id.get(runner_id)
         if runner is None:
@@ -245,7 +264,11 @@
     def changes_after(
         self, revision: int
     ) -> tuple[list[runners_.Runner], dict[str, int]]:
-        """The entries and removals after a revision, to send to a peer."""
+        """The changes after a revision, to send to a peer.
+
+        :returns: the changed runners, and the revision of each removal by the
+            runner's name.
+        """
         entries = [r for r in self._runners.values() if r.revision > revision]
         gone = {
             name: at for name, at in self._tombstones.items() if at > revision
@@ -257,7 +280,9 @@
         entries: typing.Iterable[runners_.Runner],
         gone: typing.Mapping[str, int],
     ) -> list[str]:
-        """Merge the entries and removals received from a peer.
+        """Merge the result of a peer's :meth:`changes_after`.
+
+        A peer's removals are applied without delay.
 
         :param gone: the revision of each removal, by the runner's name.
         :returns: the incarnations that are leaving or removed as a result.
--- a/src/apricotlever/serving/runner_pools.py
+++ b/src/apricotlever/serving/runner_pools.py
@@ -1,4 +1,7 @@
-"""Connection pools to all runners, within each runner's connection limit."""
+"""Connection pools to all runners, within each runner's connection limit.
+
+Each incarnation of a runner, one start of it, has its own pool.
+"""
 
 import typing
 
@@ -12,7 +15,7 @@
 
 
 class _Entry:
-    """The pool of one incarnation, and the runner when it was created."""
+    """A connection pool, and its runner as known when the pool was made."""
 
     __slots__ = ("runner", "pool")
 
@@ -24,7 +27,10 @@
 
 
 class RunnerPools:
-    """Connection pools by the incarnation of the runner."""
+    """The connection pools of this VM to all runners.
+
+    A runner's connection limit is divided equally among the VMs.
+    """
 
     __slots__ = ("_entries", "_vm_count", "_services")
 
@@ -35,7 +41,7 @@
 
     @property
     def opened_connections(self) -> int:
-        """Total connections opened to the currently known runners."""
+        """The number of connections ever opened to the known runners."""
         return sum(entry.pool.opened_count for entry in self._entries.values())
 
     def configure(
@@ -64,6 +70,8 @@
     def retain_runners(self, listed: typing.Sequence[runners.Runner]) -> None:
         """Drop the pools of runners that were removed or changed address.
 
+        :param listed: all runners that the directory lists now.
+
         A removed runner may serve its calls for many more seconds, so its
         connections stay open until these calls end. A restarted runner has
         lost its calls: they end now rather than wait for a silent connection
@@ -82,9 +90,9 @@
                 entry.pool.disable_reuse()
 
     def close_idle(self, now: float) -> None:
-        """Close connections that have been idle for too long.
+        """Close idle connections that may no longer be reused.
 
-        :param now: the time of the event loop, in seconds.
+        :param now: on the event loop's clock, in seconds.
         """
         for entry in self._entries.values():
             entry.pool.close_expired(now)
--- a/src/apricotlever/serving/runners.py
+++ b/src/apricotlever/serving/runners.py
@@ -1,4 +1,10 @@
-"""Runners as listed in the platform's store, and unreadable entries."""
+"""Runners as listed in the platform's store, and unreadable entries.
+
+A runner is a server process that runs calls of one service. Its entry is the
+object in the store that describes it, under the runner's name. An incarnation
+is one start of a runner: after a restart, the name is the same and the
+incarnation another.
+"""
 
 import typing
 
@@ -6,7 +12,7 @@
 
 
 class UnreadableEntry:
-    """An entry that does not describe a usable runner.
+    """An entry in the store that does not describe a usable runner.
 
     Another program may have written the entry, or it was corrupted. A known
     runner with the same name gets no new work until its entry is readable
@@ -26,7 +32,7 @@
 
 
 class Runner:
-    """One incarnation of a runner.
+    """One incarnation of a runner, as its entry in the store describes it.
 
     :param name: the name in the store; a restarted runner keeps it.
     :param concurrency: the number of calls that it serves at the same time.
@@ -103,12 +109,19 @@
 
     @property
     def is_placeholder(self) -> bool:
-        """Whether this is a placeholder for an entry never readable."""
+        """Whether nothing is known of the runner but its name.
+
+        Its entry has never been readable.
+        """
         return not self.service
 
     @property
     def state_key(self) -> str:
-        """Text that is equal on two VMs with the same state of a runner."""
+        """Text that is equal on two VMs that know the same of a runner.
+
+        It covers the incarnation, and whether the runner is leaving or
+        withdrawn.
+        """
         if self.withdrawn:
             # The start is left out: a VM that has never read the entry does
             # not know it.
@@ -116,7 +129,12 @@
         return f"{self.runner_id}{int(self.leaving)}"
 
     def withdraw(self, revision: int) -> "Runner":
-        """A copy of this runner after its entry has become unreadable."""
+        """A copy of this runner after its entry has become unreadable.
+
+        The copy is marked as withdrawn and leaving.
+
+        :param revision: the store's revision of the unreadable entry.
+        """
         record = self.to_record()
         known = Runner.from_record(record)
         known.leaving = known.withdrawn = True
@@ -161,5 +179,5 @@
     ("version", validation.is_string),
 )
 
-#: The content of a runner's entry in the store.
+#: What was read from a runner's entry in the store.
 RunnerEntry = Runner | UnreadableEntry
--- a/src/apricotlever/serving/upstreams.py
+++ b/src/apricotlever/serving/upstreams.py
@@ -1,4 +1,8 @@
-"""The runners as the request path uses them: routing, connections, load."""
+"""Chooses runners for calls, and records what their calls show of them.
+
+An upstream is a runner, a process to which this VM forwards calls (see
+:mod:`.runners`). An attempt is the sending of a call to one runner.
+"""
 
 import random
 import typing
@@ -29,9 +33,16 @@
 
 
 class Upstreams:
-    """Chooses runners of all services and tracks calls, failures and load.
+    """The runners of all services, as the path of a call uses them.
+
+    It combines the runner directory, the router, the connection pools, and
+    the detectors of silent runners, outliers and crashes. The directory says
+    which runners exist; the others get its list at each :meth:`refresh`.
 
+    :param vm: this VM's name.
     :param directory: the known runners.
+    :param process: the name of this VM's process, which changes when it
+        restarts.
     :param news: called when a prompt was sent to a runner.
     :param roll_outs: determines the roles of runners in roll-outs; None
         without roll-outs.
@@ -97,7 +108,7 @@
 
     @property
     def crashes(self) -> crash_watch.CrashWatch:
-        """Crashes of runners and the calls that may have caused them."""
+        """Detects crashes of runners and the calls that may cause them."""
         return self._crashes
 
     @property
@@ -109,7 +120,7 @@
 
     @property
     def silent_runners(self) -> list[str]:
-        """Runners that this VM observes as silent."""
+        """Runners from which this VM's waiting calls receive no bytes."""
         return self._silence.silent_here
 
     @property
@@ -124,11 +135,11 @@
 
     @property
     def prefill_meters(self) -> dict[str, tuple[int, float, float]]:
-        """Prompt processing by service.
+        """How runners process this VM's prompts (prefill), by service.
 
         :returns: uncached prompt tokens sent since the start, a runner's
-            prefill speed in tokens per second, and the mean ratio of latency
-            to objective.
+            prefill speed in tokens per second, and the mean ratio of the time
+            to the first byte to the route's objective for it.
         """
         return {
             name: (work.total_tokens, work.prefill_speed, work.latency_ratio)
@@ -136,7 +147,7 @@
         }
 
     def all_in_flight(self, service: str) -> int:
-        """The number of calls of all VMs at a service's runners."""
+        """The number of all VMs' calls in flight at a service's runners."""
         return self.in_flight_at(
             r.runner_id
             for r in self._directory.runners
@@ -151,13 +162,17 @@
     def configure(
         self, configuration: configuration_model.Configuration
     ) -> None:
-        """Apply a version of the configuration."""
+        """Use a new version of the configuration from now on."""
         self._configuration = configuration
         self._pools.configure(configuration.services)
         self.refresh()
 
     def refresh(self) -> None:
-        """Apply the directory's runners to routing, pools and detectors."""
+        """Pass the directory's runners on to router, pools and detectors.
+
+        To be called when the directory or a runner's role in a roll-out has
+        changed.
+        """
         listed = self._directory.runners
         self._roll_outs.set_runners(listed)
         self._router.set_runners(
@@ -176,7 +191,7 @@
         self._pools.set_members(count)
 
     def update_peer_loads(self, loads: peer_loads.PeerLoads) -> None:
-        """Apply what the other VMs report of each runner."""
+        """Apply the other VMs' loads on runners and observations of them."""
         self._silence.set_peer_counts(loads.silent)
         for source, counts in loads.failures.items():
             self._outliers.add_peer_counts(
@@ -202,7 +217,7 @@
         service: str,
         excluded: frozenset[str],
     ) -> models.Query:
-        """Build the routing query of a call.
+        """Describe a call for the router, which chooses a runner by it.
 
         :param excluded: runners that must not be chosen.
         """
@@ -248,7 +263,11 @@
         return source.address if source is not None else None
 
     def choose(self, query: models.Query) -> runners.Runner | None:
-        """Choose a runner for a query; None if none is available."""
+        """Choose a runner for a query; None if none is available.
+
+        During a roll-out of the service, a share of the calls goes to runners
+        of the new version if one of them is available.
+        """
         service = query.pool
         repeated = bool(query.excluded)
         if self._roll_outs.should_use_new_version(
@@ -270,13 +289,16 @@
         return self._directory.get(choice.runner.name)
 
     def takes_regular_calls(self, runner: runners.Runner) -> bool:
-        """Whether a runner takes its service's regular calls."""
+        """Whether a runner takes its service's regular calls.
+
+        In a roll-out, runners of the new version do so only at its end.
+        """
         return (
             self._roll_outs.role(runner) is roll_outs_model.RunnerRole.SERVING
         )
 
     def in_flight_at(self, names: typing.Iterable[str]) -> int:
-        """The number of calls of all VMs at the given runners."""
+        """The number of all VMs' calls in flight at the given runners."""
         return sum(
             self._own_in_flight.get(name, 0)
             + self._peer_in_flight.get(name, 0)
@@ -290,7 +312,10 @@
     def call_started(
         self, attempt: str, runner: runners.Runner, query: models.Query
     ) -> None:
-        """Record that a call was sent to a runner."""
+        """Record that a call is sent to a runner.
+
+        :param attempt: name of the attempt, unique on this VM.
+        """
         name = runner.runner_id
         self._own_in_flight[name] = self._own_in_flight.get(name, 0) + 1
         self._silence.call_sent(name)
@@ -311,7 +336,7 @@
         self._silence.bytes_received(runner.runner_id)
 
     def response_started(self, attempt: str) -> None:
-        """Record the start of an attempt's response."""
+        """Record that an attempt's response has begun."""
         self._router.first_token(attempt)
         self._trials.record_first_byte(attempt)
         prefill = self._prefills.pop(attempt, None)
@@ -358,7 +383,10 @@
         self._crashes.runner_lost(runner)
 
     async def check_runner_crash(self, runner: runners.Runner) -> None:
-        """Check whether a runner that broke a connection has crashed."""
+        """Check whether a runner that broke a connection has crashed.
+
+        If it refuses a new connection, this is recorded as a failure.
+        """
         if self._directory.get(runner.runner_id) is None:
             # The runner was replaced, or its entry was removed.
             return
@@ -390,7 +418,11 @@
     def _choose_healthy(
         self, query: models.Query
     ) -> models.Route | models.NoRunner:
-        """Choose a runner from the query's pool, preferring healthy ones."""
+        """Choose a runner from the query's pool, preferring healthy ones.
+
+        A runner that is silent or ejected as an outlier is chosen only if no
+        other one is available.
+        """
         excluded = query.excluded
         avoided = self._silence.silent | self._outliers.ejected
         query.excluded = excluded | avoided
