--- a/src/apricotlever/serving/call_metrics.py
+++ b/src/apricotlever/serving/call_metrics.py
@@ -8,15 +8,15 @@
 if typing.TYPE_CHECKING:
     from .. import histograms
 
-#: Limit on the histograms of single customers. Each pair of customer and kind
-#: of call uses two of them, one per measure. Without a limit their number
+#: Maximum number of histograms of single customers. Each pair of customer and
+#: kind of call uses two of them, one per measure. Without a limit their number
 #: would grow with that of the customers.
 MAX_HISTOGRAMS = 48
 QUANTILES = (0.5, 0.9, 0.99)
 PREFIX = "apricotlever"
 
-#: Metrics with a label: the values by the label's value, by the names of the
-#: metric and the label.
+#: Metrics with one label. The key is the name of a metric and that of its
+#: label; the value maps each value of the label to the metric's value.
 LabelledMetrics = typing.Mapping[tuple[str, str], typing.Mapping[str, float]]
 
 
@@ -33,8 +33,9 @@
     def record_refused(self, reason: str) -> None:
         """Record a call that ended without an answer from a runner.
 
-        :param reason: the part before the first colon is the label. The rest
-            may differ for each failure, and would add a counter for each.
+        :param reason: why the call was refused. Only the part before the first
+            colon is the label of the counter: the rest may differ for each
+            failure, and would add a counter for each.
         """
         kind = reason.partition(":")[0]
         self._refused[kind] = self._refused.get(kind, 0) + 1
@@ -70,7 +71,7 @@
         gauges: typing.Mapping[str, float],
         labelled: LabelledMetrics,
     ) -> str:
-        """All metrics, one value a line.
+        """All metrics in the text format, one value a line.
 
         :param gauges: further values without a label, by name.
         :param labelled: further values with a label.
@@ -90,9 +91,9 @@
 
 
 def _format_value(value: float) -> str:
-    """Format a value, an integer with all its digits.
+    """Format a value: an integer with all digits, else with six significant.
 
-    Six significant digits would round a count in the millions to tens.
+    With six digits, a count in the millions would be rounded to tens.
     """
     return str(int(value)) if value == int(value) else f"{value:.6g}"
 
--- a/src/apricotlever/serving/call_sampling.py
+++ b/src/apricotlever/serving/call_sampling.py
@@ -1,4 +1,8 @@
-"""Records the latencies and outcomes of calls during a roll-out."""
+"""Records the latencies and outcomes of calls during a roll-out.
+
+A roll-out moves a service to a new version of its runners. The new version is
+judged by samples, which sum up the calls to the old and to the new one.
+"""
 
 from .. import clock as clocks
 from ..roll_outs import controller as controllers
@@ -8,14 +12,14 @@
 
 from . import runners
 
-#: Expected time to the first byte without the time that a runner needs to read
-#: the prompt, in seconds.
+#: Expected time to the first byte of an answer, without the time in which the
+#: runner reads the prompt, in seconds.
 ANSWER_OVERHEAD_S = 0.02
-#: Reading speed that is assumed while a service's speed is unknown, in tokens
-#: per second.
+#: Speed at which runners are assumed to read prompts while a service's speed
+#: is unknown, in tokens per second.
 DEFAULT_READING_SPEED = 20_000.0
-#: A cancelled call counts as slow if it lasted longer than this multiple of
-#: its expected time.
+#: A call that was cancelled before its first byte counts as slow if it lasted
+#: longer than this multiple of the expected time to the first byte.
 SLOW_FACTOR = 4.0
 _SUFFIXES = {
     roll_outs_model.RunnerRole.SERVING: "",
@@ -25,8 +29,9 @@
 
 
 def pool_name(service: str, role: roll_outs_model.RunnerRole) -> str:
-    """The name of the pool of a service's runners in a role.
+    """The name under which the router knows a service's runners in a role.
 
+    :param role: the runners' role in a roll-out of the service.
     :returns: the name; "" if runners in this role get no calls.
     """
     suffix = _SUFFIXES.get(role)
@@ -34,7 +39,7 @@
 
 
 class _SampledCall:
-    """A recorded call in flight.
+    """A call in flight during a roll-out, whose results will be recorded.
 
     :param sample: the sample to which the call's results are added.
     :param sent_at: when the call was sent, on the monotonic clock.
@@ -72,9 +77,9 @@
         tokens: int,
         speed: float,
     ) -> None:
-        """Record the start of a call.
+        """Record that a call is sent, if its service has a roll-out.
 
-        :param attempt: identifies the attempt of the call.
+        :param attempt: name of the attempt to send the call to this runner.
         :param tokens: prompt tokens that the runner has to read.
         :param speed: reading speed of the service's runners, in tokens per
             second; 0 if unknown.
@@ -89,7 +94,7 @@
             )
 
     def record_first_byte(self, attempt: str) -> None:
-        """Record the first byte of an answer."""
+        """Record the time to the first byte of a call's answer."""
         call = self._by_attempt.get(attempt)
         if call is not None and not call.answered:
             call.answered = True
@@ -99,8 +104,9 @@
     def record_end(self, attempt: str, outcome: models.Outcome) -> None:
         """Record the end of a call.
 
-        A call that was cancelled, or that its runner rejected, counts only as
-        slow, or not at all.
+        A call that was cancelled, or that its runner rejected, counts neither
+        as ended nor as failed. If it got no byte for long, its time so far
+        counts as its time to the first byte.
         """
         call = self._by_attempt.pop(attempt, None)
         if call is None:
--- a/src/apricotlever/serving/client_channel.py
+++ b/src/apricotlever/serving/client_channel.py
@@ -122,7 +122,7 @@
         self._read_paused = False
         self._parser = httptools.HttpResponseParser(self)
         self._idle_since = loop.time()
-        #: Number of requests sent.
+        #: Number of requests sent on this connection.
         self.uses = 0
         #: Until when the connection may be reused, on the event loop's clock
         #: in seconds.
--- a/src/apricotlever/serving/configuration_model.py
+++ b/src/apricotlever/serving/configuration_model.py
@@ -14,22 +14,32 @@
 class CallKind(enum.Enum):
     """Whether a call may be repeated, and whether its response is a stream."""
 
+    #: May be sent to another runner even if one may have run it.
     IDEMPOTENT = "idempotent"
+    #: May not be sent to another runner once one may have run it.
     NON_IDEMPOTENT = "non-idempotent"
+    #: Its response consists of numbered events. Whether it may be sent to
+    #: another runner depends on :attr:`Route.resumable`.
     STREAM = "stream"
 
 
 class Route:
     """Destination and terms of the calls below a path prefix of a host.
 
+    An objective is a time within which calls should stay; unlike the timeout,
+    it does not end a call.
+
+    :param name: the route's name, for the log and for routing.
     :param targets: services with their weights; several split the traffic.
     :param kind: whether calls may be repeated or are streams.
-    :param resumable: whether a stream may be resumed at another runner.
+    :param resumable: whether another runner may resume a stream that broke
+        off, after the last event sent to the caller.
     :param timeout_s: longest time until a call ends, in seconds.
-    :param objective_s: latency objective of the first byte, in seconds.
+    :param objective_s: objective of the time to the first byte of the
+        response, in seconds.
     :param gap_s: objective of the pause between two events, in seconds; 0 if
         the route has none.
-    :param priority: 0 is the most urgent.
+    :param priority: of the calls in an engine's queue; 0 is the most urgent.
     :param max_attempts: maximum number of runners to which a call is sent.
     :param public: whether calls need no API key.
     """
@@ -79,15 +89,15 @@
 
     @property
     def is_repeatable(self) -> bool:
-        """Whether a call that may have run may be sent again."""
+        """Whether a call that a runner may have run may be sent again."""
         if self.kind is CallKind.STREAM:
             return self.resumable
         return self.kind is CallKind.IDEMPOTENT
 
     def select_service(self, point: float) -> str:
-        """The service at a point of the weighted split.
+        """Select one of the target services, in proportion to their weights.
 
-        :param point: uniformly random in [0, 1).
+        :param point: a random number, uniform in [0, 1), which decides.
         """
         left = point * sum(weight for _, weight in self.targets)
         for service, weight in self.targets:
@@ -100,6 +110,8 @@
 class Customer:
     """A customer with its API keys and rate limit.
 
+    The limit counts units, which are requests or tokens.
+
     :param priority: overrides the route's; None for no override.
     :param rate: units per second for the whole fleet, 0 for no limit.
     :param burst: units allowed in addition to the rate.
@@ -137,7 +149,9 @@
 
 
 class Engine:
-    """Properties of a service's runners that run a language model.
+    """Properties of the language model engine on a service's runners.
+
+    The engine caches the tokens of earlier prompts.
 
     :param concurrency: maximum number of requests in a batch.
     :param cache_tokens: capacity of a runner's cache in tokens.
@@ -160,8 +174,9 @@
 
     :param max_connections: connections that a runner accepts from all VMs
         together.
-    :param engine: None if the runners run no language model.
-    :param scaling: None if the service is not scaled automatically.
+    :param engine: the runners' engine; None if they run no language model.
+    :param scaling: terms by which the number of runners is changed
+        automatically; None if it is not.
     """
 
     __slots__ = ("name", "max_connections", "engine", "scaling")
@@ -245,7 +260,7 @@
         }
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """The route with the longest prefix of a path, None without one."""
+        """The route whose prefix matches most of a path; None without one."""
         candidates = self._by_host.get(host, ())
         return next((r for r in candidates if path.startswith(r.prefix)), None)
 
@@ -255,5 +270,8 @@
 
     @property
     def requires_key(self) -> bool:
-        """Whether calls to non-public routes need an API key."""
+        """Whether calls to non-public routes need an API key.
+
+        They do as soon as the configuration has any customer.
+        """
         return bool(self.customers)
--- a/src/apricotlever/serving/connection_pool.py
+++ b/src/apricotlever/serving/connection_pool.py
@@ -52,7 +52,7 @@
 
     @property
     def address(self) -> str:
-        """``host:port``."""
+        """The address of the connections' peer, as ``host:port``."""
         return f"{self._host}:{self._port}"
 
     @property
--- a/src/apricotlever/serving/dialects.py
+++ b/src/apricotlever/serving/dialects.py
@@ -1,8 +1,8 @@
-"""Interfaces of the platform's protocols, and a registry for dialects.
+"""Interfaces and registry of dialects, the translators of wire formats.
 
-A dialect translates between the wire formats and the types of
-:mod:`.messages` and :mod:`.configuration_model`. It makes no decisions and has
-no state.
+The platform's callers, runners and store use formats of their own. A dialect
+translates between them and the types of :mod:`.messages`, :mod:`.runners` and
+:mod:`.configuration_model`. It makes no decisions and has no state.
 """
 
 import typing
@@ -25,7 +25,7 @@
 
 
 class CallerDialect(typing.Protocol):
-    """The protocol of callers."""
+    """Translates callers' requests, and the responses to them."""
 
     def parse_call(
         self,
@@ -35,7 +35,7 @@
         body: bytes,
         received_at: float,
     ) -> messages.CallerCall:
-        """Translate a call.
+        """Translate a caller's request into a call.
 
         :param received_at: time of receipt on the event loop's clock, in
             seconds.
@@ -61,7 +61,10 @@
     def refusal_headers(
         self, call: messages.CallerCall | None
     ) -> list[tuple[bytes, bytes]]:
-        """Headers of a response that does not come from a runner."""
+        """Headers of a response that does not come from a runner.
+
+        :param call: the call that is refused; None if it was not readable.
+        """
 
     def forwarded_headers(
         self, head: messages.RunnerResponseHead
@@ -70,23 +73,27 @@
 
 
 class RunnerDialect(typing.Protocol):
-    """The protocol of runners."""
+    """Translates requests to runners, and their responses."""
 
     def encode_request(
         self,
         call: messages.CallerCall,
         parameters: messages.RunnerCallParameters,
     ) -> bytes:
-        """The complete request to a runner."""
+        """The bytes of the request that sends a call to a runner."""
 
     def parse_response_head(
         self, status: int, headers: messages.Headers
     ) -> messages.RunnerResponseHead:
-        """Translate the head of a runner's response."""
+        """Translate status and headers of a runner's response."""
 
 
 class PlatformDialect(typing.Protocol):
-    """Formats of the platform's store and of the requests to its services."""
+    """Translates the platform's stored objects and requests to its services.
+
+    The store holds objects; a kind is a class of them, and each object has a
+    name.
+    """
 
     @property
     def configuration_kind(self) -> str:
@@ -107,7 +114,7 @@
     def parse_roll_out(
         self, stored: store.StoredObject, received_at: float
     ) -> roll_outs_model.RollOutOrder:
-        """Translate a roll-out order.
+        """Translate the stored object of a roll-out order.
 
         :param received_at: time of receipt, in seconds since 1970.
         :raises ValueError: when the order is invalid.
@@ -118,18 +125,22 @@
         order: roll_outs_model.RollOutOrder,
         state: roll_outs_model.RollOutState,
     ) -> store.Json:
-        """The status document of a roll-out order."""
+        """The status of a roll-out order as the store holds it."""
 
     def parse_configuration(
         self, spec: store.Json
     ) -> configuration_model.Configuration:
-        """Translate a configuration.
+        """Translate the document of the configuration.
 
         :raises ValueError: when the configuration is invalid.
         """
 
     def parse_runner(self, stored: store.StoredObject) -> runners.RunnerEntry:
-        """Translate a runner's entry; an invalid entry raises no error."""
+        """Translate a runner's entry in the store.
+
+        :returns: for an invalid entry a :class:`.runners.UnreadableEntry`; no
+            error is raised.
+        """
 
     def store_codec(self) -> store.Codec:
         """The codec of requests to the store."""
@@ -137,25 +148,40 @@
     def usage_report_request(
         self, window: int, counts: typing.Mapping[str, int]
     ) -> tuple[str, bytes]:
-        """Path and body of a usage report."""
+        """Path and body of the request that reports customers' usage.
+
+        :param window: number of the time window that the report covers.
+        :param counts: usage by customer.
+        """
 
     def runner_order_request(
         self, service: str, data_centre: str, count: int, reclaimable: bool
     ) -> tuple[str, bytes]:
-        """Path and body of an order that sets a number of runners."""
+        """Path and body of the request that sets a service's runner count.
+
+        :param count: the number of runners that the service should have in the
+            data centre.
+        :param reclaimable: whether to order runners that the cloud may reclaim
+            at short notice.
+        """
 
     def lease_holder_headers(
         self, holder: str, fencing: int
     ) -> list[tuple[bytes, bytes]]:
-        """Headers that identify the lease holder that sends an order."""
+        """Headers that identify the lease holder that sends an order.
+
+        :param holder: the holder's name.
+        :param fencing: fencing token of its lease.
+        """
 
 
 class Dialect:
-    """The dialects that a platform's adapter provides.
+    """The dialects of one platform, which its adapter provides.
 
-    :param callers: the protocol of callers.
-    :param upstreams: the protocol of runners.
-    :param platform: the formats of the store and the platform's services.
+    :param callers: translates callers' requests.
+    :param upstreams: translates requests to runners.
+    :param platform: translates the store's objects and requests to the
+        platform's services.
     """
 
     __slots__ = ("callers", "upstreams", "platform")
@@ -179,7 +205,7 @@
 ) -> typing.Callable[
     [typing.Callable[[], Dialect]], typing.Callable[[], Dialect]
 ]:
-    """Register a factory of a dialect under a name."""
+    """Register a factory of a dialect under a name; used as a decorator."""
 
     def decorate(
         factory: typing.Callable[[], Dialect],
--- a/src/apricotlever/serving/drain.py
+++ b/src/apricotlever/serving/drain.py
@@ -1,4 +1,8 @@
-"""Decides how long a stopping VM continues to serve callers."""
+"""Decides how long a stopping VM continues to serve callers.
+
+The drain is the time between the stop signal and the end of the process.
+Callers learn of it when they next look up the list of VMs to use.
+"""
 
 import asyncio
 import typing
@@ -7,11 +11,12 @@
 from .. import logs
 
 #: How long callers keep a list of VMs, in seconds. Callers that looked up the
-#: list just before the drain still connect to this VM.
+#: list just before the drain still connect to this VM for this time.
 CALLER_LIST_MAX_AGE_S = 1.0
-#: Time without a call, in seconds, after which a leaving VM ends.
+#: Time without a call, in seconds, after which a stopping VM ends.
 IDLE_PERIOD_S = 0.8
-#: Fraction of the shutdown time after which open calls are cut off.
+#: Fraction of the shutdown time, which ends with a kill of the process, after
+#: which calls that are still open are cut off.
 GRACE_FRACTION = 0.95
 #: Time between two checks for open calls, in seconds.
 POLL_INTERVAL_S = 0.05
@@ -28,9 +33,10 @@
     stop_taking: typing.Callable[[], None],
     step_s: float = POLL_INTERVAL_S,
 ) -> None:
-    """Wait until callers know of the drain and no call is open.
+    """Wait until callers know of the drain and make no more calls.
 
-    The wait ends before the process would be killed, even with open calls.
+    Callers know of it once the lists of VMs from before have expired. The wait
+    ends before the process would be killed, even if calls are still open.
 
     :param busy: returns the number of calls that are being answered.
     :param shutdown_s: time from the stop signal until the process is killed,
--- a/src/apricotlever/serving/listening_sockets.py
+++ b/src/apricotlever/serving/listening_sockets.py
@@ -19,7 +19,7 @@
 
 
 class ListeningSockets:
-    """Listening sockets by address."""
+    """Listening sockets, opened at the start and handed over to servers."""
 
     __slots__ = ("_sockets",)
 
@@ -27,7 +27,9 @@
         self._sockets: dict[str, socket.socket] = {}
 
     def open(self, wanted: typing.Iterable[addresses.Address | None]) -> None:
-        """Open sockets at addresses in advance; None entries are skipped.
+        """Open sockets at addresses in advance.
+
+        None and an address without a port are skipped.
 
         :raises OSError: if an address can't be bound.
         """
--- a/src/apricotlever/serving/messages.py
+++ b/src/apricotlever/serving/messages.py
@@ -1,4 +1,9 @@
-"""Data types of calls and responses, independent of any protocol."""
+"""Data types of calls and responses, independent of any protocol.
+
+A call is an HTTP request of a caller, which this VM forwards to a runner. A
+stream is a response of numbered events; it can be resumed after one of them.
+A dialect translates the messages on the wire into these types and back.
+"""
 
 import typing
 
@@ -6,7 +11,7 @@
 
 
 class PromptPart:
-    """A part of a prompt that other calls may share.
+    """A part of a prompt; other calls' prompts may have the same part.
 
     :param part_id: identifier; parts with equal text have equal identifiers.
     :param tokens: length of the part in tokens.
@@ -20,7 +25,9 @@
 
 
 class Prompt:
-    """Work for a language model, as a call declares it.
+    """Size and parts of a language model's prompt, as a call declares them.
+
+    The text itself is in the call's body.
 
     :param tokens_in: length of the prompt in tokens.
     :param tokens_out: maximum number of generated tokens.
@@ -42,23 +49,26 @@
 
     @property
     def shared_part_id(self) -> str:
-        """ID of the last part that other calls may share; "" without one."""
+        """ID of the last part that other calls may share; "" without one.
+
+        The prompt's very last part belongs to this call only.
+        """
         return self.parts[-2].part_id if len(self.parts) > 1 else ""
 
 
 class CallerCall:
-    """One complete call of a caller.
+    """One call of a caller, received completely.
 
     :param target: path and query as sent.
     :param host: the host that the caller addresses.
     :param headers: headers as sent, without hop-by-hop headers.
-    :param request_id: the caller's identifier of this attempt.
+    :param request_id: the caller's identifier of this attempt; "" without one.
     :param caller_timeout_s: how long the caller waits, in seconds; None if the
         call does not declare it.
     :param key: the API key, "" without one.
     :param prompt: the declared work for a language model; None without one.
-    :param last_event_id: the event after which a stream is to be resumed; None
-        for a new call.
+    :param last_event_id: id of the event after which the caller resumes a
+        stream; None for a new call.
     :param received_at: time of the call's first byte, on the event loop's
         clock.
     """
@@ -110,7 +120,7 @@
 
 
 class RunnerCallParameters:
-    """Parameters that are sent to a runner in addition to the caller's call.
+    """What a runner is told in addition to the caller's call.
 
     :param runner: name of the intended runner.
     :param customer: the customer to whom the call's API key belongs; None for
@@ -118,8 +128,8 @@
     :param remaining_s: how long the runner may work on the call, in seconds.
     :param priority: priority in the engine's queue, 0 first; None if the call
         declares no prompt.
-    :param resume_after: the last event that the caller has received; None for
-        a new stream.
+    :param resume_after: id of the last event that the caller has received,
+        after which the runner resumes the stream; None for a new stream.
     :param copy_from: ``host:port`` of a runner whose cached tokens of the
         prompt the runner may copy; None to compute all tokens.
     """
@@ -151,10 +161,11 @@
 
 
 class RunnerResponseHead:
-    """Status and headers of a runner's response.
+    """Status and headers of a runner's response, and what they mean.
 
     :param not_run: whether the runner guarantees that it did not run the call.
-    :param other_runner: whether another runner now uses the address.
+    :param other_runner: whether another runner than the intended one now
+        answers at the address.
     :param signed: whether the response has the header by which runners mark
         their responses.
     :param request_id: identifier of the call that is answered; "" if not sent.
--- a/src/apricotlever/serving/metrics.py
+++ b/src/apricotlever/serving/metrics.py
@@ -17,7 +17,7 @@
     """Format all metrics in the text format of Prometheus.
 
     :param relay_: the request path, with its own metrics.
-    :param limits_: the customers' limits.
+    :param limits_: the customers' rate limits.
     :param configuration: the active configuration; None without one.
     :param gauges: metrics of the rest of the process, by name.
     :param restarts: number of restarts of each supervised task, by name.
--- a/src/apricotlever/serving/runner_directory.py
+++ b/src/apricotlever/serving/runner_directory.py
@@ -245,7 +245,7 @@
         return self._remove(runner.name, runner.revision)
 
     def tick(self) -> list[str]:
-        """Apply the pending removals that are due.
+        """Remove the runners whose delayed removal is due.
 
         :returns: the removed incarnations.
         """
--- a/src/apricotlever/serving/runners.py
+++ b/src/apricotlever/serving/runners.py
@@ -104,7 +104,7 @@
 
     @property
     def address(self) -> str:
-        """``host:port``."""
+        """The runner's address, as ``host:port``."""
         return f"{self.host}:{self.port}"
 
     @property
@@ -142,7 +142,7 @@
         return known
 
     def to_record(self) -> list[typing.Any]:
-        """The fields in order, to send to another entry VM."""
+        """The values of all fields in order, to send to another entry VM."""
         return [getattr(self, name) for name, _ in _FIELDS]
 
     @classmethod
@@ -161,7 +161,8 @@
         )
 
 
-#: The fields of a peer's record in order, each with its validation.
+#: The fields of :meth:`Runner.to_record` in order, each with the check of a
+#: value that a peer sent.
 _FIELDS: tuple[tuple[str, validation.Predicate], ...] = (
     ("name", validation.is_non_empty_string),
     ("service", validation.is_string),
--- a/src/apricotlever/serving/servers.py
+++ b/src/apricotlever/serving/servers.py
@@ -1,4 +1,4 @@
-"""The HTTP servers of one process."""
+"""The HTTP servers of one process, one for each address of its settings."""
 
 from . import caller_server
 from . import configuration_model
@@ -7,13 +7,13 @@
 from . import start_gate
 from . import task_supervisor
 
-#: Names of the servers that callers use. They accept connections only when
-#: this VM can answer.
+#: Names of the servers that callers use: for their calls, and for looking up
+#: the VMs to call. They accept connections only when this VM can answer.
 CALLER_FACING = ("callers", "lookups")
 
 
 class Servers:
-    """Serves calls at all addresses of a process.
+    """Starts, drains and closes the HTTP servers of a process, by name.
 
     :param listening: listening sockets that are already open.
     """
@@ -27,7 +27,7 @@
 
     @property
     def busy(self) -> int:
-        """Number of callers' calls that are being answered."""
+        """Number of connections on which callers' calls are being answered."""
         server = self._servers.get("callers")
         return server.busy if server else 0
 
@@ -37,12 +37,14 @@
         address: settings.Address | None,
         handler: caller_server.RequestHandler,
     ) -> None:
-        """Serve at an address; None starts no server.
+        """Start a server at an address.
 
         A server in :data:`CALLER_FACING` accepts connections only after
         :meth:`serve_callers`.
 
         :param name: name of the server.
+        :param address: where it listens; None starts no server.
+        :param handler: answers each request.
         """
         if address is None:
             return
@@ -54,15 +56,16 @@
             await server.serve(sock)
 
     def set_ready(self) -> None:
-        """Note that this VM has a configuration and runners."""
+        """Record that this VM has a configuration and runners."""
         self._opening.set_ready()
 
     async def serve_callers(self) -> bool:
         """Accept callers' connections once this VM can answer.
 
-        After a timeout, connections are accepted in any case.
+        After :data:`.start_gate.READY_TIMEOUT_S`, connections are accepted in
+        any case.
 
-        :returns: whether :meth:`informed` was called before the timeout.
+        :returns: whether :meth:`set_ready` was called before the timeout.
         """
         return await self._opening.serve()
 
@@ -73,12 +76,15 @@
     def start_idle_sweeps(
         self, running: task_supervisor.TaskSupervisor
     ) -> None:
-        """Start closing idle connections."""
+        """Start tasks that close the servers' idle and slow connections."""
         for server in self._servers.values():
             running.spawn(server.sweep_forever())
 
     def drain(self) -> None:
-        """Send callers to other VMs after their pending calls are answered."""
+        """Close each caller's connection after its next response.
+
+        The callers then connect to other VMs. Calls in progress go on.
+        """
         for name in self._servers.keys() & set(CALLER_FACING):
             self._servers[name].disable_keep_alive()
 
--- a/src/apricotlever/serving/start_gate.py
+++ b/src/apricotlever/serving/start_gate.py
@@ -1,4 +1,4 @@
-"""Delays accepting callers until a starting process can serve them."""
+"""Delays accepting callers' connections until a new process can serve them."""
 
 import asyncio
 import socket
@@ -31,7 +31,7 @@
     def add(
         self, server: caller_server.CallerServer, sock: socket.socket
     ) -> None:
-        """Register a server and its listening socket."""
+        """Add a server, to be started on its listening socket later."""
         self._waiting_servers.append((server, sock))
 
     def set_ready(self) -> None:
@@ -39,7 +39,7 @@
         self._ready.set()
 
     async def serve(self, within_s: float = READY_TIMEOUT_S) -> bool:
-        """Start the servers once this VM is ready or the time is over.
+        """Start the added servers once this VM is ready or the time is over.
 
         :param within_s: longest wait, in seconds.
         :returns: whether this VM was ready in time.
--- a/src/apricotlever/serving/status_handlers.py
+++ b/src/apricotlever/serving/status_handlers.py
@@ -12,7 +12,7 @@
 
 
 class NodeStatus(typing.Protocol):
-    """Status of a node, as the handlers report it."""
+    """The status of a node, one entry VM, as the handlers report it."""
 
     @property
     def ready(self) -> bool:
@@ -26,7 +26,7 @@
 
 
 class StatusHandlers:
-    """Handlers of the servers for the platform and for lookups.
+    """Handlers of requests about this VM, other than callers' calls.
 
     :param node: the node whose status is reported.
     :param dialect: the paths and formats of the answers.
@@ -43,7 +43,7 @@
     async def ready(
         self, raw: caller_server.RawRequest, reply: reply_writer.ReplyWriter
     ) -> None:
-        """Answer a readiness check."""
+        """Answer a readiness check of the platform: 200 if ready, else 503."""
         if raw.target.partition("?")[0] != self._dialect.ready_path:
             reply.send_whole(404, ())
             return
@@ -52,7 +52,10 @@
     async def lookup(
         self, raw: caller_server.RawRequest, reply: reply_writer.ReplyWriter
     ) -> None:
-        """Answer a lookup of the VMs that a caller should use."""
+        """Answer a lookup of the VMs that a caller should use.
+
+        The answer is 503 if no VM is ready.
+        """
         if raw.target.partition("?")[0] != self._dialect.lookup_path:
             reply.send_whole(404, ())
             return
@@ -66,6 +69,6 @@
     async def metrics(
         self, raw: caller_server.RawRequest, reply: reply_writer.ReplyWriter
     ) -> None:
-        """Answer a request for the metrics."""
+        """Answer a request for this VM's metrics."""
         body = self._node.metrics().encode()
         reply.send_whole(200, [(b"Content-Type", b"text/plain")], body)
