--- a/src/apricotlever/serving/client_channel.py
+++ b/src/apricotlever/serving/client_channel.py
@@ -319,7 +319,7 @@
     def on_message_begin(self) -> None:
         """Prepare for a response, whose first bytes have arrived."""
         if not self._awaiting_response:
-            # Bytes after a complete response answer no request.
+            # A second response after a complete one answers no request.
             self._reject_unexpected_bytes()
         self._headers = []
         self._in_response = True
--- a/src/apricotlever/serving/connection_pool.py
+++ b/src/apricotlever/serving/connection_pool.py
@@ -276,7 +276,7 @@
     body: bytes = b"",
     headers: typing.Iterable[tuple[bytes, bytes]] = (),
 ) -> bytes:
-    """Encode a request with a JSON body or without a body."""
+    """Encode an HTTP request with a JSON body or without a body."""
     lines = [f"{method} {target} HTTP/1.1\r\nHost: {host}\r\n".encode()]
     lines += [name + b": " + value + b"\r\n" for name, value in headers]
     if body or method in ("POST", "PUT"):
--- a/src/apricotlever/serving/messages.py
+++ b/src/apricotlever/serving/messages.py
@@ -115,7 +115,7 @@
 
     @property
     def path(self) -> str:
-        """The target without its query."""
+        """The call's target without its query."""
         return self.target.partition("?")[0]
 
 
--- a/src/apricotlever/serving/runners.py
+++ b/src/apricotlever/serving/runners.py
@@ -155,7 +155,10 @@
 
     @classmethod
     def placeholder(cls, name: str, revision: int) -> "Runner":
-        """A placeholder for an entry that has never been readable."""
+        """A runner of which only the name is known.
+
+        It stands for an entry that has never been readable.
+        """
         return cls(
             name, "", "", 0, "", 0, True, revision=revision, withdrawn=True
         )
--- a/src/apricotlever/serving/servers.py
+++ b/src/apricotlever/serving/servers.py
@@ -56,7 +56,10 @@
             await server.serve(sock)
 
     def set_ready(self) -> None:
-        """Record that this VM has a configuration and runners."""
+        """Record that this VM can answer callers.
+
+        It can once it has a configuration and runners.
+        """
         self._opening.set_ready()
 
     async def serve_callers(self) -> bool:
--- a/src/apricotlever/serving/start_gate.py
+++ b/src/apricotlever/serving/start_gate.py
@@ -35,7 +35,10 @@
         self._waiting_servers.append((server, sock))
 
     def set_ready(self) -> None:
-        """Record that this VM has a configuration and runners."""
+        """Record that this VM can answer callers.
+
+        It can once it has a configuration and runners.
+        """
         self._ready.set()
 
     async def serve(self, within_s: float = READY_TIMEOUT_S) -> bool:
--- a/src/apricotlever/serving/upstreams.py
+++ b/src/apricotlever/serving/upstreams.py
@@ -388,7 +388,7 @@
         If it refuses a new connection, this is recorded as a failure.
         """
         if self._directory.get(runner.runner_id) is None:
-            # The runner was replaced, or its entry was removed.
+            # The runner has already been replaced or removed.
             return
         if await self._crashes.refuses(runner, self.pool(runner)):
             self.connect_failed(runner)
