--- a/src/apricotlever/requests/active_runs.py
+++ b/src/apricotlever/requests/active_runs.py
@@ -1,8 +1,10 @@
 """The runs in flight of a ledger, each identified by a token.
 
-A token is valid for one attempt at most. A worker whose run was ended in the
-meantime (because it was paused, timed out or its ledger was handed over) can
-therefore no longer send the call.
+A run is one attempt to execute the call of an idempotency key: claiming the
+key in the store if necessary, then sending the call to an upstream. Its token
+is valid for this attempt only. A worker whose run was ended in the meantime
+(because the worker was paused, the run timed out or the ledger was handed
+over) can therefore no longer send the call.
 """
 
 import itertools
@@ -17,9 +19,12 @@
 
 
 class ActiveRuns:
-    """The entries whose runs are in progress.
+    """The ledger entries whose runs are in progress, by token.
 
-    :param transfer: records how each run ended, for the successor.
+    :param limits: the timeouts of runs before and after the call is sent.
+    :param table: keeps the answers of ended runs and drops entries.
+    :param transfer: records how each run ended, for the VM that takes over
+        the ledger.
     """
 
     __slots__ = (
@@ -56,7 +61,11 @@
         self._active[entry.token] = entry
 
     def find_claiming(self, token: int) -> ledger_entries.Entry | None:
-        """Return the entry whose claim is in progress, or None."""
+        """Return the entry with this token if its key is being claimed.
+
+        :returns: the entry, or None if the run has ended or is past its
+            claim.
+        """
         entry = self._active.get(token)
         if entry is None or entry.state is not _State.CLAIMING:
             return None
@@ -65,7 +74,8 @@
     def start_sending(self, token: int) -> bool:
         """Mark a run whose call may reach the upstream from now on.
 
-        :returns: False if the call must not be sent.
+        :returns: False if the call must not be sent: the run has ended, its
+            key is not claimed yet, or the call is being sent already.
         """
         entry = self._active.get(token)
         if entry is None or entry.state is not _State.CLAIMED:
@@ -77,7 +87,10 @@
     def record_answer(
         self, token: int, answer: ledger_messages.Answer
     ) -> bool:
-        """Record the complete answer of a call that was sent."""
+        """End a run with the complete answer of its call.
+
+        :returns: False if no run of this VM is sending under the token.
+        """
         entry = self._local_entry(token)
         if entry is None or entry.state is not _State.SENDING:
             return False
@@ -85,7 +98,10 @@
         return True
 
     def record_not_sent(self, token: int) -> bool:
-        """Record that no byte of the call reached the upstream."""
+        """End a run none of whose bytes reached the upstream.
+
+        :returns: False if no run of this VM has the token.
+        """
         entry = self._local_entry(token)
         if entry is None:
             return False
@@ -93,7 +109,12 @@
         return True
 
     def record_lost_answer(self, token: int) -> bool:
-        """Record that no answer will arrive."""
+        """End a run whose answer will not arrive.
+
+        Its outcome is ``unknown`` if the call was being sent.
+
+        :returns: False if no run of this VM has the token.
+        """
         entry = self._local_entry(token)
         if entry is None:
             return False
@@ -106,7 +127,11 @@
         state: ledger_entries.RunState,
         answer: ledger_messages.Answer | None = None,
     ) -> None:
-        """End a run and invalidate its token."""
+        """End the run of an entry and invalidate its token.
+
+        :param state: the outcome of the run.
+        :param answer: the answer to keep for replays, if there is one.
+        """
         self._active.pop(entry.token, None)
         entry.state = state
         entry.running_on = None
@@ -115,17 +140,24 @@
         self._transfer.record_outcome(entry)
 
     def discard(self, entry: ledger_entries.Entry) -> None:
-        """Remove an entry that this ledger doesn't own."""
+        """Remove an entry whose key this ledger didn't get to claim."""
         self._active.pop(entry.token, None)
         self._table.remove(entry)
 
     def release(self, entry: ledger_entries.Entry) -> None:
-        """Discard an entry; :meth:`expire_overdue` returns its token."""
+        """Remove an entry that an adopted ledger's entry replaces.
+
+        The next :meth:`expire_overdue` returns its token, so that calls
+        waiting for the run are decided again.
+        """
         self._released.append(entry.token)
         self.discard(entry)
 
     def release_unsent(self) -> None:
-        """Cancel every run whose call was not being sent yet."""
+        """Cancel every run whose call is not being sent yet.
+
+        The next :meth:`expire_overdue` returns their tokens.
+        """
         unsent = [
             entry
             for entry in self._active.values()
--- a/src/apricotlever/requests/claims.py
+++ b/src/apricotlever/requests/claims.py
@@ -1,11 +1,13 @@
-"""Claims keys chosen by callers, batched into objects of the store.
-
-A key belongs to one bucket by its hash. A bucket is one object of the store
-whose value holds many claims. One conditional write adds all claims waiting
-for a bucket, and each bucket has at most one operation in progress. The VM
-whose write the store accepts owns the keys in that write. This module does no
-I/O: it returns reads and writes for the caller to carry out, and is given
-their results.
+"""Claims idempotency keys that callers chose, in the platform's store.
+
+A claim records which VM incarnation may run the call of a key, and the digest
+of that call. It keeps two VMs that receive the same key from both running the
+call. A key belongs to one bucket by its hash. A bucket is one object of the
+store whose value holds many claims. One conditional write adds all claims
+waiting for a bucket, and each bucket has at most one operation in progress.
+The VM whose write the store accepts owns the keys in that write. This module
+does no I/O: it returns reads and writes for the caller to carry out, and is
+given their results.
 """
 
 import hashlib
@@ -31,11 +33,12 @@
 
 
 class StoredClaim:
-    """One claim as the store holds it.
+    """A claim in the store: which VM incarnation may run the call of a key.
 
-    :param digest: digest of the claimed call.
+    :param digest: digest of the call that the key was claimed for.
     :param owner: the VM incarnation that holds the claim.
-    :param nonce: identifies the claim attempt.
+    :param nonce: identifies the claim attempt, so that a VM recognizes its
+        own claim when it reads the bucket.
     :param claimed_at: wall-clock time of the claim, in seconds.
     """
 
@@ -95,7 +98,7 @@
 
 
 class DeliverResult:
-    """Action: deliver the result of a claim to the ledger."""
+    """Action: tell the ledger whether its claim of a key succeeded."""
 
     __slots__ = ("result",)
 
@@ -107,8 +110,10 @@
 
 
 class _PendingClaim:
-    """A claim without a result.
+    """A claim that waits for its bucket to be read or written.
 
+    ``name`` identifies the key in the store. ``expires_at`` is the monotonic
+    time after which the claim is refused instead of written.
     ``maybe_written`` is set when a write with the claim got no answer.
     """
 
@@ -124,9 +129,12 @@
 
 
 class _Bucket:
-    """One bucket: its last known content and the claims waiting for it.
+    """An object of the store: its last known content and pending claims.
 
-    ``rows`` is None while the content is unknown.
+    ``rows`` holds the claims in the object by identifier, or None while the
+    content is unknown. ``version`` is the version of the object, or None if
+    it doesn't exist. ``waiting`` holds the claims for the next write and
+    ``writing`` those of the write in progress.
     """
 
     __slots__ = (
@@ -151,7 +159,7 @@
     """Batches the claims of one VM into conditional writes.
 
     :param buckets: number of buckets; it must be the same on every VM and
-        must never change.
+        must never change, because it determines the bucket of a key.
     :param retention_s: minimum time that a claim is kept, in seconds. A key
         whose claim was dropped can be used for another call.
     """
@@ -177,7 +185,14 @@
         self._backoff_until = float("-inf")
 
     def claim(self, claim: ledger_messages.ClaimKey) -> list[Action]:
-        """Start claiming a key."""
+        """Start claiming a key.
+
+        :param claim: the key and call, as the ledger asks for them.
+        :returns: the actions to carry out. The claim's result may be among
+            them, or may follow after the bucket's next read or write. While
+            :data:`STORE_BACKOFF_S` runs after a failure of the store, the
+            claim is refused at once.
+        """
         waiting = _PendingClaim(claim, self._clock.now() + CLAIM_TIMEOUT_S)
         if self._clock.now() < self._backoff_until:
             return [
@@ -190,7 +205,11 @@
         return [] if bucket.operation_pending else self._advance(bucket)
 
     def on_written(self, name: str, version: int) -> list[Action]:
-        """Handle a write that the store accepted."""
+        """Handle the store's acceptance of a write: its claims are won.
+
+        :param name: the name of the bucket's object.
+        :param version: the new version of the object.
+        """
         bucket = self._buckets[name]
         claimed, bucket.writing = bucket.writing, []
         rows = {**(bucket.rows or {}), **self._claims_by_id(claimed)}
@@ -201,12 +220,16 @@
         return results + self._advance(bucket)
 
     def on_conflict(self, name: str) -> list[Action]:
-        """Handle a write that the store rejected: read the bucket again."""
+        """Handle a write rejected because the object has another version.
+
+        The bucket is read again, and its pending claims are retried.
+        """
         return self._read_again(self._buckets[name])
 
     def on_ambiguous_write(self, name: str) -> list[Action]:
-        """Handle a write without an answer: read the bucket back.
+        """Handle a write without an answer, which may have taken effect.
 
+        The bucket is read back, which shows whether the claims were written.
         A delayed write can't take effect after a newer write of this VM,
         because both expect the same version.
         """
@@ -218,7 +241,12 @@
     def on_read(
         self, name: str, version: int, value: dict[str, typing.Any]
     ) -> list[Action]:
-        """Handle the content of a bucket."""
+        """Handle the result of reading a bucket's object.
+
+        :param name: the name of the object.
+        :param version: the version of the object that was read.
+        :param value: the value of the object, as JSON.
+        """
         bucket = self._buckets[name]
         try:
             bucket.rows = _parse(value)
@@ -230,13 +258,13 @@
         return self._advance(bucket)
 
     def on_missing(self, name: str) -> list[Action]:
-        """Handle a bucket that doesn't exist yet."""
+        """Handle the result that a bucket's object doesn't exist yet."""
         bucket = self._buckets[name]
         bucket.version, bucket.rows = None, {}
         return self._advance(bucket)
 
     def on_failure(self, name: str) -> list[Action]:
-        """Handle a failed operation that certainly wrote nothing.
+        """Handle a failed read or write that certainly wrote nothing.
 
         All claims waiting for the bucket fail, and new claims are refused
         for :data:`STORE_BACKOFF_S`.
@@ -349,13 +377,20 @@
 
 
 def claim_id(customer: str, key: str) -> str:
-    """Return the identifier of a key in the store, which hides the key."""
+    """Return the identifier of a key's claim in the store.
+
+    It is a hash of the customer and the key, so the store doesn't reveal
+    keys.
+    """
     text = f"{len(customer)}:{customer}{key}"
     return hashlib.sha256(text.encode()).hexdigest()[: 2 * _ID_BYTES]
 
 
 def bucket_name(claim_name: str, buckets: int = DEFAULT_BUCKET_COUNT) -> str:
-    """Return the name of the object that holds a claim."""
+    """Return the name of the store's object that holds a claim.
+
+    :param claim_name: what :func:`claim_id` returned for the key.
+    """
     number = xxhash.xxh64_intdigest(claim_name.encode()) % buckets
     return f"claims/{number:04x}"
 
--- a/src/apricotlever/requests/evacuation.py
+++ b/src/apricotlever/requests/evacuation.py
@@ -1,4 +1,10 @@
-"""Plans the moves of all streams on runners that are reclaimed together."""
+"""Plans the moves of all streams on runners that are reclaimed together.
+
+The streams compete for the free slots of the remaining runners and for the
+limited number of exports that a runner does at a time, so they are planned
+together. An export copies a stream's state to another runner; a replay makes
+the other runner compute it again.
+"""
 
 import collections
 import itertools
@@ -12,7 +18,7 @@
 
 
 class StreamMove:
-    """The decision about one of the streams."""
+    """The decision about one stream on a runner that is being reclaimed."""
 
     __slots__ = ("request_id", "decision")
 
@@ -39,6 +45,7 @@
     :param situations: the streams, all with the cause NOTICE and the same
         candidates; streams that are being moved must be included.
     :param exports_per_runner: number of exports that a runner does at a time.
+    :returns: one decision for each stream, in the order of planning.
     """
     ordered = sorted(situations, key=_recompute_cost, reverse=True)
     if _slots_short(ordered):
@@ -72,7 +79,7 @@
 
 
 class _Capacity:
-    """Free slots and free exports of the runners while streams are planned."""
+    """Free slots and exports of the runners, reduced by each planned move."""
 
     __slots__ = ("_free_slots", "_free_exports")
 
--- a/src/apricotlever/requests/export_time_estimator.py
+++ b/src/apricotlever/requests/export_time_estimator.py
@@ -1,4 +1,8 @@
-"""Estimates the time to move a stream's state between runners."""
+"""Estimates the time to export a stream's state and import it elsewhere.
+
+The estimate decides whether a stream can be exported before its runner is
+reclaimed.
+"""
 
 FIXED_S = 0.1
 PER_TOKEN_S = 5e-5
@@ -29,12 +33,19 @@
         return self._samples
 
     def estimate_s(self, tokens: int) -> float:
-        """Return an upper estimate of the move time, in seconds."""
+        """Return an upper estimate of the move time, in seconds.
+
+        :param tokens: number of tokens in the state to move.
+        """
         ratio = self._ratio + DEVIATIONS * self._deviation
         return ratio * _predicted_s(tokens)
 
     def observe(self, tokens: int, seconds: float) -> None:
-        """Learn from a successful move."""
+        """Update the estimate with the measured time of a successful move.
+
+        :param tokens: number of tokens in the state that was moved.
+        :param seconds: the measured time.
+        """
         ratio = seconds / _predicted_s(tokens)
         self._samples += 1
         if self._samples == 1:
--- a/src/apricotlever/requests/handover_parts.py
+++ b/src/apricotlever/requests/handover_parts.py
@@ -1,8 +1,10 @@
-"""Encoding of the parts, of limited size, that a leaving entry VM sends.
+"""Encoding of the messages in which a leaving entry VM hands over its work.
 
-Each part with records is usable by itself. The parts of a ledger are usable
-only together: a VM with half of a ledger would run keys whose entries are in
-the other half.
+A part is one such message, of limited size. It carries request records, a
+piece of the ledger of idempotency keys, or outcomes of keyed calls that ended
+after the ledger was exported. Each part with records is usable by itself. The
+parts of a ledger are usable only together: a VM with half of a ledger would
+run keys whose entries are in the other half.
 """
 
 import base64
@@ -21,7 +23,7 @@
 
 
 class PartKind(enum.StrEnum):
-    """The content of a part."""
+    """The kind of content in a handover part."""
 
     RECORDS = "records"
     LEDGER = "ledger"
@@ -29,12 +31,13 @@
 
 
 class Part:
-    """One message of a handover.
+    """One message of a handover between two VM incarnations.
 
     :param sender: the incarnation that is leaving.
     :param successor: the incarnation that takes over the content.
     :param sequence: number of the part among all parts of its sender.
-    :param index: position of the part in its group, from 0.
+    :param index: position of the part in its group, from 0. The parts of one
+        exported ledger form a group; any other part is a group by itself.
     :param count: number of parts in the group.
     :param payload: the encoded content.
     """
@@ -112,9 +115,10 @@
 
 
 def split_payload(payload: bytes, part_bytes: int = PART_BYTES) -> list[bytes]:
-    """Split a payload into pieces; an empty payload gives one piece.
+    """Split an encoded ledger into payloads for parts of limited size.
 
-    :param part_bytes: maximum size of a piece.
+    :param part_bytes: maximum size of a payload.
+    :returns: at least one payload, which is empty for an empty input.
     """
     starts = range(0, max(1, len(payload)), part_bytes)
     return [payload[start : start + part_bytes] for start in starts]
@@ -139,7 +143,7 @@
 
 
 def encode_records(rows: typing.Iterable[records.RequestRecord]) -> bytes:
-    """Encode records as compact JSON."""
+    """Encode request records as the compact JSON payload of a part."""
     document = [
         [
             record.request_id,
--- a/src/apricotlever/requests/handover_receiver.py
+++ b/src/apricotlever/requests/handover_receiver.py
@@ -1,4 +1,9 @@
-"""Receiving side of a handover: assembles the parts that a VM sent."""
+"""Receiving side of a handover of requests and ledger between entry VMs.
+
+It decodes the parts that a leaving VM sends and returns the action to carry
+out for each. A receipt tells the leaving VM that a part was accepted; until it
+arrives, the leaving VM sends the part again.
+"""
 
 import typing
 
@@ -12,7 +17,11 @@
 
 
 class AdoptRecords:
-    """Action: adopt requests, resume their streams, then send a receipt."""
+    """Action: adopt requests, resume their streams, then send a receipt.
+
+    :param sender: the leaving incarnation.
+    :param adopted: the records of its requests.
+    """
 
     __slots__ = ("sender", "records")
 
@@ -26,7 +35,10 @@
 
 
 class AdoptLedger:
-    """Action: adopt a ledger and send a receipt as the ledger decides."""
+    """Action: adopt a ledger and answer whether this VM's ledger took it.
+
+    :param state: the complete ledger, assembled from all its parts.
+    """
 
     __slots__ = ("state",)
 
@@ -35,7 +47,10 @@
 
 
 class AdoptOutcomes:
-    """Action: settle keys that the sender had in flight."""
+    """Action: record outcomes of calls that the sender had in flight.
+
+    :param settled: the outcomes of keys in a ledger handed over before.
+    """
 
     __slots__ = ("settled",)
 
@@ -44,7 +59,10 @@
 
 
 class PartStored:
-    """Action: send a receipt; the part is kept until the rest arrives."""
+    """Action: send a receipt for a part of a ledger that is incomplete.
+
+    The part is kept until the other parts of the ledger arrive.
+    """
 
     __slots__ = ()
 
@@ -65,9 +83,9 @@
 
 
 class HandoverReceiver:
-    """Assembles parts, which may arrive repeatedly and in any order.
+    """Decodes handover parts, which may arrive repeatedly and in any order.
 
-    :param me: the incarnation of this VM, which takes over.
+    :param me: the incarnation of this VM, which takes over the content.
     """
 
     __slots__ = ("_me", "_ledgers")
@@ -96,7 +114,7 @@
         return self._store_ledger_part(part)
 
     def discard_parts(self, sender: ledger_messages.VmIncarnation) -> None:
-        """Drop the parts of a sender that has finished or is gone."""
+        """Drop the ledger parts of a sender that has finished or is gone."""
         self._ledgers.pop(sender, None)
 
     def _store_ledger_part(self, part: handover_parts.Part) -> ReceiveResult:
--- a/src/apricotlever/requests/handover_sender.py
+++ b/src/apricotlever/requests/handover_sender.py
@@ -1,5 +1,9 @@
 """Sends the requests and the ledger of a leaving entry VM to its peers.
 
+The ledger holds the idempotency keys that the VM decides on. The peer that
+receives it becomes the VM's successor. A receipt is a peer's answer that it
+accepted a part of the handover.
+
 Running requests are sent first and spread over the peers, because a caller
 waits for each of them. The whole ledger follows, to a single successor; a
 ledger that never arrives only makes the outcome of its keys ``unknown``, which
@@ -38,7 +42,11 @@
 
 
 class SendPart:
-    """Action: send a part; report to :meth:`HandoverSender.on_receipt`."""
+    """Action: send a part to the incarnation that it names as successor.
+
+    The answer is reported to :meth:`HandoverSender.on_receipt` or
+    :meth:`HandoverSender.on_refusal`.
+    """
 
     __slots__ = ("part",)
 
@@ -47,7 +55,11 @@
 
 
 class RedirectCallers:
-    """Action: redirect the callers of these requests to another VM."""
+    """Action: redirect the callers of requests to the VM that adopted them.
+
+    :param request_ids: the requests, which were running when they were sent.
+    :param vm: the name of the VM.
+    """
 
     __slots__ = ("request_ids", "vm")
 
@@ -78,7 +90,10 @@
 
 
 class AcknowledgeOutcomes:
-    """Action: tell the ledger's transfer that these outcomes arrived."""
+    """Action: tell the ledger's transfer that the successor has outcomes.
+
+    :param settled: the outcomes, which need not be sent again.
+    """
 
     __slots__ = ("settled",)
 
@@ -109,7 +124,11 @@
 
 
 class _UnacknowledgedPart:
-    """A part whose receipt has not arrived yet."""
+    """A handover part whose receipt has not arrived yet.
+
+    ``records`` and ``settled`` are the decoded content, empty for a part of
+    the ledger. ``sent_at`` is the monotonic time of the last send, or None.
+    """
 
     __slots__ = ("part", "records", "settled", "sent_at")
 
@@ -178,7 +197,7 @@
 
     @property
     def unacknowledged_count(self) -> int:
-        """Number of parts without a receipt."""
+        """Number of queued parts whose receipt has not arrived."""
         return len(self._queue)
 
     def start(
@@ -194,6 +213,7 @@
         :param running: requests in progress.
         :param ended: ended requests whose outcome callers can still fetch.
         :param in_flight: number of keyed calls in progress.
+        :returns: the actions to carry out, as from all other methods.
         """
         self._calls_in_flight = in_flight
         self._peers = {peer.owner: peer for peer in peers}
@@ -202,7 +222,10 @@
         return self._advance()
 
     def on_exported(self, state: ledger_state.LedgerState) -> list[Action]:
-        """Queue the ledger exported for :class:`ExportLedger`."""
+        """Queue the ledger that was exported for :class:`ExportLedger`.
+
+        If the successor has changed or is gone since, the export is ignored.
+        """
         self._exporting = False
         if (
             state.successor != self._successor
@@ -240,14 +263,24 @@
         return self._advance()
 
     def on_receipt(self, sequence: int) -> list[Action]:
-        """Handle the receipt of a part by its peer."""
+        """Handle a peer's answer that it accepted a part.
+
+        :param sequence: the number of the part; a repeated receipt is
+            ignored.
+        """
         outgoing = self._queue.pop(sequence, None)
         if outgoing is None:
             return []
         return self._actions_after_receipt(outgoing) + self._advance()
 
     def on_refusal(self, sequence: int) -> list[Action]:
-        """Handle a part that the addressed incarnation itself refused."""
+        """Handle a part that the addressed incarnation itself refused.
+
+        The ledger's transfer is told of the refusal, and the parts for that
+        peer are sent to other peers.
+
+        :param sequence: the number of the part.
+        """
         outgoing = self._queue.get(sequence)
         if outgoing is None:
             return []
--- a/src/apricotlever/requests/key_issuers.py
+++ b/src/apricotlever/requests/key_issuers.py
@@ -1,4 +1,9 @@
-"""The VM incarnations whose minted keys a ledger decides on."""
+"""The VM incarnations whose minted keys a ledger decides on.
+
+An issuer is an incarnation of an entry VM that minted idempotency keys. A
+ledger decides on the keys of its own incarnation and, after a handover, on
+those of the incarnations whose ledgers it adopted.
+"""
 
 from .. import clock as clocks
 from . import active_runs
@@ -10,8 +15,10 @@
 
 
 class KeyIssuers:
-    """The ledger's own incarnation and those whose ledgers it adopted.
+    """The issuers of one ledger; exports and adopts ledgers with them.
 
+    :param limits: how long issuers and adopted ledgers are remembered.
+    :param table: the entries of the ledger.
     :param active_runs: the runs in flight of the ledger.
     :param incarnations: which incarnations are gone, and their successors.
     :param own_issuer: the issuer of the ledger's own keys.
@@ -52,14 +59,18 @@
     def find(
         self, owner: ledger_messages.VmIncarnation
     ) -> ledger_entries.KeyIssuer | None:
-        """Return the issuer, or None if another ledger decides on its keys."""
+        """Return the issuer of an incarnation's keys.
+
+        :returns: None if another ledger decides on these keys.
+        """
         return self._issuers.get(owner)
 
     def export(
         self, successor: ledger_messages.VmIncarnation, may_run: bool
     ) -> ledger_state.LedgerState:
-        """Export the ledger to a successor.
+        """Return the state of the ledger, to be sent to a successor.
 
+        :param successor: the incarnation that is to adopt the ledger.
         :param may_run: False if another successor may run the keys.
         """
         now = self._clock.now()
@@ -78,9 +89,14 @@
     def adopt(
         self, state: ledger_state.LedgerState, frozen: bool
     ) -> ledger_state.LedgerReceipt:
-        """Adopt a ledger; a repeated copy changes nothing.
+        """Adopt the issuers and entries of another VM's ledger.
+
+        A repeated copy changes nothing.
 
-        :param frozen: whether this ledger is itself being handed over.
+        :param state: the ledger as its VM exported it.
+        :param frozen: whether this ledger is itself being handed over; it
+            then refuses new ledgers.
+        :returns: the answer for the sender.
         """
         known = state.sender in self._adopted
         accepted = known or (state.successor == self._me and not frozen)
--- a/src/apricotlever/requests/known_incarnations.py
+++ b/src/apricotlever/requests/known_incarnations.py
@@ -1,5 +1,9 @@
 """What one VM knows about the incarnations of other VMs that own keys.
 
+An incarnation is one process of an entry VM; it owns the idempotency keys
+that its ledger decides on. Calls with keys of another incarnation are
+forwarded to it, or to the successor that adopted its ledger.
+
 Outdated knowledge is safe. If an owner is wrongly considered gone, a call is
 refused as ``unknown``; if it is wrongly considered alive, a forward fails.
 """
@@ -30,7 +34,11 @@
         ] = {}
 
     def record_alive(self, vm: str, incarnation: int) -> None:
-        """Record a live incarnation; all older ones of the VM are gone."""
+        """Record that an incarnation is alive; older ones of its VM are gone.
+
+        :param vm: the name of the VM.
+        :param incarnation: the incarnation of the VM.
+        """
         known = self._latest.get(vm, incarnation)
         self._latest[vm] = max(known, incarnation)
         self._gone.pop(ledger_messages.VmIncarnation(vm, incarnation), None)
@@ -55,7 +63,13 @@
     def successor(
         self, owner: ledger_messages.VmIncarnation
     ) -> ledger_messages.VmIncarnation | None:
-        """Return the last successor in the chain of handovers, or None."""
+        """Return the incarnation that now has the ledger of another one.
+
+        A successor may have handed the ledger over in turn, so the chain of
+        handovers is followed to its end.
+
+        :returns: None if no handover of the ledger is known.
+        """
         seen = {owner}
         last = None
         following = self._successors.get(owner)
@@ -90,7 +104,7 @@
         return ledger_messages.ForwardCall(target.vm, target.incarnation)
 
     def expire(self) -> None:
-        """Drop facts about incarnations whose keys have all expired."""
+        """Drop recorded departures and transfers older than the retention."""
         oldest = self._clock.now() - self._retention_s
         self._gone = {
             owner: at for owner, at in self._gone.items() if at >= oldest
--- a/src/apricotlever/requests/ledger.py
+++ b/src/apricotlever/requests/ledger.py
@@ -1,5 +1,11 @@
 """Decides which keyed calls this VM may run, so that no call runs twice.
 
+A key is an idempotency key: it stands for one call of one customer, and a
+retry of the call repeats it. Either the system mints the key, or the caller
+chooses it. A ledger holds the keys that one VM incarnation decides on, with
+the state of their calls and the answers for retries. A keyed call is a call
+with such a key.
+
 A minted key is run only by the ledger of the VM incarnation that minted it,
 or by the one successor that received the whole ledger. A key chosen by the
 caller must be claimed in the store before its call is run. All other ledgers
@@ -108,7 +114,7 @@
 
     @property
     def in_flight_count(self) -> int:
-        """Number of keys with a run in flight."""
+        """Number of keys with a run in progress."""
         return len(self._runs)
 
     def __len__(self) -> int:
@@ -143,6 +149,8 @@
     ) -> ledger_messages.KeyDecision:
         """Decide how to handle a keyed call.
 
+        :param key: the idempotency key that came with the call.
+        :param customer: the customer that made the call.
         :param digest: digest of the call's method, path and body.
         :param first_send: the caller guarantees that it never sent this key
             before, and ignores the answer to this send if it sends the key
@@ -286,6 +294,8 @@
     def on_incarnation_alive(self, vm: str, incarnation: int) -> list[int]:
         """Record a live incarnation of a VM; its older ones are gone.
 
+        Runs that an older one still had in progress end as ``unknown``.
+
         :returns: tokens of the runs that ended because of this.
         """
         self._incarnations.record_alive(vm, incarnation)
@@ -294,6 +304,8 @@
     def on_incarnation_gone(self, vm: str, incarnation: int) -> list[int]:
         """Record that an incarnation has left or crashed.
 
+        Runs that it still had in progress end as ``unknown``.
+
         :returns: tokens of the runs that ended because of this.
         """
         self._incarnations.record_gone(
@@ -314,11 +326,12 @@
         self._frozen = True
 
     def export_to(self, vm: str, incarnation: int) -> ledger_state.LedgerState:
-        """Freeze the ledger and export it to a successor; repeatable.
+        """Freeze the ledger and return its state for a successor.
 
-        Only the first successor may ever run the keys, because it may hold
-        the ledger even if its receipt never arrived. A later successor gets
-        a copy that replays answers and runs nothing.
+        The export can be repeated. Only the first successor may ever run the
+        keys, because it may hold the ledger even if its receipt never
+        arrived. A later successor gets a copy that replays answers and runs
+        nothing.
 
         :param vm: the name of the successor.
         :param incarnation: the incarnation of the successor.
@@ -333,7 +346,12 @@
     def adopt(
         self, state: ledger_state.LedgerState
     ) -> ledger_state.LedgerReceipt:
-        """Adopt the whole ledger of a leaving VM; idempotent."""
+        """Adopt the whole ledger of a leaving VM; a repeat changes nothing.
+
+        :param state: the ledger as the leaving VM exported it.
+        :returns: the answer for the leaving VM: whether this ledger adopted
+            the state. A frozen ledger refuses it.
+        """
         return self._issuers.adopt(state, self._frozen)
 
     def settle_remote_calls(
--- a/src/apricotlever/requests/ledger_entries.py
+++ b/src/apricotlever/requests/ledger_entries.py
@@ -14,7 +14,13 @@
 
 
 class RunState(enum.StrEnum):
-    """Progress of the single run of a key."""
+    """The state of a key's call on the way to its outcome.
+
+    The first three states are those of a run in progress: the key is being
+    claimed in the store, is held by this ledger, or its call is being sent.
+    The others are outcomes: the call was answered, has not been run and may
+    be, or may have been run without an answer.
+    """
 
     CLAIMING = "claiming"
     CLAIMED = "claimed"
@@ -31,6 +37,7 @@
     """How much a ledger keeps, and for how long. Times are in seconds.
 
     :param minted_key_life_s: how long after its minting a key may be run.
+        Keys chosen by callers have no such limit.
     :param caller_key_life_s: how long the ledger keeps the entry of a key
         chosen by the caller.
     :param margin_s: how much longer than its minted key an entry is kept.
@@ -122,7 +129,9 @@
 class Entry:
     """One key of one customer, with the single call that it stands for.
 
-    :param digest: digest of the call.
+    :param digest: digest of the call; another digest means that the key was
+        reused for a different call.
+    :param state: the state of the call.
     :param minted_s: mint time in seconds since the start of the issuer; 0 for
         a key chosen by the caller.
     :param issuer: the issuer of a minted key; None for a key chosen by the
@@ -134,8 +143,10 @@
     :param claim_held: the store is known to hold this ledger's claim.
     :param maybe_claimed: the store may hold this ledger's claim.
 
-    ``running_on`` is the incarnation that is still running the call after the
-    ledger was transferred, or None.
+    ``first_send`` is the caller's guarantee that it never sent the key before.
+    ``token`` identifies the latest run. ``answer`` is the answer kept for
+    replays, or None. ``running_on`` is the incarnation that is still running
+    the call after the ledger was transferred, or None.
     """
 
     __slots__ = (
@@ -196,7 +207,11 @@
 
 
 class EntryTable:
-    """All entries by customer and key, limited in number and memory."""
+    """The entries of a ledger by customer and key.
+
+    The number of entries, and the number and memory of the answers, are
+    limited.
+    """
 
     __slots__ = (
         "_limits",
--- a/src/apricotlever/requests/ledger_messages.py
+++ b/src/apricotlever/requests/ledger_messages.py
@@ -1,4 +1,9 @@
-"""Types of the ledger's decisions, its claims and their results."""
+"""What the ledger decides on a keyed call, and results of claiming its key.
+
+The worker that handles a call asks the ledger, which returns one of the
+decisions below. A key chosen by the caller must be claimed in the store
+first: :class:`ClaimKey` asks for the claim, and one of the results answers.
+"""
 
 import enum
 import typing
@@ -17,7 +22,7 @@
 
 
 class KeyRefusalReason(enum.StrEnum):
-    """The reason for refusing a keyed call."""
+    """The reason for refusing a call with an idempotency key."""
 
     MALFORMED = "key_malformed"
     NOT_YOURS = "key_of_another_customer"
@@ -35,7 +40,10 @@
 
 
 class VmIncarnation:
-    """One incarnation of an entry VM, such as the owner of a key.
+    """One process of an entry VM, such as the owner of a key.
+
+    A VM whose process was restarted is a new incarnation, because the ledger
+    of the old one is lost.
 
     :param vm: the name of the VM.
     :param incarnation: start time of its process, in ms since the Unix
@@ -63,7 +71,7 @@
 
 
 class Answer:
-    """A complete answer of an upstream, which can be replayed."""
+    """A complete answer of an upstream, kept to be replayed to retries."""
 
     __slots__ = ("status", "headers", "body")
 
@@ -79,14 +87,17 @@
 
     @property
     def size_bytes(self) -> int:
-        """Estimated memory of the kept answer."""
+        """Estimated memory of the answer."""
         return len(self.body) + sum(
             len(name) + len(value) for name, value in self.headers
         )
 
 
 class RunCall:
-    """Decision: run the call and report its outcome under the token."""
+    """Decision: run the call and report its outcome to the ledger.
+
+    :param token: identifies this run in the reports.
+    """
 
     __slots__ = ("token",)
 
@@ -116,7 +127,11 @@
 
 
 class ForwardCall:
-    """Decision: forward the call to the only ledger that may handle it."""
+    """Decision: forward the call to the VM whose ledger decides on its key.
+
+    :param vm: the name of that VM.
+    :param incarnation: its incarnation, which must not have changed since.
+    """
 
     __slots__ = ("vm", "incarnation")
 
@@ -126,7 +141,7 @@
 
 
 class RefuseCall:
-    """Decision: refuse the call.
+    """Decision: refuse the call without running it.
 
     :param executed: what is known about all calls made under this key.
     :param retry_after_s: seconds after which a retry with the same key may
@@ -176,7 +191,10 @@
 
 
 class ClaimWon:
-    """Result: the store holds this claim."""
+    """Result: the store holds this ledger's claim, so it may run the call.
+
+    :param token: the token of the :class:`ClaimKey`, as in all results.
+    """
 
     __slots__ = ("token",)
 
@@ -207,8 +225,9 @@
 
 
 class ClaimFailed:
-    """Result: the claim failed.
+    """Result: the key could not be claimed.
 
+    :param reason: why, for the refusal of the call.
     :param maybe_written: whether the store may hold the claim nevertheless.
     """
 
--- a/src/apricotlever/requests/ledger_state.py
+++ b/src/apricotlever/requests/ledger_state.py
@@ -1,4 +1,9 @@
-"""The state of a ledger sent to its successor, and its JSON encoding."""
+"""The state of a ledger sent to its successor, and its JSON encoding.
+
+A leaving entry VM sends its ledger of idempotency keys to one other VM, the
+successor, which decides on the keys from then on. VMs don't share a monotonic
+clock, so the state holds durations up to the export instead of times.
+"""
 
 import base64
 import json
@@ -150,7 +155,11 @@
 
 
 class SettledCall:
-    """The outcome of a call that was in flight during the handover."""
+    """The outcome of a keyed call that was in flight during the handover.
+
+    :param state: the outcome.
+    :param answer: the complete answer, or None if there is none.
+    """
 
     __slots__ = ("customer", "key", "state", "answer")
 
@@ -168,7 +177,7 @@
 
 
 def encode(state: LedgerState) -> bytes:
-    """Encode a ledger as compact JSON."""
+    """Encode the exported state of a ledger as compact JSON."""
     document = {
         "sender": _encode_owner(state.sender),
         "heir": _encode_owner(state.successor),
@@ -226,7 +235,7 @@
 
 
 def encode_settled(settled: list[SettledCall]) -> bytes:
-    """Encode the outcomes of calls as compact JSON."""
+    """Encode the outcomes of keyed calls as compact JSON."""
     rows = [
         [item.customer, item.key, item.state.value, encode_answer(item.answer)]
         for item in settled
@@ -264,7 +273,7 @@
 def encode_answer(
     answer: ledger_messages.Answer | None,
 ) -> list[typing.Any] | None:
-    """Convert an answer to JSON values."""
+    """Convert an upstream's answer to JSON values, its body in Base64."""
     if answer is None:
         return None
     return [
--- a/src/apricotlever/requests/ledger_transfer.py
+++ b/src/apricotlever/requests/ledger_transfer.py
@@ -1,6 +1,9 @@
-"""The transfer of a ledger to exactly one successor.
+"""The transfer of a leaving VM's ledger to exactly one successor.
 
-The successor's receipt can get lost. From the first export on, the successor
+The successor is the VM incarnation that decides on the ledger's keys from
+then on. Its receipt tells whether it adopted the ledger.
+
+The receipt can get lost. From the first export on, the successor
 may hold the ledger and run its keys, so no other VM may ever run them unless
 that successor refuses the ledger.
 """
@@ -11,7 +14,10 @@
 
 
 class LedgerTransfer:
-    """The successor of a ledger, and the outcomes it has yet to receive.
+    """The successor of a ledger, and the call outcomes to send to it.
+
+    Calls that are in flight at the export still run on the leaving VM. Their
+    outcomes are sent to the successor until it acknowledges them.
 
     :param me: the incarnation whose ledger is transferred.
     """
@@ -46,7 +52,11 @@
         return successor == self._successor
 
     def apply_receipt(self, receipt: ledger_state.LedgerReceipt) -> None:
-        """Process a receipt; a refusal allows another successor."""
+        """Process the successor's answer to the exported ledger.
+
+        A refusal allows another successor. A receipt of another incarnation
+        is ignored.
+        """
         if receipt.sender != self._me or receipt.successor != self._successor:
             return
         if receipt.accepted:
@@ -57,7 +67,10 @@
             self._successor = None
 
     def record_outcome(self, entry: ledger_entries.Entry) -> None:
-        """Record an outcome, in case the call was exported in flight."""
+        """Record the outcome of a call, in case it was exported in flight.
+
+        Nothing is recorded before the first export.
+        """
         if self._successor is not None:
             name = (entry.customer, entry.key)
             self._unacknowledged[name] = ledger_state.SettledCall(
@@ -65,7 +78,11 @@
             )
 
     def pending_outcomes(self) -> list[ledger_state.SettledCall]:
-        """Return the outcomes to send; none before the successor's receipt."""
+        """Return the outcomes to send to the successor.
+
+        There are none before the successor has confirmed that it holds the
+        ledger, which has the entries of these calls.
+        """
         return list(self._unacknowledged.values()) if self._confirmed else []
 
     def acknowledge_outcomes(
@@ -79,7 +96,9 @@
 def export_issuer(
     issuer: ledger_entries.KeyIssuer, may_run: bool, now: float
 ) -> ledger_state.KeyIssuerState:
-    """Convert an issuer to its exported form.
+    """Convert an issuer of minted keys to its exported form.
+
+    Times become durations up to now, because the successor's clock differs.
 
     :param may_run: False if another successor may run the keys.
     :param now: monotonic time in seconds.
@@ -98,9 +117,9 @@
 def export_entry(
     entry: ledger_entries.Entry, me: ledger_messages.VmIncarnation, now: float
 ) -> ledger_state.EntryState:
-    """Convert an entry to its exported form.
+    """Convert an entry of a key to its exported form.
 
-    A call in flight keeps running on this VM.
+    A call in flight keeps running on this VM, which the exported entry names.
 
     :param me: the incarnation of this VM.
     :param now: monotonic time in seconds.
@@ -148,8 +167,10 @@
     may_run: bool,
     now: float,
 ) -> ledger_entries.Entry:
-    """Convert an exported entry to times of this VM's clock.
+    """Convert an exported entry to one of this VM's ledger.
 
+    :param issuer: the issuer of a minted key; None for a key chosen by the
+        caller.
     :param may_run: if False, a key that never ran becomes ``unknown``,
         because another successor may be running it.
     :param now: monotonic time in seconds.
@@ -178,10 +199,12 @@
 def replaces_local(
     state: ledger_state.EntryState, local: ledger_entries.Entry | None
 ) -> bool:
-    """Return whether an adopted entry replaces the ledger's own entry.
+    """Return whether an adopted entry is added to the successor's ledger.
 
-    Only a local entry that never held the claim is replaced.
+    If the ledger has an entry of the same key, only an entry that never held
+    the claim is replaced.
 
+    :param state: the entry in the adopted ledger.
     :param local: the ledger's own entry of the same key, or None.
     """
     decided = (
--- a/src/apricotlever/requests/minted_keys.py
+++ b/src/apricotlever/requests/minted_keys.py
@@ -19,7 +19,12 @@
 class MintedKey:
     """The fields of a parsed key, whose MAC may not have been verified.
 
+    :param vm: the name of the VM that minted the key.
+    :param incarnation: the incarnation of that VM.
+
     :param minted_s: mint time, in seconds since the incarnation started.
+    :param nonce: the mint time and a random part.
+    :param mac: authenticates the other fields and the customer.
     """
 
     __slots__ = ("vm", "incarnation", "minted_s", "nonce", "mac")
@@ -40,7 +45,7 @@
 
 
 def new_secret(rng: random.Random) -> bytes:
-    """Generate the secret of one incarnation.
+    """Generate the secret with which one incarnation authenticates its keys.
 
     :param rng: source of the secret; a daemon passes
         :class:`random.SystemRandom`.
@@ -61,9 +66,14 @@
     secret: bytes,
     rng: random.Random,
 ) -> str:
-    """Create a key for one call of one customer.
+    """Create the text of a key for one call of one customer.
 
+    :param vm: the name of the minting VM.
+    :param incarnation: the incarnation of that VM.
     :param minted_s: whole seconds since the incarnation started.
+    :param customer: the customer that the key is bound to by its MAC.
+    :param secret: the secret of the incarnation.
+    :param rng: source of the key's random part.
     """
     nonce = f"{minted_s:x}-{rng.getrandbits(NONCE_BITS):020x}"
     mac = _mac(secret, vm, incarnation, nonce, customer)
@@ -90,7 +100,12 @@
 
 
 def verify(key: MintedKey, customer: str, secret: bytes) -> bool:
-    """Return whether the MAC is valid for this customer, in constant time."""
+    """Return whether this incarnation minted the key for this customer.
+
+    The MAC is compared in constant time.
+
+    :param secret: the secret of the incarnation that the key names.
+    """
     expected = _mac(secret, key.vm, key.incarnation, key.nonce, customer)
     return hmac.compare_digest(expected.encode(), key.mac.encode())
 
--- a/src/apricotlever/requests/records.py
+++ b/src/apricotlever/requests/records.py
@@ -16,7 +16,7 @@
 
 
 class RequestState(enum.StrEnum):
-    """The state of a request on this VM."""
+    """The state of a request on this VM: running, ended or handed over."""
 
     RUNNING = "running"
     ENDED = "ended"
@@ -50,7 +50,7 @@
 
 
 class RequestRecord:
-    """One request.
+    """The record of one request: what another VM needs to continue it.
 
     The thread that relays the stream only appends to ``tokens`` and sets no
     other attribute; appending to a list is atomic.
@@ -62,6 +62,7 @@
         or adopted on this VM, or when its request ended here.
 
     ``tokens`` holds the text of each token sent to the caller, in order.
+    ``runner`` is the runner of the latest attempt and ``attempt`` its number.
     ``moved_to`` is the VM that the request was handed over to, or empty.
     """
 
@@ -113,7 +114,7 @@
 
 
 class ResumeNotFound:
-    """Result: this customer has no such request.
+    """Result of resuming: this customer has no such request.
 
     The result is the same whether or not another customer has the request.
     """
@@ -122,7 +123,7 @@
 
 
 class ResumeRunning:
-    """Result: the request is running; send the tokens, then continue.
+    """Result of resuming: send the tokens, then continue the running stream.
 
     :param first_index: index of the first token to send, which may not have
         been produced yet.
@@ -140,9 +141,10 @@
 
 
 class ResumeEnded:
-    """Result: the request has ended; send the tokens, then the outcome.
+    """Result of resuming: send the tokens, then the request's outcome.
 
     :param first_index: index of the first token to send.
+    :param tokens: the tokens from that index on.
     """
 
     __slots__ = ("record", "first_index", "tokens", "outcome")
@@ -161,7 +163,10 @@
 
 
 class ResumeMoved:
-    """Result: the request was handed over to another entry VM."""
+    """Result of resuming: another entry VM has taken over the request.
+
+    :param vm: the name of that VM, to which the caller is redirected.
+    """
 
     __slots__ = ("vm",)
 
@@ -175,7 +180,7 @@
 
 
 class RequestRecords:
-    """All request records of a VM, limited in number and memory.
+    """All request records of an entry VM, limited in number and memory.
 
     Running requests are never dropped; :meth:`open` refuses new ones instead.
 
@@ -252,7 +257,11 @@
         return record if self._store_running(record) else None
 
     def get(self, request_id: str) -> RequestRecord | None:
-        """Return a record of any customer, or None; for internal use only."""
+        """Return the record of a request, or None.
+
+        The customer is not checked, so a record must not be shown to a
+        caller; use :meth:`resume` for callers.
+        """
         running = self._running.get(request_id)
         if running is not None:
             return running
@@ -312,7 +321,10 @@
     def resume(
         self, request_id: str, customer: str, last_event_id: int | None
     ) -> ResumeResult:
-        """Find what a reconnecting caller has to be sent.
+        """Find what has to be sent to a caller that reconnects to a request.
+
+        :param customer: the customer of the caller; the requests of other
+            customers are not found.
 
         :param last_event_id: index of the last token that the caller
             received, or None. After a handover it may be ahead of the record.
--- a/src/apricotlever/requests/recovery.py
+++ b/src/apricotlever/requests/recovery.py
@@ -1,8 +1,10 @@
 """Decides how to continue a stream whose runner leaves or fails.
 
-After an export of the stream's state the next runner computes no token again,
-but an export can take longer than the notice allows. Replaying the prompt and
-the tokens already sent works at any time before the deadline.
+A stream is a request whose tokens are sent to the caller as they are made.
+After an export of its state the next runner computes no token again, but an
+export can take longer than the notice that precedes the reclaim of a runner.
+A replay, which computes the prompt and the tokens already sent again at
+another runner, works at any time before the deadline.
 """
 
 import enum
@@ -17,7 +19,7 @@
 
 
 class RecoveryCause(enum.Enum):
-    """Why a stream needs a decision."""
+    """Why it has to be decided how a stream continues."""
 
     #: The runner's VM will be reclaimed; the stream is still running.
     NOTICE = "notice"
@@ -53,6 +55,9 @@
 class AffectedStream:
     """A stream whose runner leaves or fails. Times are in seconds.
 
+    :param cause: what happened to the runner or the connection to it.
+    :param runner: the runner that has the stream now.
+
     :param priority: priority of the stream's class; higher goes first.
     :param prompt_tokens: length of the prompt, which a replay computes again.
     :param sent_tokens: the tokens sent to the caller, in order.
@@ -129,7 +134,10 @@
 
 
 class ExportTo:
-    """Export the stream from its runner and import it at another runner."""
+    """Decision: export the stream's state and import it at another runner.
+
+    :param runner: the runner that imports the state.
+    """
 
     __slots__ = ("runner",)
 
@@ -138,7 +146,11 @@
 
 
 class Replay:
-    """Replay the prompt and the tokens already sent at another runner."""
+    """Decision: replay the stream at another runner, without its old state.
+
+    :param runner: the runner that computes the stream again.
+    :param resume_tokens: the tokens already sent, which follow the prompt.
+    """
 
     __slots__ = ("runner", "resume_tokens")
 
@@ -150,7 +162,7 @@
 
 
 class Reconnect:
-    """Reconnect to the runner and continue reading the same stream.
+    """Decision: reconnect to the runner and read on in the same stream.
 
     :param first_index: index of the first token to read.
     """
@@ -163,13 +175,13 @@
 
 
 class KeepRunning:
-    """Leave the stream alone: it ends in time or is being moved."""
+    """Decision: leave the stream alone; it ends in time or is being moved."""
 
     __slots__ = ()
 
 
 class Wait:
-    """Decide again after a delay.
+    """Decision: leave the stream as it is and decide again after a delay.
 
     :param seconds: the delay.
     """
@@ -181,7 +193,7 @@
 
 
 class GiveUp:
-    """End the request with an error.
+    """Decision: end the request with an error.
 
     :param executed: whether the upstream ran the request.
     :param retry_after_s: seconds after which the caller may retry.
@@ -202,7 +214,11 @@
 
 
 def decide(situation: AffectedStream) -> RecoveryDecision:
-    """Decide how to continue a single stream."""
+    """Decide how to continue a single stream.
+
+    Streams on runners that are reclaimed together are planned together by
+    :func:`.evacuation.plan_evacuation`.
+    """
     if situation.deadline_s <= 0:
         return _give_up(situation)
     if situation.cause is RecoveryCause.NOTICE:
@@ -222,7 +238,7 @@
 
 
 def pick_target(candidates: typing.Sequence[Candidate]) -> Candidate | None:
-    """Choose the runner with the most free slots.
+    """Choose the runner that takes over a stream: the one with most slots.
 
     Data centres that are not being reclaimed are preferred. A free slot in a
     data centre being reclaimed is better than a queue elsewhere, because a
@@ -243,12 +259,15 @@
 
 
 def ends_in_time(situation: AffectedStream) -> bool:
-    """Return whether the stream ends well before the reclaim."""
+    """Return whether the stream ends well before its runner is reclaimed."""
     return situation.remaining_s * SAFETY_FACTOR < situation.notice_s
 
 
 def export_fits(situation: AffectedStream, delay_s: float = 0.0) -> bool:
-    """Return whether an export ends well before reclaim and deadline.
+    """Return whether an export of the stream's state ends in time.
+
+    It has to end well before the reclaim of the runner and before the
+    request's deadline.
 
     :param delay_s: seconds until the export can start.
     """
--- a/src/apricotlever/requests/stream_cursor.py
+++ b/src/apricotlever/requests/stream_cursor.py
@@ -1,4 +1,8 @@
-"""Merges the tokens of successive attempts into one stream."""
+"""Merges the tokens of a request's successive attempts into one stream.
+
+A request that is moved to another runner starts a new attempt there. The
+caller still has to receive each token exactly once and in order.
+"""
 
 ACCEPTED = 1
 STALE = 0
