--- a/src/apricotlever/catalogue/__init__.py
+++ b/src/apricotlever/catalogue/__init__.py
@@ -1,6 +1,9 @@
 """The catalogue: entries, service classes, customers and limits.
 
-Operators edit it as a JSON document; every edit makes a new version.
+An entry is a model or a plain service that callers may use. A service class
+sets the latency targets, timeouts and priorities of an entry's requests.
+Operators edit the catalogue as a JSON document in the platform's store; every
+edit makes a new version.
 """
 
 from . import model
--- a/src/apricotlever/catalogue/call_patterns.py
+++ b/src/apricotlever/catalogue/call_patterns.py
@@ -1,4 +1,8 @@
-"""Patterns that select calls of a plain service by method and path."""
+"""Patterns that select calls of a plain service by method and path.
+
+A catalogue entry lists with them the calls that are not idempotent, which
+must run at most once.
+"""
 
 import posixpath
 import urllib.parse
@@ -21,7 +25,7 @@
 
     @classmethod
     def from_text(cls, text: str) -> "CallPattern":
-        """Parse ``METHOD /prefix``."""
+        """Parse a pattern in the catalogue's form, ``METHOD /prefix``."""
         method, path_prefix = text.split(" ", 1)
         return cls(method, path_prefix)
 
--- a/src/apricotlever/catalogue/difference.py
+++ b/src/apricotlever/catalogue/difference.py
@@ -16,7 +16,7 @@
 
 
 class Change:
-    """One field that differs.
+    """One field that differs between two catalogue documents.
 
     :param field: the dotted path of the field.
     :param kind: ``ADDED``, ``REMOVED`` or ``CHANGED``.
@@ -41,7 +41,7 @@
 
 
 def changes(before: Json, after: Json) -> tuple[Change, ...]:
-    """List every field that differs.
+    """List every field that differs between two catalogue documents.
 
     :param before: a catalogue document, or part of one.
     :param after: the same part of another catalogue document.
@@ -52,7 +52,9 @@
 
 
 def changed_items(before: Json, after: Json) -> frozenset[tuple[str, str]]:
-    """List the customers, classes and entries that differ.
+    """List the items that differ between two catalogue documents.
+
+    An item is a customer, a service class or an entry.
 
     :param before: a catalogue document.
     :param after: another catalogue document.
--- a/src/apricotlever/catalogue/edit.py
+++ b/src/apricotlever/catalogue/edit.py
@@ -39,7 +39,7 @@
 
 
 class EditStamp:
-    """The author, time and ID of the edit that wrote a version.
+    """The author, time and ID of the edit that wrote a catalogue version.
 
     :param version: the version of the stored object; 0 before it is
         written.
@@ -82,6 +82,10 @@
 
     :param version: the version of the stored object; 0 if there is none.
     :param value: the value of the stored object.
+
+    ``stamp`` belongs to the edit that wrote the version. ``history`` holds
+    the stamps of earlier versions, the latest first, and ``expired`` the
+    numbers of versions that were dropped from the history.
     """
 
     __slots__ = ("version", "value", "stamp", "history", "expired")
@@ -102,7 +106,10 @@
         return without_edit(self.value)
 
     def contains_edit(self, edit_id: str) -> bool:
-        """Whether an edit wrote this version or one in its history."""
+        """Whether an edit wrote this version or one in its history.
+
+        This tells whether an edit whose response was lost took effect.
+        """
         stamps = (self.stamp, *self.history)
         return any(stamp.edit_id == edit_id for stamp in stamps)
 
@@ -126,7 +133,7 @@
 def stored_value(
     document: Json, replaced: StoredVersion, stamp: EditStamp
 ) -> dict[str, Json]:
-    """The object to store in order to put a document in force.
+    """The value to store in order to put a catalogue document in force.
 
     :param document: a catalogue document.
     :param replaced: the version in force, or ``NO_VERSION``.
@@ -149,34 +156,51 @@
 
 
 def without_edit(value: Json) -> dict[str, Json]:
-    """Remove the edit metadata; an empty document if it is no object."""
+    """Remove the metadata of the edit from a stored catalogue.
+
+    :returns: the catalogue document; empty if the value is not an object.
+    """
     if not isinstance(value, dict):
         return {}
     return {name: part for name, part in value.items() if name != EDIT_FIELD}
 
 
 def history_object_name(version: int) -> str:
-    """The name of the stored object with a replaced version."""
+    """The name of the store's object that keeps a replaced version.
+
+    :param version: the replaced version of the catalogue.
+    """
     return f"{HISTORY_PREFIX}{version}"
 
 
 def expected_version(document: Json) -> int | None:
-    """The version on which an edited document is based, None if unknown."""
+    """The catalogue version from which an operator made a document.
+
+    :param document: a document that :func:`editable_document` may have
+        marked with the version.
+    :returns: the version, or None if the document names none.
+    """
     record = document.get(EDIT_FIELD) if isinstance(document, dict) else None
     version = record.get("version") if isinstance(record, dict) else None
     return version if isinstance(version, int) else None
 
 
 def editable_document(version: StoredVersion) -> dict[str, Json]:
-    """The document to edit, marked with the version it is based on."""
+    """The catalogue document for an operator to edit.
+
+    It is marked with its version, which :func:`expected_version` reads.
+    """
     return {**version.document, EDIT_FIELD: {"version": version.version}}
 
 
 def apply_overlay(document: Json, overlay: Json) -> dict[str, Json]:
-    """Add or replace the items of an overlay and keep all others.
+    """Add the items of an overlay to a catalogue document.
+
+    An item of the same name is replaced; all others are kept.
 
     :param document: a complete catalogue document.
     :param overlay: some customers, classes and entries.
+    :returns: the resulting catalogue document.
     """
     parts = without_edit(overlay)
     sections = {
@@ -187,7 +211,7 @@
 
 
 def without_entry(document: Json, name: str) -> dict[str, Json]:
-    """Remove an entry, if the document has it."""
+    """A copy of a catalogue document without the entry of a name."""
     entries = {
         other: entry
         for other, entry in document["entries"].items()
@@ -197,7 +221,10 @@
 
 
 def edits_conflict(base: Json, mine: Json, theirs: Json) -> bool:
-    """Whether two edits conflict: both change the same item.
+    """Whether two edits of the catalogue change the same item.
+
+    An item is a customer, a service class or an entry. Edits of different
+    items can be merged.
 
     :param base: the catalogue document that both edits started from.
     :param mine: the document after one edit.
--- a/src/apricotlever/catalogue/model.py
+++ b/src/apricotlever/catalogue/model.py
@@ -210,7 +210,7 @@
 
 
 class Catalogue:
-    """One version of the catalogue.
+    """One version of the catalogue, with look-ups for admitting requests.
 
     :param version: the version of the stored object; 0 if there is none.
     :param entries: the entries by name.
--- a/src/apricotlever/catalogue/parsing.py
+++ b/src/apricotlever/catalogue/parsing.py
@@ -27,7 +27,7 @@
         self._catalogue = model.EMPTY
 
     def parse(self, document: Json, version: int) -> model.Catalogue:
-        """Validate a document and convert it to a catalogue.
+        """Validate a catalogue document and convert it to the typed model.
 
         After an error, the next document is compared with the last valid
         one. The parser keeps a reference to the document, which the caller
@@ -75,7 +75,7 @@
 
 
 def parse(document: Json, version: int) -> model.Catalogue:
-    """Validate a document and convert it to a catalogue.
+    """Validate a catalogue document and convert it to the typed model.
 
     :param document: parsed JSON.
     :param version: the version of the stored object.
@@ -85,7 +85,9 @@
 
 
 def filled_in(document: Json) -> Json:
-    """Fill in the defaults of a document; an invalid one stays as it is.
+    """Fill in the defaults of a catalogue document.
+
+    An invalid document is returned as it is.
 
     Two documents are compared in this form, so that an omitted default does
     not count as a difference.
@@ -120,6 +122,8 @@
 ) -> dict[str, T]:
     """Parse the changed items of a section and reuse all others.
 
+    :param section: a name in ``difference.SECTIONS``.
+    :param changed: pairs of section and name of the changed items.
     :param parse_item: parses one item, given its name and value.
     :param before: the items of the same section of the last catalogue.
     """
--- a/src/apricotlever/catalogue/schema.py
+++ b/src/apricotlever/catalogue/schema.py
@@ -27,7 +27,7 @@
 
 
 def check(document: Json) -> None:
-    """Validate a document completely.
+    """Validate a catalogue document: its schema, then its references.
 
     :param document: parsed JSON.
     :raises CatalogueInvalid: if fields are invalid; names the fields.
@@ -37,7 +37,7 @@
 
 
 def check_shape(document: Json) -> None:
-    """Validate a document against the JSON schema.
+    """Validate a catalogue document against the JSON schema.
 
     :param document: parsed JSON.
     :raises CatalogueInvalid: if fields violate the schema; names the fields.
@@ -48,7 +48,7 @@
 
 
 def check_references(document: Json) -> None:
-    """Check the rules of a document that the JSON schema can't express.
+    """Check the rules of the catalogue that the JSON schema can't express.
 
     :param document: parsed JSON that conforms to the schema.
     :raises CatalogueInvalid: if fields are invalid; names the fields.
@@ -61,9 +61,10 @@
 
 
 def reference_check(function: Check) -> Check:
-    """Register a check of a rule that a JSON schema can't express.
+    """Register a check of a rule that the JSON schema can't express.
 
-    The check runs only on documents that conform to the schema.
+    :param function: yields the faults that it finds in a catalogue document;
+        it is called only with documents that conform to the schema.
     """
     _checks.append(function)
     return function
--- a/src/apricotlever/clock.py
+++ b/src/apricotlever/clock.py
@@ -9,7 +9,7 @@
 
 
 class Clock(typing.Protocol):
-    """The interface of a clock."""
+    """The interface of the clocks that time-dependent code is given."""
 
     def now(self) -> float:
         """Monotonic time in seconds since an arbitrary origin."""
--- a/src/apricotlever/histograms.py
+++ b/src/apricotlever/histograms.py
@@ -1,5 +1,8 @@
 """Latency histograms for each measure, customer and service class.
 
+The measures are the time to the first token, the time between two tokens and
+the time of a whole answer.
+
 Values are recorded in microseconds, to two significant digits, from 1 us to
 1 h. Unlike averages and percentiles, the histograms of several VMs can be
 merged without loss.
@@ -81,7 +84,7 @@
 
     @property
     def encoded(self) -> Encoded:
-        """The JSON form, the input of :func:`merge`."""
+        """The histogram in JSON form, as :func:`merge` reads it."""
         with self._lock:
             text = self._histogram.encode().decode("ascii")
         return {
@@ -165,9 +168,9 @@
 class Histograms:
     """All histograms of one VM.
 
-    At most ``maximum`` keys have a histogram of their own. For any further
-    key, customer and class are replaced by ``OVERFLOW_NAME``, so memory
-    stays bounded.
+    A key is a measure, a customer and a service class. At most ``maximum``
+    keys have a histogram of their own. For any further key, customer and
+    class are replaced by ``OVERFLOW_NAME``, so memory stays bounded.
 
     :param maximum: the number of keys with a histogram of their own.
     """
@@ -184,7 +187,8 @@
     ) -> Distribution:
         """The histogram of a key, created if there is none.
 
-        A caller that records many values keeps it and saves the look-ups.
+        A caller that records many values keeps the returned histogram and
+        saves the look-ups.
         """
         key = (measure, customer, service_class)
         found = self._by_key.get(key)
--- a/src/apricotlever/mailbox.py
+++ b/src/apricotlever/mailbox.py
@@ -27,7 +27,10 @@
 
 
 class Deferred:
-    """Returned by a handler that completes the message's future later."""
+    """What a handler returns if it completes the message's future later.
+
+    The handler gets the future from :meth:`Task.defer`.
+    """
 
     __slots__ = ()
 
@@ -50,7 +53,10 @@
 
 
 class _Envelope:
-    """A message with the future for its handler's result, if any."""
+    """A message in a task's queue, with the future for its result, if any.
+
+    A message without content ends a wait that found no message in time.
+    """
 
     __slots__ = ("message", "future")
 
--- a/src/apricotlever/refusals.py
+++ b/src/apricotlever/refusals.py
@@ -14,7 +14,10 @@
 
 
 class Executed(enum.Enum):
-    """Whether an upstream ran the request."""
+    """Whether an upstream ran the request that is refused.
+
+    ``NO`` is a guarantee; ``UNKNOWN`` means that it may have run.
+    """
 
     YES = "yes"
     NO = "no"
@@ -156,7 +159,7 @@
         return self._request_id
 
     def for_request(self, request_id: str) -> "Refusal":
-        """A copy of this refusal with the ID of a request.
+        """A copy of this refusal that names the request it answers.
 
         :param request_id: the ID that the entry VM assigned.
         """
--- a/src/apricotlever/settings.py
+++ b/src/apricotlever/settings.py
@@ -139,7 +139,7 @@
 
 
 def parse(document: Json) -> Settings:
-    """Validate parsed JSON and convert it to settings.
+    """Validate a settings document and convert it to :class:`Settings`.
 
     :param document: parsed JSON.
     :raises SettingsInvalid: if fields are invalid; names the fields.
--- a/src/apricotlever/timing.py
+++ b/src/apricotlever/timing.py
@@ -18,7 +18,8 @@
     :param platform_timeout_s: the timeout of a call to the platform, other
         than a watch.
     :param watch_s: the time for which a watch waits for an event.
-    :param lease_s: the duration of the lease of a duty.
+    :param lease_s: the duration of the lease of a duty, which is a task that
+        one VM at a time performs for the fleet.
     :param order_timeout_s: the timeout of an order to a runner.
     :param load_poll_s: the interval between two readings of the load of a
         runner.
--- a/src/apricotlever/validation.py
+++ b/src/apricotlever/validation.py
@@ -1,8 +1,8 @@
 """Validation of values that come from a store or over the network.
 
 Such a value may have any type: another program may have written it, or it
-may have been corrupted. An invalid value that is not rejected where it
-arrives causes an error in unrelated code later, which fails with it.
+may have been corrupted. If an invalid value is not rejected where it arrives,
+unrelated code that uses it later fails.
 """
 
 import math
