--- a/src/apricotlever/roll_outs/canary_analysis.py
+++ b/src/apricotlever/roll_outs/canary_analysis.py
@@ -1,4 +1,7 @@
-"""Decides whether a new version is worse than the old one.
+"""Decides whether the new version of a service is worse than the old one.
+
+The inputs are counts of calls and failures, and response times, by runner and
+route of each version. The result is a finding if there is enough evidence.
 
 Both versions are compared over the same period, since a burst, an outage or a
 slow store affects both. A fault of a single runner is ignored: it is not
@@ -25,7 +28,7 @@
 
 
 class Thresholds:
-    """Evidence required to consider a version bad.
+    """Evidence required to consider the new version of a service bad.
 
     :param failures: log-likelihood ratio of different failure rates to a
         common failure rate.
@@ -48,9 +51,11 @@
 
 
 class Finding:
-    """Why a version is considered bad.
+    """The evidence for which the new version of a service is considered bad.
 
-    :param reason: ``failures``, ``first_answers`` or ``whole_answers``.
+    :param reason: what is worse: ``failures`` for the failure rate, or
+        ``first_answers`` or ``whole_answers`` for the time to the first or
+        the last byte of the answers.
     :param route: the affected route; "" for all routes together.
     :param new: failure rate of the new version, or its response time relative
         to the old version's.
@@ -75,11 +80,15 @@
     new: typing.Mapping[tuple[str, str], samples.Sample],
     thresholds: Thresholds = REPEATED_CHECK,
 ) -> Finding | None:
-    """Compare the new version with the old one.
+    """Compare the calls of a service's new version with those of the old one.
+
+    Failures are compared over all routes together and for each route,
+    response times for each route only.
 
     :param old: samples of the old version by route.
     :param new: samples of the new version by runner and route.
-    :returns: the first finding; None if there is none.
+    :param thresholds: the evidence required for a finding.
+    :returns: the first finding; None if there is not enough evidence.
     """
     routes = sorted({route for _, route in new})
     runners = sorted({runner for runner, _ in new})
--- a/src/apricotlever/roll_outs/controller.py
+++ b/src/apricotlever/roll_outs/controller.py
@@ -1,9 +1,10 @@
 """Controls the roll-outs of all services on one entry VM.
 
-Each VM receives the orders from the store or from other VMs, follows the same
-schedule, and evaluates the fleet-wide counts. Any VM can therefore stop
-traffic to a bad version without waiting for another VM. Only the lease holder
-writes the result to the store.
+A roll-out moves a service to a new version, step by step. Each VM receives
+the orders from the store or from other VMs, follows the same schedule, and
+evaluates the fleet-wide counts of calls. Any VM can therefore stop traffic to
+a bad version without waiting for another VM. Only the lease holder writes the
+result to the store.
 """
 
 import random
@@ -40,7 +41,7 @@
 
 
 class Result:
-    """The state to write to the store for an order."""
+    """The state to write to the store as the status of a roll-out order."""
 
     __slots__ = ("order", "state")
 
@@ -52,7 +53,12 @@
 
 
 class RollOutController:
-    """Tracks the roll-outs on one VM.
+    """Tracks the roll-outs of all services, as one VM knows them.
+
+    It tells which runners take calls, which calls go to a new version, and
+    which results are to be written to the store.
+
+    :param rng: decides which calls go to a new version.
 
     :param limits: limits on the exposure to a bad version.
     """
@@ -81,12 +87,15 @@
 
     @property
     def orders(self) -> list[model.RollOutOrder]:
-        """All orders, for distribution to the other VMs."""
+        """The newest order of each service, to be sent to the other VMs."""
         return [each.order for each in self._by_service.values()]
 
     @property
     def own_samples(self) -> samples.Records:
-        """Counts of this VM, for distribution to the other VMs."""
+        """This VM's call counts of running roll-outs, for the other VMs.
+
+        They are serialized and keyed by the text of their sample key.
+        """
         return {
             key.text: sample.to_record()
             for each in self._running()
@@ -94,12 +103,15 @@
         }
 
     def order(self, service: str) -> model.RollOutOrder | None:
-        """The newest order for a service; None without any."""
+        """The newest roll-out order for a service; None without any."""
         roll_out = self._by_service.get(service)
         return roll_out.order if roll_out else None
 
     def merge_order(self, order: model.RollOutOrder) -> bool:
-        """Merge an order received from the store or another VM.
+        """Merge a roll-out order received from the store or another VM.
+
+        An order for another version starts a new roll-out of the service if
+        it is the newer one.
 
         :returns: whether anything changed.
         """
@@ -124,8 +136,12 @@
         return True
 
     def withdraw_order(self, service: str, revision: int) -> bool:
-        """Handle the deletion of a service's order.
+        """Withdraw a service's order after its deletion from the store.
+
+        An order in a final state is left as it is.
 
+        :param revision: the revision to record for the withdrawal; ignored if
+            the order's own is higher.
         :returns: whether anything changed.
         """
         roll_out = self._by_service.get(service)
@@ -136,7 +152,10 @@
         return self.merge_order(order)
 
     def set_runners(self, runners: typing.Iterable[Runner]) -> None:
-        """Replace the list of runners."""
+        """Update the old and new runners of all roll-outs, and the canaries.
+
+        :param runners: all runners known to this VM.
+        """
         by_service: dict[str, list[Runner]] = {}
         for runner in runners:
             if runner.service in self._by_service and not runner.leaving:
@@ -154,7 +173,11 @@
             roll_out.select_canaries()
 
     def role(self, runner: Runner) -> model.RunnerRole:
-        """The role of a runner in the roll-out of its service."""
+        """The role of a runner in the roll-out of its service.
+
+        It tells whether the runner takes calls, and of which kind. Without a
+        roll-out, every runner is serving.
+        """
         service = runner.service
         roll_out = self._by_service.get(service)
         if roll_out is None:
@@ -186,6 +209,7 @@
     ) -> bool:
         """Decide at random whether a call goes to the new version.
 
+        :param service: the service that the call is for.
         :param route: route of the call.
         :param is_retry: whether the call is a retry. A retry goes to the old
             version, which is proven, until the takeover.
@@ -259,7 +283,9 @@
                 roll_out.fleet_counts[key] = samples.Sample.from_record(record)
 
     def tick(self) -> bool:
-        """Evaluate all running roll-outs.
+        """Advance all running roll-outs and compare their versions.
+
+        A roll-out whose new version is found to be worse fails.
 
         :returns: whether the role of any runner changed.
         """
@@ -276,7 +302,9 @@
         return changed
 
     def _advance(self, roll_out: progress.RollOut) -> bool:
-        """Follow the schedule.
+        """Move a roll-out to the slot and phase that its schedule gives now.
+
+        Before the takeover, the new version is evaluated a last time.
 
         :returns: whether the role of any runner changed.
         """
@@ -300,10 +328,11 @@
     def due_results(
         self, in_flight: typing.Callable[[frozenset[str]], int]
     ) -> list[Result]:
-        """The states that the lease holder has to write.
+        """The states of roll-outs that the lease holder has to write.
 
-        :param in_flight: returns the calls in flight of all VMs at the given
-            runners.
+        :param in_flight: returns the number of calls of all VMs that are in
+            flight at the given runners. A takeover is completed early when
+            the old runners have none left.
         """
         results = []
         for roll_out in self._by_service.values():
@@ -364,7 +393,11 @@
         )
 
     def _supersede(self, roll_out: progress.RollOut) -> None:
-        """Handle the replacement of an order by another one."""
+        """Handle the replacement of an order by one for another version.
+
+        Runners of the old order's version are excluded from calls, unless
+        its roll-out was completed.
+        """
         order = roll_out.order
         if order.state is not model.RollOutState.COMPLETED:
             rejected = self._rejected_versions.setdefault(order.service, set())
--- a/src/apricotlever/roll_outs/model.py
+++ b/src/apricotlever/roll_outs/model.py
@@ -1,4 +1,7 @@
-"""Roll-out orders and their state."""
+"""Roll-out orders, their state, and the roles of runners in a roll-out.
+
+A roll-out moves a service to a new version while both versions take calls.
+"""
 
 import enum
 import typing
@@ -7,7 +10,7 @@
 
 
 class RollOutState(enum.IntEnum):
-    """State of a roll-out; merging keeps the higher value."""
+    """State of a roll-out; merging two states keeps the higher value."""
 
     #: A share of the calls goes to the new version.
     RUNNING = 0
@@ -22,7 +25,7 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether the result needs no further write to the store."""
+        """Whether the roll-out has ended and needs no write to the store."""
         return self >= RollOutState.COMPLETED
 
 
@@ -53,6 +56,9 @@
 class RollOutOrder:
     """An order to move a service to another version.
 
+    :param service: the name of the service.
+    :param version: the version to move to.
+
     :param revision: the latest known revision of the order in the store.
     :param started_at: time at which the first VM received the order, in
         seconds since 1970.
@@ -87,8 +93,9 @@
     def merge(self, other: "RollOutOrder") -> "RollOutOrder":
         """Merge with another order for the same service.
 
-        The result of several merges does not depend on their sequence, so
-        that all VMs reach the same order.
+        Of orders for different versions, the one with the higher revision is
+        kept. The result of several merges does not depend on their sequence,
+        so that all VMs reach the same order.
         """
         if other.version != self.version:
             return other if other.revision > self.revision else self
@@ -121,7 +128,7 @@
         return self.to_record() == other.to_record()
 
     def to_record(self) -> list[typing.Any]:
-        """Serialize the order for another entry VM."""
+        """Serialize the order as a list of JSON values for other entry VMs."""
         fields = [getattr(self, name) for name in self.__slots__]
         return [*fields[:-1], int(self.state)]
 
@@ -154,7 +161,7 @@
 
 
 def is_order_record(value: typing.Any) -> bool:
-    """Whether a value is a valid record of an order."""
+    """Whether a value is a valid record of :meth:`RollOutOrder.to_record`."""
     try:
         RollOutOrder.from_record(value)
     except validation.Misshapen:
--- a/src/apricotlever/roll_outs/progress.py
+++ b/src/apricotlever/roll_outs/progress.py
@@ -10,20 +10,27 @@
 from . import samples
 from . import schedule
 
-#: Recent time windows that are evaluated in addition to the totals, in
-#: seconds. The totals alone would delay the detection of a fault that starts
-#: late.
+#: Lengths of the recent time windows whose calls are evaluated in addition to
+#: all calls of the roll-out, in seconds. All calls alone would delay the
+#: detection of a fault that starts late.
 WINDOWS_S = (1.5, 4.0)
-#: Minimum time between two snapshots of the counts, in seconds.
+#: Minimum time between two snapshots of the call counts, in seconds. The calls
+#: of a recent window are the difference from a snapshot.
 SNAPSHOT_INTERVAL_S = 0.4
-#: Drain time as a multiple of the mean duration of the slowest route.
+#: Time allowed for the old runners to finish their calls, as a multiple of the
+#: mean duration of the slowest route.
 DRAIN_FACTOR = 3.0
 
 Counts = dict[samples.SampleKey, samples.Sample]
 
 
 class RollOut:
-    """An order and its progress.
+    """A roll-out order and its progress, as one VM knows them.
+
+    ``old_runners`` and ``new_runners`` are the runners of the old and the new
+    version; ``canaries`` are the new ones that take calls in the present time
+    ``slot``. ``own_counts`` are the calls sent by this VM, ``fleet_counts``
+    those of all VMs. ``phase`` is the phase of the last evaluation.
 
     The attribute ``stopped_runners`` holds the runners that were old when the
     roll-out was completed; they have stopped.
@@ -89,7 +96,10 @@
         self.canaries = frozenset(ranked[:count])
 
     def update_drain_time(self) -> None:
-        """Estimate the drain time of the old runners from call durations."""
+        """Set how long the old runners need to finish their calls.
+
+        The time is estimated from the durations of calls at the old version.
+        """
         longest = max(
             (
                 sample.last_byte.mean
@@ -102,10 +112,13 @@
             self.schedule.set_drain_time(DRAIN_FACTOR * math.exp(longest))
 
     def evaluate(self, now: float) -> canary_analysis.Finding | None:
-        """Evaluate the new version by the totals and the recent windows.
+        """Check whether the service's new version is worse than the old one.
+
+        The fleet-wide calls since the start of the roll-out are compared, and
+        then those of each window in :data:`WINDOWS_S`.
 
         :param now: time of a monotonic clock, in seconds.
-        :returns: the first finding; None if there is none.
+        :returns: the first finding; None if there is no evidence.
         """
         all_counts = [
             self.fleet_counts,
@@ -115,11 +128,22 @@
         return next(filter(None, map(_evaluate_counts, all_counts)), None)
 
     def evaluate_final(self) -> canary_analysis.Finding | None:
-        """Evaluate the new version for the last time before the takeover."""
+        """Check the service's new version a last time before its takeover.
+
+        All fleet-wide calls are compared, with lower thresholds than in
+        :meth:`evaluate`.
+
+        :returns: the first finding; None if there is no evidence.
+        """
         return _evaluate_counts(self.fleet_counts, canary_analysis.FINAL_CHECK)
 
     def _recent_counts(self, now: float, window_s: float) -> Counts:
-        """The counts of a recent time window."""
+        """The fleet-wide counts of the calls in a recent time window.
+
+        :param now: time of a monotonic clock, in seconds.
+        :param window_s: minimum length of the window, in seconds.
+        :returns: the counts; empty if no snapshot is that old.
+        """
         before: Counts = {}
         for taken_at, counts in self._history:
             if now - taken_at < window_s:
--- a/src/apricotlever/roll_outs/samples.py
+++ b/src/apricotlever/roll_outs/samples.py
@@ -1,4 +1,7 @@
-"""Counts of calls at the old and the new version, by runner and route.
+"""Counts of calls at the old and the new version of a service in a roll-out.
+
+A sample holds the calls, failures and response times of one route, at one
+runner of the new version or at all runners of the old one.
 
 All values are monotonic sums, so the values of many VMs can be added in any
 order and grouping.
@@ -16,11 +19,13 @@
 
 
 class SampleKey(typing.NamedTuple):
-    """Identifies a sample.
+    """Identifies a sample among those of all roll-outs.
 
+    :param service: the service of the roll-out.
     :param version: target version of the roll-out.
     :param runner: ID of a runner of that version; :data:`OLD_VERSION` for all
         runners of the old version.
+    :param route: the route of the calls.
     """
 
     service: str
@@ -30,7 +35,7 @@
 
     @property
     def text(self) -> str:
-        """The serialized key."""
+        """The key as text, for exchange between entry VMs."""
         return "\n".join(self)
 
     @classmethod
@@ -44,7 +49,12 @@
 
 
 class TimeSums:
-    """Sums of the logarithms of times, for their mean and variance."""
+    """Sums of the logarithms of response times, for mean and variance.
+
+    :param count: number of times.
+    :param total: sum of their logarithms.
+    :param squares: sum of the squares of their logarithms.
+    """
 
     __slots__ = ("count", "total", "squares")
 
@@ -63,7 +73,7 @@
         self.squares += logarithm * logarithm
 
     def plus(self, other: "TimeSums") -> "TimeSums":
-        """The sums of both."""
+        """The sums over the times of both objects."""
         return TimeSums(
             self.count + other.count,
             self.total + other.total,
@@ -95,7 +105,7 @@
 
 
 class Sample:
-    """Calls at one version, or at one of its runners, on one route.
+    """The calls of one route at one version of a service, or at one runner.
 
     :param calls: calls sent.
     :param ended: calls that were answered or failed.
@@ -121,7 +131,7 @@
         self.last_byte = last_byte or TimeSums()
 
     def plus(self, other: "Sample") -> "Sample":
-        """The sums of both."""
+        """The sample with the calls of both objects."""
         return Sample(
             self.calls + other.calls,
             self.ended + other.ended,
@@ -147,7 +157,7 @@
         )
 
     def to_record(self) -> list[float]:
-        """Serialize the sample for another entry VM."""
+        """Serialize the sample as a list of numbers for other entry VMs."""
         return [
             self.calls,
             self.ended,
@@ -188,7 +198,11 @@
 def sum_records(
     parts: typing.Iterable[typing.Mapping[str, Record]],
 ) -> Records:
-    """Add up records by key."""
+    """Add up the serialized samples of several VMs by key.
+
+    :param parts: for each VM, records of :meth:`Sample.to_record` by the
+        text of their :class:`SampleKey`.
+    """
     sums: Records = {}
     for part in parts:
         for key, record in part.items():
@@ -202,7 +216,7 @@
 
 
 def sum_samples(samples: typing.Iterable[Sample]) -> Sample:
-    """Add up samples."""
+    """Add up samples; without any, the sum is an empty sample."""
     total = Sample()
     for sample in samples:
         total = total.plus(sample)
--- a/src/apricotlever/roll_outs/schedule.py
+++ b/src/apricotlever/roll_outs/schedule.py
@@ -1,5 +1,8 @@
 """Computes the traffic share of a new version and the time of its takeover.
 
+The new version of a service is introduced by a roll-out with a time limit and
+a limit on the calls that a bad version may receive, the exposure limit.
+
 At first only a few new runners, the canaries, take calls. Each canary gets as
 many calls as an old runner, since some faults occur only under load. If that
 would exceed the exposure limit, canaries take calls for only part of each
@@ -50,7 +53,13 @@
 
 
 class Phase(enum.Enum):
-    """Phase of a roll-out, by elapsed time."""
+    """Phase of a roll-out, by the time elapsed since its start.
+
+    In the first phase, canaries take a share of the calls. In the second, the
+    new version takes all calls, if it has had enough calls and has enough
+    runners, and the old runners finish theirs. In the last one, the result
+    has to be written.
+    """
 
     CANARY = "canary"
     TAKE_OVER = "take_over"
@@ -58,7 +67,7 @@
 
 
 class Progress:
-    """Numbers of calls and runners of a roll-out.
+    """Fleet-wide numbers of calls and runners of a roll-out.
 
     :param new_calls: number of calls sent to the new version.
     :param calls_by_route: number of calls sent to both versions, by route.
@@ -89,7 +98,10 @@
 
     @property
     def may_take_over(self) -> bool:
-        """Whether the new version has enough calls and runners."""
+        """Whether the new version has enough calls and runners to take over.
+
+        Without enough calls, a fault could have gone undetected.
+        """
         return (
             self.new_calls >= MIN_CALLS
             and self.new_runners >= MIN_RUNNER_RATIO * self.old_runners
@@ -97,9 +109,10 @@
 
 
 class Schedule:
-    """The schedule of one roll-out.
+    """The phases and traffic shares of one roll-out over its duration.
 
     :param duration_s: time limit in seconds, counted from the start.
+    :param limits: limits on the exposure to a bad version.
     """
 
     __slots__ = ("_limits", "_duration_s", "_drain_s")
@@ -121,15 +134,16 @@
         return max(0.0, self.due_s - self._drain_s)
 
     def set_drain_time(self, drain_s: float) -> None:
-        """Set the expected drain time of the old runners in seconds.
+        """Set how long the old runners need to finish their calls, in seconds.
 
-        The value is clamped to the limits of the drain time.
+        The takeover is that much earlier than the result is due. The value
+        is clamped to the limits of the drain time.
         """
         limit = self._max_drain_s
         self._drain_s = min(limit, max(MIN_DRAIN_S, drain_s))
 
     def phase(self, elapsed_s: float) -> Phase:
-        """The phase at a time.
+        """The phase of the roll-out at a time.
 
         :param elapsed_s: time since the start of the roll-out, in seconds.
         """
@@ -172,7 +186,10 @@
         )
 
     def slot(self, elapsed_s: float) -> int:
-        """The number of the current slot."""
+        """The number of the slot of :data:`SLOT_S` seconds at a time.
+
+        :param elapsed_s: time since the start of the roll-out, in seconds.
+        """
         return int(elapsed_s // SLOT_S)
 
     @property
