--- a/src/apricotlever/links/_http_client.py
+++ b/src/apricotlever/links/_http_client.py
@@ -67,7 +67,7 @@
 
 
 class _Connection:
-    """A connection with its opening time and its number of exchanges."""
+    """An HTTP connection, its opening time and its number of exchanges."""
 
     __slots__ = ("http", "opened_at", "exchange_count")
 
--- a/src/apricotlever/links/_platform_client.py
+++ b/src/apricotlever/links/_platform_client.py
@@ -1,6 +1,6 @@
 """Base class of the clients of the platform's services.
 
-It turns HTTP responses and failures into the errors of
+The class turns HTTP responses and failures into the errors of
 :mod:`.platform_errors`, inside ``returns.result.Failure``.
 """
 
@@ -65,7 +65,9 @@
     def _read(
         self, path: str, decoder: Decoder[T], wait_s: float = 0.0
     ) -> platform_errors.Outcome[T]:
-        """Send a read; a lost response is ``Unavailable``.
+        """Send a read to the service and decode its JSON response.
+
+        A lost response is ``Unavailable``, since a read has no effect.
 
         :param path: path with query.
         :param decoder: turns the parsed JSON into the result.
@@ -87,7 +89,9 @@
         decoder: Decoder[T],
         headers: dict[str, str] | None = None,
     ) -> platform_errors.Outcome[T]:
-        """Send a write; a lost response is ``Ambiguous``.
+        """Send a write to the service and decode its JSON response.
+
+        A lost response is ``Ambiguous``: the write may have taken effect.
 
         :param method: HTTP method.
         :param path: path with query.
--- a/src/apricotlever/links/_waitress_server.py
+++ b/src/apricotlever/links/_waitress_server.py
@@ -1,4 +1,4 @@
-"""Subclasses of waitress's server, channel and task for callers.
+"""Subclasses of waitress's server, channel and task, for callers' requests.
 
 They time out slow requests, refuse calls when the queue for threads is full,
 and let a handler write a stream from another thread.
--- a/src/apricotlever/links/caller_routes.py
+++ b/src/apricotlever/links/caller_routes.py
@@ -1,4 +1,4 @@
-"""Routing of calls to handlers by method and path."""
+"""Finds the handler of a caller's HTTP request by its method and path."""
 
 import re
 import typing
@@ -9,7 +9,7 @@
 
 
 class _Route:
-    """A path pattern with its methods and its handler."""
+    """A row of the routing table: path pattern, methods and handler."""
 
     __slots__ = ("pattern", "methods", "handler")
 
@@ -55,6 +55,7 @@
         """Find the handler of a call and the arguments from its path.
 
         :param call: the call to route.
+        :returns: the handler, and the groups of the pattern that matched.
         :raises Refusal: when no route matches the path, or none of those
             that match it allows the method.
         """
--- a/src/apricotlever/links/caller_server.py
+++ b/src/apricotlever/links/caller_server.py
@@ -82,7 +82,7 @@
 
 
 class Reply:
-    """The response to a call.
+    """The response to a call whose body is given with it.
 
     :param status: HTTP status code.
     :param headers: names and values.
@@ -171,9 +171,9 @@
 
 
 def refusal_reply(refusal: refusals.Refusal) -> Reply:
-    """Make the response for a refusal.
+    """Make the response that reports a refusal to the caller.
 
-    :param refusal: the error that the caller is told.
+    :param refusal: the error that the caller gets in place of an answer.
     """
     return Reply(refusal.kind.status, refusal.headers(), refusal.body())
 
--- a/src/apricotlever/links/cloud_api.py
+++ b/src/apricotlever/links/cloud_api.py
@@ -1,4 +1,7 @@
-"""Client of the platform's cloud API."""
+"""Client of the platform's cloud API, which starts and reclaims VMs.
+
+Reclaimable VMs may be taken back by the cloud; a reclaim notice announces it.
+"""
 
 import typing
 import urllib.parse
--- a/src/apricotlever/links/object_api.py
+++ b/src/apricotlever/links/object_api.py
@@ -1,4 +1,9 @@
-"""Client of the platform's object API."""
+"""Client of the platform's object API, a store of versioned JSON objects.
+
+Revisions number the store's writes; the version of an object is the revision
+of its last write. A write names the version that it replaces, so that no
+other write is overwritten unseen.
+"""
 
 import collections.abc
 import typing
@@ -227,7 +232,14 @@
     shows: ShowsWrite,
     outcome: platform_errors.Outcome[PlatformObject],
 ) -> platform_errors.Outcome[PlatformObject] | None:
-    """Derive the outcome of an ambiguous write; None to repeat the write."""
+    """Derive the outcome of an ambiguous write from a read of its object.
+
+    :param seen: the result of the read.
+    :param expected_version: the version that the write was to replace.
+    :param shows: tells whether an object holds the result of the write.
+    :param outcome: the failure of the write.
+    :returns: the outcome, or None to repeat the write, which had no effect.
+    """
     match seen:
         case result.Success(stored):
             if shows(stored):
--- a/src/apricotlever/links/openai_format.py
+++ b/src/apricotlever/links/openai_format.py
@@ -20,7 +20,7 @@
 
 
 class ModelRequest:
-    """A caller's request for a completion.
+    """A caller's request to a model for a completion.
 
     :param document: the parsed body.
     :param chat: whether the request is a chat completion.
--- a/src/apricotlever/links/peer_channels.py
+++ b/src/apricotlever/links/peer_channels.py
@@ -17,7 +17,10 @@
 
 
 class CachedChannel:
-    """A channel with its opening time and its number of active calls."""
+    """A channel to a peer, its opening time and its number of active calls.
+
+    A retired channel takes no new call and is closed after its last one.
+    """
 
     __slots__ = ("channel", "opened_at", "active_calls", "is_retired")
 
--- a/src/apricotlever/links/platform_errors.py
+++ b/src/apricotlever/links/platform_errors.py
@@ -1,4 +1,8 @@
-"""Errors of calls to the platform."""
+"""Errors of calls to the platform's services.
+
+They tell whether a call may have taken effect, which decides whether it may
+be repeated.
+"""
 
 import typing
 
@@ -31,7 +35,7 @@
 
 
 class Ambiguous(PlatformError):
-    """The request may have been sent, and no valid answer arrived.
+    """A write may have been sent, and no valid answer arrived.
 
     The write may have taken effect, or may still do so.
     """
@@ -91,7 +95,10 @@
 
 
 class Compacted(PlatformError):
-    """The revision to watch from was compacted: list, then watch again."""
+    """The store has dropped the changes after the revision to watch from.
+
+    The objects have to be listed before they are watched again.
+    """
 
     kind = "compacted"
 
--- a/src/apricotlever/links/stream_loop.py
+++ b/src/apricotlever/links/stream_loop.py
@@ -22,7 +22,9 @@
 
 
 class _Stream:
-    """A stream that the loop reads; the parameters are as for ``read``.
+    """A stream that the loop reads.
+
+    The other parameters are those of :meth:`StreamLoop.read`.
 
     :param last_data_at: when data last arrived, by the loop's clock.
     """
--- a/src/apricotlever/links/upstream_errors.py
+++ b/src/apricotlever/links/upstream_errors.py
@@ -1,10 +1,14 @@
-"""Errors of exchanges with upstreams."""
+"""Errors of HTTP exchanges with upstreams.
+
+Each tells whether the upstream may have seen the request, which decides
+whether a call that must run at most once may be sent again.
+"""
 
 from .. import errors
 
 
 class UpstreamError(errors.ApricotleverError):
-    """An exchange ended without a complete response.
+    """An exchange with an upstream ended without a complete response.
 
     :param message: describes the failure, for the log.
     :param sent: whether the upstream may have seen the request.
--- a/src/apricotlever/links/upstream_pool.py
+++ b/src/apricotlever/links/upstream_pool.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams and a pool of idle ones."""
+"""HTTP connections to upstreams, and a pool that keeps idle ones for reuse."""
 
 from http import client as http
 import queue
@@ -50,7 +50,7 @@
 
 
 class PooledConnection:
-    """An idle connection and when it was opened."""
+    """An idle connection to an upstream and when it was opened."""
 
     __slots__ = ("connection", "opened_at")
 
--- a/src/apricotlever/links/weight_store.py
+++ b/src/apricotlever/links/weight_store.py
@@ -1,4 +1,7 @@
-"""Client of the platform's rate-limited weight store."""
+"""Client of the platform's weight store, which holds models' weights.
+
+The store limits the rate of its calls. A lease permits loading a model.
+"""
 
 import typing
 import urllib.parse
