--- a/src/apricotlever/catalogue/difference.py
+++ b/src/apricotlever/catalogue/difference.py
@@ -36,7 +36,7 @@
 
     @property
     def document(self) -> dict[str, Json]:
-        """The change as JSON."""
+        """The change as a JSON object with these attributes."""
         return {name: getattr(self, name) for name in Change.__slots__}
 
 
--- a/src/apricotlever/catalogue/edit.py
+++ b/src/apricotlever/catalogue/edit.py
@@ -68,7 +68,7 @@
 
     @property
     def document(self) -> dict[str, Json]:
-        """The stamp as JSON."""
+        """The stamp as a JSON object, as :meth:`from_document` reads it."""
         return {
             "version": self.version,
             "id": self.edit_id,
@@ -115,7 +115,9 @@
 
 
 def _edit_record(value: Json) -> dict[str, Json]:
-    """The edit metadata of a stored object; empty if missing or invalid.
+    """The metadata of the edit in a stored catalogue.
+
+    It is empty if missing or invalid.
 
     Another tool may have written the object. Its document is used all the
     same; only the history starts again.
--- a/src/apricotlever/catalogue/parsing.py
+++ b/src/apricotlever/catalogue/parsing.py
@@ -99,7 +99,7 @@
 
 
 def _changed_part(document: Json, changed: ChangedItems | None) -> Json:
-    """Reduce the sections of a document to the changed items."""
+    """Reduce the sections of a catalogue document to the changed items."""
     if changed is None:
         return document
     sections = {
--- a/src/apricotlever/catalogue/serialization.py
+++ b/src/apricotlever/catalogue/serialization.py
@@ -33,7 +33,14 @@
     classes: "collections.abc.Mapping[str, model.ServiceClass]",
     entries: "collections.abc.Mapping[str, model.Entry]",
 ) -> dict[str, Json]:
-    """Convert a catalogue to JSON, with each section sorted by name."""
+    """Convert a catalogue to the JSON document that operators edit.
+
+    The items of each section are sorted by name.
+
+    :param customers: the customers by name.
+    :param classes: the service classes by name.
+    :param entries: the entries by name.
+    """
     return {
         "customers": _sorted_documents(
             customers, lambda c: _set_fields(c, CUSTOMER_FIELDS)
--- a/src/apricotlever/documents.py
+++ b/src/apricotlever/documents.py
@@ -26,7 +26,7 @@
 
 
 class Fault:
-    """One validation error in a document.
+    """One validation error in a JSON document.
 
     :param field: dotted path of the field, empty for the whole document.
     :param value: the value found there.
@@ -49,7 +49,7 @@
 
 
 class DocumentInvalid(errors.ApricotleverError):
-    """A document was rejected.
+    """A JSON document was rejected because some of its fields are invalid.
 
     :param kind: the kind of document, for the message.
     :param faults: the validation errors, at least one.
--- a/src/apricotlever/histograms.py
+++ b/src/apricotlever/histograms.py
@@ -95,7 +95,7 @@
         }
 
     def record_us(self, microseconds: int) -> None:
-        """Record a value, clamped to the range of the histogram.
+        """Record a latency in microseconds, clamped to the histogram's range.
 
         Recording increments a bucket and a total in two steps. Without the
         lock, concurrent threads would lose counts and leave the total
@@ -201,7 +201,13 @@
         service_class: str,
         seconds: float,
     ) -> None:
-        """Record one value in the histogram of a key."""
+        """Record a latency in the histogram of its measure and its origin.
+
+        :param measure: one of ``MEASURES``.
+        :param customer: the name of the customer.
+        :param service_class: the name of the service class.
+        :param seconds: the latency.
+        """
         handle = self.distribution(measure, customer, service_class)
         handle.record_us(int(seconds * _US_PER_S))
 
--- a/src/apricotlever/links/_http_client.py
+++ b/src/apricotlever/links/_http_client.py
@@ -33,7 +33,7 @@
 
 
 class ExchangeFailed(errors.ApricotleverError):
-    """An exchange ended without a complete response."""
+    """An HTTP exchange ended without a complete response."""
 
 
 class RequestNotSent(ExchangeFailed):
@@ -95,7 +95,7 @@
 
 
 class _ThreadConnection(threading.local):
-    """The connection of the current thread."""
+    """The current thread's connection to the server, or None."""
 
     connection: _Connection | None = None
 
--- a/src/apricotlever/links/_platform_client.py
+++ b/src/apricotlever/links/_platform_client.py
@@ -32,7 +32,7 @@
 def error_factory(
     status: int,
 ) -> typing.Callable[[ErrorFactory], ErrorFactory]:
-    """Register the decorated function to make the error for a status.
+    """Register a function that makes the error for an HTTP status.
 
     :param status: HTTP status code.
     """
--- a/src/apricotlever/links/_waitress_server.py
+++ b/src/apricotlever/links/_waitress_server.py
@@ -38,21 +38,27 @@
 
 
 class RequestTimeout:
-    """Parser error of a request that did not arrive in time."""
+    """The error set on a request that did not arrive in time.
+
+    It stands in for waitress's errors of parsing and has their attributes.
+    """
 
     code = 408
     body = "the request did not arrive in time"
 
 
 class Overloaded:
-    """Parser error of a request that found the queue for threads full."""
+    """The error set on a request that found the queue for threads full.
+
+    It stands in for waitress's errors of parsing and has their attributes.
+    """
 
     code = 503
     body = "all threads of this entry VM are busy"
 
 
 class RefusalTask(waitress_task.ErrorTask):
-    """Answers a request that was not accepted, as JSON like every refusal."""
+    """Answers a request that has an error, as JSON like every refusal."""
 
     def execute(self) -> None:
         """Write the refusal and close the connection."""
--- a/src/apricotlever/links/cloud_api.py
+++ b/src/apricotlever/links/cloud_api.py
@@ -127,7 +127,7 @@
     __slots__ = ()
 
     def vms(self) -> platform_errors.Outcome[tuple[Vm, ...]]:
-        """List the VMs."""
+        """List the VMs that the cloud API knows."""
         return self._read("/v1/vms", _vms)
 
     def buy(
@@ -162,7 +162,7 @@
         return self._write("POST", "/v1/vms", body, reader)
 
     def release(self, vm: str) -> platform_errors.Outcome[None]:
-        """Release a VM; ``NotFound`` if it no longer exists."""
+        """Return a VM to the cloud; ``NotFound`` if it no longer exists."""
         path = "/v1/vms/" + urllib.parse.quote(vm, safe="")
         return self._write("DELETE", path, None, lambda _: None)
 
@@ -173,7 +173,7 @@
     def notices(
         self, after: int, timeout_s: float
     ) -> platform_errors.Outcome[ReclaimNotices]:
-        """Wait for reclaim notices.
+        """Wait for notices that the cloud will reclaim VMs.
 
         :param after: sequence number of the last notice already read.
         :param timeout_s: how long to wait in seconds; the result holds no
--- a/src/apricotlever/links/entry_api.py
+++ b/src/apricotlever/links/entry_api.py
@@ -23,7 +23,7 @@
 
 
 class EntryApi:
-    """Reads the state of one entry VM.
+    """Reads the state of one entry VM for operators.
 
     :param address: the address on which the VM listens for callers.
     :param timeout_s: limit in seconds for each call.
--- a/src/apricotlever/links/object_api.py
+++ b/src/apricotlever/links/object_api.py
@@ -81,7 +81,7 @@
     __slots__ = ()
 
     def get(self, name: str) -> platform_errors.Outcome[PlatformObject]:
-        """Read an object.
+        """Read an object of the store by name.
 
         :returns: the object, or ``NotFound``, ``Unavailable``, ``Throttled``.
         """
@@ -130,7 +130,7 @@
     def watch(
         self, prefix: str, after: int, timeout_s: float
     ) -> platform_errors.Outcome[WatchResult]:
-        """Wait for changes under a prefix.
+        """Wait for changes of objects whose names start with a prefix.
 
         :param prefix: prefix of the names of the objects to watch.
         :param after: the revision after which changes are returned.
--- a/src/apricotlever/links/openai_format.py
+++ b/src/apricotlever/links/openai_format.py
@@ -59,7 +59,7 @@
     def body_for(
         self, model: str, resume_tokens: typing.Sequence[str]
     ) -> bytes:
-        """Build the request body for a runner.
+        """Build the body of the request that is sent to a runner.
 
         :param model: the model's name at the runner.
         :param resume_tokens: the tokens that the caller already has; the
@@ -183,7 +183,7 @@
 def completion_response(
     request: ModelRequest, request_id: str, tokens: typing.Sequence[str]
 ) -> bytes:
-    """Build the response body for a request without streaming.
+    """Build the body of the response to a caller that asked for no stream.
 
     :param request: the caller's request.
     :param request_id: the request's ID.
--- a/src/apricotlever/links/upstream_exchange.py
+++ b/src/apricotlever/links/upstream_exchange.py
@@ -359,7 +359,7 @@
 
 
 def encode_json(document: typing.Any) -> bytes:
-    """Encode a document as JSON.
+    """Encode the body of a request to an upstream as JSON.
 
     :param document: any value that JSON can represent.
     """
--- a/src/apricotlever/log_parser.py
+++ b/src/apricotlever/log_parser.py
@@ -35,7 +35,7 @@
 
 
 def parse(text: str) -> LogLine | None:
-    """Parse one line, skipping any text before its ``time=`` field.
+    """Parse one log line, skipping any text before its ``time=`` field.
 
     :returns: the event, or None if the line holds none.
     """
@@ -58,7 +58,7 @@
 
 
 def parse_all(lines: typing.Iterable[str]) -> list[LogLine]:
-    """Parse the lines of one or several VMs.
+    """Parse the log lines of one or several VMs.
 
     :returns: the events, sorted by time; lines without one are skipped.
     """
--- a/src/apricotlever/logs.py
+++ b/src/apricotlever/logs.py
@@ -279,7 +279,7 @@
 
 
 def event(name: str, **fields: typing.Any) -> None:
-    """Log an event.
+    """Log an event of this process as one line of key=value pairs.
 
     Nothing is written before :func:`setup`. Fields must not contain bearer
     keys, prompts or answers.
--- a/src/apricotlever/mailbox.py
+++ b/src/apricotlever/mailbox.py
@@ -108,7 +108,7 @@
         return self._name
 
     def ask(self, message: typing.Any) -> "futures.Future[typing.Any]":
-        """Queue a message.
+        """Queue a message for the task's handler of its type.
 
         :returns: a future for the result of the handler. It fails with the
             error that the handler raises, or with :class:`TaskStopped`.
--- a/src/apricotlever/refusals.py
+++ b/src/apricotlever/refusals.py
@@ -25,7 +25,7 @@
 
 
 class RefusalKind:
-    """One type of refusal.
+    """One type of refusal, an error that is returned to callers.
 
     :param name: the stable ``type`` in the JSON body.
     :param status: the HTTP status code.
--- a/src/apricotlever/requests/active_runs.py
+++ b/src/apricotlever/requests/active_runs.py
@@ -56,7 +56,10 @@
         return len(self._active)
 
     def activate(self, entry: ledger_entries.Entry) -> None:
-        """Track a run of the entry under a new token."""
+        """Start tracking a run of the entry, under a new token.
+
+        The token is stored in the entry.
+        """
         entry.token = next(self._tokens)
         self._active[entry.token] = entry
 
@@ -185,8 +188,11 @@
     def settle_orphaned(
         self, incarnations: known_incarnations.KnownIncarnations
     ) -> list[int]:
-        """End runs whose VM is gone without having reported an outcome.
+        """End runs of leaving VMs that are gone without reporting an outcome.
+
+        Such runs were in flight when this ledger adopted the keys.
 
+        :param incarnations: tells which incarnations are gone.
         :returns: their tokens.
         """
         orphans = [
--- a/src/apricotlever/requests/claims.py
+++ b/src/apricotlever/requests/claims.py
@@ -156,7 +156,7 @@
 
 
 class ClaimBatcher:
-    """Batches the claims of one VM into conditional writes.
+    """Batches one VM's claims of idempotency keys into conditional writes.
 
     :param buckets: number of buckets; it must be the same on every VM and
         must never change, because it determines the bucket of a key.
--- a/src/apricotlever/requests/errors.py
+++ b/src/apricotlever/requests/errors.py
@@ -1,4 +1,8 @@
-"""Exceptions raised by the ledger of idempotency keys and its handover."""
+"""Exceptions raised by the ledger of idempotency keys and its handover.
+
+The ledger decides which calls a VM may run; the handover passes it on to
+another VM when its own VM leaves.
+"""
 
 from .. import errors
 
--- a/src/apricotlever/requests/evacuation.py
+++ b/src/apricotlever/requests/evacuation.py
@@ -103,7 +103,10 @@
     def decide(
         self, situation: recovery.AffectedStream
     ) -> recovery.RecoveryDecision:
-        """Decide about the next stream, in the order of precedence."""
+        """Decide about the next stream and reserve what its move needs.
+
+        Streams must be passed in their order of precedence.
+        """
         if situation.deadline_s <= 0 or situation.moving_to:
             return recovery.decide(situation)
         if recovery.ends_in_time(situation):
--- a/src/apricotlever/requests/handover_parts.py
+++ b/src/apricotlever/requests/handover_parts.py
@@ -87,7 +87,7 @@
 
 
 def decode(data: bytes) -> Part:
-    """Decode the output of :func:`encode`.
+    """Decode a handover part from the output of :func:`encode`.
 
     :raises HandoverInvalid: if the data is not an encoded part.
     """
@@ -165,7 +165,7 @@
 
 
 def decode_records(data: bytes) -> list[records.RequestRecord]:
-    """Decode the output of :func:`encode_records`.
+    """Decode request records from the output of :func:`encode_records`.
 
     :raises HandoverInvalid: if the data is not a list of records.
     """
--- a/src/apricotlever/requests/handover_receiver.py
+++ b/src/apricotlever/requests/handover_receiver.py
@@ -97,8 +97,11 @@
         ] = {}
 
     def receive(self, data: bytes) -> ReceiveResult:
-        """Process one encoded part.
+        """Decode one part of a handover and decide what to do with it.
 
+        The parts of a ledger are kept until all have arrived.
+
+        :param data: the encoded part, as it was received.
         :returns: the action to carry out.
         :raises HandoverInvalid: if the part can't be decoded, or the parts of
             the ledger exceed :data:`ASSEMBLED_BYTES_MAX`.
--- a/src/apricotlever/requests/handover_sender.py
+++ b/src/apricotlever/requests/handover_sender.py
@@ -145,7 +145,9 @@
 
 
 class HandoverSender:
-    """The handover of one VM, from the first part to the last receipt.
+    """Decides what a leaving VM sends to which peer, until all is accepted.
+
+    It does no I/O: its methods return actions for the caller to carry out.
 
     :param me: the incarnation of the leaving VM.
     :param data_centre: the data centre of this VM. Peers in other data
@@ -294,7 +296,13 @@
     def on_peer_gone(
         self, owner: ledger_messages.VmIncarnation
     ) -> list[Action]:
-        """Send the parts of a peer that is gone to other peers."""
+        """Send the parts that a peer has not accepted to other peers.
+
+        If the peer was to receive the ledger, the ledger is exported again,
+        to another successor.
+
+        :param owner: the incarnation of the peer, which is gone.
+        """
         self._peers.pop(owner, None)
         lost = [
             outgoing
--- a/src/apricotlever/requests/key_issuers.py
+++ b/src/apricotlever/requests/key_issuers.py
@@ -107,6 +107,7 @@
     def settle(self, settled: list[ledger_state.SettledCall]) -> list[int]:
         """Record the outcomes of calls that a leaving VM had in flight.
 
+        :param settled: the outcomes, of keys in a ledger adopted before.
         :returns: the tokens of the runs that ended.
         """
         found = [
@@ -123,7 +124,7 @@
         return [entry.token for entry, _ in waiting]
 
     def expire(self) -> None:
-        """Remove issuers whose keys have all expired."""
+        """Remove issuers whose minted keys have all expired."""
         now = self._clock.now()
         retention_s = self._limits.minted_key_life_s + self._limits.margin_s
         self._issuers = {
--- a/src/apricotlever/requests/ledger.py
+++ b/src/apricotlever/requests/ledger.py
@@ -322,7 +322,10 @@
         self._incarnations.record_transfer(owner, successor)
 
     def freeze(self) -> None:
-        """Start no new runs; runs in flight continue."""
+        """Start no new runs and mint no keys, because the VM leaves.
+
+        Runs in flight continue.
+        """
         self._frozen = True
 
     def export_to(self, vm: str, incarnation: int) -> ledger_state.LedgerState:
--- a/src/apricotlever/requests/ledger_entries.py
+++ b/src/apricotlever/requests/ledger_entries.py
@@ -271,7 +271,7 @@
             del self._entries[name]
 
     def forget(self, entry: Entry) -> None:
-        """Drop an entry whose key may have run."""
+        """Drop an entry whose key may have run and must not run again."""
         # A key without an entry looks new and would run a second time. The
         # raised time limit makes the ledger refuse such a key.
         if entry.issuer is not None:
@@ -284,7 +284,11 @@
     def keep_answer(
         self, entry: Entry, answer: ledger_messages.Answer, now: float
     ) -> None:
-        """Keep an answer for replays, within the limits."""
+        """Keep an answer for replays to retries, within the limits.
+
+        The oldest answers are dropped to make room. An answer that exceeds
+        the memory limit by itself is not kept.
+        """
         size = answer.size_bytes
         if size > self._limits.answers_bytes_max:
             return
@@ -299,7 +303,12 @@
             self._drop_answer(next(iter(self._answers)))
 
     def expire(self, now: float) -> None:
-        """Drop answers and entries whose retention time has passed."""
+        """Drop answers and entries whose retention time has passed.
+
+        Entries with a run in flight are kept.
+
+        :param now: monotonic time in seconds.
+        """
         oldest = now - self._limits.answer_retention_s
         while self._answers:
             name, (kept_at, _) = next(iter(self._answers.items()))
--- a/src/apricotlever/requests/ledger_messages.py
+++ b/src/apricotlever/requests/ledger_messages.py
@@ -42,8 +42,8 @@
 class VmIncarnation:
     """One process of an entry VM, such as the owner of a key.
 
-    A VM whose process was restarted is a new incarnation, because the ledger
-    of the old one is lost.
+    A restarted process is a new incarnation of its VM: it does not have the
+    ledger of the old one.
 
     :param vm: the name of the VM.
     :param incarnation: start time of its process, in ms since the Unix
--- a/src/apricotlever/requests/ledger_state.py
+++ b/src/apricotlever/requests/ledger_state.py
@@ -215,7 +215,7 @@
 
 
 def decode(data: bytes) -> LedgerState:
-    """Decode the output of :func:`encode`.
+    """Decode the state of a ledger from the output of :func:`encode`.
 
     :raises HandoverInvalid: if the data is not an encoded ledger.
     """
@@ -244,7 +244,7 @@
 
 
 def decode_settled(data: bytes) -> list[SettledCall]:
-    """Decode the output of :func:`encode_settled`.
+    """Decode outcomes of keyed calls, the output of :func:`encode_settled`.
 
     :raises HandoverInvalid: if the data is not a list of outcomes.
     """
--- a/src/apricotlever/requests/ledger_transfer.py
+++ b/src/apricotlever/requests/ledger_transfer.py
@@ -88,7 +88,11 @@
     def acknowledge_outcomes(
         self, sent: list[ledger_state.SettledCall]
     ) -> None:
-        """Remove outcomes that the successor has received."""
+        """Remove outcomes that the successor has received.
+
+        :param sent: what :meth:`pending_outcomes` returned when they were
+            sent.
+        """
         for settled in sent:
             self._unacknowledged.pop((settled.customer, settled.key), None)
 
--- a/src/apricotlever/requests/records.py
+++ b/src/apricotlever/requests/records.py
@@ -269,7 +269,7 @@
         return kept and kept[0]
 
     def record_attempt(self, request_id: str, runner: str) -> int:
-        """Record that the request was given to a runner.
+        """Record that a new attempt of a request was given to a runner.
 
         :returns: the number of the attempt, starting at 1.
         :raises KeyError: if the request is not running.
@@ -297,7 +297,9 @@
             self._store_ended(record)
 
     def adopt(self, record: RequestRecord) -> bool:
-        """Add the record of another VM; a known request is left unchanged.
+        """Add the record of a request that another VM handed over.
+
+        The record of a request that is known already is left unchanged.
 
         :returns: False if the bodies of the running requests would exceed
             their limit.
--- a/src/apricotlever/requests/recovery.py
+++ b/src/apricotlever/requests/recovery.py
@@ -129,7 +129,10 @@
 
     @property
     def recomputed_tokens(self) -> int:
-        """Number of tokens that a replay would compute again."""
+        """Number of tokens that a replay would compute again.
+
+        They are those of the prompt and those already sent.
+        """
         return self.prompt_tokens + len(self.sent_tokens)
 
 
@@ -238,11 +241,12 @@
 
 
 def pick_target(candidates: typing.Sequence[Candidate]) -> Candidate | None:
-    """Choose the runner that takes over a stream: the one with most slots.
+    """Choose the runner that takes over a stream.
 
-    Data centres that are not being reclaimed are preferred. A free slot in a
-    data centre being reclaimed is better than a queue elsewhere, because a
-    second move costs less than the caller's wait.
+    It is the one with the most free slots. Data centres that are not being
+    reclaimed are preferred. A free slot in a data centre being reclaimed is
+    better than a queue elsewhere, because a second move costs less than the
+    caller's wait.
 
     :returns: a candidate, or None if there are none.
     """
--- a/src/apricotlever/roll_outs/canary_analysis.py
+++ b/src/apricotlever/roll_outs/canary_analysis.py
@@ -126,7 +126,10 @@
     by_route: typing.Mapping[str, list[samples.Sample]],
     old: typing.Mapping[str, samples.Sample],
 ) -> samples.Sample:
-    """The old version's failures, weighted by the new version's route mix.
+    """The old version's calls, with the failures of the new route mix.
+
+    The failures are those that the old version would have had, had its calls
+    been spread over the routes like those of the new version.
 
     Routes have different failure rates and canary shares; without the
     adjustment the route mix alone could make the new version look worse.
@@ -200,7 +203,14 @@
 
 
 def _leave_one_out(by_runner: list[samples.Sample]) -> list[samples.Sample]:
-    """Sums over all runners but the one with the most failures or time."""
+    """Add up the samples of all runners but the worst, for each measure.
+
+    The measures are failures and the times to the first and the last byte. A
+    version is bad only if it is so without its worst runner too.
+
+    :returns: one sum for each measure; none if fewer than two runners ended
+        calls.
+    """
     active = [sample for sample in by_runner if sample.ended]
     if len(active) < 2:
         return []
--- a/src/apricotlever/roll_outs/controller.py
+++ b/src/apricotlever/roll_outs/controller.py
@@ -231,7 +231,10 @@
         return self._rng.random() < share
 
     def record_sent(self, runner: Runner, route: str) -> samples.Sample | None:
-        """Count a call that is sent to a runner.
+        """Count a call that this VM sends to a runner of a service.
+
+        :param runner: the runner, of the old or the new version.
+        :param route: route of the call.
 
         :returns: the sample in which to record the outcome; None without a
             running roll-out.
--- a/src/apricotlever/roll_outs/model.py
+++ b/src/apricotlever/roll_outs/model.py
@@ -113,7 +113,7 @@
         )
 
     def with_state(self, state: RollOutState) -> "RollOutOrder":
-        """A copy of the order in the given state."""
+        """A copy of the order in another state."""
         return RollOutOrder(
             self.service,
             self.version,
@@ -134,7 +134,7 @@
 
     @classmethod
     def from_record(cls, record: typing.Any) -> "RollOutOrder":
-        """Deserialize a record of :meth:`to_record`.
+        """Deserialize an order from a record of :meth:`to_record`.
 
         :raises validation.Misshapen: if the record is malformed.
         """
--- a/src/apricotlever/roll_outs/progress.py
+++ b/src/apricotlever/roll_outs/progress.py
@@ -1,4 +1,8 @@
-"""The state of one roll-out on a VM: its order, runners and counts."""
+"""The state of one roll-out on a VM: its order, runners and counts of calls.
+
+The counts are compared here to find out whether the new version of the
+service is worse than the old one.
+"""
 
 import collections
 import math
@@ -72,7 +76,7 @@
 
     @property
     def progress(self) -> schedule.Progress:
-        """The fleet-wide numbers of calls and runners."""
+        """The fleet-wide numbers of calls and runners of the roll-out."""
         calls_by_route: dict[str, int] = {}
         for key, sample in self.fleet_counts.items():
             calls_by_route[key.route] = (
--- a/src/apricotlever/roll_outs/samples.py
+++ b/src/apricotlever/roll_outs/samples.py
@@ -66,7 +66,7 @@
         self.squares = squares
 
     def add(self, duration_s: float) -> None:
-        """Add a duration in seconds."""
+        """Add a response time in seconds."""
         logarithm = math.log(max(MIN_TIME_S, duration_s))
         self.count += 1
         self.total += logarithm
--- a/src/apricotlever/roll_outs/schedule.py
+++ b/src/apricotlever/roll_outs/schedule.py
@@ -124,13 +124,16 @@
 
     @property
     def due_s(self) -> float:
-        """Time at which the result is due, in seconds from the start."""
+        """Time at which the result has to be written, in seconds from start.
+
+        It precedes the time limit, so that the result is in the store by then.
+        """
         report_s = max(MIN_REPORT_S, REPORT_FRACTION * self._duration_s)
         return max(0.0, self._duration_s - report_s)
 
     @property
     def take_over_s(self) -> float:
-        """Time of the takeover, in seconds from the start."""
+        """Time at which the new version takes over, in seconds from start."""
         return max(0.0, self.due_s - self._drain_s)
 
     def set_drain_time(self, drain_s: float) -> None:
@@ -178,7 +181,7 @@
         return min(MAX_SHARE, share)
 
     def canaries(self, old_runners: int, new_runners: int) -> int:
-        """The number of new runners that take calls at a time."""
+        """The number of canaries: new runners that take calls at a time."""
         canary_ratio = CANARY_FACTOR * self._limits.exposure_share
         minimum = 1 if old_runners < MIN_OLD_RUNNERS_FOR_TWO else 2
         return min(
@@ -197,7 +200,11 @@
         return max(MAX_DRAIN_S, MAX_DRAIN_FRACTION * self._duration_s)
 
     def _budgeted_share(self, elapsed_s: float, progress: Progress) -> float:
-        """The remaining canary budget as a share of the expected calls."""
+        """The calls that canaries may still get, as a share of those expected.
+
+        :param elapsed_s: time since the start of the roll-out, in seconds.
+        :param progress: present numbers of calls and runners.
+        """
         calls, new_calls = progress.calls, progress.new_calls
         if not calls:
             return 0.0
@@ -219,7 +226,10 @@
 
 
 def _route_weight(progress: Progress, route: str) -> float:
-    """The factor between a route's share and the mean share."""
+    """The factor between the new version's share of a route and of all calls.
+
+    Rare routes get a higher share, so that faults on them are detected too.
+    """
     calls = progress.calls_by_route.get(route, 0)
     if not calls:
         return 1.0
--- a/src/apricotlever/validation.py
+++ b/src/apricotlever/validation.py
@@ -115,7 +115,7 @@
 def validate_record(
     checks: typing.Sequence[tuple[str, Predicate]], record: typing.Any
 ) -> list[typing.Any]:
-    """Validate the fields of a record.
+    """Validate a record, which is a list with one value for each field.
 
     :param checks: the name and the check of each field, in order.
     :param record: a list or tuple with one value for each field.
