--- a/src/apricotlever/requests/handover_sender.py
+++ b/src/apricotlever/requests/handover_sender.py
@@ -1,8 +1,9 @@
 """Sends the requests and the ledger of a leaving entry VM to its peers.
 
 The ledger holds the idempotency keys that the VM decides on. The peer that
-receives it becomes the VM's successor. A receipt is a peer's answer that it
-accepted a part of the handover.
+receives it becomes the VM's successor. The receipt of a part is a peer's
+answer that it accepted the part; the receipt of the ledger tells whether the
+successor adopted it.
 
 Running requests are sent first and spread over the peers, because a caller
 waits for each of them. The whole ledger follows, to a single successor; a
--- a/src/apricotlever/requests/ledger_entries.py
+++ b/src/apricotlever/requests/ledger_entries.py
@@ -1,5 +1,8 @@
 """The ledger's bounded table of keys, their run states and kept answers.
 
+An entry is what a ledger holds of one idempotency key: the call that the key
+stands for, the state of its run, and the answer for retries.
+
 Dropping an entry must never let its key run again. When the entry of a minted
 key is dropped, its issuer refuses all unseen keys minted up to that time. A
 dropped entry of a key chosen by the caller still has its claim in the store.
