--- a/src/apricotlever/links/_http_client.py
+++ b/src/apricotlever/links/_http_client.py
@@ -33,7 +33,7 @@
 
 
 class ExchangeFailed(errors.ApricotleverError):
-    """An exchange ended without a complete response."""
+    """An HTTP exchange ended without a complete response."""
 
 
 class RequestNotSent(ExchangeFailed):
@@ -67,7 +67,7 @@
 
 
 class _Connection:
-    """A connection with its opening time and its number of exchanges."""
+    """An HTTP connection, its opening time and its number of exchanges."""
 
     __slots__ = ("http", "opened_at", "exchange_count")
 
@@ -95,7 +95,7 @@
 
 
 class _ThreadConnection(threading.local):
-    """The connection of the current thread."""
+    """The current thread's connection to the server, or None."""
 
     connection: _Connection | None = None
 
--- a/src/apricotlever/requests/ledger_entries.py
+++ b/src/apricotlever/requests/ledger_entries.py
@@ -1,5 +1,8 @@
 """The ledger's bounded table of keys, their run states and kept answers.
 
+An entry is what a ledger holds of one idempotency key: the call that the key
+stands for, the state of its run, and the answer for retries.
+
 Dropping an entry must never let its key run again. When the entry of a minted
 key is dropped, its issuer refuses all unseen keys minted up to that time. A
 dropped entry of a key chosen by the caller still has its claim in the store.
@@ -14,7 +17,13 @@
 
 
 class RunState(enum.StrEnum):
-    """Progress of the single run of a key."""
+    """The state of a key's call on the way to its outcome.
+
+    The first three states are those of a run in progress: the key is being
+    claimed in the store, is held by this ledger, or its call is being sent.
+    The others are outcomes: the call was answered, has not been run and may
+    be, or may have been run without an answer.
+    """
 
     CLAIMING = "claiming"
     CLAIMED = "claimed"
@@ -31,6 +40,7 @@
     """How much a ledger keeps, and for how long. Times are in seconds.
 
     :param minted_key_life_s: how long after its minting a key may be run.
+        Keys chosen by callers have no such limit.
     :param caller_key_life_s: how long the ledger keeps the entry of a key
         chosen by the caller.
     :param margin_s: how much longer than its minted key an entry is kept.
@@ -122,7 +132,9 @@
 class Entry:
     """One key of one customer, with the single call that it stands for.
 
-    :param digest: digest of the call.
+    :param digest: digest of the call; another digest means that the key was
+        reused for a different call.
+    :param state: the state of the call.
     :param minted_s: mint time in seconds since the start of the issuer; 0 for
         a key chosen by the caller.
     :param issuer: the issuer of a minted key; None for a key chosen by the
@@ -134,8 +146,10 @@
     :param claim_held: the store is known to hold this ledger's claim.
     :param maybe_claimed: the store may hold this ledger's claim.
 
-    ``running_on`` is the incarnation that is still running the call after the
-    ledger was transferred, or None.
+    ``first_send`` is the caller's guarantee that it never sent the key before.
+    ``token`` identifies the latest run. ``answer`` is the answer kept for
+    replays, or None. ``running_on`` is the incarnation that is still running
+    the call after the ledger was transferred, or None.
     """
 
     __slots__ = (
@@ -196,7 +210,11 @@
 
 
 class EntryTable:
-    """All entries by customer and key, limited in number and memory."""
+    """The entries of a ledger by customer and key.
+
+    The number of entries, and the number and memory of the answers, are
+    limited.
+    """
 
     __slots__ = (
         "_limits",
@@ -256,7 +274,7 @@
             del self._entries[name]
 
     def forget(self, entry: Entry) -> None:
-        """Drop an entry whose key may have run."""
+        """Drop an entry whose key may have run and must not run again."""
         # A key without an entry looks new and would run a second time. The
         # raised time limit makes the ledger refuse such a key.
         if entry.issuer is not None:
@@ -269,7 +287,11 @@
     def keep_answer(
         self, entry: Entry, answer: ledger_messages.Answer, now: float
     ) -> None:
-        """Keep an answer for replays, within the limits."""
+        """Keep an answer for replays to retries, within the limits.
+
+        The oldest answers are dropped to make room. An answer that exceeds
+        the memory limit by itself is not kept.
+        """
         size = answer.size_bytes
         if size > self._limits.answers_bytes_max:
             return
@@ -284,7 +306,12 @@
             self._drop_answer(next(iter(self._answers)))
 
     def expire(self, now: float) -> None:
-        """Drop answers and entries whose retention time has passed."""
+        """Drop answers and entries whose retention time has passed.
+
+        Entries with a run in flight are kept.
+
+        :param now: monotonic time in seconds.
+        """
         oldest = now - self._limits.answer_retention_s
         while self._answers:
             name, (kept_at, _) = next(iter(self._answers.items()))
--- a/src/apricotlever/roll_outs/canary_analysis.py
+++ b/src/apricotlever/roll_outs/canary_analysis.py
@@ -1,4 +1,7 @@
-"""Decides whether a new version is worse than the old one.
+"""Decides whether the new version of a service is worse than the old one.
+
+The inputs are counts of calls and failures, and response times, by runner and
+route of each version. The result is a finding if there is enough evidence.
 
 Both versions are compared over the same period, since a burst, an outage or a
 slow store affects both. A fault of a single runner is ignored: it is not
@@ -25,7 +28,7 @@
 
 
 class Thresholds:
-    """Evidence required to consider a version bad.
+    """Evidence required to consider the new version of a service bad.
 
     :param failures: log-likelihood ratio of different failure rates to a
         common failure rate.
@@ -48,9 +51,11 @@
 
 
 class Finding:
-    """Why a version is considered bad.
+    """The evidence for which the new version of a service is considered bad.
 
-    :param reason: ``failures``, ``first_answers`` or ``whole_answers``.
+    :param reason: what is worse: ``failures`` for the failure rate, or
+        ``first_answers`` or ``whole_answers`` for the time to the first or
+        the last byte of the answers.
     :param route: the affected route; "" for all routes together.
     :param new: failure rate of the new version, or its response time relative
         to the old version's.
@@ -75,11 +80,15 @@
     new: typing.Mapping[tuple[str, str], samples.Sample],
     thresholds: Thresholds = REPEATED_CHECK,
 ) -> Finding | None:
-    """Compare the new version with the old one.
+    """Compare the calls of a service's new version with those of the old one.
+
+    Failures are compared over all routes together and for each route,
+    response times for each route only.
 
     :param old: samples of the old version by route.
     :param new: samples of the new version by runner and route.
-    :returns: the first finding; None if there is none.
+    :param thresholds: the evidence required for a finding.
+    :returns: the first finding; None if there is not enough evidence.
     """
     routes = sorted({route for _, route in new})
     runners = sorted({runner for runner, _ in new})
@@ -117,7 +126,10 @@
     by_route: typing.Mapping[str, list[samples.Sample]],
     old: typing.Mapping[str, samples.Sample],
 ) -> samples.Sample:
-    """The old version's failures, weighted by the new version's route mix.
+    """The old version's calls, with the failures of the new route mix.
+
+    The failures are those that the old version would have had, had its calls
+    been spread over the routes like those of the new version.
 
     Routes have different failure rates and canary shares; without the
     adjustment the route mix alone could make the new version look worse.
@@ -191,7 +203,14 @@
 
 
 def _leave_one_out(by_runner: list[samples.Sample]) -> list[samples.Sample]:
-    """Sums over all runners but the one with the most failures or time."""
+    """Add up the samples of all runners but the worst, for each measure.
+
+    The measures are failures and the times to the first and the last byte. A
+    version is bad only if it is so without its worst runner too.
+
+    :returns: one sum for each measure; none if fewer than two runners ended
+        calls.
+    """
     active = [sample for sample in by_runner if sample.ended]
     if len(active) < 2:
         return []
--- a/src/apricotlever/validation.py
+++ b/src/apricotlever/validation.py
@@ -1,8 +1,8 @@
 """Validation of values that come from a store or over the network.
 
 Such a value may have any type: another program may have written it, or it
-may have been corrupted. An invalid value that is not rejected where it
-arrives causes an error in unrelated code later, which fails with it.
+may have been corrupted. If an invalid value is not rejected where it arrives,
+unrelated code that uses it later fails.
 """
 
 import math
@@ -115,7 +115,7 @@
 def validate_record(
     checks: typing.Sequence[tuple[str, Predicate]], record: typing.Any
 ) -> list[typing.Any]:
-    """Validate the fields of a record.
+    """Validate a record, which is a list with one value for each field.
 
     :param checks: the name and the check of each field, in order.
     :param record: a list or tuple with one value for each field.
