--- a/src/apricotlever/serving/duty_roster.py
+++ b/src/apricotlever/serving/duty_roster.py
@@ -47,7 +47,7 @@
         "_clock",
         "_cloud",
         "_heartbeat_s",
-        "_keeper",
+        "_lease_manager",
         "_roll_outs",
         "_runners",
         "_usage",
@@ -64,7 +64,7 @@
     ) -> None:
         self._clock = clock
         self._heartbeat_s = config.bounds.runner_heartbeat_s
-        self._keeper = keeper = duty_lease.LeaseManager(
+        self._lease_manager = keeper = duty_lease.LeaseManager(
             LEASE_NAME,
             config.vm,
             incarnation,
@@ -113,7 +113,7 @@
                 upstreams_.all_in_flight,
                 self._cloud,
                 dialect,
-                self._keeper,
+                self._lease_manager,
                 self._heartbeat_s,
                 upstreams_.takes_regular_calls,
             )
@@ -138,7 +138,7 @@
                 store_,
                 self._cloud,
                 dialect,
-                self._keeper,
+                self._lease_manager,
                 lambda: limits_.levels,
             )
 
@@ -159,7 +159,7 @@
             controller,
             store_,
             dialect,
-            self._keeper,
+            self._lease_manager,
             upstreams_.in_flight_at,
             changed,
         )
@@ -168,7 +168,7 @@
         """Start the tasks of the added duties and of their lease."""
         if (self._runners, self._usage, self._roll_outs) == (None, None, None):
             return
-        running.repeat(duty_lease.TICK_S, self._keeper.step)
+        running.repeat(duty_lease.TICK_S, self._lease_manager.step)
         if self._runners is not None:
             running.repeat(runner_duty.STEP_INTERVAL_S, self._runners.step)
         if self._usage is not None:
@@ -200,7 +200,7 @@
         :param members: the number of VMs that may be alive, including this
             one and silent ones.
         """
-        self._keeper.update_view(peers, members)
+        self._lease_manager.update_view(peers, members)
 
     @property
     def last_renewal(self) -> tuple[int, int] | None:
@@ -208,7 +208,7 @@
 
         The value is None while this VM does not hold the lease.
         """
-        return self._keeper.last_renewal
+        return self._lease_manager.last_renewal
 
     @property
     def surrendered_fencing(self) -> int:
@@ -217,7 +217,7 @@
         It is 0 if there is none. Once other VMs know it, one of them can
         acquire the lease without waiting until it expires.
         """
-        return self._keeper.surrendered_fencing
+        return self._lease_manager.surrendered_fencing
 
     @property
     def cloud_calls(self) -> int:
@@ -226,4 +226,4 @@
 
     def release_lease(self) -> None:
         """Surrender the lease on the duties, as this VM stops."""
-        self._keeper.release()
+        self._lease_manager.release()
--- a/src/apricotlever/serving/runner_duty.py
+++ b/src/apricotlever/serving/runner_duty.py
@@ -244,7 +244,7 @@
         "_dialect",
         "_directory",
         "_in_flight",
-        "_keeper",
+        "_lease_manager",
         "_orders",
         "_serves",
         "_ready_at",
@@ -260,7 +260,7 @@
         in_flight: typing.Callable[[str], int],
         cloud: duty_lease.CloudClient,
         dialect: dialects.PlatformDialect,
-        keeper: duty_lease.LeaseManager,
+        lease_manager: duty_lease.LeaseManager,
         heartbeat_s: float,
         serves: typing.Callable[[runners.Runner], bool] = lambda runner: True,
     ) -> None:
@@ -277,7 +277,7 @@
         self._in_flight = in_flight
         self._cloud = cloud
         self._dialect = dialect
-        self._keeper = keeper
+        self._lease_manager = lease_manager
         self._orders: dict[tuple[str, str, bool], _Order] = {}
         #: The configuration in force; None before the first one.
         self.configuration: configuration_model.Configuration | None = None
@@ -290,7 +290,7 @@
         configuration = self.configuration
         if configuration is None or self._clock.now() < self._ready_at:
             return
-        holds = self._keeper.fencing is not None
+        holds = self._lease_manager.fencing is not None
         if not holds:
             self._orders.clear()
         for service in configuration.services.values():
@@ -406,7 +406,7 @@
             # A data centre has just rejected an order for reclaimable
             # runners; the planner decides when to order them again.
             return True
-        fencing = self._keeper.fencing
+        fencing = self._lease_manager.fencing
         if fencing is None:
             return False
         path, body = self._dialect.runner_order_request(
--- a/src/apricotlever/serving/usage_duty.py
+++ b/src/apricotlever/serving/usage_duty.py
@@ -55,7 +55,7 @@
         "_cloud",
         "_dialect",
         "_fixed_counts",
-        "_keeper",
+        "_lease_manager",
         "_levels",
         "_next_attempt_at",
         "_recovered",
@@ -71,7 +71,7 @@
         store_: store.Store,
         cloud: duty_lease.CloudClient,
         dialect: dialects.PlatformDialect,
-        keeper: duty_lease.LeaseManager,
+        lease_manager: duty_lease.LeaseManager,
         levels: typing.Callable[[], typing.Mapping[str, float]],
     ) -> None:
         self._clock = clock
@@ -79,7 +79,7 @@
         self._store = store_
         self._cloud = cloud
         self._dialect = dialect
-        self._keeper = keeper
+        self._lease_manager = lease_manager
         self._levels = levels
         self._fixed_counts: dict[int, usage_windows.CallCounts] = {}
         self._last_reported = 0
@@ -104,7 +104,7 @@
 
         Without the lease, this does nothing.
         """
-        if self._keeper.fencing is None:
+        if self._lease_manager.fencing is None:
             self._recovered = False
             return
         now = self._clock.now()
@@ -156,13 +156,13 @@
                 logs.event("stored_refused", kind=KIND, object=f"w{window}")
                 return
             self._fixed_counts[window] = counts
-        fencing = self._keeper.fencing
+        fencing = self._lease_manager.fencing
         if fencing is None:
             return
         path, body = self._dialect.usage_report_request(window, counts)
         if not await self._cloud.send(path, body, fencing):
             logs.event("report_fenced_off", window=window, fencing=fencing)
-            self._keeper.fencing_rejected(fencing)
+            self._lease_manager.fencing_rejected(fencing)
             return
         self._last_reported = max(self._last_reported, window)
         self._fixed_counts.pop(window, None)
