--- a/src/apricotlever/serving/runner_duty.py
+++ b/src/apricotlever/serving/runner_duty.py
@@ -231,7 +231,7 @@
     :param work: the load of all services.
     :param directory: lists the runners.
     :param in_flight: counts the calls of all VMs at a service's runners.
-    :param keeper: manages the lease.
+    :param lease_manager: manages the lease.
     :param heartbeat_s: the interval between two heartbeats of a runner, in
         seconds.
     :param serves: tells whether a runner serves regular calls; only these
--- a/src/apricotlever/serving/usage_duty.py
+++ b/src/apricotlever/serving/usage_duty.py
@@ -44,7 +44,7 @@
     """Reports usage while this VM holds the lease.
 
     :param windows: the counts of this VM and those received from others.
-    :param keeper: manages the lease.
+    :param lease_manager: manages the lease.
     :param levels: returns the units left of each customer's limit, which the
         checkpoint includes.
     """
