--- a/src/apricotlever/daemon/access.py
+++ b/src/apricotlever/daemon/access.py
@@ -1,5 +1,6 @@
 """Authenticates callers and authorises their use of catalogue entries.
 
+A catalogue entry is a model or service that customers can name in requests.
 Each request reads the catalogue in force once and passes it on. If it were
 read twice, an edit could come in between: the entry would be of one version,
 and its class would be looked up in another that may not have it.
@@ -78,7 +79,7 @@
 def check_operator(
     context: contexts.Context, call: caller_server.Call
 ) -> None:
-    """Require the operators' key, when the settings name one.
+    """Require the operators' key if the settings hold its hash.
 
     The operators' pages show what every customer spends, so customers must
     not read them.
--- a/src/apricotlever/daemon/admission_refusals.py
+++ b/src/apricotlever/daemon/admission_refusals.py
@@ -1,4 +1,4 @@
-"""Converts refusals of the admission control to those of callers."""
+"""Converts refusals by admission control to the errors that callers get."""
 
 from .. import refusals
 from ..contracts import admission
@@ -14,9 +14,11 @@
 
 
 def refusal_of(verdict: admission.Refused) -> refusals.Refusal:
-    """The refusal that a caller receives.
+    """The error for the caller of a request that was not admitted.
 
-    :param verdict: the refusal of the admission control, with its reason.
+    :param verdict: the refusal by admission control, with its reason. An
+        exceeded limit becomes ``RATE_LIMITED``, an unknown entry
+        ``NOT_FOUND`` and any other reason ``OVERLOADED``.
     """
     limited = verdict.reason in _LIMIT_REASONS
     kind = refusals.RATE_LIMITED if limited else refusals.OVERLOADED
--- a/src/apricotlever/daemon/answer_reader.py
+++ b/src/apricotlever/daemon/answer_reader.py
@@ -1,8 +1,9 @@
 """Reads one model answer from its runners and recovers from their failures.
 
-An AnswerReader is used by one thread at a time. It makes one attempt at a
-time, accepts each token exactly once and in order, and leaves a runner before
-that runner is reclaimed.
+An attempt is one connection to a runner that sends the answer or a part of
+it. An AnswerReader is used by one thread at a time and has one attempt open
+at a time. It accepts each token exactly once and in order, and leaves a
+runner before the cloud reclaims that runner.
 """
 
 import contextlib
@@ -37,15 +38,18 @@
 
 
 def _discard(data: bytes) -> None:
-    """Sink used until a caller reads; the transcript keeps the events."""
+    """Drop events: the sink until :meth:`AnswerReader.read_rest` sets one.
+
+    No event is lost, because the transcript keeps all of them.
+    """
 
 
 class RequestMoved(Exception):
-    """Raised when another entry VM has taken over the request."""
+    """Another entry VM has taken over the request, so reading ends here."""
 
 
 class AnswerReader:
-    """Reads the tokens of one answer.
+    """Reads the tokens of one answer into its transcript and to a sink.
 
     Call :meth:`read_first`, then :meth:`read_rest`. After
     :class:`.caller_server.CallerDisconnected`, :meth:`read_rest` may be
@@ -139,7 +143,11 @@
 
     @contextlib.contextmanager
     def _reporting_refusal(self) -> typing.Iterator[None]:
-        """Report the end of a request that is refused or moved."""
+        """Report the end of the request when the ``with`` block is refused.
+
+        A Refusal or RequestMoved that the block raises is reported to the
+        dispatcher, the metrics and the log, and then raised again.
+        """
         try:
             yield
         except refusals.Refusal as refusal:
@@ -154,7 +162,10 @@
             raise
 
     def _open_attempt(self) -> bytes:
-        """Make the next attempt and read its first events."""
+        """Make the next attempt and read until it adds events or is complete.
+
+        :returns: the new events; they may be empty if the answer is complete.
+        """
         self._partial_event = b""
         exchange = self._attempts.open(self._decision, self._tried)
         self._cursor.start_attempt(self._request.attempt)
--- a/src/apricotlever/daemon/attempt_reports.py
+++ b/src/apricotlever/daemon/attempt_reports.py
@@ -1,4 +1,10 @@
-"""Reports ended attempts to the dispatcher and to the other entry VMs."""
+"""Reports failed attempts, crashes and ended trials.
+
+The dispatcher decides whether to retry a failed attempt, the other entry VMs
+learn of crashes, and the judge of a pool learns that a trial has ended. A
+suspect is a request that may have crashed a runner. A trial is a run of a
+suspect that the judge, one entry VM for each pool, has granted.
+"""
 
 import time
 
@@ -47,6 +53,8 @@
 ) -> None:
     """Send the other entry VMs a report of a crash or a completed suspect.
 
+    A completed suspect was answered in full, which clears it of suspicion.
+
     :param context: the daemon's tasks.
     :param report: the dispatcher's report on the attempt; None sends nothing.
     :param wait: whether to return only when the others have the report. A
--- a/src/apricotlever/daemon/autoscaler.py
+++ b/src/apricotlever/daemon/autoscaler.py
@@ -1,8 +1,9 @@
-"""The task that buys and releases runners while this VM holds that duty.
+"""The task that buys and releases runners for the pools that this VM plans.
 
-It passes the demand reported by all entry VMs, the platform's list of VMs,
-the prices and the cloud's answers to the capacity planner of each pool, and
-carries out the planner's orders under the lease of the pool's duty.
+Planning a pool is a duty, which one entry VM at a time performs under a lease
+(see :mod:`.duties`). The task passes the demand reported by all entry VMs,
+the platform's list of VMs, the prices and the cloud's answers to the capacity
+planner of each pool, and carries out the planner's orders.
 """
 
 from concurrent import futures
@@ -38,7 +39,7 @@
 
 
 class UpdatePlatform:
-    """The platform's list of VMs and its prices were read.
+    """Message: the platform's current list of VMs and its prices.
 
     :param prices: price per hour by data centre, machine class and market.
     """
@@ -55,7 +56,7 @@
 
 
 class UpdateDemand:
-    """An entry VM, this one or another, reported the demand of its callers."""
+    """Message: the demand report of one entry VM, this one or another."""
 
     __slots__ = ("report",)
 
@@ -64,7 +65,7 @@
 
 
 class _PurchaseEnded:
-    """A purchase order to the cloud has ended.
+    """Message: the cloud has answered a purchase order, or the call failed.
 
     :param token: the idempotency token of the order.
     :param outcome: a :class:`returns.result.Result` with the cloud's answer
@@ -80,7 +81,7 @@
 
 
 class _PoolDemand:
-    """The demand on a pool at one entry VM.
+    """The demand for a pool in the latest report of one entry VM.
 
     :param rate: requests per second.
     :param service_s: time for which a request occupies a slot, in seconds.
@@ -326,7 +327,11 @@
         self._load_limiter.record_end(order.vm)
 
     def _release_drained(self) -> None:
-        """Release the VMs whose time to move or end their streams is over."""
+        """Release the VMs whose drain time of ``DRAIN_S`` is over.
+
+        A VM that the platform still lists ``DRAIN_S`` after its release is
+        released again.
+        """
         now = self._clock.now()
         due = [vm for vm, at in self._release_due_at.items() if at <= now]
         for vm in due:
@@ -340,7 +345,7 @@
 
 
 def capacity_duty_name(pool: str) -> str:
-    """The name of the duty to plan the runners of a pool."""
+    """The name of the duty to buy and release the runners of a pool."""
     return f"capacity/{pool}"
 
 
--- a/src/apricotlever/daemon/call_backoff.py
+++ b/src/apricotlever/daemon/call_backoff.py
@@ -13,7 +13,7 @@
 
 
 class CallBackoff:
-    """The backoff of one kind of call.
+    """The wait after failures of one kind of call, such as reading prices.
 
     :param clock: the source of time.
     """
@@ -28,13 +28,13 @@
 
     @property
     def due(self) -> bool:
-        """Whether the call may be made now."""
+        """Whether the wait after the last failure is over."""
         return self._clock.now() >= self._due_at
 
     def record_failure(self) -> bool:
         """Record a failure, after which the next wait doubles up to a limit.
 
-        :returns: whether the previous call had not failed.
+        :returns: whether this is the first failure in a row.
         """
         first = not self._failing
         self._failing = True
@@ -45,7 +45,7 @@
     def record_success(self) -> bool:
         """Record a success, after which the call is due at any time.
 
-        :returns: whether the previous call had failed.
+        :returns: whether this success follows a failure.
         """
         recovered = self._failing
         self._failing = False
--- a/src/apricotlever/daemon/catalogue_reads.py
+++ b/src/apricotlever/daemon/catalogue_reads.py
@@ -1,4 +1,9 @@
-"""Schedules reads of the catalogue and detects a store with an older one."""
+"""Schedules reads of the catalogue from the store, at a VM that watches it.
+
+A watch is a long poll of the store for changes of the catalogue. The schedule
+also detects a store that holds an older version than the one in force, which
+happens when the store was restored from a copy.
+"""
 
 import typing
 
@@ -13,7 +18,10 @@
 
 
 class ReadEnded:
-    """The Result of reading the catalogue's object."""
+    """Message: a read of the catalogue's object in the store has ended.
+
+    :param outcome: a :class:`returns.result.Result` with the object or error.
+    """
 
     __slots__ = ("outcome",)
 
@@ -22,7 +30,11 @@
 
 
 class WatchEnded:
-    """The Result of waiting for changes of the catalogue's object."""
+    """Message: a watch of the catalogue's object in the store has ended.
+
+    :param outcome: a :class:`returns.result.Result` with the changes, if any,
+        or the error.
+    """
 
     __slots__ = ("outcome",)
 
@@ -58,7 +70,7 @@
 
     @property
     def older_store_version(self) -> int | None:
-        """The store's version if older than the one in force, or None."""
+        """The version in a store that went back, or None if it did not."""
         return self._older_store_version
 
     def schedule_within(self, seconds: float) -> None:
@@ -96,7 +108,11 @@
         return went_back
 
     def watch_returned(self, version: int) -> None:
-        """Record a version that a watch returned."""
+        """Record a version that a watch returned.
+
+        If it is not older than the one that was in force when the last read
+        began, the store no longer counts as gone back.
+        """
         if version >= self._in_force_at_start:
             self._older_store_version = None
 
--- a/src/apricotlever/daemon/catalogue_watcher.py
+++ b/src/apricotlever/daemon/catalogue_watcher.py
@@ -1,7 +1,9 @@
 """The task that brings catalogue versions into force at this VM.
 
-It executes the actions of the catalogue replicator: it watches the store
-when this VM is one of the watchers, and fetches catalogues from peers.
+A version is in force once this VM applies it to requests. The catalogue
+replicator decides, and this task executes its actions: it watches the store
+when this VM is one of the data centre's watchers, and fetches catalogues from
+peers.
 """
 
 from concurrent import futures
@@ -39,7 +41,7 @@
 
 
 class ViewChanged:
-    """Reports a new membership view."""
+    """Message: the view, this VM's snapshot of the fleet, has changed."""
 
     __slots__ = ("view",)
 
@@ -48,7 +50,7 @@
 
 
 class PeerHasVersion:
-    """Reports the version that is in force at a peer.
+    """Message: a peer has advertised the version that is in force there.
 
     :param version: the version.
     :param digest: digest of the catalogue.
@@ -64,9 +66,11 @@
 
 
 class RumourReceived:
-    """Reports a rumour about a version, which may carry the change.
+    """Message: a rumour about a catalogue version has arrived.
 
-    :param rumour: the rumour.
+    A rumour is a message that entry VMs spread by gossip.
+
+    :param rumour: the rumour, which may carry the change to the catalogue.
     :param via: name of the peer that passed it on.
     """
 
@@ -78,7 +82,7 @@
 
 
 class AnswerFetch:
-    """Answers a peer's fetch; the result is the document."""
+    """Message: a peer fetches the catalogue; the result is the document."""
 
     __slots__ = ("request",)
 
@@ -87,7 +91,7 @@
 
 
 class _Fetched:
-    """The result of a fetch from a peer.
+    """Message: a fetch of the catalogue from a peer has ended.
 
     :param vm: name of the peer.
     :param reply: the reply, or None when the fetch failed.
@@ -101,7 +105,7 @@
 
 
 class CatalogueWatcher(mailbox.Task):
-    """Brings catalogues into force.
+    """Learns of catalogue versions from the store and peers and applies them.
 
     :param config: the settings.
     :param store: the task that runs reads and watches.
@@ -180,7 +184,11 @@
             self._read_schedule.call_failed()
 
     def _handle_stored(self, version: int, value: typing.Any) -> None:
-        """Handle the object that a read returned."""
+        """Apply the catalogue that a read returned, and start the next watch.
+
+        An older version than the one in force is passed on only if it proves
+        that the store went back.
+        """
         store_went_back = self._read_schedule.read_succeeded(version)
         if store_went_back or version >= self._replicator.in_force.version:
             self._execute(self._replicator.receive_stored(version, value))
@@ -201,7 +209,11 @@
             self._start_watch(watched.version)
 
     def _handle_event(self, event: platform.PlatformObject) -> None:
-        """Handle a change, unless a peer has sent a later version already."""
+        """Apply a change of the catalogue that a watch returned.
+
+        A change is ignored when a later version, received from a peer, is in
+        force already.
+        """
         older = event.version < self._replicator.in_force.version
         if event.name == edit.CURRENT_OBJECT_NAME and not older:
             self._read_schedule.watch_returned(event.version)
--- a/src/apricotlever/daemon/claim_storage.py
+++ b/src/apricotlever/daemon/claim_storage.py
@@ -1,4 +1,8 @@
-"""Reads and writes buckets of key claims in the store."""
+"""Reads and writes claims of idempotency keys in the store.
+
+A claim records which VM may run the call of a key that the caller chose. A
+bucket is one object of the store that holds many claims.
+"""
 
 from concurrent import futures
 import typing
@@ -13,10 +17,10 @@
 
 
 class BucketRead:
-    """The result of reading a bucket of claims.
+    """Message: a read of a bucket has ended.
 
     :param name: object name of the bucket.
-    :param outcome: the Result of the read.
+    :param outcome: a :class:`returns.result.Result` with the object or error.
     """
 
     __slots__ = ("name", "outcome")
@@ -27,10 +31,10 @@
 
 
 class BucketWritten:
-    """The result of writing a bucket of claims.
+    """Message: a conditional write of a bucket has ended.
 
     :param name: object name of the bucket.
-    :param outcome: the Result of the write.
+    :param outcome: a :class:`returns.result.Result` with the object or error.
     """
 
     __slots__ = ("name", "outcome")
@@ -99,7 +103,7 @@
 def apply_read_result(
     batcher: claims.ClaimBatcher, message: BucketRead
 ) -> list[claims.Action]:
-    """Pass the result of a read to the claim batcher.
+    """Tell the claim batcher how a read of a bucket ended.
 
     :param batcher: the claim batcher.
     :param message: the result.
@@ -118,7 +122,7 @@
 def apply_write_result(
     batcher: claims.ClaimBatcher, message: BucketWritten
 ) -> list[claims.Action]:
-    """Pass the result of a write to the claim batcher.
+    """Tell the claim batcher how a write of a bucket ended.
 
     :param batcher: the claim batcher.
     :param message: the result.
--- a/src/apricotlever/daemon/context.py
+++ b/src/apricotlever/daemon/context.py
@@ -1,4 +1,7 @@
-"""The tasks and services that request handlers use."""
+"""The tasks and shared objects that the handlers of requests use.
+
+A task is an actor on a thread of its own (see :mod:`apricotlever.mailbox`).
+"""
 
 from concurrent import futures
 import typing
@@ -17,7 +20,7 @@
 
 
 class Context:
-    """The tasks and shared services of one daemon.
+    """The tasks and shared objects of one daemon.
 
     ``connections`` holds idle connections to upstreams for reuse.
     ``status_tasks`` lists the tasks whose state the status page shows.
--- a/src/apricotlever/daemon/dispatcher.py
+++ b/src/apricotlever/daemon/dispatcher.py
@@ -1,7 +1,8 @@
 """The task that decides whether, when and where requests run.
 
-The dispatcher owns admission, routing, the retry budget and the quarantine,
-and tracks which request runs at which runner. It does no I/O.
+The dispatcher owns admission, routing, the retry budget and the quarantine of
+requests that crash runners. It tracks which request runs at which runner. It
+does no I/O; other threads send requests and tell it the results.
 """
 
 from concurrent import futures
@@ -327,7 +328,11 @@
         }
 
     def tick(self) -> None:
-        """Apply timeouts, evacuate leaving runners and report demand."""
+        """Do the periodic work.
+
+        Refuse requests that waited too long, move streams away from leaving
+        runners, drop expired crashes and report demand to the other VMs.
+        """
         self._settle_admissions(self._admission.tick())
         self._placements.evacuate()
         self._suspects.tick()
@@ -393,7 +398,12 @@
         )
 
     def _update_pools(self) -> None:
-        """Tell admission the slots of each pool and the price per slot."""
+        """Pass on the runners of each pool after the runners have changed.
+
+        Admission gets the slots and the price per slot of each pool, without
+        the runners that are leaving; the quarantine gets the number of
+        runners in each data centre.
+        """
         by_pool: dict[str, list[runners.Runner]] = {}
         for runner in self._router.runners:
             by_pool.setdefault(runner.pool, [])
--- a/src/apricotlever/daemon/dispatcher_messages.py
+++ b/src/apricotlever/daemon/dispatcher_messages.py
@@ -1,6 +1,7 @@
-"""Messages that the dispatcher receives.
+"""Messages to the dispatcher, which decides whether and where requests run.
 
-Other tasks receive some of them too.
+Other tasks receive some of them too. The reply to a message is the result of
+the future that :meth:`.mailbox.Task.ask` returns.
 """
 
 from ..catalogue import model as catalogues
@@ -24,9 +25,10 @@
 
 
 class Admit:
-    """Ask for admission of a request.
+    """Ask for admission of a request, which may first wait in a queue.
 
-    The reply is None, or a Refusal is raised.
+    The reply is None when the request is admitted; otherwise a Refusal is
+    raised.
     """
 
     __slots__ = ("ticket",)
@@ -36,7 +38,10 @@
 
 
 class Withdraw:
-    """Withdraw a request that is queued or admitted and has not ended."""
+    """Withdraw a request that is queued or admitted and has not ended.
+
+    It leaves the queue, or its admission ends as that of a cancelled request.
+    """
 
     __slots__ = ("request_id",)
 
@@ -92,7 +97,10 @@
 
 
 class TrialRequired:
-    """The request may only run as a trial, which the judge must grant.
+    """Reply to :class:`Dispatch`: the request may run only as a trial.
+
+    The request may have crashed a runner. The judge, one entry VM for each
+    pool, grants trials one at a time for equal requests.
 
     :param pool: name of the pool, which determines the VM that is its judge.
     :param trial_request: the request for a trial, to be sent to the judge.
@@ -126,7 +134,7 @@
 
 
 class CrashReported:
-    """A peer reports a runner's crash, or the completion of a suspect."""
+    """A peer reports a runner's crash, or that a suspect was answered."""
 
     __slots__ = ("report",)
 
@@ -204,7 +212,10 @@
 
 
 class MemberLeft:
-    """A process of an entry VM has certainly ended."""
+    """A process of an entry VM has certainly ended.
+
+    This frees its shares of the fleet's limits.
+    """
 
     __slots__ = ("vm",)
 
@@ -213,7 +224,7 @@
 
 
 class MembersChanged:
-    """The members of the fleet have changed.
+    """The entry VMs that share the fleet's limits on entries have changed.
 
     :param vms: names of the entry VMs that share the fleet's limits.
     """
@@ -225,7 +236,7 @@
 
 
 class DemandReported:
-    """A peer reports its demand on the fleet's limits.
+    """A peer reports how much of the fleet's limits its requests need.
 
     :param report: the demand.
     :param age_s: seconds since the peer made the report.
@@ -241,7 +252,7 @@
 
 
 class FirstToken:
-    """The first token of an answer has arrived."""
+    """The first token of the answer to a request has arrived."""
 
     __slots__ = ("request_id",)
 
@@ -250,7 +261,7 @@
 
 
 class AttemptEnded:
-    """An attempt has ended.
+    """An attempt has ended without an answer, and another one may follow.
 
     The reply is the crash report to send to the other entry VMs, or None.
 
@@ -276,7 +287,7 @@
 
 
 class DecideRecovery:
-    """Ask how to recover a stream.
+    """Ask how to continue a stream after an attempt has failed.
 
     The reply is a ``recovery.RecoveryDecision``.
 
@@ -312,7 +323,7 @@
 
 
 class MoveEnded:
-    """The export and import of a stream's state has ended.
+    """The move of a stream's state to another runner has ended or failed.
 
     :param tokens: length of the prompt and the answer so far.
     :param seconds: duration of the move; None when it failed.
@@ -363,7 +374,7 @@
 
 
 class RunnerLeaving:
-    """A runner has a reclaim notice.
+    """A runner has a reclaim notice: its VM will end shortly.
 
     The dispatcher replies whether the notice is new to it.
 
@@ -379,7 +390,7 @@
 
 
 class RunnerGone:
-    """A runner has ended."""
+    """A runner has ended and is removed from routing."""
 
     __slots__ = ("runner",)
 
--- a/src/apricotlever/daemon/duties.py
+++ b/src/apricotlever/daemon/duties.py
@@ -1,8 +1,12 @@
 """The task that performs duties for the fleet under leases.
 
-Rendezvous hashing determines the VM responsible for a duty, and a lease in
-the store confirms it. The thread that sends an order checks the lease just
-before the first byte of the order.
+A duty is work that one entry VM at a time performs for all, such as ordering
+which models the runners of a pool load. Rendezvous hashing determines the VM
+responsible for a duty, and a lease in the store confirms it. An order is a
+call that directs a runner. The thread that sends it checks the lease just
+before the first byte. The order carries the lease's fencing number, which
+rises with each holder, so that a runner can refuse the late order of an
+earlier one.
 """
 
 from concurrent import futures
@@ -34,7 +38,7 @@
 
 
 class UpdateView:
-    """The view of the fleet changed."""
+    """Message: the view, this VM's snapshot of the fleet, has changed."""
 
     __slots__ = ("view",)
 
@@ -43,14 +47,15 @@
 
 
 class ReleaseDuties:
-    """Release the leases of all duties, because this VM stops."""
+    """Message: release the leases of all duties, because this VM stops."""
 
     __slots__ = ()
 
 
 class _LeaseCallEnded:
-    """A store call for a lease has ended.
+    """Message: a store call that reads or writes a lease has ended.
 
+    :param action: the read or write that was made.
     :param outcome: a :class:`returns.result.Result` with the store's answer
         or error.
     """
