--- a/src/apricotlever/daemon/fleet_link.py
+++ b/src/apricotlever/daemon/fleet_link.py
@@ -1,7 +1,10 @@
 """The task that communicates with the other entry VMs.
 
-It runs the membership protocol over the peer link, delivers rumours, sends
-crash reports, asks judges for trials, and calls peers for other tasks.
+It runs the membership protocol over the peer link, the connections between
+entry VMs. It delivers rumours, the messages that the protocol spreads by
+gossip. It sends reports of runner crashes, asks the judge of a pool whether a
+request that may have crashed a runner can run, and calls peers for other
+tasks.
 """
 
 from concurrent import futures
@@ -46,8 +49,10 @@
 
 
 class AskJudge:
-    """Ask the judge of a pool for permission to run a suspect.
+    """Message: ask the judge of a pool for permission to run a suspect.
 
+    A suspect is a request that may have crashed a runner. The judge is the
+    entry VM that alone grants trials, the runs of suspects, in that pool.
     The result is a :data:`.quarantine.TrialDecision`.
 
     :param pool: the pool, whose name determines the judge.
@@ -62,7 +67,7 @@
 
 
 class ReportTrialEnd:
-    """Report to the judge of a pool that a trial has ended."""
+    """Message: report to the judge of a pool that a trial has ended."""
 
     __slots__ = ("pool", "report")
 
@@ -72,9 +77,10 @@
 
 
 class BroadcastCrashReport:
-    """Send a crash or survival report to the other entry VMs.
+    """Message: report a crash or a completed suspect to the other entry VMs.
 
-    The future is done when the calls to the peers have ended.
+    The report is sent by rumour to all, and also by a call to at most
+    ``MAX_CRASH_CALLS`` of them. The future is done when the calls have ended.
     """
 
     __slots__ = ("report",)
@@ -84,7 +90,7 @@
 
 
 class SendCrashReport:
-    """Send a crash report to one entry VM."""
+    """Message: send a crash report to one entry VM."""
 
     __slots__ = ("vm", "report")
 
@@ -94,7 +100,7 @@
 
 
 class _GossipReceived:
-    """A gossip message arrived.
+    """Message: a message of the membership protocol arrived from a peer.
 
     :param is_call: whether a peer called; if False, the message is the reply
         to a call of this VM.
@@ -113,7 +119,7 @@
     :param config: the intervals, the timeouts and the seed nodes.
     :param link: the peer link, which must have been started.
     :param me: this VM's record.
-    :param listener: is notified of changes.
+    :param listener: is notified of changes in the fleet and of rumours.
     """
 
     def __init__(
@@ -293,7 +299,7 @@
         self._call(judge.peers_address, "Judge", report, JUDGE_CALL_TIMEOUT_S)
 
     def tick(self) -> None:
-        """Run the membership protocol."""
+        """Probe peers, spread rumours and apply the protocol's timeouts."""
         self._execute(self._membership.tick())
 
     def failed(self, error: Exception) -> None:
@@ -320,7 +326,11 @@
 
     @functools.singledispatchmethod
     def _execute_one(self, action: typing.Any) -> None:
-        """Ignore a reply, which is returned to the peer that called."""
+        """Perform one action of the membership protocol.
+
+        This base case ignores a reply, which :meth:`_gossip_received` returns
+        to the peer that called.
+        """
 
     @_execute_one.register
     def _send(self, action: actions.Send) -> None:
--- a/src/apricotlever/daemon/fleet_listener.py
+++ b/src/apricotlever/daemon/fleet_listener.py
@@ -1,4 +1,4 @@
-"""The interface through which the daemon is notified of fleet changes."""
+"""The interface by which FleetLink notifies the daemon of fleet changes."""
 
 from concurrent import futures
 import typing
@@ -12,9 +12,9 @@
     """Receives notifications of fleet changes; no method may block."""
 
     def on_view(self, view: views.FleetView) -> None:
-        """Called when the membership has changed.
+        """Called when a member has joined, left or changed its state.
 
-        :param view: the new membership.
+        :param view: the new snapshot of the fleet.
         """
 
     def on_rumour(self, rumour: pb.Rumour, via: str) -> None:
@@ -28,7 +28,8 @@
         """Called when a process of an entry VM has certainly ended.
 
         :param vm: name of the VM.
-        :param incarnation: incarnation of the process.
+        :param incarnation: start time of the process, which tells it from
+            other processes of the same VM.
         """
 
     def on_joined(self, vm: str) -> None:
@@ -59,13 +60,14 @@
     def decide_trial(
         self, request: quarantine.TrialRequest
     ) -> "futures.Future[quarantine.TrialDecision]":
-        """Decide, as the judge of its pool, whether a suspect may run.
+        """Decide, as the judge of a pool, whether a suspect request may run.
 
         :param request: describes the suspect.
         """
 
     def on_trial_ended(self, report: quarantine.TrialEnded) -> None:
-        """Called when a trial that this VM allowed is over.
+        """Called when a trial that this VM granted as a judge is over.
 
-        :param report: names the suspect and the request.
+        :param report: the fingerprint of the suspect and the ID of the
+            request that ran.
         """
--- a/src/apricotlever/daemon/fleet_messages.py
+++ b/src/apricotlever/daemon/fleet_messages.py
@@ -17,7 +17,10 @@
 
 
 class SetHints:
-    """Set the entry VMs on the platform's list, which lags."""
+    """Set the entry VMs that the platform lists.
+
+    The list lags, so it only serves as hints for finding members.
+    """
 
     __slots__ = ("hints",)
 
@@ -26,7 +29,7 @@
 
 
 class GetView:
-    """Get the current view of the fleet."""
+    """Get the view: this VM's current snapshot of the fleet."""
 
     __slots__ = ()
 
@@ -75,7 +78,7 @@
 
 
 class AnnounceRumour:
-    """Spread a rumour."""
+    """Spread a rumour: a message that gossip carries to the other VMs."""
 
     __slots__ = ("rumour",)
 
--- a/src/apricotlever/daemon/future_chaining.py
+++ b/src/apricotlever/daemon/future_chaining.py
@@ -1,4 +1,4 @@
-"""Futures that are completed from the results of other futures."""
+"""Completes futures from the results of other futures."""
 
 from concurrent import futures
 import itertools
@@ -24,7 +24,11 @@
     target: "futures.Future[typing.Any]",
     calls: list["futures.Future[typing.Any]"],
 ) -> None:
-    """Complete a future with None when all calls have ended or failed."""
+    """Complete a future with None when all calls have ended or failed.
+
+    :param target: the future to complete; at once if there is no call.
+    :param calls: the futures to wait for.
+    """
     ended_count = itertools.count(1)
     if not calls:
         target.set_result(None)
--- a/src/apricotlever/daemon/gateway.py
+++ b/src/apricotlever/daemon/gateway.py
@@ -31,7 +31,7 @@
     """Routes HTTP calls to their handlers; thread-safe.
 
     :param context: the daemon's tasks.
-    :param presence: this VM's state among the entry VMs.
+    :param presence: whether this VM takes work, and the other entry VMs.
     """
 
     def __init__(
--- a/src/apricotlever/daemon/gossip_messages.py
+++ b/src/apricotlever/daemon/gossip_messages.py
@@ -1,4 +1,9 @@
-"""Converts the daemon's messages to and from rumours and peer messages."""
+"""Converts the daemon's messages to and from rumours and peer messages.
+
+A rumour is a message that the entry VMs spread by gossip until its lifetime
+is over. Entry VMs don't share a clock, so rumours state ages and durations
+instead of times.
+"""
 
 from ..contracts import fleet_shares
 from ..links import peer_pb2 as pb
@@ -37,7 +42,7 @@
 
 
 def load_rumour(runner: str, report: runners.LoadReport) -> pb.Rumour:
-    """A rumour with a runner's load; it replaces earlier ones."""
+    """A rumour with a runner's load; it replaces the runner's earlier one."""
     return pb.Rumour(
         scope=pb.SCOPE_FLEET,
         lifetime_ms=LOAD_LIFETIME_MS,
@@ -65,7 +70,10 @@
 
 
 def cache_rumour(runner: str, events: runners.CacheEvents) -> pb.Rumour:
-    """A rumour with the blocks that a runner's cache has stored."""
+    """A rumour with the prompt blocks that a runner's cache has stored.
+
+    Events of blocks that the cache has dropped are left out.
+    """
     stored_blocks = [
         block
         for event in events.events
@@ -82,7 +90,7 @@
 
 
 def decode_cache_events(rumour: pb.Rumour) -> runners.CacheEvents:
-    """Decode the cache events of a runner."""
+    """Decode a rumour of :func:`cache_rumour` as one event with all blocks."""
     digest = rumour.prefix
     event = runners.CacheEvent(digest.seq, True, tuple(digest.blocks))
     return runners.CacheEvents((event,), digest.seq)
@@ -118,6 +126,9 @@
 ) -> pb.Rumour:
     """A rumour that another VM has adopted the ledger of a leaving VM.
 
+    A ledger holds the idempotency keys on which a VM decides. The successor
+    is the VM that decides on them from now on.
+
     :param owner: the incarnation that minted the keys of the ledger.
     :param successor: the incarnation that adopted the ledger.
     """
@@ -163,9 +174,9 @@
 
 
 def encode_crash_report(vm: str, report: crashes.Report) -> pb.CrashReport:
-    """Encode a report of a crash, or of a request that crashed no runner.
+    """Encode a report of a crash, or of a suspect that was answered in full.
 
-    :param vm: this VM's name.
+    :param vm: this VM's name, stated as the reporter.
     """
     if isinstance(report, crashes.RequestCompleted):
         return pb.CrashReport(
@@ -192,7 +203,7 @@
 def decode_crash_report(
     message: pb.CrashReport, transit_s: float = 0.0
 ) -> crashes.Report:
-    """Decode a report of a crash, or of a request that crashed no runner.
+    """Decode a report of a crash, or of a suspect that was answered in full.
 
     :param transit_s: the age of the message, in seconds; it is added to the
         age of the report.
@@ -219,7 +230,7 @@
 
 
 def crash_rumour(message: pb.CrashReport) -> pb.Rumour:
-    """A rumour with a report of a crash or of a completed request."""
+    """A rumour with a report made by :func:`encode_crash_report`."""
     return pb.Rumour(
         scope=pb.SCOPE_FLEET,
         lifetime_ms=CRASH_LIFETIME_MS,
--- a/src/apricotlever/daemon/incoming_handover.py
+++ b/src/apricotlever/daemon/incoming_handover.py
@@ -1,4 +1,9 @@
-"""The task that adopts the requests and ledgers of leaving entry VMs."""
+"""The task that adopts the requests and ledgers of leaving entry VMs.
+
+In a handover, a leaving VM sends its requests and its ledger to peers in
+parts. A ledger holds the idempotency keys on which a VM decides. A receipt is
+this VM's answer to a part: it accepts the part, or refuses it with a reason.
+"""
 
 from concurrent import futures
 
@@ -28,7 +33,7 @@
 
 
 class ReceivePart:
-    """A part of a handover arrived; the result is the receipt."""
+    """Message: a part of a handover arrived; the result is its receipt."""
 
     __slots__ = ("part",)
 
@@ -37,7 +42,7 @@
 
 
 class IncomingHandover(mailbox.Task):
-    """Adopts requests and ledgers and resumes the streams of the requests.
+    """Adopts requests and ledgers, and resumes reading the requests' answers.
 
     :param context: the daemon's other tasks.
     """
@@ -73,7 +78,7 @@
         return pb.HandoverReceipt(accepted=True)
 
     def stopped(self) -> None:
-        """Stop each thread when its stream has ended."""
+        """Let each thread end with the stream that it reads."""
         self._threads.shutdown(wait=False)
 
     def _adopt_ledger(
@@ -93,10 +98,11 @@
     def _adopt_requests(
         self, sender: str, adopted: list[records.RequestRecord]
     ) -> None:
-        """Resume the running requests; the receipt follows.
+        """Adopt request records and resume the requests that are running.
 
-        The sender redirects callers to this VM only after the receipt, so a
-        redirected caller finds its request.
+        This ends before the receipt is sent. The sender redirects callers to
+        this VM only after the receipt, so a redirected caller finds its
+        request.
         """
         adoption = self._context.registry.ask(
             request_registry.AdoptRecords(adopted)
--- a/src/apricotlever/daemon/keyed_answer_codec.py
+++ b/src/apricotlever/daemon/keyed_answer_codec.py
@@ -1,4 +1,8 @@
-"""Converts answers to keyed calls to and from peer messages."""
+"""Converts answers to keyed calls to and from peer messages.
+
+A keyed call has an idempotency key, so that it runs at most once. An entry VM
+forwards it to the VM that owns the key, whose ledger decides on the call.
+"""
 
 from .. import refusals
 from ..links import peer_pb2 as pb
--- a/src/apricotlever/daemon/ledger_task.py
+++ b/src/apricotlever/daemon/ledger_task.py
@@ -1,8 +1,14 @@
 """The task that keeps the ledger of idempotency keys.
 
-The task owns the ledger and the claims. It reads and writes claims through
-the store's task. The threads that send calls ask this task for permission
-before they send, and report how each exchange ended.
+A key stands for one call of a customer, which a retry repeats. The ledger
+holds the keys on which this VM decides, with the state of their calls and the
+answers for retries, so that no call runs twice. A key that the caller chose,
+and this system did not mint, must first be claimed in the store, so that only
+one VM runs its call.
+
+A run is one permitted execution of a call, identified by a token. The threads
+that send calls ask this task for permission before they send, and report how
+each exchange with the upstream ended.
 """
 
 from concurrent import futures
@@ -24,7 +30,7 @@
 
 
 class MintKey:
-    """Asks for a new key that is bound to a customer and to this VM."""
+    """Asks for a minted key: a new key, bound to a customer and to this VM."""
 
     __slots__ = ("customer",)
 
@@ -41,7 +47,7 @@
 
     :param key: the idempotency key.
     :param customer: name of the customer.
-    :param digest: digest of the call.
+    :param digest: hash of the call, which a retry with the key must match.
     :param first: whether the caller declares that it never sent the key
         before.
     :param forwarded: whether another VM forwarded the call, because it
@@ -68,7 +74,10 @@
 class StartSending:
     """Asks for permission to send a call, just before its first byte.
 
-    The result is whether the call may be sent.
+    The result is whether the call may be sent. It may not be sent when the
+    ledger has moved to another VM meanwhile.
+
+    :param token: the token of the run.
     """
 
     __slots__ = ("token",)
@@ -128,6 +137,9 @@
 class LedgerMoved:
     """Reports that the ledger of an incarnation moved to its successor.
 
+    An incarnation is one process of a VM. The successor decides on the keys
+    from now on.
+
     :param owner: the incarnation that has left.
     :param successor: the successor, which has adopted the ledger.
     """
@@ -144,13 +156,13 @@
 
 
 class FreezeLedger:
-    """Makes the ledger refuse to start further runs."""
+    """Makes the ledger refuse further runs, before it is handed over."""
 
     __slots__ = ()
 
 
 class ExportLedger:
-    """Exports the ledger to a successor; the result is its state.
+    """Exports the ledger for a successor; the result is the ledger's state.
 
     :param successor: the successor.
     """
@@ -162,7 +174,7 @@
 
 
 class ReceiptReceived:
-    """Reports the successor's receipt for the exported ledger."""
+    """Reports the receipt: the successor's answer to the exported ledger."""
 
     __slots__ = ("receipt",)
 
@@ -171,7 +183,11 @@
 
 
 class GetPendingOutcomes:
-    """Asks for the calls that have ended since the export."""
+    """Asks for the calls that ended here after the ledger's export.
+
+    The result is the list of their outcomes that the successor has not
+    acknowledged.
+    """
 
     __slots__ = ()
 
@@ -360,7 +376,10 @@
             call.future.set_result(decision)
 
     def _decide_waiting(self, tokens: list[int]) -> None:
-        """Decide the calls that waited for these runs to end."""
+        """Decide again on the calls that waited for runs, which have ended.
+
+        :param tokens: the tokens of the ended runs.
+        """
         for token in tokens:
             for call in self._waiting.pop(token, []):
                 self._decide(call)
--- a/src/apricotlever/daemon/model_attempts.py
+++ b/src/apricotlever/daemon/model_attempts.py
@@ -1,4 +1,8 @@
-"""Makes the attempts at a model answer that an AnswerReader reads."""
+"""Makes the attempts at a model answer that an AnswerReader reads.
+
+An attempt sends the request to a runner, reconnects to the runner that has
+its stream, or moves the stream's state to another runner.
+"""
 
 import time
 
@@ -26,7 +30,7 @@
 
 
 class ModelAttempts:
-    """Makes and reports the attempts of one model request.
+    """Makes the attempts of one model request and reports how they ended.
 
     :param context: the daemon's tasks.
     :param request: the model request.
@@ -115,7 +119,7 @@
         tried: frozenset[str],
         attempts: int,
     ) -> retry_policy.Retry:
-        """Ask for permission to retry after a failure at a live runner.
+        """Ask for permission to retry when no runner has ended.
 
         :param error: how the attempt failed.
         :param tried: names of runners that failed the request.
@@ -307,9 +311,9 @@
     def _read_stream(
         self, runner: runners.Runner
     ) -> upstream_exchange.Exchange:
-        """Read the stream that the runner already has, from the next token.
+        """Connect to a runner to read its stream from the next token on.
 
-        :param runner: the runner that has the stream.
+        :param runner: the runner, which has the stream already.
         """
         request = self._request
         exchange = self._connect(runner)
@@ -369,6 +373,7 @@
         :param target: name of the runner to use; empty to let the router
             choose.
         :param tried: names of runners that must not be chosen.
+        :raises Refusal: when no runner is available or allowed.
         """
         request = self._request
 
--- a/src/apricotlever/daemon/model_request.py
+++ b/src/apricotlever/daemon/model_request.py
@@ -17,8 +17,8 @@
     """A model request, with the state of its attempts and of its answer.
 
     The thread that reads the answer owns the object. Other threads may only
-    call :meth:`decide`, :meth:`move` and :meth:`cancel`, which interrupt the
-    owner's blocked read.
+    call :meth:`set_decision`, :meth:`mark_moved` and :meth:`cancel`, which
+    interrupt the owner's blocked read.
 
     :param clock: the source of time.
     :param request_id: an ID that can't be guessed, created by the entry VM
@@ -140,8 +140,9 @@
     ) -> None:
         """Record the runner that the owner reads from.
 
-        A decision about a previous runner is dropped. The read is interrupted
-        at once when the request was moved, cancelled or decided about before.
+        A pending decision about another runner is dropped. The read is
+        interrupted at once when the request has been moved or cancelled, or
+        a decision about this runner is pending.
 
         :param runner: the runner.
         :param interrupt: ends a blocked read from the runner.
--- a/src/apricotlever/daemon/model_responses.py
+++ b/src/apricotlever/daemon/model_responses.py
@@ -55,7 +55,7 @@
 
 
 def moved_event(request_id: str, address: str) -> bytes:
-    """The SSE event that tells a caller which entry VM has its request.
+    """The SSE event that tells a caller which entry VM now has its request.
 
     :param request_id: the request's ID.
     :param address: ``host:port`` of that VM for callers.
@@ -188,7 +188,10 @@
 def resumption_token(
     context: contexts.Context, request: model_request.ModelRequest
 ) -> str:
-    """The token by which a caller can resume its stream at any entry VM.
+    """The resumption token of a stream.
+
+    A caller presents it to any entry VM to resume the stream after the one
+    that it used has crashed.
 
     :param context: holds the catalogue with the customer's key hash.
     :param request: the request.
@@ -209,7 +212,7 @@
 
 
 def discard(data: bytes) -> None:
-    """Sink used while no caller is connected."""
+    """Drop events: the sink while no caller reads them as a stream."""
 
 
 def read_adopted(
