--- a/src/apricotlever/daemon/node.py
+++ b/src/apricotlever/daemon/node.py
@@ -346,9 +346,10 @@
         return now + min(ttl_s, ADDRESS_EXPIRY_FRACTION * (deadline - now))
 
     def _hand_over(self, deadline: float) -> bool:
-        """Hand this VM's work over to peers.
+        """Hand this VM's requests and ledger over to peers.
 
-        :returns: whether all of it was handed over.
+        :param deadline: when the shutdown must end, on this VM's clock.
+        :returns: whether the peers accepted everything.
         """
         now = self._clock.now()
         until = now + HANDOVER_FRACTION * (deadline - now)
@@ -367,9 +368,10 @@
         return bool(complete)
 
     def _wait_for_callers(self, deadline: float) -> bool:
-        """Wait until callers have received their answers.
+        """Wait until the calls in progress have ended and their data is sent.
 
-        :returns: whether all received them before the deadline.
+        :param deadline: when the wait ends at the latest.
+        :returns: whether no call is left in progress.
         """
         while (
             self._server.has_calls_in_progress and self._clock.now() < deadline
--- a/src/apricotlever/daemon/order_sender.py
+++ b/src/apricotlever/daemon/order_sender.py
@@ -1,4 +1,8 @@
-"""Sends orders to runners under a lease, and reads their targets back."""
+"""Sends orders to runners under a lease, and reads their targets back.
+
+An order states a runner's target: the models that it must have loaded. The
+lease confirms that this VM alone performs the duty that the order belongs to.
+"""
 
 import typing
 
@@ -52,7 +56,7 @@
 
 
 class OrderSender:
-    """Calls runners; each call blocks the thread that makes it.
+    """Sends orders and reads targets; each call blocks its thread.
 
     :param timeout_s: the maximum duration of an order, in seconds.
     :param weights: leases model weights, which limits the loads in progress.
--- a/src/apricotlever/daemon/orphaned_streams.py
+++ b/src/apricotlever/daemon/orphaned_streams.py
@@ -1,4 +1,7 @@
-"""Resumes streams whose entry VM has died, from their runners."""
+"""Resumes streams whose entry VM has died, from their runners.
+
+A resumption token, which the caller got with its stream, names the runner.
+"""
 
 from concurrent import futures
 
@@ -19,7 +22,7 @@
 
 
 class OrphanedStreams:
-    """Resumes streams that are identified by resumption tokens.
+    """Resumes streams that callers identify by resumption tokens.
 
     :param context: the daemon's tasks.
     """
--- a/src/apricotlever/daemon/outgoing_handover.py
+++ b/src/apricotlever/daemon/outgoing_handover.py
@@ -1,4 +1,9 @@
-"""The task that hands a leaving VM's requests and ledger over to peers."""
+"""The task that hands a leaving VM's requests and ledger over to peers.
+
+The handover is sent in parts. A receipt is a peer's answer that it accepted a
+part. The peer that receives the ledger, which holds the idempotency keys, is
+its successor.
+"""
 
 from concurrent import futures
 import functools
@@ -25,14 +30,15 @@
 
 
 class StartHandover:
-    """Start the handover; the result is whether it was completed."""
+    """Message: start the handover; the result is whether it was completed."""
 
     __slots__ = ()
 
 
 class _PartResult:
-    """The result of sending a part to a peer.
+    """Message: the call that sent a part to a peer has ended.
 
+    :param sequence: the number of the part.
     :param accepted: whether the peer accepted the part; None if it did not
         answer.
     """
@@ -45,7 +51,10 @@
 
 
 class PeerGone:
-    """An incarnation of a peer has certainly ended."""
+    """Message: a process of a peer has certainly ended.
+
+    :param owner: the VM and the incarnation that identify the process.
+    """
 
     __slots__ = ("owner",)
 
@@ -54,7 +63,7 @@
 
 
 class OutgoingHandover(mailbox.Task):
-    """Runs a single handover.
+    """Runs the handover of this VM's requests and ledger, once.
 
     :param context: the daemon's other tasks.
     :param presence: provides the view of the peers.
@@ -110,7 +119,11 @@
         self._execute(self._handover_sender.on_peer_gone(message.owner))
 
     def tick(self) -> None:
-        """Resend parts without a receipt, and send late outcomes."""
+        """Resend parts without a receipt, and send late outcomes.
+
+        These are the outcomes of keyed calls that were in flight when the
+        ledger was exported.
+        """
         if self._completion is None:
             return
         late_outcomes = self._context.ledger.ask(
@@ -218,7 +231,7 @@
 
 
 def vm_incarnation(vm: str, incarnation: int) -> ledger_messages.VmIncarnation:
-    """The incarnation of a VM, as the handover identifies it."""
+    """Build the value by which a handover identifies a process of a VM."""
     return ledger_messages.VmIncarnation(vm, incarnation)
 
 
--- a/src/apricotlever/daemon/peer_calls.py
+++ b/src/apricotlever/daemon/peer_calls.py
@@ -1,4 +1,4 @@
-"""Calls to other entry VMs on behalf of other tasks."""
+"""Tracks calls to other entry VMs, to cancel those to a VM that has died."""
 
 from concurrent import futures
 import functools
@@ -13,7 +13,7 @@
 
 
 class PeerCalls:
-    """The calls in progress, by the peer's process."""
+    """The calls in progress, by the VM and incarnation that were called."""
 
     __slots__ = ("_in_progress",)
 
--- a/src/apricotlever/daemon/peer_handlers.py
+++ b/src/apricotlever/daemon/peer_handlers.py
@@ -21,7 +21,7 @@
 
 
 class PeerServiceTasks:
-    """The tasks that handle calls from peers."""
+    """The tasks that handle calls from peers, which are other entry VMs."""
 
     __slots__ = (
         "fleet_link",
@@ -110,7 +110,9 @@
     services: service_calls.ServiceCalls,
     message: pb.KeyedCall,
 ) -> pb.KeyedAnswer:
-    """Run a keyed call that another entry VM forwarded to this ledger.
+    """Run a keyed call that another entry VM forwarded to this one.
+
+    The call has an idempotency key on which this VM's ledger decides.
 
     :param context: the daemon's tasks.
     :param services: runs the call.
--- a/src/apricotlever/daemon/placements.py
+++ b/src/apricotlever/daemon/placements.py
@@ -1,6 +1,7 @@
 """Tracks which request runs at which runner and plans evacuations.
 
-Part of the dispatcher's state. It does no I/O.
+An evacuation moves the streams away from runners that will be reclaimed. This
+is part of the dispatcher's state and does no I/O.
 """
 
 from .. import clock as clocks
@@ -21,7 +22,7 @@
 
 
 class _Placement:
-    """A request at a runner.
+    """The record that a request was sent to a runner.
 
     ``moving_to`` is the name of the runner that the stream is moving to; it
     is empty when the stream is not moving.
@@ -79,14 +80,14 @@
         self._placements[dispatch.request_id] = _Placement(dispatch, runner)
 
     def runner_of(self, request_id: str) -> runners.Runner | None:
-        """The runner that has a request, or None."""
+        """The runner that a request was sent to; None if it is at none."""
         placement = self._placements.get(request_id)
         return placement.runner if placement else None
 
     def dispatch_of(
         self, request_id: str
     ) -> dispatcher_messages.Dispatch | None:
-        """The message that placed a request, or None."""
+        """The message that placed a request; None if it is at no runner."""
         placement = self._placements.get(request_id)
         return placement.dispatch if placement else None
 
--- a/src/apricotlever/daemon/request_admission.py
+++ b/src/apricotlever/daemon/request_admission.py
@@ -16,10 +16,10 @@
 
 
 class RequestAdmission:
-    """The admission steps that model requests and service calls share.
+    """Admits requests: the steps that model and service requests share.
 
     :param context: the daemon's tasks.
-    :param presence: this VM's state among the entry VMs.
+    :param presence: tells whether this VM takes new work.
     """
 
     __slots__ = ("_context", "_presence")
--- a/src/apricotlever/daemon/request_lookup.py
+++ b/src/apricotlever/daemon/request_lookup.py
@@ -20,10 +20,12 @@
 
 
 class RequestLookup:
-    """Finds requests by their IDs, at this or another entry VM.
+    """Finds a caller's earlier request by its ID.
+
+    The request may be at this VM, at another entry VM, or only at its runner.
 
     :param context: the daemon's tasks.
-    :param presence: this VM's state among the entry VMs.
+    :param presence: knows the addresses of the other entry VMs.
     """
 
     __slots__ = ("_context", "_presence", "_orphaned_streams")
@@ -174,7 +176,7 @@
 
 
 def _describe(found: request_registry.FoundRequest) -> dict[str, typing.Any]:
-    """The outcome of a request as JSON."""
+    """The state of a request as JSON, with the outcome once it has ended."""
     record = found.record
     request = found.request
     tokens = len(request.transcript) if request else len(record.tokens)
--- a/src/apricotlever/daemon/request_registry.py
+++ b/src/apricotlever/daemon/request_registry.py
@@ -1,4 +1,8 @@
-"""The task that keeps records of requests, so that callers can resume them."""
+"""The task that keeps records of requests, so that callers can resume them.
+
+A record holds what is needed to continue a request or to repeat its outcome:
+the body, the tokens of the answer and how the request ended.
+"""
 
 from .. import clock as clocks
 from .. import mailbox
@@ -13,7 +17,8 @@
 class RegisterRequest:
     """Registers a new model request.
 
-    The result is whether the registry has room for its record.
+    The result is whether the request was registered; it is not when there is
+    no room for its record.
     """
 
     __slots__ = ("request",)
@@ -58,7 +63,7 @@
 
 
 class FoundRequest:
-    """The result of a successful :class:`Resume`.
+    """The result of a successful :class:`ResumeRequest`.
 
     :param record: the record of the request.
     :param resumed: how the caller can continue.
@@ -79,7 +84,7 @@
 
 
 class AdoptRecords:
-    """Adopts records of another VM.
+    """Adopts records that a leaving VM handed over.
 
     The result is the list of adopted records whose requests are running.
 
@@ -112,7 +117,7 @@
 
 
 class AllRecords:
-    """The result of a :class:`Snapshot`.
+    """The result of :class:`GetRecords`.
 
     :param running: records of the model requests that run at this VM.
     :param ended: records of the requests whose outcome is kept.
@@ -132,6 +137,8 @@
 class RedirectCallers:
     """Redirects the callers of requests that another VM has taken over.
 
+    Reading the answers of these requests ends at this VM.
+
     :param request_ids: IDs of the requests.
     :param vm: name of that VM.
     :param address: ``host:port`` at which that VM listens for callers.
--- a/src/apricotlever/daemon/runner_documents.py
+++ b/src/apricotlever/daemon/runner_documents.py
@@ -1,4 +1,7 @@
-"""Parses the load and the cache events that runners report."""
+"""Parses the load and the cache events that runners report.
+
+A cache event states that a runner's cache stored or dropped prompt blocks.
+"""
 
 import typing
 
--- a/src/apricotlever/daemon/runner_monitor.py
+++ b/src/apricotlever/daemon/runner_monitor.py
@@ -2,7 +2,8 @@
 
 It reads the platform's VMs, prices and termination notices. Each runner's
 load and cache events are read by a few entry VMs only, picked by rendezvous
-hashing over the membership view; the other entry VMs learn them from rumours.
+hashing over the membership view; the other entry VMs learn them from rumours,
+which are messages spread by gossip.
 """
 
 from concurrent import futures
@@ -47,7 +48,7 @@
 
 
 class ServingVms:
-    """The serving entry VMs in this VM's membership view.
+    """Message: the serving entry VMs in this VM's membership view.
 
     :param serving: VM names by data centre; empty for a data centre of which
         only a summary is known.
@@ -138,7 +139,7 @@
 
 
 class _VmsRead:
-    """The Result of reading the platform's list of VMs."""
+    """Message: a read of the platform's list of VMs has ended."""
 
     __slots__ = ("outcome",)
 
@@ -147,7 +148,7 @@
 
 
 class _PricesRead:
-    """The Result of reading the platform's prices."""
+    """Message: a read of the platform's prices has ended."""
 
     __slots__ = ("outcome",)
 
@@ -156,7 +157,7 @@
 
 
 class _NoticesRead:
-    """The Result of waiting for termination notices."""
+    """Message: a wait for termination notices has ended."""
 
     __slots__ = ("outcome",)
 
@@ -165,7 +166,7 @@
 
 
 class _RunnerPolled:
-    """The result of reading a runner's load and cache events.
+    """Message: a read of a runner's load and cache events has ended.
 
     :param runner: name of the runner.
     :param load: the load, or None when the runner did not answer.
@@ -317,7 +318,7 @@
         }
 
     def tick(self) -> None:
-        """Start the calls that are due."""
+        """Start the calls to the platform and to runners that are due."""
         now = self._clock.now()
         if now >= self._list_at:
             self._list_at = now + LIST_INTERVAL_S
--- a/src/apricotlever/daemon/runner_selection.py
+++ b/src/apricotlever/daemon/runner_selection.py
@@ -1,4 +1,8 @@
-"""Selects the runner of an attempt; a suspect request needs a trial."""
+"""Selects the runner of an attempt; a suspect request needs a trial.
+
+A suspect is a request that may have crashed a runner. It may run only as a
+trial, which the judge, one entry VM for each pool, grants at one runner.
+"""
 
 import time
 import typing
@@ -56,7 +60,7 @@
     def select(
         self, dispatch: DispatchFactory, required_runner: str = ""
     ) -> RunnerSelection:
-        """Select a runner, with a trial by the judge for a suspect request.
+        """Select a runner, and wait for a trial if the request is suspect.
 
         :param dispatch: makes the message to the dispatcher from the name of
             the required runner and whether the run is a trial.
--- a/src/apricotlever/daemon/service_attempts.py
+++ b/src/apricotlever/daemon/service_attempts.py
@@ -18,7 +18,10 @@
 
 
 class ServiceAttempts:
-    """Makes the attempts of one call and reports them to the dispatcher.
+    """Makes the attempts of one service call and reports them.
+
+    An attempt sends the call to one upstream. Its end is reported to the
+    dispatcher, the ledger (for a call with an idempotency key) and the log.
 
     :param context: the daemon's tasks.
     :param request: the call.
@@ -88,8 +91,9 @@
     def run_at_most_once(self, token: int) -> ledger_messages.Answer:
         """Send a call at most once; only failed connections are retried.
 
-        :param token: issued by the ledger for this run. The ledger permits
-            the call to be sent only while it still owns the key.
+        :param token: identifies this run of the call in reports to the
+            ledger, which issued it. The ledger permits the call to be sent
+            only while it still owns the key.
         :returns: the answer of the upstream.
         :raises Refusal: states correctly whether the call ran.
         """
@@ -292,7 +296,7 @@
         exchange: upstream_exchange.Exchange,
         error: upstream_exchange.UpstreamError,
     ) -> bool:
-        """Whether a reused connection broke.
+        """Whether an attempt failed because its connection was stale.
 
         The upstream may have closed an idle connection long before its next
         use, so the break says nothing about the upstream's health. The call
@@ -307,7 +311,7 @@
         return True
 
     def _has_crashed(self, error: upstream_exchange.UpstreamError) -> bool:
-        """Whether the upstream has crashed.
+        """Whether the failure of an attempt shows that the upstream crashed.
 
         A connection can break while its upstream is healthy. If that counted
         as a crash, similar calls would be quarantined for minutes as its
--- a/src/apricotlever/daemon/service_calls.py
+++ b/src/apricotlever/daemon/service_calls.py
@@ -1,4 +1,8 @@
-"""Runs calls of plain services, non-idempotent ones at most once."""
+"""Runs calls of plain services, non-idempotent ones at most once.
+
+A non-idempotent call runs under an idempotency key. The key's owner is the
+entry VM whose ledger decides whether the call with this key runs.
+"""
 
 from concurrent import futures
 import functools
@@ -35,7 +39,7 @@
 
 
 class ServiceCalls:
-    """Runs calls of plain services for their callers.
+    """Runs calls of plain services, here or at the entry VM that owns the key.
 
     :param context: the daemon's tasks.
     """
--- a/src/apricotlever/daemon/service_gateway.py
+++ b/src/apricotlever/daemon/service_gateway.py
@@ -1,4 +1,8 @@
-"""Handles calls to plain services and mints their idempotency keys."""
+"""Handles HTTP calls to plain services and mints their idempotency keys.
+
+A minted key is one that this system created; a caller may also choose a key
+itself. At most one call runs under a key.
+"""
 
 import re
 
@@ -24,7 +28,7 @@
 
 
 class ServiceGateway:
-    """Handles calls to plain services; thread-safe.
+    """Handles HTTP calls to plain services; thread-safe.
 
     :param context: the daemon's tasks.
     :param request_admission: admits the requests.
@@ -44,12 +48,13 @@
     def answer(
         self, call: caller_server.Call, entry_name: str, path: str
     ) -> caller_server.Reply:
-        """Run a call and return the reply to its caller.
+        """Check, admit and run a call, and return the reply to its caller.
 
         :param call: the HTTP call.
         :param entry_name: name of the service's catalogue entry.
         :param path: the decoded path at the service.
-        :raises Refusal: states correctly whether the call was executed.
+        :raises Refusal: when the call is not answered; it states correctly
+            whether the call was executed.
         """
         try:
             request = self._request(call, entry_name, path)
--- a/src/apricotlever/daemon/service_request.py
+++ b/src/apricotlever/daemon/service_request.py
@@ -73,13 +73,13 @@
 
     @property
     def digest(self) -> str:
-        """A hash that differs between calls that share a key."""
+        """A hash of the call, to detect a key that is used for another one."""
         head = f"{self.entry.name}\n{self.method}\n{self.path}\n"
         return hashlib.sha256(head.encode() + self.body).hexdigest()[:32]
 
     @property
     def fingerprint(self) -> str:
-        """The fingerprint by which the quarantine recognises equal calls."""
+        """A hash by which the quarantine recognises equal calls."""
         call = f"{self.method} {self.path}"
         return quarantine.fingerprint(
             self.entry.name, self.customer, self.body, call
--- a/src/apricotlever/daemon/store.py
+++ b/src/apricotlever/daemon/store.py
@@ -1,4 +1,4 @@
-"""The task through which all calls to the object API go.
+"""The task through which all calls to the store, the object API, go.
 
 The task keeps this VM's calls within its budget, in order of priority. The
 calls run on threads of their own, so that a store that hangs delays only the
@@ -32,8 +32,9 @@
 
 
 class StoreCall:
-    """Calls the object API; the result is the Result of the call.
+    """Message: call the object API.
 
+    The result is a :class:`returns.result.Result` with the answer or error.
     A call that the budget does not admit in time fails with Throttled and has
     no effect.
 
@@ -85,7 +86,7 @@
 
 
 class FleetSize:
-    """Sets the number of entry VMs that share the store's call rate."""
+    """Message: the number of entry VMs that share the store's call rates."""
 
     __slots__ = ("vms",)
 
@@ -94,7 +95,7 @@
 
 
 class _WaitingCall:
-    """A call that waits for the budget.
+    """A call that the budget has not admitted yet.
 
     :param call: the call.
     :param future: receives the Result of the call.
@@ -115,7 +116,11 @@
 
 
 class _CallEnded:
-    """The Result of a call, for the budget, the metrics and the log."""
+    """Message: a call has ended; updates the budget, the metrics and the log.
+
+    :param kind: read or write.
+    :param outcome: the Result of the call.
+    """
 
     __slots__ = ("kind", "outcome")
 
--- a/src/apricotlever/daemon/suspect_requests.py
+++ b/src/apricotlever/daemon/suspect_requests.py
@@ -1,6 +1,11 @@
 """Decides whether and where a request that may crash its runner can run.
 
-The class is part of the dispatcher's state and does no I/O.
+A request that was at a runner when the runner crashed is a suspect; after a
+second crash it is quarantined, and is refused for some time. A suspect runs
+only as a trial, which the judge, one entry VM for each pool, grants at one
+runner. Requests are known by their fingerprint, a hash that is the same for
+all repetitions of a request. This is part of the dispatcher's state and does
+no I/O.
 """
 
 import collections
@@ -80,15 +85,15 @@
     def decide_trial(
         self, request: quarantine.TrialRequest
     ) -> quarantine.TrialDecision:
-        """Decide, as the judge of a pool, whether a suspect may run."""
+        """Decide, as the judge of a pool, whether and where a suspect runs."""
         return self._quarantine.decide(request)
 
     def end_trial(self, report: quarantine.TrialEnded) -> None:
-        """Handle the end of a trial that this VM granted."""
+        """Record that a trial which this VM granted no longer runs."""
         self._quarantine.end_trial(report)
 
     def receive_report(self, report: crashes.Report) -> None:
-        """Handle a peer's report of a crash or of a completed suspect."""
+        """Record a peer's report of a crash or of a completed suspect."""
         self._quarantine.receive(report)
 
     def record_crash(
@@ -124,7 +129,7 @@
         return self._quarantine.log.reports(self._vm)
 
     def update_runner_counts(self) -> None:
-        """Update the number of runners in each data centre."""
+        """Tell the quarantine the number of runners in each data centre."""
         self._quarantine.set_sizes(
             collections.Counter(
                 runner.data_centre for runner in self._router.runners
--- a/src/apricotlever/daemon/task_notifier.py
+++ b/src/apricotlever/daemon/task_notifier.py
@@ -1,4 +1,9 @@
-"""Notifies the tasks of the daemon of changes that other tasks report."""
+"""Passes the changes that some tasks of the daemon report to other tasks.
+
+A task is an actor on a thread of its own. The reports come from the fleet
+link, the runner monitor, the catalogue watcher, the dispatcher and the
+autoscaler.
+"""
 
 from concurrent import futures
 import typing
@@ -34,7 +39,7 @@
 
 
 class NotifiedTasks:
-    """The tasks that are notified, and the request handlers' context."""
+    """The tasks that a TaskNotifier notifies, and the handlers' context."""
 
     __slots__ = (
         "dispatcher",
@@ -110,7 +115,7 @@
         self._outgoing_handover = task
 
     def on_view(self, view: views.FleetView) -> None:
-        """Pass the new membership to the tasks that depend on it."""
+        """Pass a new view of the fleet to the tasks that depend on it."""
         self._presence.update_view(view)
         self._fleet_is_large = bool(view.summaries)
         self._tasks.runner_monitor.tell(runner_monitor.serving_vms(view))
@@ -181,7 +186,7 @@
                 )
 
     def on_incarnation_ended(self, vm: str, incarnation: int) -> None:
-        """Tell the tasks that a process has certainly ended."""
+        """Tell the tasks that a process of an entry VM has certainly ended."""
         self._tasks.ledger.tell(ledger_task.IncarnationGone(vm, incarnation))
         self._tasks.dispatcher.tell(dispatcher_messages.MemberLeft(vm))
         if self._outgoing_handover is not None:
@@ -197,7 +202,10 @@
         )
 
     def on_paused(self, seconds: float) -> None:
-        """Do nothing: leases and keys check the clock when they are used."""
+        """Do nothing after a pause of this process.
+
+        Leases and keys check the clock when they are used.
+        """
 
     def on_superseded(self) -> None:
         """Shut down because a newer process runs under this VM's name."""
@@ -206,9 +214,9 @@
     def decide_trial(
         self, request: quarantine.TrialRequest
     ) -> "futures.Future[quarantine.TrialDecision]":
-        """Ask the dispatcher for a decision on a trial.
+        """Ask the dispatcher whether and where a suspect request may run.
 
-        This VM is the judge of the pool.
+        This VM decides as the judge of the pool.
         """
         return self._tasks.dispatcher.ask(
             dispatcher_messages.DecideTrial(request)
@@ -322,7 +330,13 @@
             self.announce(gossip_messages.cache_rumour(runner, events))
 
     def on_notice(self, vm: str, left_s: float) -> None:
-        """Tell the fleet that the platform gave a reclaim notice of a VM."""
+        """Tell the fleet that a VM will end, and act on it here.
+
+        This VM shuts down if the notice is its own.
+
+        :param vm: name of the VM.
+        :param left_s: seconds until the VM ends.
+        """
         self.announce(gossip_messages.runner_leaving_rumour(vm, left_s))
         self._handle_notice(vm, left_s)
 
--- a/src/apricotlever/daemon/transcripts.py
+++ b/src/apricotlever/daemon/transcripts.py
@@ -1,5 +1,6 @@
-"""The events of one answer: appended by one thread, read by any number.
+"""Transcripts: the events of an answer, as received so far.
 
+One thread appends to a transcript and any number of threads read it.
 The writer is the thread that reads the runner. A caller that reconnects, at
 this VM or after a handover, reads from any index and then follows the writer.
 """
@@ -14,7 +15,7 @@
 
 
 class SentTokens(collections.abc.Sequence[str]):
-    """The tokens of events, decoded on access.
+    """The texts of an answer's tokens, decoded from its events on access.
 
     :param events: SSE events, one for each token.
     """
@@ -99,7 +100,7 @@
         self._notify_followers()
 
     def events(self, start: int = 0) -> list[bytes]:
-        """The current events from an index on.
+        """The events received so far, from an index on.
 
         :param start: index of the first token to return.
         """
--- a/src/apricotlever/daemon/trial_messages.py
+++ b/src/apricotlever/daemon/trial_messages.py
@@ -1,4 +1,8 @@
-"""Converts trial requests and decisions to and from peer messages."""
+"""Converts trial requests and decisions to and from peer messages.
+
+A trial is a run of a suspect, a request that may have crashed a runner. The
+judge, one entry VM for each pool, grants or refuses it.
+"""
 
 from concurrent import futures
 import typing
--- a/src/apricotlever/daemon/vm_presence.py
+++ b/src/apricotlever/daemon/vm_presence.py
@@ -11,7 +11,9 @@
 
 
 class VmPresence:
-    """The state of this VM and its view of the other entry VMs.
+    """Whether this VM takes work, and its view of the other entry VMs.
+
+    The view is this VM's snapshot of the fleet.
 
     The fleet task and the shutdown write it, and the threads that serve
     callers read it. It needs no lock because each write replaces the value
@@ -40,7 +42,7 @@
 
     @property
     def view(self) -> views.FleetView | None:
-        """The last view of the fleet; None before the first one."""
+        """The latest snapshot of the fleet; None before the first one."""
         return self._view
 
     @property
@@ -54,7 +56,7 @@
         return self._takes_new_work
 
     def update_view(self, view: views.FleetView) -> None:
-        """Replace the view of the fleet."""
+        """Replace the snapshot of the fleet by a newer one."""
         self._view = view
 
     def set_address(self, address: str) -> None:
@@ -91,9 +93,10 @@
         return member.callers_address if alive and same_process else ""
 
     def entries(self) -> list[Row]:
-        """The entry VMs that take new work.
+        """The rows of the entry VMs to announce to callers.
 
-        Those of this VM's data centre come first.
+        Those of this VM's data centre come first; this VM is left out when it
+        is leaving.
         """
         serving = self._view.members_for_callers() if self._view else []
         others = [
@@ -104,7 +107,7 @@
         return sorted(rows, key=self._is_remote)
 
     def peers(self) -> list[Row]:
-        """All members of the view, for the status page."""
+        """The rows of all members of the view, for the status page."""
         if self._view is None:
             return [dict(self._own_row(), state="alive")]
         return [
@@ -142,7 +145,7 @@
     peers_address: str,
     incarnation: int,
 ) -> pb.Member:
-    """This VM's own record.
+    """This VM's own member record, which it sends to its peers.
 
     :param callers_address: ``host:port`` for callers.
     :param peers_address: ``host:port`` for peers.
