--- a/src/apricotlever/client/catalogue_store.py
+++ b/src/apricotlever/client/catalogue_store.py
@@ -46,7 +46,7 @@
 
 
 class CatalogueStore:
-    """The catalogue object and its history.
+    """Reads and edits the catalogue and its history of versions.
 
     :param objects: client of the platform's object API.
     :param editor: name of the operator, recorded in the history.
@@ -82,7 +82,7 @@
         return edit.StoredVersion(version, kept.value)
 
     def history(self) -> tuple[edit.EditStamp, ...]:
-        """Read the stamps of all kept versions, newest first.
+        """Read who edited each kept version and when, newest first.
 
         :raises Unreachable: if the store can't be read.
         """
@@ -90,8 +90,10 @@
         return (current.stamp, *current.history) if current.version else ()
 
     def replace(self, document: Json, expected: int | None) -> EditResult:
-        """Put a whole document in force.
+        """Put a whole document in force as the next version.
 
+        :param document: the whole catalogue; edit metadata in it, as printed
+            by ``catalogue show``, is dropped.
         :param expected: the version that the document is based on; None
             for the version that is in force now.
         :raises EditConflict: if another version is in force.
--- a/src/apricotlever/client/command_registry.py
+++ b/src/apricotlever/client/command_registry.py
@@ -1,4 +1,4 @@
-"""Registry of the commands, and the arguments and results of one run."""
+"""Registry of the subcommands, and the arguments and output of one run."""
 
 import argparse
 import sys
@@ -20,7 +20,7 @@
 
 
 class Report:
-    """Output of a command.
+    """Output of a command, as JSON and as text.
 
     :param document: JSON document that ``--json`` prints.
     :param text: plain text that is printed otherwise.
--- a/src/apricotlever/client/errors.py
+++ b/src/apricotlever/client/errors.py
@@ -24,9 +24,9 @@
 
 
 class EditConflict(CommandError):
-    """A concurrent edit came first.
+    """A concurrent edit of the catalogue came first; this one changed nothing.
 
-    :param version: the version in force.
+    :param version: the catalogue version in force.
     :param changes: differences from the version in force to the rejected
         document.
     """
@@ -45,7 +45,7 @@
 
     @property
     def version(self) -> int:
-        """The version in force."""
+        """The catalogue version in force."""
         return self._version
 
     @property
@@ -61,12 +61,18 @@
 
 
 class VersionNotInForce(CommandError):
-    """A version was not in force at every entry VM before the timeout."""
+    """A catalogue version was not in force everywhere before the timeout.
+
+    Every entry VM has to apply it, or a later one.
+    """
 
     exit_code = exit_codes.NOT_IN_FORCE
 
 
 class OutcomeUnknown(CommandError):
-    """An edit may or may not have taken effect."""
+    """An edit of the catalogue may or may not have taken effect.
+
+    The store did not tell whether the write succeeded.
+    """
 
     exit_code = exit_codes.OUTCOME_UNKNOWN
--- a/src/apricotlever/client/fleet.py
+++ b/src/apricotlever/client/fleet.py
@@ -18,7 +18,7 @@
 
 
 class Member:
-    """An entry VM as listed by one of its peers.
+    """An entry VM as listed in the status of one entry VM.
 
     :param vm: name of the VM.
     :param address: address where the VM listens for callers.
--- a/src/apricotlever/client/fleet_commands.py
+++ b/src/apricotlever/client/fleet_commands.py
@@ -126,7 +126,7 @@
 
 
 def _unanswered_lines(unanswered: list[str]) -> list[str]:
-    """Warn that sums are incomplete because some VMs did not answer."""
+    """Lines of output that name the VMs missing from a sum; empty if none."""
     return [f"no answer from: {', '.join(unanswered)}"] if unanswered else []
 
 
--- a/src/apricotlever/client/log_commands.py
+++ b/src/apricotlever/client/log_commands.py
@@ -1,4 +1,7 @@
-"""Commands that read logs."""
+"""Commands that read the logs of entry VMs.
+
+``explain`` shows what happened to one request, and ``report`` plots all.
+"""
 
 import argparse
 import importlib
--- a/src/apricotlever/client/log_summary.py
+++ b/src/apricotlever/client/log_summary.py
@@ -1,4 +1,8 @@
-"""Summarizes the requests and fleet events in the logs of all VMs."""
+"""Summarizes the requests and fleet events in the logs of all VMs.
+
+A fleet event is a logged change that affects all requests, such as the loss
+of a runner.
+"""
 
 import collections
 import datetime
@@ -69,7 +73,7 @@
 
 
 class FleetEvent:
-    """A change that affected all requests.
+    """A logged change that affected all requests, for marks in plots.
 
     :param at_s: seconds since the first log line.
     :param event: name of the log event.
@@ -88,7 +92,8 @@
     :param results: results of the requests.
     :param fleet_events: changes that affected all requests.
     :param vms: names of the VMs whose log lines were read.
-    :param capacity: runner samples of the services with ordered runners.
+    :param capacity: samples of the number of runners, of the services for
+        which a VM orders runners.
     """
 
     __slots__ = ("results", "capacity", "fleet_events", "vms")
@@ -107,12 +112,12 @@
 
     @property
     def losses(self) -> losses.Losses:
-        """Statistics of the lost and late requests."""
+        """The lost and late requests, with counts by reason and time."""
         return losses.Losses(self.results, self.capacity)
 
     @property
     def document(self) -> dict[str, typing.Any]:
-        """The counts as JSON, to complement the plots."""
+        """The numbers of requests by outcome and reason, as JSON."""
         reasons = collections.Counter(
             result.reason for result in self.results if result.reason
         )
@@ -211,9 +216,9 @@
 
 
 def _is_first_report(line: log_parser.LogLine, seen: set[str]) -> bool:
-    """Whether no earlier line, of any VM, reported the same change.
+    """Whether no earlier line, of any VM, reported the same fleet event.
 
-    :param seen: changes reported so far; a new change is added.
+    :param seen: keys of the events reported so far; a new one is added.
     """
     subject = line.fields.get("version", line.fields.get("runner", ""))
     subject = subject or line.fields.get("member", line.time)
--- a/src/apricotlever/client/losses.py
+++ b/src/apricotlever/client/losses.py
@@ -1,4 +1,8 @@
-"""Counts lost and late requests by route, time window and reason."""
+"""Counts lost and late requests by route, time window and reason.
+
+A request is lost if it was not served. It is late if the first byte of its
+answer came later than its objective.
+"""
 
 import collections
 import typing
@@ -106,10 +110,11 @@
 
 
 class Losses:
-    """All requests that were lost or late.
+    """The requests that were lost or late, and their counts.
 
     :param results: results of all requests.
-    :param capacity: runner samples of the services with ordered runners.
+    :param capacity: samples of the number of runners, of the services for
+        which a VM orders runners.
     """
 
     __slots__ = ("_results", "_capacity")
--- a/src/apricotlever/client/request_timeline.py
+++ b/src/apricotlever/client/request_timeline.py
@@ -59,7 +59,7 @@
 
 
 class RequestTimeline:
-    """Log lines that concern one request.
+    """The log lines that concern one request, and why the request ended.
 
     :param request_id: the request's id.
     :param lines: lines that name the request, in time order.
@@ -106,7 +106,7 @@
 
     @property
     def _missing_end_cause(self) -> str:
-        """Why the logs hold no end of the request."""
+        """The likely reason why no log line reports the request's end."""
         vm = self.lines[-1].vm
         for line in self.background:
             if line.time <= self.lines[-1].time:
@@ -184,7 +184,7 @@
 
 
 def _time_left_s(line: log_parser.LogLine) -> float:
-    """Seconds until the deadline when the request was sent to a runner."""
+    """Seconds left to the request's deadline as logged; 0 if not logged."""
     return float(line.fields.get("left_s", 0.0))
 
 
--- a/src/apricotlever/client/terminal_format.py
+++ b/src/apricotlever/client/terminal_format.py
@@ -44,7 +44,7 @@
 def summarize_distribution(
     distribution: histograms.Distribution,
 ) -> dict[str, Json]:
-    """Labels, count and percentiles of a distribution.
+    """The labels, count and percentiles of a latency distribution.
 
     :returns: fields by name; percentiles are in seconds.
     """
@@ -62,7 +62,10 @@
 
 
 def format_histogram(distribution: histograms.Distribution) -> str:
-    """Format a title line and one bar for each non-empty bucket."""
+    """Format a latency distribution as a title and one bar per bucket.
+
+    Empty buckets are left out.
+    """
     fields = summarize_distribution(distribution)
     title = " ".join(f"{k}={_format_field(k, v)}" for k, v in fields.items())
     counts = distribution.counts_below(BUCKET_BOUNDS_S)
--- a/src/apricotlever/client/version_status.py
+++ b/src/apricotlever/client/version_status.py
@@ -1,4 +1,7 @@
-"""Finds the catalogue version in force at each entry VM."""
+"""Finds the catalogue version in force at each entry VM.
+
+A version is in force at a VM that applies it to requests.
+"""
 
 import time
 import typing
@@ -14,7 +17,7 @@
 
 
 class VersionStatus:
-    """The catalogue version at each entry VM.
+    """The catalogue versions in force at the entry VMs and in the store.
 
     :param replies: the status replies of the live entry VMs.
     :param stored: the store's version, read after the replies arrived; None
@@ -68,7 +71,10 @@
 
     @property
     def _reported_store_version(self) -> int | None:
-        """Lowest store version reported by VMs that saw the store go back."""
+        """Lowest store version reported by VMs that saw the store go back.
+
+        None if no VM reports that.
+        """
         reported = (_store_behind(reply) for reply in self._replies)
         return min((v for v in reported if v is not None), default=None)
 
