--- a/src/apricotlever/daemon/dispatcher_messages.py
+++ b/src/apricotlever/daemon/dispatcher_messages.py
@@ -63,8 +63,8 @@
         notice; None for a call of a plain service, which stays at its runner.
     :param required_runner: name of the runner to use regardless of its score;
         empty to let the router choose.
-    :param on_trial: whether the judge of the pool has granted a trial of the
-        request at that runner.
+    :param on_trial: whether the judge of the pool has allowed the run, as a
+        trial at that runner or because the request is no longer suspect.
     """
 
     __slots__ = (
--- a/src/apricotlever/daemon/ledger_task.py
+++ b/src/apricotlever/daemon/ledger_task.py
@@ -74,8 +74,8 @@
 class StartSending:
     """Asks for permission to send a call, just before its first byte.
 
-    The result is whether the call may be sent. It may not be sent when the
-    ledger has moved to another VM meanwhile.
+    The result is whether the call may be sent. It may not when the run has
+    ended meanwhile, as when the ledger was exported to another VM.
 
     :param token: the token of the run.
     """
--- a/src/apricotlever/daemon/peer_calls.py
+++ b/src/apricotlever/daemon/peer_calls.py
@@ -1,4 +1,4 @@
-"""Tracks calls to other entry VMs, to cancel those to a VM that has died."""
+"""Tracks calls to other entry VMs, to cancel those to a VM declared dead."""
 
 from concurrent import futures
 import functools
--- a/src/apricotlever/daemon/runner_selection.py
+++ b/src/apricotlever/daemon/runner_selection.py
@@ -25,8 +25,8 @@
     """The runner that was selected for an attempt.
 
     :param route: the runner and its expected performance.
-    :param on_trial: whether the attempt is a trial of a suspect
-        request, granted by a judge.
+    :param on_trial: whether a judge allowed the attempt, as a trial or
+        because the request is no longer suspect there.
     """
 
     __slots__ = ("route", "on_trial")
@@ -97,7 +97,8 @@
         """Convert a judge's decision to arguments of the next dispatch.
 
         :returns: the name of the required runner, empty for any, and whether
-            the run is a trial.
+            the judge allowed the run. The dispatcher then sends the request
+            even if this VM still holds it for a suspect.
         :raises Refusal: when the request may not run before its deadline.
         """
         if isinstance(decision, quarantine.RejectRequest):
