--- a/src/apricotlever/daemon/runner_selection.py
+++ b/src/apricotlever/daemon/runner_selection.py
@@ -1,4 +1,8 @@
-"""Selects the runner of an attempt; a suspect request needs a trial."""
+"""Selects the runner of an attempt; a suspect request needs a trial.
+
+A suspect is a request that may have crashed a runner. It may run only as a
+trial, which the judge, one entry VM for each pool, grants at one runner.
+"""
 
 import time
 import typing
@@ -21,8 +25,8 @@
     """The runner that was selected for an attempt.
 
     :param route: the runner and its expected performance.
-    :param on_trial: whether the attempt is a trial of a suspect
-        request, granted by a judge.
+    :param on_trial: whether a judge allowed the attempt, as a trial or
+        because the request is no longer suspect there.
     """
 
     __slots__ = ("route", "on_trial")
@@ -56,7 +60,7 @@
     def select(
         self, dispatch: DispatchFactory, required_runner: str = ""
     ) -> RunnerSelection:
-        """Select a runner, with a trial by the judge for a suspect request.
+        """Select a runner, and wait for a trial if the request is suspect.
 
         :param dispatch: makes the message to the dispatcher from the name of
             the required runner and whether the run is a trial.
@@ -93,7 +97,8 @@
         """Convert a judge's decision to arguments of the next dispatch.
 
         :returns: the name of the required runner, empty for any, and whether
-            the run is a trial.
+            the judge allowed the run. The dispatcher then sends the request
+            even if this VM still holds it for a suspect.
         :raises Refusal: when the request may not run before its deadline.
         """
         if isinstance(decision, quarantine.RejectRequest):
