--- a/tests/vms/record_exchange.feature
+++ b/tests/vms/record_exchange.feature
@@ -78,10 +78,9 @@
     And the fleet runs for 3 seconds
     Then each VM considers all others alive
 
-  # Symptom: hundreds of VMs a second count as dead in a rolling restart and
-  # long after.
-  # Events: each start and runner change alters the records of all VMs; an
-  # aggregator's link is full; its VMs switch to others and ask for all.
+  # Symptom: in and after a rolling restart many live VMs count as dead.
+  # Events: each start or runner change alters all records; an aggregator's
+  # link is full; its VMs switch to others and ask for all.
   Scenario Outline: During a rolling restart no other VM counts as dead
     Given <vms> VMs in <places> data centres that know each other
     When for 10 seconds each 0.8 seconds a VM restarts and a runner changes
