--- a/tests/vms/record_exchange.feature
+++ b/tests/vms/record_exchange.feature
@@ -78,7 +78,7 @@
     And the fleet runs for 3 seconds
     Then each VM considers all others alive
 
-  # Symptom: in and after a rolling restart many live VMs count as dead.
+  # Symptom: hundreds of VMs a second count as dead in a rolling restart and after.
   # Events: each start or runner change alters all records; an aggregator's
   # link is full; its VMs switch to others and ask for all.
   Scenario Outline: During a rolling restart no other VM counts as dead
