--- a/tests/steps/serving_call_relay.py
+++ b/tests/steps/serving_call_relay.py
@@ -1,4 +1,4 @@
-"""Steps for relay.feature, streams.feature and callers.feature."""
+"""Steps for call_relay, streams and caller_server.feature in tests/serving."""
 
 import asyncio
 import re
