--- a/src/apricotlever/serving/runner_duty.py
+++ b/src/apricotlever/serving/runner_duty.py
@@ -34,7 +34,7 @@
 #: are listed one by one; a VM that takes the first of nine for the whole
 #: fleet would release the other eight.
 STARTUP_HEARTBEATS = 2.5
-#: Delay before an accepted order without effect is sent again, in seconds. Its
+#: Delay before an order that showed no effect is sent again, in seconds. Its
 #: answer may have been lost, or an order of the previous holder of the lease
 #: may have arrived after it.
 REPEAT_ORDER_S = 9.0
