--- a/bench/fleets.py
+++ b/bench/fleets.py
@@ -52,7 +52,7 @@
         message = pb.GossipMessage(sender=other)
         message.sync.members.extend(group)
         message.sync.summaries.extend(summaries)
-        node.membership.answered(message)
+        node.membership.receive_reply(message)
     return nodes
 
 
--- a/bench/gossip_simulation.py
+++ b/bench/gossip_simulation.py
@@ -224,7 +224,7 @@
         self, node: Node, message: pb.GossipMessage, is_answer: bool
     ) -> list[actions.Action]:
         handle = (
-            node.membership.answered
+            node.membership.receive_reply
             if is_answer
             else (node.membership.receive)
         )
--- a/src/apricotlever/vms/actions.py
+++ b/src/apricotlever/vms/actions.py
@@ -17,7 +17,7 @@
 class Send(Action):
     """Asks the caller to send a message to a peer by the Gossip call.
 
-    The answer goes to :meth:`~.membership.Membership.answered`. A missing
+    The answer goes to :meth:`~.membership.Membership.receive_reply`. A missing
     answer need not be reported: the probes have timeouts of their own.
 
     :param vm: the intended recipient; empty when only the address is known.
--- a/tests/vms/naive_membership.py
+++ b/tests/vms/naive_membership.py
@@ -64,9 +64,9 @@
     def receive(self, message: pb.GossipMessage) -> list[actions.Action]:
         """Process a heartbeat and answer it."""
         reply = actions.Reply(pb.GossipMessage(sender=self.me))
-        return self.answered(message) + [reply]
+        return self.receive_reply(message) + [reply]
 
-    def answered(self, message: pb.GossipMessage) -> list[actions.Action]:
+    def receive_reply(self, message: pb.GossipMessage) -> list[actions.Action]:
         """Record that the sender is alive."""
         sender = message.sender
         before = self._members.get(sender.vm)
